--- a/benchmarks/changes.py
+++ b/benchmarks/changes.py
@@ -57,8 +57,12 @@
         site = settings()
         site["FamilyInfo"] |= {"Cores": 16, "HeapKb": 90e6}
         del site["Tenants"]
-        self.top = {"name": "w1", "stop_ms": 2500, "limits": {"memory_mb": 192, "sockets": 512},
-                    "admin": "127.0.0.1:0"}
+        self.top = {
+            "name": "w1",
+            "stop_ms": 2500,
+            "limits": {"memory_mb": 192, "sockets": 512},
+            "admin": "127.0.0.1:0",
+        }
         self.ajp = {"listen": "127.0.0.1:0", "servers": [{"address": server, "reply_ms": 15_000}]}
         self.settings = site
         self.share = 1 / tenants
@@ -88,8 +92,19 @@
         return self.rng.randrange(STABLE, len(lines))
 
     def text(self) -> str:
-        return "\n".join([*self._lines(self.top), "[ajp]", *self._lines(self.ajp), "", *self.routes,
-                          "[settings]", *self._lines(self.settings), "", *self.tenants])
+        return "\n".join(
+            [
+                *self._lines(self.top),
+                "[ajp]",
+                *self._lines(self.ajp),
+                "",
+                *self.routes,
+                "[settings]",
+                *self._lines(self.settings),
+                "",
+                *self.tenants,
+            ]
+        )
 
     def _lines(self, values: dict[str, Any]) -> list[str]:
         return [f"{key} = {toml(value)}" for key, value in values.items()]
@@ -133,9 +148,9 @@
             return
         got += data
         at, status = 0, 0
-        while len(got) >= at + 4 and len(got) >= at + 4 + (size := int.from_bytes(got[at + 2:at + 4])):
+        while len(got) >= at + 4 and len(got) >= at + 4 + (size := int.from_bytes(got[at + 2 : at + 4])):
             if got[at + 4] == 4:
-                status = int.from_bytes(got[at + 5:at + 7])
+                status = int.from_bytes(got[at + 5 : at + 7])
             if got[at + 4] == 5:
                 self.kinds[status] += 1
                 self.waited.append((due, time.monotonic() - due))
@@ -202,8 +217,12 @@
         env = {k: v for k, v in os.environ.items() if not k.startswith(("EDGE_", "OCHREHOIST_"))}
         self.began = time.monotonic()
         self.process = subprocess.Popen(
-            [sys.executable, "-m", "ochrehoist"], cwd=root, stderr=subprocess.PIPE, text=True,
-            env=env | {"TMPDIR": str(folder), "OCHREHOIST_AJP": str(self.file)})
+            [sys.executable, "-m", "ochrehoist"],
+            cwd=root,
+            stderr=subprocess.PIPE,
+            text=True,
+            env=env | {"TMPDIR": str(folder), "OCHREHOIST_AJP": str(self.file)},
+        )
         threading.Thread(target=self._read, daemon=True).start()
 
     def _read(self) -> None:
@@ -283,8 +302,9 @@
         return {}
     values = sorted(values)
     at = {"p50": 0.5, "p99": 0.99, "p99.9": 0.999}
-    return {name: round(scale * values[min(len(values) - 1, int(len(values) * q))], 3)
-            for name, q in at.items()} | {"worst": round(scale * values[-1], 3), "count": len(values)}
+    return {
+        name: round(scale * values[min(len(values) - 1, int(len(values) * q))], 3) for name, q in at.items()
+    } | {"worst": round(scale * values[-1], 3), "count": len(values)}
 
 
 def one(root: Path, tenants: int, routes: int, args: argparse.Namespace) -> dict[str, Any]:
@@ -294,8 +314,11 @@
         try:
             out: dict[str, Any] = {"ready_s": worker.ready()}
             if out["ready_s"] is None:
-                return out | {"gave_up_after_s": READY_S, "cpu_s": used(worker.process.pid),
-                              "mb": worker.memory()}
+                return out | {
+                    "gave_up_after_s": READY_S,
+                    "cpu_s": used(worker.process.pid),
+                    "mb": worker.memory(),
+                }
             time.sleep(2)
             began, cpu = time.monotonic(), used(worker.process.pid)
             time.sleep(REST_S)
@@ -322,12 +345,16 @@
     time.sleep(args.seconds)
     client.send("mark")
     told = client.recv()
-    return {"steady_ms": quantiles(told["waited"]), "steady_answers": told["kinds"],
-            "steady_cpu_%": round(100 * (used(worker.process.pid) - cpu) / args.seconds, 2)}
+    return {
+        "steady_ms": quantiles(told["waited"]),
+        "steady_answers": told["kinds"],
+        "steady_cpu_%": round(100 * (used(worker.process.pid) - cpu) / args.seconds, 2),
+    }
 
 
-def changes(worker: Appliance, client: Connection, prober: Prober,
-            args: argparse.Namespace) -> dict[str, Any]:
+def changes(
+    worker: Appliance, client: Connection, prober: Prober, args: argparse.Namespace
+) -> dict[str, Any]:
     """Changes one after the other, and after each as long a time without one, to compare with."""
     forces, late, worsts, waited, kinds = [], [], [], [], Counter()
     calm, calm_worsts = [], []
@@ -351,10 +378,17 @@
         calm_worsts.append(max(told["waited"], default=0.0))
         kinds.update(told["kinds"])
     status = worker.status()[1].get("configuration", {})
-    return {"in_force_ms": quantiles(forces), "seen_late_by_ms": quantiles(late),
-            "changing_ms": quantiles(waited), "worst_of_each_ms": quantiles(worsts),
-            "calm_ms": quantiles(calm), "worst_of_each_calm_ms": quantiles(calm_worsts),
-            "changing_answers": dict(kinds), "changing_mb": worker.memory(), "configuration": status}
+    return {
+        "in_force_ms": quantiles(forces),
+        "seen_late_by_ms": quantiles(late),
+        "changing_ms": quantiles(waited),
+        "worst_of_each_ms": quantiles(worsts),
+        "calm_ms": quantiles(calm),
+        "worst_of_each_calm_ms": quantiles(calm_worsts),
+        "changing_answers": dict(kinds),
+        "changing_mb": worker.memory(),
+        "configuration": status,
+    }
 
 
 def many(root: Path, tenants: int, routes: int, args: argparse.Namespace) -> dict[str, Any]:
@@ -380,16 +414,27 @@
                         told = client.recv()
                         waited += told["waited"]
                         kinds.update(told["kinds"])
-                        print(f"  {n + 1} changes in {time.monotonic() - began:.0f} s, "
-                              f"{memory[-1]['now']:.1f} MB", flush=True)
+                        print(
+                            f"  {n + 1} changes in {time.monotonic() - began:.0f} s, "
+                            f"{memory[-1]['now']:.1f} MB",
+                            flush=True,
+                        )
                 client.send("end")
                 last = client.recv()
             kinds.update(last["kinds"])
             waited += last["waited"]
-            return {"changes": len(forces), "not_in_force": missed, "took_s": time.monotonic() - began,
-                    "in_force_ms": quantiles(forces), "client_ms": quantiles(waited), "answers": dict(kinds),
-                    "unanswered": last["open"] + kinds.get("cut off", 0), "sent": last["sent"], "mb": memory,
-                    "events": dict(worker.events)}
+            return {
+                "changes": len(forces),
+                "not_in_force": missed,
+                "took_s": time.monotonic() - began,
+                "in_force_ms": quantiles(forces),
+                "client_ms": quantiles(waited),
+                "answers": dict(kinds),
+                "unanswered": last["open"] + kinds.get("cut off", 0),
+                "sent": last["sent"],
+                "mb": memory,
+                "events": dict(worker.events),
+            }
         finally:
             worker.close()
 
@@ -421,12 +466,15 @@
 
     for text in filter(None, args.sizes.split(",")):
         for name, root in roots.items():
-            keep({"tree": name, "size": text, "load": os.getloadavg()[0]}
-                 | one(Path(root), *size(text), args))
+            keep(
+                {"tree": name, "size": text, "load": os.getloadavg()[0]} | one(Path(root), *size(text), args)
+            )
     if args.many:
         for name, root in roots.items():
-            keep({"tree": name, "size": args.many_size, "load": os.getloadavg()[0]}
-                 | many(Path(root), *size(args.many_size), args))
+            keep(
+                {"tree": name, "size": args.many_size, "load": os.getloadavg()[0]}
+                | many(Path(root), *size(args.many_size), args)
+            )
 
 
 if __name__ == "__main__":
--- a/benchmarks/config_reading.py
+++ b/benchmarks/config_reading.py
@@ -38,18 +38,36 @@
     def text(kind: str) -> str:
         step = max(1, tenants // 100)
         changed = {"one tenant": {tenants // 2}, "100 tenants": set(range(0, tenants, step))}.get(kind, ())
-        site = settings(Tenants=[
-            {"Name": f"tenant-{at:05d}", "QuotaPerS": 999.5 if at in changed else 10.5 + at % 90,
-             "Fraction": round(1 / tenants, 9)} for at in range(tenants)])
+        site = settings(
+            Tenants=[
+                {
+                    "Name": f"tenant-{at:05d}",
+                    "QuotaPerS": 999.5 if at in changed else 10.5 + at % 90,
+                    "Fraction": round(1 / tenants, 9),
+                }
+                for at in range(tenants)
+            ]
+        )
         top: dict[str, Any] = {"name": "n1", "admin": "127.0.0.1:8010"}
         if as_json:
-            return json.dumps(top | {"listen": "127.0.0.1:0", "kernel": "127.0.0.1:9", "seed": "1f",
-                                     "settings": site})
-        rules = [{"uri": f"/services/{at % 340}/resource-{at}/*", "class": "read", "methods": [
-            "PUT"] if kind == "one route" and at == routes(tenants) // 2 else ["GET", "HEAD"]}
-            for at in range(routes(tenants))]
-        return toml_file(top | {"ajp": {"listen": "127.0.0.1:0", "servers": [{"address": "127.0.0.1:9"}],
-                                        "rules": rules}, "settings": site})
+            return json.dumps(
+                top | {"listen": "127.0.0.1:0", "kernel": "127.0.0.1:9", "seed": "1f", "settings": site}
+            )
+        rules = [
+            {
+                "uri": f"/services/{at % 340}/resource-{at}/*",
+                "class": "read",
+                "methods": ["PUT"] if kind == "one route" and at == routes(tenants) // 2 else ["GET", "HEAD"],
+            }
+            for at in range(routes(tenants))
+        ]
+        return toml_file(
+            top
+            | {
+                "ajp": {"listen": "127.0.0.1:0", "servers": [{"address": "127.0.0.1:9"}], "rules": rules},
+                "settings": site,
+            }
+        )
 
     return {kind: text(kind) for kind in KINDS}
 
@@ -89,14 +107,21 @@
 
 
 def measured(tree: Path, folder: str, ending: str) -> dict[str, Any]:
-    done = subprocess.run([sys.executable, __file__, "--one", folder, ending], cwd=tree, check=True,
-                          env=os.environ | {"PYTHONPATH": str(tree)}, capture_output=True, text=True)
+    done = subprocess.run(
+        [sys.executable, __file__, "--one", folder, ending],
+        cwd=tree,
+        check=True,
+        env=os.environ | {"PYTHONPATH": str(tree)},
+        capture_output=True,
+        text=True,
+    )
     return json.loads(done.stdout)
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser(description=__doc__,
-                                     formatter_class=argparse.RawDescriptionHelpFormatter)
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
     parser.add_argument("revision")
     parser.add_argument("--sizes", type=int, nargs="+", default=SIZES, metavar="TENANTS")
     parser.add_argument("--rounds", type=int, default=3, metavar="N")
@@ -105,8 +130,10 @@
     from benchmarks.earlier import versions
 
     rows = []
-    print(f"load {os.getloadavg()[0]:.1f}; s of processor time | longest step, ms | MB above the smallest, "
-          "after | at the most")
+    print(
+        f"load {os.getloadavg()[0]:.1f}; s of processor time | longest step, ms | MB above the smallest, "
+        "after | at the most"
+    )
     with versions(wanted.revision) as trees:
         for ending in (".toml", ".json"):
             base: dict[str, float] = {}
@@ -116,20 +143,35 @@
                         Path(folder, kind.replace(" ", "_") + ending).write_text(text)
                     Path(folder, f"warm{ending}").write_text(texts(3, ending == ".json")["first"])
                     # By turns, so that what else the machine does meets both.
-                    rounds = [{name: measured(tree, folder, ending) for name, tree in trees}
-                              for _ in range(wanted.rounds)]
+                    rounds = [
+                        {name: measured(tree, folder, ending) for name, tree in trees}
+                        for _ in range(wanted.rounds)
+                    ]
                 for kind in KINDS:
                     if kind == "one route" and ending == ".json":
                         continue
                     for name, _ in trees:
                         took, longest, after, most = (
-                            statistics.median(r[name][kind][at] for r in rounds) for at in range(4))
+                            statistics.median(r[name][kind][at] for r in rounds) for at in range(4)
+                        )
                         base.setdefault(name, after)
-                        rows.append({"file": ending[1:], "tenants": size, "change": kind, "version": name,
-                                     "processor_s": took, "longest_step_ms": longest,
-                                     "memory_mb": after - base[name], "most_mb": most - base[name]})
-                        print(f"{ending[1:]} {size:6} {kind:12} {name:7} {took:7.3f} | {longest:8.2f} | "
-                              f"{after - base[name]:6.1f} | {most - base[name]:6.1f}", flush=True)
+                        rows.append(
+                            {
+                                "file": ending[1:],
+                                "tenants": size,
+                                "change": kind,
+                                "version": name,
+                                "processor_s": took,
+                                "longest_step_ms": longest,
+                                "memory_mb": after - base[name],
+                                "most_mb": most - base[name],
+                            }
+                        )
+                        print(
+                            f"{ending[1:]} {size:6} {kind:12} {name:7} {took:7.3f} | {longest:8.2f} | "
+                            f"{after - base[name]:6.1f} | {most - base[name]:6.1f}",
+                            flush=True,
+                        )
     print(f"load {os.getloadavg()[0]:.1f}")
     if wanted.json:
         wanted.json.write_text(json.dumps(rows, indent=1) + "\n")
--- a/benchmarks/flood.py
+++ b/benchmarks/flood.py
@@ -34,14 +34,24 @@
 
 
 def frame(seqid: int, number: int, method: str, token: str | None = None) -> bytes:
-    values = {"method": method, "rid": f"{number:016x}", "t0": str(time.time_ns() // 1_000_000), "peer": "1",
-              "acct": "acme", "est": "100.0", "mem": "20.0", "prio": "0.5", "obj": f"{number % 100:x}"}
+    values = {
+        "method": method,
+        "rid": f"{number:016x}",
+        "t0": str(time.time_ns() // 1_000_000),
+        "peer": "1",
+        "acct": "acme",
+        "est": "100.0",
+        "mem": "20.0",
+        "prio": "0.5",
+        "obj": f"{number % 100:x}",
+    }
     if token:
         values["token"] = token
         del values["obj"]
     packed = thrift.strings({k.encode(): v.encode() for k, v in values.items()})
-    arguments = thrift.field(thrift.MAP, 1, packed) + thrift.field(thrift.STRING, 2, thrift.string(b"x")) \
-        + thrift.END
+    arguments = (
+        thrift.field(thrift.MAP, 1, packed) + thrift.field(thrift.STRING, 2, thrift.string(b"x")) + thrift.END
+    )
     return thrift.message(thrift.CALL, b"invoke", seqid, arguments)
 
 
@@ -57,6 +67,7 @@
     for s in socks:
         s.setblocking(False)
     import select
+
     poll = select.poll()
     by_fd = {s.fileno(): n for n, s in enumerate(socks)}
     for s in socks:
@@ -84,14 +95,14 @@
             buffers[n] += data
             answered, buffer = 0, buffers[n]
             while len(buffer) >= 4 and len(buffer) >= 4 + (size := int.from_bytes(buffer[:4], "big")):
-                m = thrift.parse(buffer[4:4 + size])
+                m = thrift.parse(buffer[4 : 4 + size])
                 took.append(time.monotonic() - sent[n].pop(m.seqid))
-                buffer = buffer[4 + size:]
+                buffer = buffer[4 + size :]
                 answered += 1
             buffers[n] = buffer
             count += answered
             send(n, answered)
-    out.put((count, took[::max(1, len(took) // 2000)]))
+    out.put((count, took[:: max(1, len(took) // 2000)]))
 
 
 def burner(seconds: float) -> None:
@@ -119,8 +130,9 @@
     try:
         address = tuple(program.at["ThriftFront"])
         out = multiprocessing.Queue()
-        jobs = [multiprocessing.Process(target=flooder, args=(address, seconds, n + 1, out))
-                for n in range(4)]
+        jobs = [
+            multiprocessing.Process(target=flooder, args=(address, seconds, n + 1, out)) for n in range(4)
+        ]
         jobs += [multiprocessing.Process(target=burner, args=(seconds + 1,)) for _ in range(busy)]
         checks, filings = [], []
         pinger, filer = program.thrift(), Thrift(address)
@@ -130,8 +142,10 @@
             number = next(numbers)
             return filer.call(method="filing", token=f"{number:032x}")[0]
 
-        threads = [threading.Thread(target=aside, args=(pinger.ping, seconds, checks)),
-                   threading.Thread(target=aside, args=(file, seconds, filings))]
+        threads = [
+            threading.Thread(target=aside, args=(pinger.ping, seconds, checks)),
+            threading.Thread(target=aside, args=(file, seconds, filings)),
+        ]
         cpu = used(program.process.pid)
         for job in (*jobs, *threads):
             job.start()
@@ -146,14 +160,26 @@
 
         def at(values, q):
             return round(values[min(len(values) - 1, int(len(values) * q))] * 1000, 1) if values else None
-        return {"answers_per_s": round(answered / seconds),
-                "cpu_us_each": round(cpu / max(1, answered) * 1e6),
-                "answer_p50_ms": at(waits, 0.5), "answer_p99_ms": at(waits, 0.99),
-                "ping_p50_ms": at(ping, 0.5), "ping_p99_ms": at(ping, 0.99), "filing_p50_ms": at(filed, 0.5),
-                "filings": len(filed), "filings_served": sum(gave == "Answer" for _, gave in filings),
-                "loop": status.get("overload", {}).get("loop"), "served": status["served"],
-                "rss_mb": round(int(Path(f"/proc/{program.process.pid}/statm").read_text().split()[1])
-                                * os.sysconf("SC_PAGE_SIZE") / 1e6, 1)}
+
+        return {
+            "answers_per_s": round(answered / seconds),
+            "cpu_us_each": round(cpu / max(1, answered) * 1e6),
+            "answer_p50_ms": at(waits, 0.5),
+            "answer_p99_ms": at(waits, 0.99),
+            "ping_p50_ms": at(ping, 0.5),
+            "ping_p99_ms": at(ping, 0.99),
+            "filing_p50_ms": at(filed, 0.5),
+            "filings": len(filed),
+            "filings_served": sum(gave == "Answer" for _, gave in filings),
+            "loop": status.get("overload", {}).get("loop"),
+            "served": status["served"],
+            "rss_mb": round(
+                int(Path(f"/proc/{program.process.pid}/statm").read_text().split()[1])
+                * os.sysconf("SC_PAGE_SIZE")
+                / 1e6,
+                1,
+            ),
+        }
     finally:
         program.close()
 
@@ -167,19 +193,26 @@
     args = parser.parse_args()
     with tempfile.TemporaryDirectory() as folder:
         before = Path(folder, "before")
-        subprocess.run(["git", "worktree", "add", "-q", "--detach", str(before), args.revision], cwd=ROOT,
-                       check=True)
+        subprocess.run(
+            ["git", "worktree", "add", "-q", "--detach", str(before), args.revision], cwd=ROOT, check=True
+        )
         try:
             costs = []
             for n in range(args.rounds):
                 pair = {}
                 for which in (("before", "now"), ("now", "before"))[n % 2]:
-                    pair[which] = play(before if which == "before" else ROOT,
-                                       None if which == "before" else {}, args.seconds, args.busy)
+                    pair[which] = play(
+                        before if which == "before" else ROOT,
+                        None if which == "before" else {},
+                        args.seconds,
+                        args.busy,
+                    )
                     print(which, json.dumps(pair[which]), flush=True)
                 costs.append(pair["now"]["cpu_us_each"] / pair["before"]["cpu_us_each"])
-            print(f"processor time of an answer, now/before: {statistics.median(costs):.2f} "
-                  f"({min(costs):.2f} to {max(costs):.2f})")
+            print(
+                f"processor time of an answer, now/before: {statistics.median(costs):.2f} "
+                f"({min(costs):.2f} to {max(costs):.2f})"
+            )
         finally:
             subprocess.run(["git", "worktree", "remove", "--force", str(before)], cwd=ROOT, check=True)
 
--- a/benchmarks/knee.py
+++ b/benchmarks/knee.py
@@ -29,10 +29,14 @@
     return Machine(cores, 1.0, slow_from=slow_from, slow_to=slow_to, crowd=8.0)
 
 
-CASES = {"3 cores": Case(machine(3, 1.3, 0.6)), "6 cores": Case(machine(6, 1.3, 0.6)),
-         "6 cores, steep": Case(machine(6, 1.0, 0.2)), "16 cores, late": Case(machine(16, 2.5, 0.4)),
-         "6 cores, noisy": Case(machine(6, 1.3, 0.6), cv=2.5),
-         "6 cores, halved": Case(machine(6, 1.3, 0.6), halved=True)}
+CASES = {
+    "3 cores": Case(machine(3, 1.3, 0.6)),
+    "6 cores": Case(machine(6, 1.3, 0.6)),
+    "6 cores, steep": Case(machine(6, 1.0, 0.2)),
+    "16 cores, late": Case(machine(16, 2.5, 0.4)),
+    "6 cores, noisy": Case(machine(6, 1.3, 0.6), cv=2.5),
+    "6 cores, halved": Case(machine(6, 1.3, 0.6), halved=True),
+}
 STARTS = (2, 8, 60)
 WORK_S = 0.3
 
@@ -42,7 +46,7 @@
     c, rng, windows = CASES[case], Random(seed), Windows()
     m = c.machine
     cores, now, running, number = Cores(m, 0.0, False), 0.0, 0, 0
-    sigma = math.sqrt(math.log(1 + c.cv ** 2))
+    sigma = math.sqrt(math.log(1 + c.cv**2))
     works: dict[int, tuple[float, float]] = {}
     done = took = area = 0.0
     ends = 0
@@ -87,8 +91,9 @@
     seconds = parser.parse_args().seconds
     cases = list(CASES)
     tops = joblib.Parallel(n_jobs=-1)(joblib.delayed(best)(c, seconds) for c in cases)
-    wanted = [(c, n, start, seed) for c in cases for n in CONTROLLERS for start in STARTS
-              for seed in (1, 2, 3)]
+    wanted = [
+        (c, n, start, seed) for c in cases for n in CONTROLLERS for start in STARTS for seed in (1, 2, 3)
+    ]
     got = joblib.Parallel(n_jobs=-1)(joblib.delayed(one)(*w, seconds) for w in wanted)
     by = {}
     for (c, n, start, _), values in zip(wanted, got, strict=True):
--- a/benchmarks/limit_choice.py
+++ b/benchmarks/limit_choice.py
@@ -22,17 +22,25 @@
 
 BASE = tomllib.loads((Path(__file__).parent / "plan" / "base.toml").read_text())
 READ, FILING = BASE["classes"]
-CHEAP = [{**READ, "name": "lookup", "share": 0.5, "work_ms": 10.0, "cv": 0.3}, {**READ, "share": 0.4},
-         {**FILING, "share": 0.1}]
+CHEAP = [
+    {**READ, "name": "lookup", "share": 0.5, "work_ms": 10.0, "cv": 0.3},
+    {**READ, "share": 0.4},
+    {**FILING, "share": 0.1},
+]
 HEAVY = [{**READ, "heavy_share": 0.02, "heavy_times": 15.0}, FILING]
-STORM = {"routers": [{**BASE["routers"][0], "retries": 3, "choice": "round"}],
-         "clients": {"retries": 2, "wait_ms": 150.0, "heed": 0.3}}
+STORM = {
+    "routers": [{**BASE["routers"][0], "retries": 3, "choice": "round"}],
+    "clients": {"retries": 2, "wait_ms": 150.0, "heed": 0.3},
+}
 
 # Name: demand, changes of the fleet, how many times the real cores are told, and the class that it is about.
 CASES = {
-    "90%": (0.9, {}, 1, None), "120%": (1.2, {}, 1, None), "150%": (1.5, {}, 1, None),
+    "90%": (0.9, {}, 1, None),
+    "120%": (1.2, {}, 1, None),
+    "150%": (1.5, {}, 1, None),
     "200%": (2.0, {}, 1, None),
-    "twice the cores told, 120%": (1.2, {}, 2, None), "twice the cores told, 200%": (2.0, {}, 2, None),
+    "twice the cores told, 120%": (1.2, {}, 2, None),
+    "twice the cores told, 200%": (2.0, {}, 2, None),
     "half the cores told, 120%": (1.2, {}, 0.5, None),
     "cheap calls, 150%": (1.5, {"classes": CHEAP}, 1, "lookup"),
     "cheap calls, 200%": (2.0, {"classes": CHEAP}, 1, "lookup"),
@@ -49,7 +57,8 @@
     "pools, lane": dataclasses.replace(OFF, pools=True, lane=True),
     "lane": dataclasses.replace(OFF, lane=True),
     "budgets": dataclasses.replace(OFF, retries=True),
-    "all": OverloadConfig(lane=True, retries=True)}
+    "all": OverloadConfig(lane=True, retries=True),
+}
 
 
 def play(case: str, way: str, seed: int, seconds: float) -> tuple[str, str, float, float | None, float]:
@@ -75,6 +84,7 @@
                 r = plain(t)
                 r.work = None
                 return r
+
             w._inbound = inbound
     tally = sim.run()
     values = tally.values()
@@ -93,7 +103,8 @@
     got: dict[tuple[str, str], list[tuple]] = {}
     wanted = [(c, w, s) for c in cases for w in WAYS for s in range(1, given.seeds + 1)]
     runs = joblib.Parallel(n_jobs=given.jobs, return_as="generator_unordered")(
-        joblib.delayed(play)(*each, given.seconds) for each in wanted)
+        joblib.delayed(play)(*each, given.seconds) for each in wanted
+    )
     for case, way, *rest in runs:
         got.setdefault((case, way), []).append(rest)
 
--- a/benchmarks/plan/__main__.py
+++ b/benchmarks/plan/__main__.py
@@ -17,10 +17,15 @@
 
 BASE = tomllib.loads((Path(__file__).parent / "base.toml").read_text())
 SLOW_AND_FAST = {
-    "kinds": [{"name": "slow", "cores": 3, "speed": 0.6, "memory_mb": 76.0},
-              {"name": "fast", "cores": 3, "speed": 1.3, "memory_mb": 76.0}],
-    "workers": [{"kind": "slow", "addresses": ["10.1.0.1-10.1.0.2", "10.2.0.1"]},
-                {"kind": "fast", "addresses": ["10.1.0.3", "10.2.0.3"]}]}
+    "kinds": [
+        {"name": "slow", "cores": 3, "speed": 0.6, "memory_mb": 76.0},
+        {"name": "fast", "cores": 3, "speed": 1.3, "memory_mb": 76.0},
+    ],
+    "workers": [
+        {"kind": "slow", "addresses": ["10.1.0.1-10.1.0.2", "10.2.0.1"]},
+        {"kind": "fast", "addresses": ["10.1.0.3", "10.2.0.3"]},
+    ],
+}
 
 
 def routers(**more):
@@ -41,13 +46,19 @@
     "mixed nodes, round-robin": (0.85, SLOW_AND_FAST | routers(choice="round"), None),
     "mixed nodes, least, 105%": (1.05, SLOW_AND_FAST, None),
     "mixed nodes, weighted": (0.95, SLOW_AND_FAST | routers(choice="weighted"), None),
-    "hot subjects": (0.7, routers(choice="subject") | {
-        "load": BASE["load"] | {"hot": 3, "hot_share": 0.24, "zipf": 0.4}}, None),
+    "hot subjects": (
+        0.7,
+        routers(choice="subject") | {"load": BASE["load"] | {"hot": 3, "hot_share": 0.24, "zipf": 0.4}},
+        None,
+    ),
     "two choices, 105%": (1.05, routers(choice="two"), None),
     "heavy tail": (0.85, heavy(0.02, 15.0), None),
     "a site lost": (0.6, {}, "antwerp"),
-    "retry storm, 120%": (1.2, routers(retries=3, choice="round") | {
-        "clients": {"retries": 2, "wait_ms": 150.0, "heed": 0.3}}, None),
+    "retry storm, 120%": (
+        1.2,
+        routers(retries=3, choice="round") | {"clients": {"retries": 2, "wait_ms": 150.0, "heed": 0.3}},
+        None,
+    ),
 }
 
 
@@ -70,17 +81,27 @@
     given = parser.parse_args()
     names = given.cases or list(CASES)
     runs = joblib.Parallel(n_jobs=given.jobs, return_as="generator")(
-        joblib.delayed(made)(name, seed, given.seconds) for name in names for seed in given.seeds)
+        joblib.delayed(made)(name, seed, given.seconds) for name in names for seed in given.seeds
+    )
     worst, kept = 0.0, []
     print(f"{'case':26} seed  measured  forecast  ratio  refused, measured and forecast  calls late, p99 ms")
     for name, seed, v in runs:
         m, f = v["measured"], v["forecast"]
         worst = max(worst, abs(v["ratio"] - 1))
-        kept.append({"case": name, "seed": seed, "measured": m["goodput"], "forecast": f["goodput"],
-                     "late_p99_ms": v["late_p99_ms"]})
-        print(f"{name:26} {seed:4}  {m['goodput']:8.3f}  {f['goodput']:8.3f}  {v['ratio']:5.3f}  "
-              f"{m['shares']['refused']:.3f} {f['shares']['refused']:.3f}  {v['late_p99_ms']:.0f}",
-              flush=True)
+        kept.append(
+            {
+                "case": name,
+                "seed": seed,
+                "measured": m["goodput"],
+                "forecast": f["goodput"],
+                "late_p99_ms": v["late_p99_ms"],
+            }
+        )
+        print(
+            f"{name:26} {seed:4}  {m['goodput']:8.3f}  {f['goodput']:8.3f}  {v['ratio']:5.3f}  "
+            f"{m['shares']['refused']:.3f} {f['shares']['refused']:.3f}  {v['late_p99_ms']:.0f}",
+            flush=True,
+        )
     print(f"furthest from 1: {worst:.1%}")
     if given.json:
         given.json.write_text(json.dumps(kept, indent=1) + "\n")
--- a/benchmarks/plan/walk.py
+++ b/benchmarks/plan/walk.py
@@ -20,15 +20,28 @@
 
     return [
         ("measure", FLEET, "--demand", "0.8", "--seconds", "50", "--record", monday, *page("measure-monday")),
-        ("measure", FLEET, "--demand", "1.1", "--seconds", "50", "--seed", "2", "--record", tuesday,
-         *page("measure-tuesday")),
+        (
+            "measure",
+            FLEET,
+            "--demand",
+            "1.1",
+            "--seconds",
+            "50",
+            "--seed",
+            "2",
+            "--record",
+            tuesday,
+            *page("measure-tuesday"),
+        ),
         ("fit", monday, tuesday, *page("fit")),
         ("compare", monday, tuesday, "--on", FLEET, *page("compare")),
         ("breaks", FLEET, *page("breaks")),
         ("size", FLEET, "--demand", "1.1", "--kind", "node", "--goal", "0.95", *page("size")),
         ("lose", FLEET, "antwerp", "--demand", "0.8", "--back", "20", *page("lose")),
-        *(("forecast", LARGE, "--demand", d, "--seeds", "2", "--seconds", "60", *page(f"large-{d}"))
-          for d in ("0.9", "1.05", "1.2")),
+        *(
+            ("forecast", LARGE, "--demand", d, "--seeds", "2", "--seconds", "60", *page(f"large-{d}"))
+            for d in ("0.9", "1.05", "1.2")
+        ),
         ("lose", LARGE, "antwerp", "--demand", "0.8", "--back", "20", "--seeds", "2", *page("large-lose")),
     ]
 
--- a/benchmarks/read_cost.py
+++ b/benchmarks/read_cost.py
@@ -45,8 +45,17 @@
     for sock in socks:
         sock.close()
     budget = {"name": "again", "use": "repeats", "amount": 20, "floor_lease_s": 2}
-    return [{"listen": at[me], "group": "cost", "secrets": ["for this measurement"], "voters": list(at),
-             "members": {n: a for n, a in at.items() if n != me}, "budgets": [budget]} for me in at]
+    return [
+        {
+            "listen": at[me],
+            "group": "cost",
+            "secrets": ["for this measurement"],
+            "voters": list(at),
+            "members": {n: a for n, a in at.items() if n != me},
+            "budgets": [budget],
+        }
+        for me in at
+    ]
 
 
 def in_fleet(reads: int, count: int) -> float:
@@ -66,8 +75,9 @@
     site["FamilyInfo"] |= {"Cores": 16, "HeapKb": 90e6}
     site["Tenants"] = [{"Name": name, "QuotaPerS": 1e4, "Fraction": 1 / 3} for name in ("acme", "b", "c")]
     how = {"thrift": front == "thrift", "ajp": front == "ajp"}
-    return Program(**how, site=site, server=InstantServer(), kernel=InstantKernel(b"a small page"), root=root,
-                   **more)
+    return Program(
+        **how, site=site, server=InstantServer(), kernel=InstantKernel(b"a small page"), root=root, **more
+    )
 
 
 def read(front: str, client: Any, count: int) -> None:
@@ -109,8 +119,11 @@
                 spent[at].append((run_for(programs[at].process.pid) - began) / CHUNK * 1e6)
         then, now = (statistics.fmean(s) for s in spent)
         middle = statistics.median(b / a for a, b in zip(*spent, strict=True))
-        print(f"{front}, side by side: {then:.1f} us before, {now:.1f} us now, now/before {now / then:.3f}; "
-              f"of {len(spent[0])} pairs of turns the middle one {middle:.3f}", flush=True)
+        print(
+            f"{front}, side by side: {then:.1f} us before, {now:.1f} us now, now/before {now / then:.3f}; "
+            f"of {len(spent[0])} pairs of turns the middle one {middle:.3f}",
+            flush=True,
+        )
     finally:
         for program in programs:
             program.close()
@@ -133,24 +146,31 @@
     with tempfile.TemporaryDirectory() as folder:
         if args.capture:
             on = {"folder": str(Path(folder, "load"))}
-            return compare("ajp", args, lambda: cost(ROOT, "ajp", args.reads),
-                           lambda: cost(ROOT, "ajp", args.reads, on))
+            return compare(
+                "ajp", args, lambda: cost(ROOT, "ajp", args.reads), lambda: cost(ROOT, "ajp", args.reads, on)
+            )
         before = Path(folder, "before")
-        subprocess.run(["git", "worktree", "add", "-q", "--detach", str(before), args.revision], cwd=ROOT,
-                       check=True)
+        subprocess.run(
+            ["git", "worktree", "add", "-q", "--detach", str(before), args.revision], cwd=ROOT, check=True
+        )
         try:
             for front in ("ajp", "thrift"):
                 if args.side_by_side:
                     side_by_side(before, front, args)
                     continue
-                compare(front, args, partial(cost, before, front, args.reads),
-                        partial(cost, ROOT, front, args.reads))
+                compare(
+                    front,
+                    args,
+                    partial(cost, before, front, args.reads),
+                    partial(cost, ROOT, front, args.reads),
+                )
         finally:
             subprocess.run(["git", "worktree", "remove", "--force", str(before)], cwd=ROOT, check=True)
 
 
-def compare(front: str, args: argparse.Namespace, then: Callable[[], float],
-            now: Callable[[], float]) -> None:
+def compare(
+    front: str, args: argparse.Namespace, then: Callable[[], float], now: Callable[[], float]
+) -> None:
     """Both by turns; each goes first in every second round."""
     ratios = []
     for n in range(args.rounds):
@@ -161,8 +181,10 @@
         ratios.append(after / before)
         print(f"{front}: {before:.0f} us before, {after:.0f} us now", flush=True)
     ratios.sort()
-    print(f"{front}: now/before {statistics.median(ratios):.3f} ({ratios[0]:.3f} to {ratios[-1]:.3f}), "
-          f"{args.reads} reads a round")
+    print(
+        f"{front}: now/before {statistics.median(ratios):.3f} ({ratios[0]:.3f} to {ratios[-1]:.3f}), "
+        f"{args.reads} reads a round"
+    )
 
 
 if __name__ == "__main__":
--- a/benchmarks/routes.py
+++ b/benchmarks/routes.py
@@ -83,8 +83,14 @@
 
 
 def measured(root: Path, task: dict) -> dict:
-    done = subprocess.run([sys.executable, "-c", CHILD], cwd=root, input=json.dumps(task), text=True,
-                          stdout=subprocess.PIPE, check=True)
+    done = subprocess.run(
+        [sys.executable, "-c", CHILD],
+        cwd=root,
+        input=json.dumps(task),
+        text=True,
+        stdout=subprocess.PIPE,
+        check=True,
+    )
     return json.loads(done.stdout)
 
 
@@ -97,15 +103,20 @@
     parser.add_argument("--json", type=Path)
     args = parser.parse_args()
     with contextlib.ExitStack() as stack:
-        trees = (("before", args.root), ("now", ROOT)) if args.root \
+        trees = (
+            (("before", args.root), ("now", ROOT))
+            if args.root
             else stack.enter_context(versions(args.revision))
+        )
         rows = []
         for table, forms in TABLES.items():
             for size in SIZES:
                 task = {"forms": forms, "size": size, "calls": args.calls}
                 rounds = [{name: measured(root, task) for name, root in trees} for _ in range(args.rounds)]
-                rows.append({"table": table, "routes": size} | {
-                    name: best([r[name] for r in rounds]) for name, _ in trees})
+                rows.append(
+                    {"table": table, "routes": size}
+                    | {name: best([r[name] for r in rounds]) for name, _ in trees}
+                )
                 print(line(rows[-1]), flush=True)
     if args.json:
         args.json.write_text(json.dumps(rows, indent=1))
@@ -113,8 +124,11 @@
 
 def best(rounds: list[dict]) -> dict:
     """The least of each figure: what else runs on the machine only adds."""
-    out: dict = {"found": {name: [min(r["found"][name][q] for r in rounds) for q in (0, 1)]
-                           for name in rounds[0]["found"]}}
+    out: dict = {
+        "found": {
+            name: [min(r["found"][name][q] for r in rounds) for q in (0, 1)] for name in rounds[0]["found"]
+        }
+    }
     return out | {k: min(r[k] for r in rounds) for k in rounds[0] if k != "found"}
 
 
--- a/benchmarks/sites.py
+++ b/benchmarks/sites.py
@@ -67,13 +67,21 @@
     with versions(revision) as both:
         for seed in range(1, seeds + 1):
             for version, root in both:
-                s = parse({
-                    "name": version, "seconds": 34, "workers": 6, "sites": SITES, "classes": CLASSES,
-                    "load": {"rate": 120 * load}, "peers": version == "now",
-                    "tables": {"sites": {}} if version == "now" else {},
-                    "services": {"shared": 0, "cores": 4, "cold_from": 0.21, "cold_s": 12.0},
-                    "balancer": {"choice": "weighted", "check_s": 0.2, "redispatch": True},
-                    "faults": [{"at": 6, "kind": "kill", "who": ["antwerp"], "lasts": 12}]})
+                s = parse(
+                    {
+                        "name": version,
+                        "seconds": 34,
+                        "workers": 6,
+                        "sites": SITES,
+                        "classes": CLASSES,
+                        "load": {"rate": 120 * load},
+                        "peers": version == "now",
+                        "tables": {"sites": {}} if version == "now" else {},
+                        "services": {"shared": 0, "cores": 4, "cold_from": 0.21, "cold_s": 12.0},
+                        "balancer": {"choice": "weighted", "check_s": 0.2, "redispatch": True},
+                        "faults": [{"at": 6, "kind": "kill", "who": ["antwerp"], "lasts": 12}],
+                    }
+                )
                 play = Play(s, seed, root)
                 show(version, seed, play, play.run(), foretold(s, "antwerp")["worth"])
 
--- a/benchmarks/slopes/__main__.py
+++ b/benchmarks/slopes/__main__.py
@@ -32,11 +32,24 @@
     sizes = [p["size"] for p in points]
     names = [name for name in points[0] if name not in ("size", "seed")]
     lines = {name: line(sizes, [p[name] for p in points]) for name in names}
-    return {"name": probe.name, "grows_with": probe.grows_with, "goal": probe.goal, "points": points,
-            "not_run": not_run,
-            "lines": {name: {"base": x.base, "slope": x.slope, "residual": x.residual, "power": x.power,
-                             "at_goal": x.at(probe.goal)} for name, x in lines.items()},
-            "bounds": [_broken(b, sizes, [p[b.measure] for p in points]) for b in probe.bounds]}
+    return {
+        "name": probe.name,
+        "grows_with": probe.grows_with,
+        "goal": probe.goal,
+        "points": points,
+        "not_run": not_run,
+        "lines": {
+            name: {
+                "base": x.base,
+                "slope": x.slope,
+                "residual": x.residual,
+                "power": x.power,
+                "at_goal": x.at(probe.goal),
+            }
+            for name, x in lines.items()
+        },
+        "bounds": [_broken(b, sizes, [p[b.measure] for p in points]) for b in probe.bounds],
+    }
 
 
 def _broken(bound: Bound, sizes: list[int], values: list[float]) -> dict:
@@ -44,7 +57,6 @@
     return {"measure": bound.measure, "most": bound.most, "why": bound.why, "breaks_at": at, "run": run}
 
 
-
 def told(row: dict, before: dict | None) -> None:
     largest = max(p["size"] for p in row["points"])
     print(f"\n{row['name']}: by {row['grows_with']}, up to {largest:,}; goal {row['goal']:,.0f}")
@@ -54,15 +66,20 @@
         if before and name in before["lines"]:
             top = [p[name] for p in before["points"] if p["size"] == largest]
             was = f"; before {sum(top) / len(top):,.1f}" if top else ""
-        print(f"  {name:20} {x['base']:12,.1f} + {x['slope']:.6g} n, residual {x['residual']:.3f}, power "
-              f"{x['power']:.2f}; at {largest:,}: {sum(mine) / len(mine):,.1f}{was}")
+        print(
+            f"  {name:20} {x['base']:12,.1f} + {x['slope']:.6g} n, residual {x['residual']:.3f}, power "
+            f"{x['power']:.2f}; at {largest:,}: {sum(mine) / len(mine):,.1f}{was}"
+        )
     for point, why in row["not_run"].items():
         print(f"  NOT RUN at {point}: {why}")
     for b in row["bounds"]:
         part = None if b["breaks_at"] is None else b["breaks_at"] / row["goal"]
-        at = "no size up to ten times the goal" if part is None or part > 10 else \
-            f"{b['breaks_at']:,.0f} = {part:.2%} of the goal" \
+        at = (
+            "no size up to ten times the goal"
+            if part is None or part > 10
+            else f"{b['breaks_at']:,.0f} = {part:.2%} of the goal"
             f"{'' if b['run'] else ' (worked out, not run)'}"
+        )
         print(f"  bound {b['measure']} <= {b['most']:,.0f} ({b['why']}): breaks at {at}", flush=True)
 
 
@@ -77,10 +94,18 @@
     sys.path.insert(0, str(args.root.resolve()))
     connections.ROOT = args.root.resolve()
     before = {r["name"]: r for r in json.loads(args.against.read_text())["slopes"]} if args.against else {}
-    version = subprocess.run(["git", "rev-parse", "--short", "HEAD"], cwd=args.root, capture_output=True,
-                             text=True).stdout.strip()
-    out = {"version": version, "date": time.strftime("%Y-%m-%d %H:%M"), "load": os.getloadavg(),
-           "cores": os.cpu_count(), "seeds": args.seeds, "slopes": [], "failed": {}}
+    version = subprocess.run(
+        ["git", "rev-parse", "--short", "HEAD"], cwd=args.root, capture_output=True, text=True
+    ).stdout.strip()
+    out = {
+        "version": version,
+        "date": time.strftime("%Y-%m-%d %H:%M"),
+        "load": os.getloadavg(),
+        "cores": os.cpu_count(),
+        "seeds": args.seeds,
+        "slopes": [],
+        "failed": {},
+    }
     print(f"version {version}, load {out['load'][0]:.1f} on {out['cores']} cores, {args.seeds} seeds")
     for probe in PROBES:
         if args.only and args.only not in probe.name:
--- a/benchmarks/slopes/connections.py
+++ b/benchmarks/slopes/connections.py
@@ -1,6 +1,5 @@
 """What open connections cost: the loop's turn over its descriptors, and a real program's fronts."""
 
-
 import resource
 import socket
 import sys
@@ -77,8 +76,15 @@
         how = {"thrift": front == "thrift", "ajp": front == "ajp"}
         more = {"max_connections": 19000, "idle_s": 600} if front == "ajp" else {}
         self.front = front
-        self.program = Program(**how, site=site, server=InstantServer(), kernel=InstantKernel(b"a page"),
-                               root=ROOT, sockets=hard, **more)
+        self.program = Program(
+            **how,
+            site=site,
+            server=InstantServer(),
+            kernel=InstantKernel(b"a page"),
+            root=ROOT,
+            sockets=hard,
+            **more,
+        )
         self.pid = self.program.process.pid
         self.client = self._client()
         self._ask(50)
@@ -132,8 +138,9 @@
 
     site = settings()
     site["FamilyInfo"] |= {"Cores": 16, "HeapKb": 90e6}
-    site["Tenants"] = [{"Name": f"tenant-{n:06}", "QuotaPerS": 100.0, "Fraction": 1 / size}
-                       for n in range(size)]
+    site["Tenants"] = [
+        {"Name": f"tenant-{n:06}", "QuotaPerS": 100.0, "Fraction": 1 / size} for n in range(size)
+    ]
     rules = [{"uri": f"/route-{n:04}/*", "class": "read"} for n in range(max(1, size * 3800 // 58000))]
     began = time.monotonic()
     program = Program(thrift=False, ajp=True, site=site, rules=rules)
@@ -143,8 +150,11 @@
         time.sleep(1.0)
         before, at = used(pid), time.monotonic()
         time.sleep(REST_S)
-        return {"rest_percent": 100 * (used(pid) - before) / (time.monotonic() - at),
-                "bytes": resident(pid), "ready_s": ready}
+        return {
+            "rest_percent": 100 * (used(pid) - before) / (time.monotonic() - at),
+            "bytes": resident(pid),
+            "ready_s": ready,
+        }
     finally:
         program.close()
 
@@ -161,14 +171,27 @@
 ASK = Bound("request_us", 5400, "5.4 ms added to a request")
 
 PROBES = [
-    Probe("turn of the loop by descriptors", "connections", (100, 1000, 5000, 10000, 18000), turns, 19000,
-          (Bound("ask_us", 5400, "5.4 ms added to a request"),
-           Bound("ask_us", 5848, "a core at 171 requests a second"))),
-    Probe("real appliance at rest by tenants and routes", "tenants, and 1 route for 15",
-          (3, 1000, 5000, 20000, 58000), at_rest, 58000,
-          (REST, Bound("bytes", 64e6, "64 MB"), Bound("ready_s", 3.0, "ready within 3 s"))),
+    Probe(
+        "turn of the loop by descriptors",
+        "connections",
+        (100, 1000, 5000, 10000, 18000),
+        turns,
+        19000,
+        (
+            Bound("ask_us", 5400, "5.4 ms added to a request"),
+            Bound("ask_us", 5848, "a core at 171 requests a second"),
+        ),
+    ),
+    Probe(
+        "real appliance at rest by tenants and routes",
+        "tenants, and 1 route for 15",
+        (3, 1000, 5000, 20000, 58000),
+        at_rest,
+        58000,
+        (REST, Bound("bytes", 64e6, "64 MB"), Bound("ready_s", 3.0, "ready within 3 s")),
+    ),
     Probe("real AJP front by connections", "connections", (50, 500, 2000, 6000), ajp, 19000, (ASK, REST)),
-    Probe("real platform front by connections", "connections", (50, 500, 2000, 6000), thrift, 19000,
-          (ASK, REST)),
+    Probe(
+        "real platform front by connections", "connections", (50, 500, 2000, 6000), thrift, 19000, (ASK, REST)
+    ),
 ]
-
--- a/benchmarks/slopes/module.py
+++ b/benchmarks/slopes/module.py
@@ -19,13 +19,33 @@
 
     aim = changes.pop("aim", 900 * MS)
     kinds = tuple(
-        i.RequestClass(name=f"class-{n}", aim=aim, deadline=2 * aim, worth=1.0 + n % 3,
-                       repeat=i.Repeat.KEYED if n == classes - 1 else i.Repeat.SAFE,
-                       window=900 * S if n == classes - 1 else 0) for n in range(classes))
+        i.RequestClass(
+            name=f"class-{n}",
+            aim=aim,
+            deadline=2 * aim,
+            worth=1.0 + n % 3,
+            repeat=i.Repeat.KEYED if n == classes - 1 else i.Repeat.SAFE,
+            window=900 * S if n == classes - 1 else 0,
+        )
+        for n in range(classes)
+    )
     named = tuple(i.Tenant(f"tenant-{n:06}", 100.0, 1 / max(1, tenants)) for n in range(tenants))
-    values = {"classes": kinds, "tenants": named, "cores": 16, "memory_kb": 90e6, "tip_multiple": 5.0,
-              "fall": S, "run_factor": 4.0, "key_kb": 10.0, "callers": 2, "idle": 30 * S, "fleet_size": 2,
-              "goal": i.Goal(0.5, 0.1, 0.2, 0.2), "max_backoff": S, "over_share_worth": 0.2}
+    values = {
+        "classes": kinds,
+        "tenants": named,
+        "cores": 16,
+        "memory_kb": 90e6,
+        "tip_multiple": 5.0,
+        "fall": S,
+        "run_factor": 4.0,
+        "key_kb": 10.0,
+        "callers": 2,
+        "idle": 30 * S,
+        "fleet_size": 2,
+        "goal": i.Goal(0.5, 0.1, 0.2, 0.2),
+        "max_backoff": S,
+        "over_share_worth": 0.2,
+    }
     return i.Settings(**values | changes)
 
 
@@ -74,8 +94,7 @@
         quiet = cpu_us(self.beat)
         for _ in range(9):
             busy_beat()
-        return {"beat_us": quiet, "busy_beat_us": sorted(busy)[4],
-                "decision_us": each_us(self.through, 200)}
+        return {"beat_us": quiet, "busy_beat_us": sorted(busy)[4], "decision_us": each_us(self.through, 200)}
 
 
 def cpu_once(call: Any) -> float:
@@ -189,8 +208,11 @@
             break
         comes()
     assert len(queue) >= size, len(queue)
-    return {"groups": len(driver.module.groups), "decision_us": each_us(comes_and_leaves, 200),
-            "beat_us": cpu_us(driver.beat)}
+    return {
+        "groups": len(driver.module.groups),
+        "decision_us": each_us(comes_and_leaves, 200),
+        "beat_us": cpu_us(driver.beat),
+    }
 
 
 def held_of_few(size: int, seed: int) -> Measures:
@@ -203,18 +225,54 @@
 
 
 PROBES = [
-    Probe("module by tenants", "tenants", (3, 1000, 5000, 20000, 58000), by_tenants, 58000,
-          (BEAT, HELD_UP, TURN)),
-    Probe("module by active tenants", "tenants heard lately, of 58,000", (100, 1000, 3000, 8000, 20000),
-          by_active, 7400, (BEAT, HELD_UP)),
-    Probe("module by tenants that lack answers", "tenants that lack answers, of 58,000",
-          (100, 1000, 3000, 8000, 20000), by_lacking, 7400, (BEAT, HELD_UP)),
+    Probe(
+        "module by tenants",
+        "tenants",
+        (3, 1000, 5000, 20000, 58000),
+        by_tenants,
+        58000,
+        (BEAT, HELD_UP, TURN),
+    ),
+    Probe(
+        "module by active tenants",
+        "tenants heard lately, of 58,000",
+        (100, 1000, 3000, 8000, 20000),
+        by_active,
+        7400,
+        (BEAT, HELD_UP),
+    ),
+    Probe(
+        "module by tenants that lack answers",
+        "tenants that lack answers, of 58,000",
+        (100, 1000, 3000, 8000, 20000),
+        by_lacking,
+        7400,
+        (BEAT, HELD_UP),
+    ),
     Probe("module by classes", "classes", (2, 34, 340, 1000), by_classes, 340, (BEAT, TURN)),
-    Probe("module by callers", "callers", (100, 1000, 5000, 19000), by_callers, 1710,
-          (BEAT, TURN, Bound("forgetting_beat_us", 5400, "5.4 ms on a request's way"))),
+    Probe(
+        "module by callers",
+        "callers",
+        (100, 1000, 5000, 19000),
+        by_callers,
+        1710,
+        (BEAT, TURN, Bound("forgetting_beat_us", 5400, "5.4 ms on a request's way")),
+    ),
     Probe("module by queue", "requests held", (10, 100, 1000, 3600), held_of_few, 3600, (TURN, BEAT)),
-    Probe("module by queue of many tenants", "requests held, each of another tenant", (10, 100, 400, 1200),
-          held_of_many, 3600, (TURN, BEAT)),
-    Probe("module by keys", "filings within two windows", (1000, 5000, 20000, 60000), by_keys, 30780,
-          (BEAT, TURN, Bound("forgetting_beat_us", 5400, "5.4 ms on a request's way"))),
+    Probe(
+        "module by queue of many tenants",
+        "requests held, each of another tenant",
+        (10, 100, 400, 1200),
+        held_of_many,
+        3600,
+        (TURN, BEAT),
+    ),
+    Probe(
+        "module by keys",
+        "filings within two windows",
+        (1000, 5000, 20000, 60000),
+        by_keys,
+        30780,
+        (BEAT, TURN, Bound("forgetting_beat_us", 5400, "5.4 ms on a request's way")),
+    ),
 ]
--- a/benchmarks/slopes/page.py
+++ b/benchmarks/slopes/page.py
@@ -40,8 +40,10 @@
 def main() -> None:
     before, now = (json.loads(Path(path).read_text()) for path in sys.argv[1:3])
     old, new = ({r["name"]: r for r in x["slopes"]} for x in (before, now))
-    print(f"| slope (by what, up to, goal) | measure | {before['version']}: line | residual / power | at the "
-          f"largest | {now['version']}: line | residual / power | at the largest |")
+    print(
+        f"| slope (by what, up to, goal) | measure | {before['version']}: line | residual / power | at the "
+        f"largest | {now['version']}: line | residual / power | at the largest |"
+    )
     print("| --- " * 8 + "|")
     names = list(dict.fromkeys([*old, *new]))
     for name in names:
@@ -49,17 +51,30 @@
         largest = max(p["size"] for p in row["points"])
         head = f"{name} ({row['grows_with']}, {largest:,}, {number(row['goal'])})"
         for measure in row["lines"]:
-            print("|", " | ".join([head, measure, *_line(old.get(name), measure),
-                                   *_line(new.get(name), measure)]), "|")
+            print(
+                "|",
+                " | ".join([head, measure, *_line(old.get(name), measure), *_line(new.get(name), measure)]),
+                "|",
+            )
             head = ""
     print(f"\n| slope | bound | goal | {before['version']} breaks at | {now['version']} breaks at |")
     print("| --- " * 5 + "|")
     for name in names:
         row = old.get(name) or new[name]
         for b in row["bounds"]:
-            print("|", " | ".join([name, f"{b['measure']} <= {number(b['most'])}: {b['why']}",
-                                   f"{row['goal']:,}", _breaks(old.get(name), b["measure"], b["most"]),
-                                   _breaks(new.get(name), b["measure"], b["most"])]), "|")
+            print(
+                "|",
+                " | ".join(
+                    [
+                        name,
+                        f"{b['measure']} <= {number(b['most'])}: {b['why']}",
+                        f"{row['goal']:,}",
+                        _breaks(old.get(name), b["measure"], b["most"]),
+                        _breaks(new.get(name), b["measure"], b["most"]),
+                    ]
+                ),
+                "|",
+            )
 
 
 if __name__ == "__main__":
--- a/benchmarks/slopes/state.py
+++ b/benchmarks/slopes/state.py
@@ -35,10 +35,13 @@
     module = _taught(size, seed).module
     known = handover.learned(module)
     text = json.dumps(known, separators=(",", ":"))
-    return {"line_bytes": len(text), "learned_us": cpu_us(lambda: handover.learned(module)),
-            "line_us": cpu_us(lambda: json.dumps(known, separators=(",", ":"))),
-            "taught_us": cpu_us(lambda: handover.teach(module, known, module.now)),
-            "read_us": cpu_us(lambda: json.loads(text))}
+    return {
+        "line_bytes": len(text),
+        "learned_us": cpu_us(lambda: handover.learned(module)),
+        "line_us": cpu_us(lambda: json.dumps(known, separators=(",", ":"))),
+        "taught_us": cpu_us(lambda: handover.teach(module, known, module.now)),
+        "read_us": cpu_us(lambda: json.loads(text)),
+    }
 
 
 def learned_by_active(size: int, seed: int) -> Measures:
@@ -51,10 +54,12 @@
         driver.tell(driver.i.Completed(name, driver.i.Outcome.OK, 4 * MS))
     driver.beat()
     known = handover.learned(driver.module)
-    return {"line_bytes": len(json.dumps(known, separators=(",", ":"))),
-            "learned_us": cpu_us(lambda: handover.learned(driver.module)),
-            "line_us": cpu_us(lambda: json.dumps(known, separators=(",", ":"))),
-            "taught_us": cpu_us(lambda: handover.teach(driver.module, known, driver.module.now))}
+    return {
+        "line_bytes": len(json.dumps(known, separators=(",", ":"))),
+        "learned_us": cpu_us(lambda: handover.learned(driver.module)),
+        "line_us": cpu_us(lambda: json.dumps(known, separators=(",", ":"))),
+        "taught_us": cpu_us(lambda: handover.teach(driver.module, known, driver.module.now)),
+    }
 
 
 def _beating(group: Any) -> tuple[list[float], Callable[[], None]]:
@@ -86,8 +91,10 @@
         driver.module.left[caller] = [450 * MS] * 12
         driver.module.patience[caller] = 450 * MS, driver.now + 10 * S
     known = handover.learned(driver.module)
-    return {"line_bytes": len(json.dumps(known, separators=(",", ":"))),
-            "learned_us": cpu_us(lambda: handover.learned(driver.module))}
+    return {
+        "line_bytes": len(json.dumps(known, separators=(",", ":"))),
+        "learned_us": cpu_us(lambda: handover.learned(driver.module)),
+    }
 
 
 def _keys(size: int) -> Any:
@@ -124,8 +131,9 @@
             return detail
 
     def lines() -> int:
-        return sum(len(json.dumps(line, separators=(",", ":"))) + 1
-                   for line in handover.lines(state, 0, Plain()))
+        return sum(
+            len(json.dumps(line, separators=(",", ":"))) + 1 for line in handover.lines(state, 0, Plain())
+        )
 
     return {"state_bytes": lines(), "state_us": cpu_us(lines)}
 
@@ -185,8 +193,11 @@
     desk = Desk("worker-0001", "site-a", settings(size), None, 1.0, False)
     for n in range(size):
         desk.order.came((f"tenant-{n:06}", "class-0", n), "class-0", f"tenant-{n:06}", False, 1.0)
-    return {"answer_bytes": len(desk.status(1.5)), "status_us": cpu_us(lambda: desk.status(1.5)),
-            "look_us": cpu_us(lambda: desk.look(1.6, []))}
+    return {
+        "answer_bytes": len(desk.status(1.5)),
+        "status_us": cpu_us(lambda: desk.status(1.5)),
+        "look_us": cpu_us(lambda: desk.look(1.6, [])),
+    }
 
 
 def _group(members: int, seed: int, counted: int = 20, lives: int = 1, budgets: int = 1) -> Any:
@@ -197,19 +208,47 @@
 
     names = [f"worker-{n:04}" for n in range(members)]
     voters = tuple(names[:7])
-    terms = Terms("group", "127.0.0.1:1", "a", {n: f"127.0.0.1:{9000 + k}" for k, n in enumerate(names)},
-                  (), 0.1, tuple(Budget(f"budget-{n:06}", 70, voters) for n in range(budgets)),
-                  ("s1", "s2"), 0.5, 3000)
+    terms = Terms(
+        "group",
+        "127.0.0.1:1",
+        "a",
+        {n: f"127.0.0.1:{9000 + k}" for k, n in enumerate(names)},
+        (),
+        0.1,
+        tuple(Budget(f"budget-{n:06}", 70, voters) for n in range(budgets)),
+        ("s1", "s2"),
+        0.5,
+        3000,
+    )
     group = Group(terms, Life("worker-0000", 1, 1), 0.0, seed)
-    status = encode_status(Status(False, False, [Evidence("s1", "ok", 8, 10, 1.0)],
-                                  [Holding(f"budget-{n:06}", 0, 1, 0) for n in range(budgets)]))
+    status = encode_status(
+        Status(
+            False,
+            False,
+            [Evidence("s1", "ok", 8, 10, 1.0)],
+            [Holding(f"budget-{n:06}", 0, 1, 0) for n in range(budgets)],
+        )
+    )
     for k, name in enumerate(names[1:]):
         group.members.members[name] = Member(
-            Life(name, 1, k), f"127.0.0.1:{9001 + k}", "a", ALIVE, 0.0, heard_at=0.5, version=1, told_at=0.5,
-            status=status)
+            Life(name, 1, k),
+            f"127.0.0.1:{9001 + k}",
+            "a",
+            ALIVE,
+            0.0,
+            heard_at=0.5,
+            version=1,
+            told_at=0.5,
+            status=status,
+        )
         for life in range(lives):
-            group.ledger.learn(Tally(Life(name, 1 + life, k), 1, 0, False, {
-                f"tenant/t{n}/answered": n for n in range(counted)}), 0.0, 0.0)
+            group.ledger.learn(
+                Tally(
+                    Life(name, 1 + life, k), 1, 0, False, {f"tenant/t{n}/answered": n for n in range(counted)}
+                ),
+                0.0,
+                0.0,
+            )
     group.members.established, group.members.heard_any = True, 0.5
     return group
 
@@ -231,8 +270,9 @@
 
     def fill() -> None:
         for n in range(0, size, 100):
-            memory.took(f"worker-{n % 5}", Tell(n, [((n + k).to_bytes(16, "big"), 900_000)
-                                                    for k in range(100)]), 0.0)
+            memory.took(
+                f"worker-{n % 5}", Tell(n, [((n + k).to_bytes(16, "big"), 900_000) for k in range(100)]), 0.0
+            )
 
     _, of_memory = grown(fill)
     return {"bytes": of_memory, "forget_us": cpu_us(lambda: memory.forget(1.0))}
@@ -245,42 +285,127 @@
     s = settings(size)
 
     def head() -> Head:
-        return Head("worker", 0, 1.0, s.cores, s.memory_kb, tuple(
-            (c.name, c.aim, c.deadline, c.worth, c.late_worth) for c in s.classes),
-            tuple((t.name, t.quota_per_s) for t in s.tenants))
-
-    return {"bytes": len(block([head()])), "on_loop_us": cpu_us(head), "off_loop_us": cpu_us(
-        lambda: block([head()]))}
+        return Head(
+            "worker",
+            0,
+            1.0,
+            s.cores,
+            s.memory_kb,
+            tuple((c.name, c.aim, c.deadline, c.worth, c.late_worth) for c in s.classes),
+            tuple((t.name, t.quota_per_s) for t in s.tenants),
+        )
+
+    return {
+        "bytes": len(block([head()])),
+        "on_loop_us": cpu_us(head),
+        "off_loop_us": cpu_us(lambda: block([head()])),
+    }
 
 
 PROBES = [
-    Probe("members' answer by tenants counted", "tenants answered at five members", (10, 30, 90, 200, 500),
-          answer_by_tenants, 58000, (DATAGRAM,)),
-    Probe("members' answer by classes counted", "classes answered at five members", (10, 30, 60, 90, 200),
-          answer_by_classes, 340, (DATAGRAM,)),
-    Probe("sites' word by tenants heard", "tenants heard", (10, 100, 500, 2000), word_by_tenants, 58000,
-          (DATAGRAM, Bound("look_us", 2100, "2.1% of a core at ten looks a second"))),
-    Probe("learned state by tenants", "tenants", (3, 1000, 5000, 20000, 58000), learned_by_tenants, 58000,
-          (LINE, Bound("learned_us", 5400, TURN), Bound("line_us", 5400, TURN))),
-    Probe("learned state by active tenants", "tenants heard lately, of 58,000", (100, 1000, 3000, 8000),
-          learned_by_active, 7400, (LINE, Bound("learned_us", 5400, TURN), Bound("line_us", 5400, TURN),
-                                    Bound("taught_us", 5400, TURN))),
-    Probe("members' status by budgets", "budgets", (1, 10, 50, 200), status_by_budgets, 58000,
-          (DATAGRAM, Bound("beat_us", 1050, "2.1% of a core at twenty beats a second"))),
-    Probe("learned state by callers", "callers", (100, 1000, 5000, 19000), learned_by_callers, 1710,
-          (LINE, Bound("learned_us", 5400, TURN))),
-    Probe("key table", "filings within their window", (1000, 5000, 20000, 60000), keys, 15390,
-          (Bound("sweep_us", 5400, TURN), Bound("sweep_us", 21000, "2.1% of a core, each second"))),
-    Probe("handover of keys", "filings within their window", (1000, 5000, 20000, 40000), handover_by_keys,
-          15390, (Bound("state_us", 500_000, "net.link.STILL for what is held"),)),
+    Probe(
+        "members' answer by tenants counted",
+        "tenants answered at five members",
+        (10, 30, 90, 200, 500),
+        answer_by_tenants,
+        58000,
+        (DATAGRAM,),
+    ),
+    Probe(
+        "members' answer by classes counted",
+        "classes answered at five members",
+        (10, 30, 60, 90, 200),
+        answer_by_classes,
+        340,
+        (DATAGRAM,),
+    ),
+    Probe(
+        "sites' word by tenants heard",
+        "tenants heard",
+        (10, 100, 500, 2000),
+        word_by_tenants,
+        58000,
+        (DATAGRAM, Bound("look_us", 2100, "2.1% of a core at ten looks a second")),
+    ),
+    Probe(
+        "learned state by tenants",
+        "tenants",
+        (3, 1000, 5000, 20000, 58000),
+        learned_by_tenants,
+        58000,
+        (LINE, Bound("learned_us", 5400, TURN), Bound("line_us", 5400, TURN)),
+    ),
+    Probe(
+        "learned state by active tenants",
+        "tenants heard lately, of 58,000",
+        (100, 1000, 3000, 8000),
+        learned_by_active,
+        7400,
+        (LINE, Bound("learned_us", 5400, TURN), Bound("line_us", 5400, TURN), Bound("taught_us", 5400, TURN)),
+    ),
+    Probe(
+        "members' status by budgets",
+        "budgets",
+        (1, 10, 50, 200),
+        status_by_budgets,
+        58000,
+        (DATAGRAM, Bound("beat_us", 1050, "2.1% of a core at twenty beats a second")),
+    ),
+    Probe(
+        "learned state by callers",
+        "callers",
+        (100, 1000, 5000, 19000),
+        learned_by_callers,
+        1710,
+        (LINE, Bound("learned_us", 5400, TURN)),
+    ),
+    Probe(
+        "key table",
+        "filings within their window",
+        (1000, 5000, 20000, 60000),
+        keys,
+        15390,
+        (Bound("sweep_us", 5400, TURN), Bound("sweep_us", 21000, "2.1% of a core, each second")),
+    ),
+    Probe(
+        "handover of keys",
+        "filings within their window",
+        (1000, 5000, 20000, 40000),
+        handover_by_keys,
+        15390,
+        (Bound("state_us", 500_000, "net.link.STILL for what is held"),),
+    ),
     Probe("last moments", "requests within their deadline", (100, 1000, 10000, 100000), deadlines, 5130),
-    Probe("figures by classes", "classes", (2, 34, 340, 1000), figures_by_classes, 340,
-          (Bound("text_us", 5400, TURN), Bound("text_bytes", 60_000, "4 KB a second, read each 15 s"))),
-    Probe("group by members", "members", (10, 50, 200, 800, 1700), group_by_members, 1700,
-          (Bound("beat_us", 1050, "2.1% of a core at twenty beats a second"),
-           Bound("status_us", 5400, TURN))),
-    Probe("witness", "filings remembered", (1000, 10000, 50000, 200000), remembered, 76950,
-          (Bound("forget_us", 5400, TURN),)),
-    Probe("head of a record of load", "tenants", (3, 1000, 5000, 20000, 58000), record_head, 58000,
-          (Bound("on_loop_us", 5400, TURN),)),
+    Probe(
+        "figures by classes",
+        "classes",
+        (2, 34, 340, 1000),
+        figures_by_classes,
+        340,
+        (Bound("text_us", 5400, TURN), Bound("text_bytes", 60_000, "4 KB a second, read each 15 s")),
+    ),
+    Probe(
+        "group by members",
+        "members",
+        (10, 50, 200, 800, 1700),
+        group_by_members,
+        1700,
+        (Bound("beat_us", 1050, "2.1% of a core at twenty beats a second"), Bound("status_us", 5400, TURN)),
+    ),
+    Probe(
+        "witness",
+        "filings remembered",
+        (1000, 10000, 50000, 200000),
+        remembered,
+        76950,
+        (Bound("forget_us", 5400, TURN),),
+    ),
+    Probe(
+        "head of a record of load",
+        "tenants",
+        (3, 1000, 5000, 20000, 58000),
+        record_head,
+        58000,
+        (Bound("on_loop_us", 5400, TURN),),
+    ),
 ]
--- a/benchmarks/slopes/tallies.py
+++ b/benchmarks/slopes/tallies.py
@@ -21,15 +21,26 @@
 def site(tenants: int) -> dict:
     s = settings()
     s["FamilyInfo"] |= {"Cores": 16, "HeapKb": 90e6, "Idle": 600_000 * MS}
-    s["Tenants"] = [{"Name": f"tenant-{n:06}", "QuotaPerS": 1000.0, "Fraction": 1 / tenants}
-                    for n in range(tenants)]
+    s["Tenants"] = [
+        {"Name": f"tenant-{n:06}", "QuotaPerS": 1000.0, "Fraction": 1 / tenants} for n in range(tenants)
+    ]
     return s
 
 
 def run(root: Path, members: int, tenants: int, seconds: float) -> dict:
     """What the members say of each other, and of messages too long, once each tenant was answered at each."""
-    programs = [Program(thrift=False, ajp=True, peers=table, name=f"n{n + 1}", site=site(tenants), root=root,
-                        server=InstantServer()) for n, table in enumerate(fleet(members))]
+    programs = [
+        Program(
+            thrift=False,
+            ajp=True,
+            peers=table,
+            name=f"n{n + 1}",
+            site=site(tenants),
+            root=root,
+            server=InstantServer(),
+        )
+        for n, table in enumerate(fleet(members))
+    ]
     try:
         time.sleep(3.0)
         for program in programs:
@@ -41,9 +52,14 @@
         views = [json.loads(p.operator()[1])["peers"] for p in programs]
         states = [m["state"] for v in views for m in v["members"].values()]
         long = sum("too long" in line["event"] for p in programs for line in p.lines)
-        return {"tenants": tenants, "members": members, "pairs": len(states),
-                "not alive": sum(s != "alive" for s in states), "messages too long": long,
-                "held": [v["budgets"]["again"]["held"] for v in views]}
+        return {
+            "tenants": tenants,
+            "members": members,
+            "pairs": len(states),
+            "not alive": sum(s != "alive" for s in states),
+            "messages too long": long,
+            "held": [v["budgets"]["again"]["held"] for v in views],
+        }
     finally:
         for program in programs:
             program.close()
--- a/benchmarks/state_kills.py
+++ b/benchmarks/state_kills.py
@@ -24,8 +24,14 @@
     try:
         harness = Kills(folder / "state", seed, state=state)
         harness.run(kills)
-        return {"kills": kills, "filings": len(harness.office.runs), "twice": len(harness.twice),
-                "wrong": harness.wrong, "losses": harness.losses, "ends": dict(harness.ends)}
+        return {
+            "kills": kills,
+            "filings": len(harness.office.runs),
+            "twice": len(harness.twice),
+            "wrong": harness.wrong,
+            "losses": harness.losses,
+            "ends": dict(harness.ends),
+        }
     finally:
         shutil.rmtree(folder)
 
@@ -44,8 +50,11 @@
             total.update({k: done[k] for k in ("kills", "filings", "twice")})
             wrong += done["wrong"] + done["losses"]
             ends.update(done["ends"])
-            print(f"{total['kills']} kills, {total['filings']} filings ran, {total['twice']} of them twice, "
-                  f"{len(wrong)} wrong ends or losses; {time.monotonic() - began:.0f} s", flush=True)
+            print(
+                f"{total['kills']} kills, {total['filings']} filings ran, {total['twice']} of them twice, "
+                f"{len(wrong)} wrong ends or losses; {time.monotonic() - began:.0f} s",
+                flush=True,
+            )
     print("ends by status:", dict(ends))
     for end in wrong[:10]:
         print("wrong:", end)
--- a/benchmarks/state_load.py
+++ b/benchmarks/state_load.py
@@ -38,16 +38,22 @@
     server = InstantServer()
     settings = site()
     settings["FamilyInfo"] |= {"Cores": 16, "HeapKb": 90e6}
-    program = Program(thrift=False, ajp=True, site=settings, server=server,
-                      state={"folder": str(folder / "state")} if state else None)
+    program = Program(
+        thrift=False,
+        ajp=True,
+        site=settings,
+        server=server,
+        state={"folder": str(folder / "state")} if state else None,
+    )
     until, took, pings, lock = time.monotonic() + seconds, [], [], threading.Lock()
 
     def file(number):
         client, n, mine = program.ajp(), 0, []
         while (began := time.monotonic()) < until:
             n += 1
-            status, _, _ = client.call("POST", "/filings", {
-                "Idempotency-Key": f"{number}.{n}", "X-Tenant": "acme"}, b"doc" * 100)
+            status, _, _ = client.call(
+                "POST", "/filings", {"Idempotency-Key": f"{number}.{n}", "X-Tenant": "acme"}, b"doc" * 100
+            )
             if status == 200:
                 mine.append(time.monotonic() - began)
             if rate:
@@ -100,8 +106,9 @@
     if count:
         open_folder_empty(where)
         for n in range(count):
-            record = Begun(("acme", "filing", f"key {n:032d}"), f"r{n}", WINDOW, WINDOW, stamp_now(), None,
-                           bytes(32))
+            record = Begun(
+                ("acme", "filing", f"key {n:032d}"), f"r{n}", WINDOW, WINDOW, stamp_now(), None, bytes(32)
+            )
             key = key_of(record.token)
             begun.append(record)
             ended.append((key, pack(key, Finished("OK", True, bytes(300)))))
@@ -130,9 +137,12 @@
         for state in (False, True):
             took, pings, done = load(state, given.seconds, clients, rate)
             with_it = "with the store" if state else "without       "
-            print(f"{title}, {with_it}: {done:6.0f} filings/s; filing p50 "
-                  f"{share(took, .5):6.2f} p99 {share(took, .99):6.2f} ms; CPing beside p50 "
-                  f"{share(pings, .5):5.2f} p99 {share(pings, .99):5.2f} ms", flush=True)
+            print(
+                f"{title}, {with_it}: {done:6.0f} filings/s; filing p50 "
+                f"{share(took, 0.5):6.2f} p99 {share(took, 0.99):6.2f} ms; CPing beside p50 "
+                f"{share(pings, 0.5):5.2f} p99 {share(pings, 0.99):5.2f} ms",
+                flush=True,
+            )
     print(f"the store alone: {raw(given.seconds):.0f} filings begun and ended a second")
     for count in (0, FILED):
         took, memory = start(count)
--- a/benchmarks/store_choice.py
+++ b/benchmarks/store_choice.py
@@ -70,8 +70,9 @@
         self.fd = os.open(self.path, os.O_CREAT | os.O_RDWR | os.O_APPEND)
 
     def commit(self, rows):
-        out = b"".join(struct.pack("<QHI", xxhash.xxh3_64_intdigest(k + v), len(k), len(v)) + k + v
-                       for k, v in rows)
+        out = b"".join(
+            struct.pack("<QHI", xxhash.xxh3_64_intdigest(k + v), len(k), len(v)) + k + v for k, v in rows
+        )
         os.write(self.fd, out)
         os.fdatasync(self.fd)
 
@@ -79,7 +80,7 @@
         data, at, found = self.path.read_bytes(), 0, {}
         while at + 14 <= len(data):
             digest, keys, values = struct.unpack_from("<QHI", data, at)
-            key, value = data[at + 14:at + 14 + keys], data[at + 14 + keys:at + 14 + keys + values]
+            key, value = data[at + 14 : at + 14 + keys], data[at + 14 + keys : at + 14 + keys + values]
             if len(key) + len(value) < keys + values or xxhash.xxh3_64_intdigest(key + value) != digest:
                 break  # what follows can't be found any more
             found[key], at = value, at + 14 + keys + values
@@ -103,7 +104,7 @@
     store, rows, took = KINDS[kind](folder), list(filings()), []
     for at in range(0, len(rows), group):
         began = time.perf_counter()
-        store.commit(rows[at:at + group])
+        store.commit(rows[at : at + group])
         took.append(time.perf_counter() - began)
     store.close()
     return sorted(took)
@@ -135,10 +136,17 @@
                     was = file.read(1)
                     file.seek(at)
                     file.write(bytes((was[0] ^ 1 << source.randrange(8),)))
-            done = subprocess.run([sys.executable, "-m", "benchmarks.store_choice", "--read", kind, other],
-                                  capture_output=True, text=True, timeout=60)
-            ends[f"killed by signal {-done.returncode}" if done.returncode < 0 else
-                 " ".join(done.stdout.split()[:2]).rstrip("0123456789 ") or "crash"] += 1
+            done = subprocess.run(
+                [sys.executable, "-m", "benchmarks.store_choice", "--read", kind, other],
+                capture_output=True,
+                text=True,
+                timeout=60,
+            )
+            ends[
+                f"killed by signal {-done.returncode}"
+                if done.returncode < 0
+                else " ".join(done.stdout.split()[:2]).rstrip("0123456789 ") or "crash"
+            ] += 1
     return dict(ends)
 
 
@@ -149,9 +157,12 @@
             folder = Path(tempfile.mkdtemp(dir=base))
             took = fill(kind, folder, group)
             size = sum(f.stat().st_size for f in folder.iterdir() if f.name != "lock.mdb")
-            print(f"{kind:7} group {group:3}: commit p50 {took[len(took) // 2] * 1e3:6.2f} ms  "
-                  f"p99 {took[int(len(took) * .99)] * 1e3:6.2f} ms  "
-                  f"{FILINGS / sum(took):7.0f} filings/s  {size / 1024:6.0f} KB", flush=True)
+            print(
+                f"{kind:7} group {group:3}: commit p50 {took[len(took) // 2] * 1e3:6.2f} ms  "
+                f"p99 {took[int(len(took) * 0.99)] * 1e3:6.2f} ms  "
+                f"{FILINGS / sum(took):7.0f} filings/s  {size / 1024:6.0f} KB",
+                flush=True,
+            )
             if group == GROUPS[-1]:
                 for name, cut in (("cut", True), ("one bit changed", False)):
                     print(f"{kind:7} {name}: {damage(kind, folder, cut)}", flush=True)
--- a/benchmarks/warm_start.py
+++ b/benchmarks/warm_start.py
@@ -68,12 +68,15 @@
             if m["cmd"] == "OPEN":
                 self.out = sock
                 self._say(cmd="BOOTED", result="WARM", elapsed_ms=60_000)
-                for notice in self.notices[m["offset"]:]:
+                for notice in self.notices[m["offset"] :]:
                     self._say(**notice)
                 self.opened.put(m["offset"])
             elif m["cmd"] == "SYSINFO":
-                self._say(cmd="INFO", token=m["token"],
-                          load=[min(1.0, len(self.runs) / CORES), float(len(self.runs))])
+                self._say(
+                    cmd="INFO",
+                    token=m["token"],
+                    load=[min(1.0, len(self.runs) / CORES), float(len(self.runs))],
+                )
             elif m["req"] not in self.known:
                 self.known.add(m["req"])
                 work = WORK * SPREAD[m["method"]] * self.random.expovariate(1.0)
@@ -92,9 +95,16 @@
                 self._advance()
                 while self.runs and self.runs[0][0] <= self.clock:
                     _, rid, body = heapq.heappop(self.runs)
-                    self.notices.append({"cmd": "REAP", "offset": len(self.notices) + 1, "req": rid,
-                                         "result": "OK", "elapsed_ms": 20,
-                                         "payload": base64.b64encode(body).decode()})
+                    self.notices.append(
+                        {
+                            "cmd": "REAP",
+                            "offset": len(self.notices) + 1,
+                            "req": rid,
+                            "result": "OK",
+                            "elapsed_ms": 20,
+                            "payload": base64.b64encode(body).decode(),
+                        }
+                    )
                     self._say(**self.notices[-1])
                 self.lock.wait((self.runs[0][0] - self.clock) / self._speed() if self.runs else None)
 
@@ -109,7 +119,8 @@
     base = settings()
     base["Classes"] = [
         {"Name": "small", "Slo": 200 * MS, "Deadline": 800 * MS, "Gain": 1.0, "Repeat": "idempotent"},
-        {"Name": "large", "Slo": 500 * MS, "Deadline": 1200 * MS, "Gain": 1.0, "Repeat": "idempotent"}]
+        {"Name": "large", "Slo": 500 * MS, "Deadline": 1200 * MS, "Gain": 1.0, "Repeat": "idempotent"},
+    ]
     base["FamilyInfo"] |= {"Cores": CORES, "HeapKb": 900_000.0}
     return base
 
@@ -179,8 +190,14 @@
 def round_of(seed, keep):
     folder, cores = Path(tempfile.mkdtemp(dir=".")), Cores(seed)
     try:
-        how = {"thrift": True, "ajp": True, "site": site(), "kernel": cores, "rules": [],
-               "state": {"folder": str(folder / "state"), "learned_every_s": 1}}
+        how = {
+            "thrift": True,
+            "ajp": True,
+            "site": site(),
+            "kernel": cores,
+            "rules": [],
+            "state": {"folder": str(folder / "state"), "learned_every_s": 1},
+        }
         first = Program(**how)
         steady = goodput(first, seed, STEADY)
         first.process.kill()
@@ -209,13 +226,23 @@
             before, after = round_of(seed, keep)
             steady.append(before)
             into.append(after)
-            print(f"round {seed}: steady {before:.3f}, first {FIRST:.0f} s "
-                  f"{'warm' if keep else 'from nothing'} {after:.3f}", flush=True)
+            print(
+                f"round {seed}: steady {before:.3f}, first {FIRST:.0f} s "
+                f"{'warm' if keep else 'from nothing'} {after:.3f}",
+                flush=True,
+            )
     mean = {name: sum(v) / len(v) for name, v in (("steady", steady), ("warm", warm), ("nothing", cold))}
     lost = mean["steady"] - mean["nothing"]
-    print("goodput: " + ", ".join(f"{name} {value:.3f}" for name, value in mean.items()) + "; " + (
-           f"{(mean['warm'] - mean['nothing']) / lost:.0%} of the loss regained" if lost > 0.005 else
-             "no loss to regain"))
+    print(
+        "goodput: "
+        + ", ".join(f"{name} {value:.3f}" for name, value in mean.items())
+        + "; "
+        + (
+            f"{(mean['warm'] - mean['nothing']) / lost:.0%} of the loss regained"
+            if lost > 0.005
+            else "no loss to regain"
+        )
+    )
 
 
 if __name__ == "__main__":
--- a/ochrehoist/capture/records.py
+++ b/ochrehoist/capture/records.py
@@ -112,13 +112,13 @@
 
 def blocks(data: bytes, damage: Damage) -> Iterator[bytes]:
     """The compressed content of each whole block. Raises Unusable where it is no capture at all."""
-    if data[:len(MAGIC)] != MAGIC or len(data) < HEADER:
+    if data[: len(MAGIC)] != MAGIC or len(data) < HEADER:
         raise Unusable("not a capture")
     if data[len(MAGIC)] != MAJOR:
         raise Unusable(f"a capture of version {data[len(MAGIC)]}; this program reads version {MAJOR}")
     at = HEADER
     while at < len(data):
-        size = int.from_bytes(data[at:at + 4], "big")
+        size = int.from_bytes(data[at : at + 4], "big")
         end = at + 12 + size
         if size > MAX_BLOCK:
             damage.blocks += 1
@@ -127,8 +127,8 @@
         if end > len(data):
             damage.cut_bytes = len(data) - at
             return
-        content = data[at + 12:end]
-        if xxhash.xxh3_64_digest(content) == data[at + 4:at + 12]:
+        content = data[at + 12 : end]
+        if xxhash.xxh3_64_digest(content) == data[at + 4 : at + 12]:
             yield content
         else:
             damage.blocks += 1
--- a/ochrehoist/capture/taker.py
+++ b/ochrehoist/capture/taker.py
@@ -48,7 +48,7 @@
         self.opened, self.size = time.monotonic(), 0
         pieces = []
         for n in range(0, len(tenants), PIECE):
-            pieces.append(told([(t.name, t.quota_per_s) for t in tenants[n:n + PIECE]]))
+            pieces.append(told([(t.name, t.quota_per_s) for t in tenants[n : n + PIECE]]))
             time.sleep(BREATH)
         self.write(start() + head_block(head, len(tenants), pieces))
 
@@ -103,14 +103,36 @@
         _, read_at, running, held = self.open.pop(r.id)
         now, begun = self.owner.now, r.begun_at
         subject = r.token[2] if r.token else r.key
-        outcome = Outcome.GONE if figure is None else Outcome.SERVED if figure == ANSWERED \
-            else Outcome.REFUSED if figure == REFUSED else Outcome.FAILED
+        outcome = (
+            Outcome.GONE
+            if figure is None
+            else Outcome.SERVED
+            if figure == ANSWERED
+            else Outcome.REFUSED
+            if figure == REFUSED
+            else Outcome.FAILED
+        )
         front, address = r.responder.origin()
-        self.waiting.append(Seen(
-            max(0, r.arrived - self.started), r.cls.name, r.tenant, front,
-            0 if subject is None else xxhash.xxh3_64_intdigest(subject.encode(), self.salt), r.work or 0,
-            r.caller, address, r.retry, outcome, max(0, read_at - r.arrived),
-            begun - read_at if begun else NEVER, now - begun if begun else NEVER, running, held, backoff))
+        self.waiting.append(
+            Seen(
+                max(0, r.arrived - self.started),
+                r.cls.name,
+                r.tenant,
+                front,
+                0 if subject is None else xxhash.xxh3_64_intdigest(subject.encode(), self.salt),
+                r.work or 0,
+                r.caller,
+                address,
+                r.retry,
+                outcome,
+                max(0, read_at - r.arrived),
+                begun - read_at if begun else NEVER,
+                now - begun if begun else NEVER,
+                running,
+                held,
+                backoff,
+            )
+        )
         if self.batches.full(len(self.waiting)):
             self._flush()
 
@@ -127,8 +149,15 @@
         self._flush()  # what waits is of the old salt
         self.told_of = replace(s, tenants=())
         self.salt, self.started = secrets.randbits(64), self.owner.clock()
-        head = Head(self.name, self.started, self.config.sample, s.cores, s.memory_kb,
-                    tuple((c.name, c.aim, c.deadline, c.worth, c.late_worth) for c in s.classes), ())
+        head = Head(
+            self.name,
+            self.started,
+            self.config.sample,
+            s.cores,
+            s.memory_kb,
+            tuple((c.name, c.aim, c.deadline, c.worth, c.late_worth) for c in s.classes),
+            (),
+        )
         self._submit(lambda: self._open(head, s.tenants))
 
     def _flush_again(self) -> None:
@@ -161,6 +190,7 @@
             self.trouble, self.written = "", self.written + count
             if ends:
                 self._new_file(self.owner.settings)
+
         self.thread.submit(call, done)
 
     def _open(self, head: Head, tenants: tuple[Tenant, ...]) -> bool:
@@ -183,8 +213,13 @@
             self.file = None
             raise
         self.bytes = self.file.size
-        return file_ends(self.file.opened, time.monotonic(), self.file.size, self.config.file_s,
-                         int(self.config.file_mb * 1e6))
+        return file_ends(
+            self.file.opened,
+            time.monotonic(),
+            self.file.size,
+            self.config.file_s,
+            int(self.config.file_mb * 1e6),
+        )
 
     def close(self) -> None:
         """At the end of the process, when the loop no longer runs."""
@@ -195,5 +230,11 @@
 
     def view(self) -> dict[str, Any]:
         """For operators."""
-        return {"folder": str(self.folder), "sample": self.config.sample, "written": self.written,
-                "lost": self.batches.lost_in_all, "file_bytes": self.bytes, "trouble": self.trouble}
+        return {
+            "folder": str(self.folder),
+            "sample": self.config.sample,
+            "written": self.written,
+            "lost": self.batches.lost_in_all,
+            "file_bytes": self.bytes,
+            "trouble": self.trouble,
+        }
--- a/ochrehoist/cli/common.py
+++ b/ochrehoist/cli/common.py
@@ -20,6 +20,7 @@
 
 def stops(told: Callable[[BaseException], None]) -> Callable[[Callable[..., Any]], Callable[..., Any]]:
     """Commands whose errors `told` ends by what to do; what it knows nothing of goes on up."""
+
     def around(call: Callable[..., Any]) -> Callable[..., Any]:
         @wraps(call)
         def guarded(*args: Any, **more: Any) -> Any:
@@ -30,13 +31,17 @@
             except (Exception, KeyboardInterrupt) as error:
                 told(error)
                 raise
+
         return guarded
+
     return around
 
 
-def shows(group: click.Group, asked: Asked, table: str, about: str,
-          lines: Callable[[dict[str, Any]], list[str]]) -> None:
+def shows(
+    group: click.Group, asked: Asked, table: str, about: str, lines: Callable[[dict[str, Any]], list[str]]
+) -> None:
     """Adds `show`: the part of the running worker's status that a table of its file switches on."""
+
     @group.command(help=about, epilog=f"Example: ochrehoist --config site.toml {group.name} show --json")
     @click.option("--json", "plain", is_flag=True, help="All of it, as JSON.")
     @click.pass_context
--- a/ochrehoist/cli/lab.py
+++ b/ochrehoist/cli/lab.py
@@ -54,8 +54,10 @@
     spans = ", ".join(f"{span} {g['all']:.3f}" for span, g in v["goodput"].items())
     budgets = "".join(f", {n} {b['most']}/{b['amount']}" for n, b in v["budgets"].items())
     verdict = "rules kept" if not v["broken"] else f"{len(v['broken'])} BROKEN"
-    return f"{v['scenario']} seed {v['seed']}: {verdict}; goodput {spans}{budgets}, "\
+    return (
+        f"{v['scenario']} seed {v['seed']}: {verdict}; goodput {spans}{budgets}, "
         f"{v['tries_per_call']:.2f} tries a call"
+    )
 
 
 def _played(name: str, seed: int) -> dict[str, Any]:
@@ -207,15 +209,28 @@
 @click.argument("site")
 @click.option("--fleet", type=click.Path(path_type=Path), help="The fleet's description, as for `plan`.")
 @click.option("--scenario", type=click.Path(), help="Or a scenario of the laboratory.")
-@click.option("--workers", default=6, show_default=True, type=click.IntRange(2, 12),
-              help="Real workers that stand for the fleet's, sites in proportion.")
+@click.option(
+    "--workers",
+    default=6,
+    show_default=True,
+    type=click.IntRange(2, 12),
+    help="Real workers that stand for the fleet's, sites in proportion.",
+)
 @click.option("--lasts", default=8.0, show_default=True, help="s that the site is gone.")
 @click.option("--seed", default=1, show_default=True)
 @click.option("--html", type=click.Path(path_type=Path), help="Write a page to this file.")
 @click.pass_context
 @stops(_told)
-def drill(ctx: click.Context, site: str, fleet: Path | None, scenario: str | None, workers: int, lasts: float,
-          seed: int, html: Path | None) -> None:
+def drill(
+    ctx: click.Context,
+    site: str,
+    fleet: Path | None,
+    scenario: str | None,
+    workers: int,
+    lasts: float,
+    seed: int,
+    html: Path | None,
+) -> None:
     """Play the loss of SITE with real workers, beside what figures alone foretell."""
     from ochrehoist.lab import drill as drills
     from ochrehoist.lab.play import Play
@@ -237,10 +252,20 @@
     if html is not None:
         from ochrehoist.plan.report import page
 
-        html.write_text(page("play", f"Drill: the loss of {site}", f"ochrehoist lab drill {site}", v, [
-            ("Foretold and measured", ["", "foretold", "measured", "where they differ"], rows),
-            ("What workers knew", ["s", "worker", "site", "state", "why"], v["known"]),
-            ("What was done", ["s", "event"], v["events"])], v["broken"]))
+        html.write_text(
+            page(
+                "play",
+                f"Drill: the loss of {site}",
+                f"ochrehoist lab drill {site}",
+                v,
+                [
+                    ("Foretold and measured", ["", "foretold", "measured", "where they differ"], rows),
+                    ("What workers knew", ["s", "worker", "site", "state", "why"], v["known"]),
+                    ("What was done", ["s", "event"], v["events"]),
+                ],
+                v["broken"],
+            )
+        )
     ctx.exit(NO if v["broken"] else 0)
 
 
@@ -264,9 +289,11 @@
         v = Play(s, seed).run(tell)
     g = v["goodput"]
     during = [gained for second, gained in v["seconds"] if second >= drills.AT_S and second < s.seconds]
-    click.echo(f"{at_once} of {s.workers} at once: before {g['quiet']['all']:.3f}, meanwhile "
-               f"{sum(during) / len(during):.3f}, worst second {min(during):.2f}, "
-               f"{v['tries_per_call']:.2f} tries a call, {len(v['broken'])} rules broken")
+    click.echo(
+        f"{at_once} of {s.workers} at once: before {g['quiet']['all']:.3f}, meanwhile "
+        f"{sum(during) / len(during):.3f}, worst second {min(during):.2f}, "
+        f"{v['tries_per_call']:.2f} tries a call, {len(v['broken'])} rules broken"
+    )
     for line in v["broken"]:
         click.echo(f"  seed {seed}: {line}")
     ctx.exit(NO if v["broken"] else 0)
--- a/ochrehoist/cli/main.py
+++ b/ochrehoist/cli/main.py
@@ -31,13 +31,21 @@
             ctx.exit(WRONG)
 
 
-@click.group(cls=Commands, invoke_without_command=True,
-             context_settings={"help_option_names": ["-h", "--help"]},
-             epilog="Examples: `ochrehoist --config site.toml run`, `ochrehoist status --every 2`, "
-                    "`ochrehoist state show`. Shell completion: `eval \"$(_OCHREHOIST_COMPLETE=bash_source "
-                    "ochrehoist)\"` (or zsh_source, fish_source).")
-@click.option("--config", "path", metavar="FILE", type=click.Path(),
-              help="Configuration: .toml (appliance) or .json (platform).")
+@click.group(
+    cls=Commands,
+    invoke_without_command=True,
+    context_settings={"help_option_names": ["-h", "--help"]},
+    epilog="Examples: `ochrehoist --config site.toml run`, `ochrehoist status --every 2`, "
+    '`ochrehoist state show`. Shell completion: `eval "$(_OCHREHOIST_COMPLETE=bash_source '
+    'ochrehoist)"` (or zsh_source, fish_source).',
+)
+@click.option(
+    "--config",
+    "path",
+    metavar="FILE",
+    type=click.Path(),
+    help="Configuration: .toml (appliance) or .json (platform).",
+)
 @click.pass_context
 def main(ctx: click.Context, path: str | None) -> None:
     """An admission-controlling worker. Without a command it serves, as with `run`."""
@@ -66,13 +74,17 @@
     config = configuration.load(file)
     fronts = [name for name, on in (("Thrift", config.listen), ("AJP", config.ajp)) if on]
     routes = f", {len(config.ajp.rules)} routes" if config.ajp else ""
-    click.echo(f"{file}: good; {config.name}, {len(config.settings.classes)} classes, "
-               f"fronts: {', '.join(fronts)}; version {config.version}, "
-               f"{len(config.settings.tenants)} tenants{routes}")
+    click.echo(
+        f"{file}: good; {config.name}, {len(config.settings.classes)} classes, "
+        f"fronts: {', '.join(fronts)}; version {config.version}, "
+        f"{len(config.settings.tenants)} tenants{routes}"
+    )
     if config.source is None and Path(file).stat().st_size > WHOLE:
-        click.echo("note: a change of this file is read as a whole, which takes a running worker seconds: "
-                   "write each tenant and route as a table, [[settings.Tenants]] and [[ajp.rules]], and use "
-                   "no three quotes")
+        click.echo(
+            "note: a change of this file is read as a whole, which takes a running worker seconds: "
+            "write each tenant and route as a table, [[settings.Tenants]] and [[ajp.rules]], and use "
+            "no three quotes"
+        )
 
 
 def _asked(path: str | None, method: str, target: str) -> tuple[bool, str]:
--- a/ochrehoist/cli/plan.py
+++ b/ochrehoist/cli/plan.py
@@ -44,28 +44,55 @@
 def _shown(call: Callable[..., Any]) -> Callable[..., Any]:
     """The forms that an answer may take."""
     for option in (
-            click.option("--pictures", is_flag=True, expose_value=False, callback=_kept,
-                         help="With --html: each picture as PNG beside it."),
-            click.option("--html", type=click.Path(path_type=Path), metavar="FILE", expose_value=False,
-                         callback=_kept, help="Write a page with tables and pictures; it needs no network."),
-            click.option("--json", "as_json", is_flag=True, expose_value=False, callback=_kept,
-                         help="As JSON.")):
+        click.option(
+            "--pictures",
+            is_flag=True,
+            expose_value=False,
+            callback=_kept,
+            help="With --html: each picture as PNG beside it.",
+        ),
+        click.option(
+            "--html",
+            type=click.Path(path_type=Path),
+            metavar="FILE",
+            expose_value=False,
+            callback=_kept,
+            help="Write a page with tables and pictures; it needs no network.",
+        ),
+        click.option("--json", "as_json", is_flag=True, expose_value=False, callback=_kept, help="As JSON."),
+    ):
         call = option(call)
     return call
 
 
-DEMAND = click.option("--demand", type=float, callback=_kept, expose_value=False,
-                      help="Load as a share of the capacity, not as described.")
+DEMAND = click.option(
+    "--demand",
+    type=float,
+    callback=_kept,
+    expose_value=False,
+    help="Load as a share of the capacity, not as described.",
+)
 
 
 def _common(call: Callable[..., Any]) -> Callable[..., Any]:
     for option in (
-            DEMAND,
-            click.option("--jobs", default=-1, show_default=True, help="Processes; -1: one for each core."),
-            click.option("--seconds", default=30.0, show_default=True, type=click.FloatRange(12, 3600),
-                         help="Of fleet time in each run; the first five are not counted."),
-            click.option("--seeds", default=4, show_default=True, type=click.IntRange(1, 1000),
-                         help="Runs, each with another draw; two or more give an interval.")):
+        DEMAND,
+        click.option("--jobs", default=-1, show_default=True, help="Processes; -1: one for each core."),
+        click.option(
+            "--seconds",
+            default=30.0,
+            show_default=True,
+            type=click.FloatRange(12, 3600),
+            help="Of fleet time in each run; the first five are not counted.",
+        ),
+        click.option(
+            "--seeds",
+            default=4,
+            show_default=True,
+            type=click.IntRange(1, 1000),
+            help="Runs, each with another draw; two or more give an interval.",
+        ),
+    ):
         call = option(call)
     return _shown(call)
 
@@ -84,8 +111,7 @@
         from rich.console import Console
         from rich.progress import Progress as Bar
 
-        self.bar = Bar(console=Console(stderr=True), transient=True,
-                       disable=_wanted("as_json"))
+        self.bar = Bar(console=Console(stderr=True), transient=True, disable=_wanted("as_json"))
         self.task = self.bar.add_task("runs", total=None)
 
     def __enter__(self) -> Callable[[int, int], None]:
@@ -96,8 +122,13 @@
         self.bar.stop()
 
 
-def _show(question: str, title: str, values: dict[str, Any], tables: Callable[[dict[str, Any]], list[tuple]],
-          notes: list[str] = ()) -> None:
+def _show(
+    question: str,
+    title: str,
+    values: dict[str, Any],
+    tables: Callable[[dict[str, Any]], list[tuple]],
+    notes: list[str] = (),
+) -> None:
     """The answer as a table or as JSON, and as a page where one is wanted; notes go to standard error too."""
     from ochrehoist.plan.report import told
 
@@ -137,14 +168,21 @@
     f = _load(fleet)
     sites = {s.name: sum(w.site == s.name for w in f.placed_workers) for s in f.sites}
     placed = ", ".join(f"{name} {count}" for name, count in sites.items())
-    click.echo(f"{fleet}: good; {len(f.placed_workers)} workers ({placed}), {len(f.placed_routers)} routers; "
-               f"{f.load.rate:g} calls a second are {f.demand:.0%} of the capacity")
+    click.echo(
+        f"{fleet}: good; {len(f.placed_workers)} workers ({placed}), {len(f.placed_routers)} routers; "
+        f"{f.load.rate:g} calls a second are {f.demand:.0%} of the capacity"
+    )
 
 
 @plan.command(epilog="Example: ochrehoist plan forecast deploy/fleet.toml --demand 1.05")
 @FLEET
-@click.option("--capture", multiple=True, type=click.Path(path_type=Path), metavar="FILE",
-              help="Play what was recorded (files or folders) instead of the described load.")
+@click.option(
+    "--capture",
+    multiple=True,
+    type=click.Path(path_type=Path),
+    metavar="FILE",
+    help="Play what was recorded (files or folders) instead of the described load.",
+)
 @_common
 @_stops
 def forecast(fleet: Path, capture: tuple[Path, ...], seeds: int, seconds: float, jobs: int) -> None:
@@ -165,13 +203,16 @@
     def tables(v: dict[str, Any]) -> list[tuple]:
         of_workers = ("address", "kind", "site", "speed", "busy", "tries", "served", "refused")
         of_classes = ("goodput", "refused", "p50_ms", "p99_ms")
-        return [(f"{f.name}: {v['rate']:.0f} calls/s, {v['demand']:.0%} of the capacity; {v['seeds']} runs",
-                 ("", "goodput", "refused", "p50 ms", "p99 ms"),
-                 [("all", v["goodput"], v["shares"]["refused"], "", "")]
-                 + [(n, *(c[key] for key in of_classes)) for n, c in v["classes"].items()]
-                 + [(n, t, "", "", "") for n, t in v["tenants"].items()]),
-                ("workers, first run", of_workers,
-                 [tuple(w[key] for key in of_workers) for w in v["workers"]])]
+        return [
+            (
+                f"{f.name}: {v['rate']:.0f} calls/s, {v['demand']:.0%} of the capacity; {v['seeds']} runs",
+                ("", "goodput", "refused", "p50 ms", "p99 ms"),
+                [("all", v["goodput"], v["shares"]["refused"], "", "")]
+                + [(n, *(c[key] for key in of_classes)) for n, c in v["classes"].items()]
+                + [(n, t, "", "", "") for n, t in v["tenants"].items()],
+            ),
+            ("workers, first run", of_workers, [tuple(w[key] for key in of_workers) for w in v["workers"]]),
+        ]
 
     _show("forecast", f"What {f.name} would serve", values, tables, notes + _unfinished(values, seeds))
 
@@ -188,9 +229,19 @@
     recorded = read(capture)
     heads = ("what", "value", "low", "high", "count", "note")
     found = [e.line() for e in fitted(recorded)]
-    _show("fit", "What the recorded load tells", {"estimates": found}, lambda v: [
-        (f"{len(recorded.entries)} requests in {recorded.seconds:.0f} s, {recorded.files} files", heads,
-         [tuple(e[key] for key in heads) for e in v["estimates"]])], recorded.warnings())
+    _show(
+        "fit",
+        "What the recorded load tells",
+        {"estimates": found},
+        lambda v: [
+            (
+                f"{len(recorded.entries)} requests in {recorded.seconds:.0f} s, {recorded.files} files",
+                heads,
+                [tuple(e[key] for key in heads) for e in v["estimates"]],
+            )
+        ],
+        recorded.warnings(),
+    )
 
 
 @plan.command(epilog="Example: ochrehoist plan breaks deploy/fleet.toml --to 1.6")
@@ -210,16 +261,33 @@
         values = asked(f, factors, range(1, seeds + 1), seconds, jobs, progress)
 
     def tables(v: dict[str, Any]) -> list[tuple]:
-        return [("load, step by step", ("of capacity", "calls/s", "goodput", "refused", "busiest"),
-                 [(f.demand * s["factor"], s["rate"], s["goodput"], s["refused"], s["busiest"])
-                  for s in v["steps"]]),
-                ("what binds", ("", "limit", "worker", "kind", "at calls/s"),
-                 [(name, w["limit"], w["worker"], w["kind"], w["factor"] * f.load.rate)
-                  for name, w in (("first", v["first"]), ("next", v["next"]))])]
+        return [
+            (
+                "load, step by step",
+                ("of capacity", "calls/s", "goodput", "refused", "busiest"),
+                [
+                    (f.demand * s["factor"], s["rate"], s["goodput"], s["refused"], s["busiest"])
+                    for s in v["steps"]
+                ],
+            ),
+            (
+                "what binds",
+                ("", "limit", "worker", "kind", "at calls/s"),
+                [
+                    (name, w["limit"], w["worker"], w["kind"], w["factor"] * f.load.rate)
+                    for name, w in (("first", v["first"]), ("next", v["next"]))
+                ],
+            ),
+        ]
 
     made = len(values["steps"])
-    _show("breaks", f"What breaks first in {f.name}", values, tables,
-          [f"stopped after {made} of {steps} steps"] if made < steps else [])
+    _show(
+        "breaks",
+        f"What breaks first in {f.name}",
+        values,
+        tables,
+        [f"stopped after {made} of {steps} steps"] if made < steps else [],
+    )
 
 
 @plan.command(epilog="Example: ochrehoist plan size deploy/fleet.toml --kind small-node --goal 0.95")
@@ -237,12 +305,24 @@
         raise ValueError(f"--kind {kind}: no such kind; there are {sorted(k.name for k in f.kinds)}")
     with Progress() as progress:
         values = asked(f, kind, goal, range(1, seeds + 1), seconds, jobs, progress)
-    _show("size", f"How many {kind} {f.name} needs", values, lambda v: [
-        (f"{kind} for a goodput of {goal} at {f.load.rate:g} calls/s, beside {v['others']} others",
-         ("needed", "with one lost", "goodput"), [(v["needed"], v["with_one_lost"], v["goodput"])]),
-        ("tried", ("machines", "goodput, lower end", "without the strongest"),
-         [(n, g, v["tried_one_lost"].get(n)) for n, g in v["tried"].items()]
-         + [(n, None, g) for n, g in v["tried_one_lost"].items() if n not in v["tried"]])])
+    _show(
+        "size",
+        f"How many {kind} {f.name} needs",
+        values,
+        lambda v: [
+            (
+                f"{kind} for a goodput of {goal} at {f.load.rate:g} calls/s, beside {v['others']} others",
+                ("needed", "with one lost", "goodput"),
+                [(v["needed"], v["with_one_lost"], v["goodput"])],
+            ),
+            (
+                "tried",
+                ("machines", "goodput, lower end", "without the strongest"),
+                [(n, g, v["tried_one_lost"].get(n)) for n, g in v["tried"].items()]
+                + [(n, None, g) for n, g in v["tried_one_lost"].items() if n not in v["tried"]],
+            ),
+        ],
+    )
 
 
 @plan.command(epilog="Example: ochrehoist plan lose deploy/fleet.toml antwerp --back 25")
@@ -250,12 +330,24 @@
 @click.argument("site")
 @click.option("--at", default=12.0, show_default=True, help="Second at which it is lost.")
 @click.option("--back", type=float, help="Second at which it returns, cold; without it, never.")
-@click.option("--write", metavar="FILE", type=click.Path(path_type=Path),
-              help="Write the playbook for every site that may be lost, with this forecast.")
+@click.option(
+    "--write",
+    metavar="FILE",
+    type=click.Path(path_type=Path),
+    help="Write the playbook for every site that may be lost, with this forecast.",
+)
 @_common
 @_stops
-def lose(fleet: Path, site: str, at: float, back: float | None, write: Path | None, seeds: int,
-         seconds: float, jobs: int) -> None:
+def lose(
+    fleet: Path,
+    site: str,
+    at: float,
+    back: float | None,
+    write: Path | None,
+    seeds: int,
+    seconds: float,
+    jobs: int,
+) -> None:
     """What the loss of a data centre does, and whether the rest recovers."""
     from ochrehoist.plan.questions import lose as asked
 
@@ -266,18 +358,39 @@
         values = asked(f, site, at, back, range(1, seeds + 1), seconds, jobs, progress)
     if write is not None:
         _write_playbook(f, site, values, write)
-    _show("lose", f"What losing {site} does to {f.name}", values, lambda v: [
-        (f"{site} lost at {at:g} s: {v['workers']} of {v['of']} workers",
-         ("before", "while it is gone", "worst second", "recovered after s", "runs that tip over"),
-         [(v["before"], v["during"], v["worst_second"], v["recovered_s"],
-           f"{v['tips_over']} of {v['seeds']}")])], _unfinished(values, seeds))
+    _show(
+        "lose",
+        f"What losing {site} does to {f.name}",
+        values,
+        lambda v: [
+            (
+                f"{site} lost at {at:g} s: {v['workers']} of {v['of']} workers",
+                ("before", "while it is gone", "worst second", "recovered after s", "runs that tip over"),
+                [
+                    (
+                        v["before"],
+                        v["during"],
+                        v["worst_second"],
+                        v["recovered_s"],
+                        f"{v['tips_over']} of {v['seeds']}",
+                    )
+                ],
+            )
+        ],
+        _unfinished(values, seeds),
+    )
 
 
 @plan.command(epilog="Example: ochrehoist plan restart deploy/fleet.toml --goal 0.95 --down 3")
 @FLEET
 @click.option("--goal", default=0.95, show_default=True, help="Of the worth served before, kept meanwhile.")
-@click.option("--down", default=2.0, show_default=True, type=click.FloatRange(0.1, 600),
-              help="s for which a worker that restarts is gone.")
+@click.option(
+    "--down",
+    default=2.0,
+    show_default=True,
+    type=click.FloatRange(0.1, 600),
+    help="s for which a worker that restarts is gone.",
+)
 @DEMAND
 @click.option("--seeds", default=3, show_default=True, type=click.IntRange(1, 100))
 @click.option("--jobs", default=4, show_default=True, type=click.IntRange(1, 64))
@@ -290,11 +403,20 @@
     f = _load(fleet)
     with Progress() as progress:
         values = asked(f, goal, down, range(1, seeds + 1), jobs, progress)
-    _show("restart", f"How many of {f.name} may restart at once", values, lambda v: [
-        (f"{v['most']} of {v['of']} at once keep {goal:.0%} of the worth at {f.load.rate:g} calls/s",
-         ("at once", "by figures", "waves", "all restarted after s"),
-         [(v["most"], v["by_figures"], v["waves"], v["whole_s"])]),
-        ("tried", ("at once", "kept, in the worst run"), list(v["tried"].items()))], [])
+    _show(
+        "restart",
+        f"How many of {f.name} may restart at once",
+        values,
+        lambda v: [
+            (
+                f"{v['most']} of {v['of']} at once keep {goal:.0%} of the worth at {f.load.rate:g} calls/s",
+                ("at once", "by figures", "waves", "all restarted after s"),
+                [(v["most"], v["by_figures"], v["waves"], v["whole_s"])],
+            ),
+            ("tried", ("at once", "kept, in the worst run"), list(v["tried"].items())),
+        ],
+        [],
+    )
 
 
 def _write_playbook(fleet: Any, site: str, values: dict[str, Any], file: Path) -> None:
@@ -305,8 +427,10 @@
     book, about = made(fleet, int(time.time()))
     during = values["during"]
     half = "" if during["half"] is None else f" ±{during['half']:.2f}"
-    about[site] += f"\nWithout a playbook the events give {during['mean']:.2f}{half} of the worth " \
-                   f"meanwhile, {values['worst_second']:.2f} in the worst second."
+    about[site] += (
+        f"\nWithout a playbook the events give {during['mean']:.2f}{half} of the worth "
+        f"meanwhile, {values['worst_second']:.2f} in the worst second."
+    )
     text = text_of(book, about)
     parse(text, [c.name for c in fleet.classes])  # what is written can be read
     file.write_text(text)
@@ -320,8 +444,12 @@
 @click.option("--seconds", default=25.0, show_default=True, type=click.FloatRange(12, 600))
 @click.option("--seed", default=1, show_default=True)
 @click.option("--lose", "lost", metavar="SITE", help="A site that is lost at the middle.")
-@click.option("--record", metavar="FOLDER", type=click.Path(path_type=Path),
-              help="The workers record there what they saw, for fit, forecast and compare.")
+@click.option(
+    "--record",
+    metavar="FOLDER",
+    type=click.Path(path_type=Path),
+    help="The workers record there what they saw, for fit, forecast and compare.",
+)
 @_shown
 @_stops
 def measure(fleet: Path, seconds: float, seed: int, lost: str | None, record: Path | None) -> None:
@@ -335,22 +463,47 @@
             values = measured(f, seed, seconds, lost, progress, record)
     except Failed as error:
         end(str(error), NO)
-    notes = [] if values["late_p99_ms"] <= MOST_LATE_MS else [
-        f"this machine was too busy: calls began {values['late_p99_ms']:.0f} ms late (p99); measure again"]
-    _show("measure", f"Real workers beside the forecast, {f.demand:.0%} of the capacity", values, lambda v: [
-        (f"{len(f.placed_workers)} workers, {f.demand:.0%} of the capacity", ("", "measured", "forecast"),
-         [("goodput", v["measured"]["goodput"], v["forecast"]["goodput"]),
-          ("tries for each call", v["measured"]["tries_per_call"], v["forecast"]["tries_per_call"]),
-          *((name, c["goodput"], v["forecast"]["classes"][name]["goodput"])
-            for name, c in v["measured"]["classes"].items())])], notes)
-
-
-@plan.command(epilog="Examples: ochrehoist plan compare today.toml tomorrow.toml --seeds 6; "
-                     "ochrehoist plan compare load/monday load/tuesday --on deploy/fleet.toml")
+    notes = (
+        []
+        if values["late_p99_ms"] <= MOST_LATE_MS
+        else [
+            f"this machine was too busy: calls began {values['late_p99_ms']:.0f} ms late (p99); measure again"
+        ]
+    )
+    _show(
+        "measure",
+        f"Real workers beside the forecast, {f.demand:.0%} of the capacity",
+        values,
+        lambda v: [
+            (
+                f"{len(f.placed_workers)} workers, {f.demand:.0%} of the capacity",
+                ("", "measured", "forecast"),
+                [
+                    ("goodput", v["measured"]["goodput"], v["forecast"]["goodput"]),
+                    ("tries for each call", v["measured"]["tries_per_call"], v["forecast"]["tries_per_call"]),
+                    *(
+                        (name, c["goodput"], v["forecast"]["classes"][name]["goodput"])
+                        for name, c in v["measured"]["classes"].items()
+                    ),
+                ],
+            )
+        ],
+        notes,
+    )
+
+
+@plan.command(
+    epilog="Examples: ochrehoist plan compare today.toml tomorrow.toml --seeds 6; "
+    "ochrehoist plan compare load/monday load/tuesday --on deploy/fleet.toml"
+)
 @click.argument("a", type=click.Path(path_type=Path))
 @click.argument("b", type=click.Path(path_type=Path))
-@click.option("--on", type=click.Path(path_type=Path), metavar="FLEET",
-              help="Two captures: also what this fleet would make of each.")
+@click.option(
+    "--on",
+    type=click.Path(path_type=Path),
+    metavar="FLEET",
+    help="Two captures: also what this fleet would make of each.",
+)
 @_common
 @_stops
 def compare(a: Path, b: Path, on: Path | None, seeds: int, seconds: float, jobs: int) -> None:
@@ -366,10 +519,26 @@
     first, second = _load(a), _load(b)
     with Progress() as progress:
         values = asked(first, second, range(1, seeds + 1), seconds, jobs, progress)
-    _show("compare", f"{a} and {b}", values, lambda v: [
-        ("goodput", (str(a), str(b), "difference", "clear"),
-         [(v["a"], v["b"], v["difference"], "yes" if v["clear"] else "no: within the swing of the draws")])],
-        _unfinished(values, seeds))
+    _show(
+        "compare",
+        f"{a} and {b}",
+        values,
+        lambda v: [
+            (
+                "goodput",
+                (str(a), str(b), "difference", "clear"),
+                [
+                    (
+                        v["a"],
+                        v["b"],
+                        v["difference"],
+                        "yes" if v["clear"] else "no: within the swing of the draws",
+                    )
+                ],
+            )
+        ],
+        _unfinished(values, seeds),
+    )
 
 
 def _compare_captures(a: Path, b: Path, on: Path | None, seeds: int, jobs: int) -> None:
@@ -388,14 +557,29 @@
 
     def tables(v: dict[str, Any]) -> list[tuple]:
         clear = [line for line in v["figures"] if line["clear"]]
-        out = [(f"what changed and is not chance: {len(clear)} of {len(v['figures'])}", heads,
-                [tuple(line[key] for key in heads) for line in clear]),
-               ("the rest", heads, [tuple(line[key] for key in heads) for line in v["figures"]
-                                    if not line["clear"]])]
+        out = [
+            (
+                f"what changed and is not chance: {len(clear)} of {len(v['figures'])}",
+                heads,
+                [tuple(line[key] for key in heads) for line in clear],
+            ),
+            (
+                "the rest",
+                heads,
+                [tuple(line[key] for key in heads) for line in v["figures"] if not line["clear"]],
+            ),
+        ]
         if v["on"]:
-            out.append((f"on {on}", ("", "goodput", "calls/s", "refused"),
-                        [(str(p), f["goodput"], f["rate"], f["shares"]["refused"])
-                         for p, f in zip((a, b), v["on"], strict=True)]))
+            out.append(
+                (
+                    f"on {on}",
+                    ("", "goodput", "calls/s", "refused"),
+                    [
+                        (str(p), f["goodput"], f["rate"], f["shares"]["refused"])
+                        for p, f in zip((a, b), v["on"], strict=True)
+                    ],
+                )
+            )
         return out
 
     _show("captures", f"{a} and {b}", values, tables, notes)
--- a/ochrehoist/cli/scale.py
+++ b/ochrehoist/cli/scale.py
@@ -41,45 +41,92 @@
 
 
 @click.command(epilog="Example: ochrehoist lab scale --members 20,50,100 --changes 3 --json found/scale.json")
-@click.option("--members", default="20", show_default=True, callback=_numbers,
-              help="Workers of the group, real ones counted; several sizes with commas between.")
+@click.option(
+    "--members",
+    default="20",
+    show_default=True,
+    callback=_numbers,
+    help="Workers of the group, real ones counted; several sizes with commas between.",
+)
 @click.option("--tenants", default=3, show_default=True, type=click.IntRange(1))
 @click.option("--routes", default=3, show_default=True, type=click.IntRange(1))
-@click.option("--changes", default=0, show_default=True, type=click.IntRange(0),
-              help="Of configuration, each read by all while the faults last.")
+@click.option(
+    "--changes",
+    default=0,
+    show_default=True,
+    type=click.IntRange(0),
+    help="Of configuration, each read by all while the faults last.",
+)
 @click.option("--regions", default=3, show_default=True, type=click.IntRange(1, 8))
-@click.option("--real", default=0, show_default=True, type=click.IntRange(0),
-              help="Of the members, processes of the program itself.")
+@click.option(
+    "--real",
+    default=0,
+    show_default=True,
+    type=click.IntRange(0),
+    help="Of the members, processes of the program itself.",
+)
 @click.option("--check", is_flag=True, help=f"Compare {CHECK} hollow with {CHECK} real workers instead.")
-@click.option("--seed", "seeds", default="1", show_default=True, callback=_numbers,
-              help="Several with commas between.")
+@click.option(
+    "--seed", "seeds", default="1", show_default=True, callback=_numbers, help="Several with commas between."
+)
 @click.option("--seconds", default=10.0, show_default=True, help="At rest, of the workers' clocks.")
-@click.option("--pace", default=1.0, show_default=True, type=click.FloatRange(0.001, 1),
-              help="Speed of the workers' clocks: below 1 where the cores do not bear so many.")
-@click.option("--uses", default=1.0, show_default=True, type=click.FloatRange(0),
-              help="Requests a second that each hollow worker is told of.")
-@click.option("--faults", default="rack,zone,region,restart", show_default=True,
-              help="With commas between; or none.")
+@click.option(
+    "--pace",
+    default=1.0,
+    show_default=True,
+    type=click.FloatRange(0.001, 1),
+    help="Speed of the workers' clocks: below 1 where the cores do not bear so many.",
+)
+@click.option(
+    "--uses",
+    default=1.0,
+    show_default=True,
+    type=click.FloatRange(0),
+    help="Requests a second that each hollow worker is told of.",
+)
+@click.option(
+    "--faults", default="rack,zone,region,restart", show_default=True, help="With commas between; or none."
+)
 @click.option("--lasts", default=5.0, show_default=True, help="s of a cut, of the workers' clocks.")
 @click.option("--met", is_flag=True, help="Begin as if all had heard of all: without the joining.")
 @click.option("--settle", "settle_s", default=3.0, show_default=True, help="s before what is at rest counts.")
 @click.option("--join", "join_s", default=60.0, show_default=True, help="s at the most until all know all.")
 @click.option("--heal", "heal_s", default=60.0, show_default=True, help="s at the most after a fault.")
 @click.option("--limit", "limit_s", default=300.0, show_default=True, help="s of wall time for each run.")
-@click.option("--most-memory", "most_memory_mb", type=float, metavar="MB",
-              help="Less than half of the machine's memory, which is the bound in any case.")
+@click.option(
+    "--most-memory",
+    "most_memory_mb",
+    type=float,
+    metavar="MB",
+    help="Less than half of the machine's memory, which is the bound in any case.",
+)
 @click.option("--most-processes", default=300, show_default=True, type=click.IntRange(1, 300))
-@click.option("--json", "out", type=click.Path(path_type=Path, dir_okay=False),
-              help="Add the results to this file.")
+@click.option(
+    "--json", "out", type=click.Path(path_type=Path, dir_okay=False), help="Add the results to this file."
+)
 @click.option("--html", type=click.Path(path_type=Path, dir_okay=False), help="Write a page with plots.")
-@click.option("--against", type=click.Path(path_type=Path, dir_okay=False),
-              help="Show the slopes of this result beside.")
-@click.option("--tree", type=click.Path(path_type=Path, file_okay=False),
-              help="Run the workers of this tree.")
+@click.option(
+    "--against",
+    type=click.Path(path_type=Path, dir_okay=False),
+    help="Show the slopes of this result beside.",
+)
+@click.option(
+    "--tree", type=click.Path(path_type=Path, file_okay=False), help="Run the workers of this tree."
+)
 @click.pass_context
 @stops(_told)
-def scale(ctx: click.Context, members: list[int], seeds: list[int], check: bool, faults: str,
-          out: Path | None, html: Path | None, against: Path | None, tree: Path | None, **spec: Any) -> None:
+def scale(
+    ctx: click.Context,
+    members: list[int],
+    seeds: list[int],
+    check: bool,
+    faults: str,
+    out: Path | None,
+    html: Path | None,
+    against: Path | None,
+    tree: Path | None,
+    **spec: Any,
+) -> None:
     """Run hundreds of hollow workers in one group: what each costs, and what faults move.
 
     Ends with 1 where a run was broken off by its bounds."""
@@ -119,13 +166,16 @@
             click.echo(line)
     fits = scale_report.slopes(runs)
     for name, fit in fits.items():
-        click.echo(f"{name}: {fit['at_none']:.4g} + {fit['per_member']:.4g} for each member, residual "
-                   f"{fit['residual']:.3g}, {fit['runs']} runs from {fit['from']:g} to {fit['to']:g}")
+        click.echo(
+            f"{name}: {fit['at_none']:.4g} + {fit['per_member']:.4g} for each member, residual "
+            f"{fit['residual']:.3g}, {fit['runs']} runs from {fit['from']:g} to {fit['to']:g}"
+        )
     if other is not None:
         _, heads, rows = scale_report.against(runs, other)
         for row in [heads, *rows]:
-            click.echo("  ".join("-" if x is None else f"{x:.4g}" if isinstance(x, float) else str(x)
-                                 for x in row))
+            click.echo(
+                "  ".join("-" if x is None else f"{x:.4g}" if isinstance(x, float) else str(x) for x in row)
+            )
     if html is not None:
         made = f"ochrehoist lab scale, {runs[-1]['date']}, version {runs[-1]['version']}"
         html.write_text(scale_report.report(runs, made, other))
--- a/ochrehoist/cli/state.py
+++ b/ochrehoist/cli/state.py
@@ -11,8 +11,12 @@
 from ochrehoist.cli.common import DAMAGED, NO, end, stops
 from ochrehoist.settings import BadInput
 
-FOLDER = click.option("--folder", metavar="DIR", type=click.Path(path_type=Path),
-                      help="The folder; else [state] folder of the configuration.")
+FOLDER = click.option(
+    "--folder",
+    metavar="DIR",
+    type=click.Path(path_type=Path),
+    help="The folder; else [state] folder of the configuration.",
+)
 
 
 @stops
@@ -112,8 +116,11 @@
         sys.stdout.buffer.write(data)
     else:
         write_whole(Path(file), data)
-    click.echo(f"{len(moved.filings)} filings; do not start the worker here again once they are imported "
-               "elsewhere: each would let them run", err=True)
+    click.echo(
+        f"{len(moved.filings)} filings; do not start the worker here again once they are imported "
+        "elsewhere: each would let them run",
+        err=True,
+    )
 
 
 @state.command("import", epilog="Example: ochrehoist --config site.toml state import filings.jsonl")
@@ -146,5 +153,7 @@
     where, longest = _folder(ctx, folder)
     began, size = time.monotonic(), shown(where, stamp_now())["bytes"]
     before, after = take_in(where, None, longest, stamp_now())
-    click.echo(f"{before} filings before, {after} now; {size} bytes before, "
-               f"{shown(where, stamp_now())['bytes']} now, in {time.monotonic() - began:.1f} s")
+    click.echo(
+        f"{before} filings before, {after} now; {size} bytes before, "
+        f"{shown(where, stamp_now())['bytes']} now, in {time.monotonic() - began:.1f} s"
+    )
--- a/ochrehoist/config.py
+++ b/ochrehoist/config.py
@@ -97,7 +97,7 @@
         """All of them. Raises BadInput."""
         kinds, out = {c.name: c.name for c in settings.classes}, []
         for item in r.items("rules"):
-            for rule in self.before[item.start:item.stop] if type(item) is range else (item,):
+            for rule in self.before[item.start : item.stop] if type(item) is range else (item,):
                 if type(rule) is not AjpRule:
                     rule = self._checked(rule, f"{r.path}rules[{len(out)}].", kinds)
                 elif rule.kind not in kinds:
@@ -112,13 +112,25 @@
 def _servers(r: Reader) -> Generator[None, None, tuple[AjpServer, ...]]:
     out = []
     for at, data in enumerate(r.items("servers")):
-        server = only(Reader(data, f"{r.path}servers[{at}]."), "name", "address", "secret", "connect_ms",
-                      "reply_ms", "max_idle")
-        out.append(AjpServer(
-            name=server.text("name", None) or server.text("address"),
-            address=required(server, "address", loopback=True),
-            secret=server.text("secret", None), connect_ms=server.whole("connect_ms", 500, least=1),
-            reply_ms=server.whole("reply_ms", 30_000, least=1), max_idle=server.whole("max_idle", 8)))
+        server = only(
+            Reader(data, f"{r.path}servers[{at}]."),
+            "name",
+            "address",
+            "secret",
+            "connect_ms",
+            "reply_ms",
+            "max_idle",
+        )
+        out.append(
+            AjpServer(
+                name=server.text("name", None) or server.text("address"),
+                address=required(server, "address", loopback=True),
+                secret=server.text("secret", None),
+                connect_ms=server.whole("connect_ms", 500, least=1),
+                reply_ms=server.whole("reply_ms", 30_000, least=1),
+                max_idle=server.whole("max_idle", 8),
+            )
+        )
         if not len(out) % FEW:
             yield
     if not out:
@@ -128,10 +140,27 @@
     return tuple(out)
 
 
-def _ajp(r: Reader, settings: Settings, places: Mapping[str, int], rules: _Rules) \
-        -> Generator[None, None, AjpConfig]:
-    only(r, "listen", "secret", "packet_size", "max_body", "max_response", "max_connections", "idle_s",
-          "body_s", "retry_ms", "memory_kb", "health_uri", "headers", "default_tenant", "rules", "servers")
+def _ajp(
+    r: Reader, settings: Settings, places: Mapping[str, int], rules: _Rules
+) -> Generator[None, None, AjpConfig]:
+    only(
+        r,
+        "listen",
+        "secret",
+        "packet_size",
+        "max_body",
+        "max_response",
+        "max_connections",
+        "idle_s",
+        "body_s",
+        "retry_ms",
+        "memory_kb",
+        "health_uri",
+        "headers",
+        "default_tenant",
+        "rules",
+        "servers",
+    )
     packet = r.whole("packet_size", MIN_PACKET, least=MIN_PACKET)
     if packet > MAX_PACKET:
         raise BadInput(f"setting {r.path}packet_size: over {MAX_PACKET}: {packet}")
@@ -140,15 +169,24 @@
     if tenant is not None and tenant not in places:
         raise BadInput(f"setting {r.path}default_tenant: unknown tenant {tenant!r}")
     return AjpConfig(
-        listen=required(r, "listen", loopback=True), secret=r.text("secret", None), packet_size=packet,
-        max_body=r.whole("max_body", 1 << 20), max_response=r.whole("max_response", 1 << 20, least=1),
-        max_connections=r.whole("max_connections", 256, least=1), idle_s=r.number("idle_s", 60, least=0.1),
-        body_s=r.number("body_s", 10, least=0.05), retry_ms=r.whole("retry_ms", 2000),
-        memory_kb=r.number("memory_kb", 24.0), health_uri=r.text("health_uri", "/healthz").encode(),
-        tenant_header=header(headers, "tenant", "X-Tenant"), default_tenant=tenant,
+        listen=required(r, "listen", loopback=True),
+        secret=r.text("secret", None),
+        packet_size=packet,
+        max_body=r.whole("max_body", 1 << 20),
+        max_response=r.whole("max_response", 1 << 20, least=1),
+        max_connections=r.whole("max_connections", 256, least=1),
+        idle_s=r.number("idle_s", 60, least=0.1),
+        body_s=r.number("body_s", 10, least=0.05),
+        retry_ms=r.whole("retry_ms", 2000),
+        memory_kb=r.number("memory_kb", 24.0),
+        health_uri=r.text("health_uri", "/healthz").encode(),
+        tenant_header=header(headers, "tenant", "X-Tenant"),
+        default_tenant=tenant,
         key_header=header(headers, "key", "Idempotency-Key"),
         retry_header=header(headers, "retry", "X-Retry"),
-        rules=(yield from rules.all_in_steps(r, settings)), servers=(yield from _servers(r)))
+        rules=(yield from rules.all_in_steps(r, settings)),
+        servers=(yield from _servers(r)),
+    )
 
 
 def _toml(path: str, key: str, rules: _Rules, tenants: Tenants, before: Source | None) -> Steps:
@@ -164,13 +202,28 @@
             from ochrehoist import config_toml  # for those who have a large one
 
             read = yield from config_toml.read_in_steps(
-                text, {TENANTS: tenants.take, RULES: rules.take}, before)
+                text, {TENANTS: tenants.take, RULES: rules.take}, before
+            )
     except RecursionError:
         raise BadInput(f"setting {key}: {path}: nested too deeply") from None
     except (OSError, ValueError) as error:
         raise BadInput(f"setting {key}: {path}: {error}") from None
-    top = only(Reader(read.data, ""), "name", "stop_ms", "limits", "admin", "ajp", "console", "state",
-               "capture", "overload", "peers", "sites", "recovery", "settings")
+    top = only(
+        Reader(read.data, ""),
+        "name",
+        "stop_ms",
+        "limits",
+        "admin",
+        "ajp",
+        "console",
+        "state",
+        "capture",
+        "overload",
+        "peers",
+        "sites",
+        "recovery",
+        "settings",
+    )
     only(top.part("limits", {}), "memory_mb", "sockets")
     return top, read, text.digest
 
@@ -178,16 +231,29 @@
 def _state(top: Reader) -> StateConfig | None:
     if "state" not in top.data:
         return None
-    r = only(top.part("state"), "folder", "must_exist", "max_mb", "commit_ms", "stall_ms", "on_loss",
-              "max_result_kb", "learned_every_s", "learned_half_life_s")
+    r = only(
+        top.part("state"),
+        "folder",
+        "must_exist",
+        "max_mb",
+        "commit_ms",
+        "stall_ms",
+        "on_loss",
+        "max_result_kb",
+        "learned_every_s",
+        "learned_half_life_s",
+    )
     return StateConfig(
-        folder=r.text("folder"), must_exist=r.flag("must_exist", False),
-        max_mb=r.number("max_mb", 256, least=1), commit_ms=r.number("commit_ms", 0),
+        folder=r.text("folder"),
+        must_exist=r.flag("must_exist", False),
+        max_mb=r.number("max_mb", 256, least=1),
+        commit_ms=r.number("commit_ms", 0),
         stall_ms=r.number("stall_ms", 250, least=1),
         on_loss=r.choice("on_loss", {word: word for word in ON_LOSS}, "hold"),
         max_result_kb=r.number("max_result_kb", 1024),
         learned_every_s=r.number("learned_every_s", 5, least=0.1),
-        learned_half_life_s=r.number("learned_half_life_s", 3600, least=1))
+        learned_half_life_s=r.number("learned_half_life_s", 3600, least=1),
+    )
 
 
 def _capture(top: Reader) -> CaptureConfig | None:
@@ -198,15 +264,28 @@
     if not 0 < sample <= 1:
         raise BadInput(f"setting {r.path}sample: not above 0 and at most 1: {sample!r}")
     return CaptureConfig(
-        folder=r.text("folder"), sample=sample, max_mb=r.number("max_mb", 256, least=1),
-        file_mb=r.number("file_mb", 16, least=0.01), file_s=r.number("file_s", 3600, least=1))
+        folder=r.text("folder"),
+        sample=sample,
+        max_mb=r.number("max_mb", 256, least=1),
+        file_mb=r.number("file_mb", 16, least=0.01),
+        file_s=r.number("file_s", 3600, least=1),
+    )
 
 
 def _overload(top: Reader, settings: Settings) -> OverloadConfig | None:
     if "overload" not in top.data:
         return None
-    r = only(top.part("overload"), "admission", "door", "pools", "controller", "least_running",
-              "most_running", "lane", "retries")
+    r = only(
+        top.part("overload"),
+        "admission",
+        "door",
+        "pools",
+        "controller",
+        "least_running",
+        "most_running",
+        "lane",
+        "retries",
+    )
     admission = "door" if "door" in r.data else "admission"  # as it was called before
     if {"door", "admission"} <= r.data.keys():
         raise BadInput(f"setting {r.path}door: the older name of admission, which is there too")
@@ -217,9 +296,14 @@
     if (least or 1) > (most or survives):
         raise BadInput(f"setting {r.path}least_running: over the most that may run: {least}")
     return OverloadConfig(
-        admission=r.flag(admission, True), pools=r.flag("pools", True), least=least, most=most,
+        admission=r.flag(admission, True),
+        pools=r.flag("pools", True),
+        least=least,
+        most=most,
         controller=r.choice("controller", {name: name for name in CONTROLLERS}, CONTROLLERS[0]),
-        lane=r.flag("lane", False), retries=r.flag("retries", False))
+        lane=r.flag("lane", False),
+        retries=r.flag("retries", False),
+    )
 
 
 def _operators(top: Reader, settings: Settings, places: Mapping[str, int], rules: _Rules) -> Steps:
@@ -231,8 +315,13 @@
         from ochrehoist.config_fleet import fleet_tables  # only for those who want a fleet
 
         fleet = yield from fleet_tables(top, settings, places, ajp, state)
-    return {"ajp": ajp, "agent": address(console, "agent_check", True), "state": state,
-            "capture": _capture(top), "overload": _overload(top, settings)} | fleet
+    return {
+        "ajp": ajp,
+        "agent": address(console, "agent_check", True),
+        "state": state,
+        "capture": _capture(top),
+        "overload": _overload(top, settings),
+    } | fleet
 
 
 def _common(top: Reader, seed: int, tenants: Tenants) -> Steps:
@@ -241,10 +330,16 @@
     gauges = raw.part("FamilyInfo").items("OwnStats", [])
     if not all(isinstance(g, str) for g in gauges):
         raise BadInput(f"setting settings.FamilyInfo.OwnStats: unusable value {gauges!r}")
-    return {"name": top.text("name"), "settings": settings, "gauges": tuple(gauges), "seed": seed,
-            "stop_ms": top.whole("stop_ms", 3000, least=1),
-            "memory_mb": limits.number("memory_mb", 192, least=1),
-            "sockets": limits.whole("sockets", 1024, least=64), "tenants_at": places}
+    return {
+        "name": top.text("name"),
+        "settings": settings,
+        "gauges": tuple(gauges),
+        "seed": seed,
+        "stop_ms": top.whole("stop_ms", 3000, least=1),
+        "memory_mb": limits.number("memory_mb", 192, least=1),
+        "sockets": limits.whole("sockets", 1024, least=64),
+        "tenants_at": places,
+    }
 
 
 def _keys(data: Mapping[str, Any]) -> frozenset[str]:
@@ -273,8 +368,11 @@
     except OSError as error:
         raise BadInput(f"setting EDGE_PASSED_SOCKET: {text}: {error}") from None
     try:
-        listens = sock.family == socket.AF_INET and sock.type == socket.SOCK_STREAM \
+        listens = (
+            sock.family == socket.AF_INET
+            and sock.type == socket.SOCK_STREAM
             and sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
+        )
         at = sock.getsockname() if listens else None
     finally:
         sock.detach()
@@ -326,8 +424,14 @@
     except BadInput as error:
         raise _placed(error, read.lines) from None
     source = read.source(digest, {TENANTS: common["settings"].tenants, RULES: tables["ajp"].rules})
-    return Config(**common, admin=address(top, "admin", True), link=_link(common["name"], environment),
-                  version=_version(digest), source=source, **tables)
+    return Config(
+        **common,
+        admin=address(top, "admin", True),
+        link=_link(common["name"], environment),
+        version=_version(digest),
+        source=source,
+        **tables,
+    )
 
 
 def _known(before: Config | None) -> tuple[Tenants, _Rules]:
@@ -358,10 +462,17 @@
     common = yield from _common(top, _seed(top), tenants)
     listen, second = required(top, "listen"), environment.get("OCHREHOIST_AJP")
     out = Config(
-        **common, listen=listen, passed=_passed(environment, listen), link=_link(common["name"], environment),
-        keys=_keys(data), kernel=required(top, "kernel"), members=address(top, "members"),
-        admin=address(top, "admin"), version=_version(text.digest),
-        source=_json_source(data, text, common["settings"]))
+        **common,
+        listen=listen,
+        passed=_passed(environment, listen),
+        link=_link(common["name"], environment),
+        keys=_keys(data),
+        kernel=required(top, "kernel"),
+        members=address(top, "members"),
+        admin=address(top, "admin"),
+        version=_version(text.digest),
+        source=_json_source(data, text, common["settings"]),
+    )
     if not second:
         return out
     appliance, read, digest = yield from _toml(second, "OCHREHOIST_AJP", rules, Tenants(), None)
@@ -372,8 +483,9 @@
     return replace(out, version=_version(text.digest, digest), **tables)
 
 
-def load_in_steps(path: str | None = None, environment: Mapping[str, str] = os.environ,
-                  before: Config | None = None) -> Generator[None, None, Config]:
+def load_in_steps(
+    path: str | None = None, environment: Mapping[str, str] = os.environ, before: Config | None = None
+) -> Generator[None, None, Config]:
     """The file named, else the platform's where EDGE_CONFIG names one, else the appliance's.
 
     A generator that returns the Config: each step is short, so that others get a turn. `before` is the Config
--- a/ochrehoist/config_fleet.py
+++ b/ochrehoist/config_fleet.py
@@ -21,12 +21,16 @@
 STEP = 50  # budgets or members made in one step
 
 
-def fleet_tables(top: Reader, settings: Settings, tenants: Container[str], ajp: AjpConfig | None,
-                 state: StateConfig | None) -> Generator[None, None, dict[str, Any]]:
+def fleet_tables(
+    top: Reader, settings: Settings, tenants: Container[str], ajp: AjpConfig | None, state: StateConfig | None
+) -> Generator[None, None, dict[str, Any]]:
     """In steps. `tenants`: their names. Raises BadInput, which names the key."""
     peers = yield from peers_of(top, tenants, ajp)
-    return {"peers": peers, "sites": sites_of(top, settings, peers),
-            "recovery": recovery_of(top, peers, state)}
+    return {
+        "peers": peers,
+        "sites": sites_of(top, settings, peers),
+        "recovery": recovery_of(top, peers, state),
+    }
 
 
 def _texts(r: Reader, key: str, default: Any) -> tuple[str, ...]:
@@ -53,18 +57,38 @@
     if floor > 1:
         raise BadInput(f"setting {r.path}floor: above 1: {floor!r}")
     return BudgetConfig(
-        name=r.text("name"), use=use, of=of, amount=r.whole("amount", least=1),
-        lease_s=r.number("lease_ms", 2000, least=200) / 1000, floor=floor,
+        name=r.text("name"),
+        use=use,
+        of=of,
+        amount=r.whole("amount", least=1),
+        lease_s=r.number("lease_ms", 2000, least=200) / 1000,
+        floor=floor,
         floor_lease_s=r.number("floor_lease_s", 30, least=0.2),
-        longest_s=longest / 1000 if use == "server" else 0.0, parts=r.whole("parts", 0))
+        longest_s=longest / 1000 if use == "server" else 0.0,
+        parts=r.whole("parts", 0),
+    )
 
 
-def peers_of(top: Reader, tenants: Container[str], ajp: AjpConfig | None) \
-        -> Generator[None, None, PeersConfig | None]:
+def peers_of(
+    top: Reader, tenants: Container[str], ajp: AjpConfig | None
+) -> Generator[None, None, PeersConfig | None]:
     if "peers" not in top.data:
         return None
-    r = only(top.part("peers"), "listen", "address", "group", "site", "secrets", "probe_ms", "members",
-              "start", "voters", "most_out", "most_per_s", "budgets")
+    r = only(
+        top.part("peers"),
+        "listen",
+        "address",
+        "group",
+        "site",
+        "secrets",
+        "probe_ms",
+        "members",
+        "start",
+        "voters",
+        "most_out",
+        "most_per_s",
+        "budgets",
+    )
     listen, others = required(r, "listen", loopback=True), r.part("members", {})
     secret = _texts(r, "secrets", REQUIRED)
     if not secret or min(map(len, secret)) < 16:
@@ -91,12 +115,19 @@
         if not len(members) % STEP:
             yield
     return PeersConfig(
-        listen=listen, address=address(r, "address", True) or listen, group=r.text("group"),
-        site=r.text("site", "") or "", secrets=secret, probe_ms=r.whole("probe_ms", 100, least=20),
+        listen=listen,
+        address=address(r, "address", True) or listen,
+        group=r.text("group"),
+        site=r.text("site", "") or "",
+        secrets=secret,
+        probe_ms=r.whole("probe_ms", 100, least=20),
         members=members,
         start=tuple(required(Reader({"start": text}, r.path), "start", loopback=True) for text in starts),
-        voters=tuple(sorted(voters)), most_out=most_out, most_per_s=r.number("most_per_s", 3000, least=1),
-        budgets=tuple(budgets))
+        voters=tuple(sorted(voters)),
+        most_out=most_out,
+        most_per_s=r.number("most_per_s", 3000, least=1),
+        budgets=tuple(budgets),
+    )
 
 
 def sites_of(top: Reader, settings: Settings, peers: PeersConfig | None) -> SitesConfig | None:
@@ -109,8 +140,10 @@
     if peers is None:
         raise BadInput("setting sites: needs [peers]: sites are known by their workers")
     if r.flag("pace", True) and not peers.voters:
-        raise BadInput("setting peers.voters: missing: a site that comes back steps by their permit; or set "
-                       "sites.pace = false")
+        raise BadInput(
+            "setting peers.voters: missing: a site that comes back steps by their permit; or set "
+            "sites.pace = false"
+        )
     places, file = None, r.text("fleet", None)
     if file is not None:
         from ochrehoist.sites.places import BadPlaces, Places
@@ -121,8 +154,10 @@
             raise BadInput(f"setting {r.path}fleet: {error}") from None
     site = r.text("site", None) or (places.site_of(peers.address[0]) if places else None) or peers.site
     if not site:
-        raise BadInput(f"setting {r.path}site: missing, and no description of the fleet tells of "
-                       f"{peers.address[0]}; nor does peers.site")
+        raise BadInput(
+            f"setting {r.path}site: missing, and no description of the fleet tells of "
+            f"{peers.address[0]}; nor does peers.site"
+        )
     if places is not None and site not in places.names:
         raise BadInput(f"setting {r.path}site: no such site in {file}: {site!r}; there are {places.names}")
     book, file = None, r.text("playbook", None)
--- a/ochrehoist/config_json.py
+++ b/ochrehoist/config_json.py
@@ -43,7 +43,7 @@
         self.text, self.takers, self.told = text, takers, 0
 
     def value(self, at: int, path: Path) -> Generator[None, None, tuple[Any, int]]:
-        first = self.text[at:at + 1]
+        first = self.text[at : at + 1]
         if first == "{" and len(path) < DEPTH:
             return (yield from self._object(at + 1, path))
         if first == "[" and path:
@@ -60,20 +60,20 @@
     def _object(self, at: int, path: Path) -> Generator[None, None, tuple[dict[str, Any], int]]:
         out: dict[str, Any] = {}
         at = _after_space(self.text, at)
-        if self.text[at:at + 1] == "}":
+        if self.text[at : at + 1] == "}":
             return out, at + 1
         while True:
-            if self.text[at:at + 1] != '"':
+            if self.text[at : at + 1] != '"':
                 raise JSONDecodeError("Expecting property name enclosed in double quotes", self.text, at)
             key, at = _read(self.text, at)
             at = _after_space(self.text, at)
-            if self.text[at:at + 1] != ":":
+            if self.text[at : at + 1] != ":":
                 raise JSONDecodeError("Expecting ':' delimiter", self.text, at)
             out[key], at = yield from self.value(_after_space(self.text, at + 1), (*path, key))
             at = _after_space(self.text, at)
-            if self.text[at:at + 1] == "}":
+            if self.text[at : at + 1] == "}":
                 return out, at + 1
-            if self.text[at:at + 1] != ",":
+            if self.text[at : at + 1] != ",":
                 raise JSONDecodeError("Expecting ',' delimiter", self.text, at)
             at = _after_space(self.text, at + 1)
             if self._turn(at):
@@ -83,7 +83,7 @@
         out: list[Any] = []
         text, take, after_space = self.text, self.takers.get(path), _after_space
         at = after_space(text, at)
-        if text[at:at + 1] == "]":
+        if text[at : at + 1] == "]":
             return out, at + 1
         while True:
             value, at = _read(text, at)
@@ -92,7 +92,7 @@
             else:
                 take(value, out)
             at = after_space(text, at)
-            mark = text[at:at + 1]
+            mark = text[at : at + 1]
             if mark == "]":
                 return out, at + 1
             if mark != ",":
--- a/ochrehoist/config_source.py
+++ b/ochrehoist/config_source.py
@@ -50,8 +50,12 @@
         """What the next reading may know. `elements`: the arrays as they were taken."""
         if self.rest is None:
             return None
-        return Source(digest, self.rest, self.rest_digest,
-                      {path: Kept(elements[path], stretches) for path, stretches in self.stretches.items()})
+        return Source(
+            digest,
+            self.rest,
+            self.rest_digest,
+            {path: Kept(elements[path], stretches) for path, stretches in self.stretches.items()},
+        )
 
 
 class Text:
@@ -110,7 +114,7 @@
         try:
             part = decoder.decode(data, final=not data)
         except UnicodeDecodeError as error:
-            good = error.object[:error.start].decode()
+            good = error.object[: error.start].decode()
             return ValueError(f"not UTF-8: {error.reason} (at line {lines + good.count(chr(10))})")
         lines += part.count("\n")
         text.parts.append(part)
--- a/ochrehoist/config_toml.py
+++ b/ochrehoist/config_toml.py
@@ -46,16 +46,21 @@
     """The text is no TOML."""
 
 
-def read_in_steps(text: Text, takers: Mapping[Path, Taker],
-                  before: Source | None) -> Generator[None, None, Reading]:
+def read_in_steps(
+    text: Text, takers: Mapping[Path, Taker], before: Source | None
+) -> Generator[None, None, Reading]:
     """A taker adds what is kept of an element's data to the list that stands for the array at its path.
 
     Raises ValueError, with the line at fault.
     """
     if before is not None and before.digest == text.digest:
         all_of = {path: [range(len(kept.elements))] for path, kept in before.kept.items()}
-        return Reading(joined(before.rest, all_of), before.rest, before.rest_digest,
-                       {path: kept.stretches for path, kept in before.kept.items()})
+        return Reading(
+            joined(before.rest, all_of),
+            before.rest,
+            before.rest_digest,
+            {path: kept.stretches for path, kept in before.kept.items()},
+        )
     try:
         return (yield from _Parting(takers, before).read(text))
     except _Unusual:
@@ -110,7 +115,8 @@
         self.takers, self.before = takers, before
         self.known: dict[Path, Stretches] = {
             path: before.kept[path].stretches if before is not None and path in before.kept else {}
-            for path in takers}
+            for path in takers
+        }
         self.headers: dict[str, Path | None] = {}  # path by line; None: of no usual form
         self.path = _TABLE  # of what the line in hand belongs to
         self.rest: list[tuple[str, int]] = []  # text and its first line
@@ -211,8 +217,9 @@
         if path not in self.run:
             self._begin_run(path, text, line)
         stretch = self.stretch
-        if stretch and (len(stretch) == ELEMENTS or self.length + len(text) > STRETCH
-                        or not crc32(text.encode()) % BORDER):
+        if stretch and (
+            len(stretch) == ELEMENTS or self.length + len(text) > STRETCH or not crc32(text.encode()) % BORDER
+        ):
             self._close(text)
             stretch = self.stretch
         if not stretch:
@@ -314,7 +321,7 @@
 def _good_part(text: str, line: int) -> Generator[None, None, dict[str, Any]]:
     """What can be read of the text before the line at fault, which is 0 if it is the end."""
     ends = [match.end() for match in _LINE.finditer(text)]
-    end = len("\n".join(text.split("\n")[:line - 1])) if line else len(text)
+    end = len("\n".join(text.split("\n")[: line - 1])) if line else len(text)
     for at in [end, *(header for header in reversed(ends) if header < end)][:TRIES]:
         try:
             return (yield from _loads_in_steps(text[:at]))
--- a/ochrehoist/core/figures.py
+++ b/ochrehoist/core/figures.py
@@ -60,8 +60,12 @@
             lines.extend(f"{PREFIX}{name}{label} {value}" for label, value in samples)
 
         for name, about in BY_CLASS.items():
-            family(name, "counter", about, ((f'{{{LABEL}="{_escaped(group)}"}}', n)
-                                            for group, n in self.by_class[name].items()))
+            family(
+                name,
+                "counter",
+                about,
+                ((f'{{{LABEL}="{_escaped(group)}"}}', n) for group, n in self.by_class[name].items()),
+            )
         family("current", "gauge", "Requests taken and not yet ended.", [("", current)])
         for name, about in SINGLE.items():
             family(name, "counter", about, [("", self.single[name])])
--- a/ochrehoist/core/forwarder.py
+++ b/ochrehoist/core/forwarder.py
@@ -15,8 +15,15 @@
 
 
 class Forwarder:
-    def __init__(self, pending: dict[str, Inbound], send: Send, codec: DetailCodec, answers: Answers,
-                 clock: Callable[[], int], wall: Callable[[], int]) -> None:
+    def __init__(
+        self,
+        pending: dict[str, Inbound],
+        send: Send,
+        codec: DetailCodec,
+        answers: Answers,
+        clock: Callable[[], int],
+        wall: Callable[[], int],
+    ) -> None:
         self.pending, self.codec, self.answers, self.log = pending, codec, answers, answers.log
         self.clock, self.wall = clock, wall
         self.send: Send | None = send  # None: the other process is gone
--- a/ochrehoist/core/handover.py
+++ b/ochrehoist/core/handover.py
@@ -61,13 +61,23 @@
 
 
 def result_line(result: Result, codec: DetailCodec) -> Line:
-    return {"outcome": result.outcome.name, "body": _bytes(result.body), "success": result.success,
-            "detail": codec.to_json(result.detail), "detail_bytes": result.detail_bytes}
+    return {
+        "outcome": result.outcome.name,
+        "body": _bytes(result.body),
+        "success": result.success,
+        "detail": codec.to_json(result.detail),
+        "detail_bytes": result.detail_bytes,
+    }
 
 
 def result_from(data: Line, codec: DetailCodec) -> Result:
-    return Result(i.Outcome[data["outcome"]], _from_text(data["body"]), codec.from_json(data["detail"]),
-                  int(data["detail_bytes"]), bool(data["success"]))
+    return Result(
+        i.Outcome[data["outcome"]],
+        _from_text(data["body"]),
+        codec.from_json(data["detail"]),
+        int(data["detail_bytes"]),
+        bool(data["success"]),
+    )
 
 
 def class_line(cls: i.RequestClass) -> Line:
@@ -78,23 +88,44 @@
     return i.RequestClass(**data | {"repeat": i.Repeat[data["repeat"]]})
 
 
-AS_THEY_ARE = ("id", "tenant", "key", "work", "memory_kb", "rank", "retry", "write", "caller", "started",
-               "answered")
+AS_THEY_ARE = (
+    "id",
+    "tenant",
+    "key",
+    "work",
+    "memory_kb",
+    "rank",
+    "retry",
+    "write",
+    "caller",
+    "started",
+    "answered",
+)
 
 
 def request_line(r: Inbound, arrived: int) -> Line:
     """All but what stays with the process that read it: its payload, the way back, and what runs it."""
     return {name: getattr(r, name) for name in AS_THEY_ARE} | {
-        "cls": class_line(r.cls), "arrived": arrived, "token": r.token,
-        "fingerprint": _fingerprint(r.fingerprint)}
+        "cls": class_line(r.cls),
+        "arrived": arrived,
+        "token": r.token,
+        "fingerprint": _fingerprint(r.fingerprint),
+    }
 
 
 def request_from(data: Line, far: "Remote", classes: dict[str, i.RequestClass]) -> Inbound:
     known = classes.get(data["cls"]["name"])
-    return Inbound(cls=known or class_from(data["cls"]), arrived=int(data["arrived"]), payload=None,
-                   responder=far, executor=far, token=_token(data["token"]),
-                   fingerprint=_from_fingerprint(data["fingerprint"]), remote=True,
-                   **{name: data[name] for name in AS_THEY_ARE})
+    return Inbound(
+        cls=known or class_from(data["cls"]),
+        arrived=int(data["arrived"]),
+        payload=None,
+        responder=far,
+        executor=far,
+        token=_token(data["token"]),
+        fingerprint=_from_fingerprint(data["fingerprint"]),
+        remote=True,
+        **{name: data[name] for name in AS_THEY_ARE},
+    )
 
 
 class Remote:
@@ -111,8 +142,14 @@
         self.send({"m": "refused", "id": self.id, "backoff": backoff, "no_retry": no_retry})
 
     def failed(self, reason: Reason, result: Result | None = None) -> None:
-        self.send({"m": "failed", "id": self.id, "reason": reason.name,
-                   "result": None if result is None else result_line(result, self.codec)})
+        self.send(
+            {
+                "m": "failed",
+                "id": self.id,
+                "reason": reason.name,
+                "result": None if result is None else result_line(result, self.codec),
+            }
+        )
 
     def origin(self) -> tuple[str, str]:
         return "", ""
@@ -131,19 +168,29 @@
     classes, tenants, now = c.s.classes, c.s.tenants, c.now
     busy = {tenants[at].name: known.after(c.beats - known.at) for at, known in c.known.items()}
     return {
-        **{name: {cls.name: [t.value, t.weight] for cls, t in zip(classes, getattr(c, name), strict=True)}
-           for name in BY_CLASS},
-        "ran": {name: ran for name, (_, _, ran) in busy.items() if ran > NO_RATE}, "beats": c.beats,
-        "tenants": [[name, asked, served] for name, (asked, served, _) in busy.items()
-                    if asked > LEAST or served > LEAST],
-        **{which: [[cls.name, getattr(known, which)] for cls, known in zip(classes, c.kinds, strict=True)]
-           for which in ("asked", "served")},
+        **{
+            name: {cls.name: [t.value, t.weight] for cls, t in zip(classes, getattr(c, name), strict=True)}
+            for name in BY_CLASS
+        },
+        "ran": {name: ran for name, (_, _, ran) in busy.items() if ran > NO_RATE},
+        "beats": c.beats,
+        "tenants": [
+            [name, asked, served]
+            for name, (asked, served, _) in busy.items()
+            if asked > LEAST or served > LEAST
+        ],
+        **{
+            which: [[cls.name, getattr(known, which)] for cls, known in zip(classes, c.kinds, strict=True)]
+            for which in ("asked", "served")
+        },
         "means": {name: [mean.value, mean.weight] for name in MEANS for mean in (getattr(c, name),)},
         "curve": [c.s.cores, c.curve.crowd, c.curve.base, c.curve.time, c.curve.done],
-        "floor": c.floor, "sent": c.sent,
+        "floor": c.floor,
+        "sent": c.sent,
         "heard": [[caller, now - at] for caller, at in c.heard.items()],
         "left": [[caller, list(ages)] for caller, ages in c.left.items()],
-        "patience": [[caller, lasts, until - now] for caller, (lasts, until) in c.patience.items()]}
+        "patience": [[caller, lasts, until - now] for caller, (lasts, until) in c.patience.items()],
+    }
 
 
 def _number(value: Any) -> float:
@@ -162,12 +209,20 @@
     counts = {which: {name: _number(value) for name, value in data[which]} for which in ("asked", "served")}
     ran = {known[name]: _number(rate) for name, rate in data["ran"].items() if name in known}
     if "beats" in data:
-        beats, busy = int(data["beats"]), {
-            known[name]: (_number(asked), _number(served)) for name, asked, served in data["tenants"]
-            if name in known}
+        beats, busy = (
+            int(data["beats"]),
+            {
+                known[name]: (_number(asked), _number(served))
+                for name, asked, served in data["tenants"]
+                if name in known
+            },
+        )
     else:  # of an older program, which told of all: most were quiet, and alike
-        busy = {known[name]: (asked, counts["served"][name]) for name, asked in counts["asked"].items()
-                if name in known}
+        busy = {
+            known[name]: (asked, counts["served"][name])
+            for name, asked in counts["asked"].items()
+            if name in known
+        }
         alike = max(LEAST, min((value for pair in busy.values() for value in pair), default=1.0))
         beats = round(math.log(alike) / math.log(FADE))
         busy = {at: pair for at, pair in busy.items() if max(pair) > alike}
@@ -182,9 +237,14 @@
         c.floor = max(c.s.cores, min(c.curve.crowd, int(data["floor"])))
     c.sent = _number(data["sent"])
     for mean, (value, weight) in [
-            *((getattr(c, name)[at], data[name][cls.name]) for name in BY_CLASS
-              for at, cls in enumerate(c.s.classes) if cls.name in data.get(name, ())),
-            *((getattr(c, name), data["means"][name]) for name in MEANS if name in data["means"])]:
+        *(
+            (getattr(c, name)[at], data[name][cls.name])
+            for name in BY_CLASS
+            for at, cls in enumerate(c.s.classes)
+            if cls.name in data.get(name, ())
+        ),
+        *((getattr(c, name), data["means"][name]) for name in MEANS if name in data["means"]),
+    ]:
         mean.value, mean.weight, mean.at = _number(value), _number(weight), now
     # As of the beat before the one that they are valued by now: all of it counts at once.
     c.known, c.beats = {}, max(1, beats)
@@ -218,13 +278,26 @@
     """The state as lines; `offset` is what the core's clock has over the one that all processes share."""
     yield {"m": "state", "version": VERSION, "learned": state.learned, "standby": state.standby}
     for token, run in state.keys.runs.items():
-        yield {"m": "run", "token": token, "id": run.id, "window_end": run.window_end - offset,
-               "fingerprint": _fingerprint(run.fingerprint), "dropped": run.dropped,
-               "stored": run.stored, "begun": run.begun, "asleep": run.asleep,
-               "result": None if run.result is None else result_line(run.result, codec)}
+        yield {
+            "m": "run",
+            "token": token,
+            "id": run.id,
+            "window_end": run.window_end - offset,
+            "fingerprint": _fingerprint(run.fingerprint),
+            "dropped": run.dropped,
+            "stored": run.stored,
+            "begun": run.begun,
+            "asleep": run.asleep,
+            "result": None if run.result is None else result_line(run.result, codec),
+        }
     for token, (holder, until, known) in state.keys.entries.items():
-        yield {"m": "entry", "token": token, "holder": holder, "until": until - offset,
-               "fingerprint": _fingerprint(known)}
+        yield {
+            "m": "entry",
+            "token": token,
+            "holder": holder,
+            "until": until - offset,
+            "fingerprint": _fingerprint(known),
+        }
     for r in state.requests:
         yield {"m": "request"} | request_line(r, r.arrived - offset)
     for cls in state.classes.values():
@@ -235,8 +308,15 @@
 class Receiver:
     """Builds a State of lines, and checks each; it is whole once `done`."""
 
-    def __init__(self, offset: int, classes: dict[str, i.RequestClass], max_bytes: int, overhead: int,
-                 send: Send, codec: DetailCodec) -> None:
+    def __init__(
+        self,
+        offset: int,
+        classes: dict[str, i.RequestClass],
+        max_bytes: int,
+        overhead: int,
+        send: Send,
+        codec: DetailCodec,
+    ) -> None:
         self.offset, self.classes, self.send, self.codec = offset, classes, send, codec
         self.overhead, self.done = overhead, False
         self.state = State(keys=KeyTable(0, max_bytes))
@@ -257,18 +337,27 @@
             state.learned, state.standby = data["learned"], bool(data["standby"])
         elif kind == "run":
             token = _token(data["token"])
-            run = Run(data["id"], int(data["window_end"]) + self.offset,
-                      _from_fingerprint(data["fingerprint"]), dropped=bool(data["dropped"]),
-                      stored=bool(data.get("stored")), begun=bool(data.get("begun")),
-                      asleep=bool(data.get("asleep")))
+            run = Run(
+                data["id"],
+                int(data["window_end"]) + self.offset,
+                _from_fingerprint(data["fingerprint"]),
+                dropped=bool(data["dropped"]),
+                stored=bool(data.get("stored")),
+                begun=bool(data.get("begun")),
+                asleep=bool(data.get("asleep")),
+            )
             state.keys.runs[token] = run
             if data["result"] is not None:
                 result = result_from(data["result"], self.codec)
                 size = len(result.body) + result.detail_bytes + self.overhead
                 state.keys.ended(token, run.id, result, size)
         elif kind == "entry":
-            state.keys.keep(_token(data["token"]), data["holder"], int(data["until"]) + self.offset,
-                            _from_fingerprint(data["fingerprint"]))
+            state.keys.keep(
+                _token(data["token"]),
+                data["holder"],
+                int(data["until"]) + self.offset,
+                _from_fingerprint(data["fingerprint"]),
+            )
         elif kind == "request":
             far = Remote(data["id"], self.send, self.codec)
             r = request_from(data, far, self.classes)
--- a/ochrehoist/core/keys.py
+++ b/ochrehoist/core/keys.py
@@ -115,8 +115,9 @@
         past = now - self.slack
         for token in [t for t, entry in self.entries.items() if entry[1] < past]:
             self._drop(token)
-        over = [t for t, r in self.runs.items()
-                if r.window_end < past and (r.result is not None or r.dropped)]
+        over = [
+            t for t, r in self.runs.items() if r.window_end < past and (r.result is not None or r.dropped)
+        ]
         for token in over:
             self._release(token)
             del self.runs[token]
--- a/ochrehoist/core/owner.py
+++ b/ochrehoist/core/owner.py
@@ -57,8 +57,17 @@
     `clock` is Unix time that runs steadily; `wall` is the Unix clock as it stands, which may be set.
     """
 
-    def __init__(self, settings: i.Settings, seed: int, waker: Waker, clock: Callable[[], int],
-                 wall: Callable[[], int], log: Any, result_bytes: int, measure: Callable[[], None]) -> None:
+    def __init__(
+        self,
+        settings: i.Settings,
+        seed: int,
+        waker: Waker,
+        clock: Callable[[], int],
+        wall: Callable[[], int],
+        log: Any,
+        result_bytes: int,
+        measure: Callable[[], None],
+    ) -> None:
         self.settings, self.seed, self.waker, self.log = settings, seed, waker, log
         self.clock, self.wall = clock, wall
         self.measure = measure
@@ -267,9 +276,20 @@
         if original is not None:
             self.filings.wake(r.token)
         return i.Request(
-            id=r.id, kind=self.kinds[r.cls.name], tenant=self.tenants.position(r.tenant), key=r.key,
-            work=r.work, memory_kb=r.memory_kb, rank=r.rank, retry=r.retry, write=r.write, caller=r.caller,
-            unread_for=max(0, self.now - r.arrived), original=original, times=r.times)
+            id=r.id,
+            kind=self.kinds[r.cls.name],
+            tenant=self.tenants.position(r.tenant),
+            key=r.key,
+            work=r.work,
+            memory_kb=r.memory_kb,
+            rank=r.rank,
+            retry=r.retry,
+            write=r.write,
+            caller=r.caller,
+            unread_for=max(0, self.now - r.arrived),
+            original=original,
+            times=r.times,
+        )
 
     # ---- messages
     def _arrived(self, m: Arrived) -> None:
@@ -320,8 +340,9 @@
         if r is not None:
             self._finish(r, m.result, self.now - r.joined_at)
 
-    def turn_away(self, r: Inbound, reason: Reason | None = None, backoff: int = SECOND,
-                  no_retry: bool = False) -> None:
+    def turn_away(
+        self, r: Inbound, reason: Reason | None = None, backoff: int = SECOND, no_retry: bool = False
+    ) -> None:
         """Answers what the module never hears of: refused, or failed for a reason."""
         self.answers.turn_away(r, reason, backoff, no_retry)
 
@@ -357,12 +378,23 @@
         self.linked = m.up
         self._judge()
 
-    TAKES = {Booted: _booted, Arrived: _arrived, Gone: _gone, Ended: _ended, Joined: _joined,
-             Gauges: _measured, Leaving: _leaving, Standby: _stood_by, Linked: _linked,
-             Retuned: retuning.retuned, TenantsRetuned: retuning.tenants_retuned,
-             Switched: retuning.switched, TakenOver: _taken_over,
-             Recorded: lambda self, m: self.filings.recorded(m),
-             Restored: lambda self, m: self.filings.restored(m)}
+    TAKES = {
+        Booted: _booted,
+        Arrived: _arrived,
+        Gone: _gone,
+        Ended: _ended,
+        Joined: _joined,
+        Gauges: _measured,
+        Leaving: _leaving,
+        Standby: _stood_by,
+        Linked: _linked,
+        Retuned: retuning.retuned,
+        TenantsRetuned: retuning.tenants_retuned,
+        Switched: retuning.switched,
+        TakenOver: _taken_over,
+        Recorded: lambda self, m: self.filings.recorded(m),
+        Restored: lambda self, m: self.filings.restored(m),
+    }
 
     # ---- time
     def _fall_due(self) -> None:
@@ -490,8 +522,18 @@
         self.log.error("an action that this worker has no means for", action=type(a).__name__)
 
     ACTS = {
-        i.Start: _start, i.Refuse: _refuse, i.Fail: _give_up, i.Keep: _keep, i.Forget: _forget, i.Join: _join,
-        i.Health: _set_health, i.KeepAlive: _keep_alive, i.SetAlarm: _set_alarm,
+        i.Start: _start,
+        i.Refuse: _refuse,
+        i.Fail: _give_up,
+        i.Keep: _keep,
+        i.Forget: _forget,
+        i.Join: _join,
+        i.Health: _set_health,
+        i.KeepAlive: _keep_alive,
+        i.SetAlarm: _set_alarm,
         i.Log: lambda self, a: self.log.info("module", text=a.text),
-        i.Stop: _unsupported, i.Call: _unsupported, i.SkipCall: _unsupported, i.Advise: _advise,
+        i.Stop: _unsupported,
+        i.Call: _unsupported,
+        i.SkipCall: _unsupported,
+        i.Advise: _advise,
     }
--- a/ochrehoist/core/requests.py
+++ b/ochrehoist/core/requests.py
@@ -324,5 +324,20 @@
     state: Any
 
 
-Message = (Booted | Arrived | Gone | Ended | Joined | Gauges | Leaving | Standby | Recorded | Restored
-           | Linked | Retuned | TenantsRetuned | Switched | TakenOver)
+Message = (
+    Booted
+    | Arrived
+    | Gone
+    | Ended
+    | Joined
+    | Gauges
+    | Leaving
+    | Standby
+    | Recorded
+    | Restored
+    | Linked
+    | Retuned
+    | TenantsRetuned
+    | Switched
+    | TakenOver
+)
--- a/ochrehoist/core/retuning.py
+++ b/ochrehoist/core/retuning.py
@@ -29,8 +29,11 @@
     if core.controller is None:
         return core.index(m.settings)
     succession.take_up(core, succession.state_of(core))
-    core.log.info("settings changed", classes=sorted(core.served_classes),
-                  gone=sorted(core.kinds.keys() - core.served_classes))
+    core.log.info(
+        "settings changed",
+        classes=sorted(core.served_classes),
+        gone=sorted(core.kinds.keys() - core.served_classes),
+    )
 
 
 def tenants_retuned(core: Core, m: TenantsRetuned) -> None:
--- a/ochrehoist/core/succession.py
+++ b/ochrehoist/core/succession.py
@@ -41,8 +41,9 @@
     used = {r.cls.name for r in core.live.values()}
     used |= {token[1] for known in (core.keys.runs, core.keys.entries) for token in known}
     classes = {c.name: c for c in core.controller.s.classes if c.name in used}
-    return handover.State(handover.learned(core.controller), core.standby, list(core.live.values()),
-                          core.keys, classes)
+    return handover.State(
+        handover.learned(core.controller), core.standby, list(core.live.values()), core.keys, classes
+    )
 
 
 def take_up(core: Core, state: handover.State) -> None:
--- a/ochrehoist/core/tenants.py
+++ b/ochrehoist/core/tenants.py
@@ -65,7 +65,7 @@
     at, most = 0, min(len(old), len(new))
     while at < most:
         size = min(ALIKE, most - at)
-        while old[at:at + size] != new[at:at + size]:
+        while old[at : at + size] != new[at : at + size]:
             if size == 1:
                 return at
             size = max(1, size // 8)
@@ -79,7 +79,9 @@
     count = 0
     while count < most:
         size = min(ALIKE, most - count)
-        while old[len(old) - count - size:len(old) - count] != new[len(new) - count - size:len(new) - count]:
+        while (
+            old[len(old) - count - size : len(old) - count] != new[len(new) - count - size : len(new) - count]
+        ):
             if size == 1:
                 return count
             size = max(1, size // 8)
--- a/ochrehoist/interface.py
+++ b/ochrehoist/interface.py
@@ -226,7 +226,16 @@
 
 
 Event = (
-    Started | Request | Adopted | Completed | CallNeeded | CallEnded | CallerGone | Alarm | Leave | Limits
+    Started
+    | Request
+    | Adopted
+    | Completed
+    | CallNeeded
+    | CallEnded
+    | CallerGone
+    | Alarm
+    | Leave
+    | Limits
     | TenantsChanged
 )
 
@@ -319,6 +328,18 @@
 
 
 Action = (
-    Start | Refuse | Fail | Stop | Call | SkipCall | Keep | Forget | Join
-    | Health | Advise | KeepAlive | SetAlarm | Log
+    Start
+    | Refuse
+    | Fail
+    | Stop
+    | Call
+    | SkipCall
+    | Keep
+    | Forget
+    | Join
+    | Health
+    | Advise
+    | KeepAlive
+    | SetAlarm
+    | Log
 )
--- a/ochrehoist/lab/balancer.py
+++ b/ochrehoist/lab/balancer.py
@@ -78,14 +78,18 @@
     # ---- whom it picks
     def pick(self, subject: int, without: Collection[str] = ()) -> str:
         left = [b for b in self.backends.values() if b.name not in without]
-        some = [b for b in left if b.usable] or [b for b in left if not b.down] or left \
+        some = (
+            [b for b in left if b.usable]
+            or [b for b in left if not b.down]
+            or left
             or list(self.backends.values())
+        )
         if self.habits.choice == "subject":
             return self._by_subject(subject, some)
         if self.habits.choice == "round":
             self.turn += 1
             names = list(self.backends)
-            order = names[self.turn % len(names):] + names[:self.turn % len(names)]
+            order = names[self.turn % len(names) :] + names[: self.turn % len(names)]
             return next(n for n in order if any(b.name == n for b in some))
         for b in some:
             b.current += max(1, b.weight)
--- a/ochrehoist/lab/fault_injection.py
+++ b/ochrehoist/lab/fault_injection.py
@@ -228,9 +228,7 @@
         for n in who:
             w = self.workers[n]
             if w.peers is not None:
-                w.peers = w.peers | {
-                    "budgets": [b | {"amount": int(f.amount)} for b in w.peers["budgets"]]
-                }
+                w.peers = w.peers | {"budgets": [b | {"amount": int(f.amount)} for b in w.peers["budgets"]]}
             # The addresses that it took must stay: only what may change in a running worker is written anew.
             w.write()
             w.signal(signal.SIGHUP)
--- a/ochrehoist/lab/hollow.py
+++ b/ochrehoist/lab/hollow.py
@@ -202,16 +202,25 @@
         self.waker = Signal(loop)
         bytes_ = int(config.memory_mb * 1e6)
         self.owner = MeteredOwner(
-            config.settings, seed, self.waker, steady_clock(), time.time_ns, log, int(bytes_ * RESULT_SHARE),
-            lambda: self.servers.measure())
+            config.settings,
+            seed,
+            self.waker,
+            steady_clock(),
+            time.time_ns,
+            log,
+            int(bytes_ * RESULT_SHARE),
+            lambda: self.servers.measure(),
+        )
         self.servers = AjpServers(loop, self.owner, config.ajp, int(bytes_ * BODY_SHARE), log)
         self.reader = AjpReader(self.owner, self.servers, config.ajp)
         self.owner.post(Booted(None, 0))
         self.peers = HollowPeers(loop, self.owner, config, log)
         self.peers.network = network
         # The choices of a worker are chance's; here a seed's.
-        self.peers.group.rng, self.peers.group.members.rng = Random(self.rng.random()), Random(
-            self.rng.random())
+        self.peers.group.rng, self.peers.group.members.rng = (
+            Random(self.rng.random()),
+            Random(self.rng.random()),
+        )
         self.owner.listeners.append(self.peers)
         self.servers.advisor = self.peers
         self.reloading = Reloading(loop, self.owner, config, str(path), self._parts(), None, log)
@@ -220,10 +229,16 @@
     def _parts(self) -> list[Callable[..., Any]]:
         servers, reader, peers = self.servers, self.reader, self.peers
         if switch_only is None:
-            return [lambda new: servers.configure(new.ajp),
-                    lambda new: reader.configure(new.ajp, new.settings), peers.configure]
-        return [switch_only(lambda new, _: servers.configure(new.ajp)),
-                lambda new, _: reader.prepare(new.ajp, new.settings), peers.prepare]
+            return [
+                lambda new: servers.configure(new.ajp),
+                lambda new: reader.configure(new.ajp, new.settings),
+                peers.configure,
+            ]
+        return [
+            switch_only(lambda new, _: servers.configure(new.ajp)),
+            lambda new, _: reader.prepare(new.ajp, new.settings),
+            peers.prepare,
+        ]
 
     def start(self) -> None:
         self.task = self.loop.spawn(self.owner.run)
@@ -244,8 +259,9 @@
         if self.ended:
             return
         s, p = self.owner.settings, self.peers
-        request = SimpleNamespace(cls=self.rng.choice(s.classes),
-                                  tenant=self.rng.choice(s.tenants).name if s.tenants else None)
+        request = SimpleNamespace(
+            cls=self.rng.choice(s.classes), tenant=self.rng.choice(s.tenants).name if s.tenants else None
+        )
         p.arrived(request)
         server = p.order({})[0]
         ticket = p.began(server, request.cls.name)
@@ -263,13 +279,22 @@
     def counters(self) -> dict[str, Any]:
         """Since its start: bytes, messages and s of processor time for peers."""
         p, g = self.peers, self.peers.group
-        return {"name": self.config.name, "bytes_out": p.bytes_out, "bytes_in": p.bytes_in, "sent": p.sent,
-                "received": p.received, "peers_cpu_s": p.spent, "alive": self.alive(),
-                "late": g.members.was_late, "deaths": len(g.members.deaths),
-                "rejected": sum(p.rejected.values()), "beats": list(self.owner.beats),
-                "state_bytes": sum(len(m.status) for m in g.members.members.values()),
-                "held": sum(s.holder.amount(time.monotonic()) for s in g.shares.values()),
-                "status": len(g.status)}
+        return {
+            "name": self.config.name,
+            "bytes_out": p.bytes_out,
+            "bytes_in": p.bytes_in,
+            "sent": p.sent,
+            "received": p.received,
+            "peers_cpu_s": p.spent,
+            "alive": self.alive(),
+            "late": g.members.was_late,
+            "deaths": len(g.members.deaths),
+            "rejected": sum(p.rejected.values()),
+            "beats": list(self.owner.beats),
+            "state_bytes": sum(len(m.status) for m in g.members.members.values()),
+            "held": sum(s.holder.amount(time.monotonic()) for s in g.shares.values()),
+            "status": len(g.status),
+        }
 
 
 class Shell:
@@ -368,19 +393,33 @@
     def _begin(self, w: dict[str, Any]) -> None:
         config, t = self.config, w["peers"]
         listen, members = address(t["listen"]), {n: address(a) for n, a in t["members"].items()}
-        config = replace(config, name=w["name"], peers=replace(
-            config.peers, listen=listen, address=listen, site=t["site"], members=members))
+        config = replace(
+            config,
+            name=w["name"],
+            peers=replace(config.peers, listen=listen, address=listen, site=t["site"], members=members),
+        )
         hollow = Hollow(self.loop, self.network, config, self._path(w), self.spec["seed"], self.log)
         self.hollows[w["name"]] = hollow
         hollow.start()
         if self.spec["uses"]:
-            self.loop.call_later(hollow.rng.random() / self.spec["uses"],
-                                 lambda: hollow.use(1 / self.spec["uses"]))
+            self.loop.call_later(
+                hollow.rng.random() / self.spec["uses"], lambda: hollow.use(1 / self.spec["uses"])
+            )
 
     def do_lives(self, tell: Tell) -> dict[str, Any]:
         groups = [h.peers.group for h in self.hollows.values()]
-        return {"lives": [[[g.life.name, g.life.inc, g.life.boot], g.terms.address, g.terms.site, g.version,
-                           g.status.hex()] for g in groups]}
+        return {
+            "lives": [
+                [
+                    [g.life.name, g.life.inc, g.life.boot],
+                    g.terms.address,
+                    g.terms.site,
+                    g.version,
+                    g.status.hex(),
+                ]
+                for g in groups
+            ]
+        }
 
     def do_meet(self, tell: Tell, lives: list[Any]) -> dict[str, Any]:
         """As if each had heard of all others, and from them, and had told what there is to tell."""
@@ -406,10 +445,17 @@
         """How many others each believes to be alive, and what this process holds."""
         began = time.thread_time()
         alive = [h.alive() for h in self.hollows.values()]
-        answer = {"alive": alive, "rss_kb": resident_kb(), "late_s": self.late,
-                  "held": sum(s.holder.amount(time.monotonic()) for h in self.hollows.values()
-                              for s in h.peers.group.shares.values()),
-                  "faults": dict(self.log.faults)}
+        answer = {
+            "alive": alive,
+            "rss_kb": resident_kb(),
+            "late_s": self.late,
+            "held": sum(
+                s.holder.amount(time.monotonic())
+                for h in self.hollows.values()
+                for s in h.peers.group.shares.values()
+            ),
+            "faults": dict(self.log.faults),
+        }
         self.late = 0.0
         self.harness += time.thread_time() - began
         return answer
@@ -418,9 +464,14 @@
         began = time.thread_time()
         hollows = [h.counters() for h in self.hollows.values()]
         self.harness += time.thread_time() - began
-        return {"at": time.monotonic(), "cpu_s": time.process_time(), "harness_s": self.harness,
-                "hollows": hollows, "rss_kb": resident_kb(),
-                "peak_kb": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss}
+        return {
+            "at": time.monotonic(),
+            "cpu_s": time.process_time(),
+            "harness_s": self.harness,
+            "hollows": hollows,
+            "rss_kb": resident_kb(),
+            "peak_kb": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss,
+        }
 
     def do_cut(self, tell: Tell, inside: list[Address], on: bool) -> dict[str, Any]:
         cut = frozenset((host, port) for host, port in inside)
--- a/ochrehoist/lab/platform.py
+++ b/ochrehoist/lab/platform.py
@@ -54,8 +54,14 @@
 
     def notice(self, rid: str, result: str, took: float) -> None:
         offset = self.notices[-1]["offset"] + 1 if self.notices else 1
-        notice = {"cmd": "REAP", "offset": offset, "req": rid, "result": result,
-                  "elapsed_ms": round(took * 1000, 3), "payload": ""}
+        notice = {
+            "cmd": "REAP",
+            "offset": offset,
+            "req": rid,
+            "result": result,
+            "elapsed_ms": round(took * 1000, 3),
+            "payload": "",
+        }
         self.notices.append(notice)
         del self.notices[:-KEPT]
         self.say(notice)
@@ -137,8 +143,16 @@
             self.connections.append(c)
         self.numbers += 1
         rid = f"{call.number:010x}{attempt % 16:x}{self.numbers % 16**5:05x}"
-        fields = {"method": call.cls, "rid": rid, "t0": str(time.time_ns() // 1_000_000), "peer": "1",
-                  "est": f"{work * 1000:.2f}", "mem": "24.0", "prio": "0.5", "acct": call.tenant}
+        fields = {
+            "method": call.cls,
+            "rid": rid,
+            "t0": str(time.time_ns() // 1_000_000),
+            "peer": "1",
+            "est": f"{work * 1000:.2f}",
+            "mem": "24.0",
+            "prio": "0.5",
+            "acct": call.tenant,
+        }
         if attempt:
             fields["again"] = "1"
         if call.key:
--- a/ochrehoist/lab/play.py
+++ b/ochrehoist/lab/play.py
@@ -135,8 +135,9 @@
         if self.scenario.form == "platform":
             from ochrehoist.lab.platform import ThriftAsker
 
-            return ThriftAsker(name, address, next(iter(
-                self.services[s] for s in self.workers[name].servers)))
+            return ThriftAsker(
+                name, address, next(iter(self.services[s] for s in self.workers[name].servers))
+            )
         return AjpAsker(name, address)
 
     def _table(self, w: Worker, members: dict[str, str]) -> dict[str, Any]:
@@ -182,9 +183,7 @@
         port = await self.services[service].another()
         old = self.tcp[w.name, service]
         self.tcp[w.name, f"{service}'{len(self.tcp)}"] = old
-        relay = self.tcp[w.name, service] = await Connections(
-            self.rng["links"], ("127.0.0.1", port)
-        ).start()
+        relay = self.tcp[w.name, service] = await Connections(self.rng["links"], ("127.0.0.1", port)).start()
         relay.there, relay.back = old.there, old.back  # what ails the link ails both
         w.kernel = "{}:{}".format(*relay.address)
 
