--- a/ochrehoist/lab/scale.py
+++ b/ochrehoist/lab/scale.py
@@ -70,18 +70,30 @@
 
 
 def machine() -> dict[str, Any]:
-    memory = {line.split(":")[0]: int(line.split()[1]) // 1024
-              for line in Path("/proc/meminfo").read_text().splitlines()}
-    return {"cores": os.cpu_count(), "load": [round(x, 2) for x in os.getloadavg()],
-            "memory_mb": memory["MemTotal"], "free_mb": memory["MemAvailable"],
-            "python": platform.python_version(), "kernel": platform.release()}
+    memory = {
+        line.split(":")[0]: int(line.split()[1]) // 1024
+        for line in Path("/proc/meminfo").read_text().splitlines()
+    }
+    return {
+        "cores": os.cpu_count(),
+        "load": [round(x, 2) for x in os.getloadavg()],
+        "memory_mb": memory["MemTotal"],
+        "free_mb": memory["MemAvailable"],
+        "python": platform.python_version(),
+        "kernel": platform.release(),
+    }
 
 
 def version(root: Path = ROOT) -> str:
     """The commit of the tree, or the package's version where there is none."""
     with suppress(OSError, subprocess.CalledProcessError):
-        head = subprocess.run(["git", "describe", "--always", "--dirty", "--match="], cwd=root,
-                              capture_output=True, text=True, check=True)
+        head = subprocess.run(
+            ["git", "describe", "--always", "--dirty", "--match="],
+            cwd=root,
+            capture_output=True,
+            text=True,
+            check=True,
+        )
         return head.stdout.strip()
     return metadata.version("ochrehoist")
 
@@ -117,24 +129,34 @@
             raise Bound("members: fewer than the real ones and one hollow one")
         self.processes = max(1, min(self.cores, hollow // 5))
         if self.processes + s.real > min(s.most_processes, MOST_PROCESSES):
-            raise Bound(f"{self.processes + s.real} processes, and at most "
-                        f"{min(s.most_processes, MOST_PROCESSES)} are allowed")
+            raise Bound(
+                f"{self.processes + s.real} processes, and at most "
+                f"{min(s.most_processes, MOST_PROCESSES)} are allowed"
+            )
         began = machine()
         with tempfile.TemporaryDirectory(prefix="scale-") as folder:
             self.folder = Path(folder)
             ended = asyncio.run(self._guarded(tell))
-        return {"version": version(self.root), "date": time.strftime("%Y-%m-%d %H:%M:%S", time.gmtime()),
-                "spec": asdict(s), "machine": began, "machine_after": machine(),
-                "processes": self.processes + s.real, "ended": ended,
-                "peak_mb": round(self.peak_kb / 1024, 1), "most_mb": round(self.most_kb / 1024, 1),
-                "notes": self.notes} | self.result
+        return {
+            "version": version(self.root),
+            "date": time.strftime("%Y-%m-%d %H:%M:%S", time.gmtime()),
+            "spec": asdict(s),
+            "machine": began,
+            "machine_after": machine(),
+            "processes": self.processes + s.real,
+            "ended": ended,
+            "peak_mb": round(self.peak_kb / 1024, 1),
+            "most_mb": round(self.most_kb / 1024, 1),
+            "notes": self.notes,
+        } | self.result
 
     async def _guarded(self, tell: Tell) -> str:
         work = asyncio.create_task(self._run(tell))
         watch = asyncio.create_task(self._watch())
         try:
-            done, _ = await asyncio.wait({work, watch}, timeout=self.spec.limit_s,
-                                         return_when=asyncio.FIRST_COMPLETED)
+            done, _ = await asyncio.wait(
+                {work, watch}, timeout=self.spec.limit_s, return_when=asyncio.FIRST_COMPLETED
+            )
             if work in done:
                 work.result()
                 return "whole"
@@ -195,22 +217,29 @@
         names = [f"w{n:04d}" for n in range(s.members - s.real)] + [f"real{n:03d}" for n in range(s.real)]
         self.places = self._addresses(names)
         self.zones = self.zoned(names)
-        self.scenario: Scenario = parse({
-            "name": "scale", "workers": 1, "tenants": {f"tenant{n}": 1000.0 for n in range(s.tenants)}})
+        self.scenario: Scenario = parse(
+            {"name": "scale", "workers": 1, "tenants": {f"tenant{n}": 1000.0 for n in range(s.tenants)}}
+        )
         hollow = [{"name": n, "peers": self._peers(n)} for n in names if not n.startswith("real")]
-        spec = {"seed": s.seed, "pace": s.pace, "limit_s": s.limit_s + 30, "uses": s.uses,
-                "folder": str(self.folder), "text": self._template()}
+        spec = {
+            "seed": s.seed,
+            "pace": s.pace,
+            "limit_s": s.limit_s + 30,
+            "uses": s.uses,
+            "folder": str(self.folder),
+            "text": self._template(),
+        }
         for part in range(self.processes):
-            self.shells.append(Shell(hollow[part::self.processes], spec, self.root))
+            self.shells.append(Shell(hollow[part :: self.processes], spec, self.root))
         tell(0.0, f"starting {len(hollow)} hollow workers in {self.processes} processes, {s.real} real ones")
         await asyncio.gather(*(shell.start() for shell in self.shells))
         empty = await self._ask("empty", seconds=EMPTY_S * s.pace)
         self.result["empty_cpu_share"] = sum(e["cpu_s"] / e["seconds"] for e in empty) / len(hollow)
-        for n in names[len(hollow):]:
+        for n in names[len(hollow) :]:
             top = {"name": n, "admin": "127.0.0.1:0", "peers": self._peers(n)} | self._common()
             self.reals.append(RealWorker(n, self.scenario, self.folder, self.root, top=top))
         for at in range(0, len(self.reals), self.cores):
-            await asyncio.gather(*(r.start(0.0) for r in self.reals[at:at + self.cores]))
+            await asyncio.gather(*(r.start(0.0) for r in self.reals[at : at + self.cores]))
         # Those who are met begin at once, as all have to be there; else not all in one moment.
         over = 0.0 if s.met else min(5.0, 0.02 * s.members)
         begun = await self._ask("start", over=over)
@@ -222,8 +251,10 @@
             met = await self._ask("meet", lives=lives)
             refused = self.result["refused_as_members"] = sum(x["refused"] for x in met)
             if refused:
-                self.notes.append(f"{refused} times a member was refused by another, which had as many as it "
-                                  "takes (MOST_MEMBERS)")
+                self.notes.append(
+                    f"{refused} times a member was refused by another, which had as many as it "
+                    "takes (MOST_MEMBERS)"
+                )
 
     def zoned(self, names: list[str]) -> dict[str, str]:
         """Zones by turns, and regions by turns of zones."""
@@ -240,11 +271,17 @@
     def _peers(self, name: str) -> dict[str, Any]:
         """Its table: seven voters by address; the others are found by the first two."""
         voters = self._voters()
-        return {"listen": self.places[name], "group": "scale", "secrets": [SECRET], "voters": voters,
-                "site": self.zones[name], "probe_ms": self.spec.probe_ms,
-                "members": {n: self.places[n] for n in voters if n != name},
-                "start": [self.places[n] for n in voters[:2] if n != name],
-                "budgets": [{"name": "again", "use": "repeats", "amount": BUDGET, "floor_lease_s": 4.0}]}
+        return {
+            "listen": self.places[name],
+            "group": "scale",
+            "secrets": [SECRET],
+            "voters": voters,
+            "site": self.zones[name],
+            "probe_ms": self.spec.probe_ms,
+            "members": {n: self.places[n] for n in voters if n != name},
+            "start": [self.places[n] for n in voters[:2] if n != name],
+            "budgets": [{"name": "again", "use": "repeats", "amount": BUDGET, "floor_lease_s": 4.0}],
+        }
 
     def _voters(self) -> list[str]:
         return list(self.places)[:VOTERS]
@@ -252,15 +289,23 @@
     def _common(self, quota: float = 1000.0) -> dict[str, Any]:
         """The tables that all workers share. The first tenant's quota tells the version."""
         classes = [c.name for c in self.scenario.classes]
-        rules = [{"uri": f"/{classes[n % len(classes)]}/r{n}/*", "class": classes[n % len(classes)]}
-                 for n in range(self.spec.routes)]
+        rules = [
+            {"uri": f"/{classes[n % len(classes)]}/r{n}/*", "class": classes[n % len(classes)]}
+            for n in range(self.spec.routes)
+        ]
         values = settings(self.scenario)
         values["Tenants"][0]["QuotaPerS"] = quota
-        return {"stop_ms": 3000, "limits": {"memory_mb": 192, "sockets": 512},
-                "ajp": {"listen": "127.0.0.1:0", "default_tenant": "tenant0", "rules": rules,
-                        "servers": [{"name": f"s{n}", "address": f"127.0.0.1:{9 + n}"} for n in
-                                    range(SERVERS)]},
-                "settings": values}
+        return {
+            "stop_ms": 3000,
+            "limits": {"memory_mb": 192, "sockets": 512},
+            "ajp": {
+                "listen": "127.0.0.1:0",
+                "default_tenant": "tenant0",
+                "rules": rules,
+                "servers": [{"name": f"s{n}", "address": f"127.0.0.1:{9 + n}"} for n in range(SERVERS)],
+            },
+            "settings": values,
+        }
 
     def _template(self, quota: float = 1000.0) -> str:
         return toml_file(self._common(quota))
@@ -275,11 +320,16 @@
         for look in looks:
             for what, count in look["faults"].items():
                 faults[what] = faults.get(what, 0) + count
-        return {"hollow": len(alive), "least": min(alive, default=0),
-                "p50": statistics.median(alive) if alive else 0,
-                "whole": sum(n == self.spec.members - 1 for n in alive), "held": held,
-                "late_s": round(max(look["late_s"] for look in looks), 3), "faults": faults,
-                "rss_mb": round(sum(look["rss_kb"] for look in looks) / 1024, 1)}
+        return {
+            "hollow": len(alive),
+            "least": min(alive, default=0),
+            "p50": statistics.median(alive) if alive else 0,
+            "whole": sum(n == self.spec.members - 1 for n in alive),
+            "held": held,
+            "late_s": round(max(look["late_s"] for look in looks), 3),
+            "faults": faults,
+            "rss_mb": round(sum(look["rss_kb"] for look in looks) / 1024, 1),
+        }
 
     async def _whole(self, within: float) -> dict[str, Any]:
         """Until all know all: s of the workers' clocks, or None with who knew how many."""
@@ -294,7 +344,8 @@
 
     async def _marks(self) -> dict[str, Any]:
         shells, reals = await asyncio.gather(
-            self._ask("mark"), asyncio.gather(*(r.counters() for r in self.reals)))
+            self._ask("mark"), asyncio.gather(*(r.counters() for r in self.reals))
+        )
         return {"at": time.monotonic(), "shells": shells, "reals": reals}
 
     def _between(self, a: dict[str, Any], b: dict[str, Any]) -> dict[str, Any]:
@@ -302,33 +353,49 @@
         out: dict[str, Any] = {}
         first = {h["name"]: (h, s["at"]) for s in a["shells"] for h in s["hollows"]}
         keys = ("bytes_out", "bytes_in", "sent", "received", "peers_cpu_s")
-        figures = {h["name"]: {key: max(0.0, h[key] - first[h["name"]][0][key])
-                               / max(1e-9, shell["at"] - first[h["name"]][1]) for key in keys}
-                   for shell in b["shells"] for h in shell["hollows"] if h["name"] in first}
+        figures = {
+            h["name"]: {
+                key: max(0.0, h[key] - first[h["name"]][0][key])
+                / max(1e-9, shell["at"] - first[h["name"]][1])
+                for key in keys
+            }
+            for shell in b["shells"]
+            for h in shell["hollows"]
+            if h["name"] in first
+        }
         voters = set(self._voters())
         for group, names in (("hollow", figures), ("not_voters", figures.keys() - voters)):
-            out[group] = {key + ("" if key.endswith("_s") else "_per_s"):
-                          spread([figures[n][key] for n in names]) for key in keys}
+            out[group] = {
+                key + ("" if key.endswith("_s") else "_per_s"): spread([figures[n][key] for n in names])
+                for key in keys
+            }
         span = statistics.fmean(y["at"] - x["at"] for x, y in zip(a["shells"], b["shells"], strict=True))
         harness = sum(y["harness_s"] - x["harness_s"] for x, y in zip(a["shells"], b["shells"], strict=True))
         spent = sum(y["cpu_s"] - x["cpu_s"] for x, y in zip(a["shells"], b["shells"], strict=True)) - harness
         hollows = sum(len(x["hollows"]) for x in b["shells"])
-        out |= {"seconds": round(span, 2), "hollows": hollows, "harness_s": round(harness, 3),
-                "cpu_share": spent / span / hollows,
-                "rss_mb": sum(x["rss_kb"] for x in b["shells"]) / 1024 / hollows
-                - self.result["base_mb"] * len(b["shells"]) / hollows,
-                "state_bytes": spread([h["state_bytes"] for s in b["shells"] for h in s["hollows"]]),
-                "status_bytes": spread([h["status"] for s in b["shells"] for h in s["hollows"]]),
-                "beat_ms": spread([1000 * t for s in b["shells"] for h in s["hollows"] for t in h["beats"]]),
-                "was_late": sum(h["late"] for s in b["shells"] for h in s["hollows"])
-                - sum(h["late"] for s in a["shells"] for h in s["hollows"]),
-                "deaths": sum(h["deaths"] for s in b["shells"] for h in s["hollows"]),
-                "rejected": sum(h["rejected"] for s in b["shells"] for h in s["hollows"])}
+        out |= {
+            "seconds": round(span, 2),
+            "hollows": hollows,
+            "harness_s": round(harness, 3),
+            "cpu_share": spent / span / hollows,
+            "rss_mb": sum(x["rss_kb"] for x in b["shells"]) / 1024 / hollows
+            - self.result["base_mb"] * len(b["shells"]) / hollows,
+            "state_bytes": spread([h["state_bytes"] for s in b["shells"] for h in s["hollows"]]),
+            "status_bytes": spread([h["status"] for s in b["shells"] for h in s["hollows"]]),
+            "beat_ms": spread([1000 * t for s in b["shells"] for h in s["hollows"] for t in h["beats"]]),
+            "was_late": sum(h["late"] for s in b["shells"] for h in s["hollows"])
+            - sum(h["late"] for s in a["shells"] for h in s["hollows"]),
+            "deaths": sum(h["deaths"] for s in b["shells"] for h in s["hollows"]),
+            "rejected": sum(h["rejected"] for s in b["shells"] for h in s["hollows"]),
+        }
         if b["reals"]:
             wall = b["at"] - a["at"]
-            out["real"] = {key + ("" if key.endswith("_s") else "_per_s"): spread(
-                [(y[key] - x[key]) / wall for x, y in zip(a["reals"], b["reals"], strict=True)])
-                for key in ("bytes_out", "bytes_in", "sent", "received", "peers_cpu_s", "cpu_s")}
+            out["real"] = {
+                key + ("" if key.endswith("_s") else "_per_s"): spread(
+                    [(y[key] - x[key]) / wall for x, y in zip(a["reals"], b["reals"], strict=True)]
+                )
+                for key in ("bytes_out", "bytes_in", "sent", "received", "peers_cpu_s", "cpu_s")
+            }
             out["real"]["rss_mb"] = spread([y["rss_kb"] / 1024 for y in b["reals"]])
         return out
 
@@ -364,9 +431,15 @@
             told = sum(now[n] - (total[n] if now[n] >= total[n] else 0) for n in now if n in total)
             usual = self.result["rest"]["hollow"][rate]["mean"] * span * self.spec.pace * len(now)
             moved |= {key: told, f"{key}_beyond_rest": round(told - usual)}
-        return {"kind": kind, "struck": len(struck), "least_alive": during["least"],
-                "whole_after_s": healed["all_s"], "waited_s": healed["waited_s"],
-                "whole": healed["whole"], "late_s": max(during["late_s"], healed["late_s"])} | moved
+        return {
+            "kind": kind,
+            "struck": len(struck),
+            "least_alive": during["least"],
+            "whole_after_s": healed["all_s"],
+            "waited_s": healed["waited_s"],
+            "whole": healed["whole"],
+            "late_s": max(during["late_s"], healed["late_s"]),
+        } | moved
 
     # ---- changes
     async def _changes(self, tell: Tell) -> None:
@@ -377,12 +450,19 @@
             quota, began = 1000.0 + n, time.monotonic()
             await self._ask("template", text=self._template(quota))
             took = await self._ask("take", quota=quota, within=60.0)
-            each = {key: [1000 * t for x in took for t in x[key]]
-                    for key in ("held_s", "cpu_s", "in_force_s")}
-            told.append({"all_s": round((time.monotonic() - began) * s.pace, 2),
-                         "missed": sum(x["missed"] for x in took), "reached": len(each["in_force_s"]),
-                         "held_ms": spread(each["held_s"]), "cpu_ms": spread(each["cpu_s"]),
-                         "in_force_ms": spread(each["in_force_s"])})
+            each = {
+                key: [1000 * t for x in took for t in x[key]] for key in ("held_s", "cpu_s", "in_force_s")
+            }
+            told.append(
+                {
+                    "all_s": round((time.monotonic() - began) * s.pace, 2),
+                    "missed": sum(x["missed"] for x in took),
+                    "reached": len(each["in_force_s"]),
+                    "held_ms": spread(each["held_s"]),
+                    "cpu_ms": spread(each["cpu_s"]),
+                    "in_force_ms": spread(each["in_force_s"]),
+                }
+            )
             if n < s.changes:
                 await self._wait(1.0)
 
@@ -391,20 +471,28 @@
         r, s = self.result, self.spec
         rest = r["rest"]
         if r["join"]["all_s"] is None:
-            self.notes.append(f"not all knew all within {s.join_s:g} s: the half of them knew "
-                              f"{r['join']['p50']:g} of {s.members - 1} at most, one only "
-                              f"{r['join']['least']}")
+            self.notes.append(
+                f"not all knew all within {s.join_s:g} s: the half of them knew "
+                f"{r['join']['p50']:g} of {s.members - 1} at most, one only "
+                f"{r['join']['least']}"
+            )
         r["trusted"] = not late(rest)
         if not r["trusted"]:
-            self.notes.append(f"the machine did not bear this size at pace {s.pace:g}: hollow workers were "
-                              f"late {rest['was_late']} times at rest; figures count what they did get done")
+            self.notes.append(
+                f"the machine did not bear this size at pace {s.pace:g}: hollow workers were "
+                f"late {rest['was_late']} times at rest; figures count what they did get done"
+            )
         if r["at_end"]["faults"]:
-            self.notes.append("faults told by workers: " + "; ".join(
-                f"{n} times {what}" for what, n in sorted(r["at_end"]["faults"].items())[:5]))
+            self.notes.append(
+                "faults told by workers: "
+                + "; ".join(f"{n} times {what}" for what, n in sorted(r["at_end"]["faults"].items())[:5])
+            )
         for f in r["faults"]:
             if f["whole_after_s"] is None:
-                self.notes.append(f"{f['kind']}: not as before within {s.heal_s:g} s: {f['whole']} of "
-                                  f"{s.members - s.real} knew all")
+                self.notes.append(
+                    f"{f['kind']}: not as before within {s.heal_s:g} s: {f['whole']} of "
+                    f"{s.members - s.real} knew all"
+                )
         if r.get("changes"):
             self.notes.append("no mechanism brings a change to all: each read its whole file, as by SIGHUP")
 
@@ -427,8 +515,16 @@
     pairs["cpu_share"] = own + plain["peers_cpu_s"]["p50"], rest["real"]["cpu_s"]["p50"]
     run["check_valid"] = not late(rest) and run["join"]["all_s"] is not None
     if not run["check_valid"]:
-        run["notes"].append("no check: hollow workers were late, or not all knew all; run it on a machine "
-                            "that has less to do")
-    run["check"] = {key: {"hollow": a, "real": b, "factor": b / a if a else None,
-                          "within": a > 0 and abs(b / a - 1) <= 0.15} for key, (a, b) in pairs.items()}
+        run["notes"].append(
+            "no check: hollow workers were late, or not all knew all; run it on a machine that has less to do"
+        )
+    run["check"] = {
+        key: {
+            "hollow": a,
+            "real": b,
+            "factor": b / a if a else None,
+            "within": a > 0 and abs(b / a - 1) <= 0.15,
+        }
+        for key, (a, b) in pairs.items()
+    }
     return run
--- a/ochrehoist/lab/scale_report.py
+++ b/ochrehoist/lab/scale_report.py
@@ -53,8 +53,14 @@
     x, y = np.array(points, dtype=float).T
     per_member, at_none = np.polyfit(x, y, 1)
     residual = float(np.sqrt(np.mean((y - at_none - per_member * x) ** 2)))
-    return {"per_member": float(per_member), "at_none": float(at_none), "residual": residual,
-            "from": float(x.min()), "to": float(x.max()), "runs": len(points)}
+    return {
+        "per_member": float(per_member),
+        "at_none": float(at_none),
+        "residual": residual,
+        "from": float(x.min()),
+        "to": float(x.max()),
+        "runs": len(points),
+    }
 
 
 def slopes(runs: Sequence[Run]) -> dict[str, dict[str, float]]:
@@ -74,14 +80,32 @@
     for name, unit, read in FIGURES:
         if name in a and name in b:
             before, now = b[name]["per_member"], a[name]["per_member"]
-            rows.append([f"{name}, {unit} for each member", before, b[name]["residual"], now,
-                         a[name]["residual"], now / before if before else None])
+            rows.append(
+                [
+                    f"{name}, {unit} for each member",
+                    before,
+                    b[name]["residual"],
+                    now,
+                    a[name]["residual"],
+                    now / before if before else None,
+                ]
+            )
         elif common:
             at = max(common)
-            before, now = (next((v for r in runs if r["spec"]["members"] == at
-                                 and (v := read(r)) is not None), None) for runs in (other, mine))
-            rows.append([f"{name}, {unit}, at {at}", before, None, now, None,
-                         now / before if before and now is not None else None])
+            before, now = (
+                next((v for r in runs if r["spec"]["members"] == at and (v := read(r)) is not None), None)
+                for runs in (other, mine)
+            )
+            rows.append(
+                [
+                    f"{name}, {unit}, at {at}",
+                    before,
+                    None,
+                    now,
+                    None,
+                    now / before if before and now is not None else None,
+                ]
+            )
     versions = [", ".join(sorted({r["version"] for r in runs})) for runs in (other, mine)]
     return ("Against another result", ["", versions[0], "residual", versions[1], "residual", "times"], rows)
 
@@ -91,34 +115,49 @@
     checks = [r["check"] for r in runs if r.get("check_valid")]
     if not checks:
         return ["not checked against real workers: run `ochrehoist lab scale --check` into the same file"]
-    return [f"{key}: real workers have {c['factor']:.2f} times that of as many hollow ones; figures are as "
-            "measured, not corrected" for key, c in checks[-1].items() if not c["within"] and c["factor"]]
+    return [
+        f"{key}: real workers have {c['factor']:.2f} times that of as many hollow ones; figures are as "
+        "measured, not corrected"
+        for key, c in checks[-1].items()
+        if not c["within"] and c["factor"]
+    ]
 
 
 def lines(run: Run) -> list[str]:
     """What is said of one run."""
     s = run["spec"]
-    out = [f"{s['members']} members ({s['real']} real) at pace {s['pace']:g}, seed {s['seed']}, version "
-           f"{run['version']}: {run['ended']}; {run['processes']} processes, {run['peak_mb']:.0f} MB at the "
-           f"most, load {run['machine']['load'][0]:g} on {run['machine']['cores']} cores"]
+    out = [
+        f"{s['members']} members ({s['real']} real) at pace {s['pace']:g}, seed {s['seed']}, version "
+        f"{run['version']}: {run['ended']}; {run['processes']} processes, {run['peak_mb']:.0f} MB at the "
+        f"most, load {run['machine']['load'][0]:g} on {run['machine']['cores']} cores"
+    ]
     if "rest" in run:
         values = [(name, unit, read(run)) for name, unit, read in FIGURES]
         out += [f"  {name}: {value:.3f} {unit}" for name, unit, value in values if value is not None]
         out.append(f"  the harness itself: {100 * run['empty_cpu_share']:.3f} % of a core for each, empty")
     for f in run.get("faults", ()):
-        after = f"whole after {f['whole_after_s']:g} s" if f["whole_after_s"] is not None \
+        after = (
+            f"whole after {f['whole_after_s']:g} s"
+            if f["whole_after_s"] is not None
             else f"not whole after {f['waited_s']:g} s"
-        out.append(f"  {f['kind']}, {f['struck']} struck: {after}; {f['bytes_out'] / 1e6:.2f} MB moved, "
-                   f"{f['bytes_out_beyond_rest'] / 1e6:+.2f} beyond rest")
+        )
+        out.append(
+            f"  {f['kind']}, {f['struck']} struck: {after}; {f['bytes_out'] / 1e6:.2f} MB moved, "
+            f"{f['bytes_out_beyond_rest'] / 1e6:+.2f} beyond rest"
+        )
     for n, c in enumerate(run.get("changes", ()), 1):
         held, force = c["held_ms"] or {}, c["in_force_ms"] or {}
-        out.append(f"  change {n}: {c['reached']} have it after {c['all_s']:g} s; reading it held each up "
-                   f"{held.get('p50', 0):.1f} ms ({held.get('max', 0):.1f} at the most), in force after "
-                   f"{force.get('p50', 0):.1f} ms")
+        out.append(
+            f"  change {n}: {c['reached']} have it after {c['all_s']:g} s; reading it held each up "
+            f"{held.get('p50', 0):.1f} ms ({held.get('max', 0):.1f} at the most), in force after "
+            f"{force.get('p50', 0):.1f} ms"
+        )
     for key, c in run.get("check", {}).items():
         factor = "-" if c["factor"] is None else f"{c['factor']:.2f}"
-        out.append(f"  {key}: hollow {c['hollow']:.4g}, real {c['real']:.4g}: times {factor}, "
-                   + ("within 15%" if c["within"] else "OUT"))
+        out.append(
+            f"  {key}: hollow {c['hollow']:.4g}, real {c['real']:.4g}: times {factor}, "
+            + ("within 15%" if c["within"] else "OUT")
+        )
     return out + [f"  note: {note}" for note in run["notes"]]
 
 
@@ -129,23 +168,73 @@
     fits = slopes(runs)
     tables: list[Table] = [
         ("For each worker, at rest", heads, rows),
-        ("Slopes", ["", "at none", "for each member", "residual", "from", "to", "runs"],
-         [[name, *(fit[k] for k in ("at_none", "per_member", "residual", "from", "to", "runs"))]
-          for name, fit in fits.items()]),
-        ("Faults", ["members", "kind", "struck", "whole after s", "MB moved", "MB beyond rest", "late s"],
-         [[r["spec"]["members"], f["kind"], f["struck"], f["whole_after_s"], f["bytes_out"] / 1e6,
-           f["bytes_out_beyond_rest"] / 1e6, f["late_s"]] for r in runs for f in r.get("faults", ())]),
-        ("Changes", ["members", "reached", "after s", "held up ms p50", "max", "in force ms p50", "max"],
-         [[r["spec"]["members"], c["reached"], c["all_s"], *((c[k] or {}).get(p) for k in
-           ("held_ms", "in_force_ms") for p in ("p50", "max"))] for r in runs
-          for c in r.get("changes", ())]),
-        ("Runs", ["members", "version", "date", "ended", "load", "cores", "MB at the most", "pace"],
-         [[r["spec"]["members"], r["version"], r["date"], r["ended"], r["machine"]["load"][0],
-           r["machine"]["cores"], r["peak_mb"], r["spec"]["pace"]] for r in runs])]
+        (
+            "Slopes",
+            ["", "at none", "for each member", "residual", "from", "to", "runs"],
+            [
+                [name, *(fit[k] for k in ("at_none", "per_member", "residual", "from", "to", "runs"))]
+                for name, fit in fits.items()
+            ],
+        ),
+        (
+            "Faults",
+            ["members", "kind", "struck", "whole after s", "MB moved", "MB beyond rest", "late s"],
+            [
+                [
+                    r["spec"]["members"],
+                    f["kind"],
+                    f["struck"],
+                    f["whole_after_s"],
+                    f["bytes_out"] / 1e6,
+                    f["bytes_out_beyond_rest"] / 1e6,
+                    f["late_s"],
+                ]
+                for r in runs
+                for f in r.get("faults", ())
+            ],
+        ),
+        (
+            "Changes",
+            ["members", "reached", "after s", "held up ms p50", "max", "in force ms p50", "max"],
+            [
+                [
+                    r["spec"]["members"],
+                    c["reached"],
+                    c["all_s"],
+                    *((c[k] or {}).get(p) for k in ("held_ms", "in_force_ms") for p in ("p50", "max")),
+                ]
+                for r in runs
+                for c in r.get("changes", ())
+            ],
+        ),
+        (
+            "Runs",
+            ["members", "version", "date", "ended", "load", "cores", "MB at the most", "pace"],
+            [
+                [
+                    r["spec"]["members"],
+                    r["version"],
+                    r["date"],
+                    r["ended"],
+                    r["machine"]["load"][0],
+                    r["machine"]["cores"],
+                    r["peak_mb"],
+                    r["spec"]["pace"],
+                ]
+                for r in runs
+            ],
+        ),
+    ]
     if other is not None:
         tables.insert(1, against(runs, other))
     notes = told_factor(runs) + [f"{r['spec']['members']} members: {n}" for r in runs for n in r["notes"]]
-    plots = [{"name": name, "unit": unit, "points": [[r["spec"]["members"], v] for r in sizes(runs)
-                                                     if (v := read(r)) is not None], "fit": fits.get(name)}
-             for name, unit, read in FIGURES]
+    plots = [
+        {
+            "name": name,
+            "unit": unit,
+            "points": [[r["spec"]["members"], v] for r in sizes(runs) if (v := read(r)) is not None],
+            "fit": fits.get(name),
+        }
+        for name, unit, read in FIGURES
+    ]
     return page("scale", "Scale run", made, {"plots": plots, "runs": list(runs)}, tables, notes)
--- a/ochrehoist/lab/scale_workers.py
+++ b/ochrehoist/lab/scale_workers.py
@@ -43,9 +43,16 @@
     async def start(self) -> None:
         env = {k: v for k, v in os.environ.items() if not k.startswith(("EDGE_", "OCHREHOIST_"))}
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-P", str(HOLLOW), cwd=self.root, env=env | {"PYTHONPATH": str(self.root)},
-            stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.PIPE,
-            limit=1 << 28)
+            sys.executable,
+            "-P",
+            str(HOLLOW),
+            cwd=self.root,
+            env=env | {"PYTHONPATH": str(self.root)},
+            stdin=asyncio.subprocess.PIPE,
+            stdout=asyncio.subprocess.PIPE,
+            stderr=asyncio.subprocess.PIPE,
+            limit=1 << 28,
+        )
         self._write(self.spec)
         line = await asyncio.wait_for(self.process.stdout.readline(), ANSWER_S)
         if not line:
@@ -118,7 +125,14 @@
     async def counters(self) -> dict[str, Any]:
         """As those of a hollow one; `cpu_s` of all that the process does."""
         pid, p = self.process.pid, (await self.status())["peers"]
-        return {"name": self.name, "bytes_out": p["bytes_out"], "bytes_in": p["bytes_in"],
-                "sent": p["datagrams"], "received": sum(p["messages"].values()) + sum(p["rejected"].values()),
-                "peers_cpu_s": p["cpu_s"], "cpu_s": processor_s(pid), "rss_kb": resident_kb(pid),
-                "alive": sum(m["state"] == "alive" for m in p["members"].values())}
+        return {
+            "name": self.name,
+            "bytes_out": p["bytes_out"],
+            "bytes_in": p["bytes_in"],
+            "sent": p["datagrams"],
+            "received": sum(p["messages"].values()) + sum(p["rejected"].values()),
+            "peers_cpu_s": p["cpu_s"],
+            "cpu_s": processor_s(pid),
+            "rss_kb": resident_kb(pid),
+            "alive": sum(m["state"] == "alive" for m in p["members"].values()),
+        }
--- a/ochrehoist/lab/scenario.py
+++ b/ochrehoist/lab/scenario.py
@@ -158,7 +158,6 @@
             raise ValueError("voters: more than workers")
         return self
 
-
     def site_of(self, worker: str) -> str:
         return next((name for name, workers in self.sites.items() if worker in workers), "")
 
--- a/ochrehoist/lab/toml.py
+++ b/ochrehoist/lab/toml.py
@@ -19,8 +19,11 @@
     for name, table in top.items():
         if not isinstance(table, dict):
             continue
-        arrays = {k: v for k, v in table.items()
-                  if v and isinstance(v, list | tuple) and all(isinstance(e, dict) for e in v)}
+        arrays = {
+            k: v
+            for k, v in table.items()
+            if v and isinstance(v, list | tuple) and all(isinstance(e, dict) for e in v)
+        }
         lines += ["", f"[{name}]", *_members({k: v for k, v in table.items() if k not in arrays})]
         for key, elements in arrays.items():
             for element in elements:
--- a/ochrehoist/lab/workers.py
+++ b/ochrehoist/lab/workers.py
@@ -118,16 +118,18 @@
         new.replace(self.file)
 
     def _platform(self) -> str:
-        return json.dumps({
-            "name": self.name,
-            "listen": "127.0.0.1:0",
-            "admin": "127.0.0.1:0",
-            "kernel": self.kernel,
-            "seed": f"{sum(self.name.encode()):x}",
-            "stop_ms": 3000,
-            "limits": {"memory_mb": 192, "sockets": 512},
-            "settings": settings(self.scenario),
-        })
+        return json.dumps(
+            {
+                "name": self.name,
+                "listen": "127.0.0.1:0",
+                "admin": "127.0.0.1:0",
+                "kernel": self.kernel,
+                "seed": f"{sum(self.name.encode()):x}",
+                "stop_ms": 3000,
+                "limits": {"memory_mb": 192, "sockets": 512},
+                "settings": settings(self.scenario),
+            }
+        )
 
     def _appliance(self) -> dict[str, Any]:
         top: dict[str, Any] = {
@@ -158,7 +160,14 @@
     async def init_store(self) -> None:
         """As operators do before the first start of all: else an empty folder may be one that was lost."""
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "ochrehoist", "state", "init", "--folder", str(self.store), cwd=self.root,
+            sys.executable,
+            "-m",
+            "ochrehoist",
+            "state",
+            "init",
+            "--folder",
+            str(self.store),
+            cwd=self.root,
             stdout=subprocess.DEVNULL,
         )
         if await process.wait():
--- a/ochrehoist/limits/admission.py
+++ b/ochrehoist/limits/admission.py
@@ -124,15 +124,24 @@
             known = self.tenants.of(tenant)
             of_tenant = max(1e-3, known.share) if known is not None else 1.0
             part = 1 / sizes[cls, tenant]
-            asks.append(Ask(self.ranks[cls], 1.1 * self.lately[cls, tenant, caller] + 1, of_tenant * part,
-                            FLOOR * budget * part / tenants[cls]))
+            asks.append(
+                Ask(
+                    self.ranks[cls],
+                    1.1 * self.lately[cls, tenant, caller] + 1,
+                    of_tenant * part,
+                    FLOOR * budget * part / tenants[cls],
+                )
+            )
         got = allot(budget, asks)
         # Parts of a token are kept, or whoever asks seldom would never have a whole one.
-        self.tokens = {g: min(self.tokens.get(g, 0.0) + n, BURST * n + 1)
-                       for g, n in zip(groups, got, strict=True)}
+        self.tokens = {
+            g: min(self.tokens.get(g, 0.0) + n, BURST * n + 1) for g, n in zip(groups, got, strict=True)
+        }
         self.rest = max(1.0, budget - sum(got))
 
     def view(self) -> dict[str, Any]:
         """For operators."""
-        return {"let_in": self.counts.let_in,
-                "shed": {f"{cls}: {why}": n for (cls, why), n in sorted(self.counts.shed.items())}}
+        return {
+            "let_in": self.counts.let_in,
+            "shed": {f"{cls}: {why}": n for (cls, why), n in sorted(self.counts.shed.items())},
+        }
--- a/ochrehoist/limits/controllers.py
+++ b/ochrehoist/limits/controllers.py
@@ -187,8 +187,14 @@
         return self.limit
 
 
-CONTROLLERS: dict[str, type] = {"seek": Seek, "steps": Steps, "gradient": Gradient, "vegas": Vegas,
-                                "aimd": Aimd, "fixed": Fixed}
+CONTROLLERS: dict[str, type] = {
+    "seek": Seek,
+    "steps": Steps,
+    "gradient": Gradient,
+    "vegas": Vegas,
+    "aimd": Aimd,
+    "fixed": Fixed,
+}
 
 
 class Windows:
--- a/ochrehoist/limits/limiter.py
+++ b/ochrehoist/limits/limiter.py
@@ -138,13 +138,20 @@
 
     def view(self) -> dict[str, Any]:
         """For operators, in plain values."""
-        return {"limit": round(self.controller.limit, 1) if self.config.controller != "module" else None,
-                "controller": self.config.controller,
-                "running": self.running, "cheap": sorted(self.cheap),
-                "floors": dict(zip([c.name for c in self.settings.classes], self.told.floors, strict=False))
-                if self.told else {},
-                "usual_ms": {name: round(s.cost * 1000, 1) for name, s in self.seen.items() if s.cost},
-                "heavy": Counter({str(k): v for k, v in self.outliers.found.items()}) | Counter(
-                    {"unforeseen": self.clipped}),
-                "repeats": {"marked": self.storms.marked, "unmarked": self.storms.unmarked,
-                            "denied": self.storms.denied}}
+        return {
+            "limit": round(self.controller.limit, 1) if self.config.controller != "module" else None,
+            "controller": self.config.controller,
+            "running": self.running,
+            "cheap": sorted(self.cheap),
+            "floors": dict(zip([c.name for c in self.settings.classes], self.told.floors, strict=False))
+            if self.told
+            else {},
+            "usual_ms": {name: round(s.cost * 1000, 1) for name, s in self.seen.items() if s.cost},
+            "heavy": Counter({str(k): v for k, v in self.outliers.found.items()})
+            | Counter({"unforeseen": self.clipped}),
+            "repeats": {
+                "marked": self.storms.marked,
+                "unmarked": self.storms.unmarked,
+                "denied": self.storms.denied,
+            },
+        }
--- a/ochrehoist/limits/outliers.py
+++ b/ochrehoist/limits/outliers.py
@@ -66,7 +66,7 @@
         if self.n < FIRST / 2:
             return 0.0
         vx, vy = self.xx / self.n - (self.x / self.n) ** 2, self.yy / self.n - (self.y / self.n) ** 2
-        cov = self.xy / self.n - self.x * self.y / self.n ** 2
+        cov = self.xy / self.n - self.x * self.y / self.n**2
         return 0.0 if vx < 1e-9 or vy < 1e-9 else max(0.0, cov) ** 2 / (vx * vy)
 
 
@@ -95,8 +95,11 @@
         usual = self.usual.get(r.cls.name)
         if usual is None or usual.took.count < FIRST:
             return 1.0
-        for why, guess in ((Why.STATED, self._by_stated(usual, r)), (Why.SUBJECT, self._by_subject(r, now)),
-                           (Why.SIZE, self._by_size(usual, r))):
+        for why, guess in (
+            (Why.STATED, self._by_stated(usual, r)),
+            (Why.SUBJECT, self._by_subject(r, now)),
+            (Why.SIZE, self._by_size(usual, r)),
+        ):
             if guess >= math.log(HEAVY):
                 self.found[why] += 1
                 return min(MOST_TIMES, math.exp(guess))
@@ -154,5 +157,8 @@
 
 
 def _large(usual: Usual, r: Inbound) -> bool:
-    return usual.size.count >= FIRST and r.memory_kb > 0 \
+    return (
+        usual.size.count >= FIRST
+        and r.memory_kb > 0
         and math.log(r.memory_kb) - usual.size.value >= math.log(SIZE_TIMES)
+    )
--- a/ochrehoist/limits/pools.py
+++ b/ochrehoist/limits/pools.py
@@ -39,8 +39,14 @@
     return {name for name, s in counted.items() if s.cost <= CHEAP * mean}
 
 
-def limits(total: float | None, settings: Settings, seen: Mapping[str, Seen], now: float,
-           cheap_classes: set[str], lane: bool) -> Limits:
+def limits(
+    total: float | None,
+    settings: Settings,
+    seen: Mapping[str, Seen],
+    now: float,
+    cheap_classes: set[str],
+    lane: bool,
+) -> Limits:
     """What the module is to keep to until it is told anew. Without a `total` it finds by itself how many run;
     pools are then parts of the cores, which it keeps at least, and nothing stands empty for the cheap."""
     most = max(1, int(total)) if total is not None else settings.cores
@@ -59,5 +65,9 @@
             floors[at] = max(floors[at], kept)
     top = most if total is not None else max(most, int(settings.cores * settings.tip_multiple))
     caps = tuple(top if c.name in cheap_classes else top - kept for c in settings.classes)
-    return Limits(total=UNLIMITED if total is None else most, floors=tuple(floors), caps=caps,
-                  heavy=max(1, int(most * LANE)) if lane else UNLIMITED)
+    return Limits(
+        total=UNLIMITED if total is None else most,
+        floors=tuple(floors),
+        caps=caps,
+        heavy=max(1, int(most * LANE)) if lane else UNLIMITED,
+    )
--- a/ochrehoist/limits/watch.py
+++ b/ochrehoist/limits/watch.py
@@ -149,12 +149,18 @@
 
     def view(self) -> dict[str, Any]:
         """For operators, in plain values."""
-        return {"behind": self.behind, "times_behind": self.times_behind,
-                "loop_delay_ms": {f"p{q}": round(self.delays.quantile(q / 100) / MS, 2) for q in (50, 99)},
-                "share_of_a_core": round(self.share, 2), "cost_us": round(self.cost / US),
-                "shed_cost_us": round(self.shed_cost / US), "offered_per_s": round(self.offered, 1),
-                "affordable_per_s": None if self.rate == float("inf") else round(self.rate, 1),
-                "rss_mb": round(self.rss / 1e6, 1), "unread_bytes": self.unread}
+        return {
+            "behind": self.behind,
+            "times_behind": self.times_behind,
+            "loop_delay_ms": {f"p{q}": round(self.delays.quantile(q / 100) / MS, 2) for q in (50, 99)},
+            "share_of_a_core": round(self.share, 2),
+            "cost_us": round(self.cost / US),
+            "shed_cost_us": round(self.shed_cost / US),
+            "offered_per_s": round(self.offered, 1),
+            "affordable_per_s": None if self.rate == float("inf") else round(self.rate, 1),
+            "rss_mb": round(self.rss / 1e6, 1),
+            "unread_bytes": self.unread,
+        }
 
 
 class Parts:
@@ -177,4 +183,5 @@
                 self.spent[name] += took - self._inner.pop()
                 if self._inner:
                     self._inner[-1] += took
+
         return around
--- a/ochrehoist/logs.py
+++ b/ochrehoist/logs.py
@@ -28,8 +28,14 @@
 
 def start_log(sink: LogSink) -> structlog.typing.FilteringBoundLogger:
     structlog.configure(
-        processors=[structlog.processors.add_log_level, structlog.processors.TimeStamper(fmt="iso"),
-                    structlog.processors.format_exc_info, structlog.processors.JSONRenderer()],
+        processors=[
+            structlog.processors.add_log_level,
+            structlog.processors.TimeStamper(fmt="iso"),
+            structlog.processors.format_exc_info,
+            structlog.processors.JSONRenderer(),
+        ],
         wrapper_class=structlog.make_filtering_bound_logger(logging.INFO),
-        logger_factory=structlog.WriteLoggerFactory(sink), cache_logger_on_first_use=True)
+        logger_factory=structlog.WriteLoggerFactory(sink),
+        cache_logger_on_first_use=True,
+    )
     return structlog.get_logger()
--- a/ochrehoist/net/agent.py
+++ b/ochrehoist/net/agent.py
@@ -22,8 +22,9 @@
 class AgentCheck(Service):
     """Says one line to whoever connects, and closes. What the checker may send first is passed over."""
 
-    def __init__(self, loop: Loop, owner: Owner, address: tuple[str, int], log: Any,
-                 sock: socket.socket | None = None) -> None:
+    def __init__(
+        self, loop: Loop, owner: Owner, address: tuple[str, int], log: Any, sock: socket.socket | None = None
+    ) -> None:
         self.owner = owner
         super().__init__(loop, address, log, sock)
 
--- a/ochrehoist/net/ajp.py
+++ b/ochrehoist/net/ajp.py
@@ -14,14 +14,53 @@
 HEAD = 4  # magic and length
 
 METHODS = (
-    "", "OPTIONS", "GET", "HEAD", "POST", "PUT", "DELETE", "TRACE", "PROPFIND", "PROPPATCH", "MKCOL", "COPY",
-    "MOVE", "LOCK", "UNLOCK", "ACL", "REPORT", "VERSION-CONTROL", "CHECKIN", "CHECKOUT", "UNCHECKOUT",
-    "SEARCH", "MKWORKSPACE", "UPDATE", "LABEL", "MERGE", "BASELINE-CONTROL", "MKACTIVITY")
+    "",
+    "OPTIONS",
+    "GET",
+    "HEAD",
+    "POST",
+    "PUT",
+    "DELETE",
+    "TRACE",
+    "PROPFIND",
+    "PROPPATCH",
+    "MKCOL",
+    "COPY",
+    "MOVE",
+    "LOCK",
+    "UNLOCK",
+    "ACL",
+    "REPORT",
+    "VERSION-CONTROL",
+    "CHECKIN",
+    "CHECKOUT",
+    "UNCHECKOUT",
+    "SEARCH",
+    "MKWORKSPACE",
+    "UPDATE",
+    "LABEL",
+    "MERGE",
+    "BASELINE-CONTROL",
+    "MKACTIVITY",
+)
 STORED_METHOD = 0xFF
 REQUEST_HEADERS = (
-    b"", b"accept", b"accept-charset", b"accept-encoding", b"accept-language", b"authorization",
-    b"connection", b"content-type", b"content-length", b"cookie", b"cookie2", b"host", b"pragma",
-    b"referer", b"user-agent")
+    b"",
+    b"accept",
+    b"accept-charset",
+    b"accept-encoding",
+    b"accept-language",
+    b"authorization",
+    b"connection",
+    b"content-type",
+    b"content-length",
+    b"cookie",
+    b"cookie2",
+    b"host",
+    b"pragma",
+    b"referer",
+    b"user-agent",
+)
 CONTENT_TYPE, CONTENT_LENGTH = 0xA001, 0xA003  # names of response headers
 A_REQ_ATTRIBUTE, A_KEY_SIZE, A_SECRET, A_STORED_METHOD, A_END = 0x0A, 0x0B, 0x0C, 0x0D, 0xFF
 
@@ -40,7 +79,7 @@
         end = self.at + count
         if end > len(self.data):
             raise BadPacket("a length beyond the packet")
-        data, self.at = self.data[self.at:end], end
+        data, self.at = self.data[self.at : end], end
         return data
 
     def byte(self) -> int:
@@ -77,8 +116,11 @@
     def passed_on(self, secret: bytes | None) -> bytes:
         """The packet's payload for a server behind: unchanged, but for the secret of this hop."""
         start, end = self.secret_at
-        kept = self.packet[:start] + self.packet[end:self.end_at] if self.secret is not None \
-            else self.packet[:self.end_at]
+        kept = (
+            self.packet[:start] + self.packet[end : self.end_at]
+            if self.secret is not None
+            else self.packet[: self.end_at]
+        )
         return kept + (bytes((A_SECRET,)) + string(secret) if secret else b"") + bytes((A_END,))
 
 
@@ -212,7 +254,7 @@
     """A whole response in packets of at most `size` bytes."""
     parts, room = [packet(TO_SERVER, head)], size - HEAD - 4
     for at in range(0, len(data), room):
-        piece = data[at:at + room]
+        piece = data[at : at + room]
         parts.append(packet(TO_SERVER, bytes((BODY_CHUNK,)) + _U16.pack(len(piece)) + piece + b"\0"))
     parts.append(packet(TO_SERVER, bytes((END_RESPONSE, reuse))))
     return b"".join(parts)
--- a/ochrehoist/net/ajp_front.py
+++ b/ochrehoist/net/ajp_front.py
@@ -114,19 +114,29 @@
         owner = self.owner
         return bool(token) and owner.keys.original((tenant, cls.name, token), owner.clock()) is not None
 
-    def request(self, f: ajp.Forward, checked: tuple, body: bytes, arrived: int,
-                responder: "AjpResponder") -> Inbound:
+    def request(
+        self, f: ajp.Forward, checked: tuple, body: bytes, arrived: int, responder: "AjpResponder"
+    ) -> Inbound:
         cls, tenant, token = checked
         retry = f.headers.get(self.config.retry_header, b"")
         return Inbound(
-            id=f"ajp-{self.process}-{next(self.ids)}", cls=cls, arrived=arrived, payload=AjpPayload(f, body),
-            responder=responder, executor=self.executor, tenant=tenant,
+            id=f"ajp-{self.process}-{next(self.ids)}",
+            cls=cls,
+            arrived=arrived,
+            payload=AjpPayload(f, body),
+            responder=responder,
+            executor=self.executor,
+            tenant=tenant,
             token=(tenant, cls.name, token) if token else None,
             fingerprint=(sha256(f"{f.method} ".encode() + f.uri).digest(), sha256(body).digest())
-            if token else None,
+            if token
+            else None,
             subject=crc32(f.remote, crc32(f.uri)) or 1,
-            memory_kb=self.config.memory_kb + (len(f.packet) + len(body)) / 1024, rank=0.5,
-            retry=retry not in (b"", b"0"), write=cls.repeat is not Repeat.SAFE)
+            memory_kb=self.config.memory_kb + (len(f.packet) + len(body)) / 1024,
+            rank=0.5,
+            retry=retry not in (b"", b"0"),
+            write=cls.repeat is not Repeat.SAFE,
+        )
 
 
 class AjpResponder:
@@ -142,8 +152,11 @@
 
     def plain(self, status: HTTPStatus, why: str, more: tuple = ()) -> None:
         text = f"{status.value} {status.phrase}: {why}\n".encode()
-        values = [(ajp.CONTENT_TYPE, b"text/plain; charset=utf-8"),
-                  (ajp.CONTENT_LENGTH, b"%d" % len(text)), *more]
+        values = [
+            (ajp.CONTENT_TYPE, b"text/plain; charset=utf-8"),
+            (ajp.CONTENT_LENGTH, b"%d" % len(text)),
+            *more,
+        ]
         self._respond(ajp.headers(status.value, status.phrase, values), text)
 
     def served(self, result: Result) -> bool:
@@ -152,15 +165,18 @@
             self._respond(result.detail.headers, result.body)
             return True
         # The result of a filing that ran for another front: its bytes, as they are.
-        values = [(ajp.CONTENT_TYPE, b"application/octet-stream"),
-                  (ajp.CONTENT_LENGTH, b"%d" % len(result.body))]
+        values = [
+            (ajp.CONTENT_TYPE, b"application/octet-stream"),
+            (ajp.CONTENT_LENGTH, b"%d" % len(result.body)),
+        ]
         self._respond(ajp.headers(200, "OK", values), result.body)
         return True
 
     def refused(self, backoff: int, no_retry: bool) -> None:
         seconds = max(1, -(-backoff // S))
-        self.plain(HTTPStatus.SERVICE_UNAVAILABLE, "turned away, never run",
-                   ((b"Retry-After", b"%d" % seconds),))
+        self.plain(
+            HTTPStatus.SERVICE_UNAVAILABLE, "turned away, never run", ((b"Retry-After", b"%d" % seconds),)
+        )
 
     def origin(self) -> tuple[str, str]:
         return "ajp", self.connection.stream.peer
@@ -229,8 +245,10 @@
         responder = AjpResponder(self, f.method == "HEAD")
         if f.method == "GET" and f.uri == self.front.config.health_uri:
             good = self.front.owner.healthy
-            return responder.plain(HTTPStatus.OK if good else HTTPStatus.SERVICE_UNAVAILABLE,
-                                   "up" if good else "not taking requests")
+            return responder.plain(
+                HTTPStatus.OK if good else HTTPStatus.SERVICE_UNAVAILABLE,
+                "up" if good else "not taking requests",
+            )
         unread = bool(f.length)  # the first chunk of a told length is on its way unasked
         checked = None
         try:
@@ -242,8 +260,11 @@
             body = self._body(f, until)
             unread = False
         except Rejected as error:
-            again = ((b"Retry-After", b"%d" % error.after),) \
-                if error.status is HTTPStatus.SERVICE_UNAVAILABLE else ()
+            again = (
+                ((b"Retry-After", b"%d" % error.after),)
+                if error.status is HTTPStatus.SERVICE_UNAVAILABLE
+                else ()
+            )
             responder.plain(error.status, str(error), again)
             group = checked[0].name if checked else error.group
             if group is not None:
@@ -251,8 +272,9 @@
             if f.chunked and self.body_bytes:
                 self.stream.close_when_sent()  # a body broken off: this connection is out of step
             elif unread:
-                read_packet(self.stream, ajp.TO_CONTAINER, self.front.config.packet_size,
-                            self.front.config.body_s)
+                read_packet(
+                    self.stream, ajp.TO_CONTAINER, self.front.config.packet_size, self.front.config.body_s
+                )
             return
         request = self.front.reader.request(f, checked, body, arrived, responder)
         self.front.owner.post(Arrived(request))
@@ -260,8 +282,9 @@
             self.stream.watch(lambda: responder.done)
             # Once answered, what is in the buffer may be the next request, whole with its first chunk: a loop
             # that runs late sees both at once.
-            if not responder.done and (self.stream.ended
-                                       or len(self.stream.buffer) > self.front.config.packet_size):
+            if not responder.done and (
+                self.stream.ended or len(self.stream.buffer) > self.front.config.packet_size
+            ):
                 responder.done = True
                 self.front.owner.post(Gone(request.id))
                 raise Closed
@@ -318,8 +341,10 @@
         self.stream.write(ajp.response(head, body, self.front.config.packet_size, reuse))
         if not reuse:
             self.stream.close_when_sent()
-        elif self.stream.unsent and sum(len(c.stream.unsent) for c in self.front.connections) \
-                > self.front.max_bytes:
+        elif (
+            self.stream.unsent
+            and sum(len(c.stream.unsent) for c in self.front.connections) > self.front.max_bytes
+        ):
             self.stream.close()  # readers this slow would fill the memory together
         self.stream.arrived.set()
 
@@ -327,8 +352,17 @@
 class AjpFront:
     """Listens for AJP. It is a Listener of the core."""
 
-    def __init__(self, loop: Loop, owner: Owner, executor: Executor, config: AjpConfig, max_connections: int,
-                 max_bytes: int, log: Any, sock: socket.socket | None = None) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        owner: Owner,
+        executor: Executor,
+        config: AjpConfig,
+        max_connections: int,
+        max_bytes: int,
+        log: Any,
+        sock: socket.socket | None = None,
+    ) -> None:
         self.loop, self.owner, self.config, self.log = loop, owner, config, log
         self.max_bytes = max_bytes  # for all bodies coming in, and as much for all responses not yet sent
         self.reader = AjpReader(owner, executor, config)
@@ -337,8 +371,9 @@
         self.draining = False
         self.admission: Admission | None = None
         self.numbers = itertools.count(1)
-        self.listening = Listening(loop, config.listen, self._accepted, max_connections, log, sock,
-                                   self._make_room)
+        self.listening = Listening(
+            loop, config.listen, self._accepted, max_connections, log, sock, self._make_room
+        )
 
     def prepare(self, config: AjpConfig, settings: Settings) -> Generator[None, None, Callable[[], None]]:
         """What a configuration read again comes to, in short steps; it is in force by the call that it
@@ -379,8 +414,11 @@
                 return 0, c.used_at
             return (3 if c.stream.heard_at - c.used_at > MOVING else 1), c.used_at
 
-        idle = [c for c in self.connections if not c.in_hand and not (c.known and c.stream.buffer)
-                and (c.known or now - c.used_at > FRESH)]  # the first of one just accepted may be here unread
+        idle = [
+            c
+            for c in self.connections
+            if not c.in_hand and not (c.known and c.stream.buffer) and (c.known or now - c.used_at > FRESH)
+        ]  # the first of one just accepted may be here unread
         return close_least(idle, missed, lambda c: c.stream)
 
     def closed(self, connection: AjpConnection) -> None:
--- a/ochrehoist/net/ajp_server.py
+++ b/ochrehoist/net/ajp_server.py
@@ -90,16 +90,22 @@
         """The gauges where no kernel tells them: what runs here stands for what is on the cores."""
         s = self.owner.settings
         held = sum(r.memory_kb * (s.run_factor if r.started else 1) for r in self.owner.live.values())
-        self.owner.post(Gauges({
-            "cpu_busy": min(1.0, self.running / s.cores), "runnable": float(self.running),
-            "mem_used": held / max(1.0, s.memory_kb), "sockets": float(len(self.owner.live))}))
+        self.owner.post(
+            Gauges(
+                {
+                    "cpu_busy": min(1.0, self.running / s.cores),
+                    "runnable": float(self.running),
+                    "mem_used": held / max(1.0, s.memory_kb),
+                    "sockets": float(len(self.owner.live)),
+                }
+            )
+        )
 
     def _run(self, request: Inbound) -> None:
         began = time.monotonic()
         result = Result(Outcome.FAILED)
         try:
-            result = self._ask(request) if self.advisor is None \
-                else self._advised(request, self.advisor)
+            result = self._ask(request) if self.advisor is None else self._advised(request, self.advisor)
         finally:  # whatever happens, one Ended for each start
             self.running -= 1
             self.owner.post(Ended(request.id, result, int((time.monotonic() - began) * 1e9)))
@@ -114,8 +120,13 @@
             left = (request.due - self.owner.clock()) / 1e9
             if pool is None:
                 continue
-            if sent and (request.write or request.token is not None or request.answered or left <= 0
-                         or not advisor.may_repeat(name)):
+            if sent and (
+                request.write
+                or request.token is not None
+                or request.answered
+                or left <= 0
+                or not advisor.may_repeat(name)
+            ):
                 break
             ticket = advisor.began(name, request.cls.name)
             if ticket is None:
@@ -163,8 +174,9 @@
             stream, _ = pool.idle.pop()
             with suppress(Closed, TimedOut, ajp.BadPacket):
                 stream.write(ajp.PING_PACKET)
-                answer = read_packet(stream, ajp.TO_SERVER, self.config.packet_size,
-                                     pool.server.connect_ms / 1000)
+                answer = read_packet(
+                    stream, ajp.TO_SERVER, self.config.packet_size, pool.server.connect_ms / 1000
+                )
                 if answer[:1] == bytes((ajp.CPONG,)):
                     return stream
             stream.close()
@@ -174,8 +186,9 @@
             self.log.warning("AJP server out of reach", server=pool.server.name, why=str(error))
             return None
 
-    def _exchange(self, pool: Pool, stream: Stream, payload: AjpPayload,
-                  longest: float | None = None) -> Result:
+    def _exchange(
+        self, pool: Pool, stream: Stream, payload: AjpPayload, longest: float | None = None
+    ) -> Result:
         size, room = self.config.packet_size, self.config.packet_size - ajp.HEAD - 2
         reuse, sent, found = False, 0, None
         until = time.monotonic() + min(pool.server.reply_ms / 1000, longest or float("inf"))
@@ -194,7 +207,7 @@
                 m = read_packet(stream, ajp.TO_SERVER, size, left)
                 kind = m[0] if m else 0
                 if kind == ajp.GET_BODY:
-                    piece = payload.body[sent:sent + min(room, ajp.Cursor(m, 1).u16())]
+                    piece = payload.body[sent : sent + min(room, ajp.Cursor(m, 1).u16())]
                     sent += len(piece)
                     stream.write(ajp.body_packet(piece))
                 elif kind == ajp.HEADERS and found is None:
@@ -220,8 +233,13 @@
             return Result(Outcome.FAILED, success=False)
         finally:
             self.bytes -= len(body)
-            if reuse and not stream.buffer and not stream.ended and len(pool.idle) < pool.server.max_idle \
-                    and any(pool is known for known in self.pools):
+            if (
+                reuse
+                and not stream.buffer
+                and not stream.ended
+                and len(pool.idle) < pool.server.max_idle
+                and any(pool is known for known in self.pools)
+            ):
                 pool.idle.append((stream, time.monotonic()))
             else:
                 stream.close()
--- a/ochrehoist/net/doubts.py
+++ b/ochrehoist/net/doubts.py
@@ -113,6 +113,8 @@
         doubtful = [run for run in self.doubtful() if not run.safe]
         if not doubtful or runnable is None or self.settled == -math.inf:
             return []
-        sure = sum(run.given is not None and run.given < self.settled and not run.doubtful
-                   for run in self.open.values())
+        sure = sum(
+            run.given is not None and run.given < self.settled and not run.doubtful
+            for run in self.open.values()
+        )
         return [run for run in doubtful if not run.untold] if runnable == sure else []
--- a/ochrehoist/net/kernel.py
+++ b/ochrehoist/net/kernel.py
@@ -40,8 +40,9 @@
 class Kernel:
     """An Executor, and the source of the gauges."""
 
-    def __init__(self, loop: Loop, owner: Owner, address: tuple[str, int], gauges: tuple[str, ...],
-                 log: Any) -> None:
+    def __init__(
+        self, loop: Loop, owner: Owner, address: tuple[str, int], gauges: tuple[str, ...], log: Any
+    ) -> None:
         self.loop, self.owner, self.address, self.gauges, self.log = loop, owner, address, gauges, log
         self.stream: Stream | None = None  # once the kernel is up
         self.since = time.monotonic()  # when the link came up, or was lost
@@ -86,8 +87,14 @@
     def _schedule(self, run: Run) -> None:
         r = run.request
         run.give(time.monotonic())
-        self.stream.write(_line(cmd="SCHED", req=r.id, method=r.payload.method,
-                                payload=base64.b64encode(r.payload.body).decode()))
+        self.stream.write(
+            _line(
+                cmd="SCHED",
+                req=r.id,
+                method=r.payload.method,
+                payload=base64.b64encode(r.payload.body).decode(),
+            )
+        )
 
     def move(self, address: tuple[str, int], gauges: tuple[str, ...]) -> None:
         """The kernel is reached at another address from now on; what runs there goes on.
@@ -108,9 +115,15 @@
         if self.stream:
             state = "silent" if self._silent() else "up"
         age = None if self.measured_at is None else round(now - self.measured_at, 2)
-        return {"address": f"{self.address[0]}:{self.address[1]}", "link": state,
-                "since_s": round(now - self.since, 1), "gauges_age_s": age, "notices": self.offset,
-                "waiting": len(self.runs.not_given()), "doubtful": len(self.runs.doubtful())}
+        return {
+            "address": f"{self.address[0]}:{self.address[1]}",
+            "link": state,
+            "since_s": round(now - self.since, 1),
+            "gauges_age_s": age,
+            "notices": self.offset,
+            "waiting": len(self.runs.not_given()),
+            "doubtful": len(self.runs.doubtful()),
+        }
 
     # ---- the link
     def run(self) -> None:
@@ -139,8 +152,13 @@
                 stream.close()
             self.questions.clear()
             self._wait_for_the_end_of(self.runs.link_lost())
-            self.log.warning("kernel link lost", why=why, offset=self.offset, running=len(self.runs.open),
-                             doubtful=len(self.runs.doubtful()))
+            self.log.warning(
+                "kernel link lost",
+                why=why,
+                offset=self.offset,
+                running=len(self.runs.open),
+                doubtful=len(self.runs.doubtful()),
+            )
             if time.monotonic() - began < RETRY and address == self.address:
                 self.moved.wait(RETRY)  # one that closes at once must not be tried without end
 
@@ -203,8 +221,9 @@
                     self._over(*end)
         elif command == "EINVAL":
             # A request that it was never told of: some client's invention, and nothing was begun.
-            self.log.warning("the kernel did not carry out a command", command=m.get("result"),
-                             id=m.get("req"))
+            self.log.warning(
+                "the kernel did not carry out a command", command=m.get("result"), id=m.get("req")
+            )
             self._over(m.get("req"), Result(Outcome.MOOT), 0)
         else:
             self.log.warning("unknown notice", command=command)
--- a/ochrehoist/net/link.py
+++ b/ochrehoist/net/link.py
@@ -56,9 +56,16 @@
 class Successors:
     """The old process's side: waits for the one that replaces it."""
 
-    def __init__(self, loop: Loop, owner: Owner, path: str, codec: handover.DetailCodec,
-                 listening: Callable[[], dict[str, socket.socket]], replaced: Callable[[list], None],
-                 log: Any) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        owner: Owner,
+        path: str,
+        codec: handover.DetailCodec,
+        listening: Callable[[], dict[str, socket.socket]],
+        replaced: Callable[[list], None],
+        log: Any,
+    ) -> None:
         self.loop, self.owner, self.path, self.codec, self.log = loop, owner, path, codec, log
         self.listening, self.replaced = listening, replaced
         self.sock: socket.socket | None = None
@@ -113,8 +120,11 @@
             if asked == "sockets":
                 named = self.listening()
                 parts = [{"part": name, "address": s.getsockname()} for name, s in named.items()]
-                socket.send_fds(stream.sock, [_line({"m": "sockets", "parts": parts})],
-                                [s.fileno() for s in named.values()])
+                socket.send_fds(
+                    stream.sock,
+                    [_line({"m": "sockets", "parts": parts})],
+                    [s.fileno() for s in named.values()],
+                )
             elif asked == "take" and not self.owner.frozen and self.owner.forwarder is None:
                 self._hand_over(stream)
         except (Closed, TimedOut, ValueError, KeyError, TypeError, OSError) as error:
@@ -160,9 +170,17 @@
 class Predecessor:
     """The new process's side: takes the state over from the process before it, then hears from that one."""
 
-    def __init__(self, loop: Loop, owner: Owner, path: str, codec: handover.DetailCodec,
-                 at: Callable[[], list], taken: Callable[[], None],
-                 holds: Callable[[Mapping[str, int]], None], log: Any) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        owner: Owner,
+        path: str,
+        codec: handover.DetailCodec,
+        at: Callable[[], list],
+        taken: Callable[[], None],
+        holds: Callable[[Mapping[str, int]], None],
+        log: Any,
+    ) -> None:
         self.loop, self.owner, self.path, self.codec, self.log = loop, owner, path, codec, log
         self.at, self.taken, self.holds = at, taken, holds
         self.wanted = Signal(loop)
@@ -207,8 +225,14 @@
     def _take(self, stream: Stream) -> handover.State:
         stream.write(_line({"m": "take"}))
         s = self.owner.settings
-        receiver = handover.Receiver(_offset(self.owner), {c.name: c for c in s.classes},
-                                     self.owner.result_bytes, RESULT_OVERHEAD, self._send, self.codec)
+        receiver = handover.Receiver(
+            _offset(self.owner),
+            {c.name: c for c in s.classes},
+            self.owner.result_bytes,
+            RESULT_OVERHEAD,
+            self._send,
+            self.codec,
+        )
         while not receiver.done:
             receiver.line(_read(stream, ANSWER))
         self.received = receiver.state
@@ -225,8 +249,11 @@
 
     def _go_on(self, state: handover.State | None) -> None:
         self.owner.post(TakenOver(state))
-        self.log.info("took over" if state else "nothing to take over",
-                      requests=len(state.requests) if state else 0, runs=len(state.keys.runs) if state else 0)
+        self.log.info(
+            "took over" if state else "nothing to take over",
+            requests=len(state.requests) if state else 0,
+            runs=len(state.keys.runs) if state else 0,
+        )
         self.taken()
 
     def _hear(self, stream: Stream) -> None:
--- a/ochrehoist/net/listener.py
+++ b/ochrehoist/net/listener.py
@@ -51,9 +51,16 @@
     `make_room` closes a connection that can be spared, where there is one, and says whether it did.
     """
 
-    def __init__(self, loop: Loop, address: tuple[str, int],
-                 accepted: Callable[[socket.socket], Callable[[], None]], limit: int, log: Any,
-                 sock: socket.socket | None = None, make_room: Callable[[], bool] = no_room) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        address: tuple[str, int],
+        accepted: Callable[[socket.socket], Callable[[], None]],
+        limit: int,
+        log: Any,
+        sock: socket.socket | None = None,
+        make_room: Callable[[], bool] = no_room,
+    ) -> None:
         self.loop, self.accepted, self.limit, self.log = loop, accepted, limit, log
         self.make_room, self.retrying = make_room, False
         self.sock = listen(address) if sock is None else sock
@@ -153,8 +160,14 @@
 
     max_open = 16  # at once: a flood of them must not take the descriptors of requests
 
-    def __init__(self, loop: Loop, address: tuple[str, int], log: Any, sock: socket.socket | None = None,
-                 make_room: Callable[[], bool] = no_room) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        address: tuple[str, int],
+        log: Any,
+        sock: socket.socket | None = None,
+        make_room: Callable[[], bool] = no_room,
+    ) -> None:
         self.loop, self.log = loop, log
         self.listening = Listening(loop, address, self._accepted, self.max_open, log, sock, make_room)
 
--- a/ochrehoist/net/members.py
+++ b/ochrehoist/net/members.py
@@ -66,8 +66,12 @@
             if address == self.address and good is not self.reachable:
                 self.reachable = good
                 self.log.info("membership reports", accepted=good, **({} if good else {"why": why}))
-            while not self.stopped and address == self.address and phase == self._phase() \
-                    and (left := written + pause - time.monotonic()) > 0:
+            while (
+                not self.stopped
+                and address == self.address
+                and phase == self._phase()
+                and (left := written + pause - time.monotonic()) > 0
+            ):
                 self.changed.wait(left)
 
     def _phase(self) -> str:
@@ -101,8 +105,10 @@
     def _report(self, phase: str) -> bytes:
         body = json.dumps({"phase": phase}, separators=(",", ":")).encode()
         host = f"{self.address[0]}:{self.address[1]}"
-        return (f"PUT /members/{self.name} HTTP/1.1\r\nHost: {host}\r\n"
-                f"Content-Type: application/json\r\nContent-Length: {len(body)}\r\n\r\n").encode() + body
+        return (
+            f"PUT /members/{self.name} HTTP/1.1\r\nHost: {host}\r\n"
+            f"Content-Type: application/json\r\nContent-Length: {len(body)}\r\n\r\n"
+        ).encode() + body
 
     def _answer(self, stream: Stream, phase: str, until: float) -> int | None:
         """The status; None where it is not here by the time that the next report is due or has changed."""
@@ -111,8 +117,9 @@
                 raise Closed
             if time.monotonic() >= until or phase != self._phase():
                 break
-            stream.watch(lambda: time.monotonic() >= until or phase != self._phase(),
-                         until - time.monotonic())
+            stream.watch(
+                lambda: time.monotonic() >= until or phase != self._phase(), until - time.monotonic()
+            )
         return status
 
     def _status(self, stream: Stream) -> int | None:
@@ -129,7 +136,7 @@
                 keep = False
         if len(stream.buffer) < len(head) + len(end) + length:
             return None
-        del stream.buffer[:len(head) + len(end) + length]
+        del stream.buffer[: len(head) + len(end) + length]
         if not keep:
             self._close()
         return int(lines[0].split(b" ")[1])
--- a/ochrehoist/net/operators.py
+++ b/ochrehoist/net/operators.py
@@ -44,8 +44,9 @@
 class Operators(Service):
     """Carries out `calls`. Each is answered in the turn of the loop in which it has come whole."""
 
-    def __init__(self, loop: Loop, address: tuple[str, int], calls: Calls, log: Any,
-                 sock: socket.socket | None = None) -> None:
+    def __init__(
+        self, loop: Loop, address: tuple[str, int], calls: Calls, log: Any, sock: socket.socket | None = None
+    ) -> None:
         self.calls = calls
         self.open: dict[Stream, float] = {}  # and since when
         super().__init__(loop, address, log, sock, self._make_room)
@@ -75,9 +76,11 @@
         except Exception:
             self.log.exception("fault in an operator's call")
             answer, more = said({"error": "internal fault"}, HTTPStatus.INTERNAL_SERVER_ERROR), b""
-        head = (f"HTTP/1.1 {answer.status.value} {answer.status.phrase}\r\n"
-                f"Content-Type: {answer.content_type}\r\nContent-Length: {len(answer.body)}\r\n"
-                f"Cache-Control: no-store\r\nConnection: close\r\n")
+        head = (
+            f"HTTP/1.1 {answer.status.value} {answer.status.phrase}\r\n"
+            f"Content-Type: {answer.content_type}\r\nContent-Length: {len(answer.body)}\r\n"
+            f"Cache-Control: no-store\r\nConnection: close\r\n"
+        )
         stream.write(head.encode() + more + b"\r\n" + (b"" if only_head else answer.body))
 
     def _carry_out(self, method: str, path: str) -> tuple[Answer, bytes]:
@@ -87,8 +90,10 @@
         call = calls.get("GET" if method == "HEAD" else method)
         if call is None:
             allowed = ", ".join([*calls, *(["HEAD"] if "GET" in calls else [])])
-            return (said({"error": "method not allowed"}, HTTPStatus.METHOD_NOT_ALLOWED),
-                    f"Allow: {allowed}\r\n".encode())
+            return (
+                said({"error": "method not allowed"}, HTTPStatus.METHOD_NOT_ALLOWED),
+                f"Allow: {allowed}\r\n".encode(),
+            )
         return call(), b""
 
     def _call(self, stream: Stream) -> tuple[str, str]:
--- a/ochrehoist/net/recovery.py
+++ b/ochrehoist/net/recovery.py
@@ -188,8 +188,12 @@
         if self._unsure():
             window = self.owner.clock() + int(self.asked.window * S)
             self.worker.journal.hold_until = max(self.worker.journal.hold_until, window)
-        self.log.warning("too few witnesses answered", of=len(self.config.witnesses), hold_s=self._held(),
-                         answered=[n for n, t in self.asked.by.items() if t.whole])
+        self.log.warning(
+            "too few witnesses answered",
+            of=len(self.config.witnesses),
+            hold_s=self._held(),
+            answered=[n for n, t in self.asked.by.items() if t.whole],
+        )
 
     def _facts(self) -> Facts:
         w = self.worker
@@ -291,4 +295,3 @@
     def close(self) -> None:
         if self.writer is not None:
             self.writer.close(0.5)
-
--- a/ochrehoist/net/selfmeasure.py
+++ b/ochrehoist/net/selfmeasure.py
@@ -28,12 +28,14 @@
 class SelfMeasure:
     """Binds the loop's meter, the watch, admission and the limiter of one worker together."""
 
-    def __init__(self, loop: Loop, owner: Owner, config: OverloadConfig, memory_mb: float, fronts: list,
-                 log: Any) -> None:
+    def __init__(
+        self, loop: Loop, owner: Owner, config: OverloadConfig, memory_mb: float, fronts: list, log: Any
+    ) -> None:
         self.loop, self.owner, self.log, self.fronts = loop, owner, log, fronts
         self.watch = Watch(int(memory_mb * 1e6))
-        self.admission = Admission(self.watch, owner.settings, owner.seed, owner.tenants) \
-            if config.admission else None
+        self.admission = (
+            Admission(self.watch, owner.settings, owner.seed, owner.tenants) if config.admission else None
+        )
         self.limiter = owner.limiter = Limiter(config, owner.settings, owner.seed)
         self.parts = Parts()
         owner.step = self.parts.timed("deciding", owner.step)
@@ -75,8 +77,19 @@
         # A look that comes late is itself what waited.
         late = max(self.late, span - LOOK_S)
         sends = self.owner.figures.total("sends_total")
-        self.watch.look(Sample(now, cpu - self.cpu, self.busy, late, let_in, shed, self._resident(),
-                               self._unread(), sends - self.sends))
+        self.watch.look(
+            Sample(
+                now,
+                cpu - self.cpu,
+                self.busy,
+                late,
+                let_in,
+                shed,
+                self._resident(),
+                self._unread(),
+                sends - self.sends,
+            )
+        )
         self.sends = sends
         self.cpu, self.busy, self.late = cpu, 0.0, 0.0
         self._say(now)
@@ -91,7 +104,7 @@
         if not all_of:
             return 0
         self.turn = (self.turn + UNREAD_OF) % len(all_of)
-        some = (all_of[self.turn:] + all_of[:self.turn])[:UNREAD_OF]
+        some = (all_of[self.turn :] + all_of[: self.turn])[:UNREAD_OF]
         total = 0
         for c in some:
             try:
@@ -112,9 +125,12 @@
 
     # ---- for operators
     def view(self) -> dict[str, Any]:
-        out = {"loop": self.watch.view(), "running": self.limiter.view(),
-               "time_s": {name: round(spent, 3) for name, spent in self.parts.spent.items()},
-               "memory_bytes": self._memory()}
+        out = {
+            "loop": self.watch.view(),
+            "running": self.limiter.view(),
+            "time_s": {name: round(spent, 3) for name, spent in self.parts.spent.items()},
+            "memory_bytes": self._memory(),
+        }
         if self.admission is not None:
             out["admission"] = out["door"] = self.admission.view()  # its older name: tools may read it
         return out
@@ -122,23 +138,30 @@
     def _memory(self) -> dict[str, int]:
         """By owner, as far as each knows its own."""
         streams = [c.stream for f in self.fronts for c in f.connections]
-        return {"results": self.owner.keys.bytes, "unsent": sum(len(s.unsent) for s in streams),
-                "half_read": sum(len(s.buffer) for s in streams),
-                "bodies": sum(getattr(c, "body_bytes", 0) for f in self.fronts for c in f.connections),
-                "live_requests": len(self.owner.live), "keys": len(self.owner.keys.runs),
-                "resident": self.watch.rss}
+        return {
+            "results": self.owner.keys.bytes,
+            "unsent": sum(len(s.unsent) for s in streams),
+            "half_read": sum(len(s.buffer) for s in streams),
+            "bodies": sum(getattr(c, "body_bytes", 0) for f in self.fronts for c in f.connections),
+            "live_requests": len(self.owner.live),
+            "keys": len(self.owner.keys.runs),
+            "resident": self.watch.rss,
+        }
 
     def figures(self) -> str:
         """Lines beside the platform's fixed names."""
         w, values = self.watch, {}
-        values["app_loop_delay_seconds"] = [(f'{{quantile="{q}"}}', w.delays.quantile(q))
-                                            for q in (0.5, 0.99)]
+        values["app_loop_delay_seconds"] = [
+            (f'{{quantile="{q}"}}', w.delays.quantile(q)) for q in (0.5, 0.99)
+        ]
         values["app_behind"] = [("", int(w.behind))]
         values["app_affordable_per_second"] = [("", w.rate)] if w.rate != float("inf") else []
         values["app_running_limit"] = [("", self.limiter.controller.limit)]
         if self.admission is not None:
-            values["app_shed_total"] = [(f'{{group="{cls}",reason="{why}"}}', n)
-                                        for (cls, why), n in sorted(self.admission.counts.shed.items())]
+            values["app_shed_total"] = [
+                (f'{{group="{cls}",reason="{why}"}}', n)
+                for (cls, why), n in sorted(self.admission.counts.shed.items())
+            ]
         values["app_repeats_denied_total"] = [("", self.limiter.storms.denied)]
         return counted(values)
 
--- a/ochrehoist/net/sites.py
+++ b/ochrehoist/net/sites.py
@@ -49,7 +49,12 @@
         self.config = config.sites
         c = config.sites
         self.desk = Desk(
-            config.name, c.site, owner.settings, c.playbook, time.monotonic(), came_back and c.pace,
+            config.name,
+            c.site,
+            owner.settings,
+            c.playbook,
+            time.monotonic(),
+            came_back and c.pace,
             owner.tenants,
         )
         self.desk.ask_permit, self.desk.drop_permit = self._permit, self._let_go
--- a/ochrehoist/net/stream.py
+++ b/ochrehoist/net/stream.py
@@ -57,8 +57,11 @@
             if self.ended:
                 raise Closed
             self._want_input()
-            if not self.arrived.wait(None if until is None else until - time.monotonic()) \
-                    and until is not None and time.monotonic() >= until:
+            if (
+                not self.arrived.wait(None if until is None else until - time.monotonic())
+                and until is not None
+                and time.monotonic() >= until
+            ):
                 if not self.look() and not self.ended:
                     raise TimedOut
 
@@ -114,7 +117,7 @@
                 raise Closed
             self.fill(None if until is None else until - time.monotonic())
         line = bytes(self.buffer[:at])
-        del self.buffer[:at + 1]
+        del self.buffer[: at + 1]
         return line.rstrip(b"\r")
 
     # ---- writing
@@ -123,7 +126,7 @@
             return
         if not self.unsent:
             try:
-                data = data[self.sock.send(data):]
+                data = data[self.sock.send(data) :]
             except (BlockingIOError, InterruptedError):
                 pass
             except OSError:
@@ -137,7 +140,7 @@
 
     def _writable(self) -> None:
         try:
-            del self.unsent[:self.sock.send(self.unsent)]
+            del self.unsent[: self.sock.send(self.unsent)]
         except (BlockingIOError, InterruptedError):
             return
         except OSError:
--- a/ochrehoist/net/thrift.py
+++ b/ochrehoist/net/thrift.py
@@ -43,7 +43,7 @@
         end = self.at + count
         if count < 0 or end > len(self.data):
             raise BadFrame("a length beyond the frame")
-        data, self.at = self.data[self.at:end], end
+        data, self.at = self.data[self.at : end], end
         return data
 
     def byte(self) -> int:
@@ -131,8 +131,11 @@
 
 
 def strings(values: dict[bytes, bytes]) -> bytes:
-    return bytes((STRING, STRING)) + _I32.pack(len(values)) + b"".join(
-        string(k) + string(v) for k, v in values.items())
+    return (
+        bytes((STRING, STRING))
+        + _I32.pack(len(values))
+        + b"".join(string(k) + string(v) for k, v in values.items())
+    )
 
 
 def message(kind: int, method: bytes, seqid: int, body: bytes) -> bytes:
@@ -144,8 +147,9 @@
 
 
 def answer(body: bytes, values: dict[bytes, bytes], good: bool) -> bytes:
-    return (field(STRING, 1, string(body)) + field(MAP, 2, strings(values))
-            + field(BOOL, 3, bytes((good,))) + END)
+    return (
+        field(STRING, 1, string(body)) + field(MAP, 2, strings(values)) + field(BOOL, 3, bytes((good,))) + END
+    )
 
 
 def reply(method: bytes, seqid: int, field_id: int, value: bytes) -> bytes:
@@ -158,5 +162,9 @@
 
 
 def application_exception(method: bytes, seqid: int, kind: int, text: str) -> bytes:
-    return message(EXCEPTION, method, seqid,
-                   field(STRING, 1, string(text.encode())) + field(I32, 2, _I32.pack(kind)) + END)
+    return message(
+        EXCEPTION,
+        method,
+        seqid,
+        field(STRING, 1, string(text.encode())) + field(I32, 2, _I32.pack(kind)) + END,
+    )
--- a/ochrehoist/net/thrift_front.py
+++ b/ochrehoist/net/thrift_front.py
@@ -113,15 +113,23 @@
             raise thrift.BadArguments("body: too long")
         est = f.number("est", 0.0, 1e9, required=False)
         return Inbound(
-            id=rid, cls=cls, arrived=f.whole("t0") * MS, payload=Payload(method, body), responder=responder,
-            executor=self.executor, tenant=acct, key=f.text("obj", required=False),
+            id=rid,
+            cls=cls,
+            arrived=f.whole("t0") * MS,
+            payload=Payload(method, body),
+            responder=responder,
+            executor=self.executor,
+            tenant=acct,
+            key=f.text("obj", required=False),
             token=(acct, method, token) if keyed else None,
-            fingerprint=(None, sha256(body).digest()) if keyed else None, work=int(est * MS) if est else None,
+            fingerprint=(None, sha256(body).digest()) if keyed else None,
+            work=int(est * MS) if est else None,
             memory_kb=f.number("mem", SMALLEST, 2000.0),
             rank=f.number("prio", 0.0, 1.0, required=False) or 0.0,
             retry=f.text("again", required=False) == "1",
             write=cls.repeat is not Repeat.SAFE,
-            caller=f.whole("peer", required=False) or 0)
+            caller=f.whole("peer", required=False) or 0,
+        )
 
 
 class ThriftResponder:
@@ -225,8 +233,8 @@
         buffer = self.stream.buffer
         size = int.from_bytes(buffer[:4], "big")
         if 4 + size <= len(buffer) and size <= MAX_FRAME:
-            frame = bytes(buffer[4:4 + size])
-            del buffer[:4 + size]
+            frame = bytes(buffer[4 : 4 + size])
+            del buffer[: 4 + size]
             return frame
         # A new connection has no more than its first moments for what it has begun.
         until = (time.monotonic() if self.known else self.opened) + WHOLE
@@ -253,8 +261,9 @@
                 else:
                     m.args.skip(kind)
         elif m.kind == thrift.CALL:
-            self._write(thrift.application_exception(
-                m.method, m.seqid, thrift.UNKNOWN_METHOD, "unknown method"))
+            self._write(
+                thrift.application_exception(m.method, m.seqid, thrift.UNKNOWN_METHOD, "unknown method")
+            )
         elif m.kind != thrift.ONEWAY:
             raise thrift.BadFrame("neither a call nor a oneway message")
 
@@ -298,8 +307,12 @@
             return False
         tenant, t0, peer = values.get(b"acct"), values.get(b"t0", b""), values.get(b"peer", b"")
         age = time.time_ns() - int(t0) * MS if t0.isdigit() and len(t0) <= 15 else 0
-        backoff = admission.admits(cls, tenant and tenant.decode("latin-1"),
-                              int(peer) if peer.isdigit() and len(peer) <= 9 else 0, age)
+        backoff = admission.admits(
+            cls,
+            tenant and tenant.decode("latin-1"),
+            int(peer) if peer.isdigit() and len(peer) <= 9 else 0,
+            age,
+        )
         if backoff is None:
             return False
         self.calls += 1
@@ -333,8 +346,17 @@
 class ThriftFront:
     """Listens for routers. It is a Listener of the core: idle times and the notice to leave come by that."""
 
-    def __init__(self, loop: Loop, owner: Owner, executor: Executor, address: tuple[str, int],
-                 max_connections: int, max_unsent: int, log: Any, sock: socket.socket | None = None) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        owner: Owner,
+        executor: Executor,
+        address: tuple[str, int],
+        max_connections: int,
+        max_unsent: int,
+        log: Any,
+        sock: socket.socket | None = None,
+    ) -> None:
         self.loop, self.owner, self.log = loop, owner, log
         self.reader = ThriftReader(owner, executor)
         self.connections: set[Connection] = set()
@@ -345,8 +367,7 @@
         self.configure(owner.settings)
         self.idle: float = owner.settings.idle / 1e9
         self.bad_frames, self.why, self.logged = 0, "", 0.0
-        self.listening = Listening(loop, address, self._accepted, max_connections, log, sock,
-                                   self._make_room)
+        self.listening = Listening(loop, address, self._accepted, max_connections, log, sock, self._make_room)
         loop.call_later(0.1, self._sweep)
 
     def configure(self, settings: Settings) -> None:
--- a/ochrehoist/plan/analytic.py
+++ b/ochrehoist/plan/analytic.py
@@ -104,7 +104,7 @@
     final = min(1.0, 2 * again / (1 + again))
     around = min(1.0, routers) * left * (1 - final)
     failed = left - around * (1 - left)
-    return around + sum(failed * left ** n for n in range(clients))
+    return around + sum(failed * left**n for n in range(clients))
 
 
 def _by_worth(fleet: Fleet, served: float) -> float:
@@ -118,8 +118,9 @@
     return gained / total
 
 
-def _in_time(fleet: Fleet, kind: Kind, speed: float, load: float,
-             rng: np.random.Generator) -> tuple[float, float]:
+def _in_time(
+    fleet: Fleet, kind: Kind, speed: float, load: float, rng: np.random.Generator
+) -> tuple[float, float]:
     """Of what is served, the worth's share; of what comes, the share that no idle machine ends by its aim."""
     gained = total = hopeless = 0.0
     for c in fleet.classes:
@@ -152,10 +153,9 @@
     """
     middle, rate = _at(fleet, speeds, seed), fleet.load.rate
     aim = sum(c.share * c.aim_ms for c in fleet.classes) / 1000
-    spread = sum(c.share * (1 + c.cv ** 2) for c in fleet.classes)
+    spread = sum(c.share * (1 + c.cv**2) for c in fleet.classes)
     swing = min(0.5, math.sqrt(3 * spread / max(1.0, rate * aim)))
-    low, high = (_at(fleet.with_load(rate * (1 + part)), speeds, seed).goodput
-                 for part in (-swing, swing))
+    low, high = (_at(fleet.with_load(rate * (1 + part)), speeds, seed).goodput for part in (-swing, swing))
     # The share of the worth: what comes in a heavier spell weighs by its load.
     goodput = ((1 - swing) * low + 4 * middle.goodput + (1 + swing) * high) / 6
     return Steady(goodput, middle.tries_per_call, middle.workers)
@@ -170,8 +170,9 @@
     direct, looking = _shares(fleet, speeds)
     share = direct + looking
     rate, refused = fleet.load.rate, np.zeros(len(placed))
-    retries = sum(r.weight * r.retries for r in (fleet.routers[p.group] for p in fleet.placed_routers)) \
-        / sum(fleet.routers[p.group].weight for p in fleet.placed_routers)
+    retries = sum(r.weight * r.retries for r in (fleet.routers[p.group] for p in fleet.placed_routers)) / sum(
+        fleet.routers[p.group].weight for p in fleet.placed_routers
+    )
     tries, again = rate * share, 0.0
     for _ in range(ROUNDS):
         # What is refused comes again, at the others, as often as routers and clients try.
@@ -199,15 +200,35 @@
         gained += float(served[n]) * part
         value += float(served[n])
         running = min(k.cores * 1.3, float(served[n]) * mean / speeds[n] + 1)
-        memory = (running * kb * fleet.intake.run_factor + float(served[n]) * keyed * fleet.intake.key_kb
-                  + float(tries[n]) * 0.3 * kb) / (k.memory_mb * 1000)
+        memory = (
+            running * kb * fleet.intake.run_factor
+            + float(served[n]) * keyed * fleet.intake.key_kb
+            + float(tries[n]) * 0.3 * kb
+        ) / (k.memory_mb * 1000)
         connections = len(fleet.placed_routers) / k.connections
         reading = float(tries[n]) * read / capacity[n]
-        limits = {"cores": offered / USABLE, "reading": reading / USABLE, "memory": memory,
-                  "connections": connections, "aim": hopeless / 0.25}
+        limits = {
+            "cores": offered / USABLE,
+            "reading": reading / USABLE,
+            "memory": memory,
+            "connections": connections,
+            "aim": hopeless / 0.25,
+        }
         limit = max(limits, key=lambda name: limits[name])
-        states.append(WorkerState(p.address, p.kind, speeds[n], float(tries[n]), float(served[n]), offered,
-                                  memory, connections, limit, 1 / max(1e-9, limits[limit])))
+        states.append(
+            WorkerState(
+                p.address,
+                p.kind,
+                speeds[n],
+                float(tries[n]),
+                float(served[n]),
+                offered,
+                memory,
+                connections,
+                limit,
+                1 / max(1e-9, limits[limit]),
+            )
+        )
     good = _by_worth(fleet, min(1.0, value / rate)) * gained / value if value else 0.0
     return Steady(good, float(tries.sum()) / rate, states)
 
--- a/ochrehoist/plan/captures.py
+++ b/ochrehoist/plan/captures.py
@@ -44,8 +44,9 @@
 class Figure:
     """One figure: the value of each request that has one, and what is made of all values of a span (s)."""
 
-    def __init__(self, of: Callable[[Entry], float | None],
-                 reduced: Callable[[np.ndarray, float], float] | None = None) -> None:
+    def __init__(
+        self, of: Callable[[Entry], float | None], reduced: Callable[[np.ndarray, float], float] | None = None
+    ) -> None:
         self.of, self.reduced = of, reduced or (lambda values, _: float(values.mean()))
 
     def values(self, entries: list[Entry]) -> np.ndarray:
@@ -61,6 +62,7 @@
     def value(e: Entry) -> float | None:
         v = of(e)
         return v / MS if v >= 0 else None
+
     return Figure(value, lambda values, _: float(np.quantile(values, q)))
 
 
@@ -79,8 +81,11 @@
 def figures(a: Capture, b: Capture) -> dict[str, tuple[Figure, Figure]]:
     """What is compared, by name, each as it is taken of A and of B."""
     held, repeats = Figure(lambda e: e.seen.held), _share(lambda e: e.seen.retry)
-    out = {"first tries a second": (_rate(a.sample), _rate(b.sample)),
-           "marked repeats": (repeats, repeats), "held before them": (held, held)}
+    out = {
+        "first tries a second": (_rate(a.sample), _rate(b.sample)),
+        "marked repeats": (repeats, repeats),
+        "held before them": (held, held),
+    }
     of_class = {
         "refused": _share(lambda e: e.seen.outcome == Outcome.REFUSED),
         "failed": _share(lambda e: e.seen.outcome == Outcome.FAILED),
@@ -89,7 +94,8 @@
         "waited p50, ms": _quantile(0.5, lambda e: e.seen.waited),
         "waited p99, ms": _quantile(0.99, lambda e: e.seen.waited),
         "ran p50, ms": _quantile(0.5, lambda e: e.seen.ran),
-        "ran p99, ms": _quantile(0.99, lambda e: e.seen.ran)}
+        "ran p99, ms": _quantile(0.99, lambda e: e.seen.ran),
+    }
     for name in sorted({e.seen.cls for e in (*a.entries, *b.entries)}):
         for what, figure in of_class.items():
             out[f"{name}: {what}"] = (_of_class(name, figure),) * 2
@@ -115,8 +121,12 @@
     return [_change(what, of, parts, rng) for what, of in figures(a, b).items()]
 
 
-def _change(what: str, of: tuple[Figure, Figure], parts: tuple[list[list[Entry]], list[list[Entry]]],
-            rng: np.random.Generator) -> Change:
+def _change(
+    what: str,
+    of: tuple[Figure, Figure],
+    parts: tuple[list[list[Entry]], list[list[Entry]]],
+    rng: np.random.Generator,
+) -> Change:
     values = [[figure.values(part) for part in mine] for figure, mine in zip(of, parts, strict=True)]
     first, second = (figure.taken(v) for figure, v in zip(of, values, strict=True))
     told = [None if math.isnan(v) else v for v in (first, second)]
@@ -128,8 +138,10 @@
         return Change(what, *told, change, note=f"under {FEWEST * STRETCH_S} s: no interval can be told")
     drawn = []
     for _ in range(RESAMPLES):
-        x, y = (figure.taken([v[n] for n in rng.integers(0, len(v), len(v))])
-                for figure, v in zip(of, values, strict=True))
+        x, y = (
+            figure.taken([v[n] for n in rng.integers(0, len(v), len(v))])
+            for figure, v in zip(of, values, strict=True)
+        )
         if x and not math.isnan(x) and not math.isnan(y):
             drawn.append(y / x - 1)
     if len(drawn) < RESAMPLES / 2:
--- a/ochrehoist/plan/demand.py
+++ b/ochrehoist/plan/demand.py
@@ -13,8 +13,20 @@
 from ochrehoist.capture.reader import Capture, Entry
 from ochrehoist.plan.fleet import Fleet
 
-STREAMS = ("arrivals", "classes", "tenants", "subjects", "work", "hints", "routers", "heavy", "hot", "speeds",
-           "heed", "sizes")
+STREAMS = (
+    "arrivals",
+    "classes",
+    "tenants",
+    "subjects",
+    "work",
+    "hints",
+    "routers",
+    "heavy",
+    "hot",
+    "speeds",
+    "heed",
+    "sizes",
+)
 
 
 class Streams:
@@ -22,8 +34,9 @@
 
     def __init__(self, seed: int) -> None:
         children = np.random.SeedSequence(seed).spawn(len(STREAMS))
-        self.by_name = {name: np.random.default_rng(child)
-                        for name, child in zip(STREAMS, children, strict=True)}
+        self.by_name = {
+            name: np.random.default_rng(child) for name, child in zip(STREAMS, children, strict=True)
+        }
 
     def __getitem__(self, name: str) -> np.random.Generator:
         return self.by_name[name]
@@ -93,8 +106,16 @@
     stated = work * lognormal(streams["hints"], 1.0, load.hint_cv, count)
     sizes = streams["sizes"].uniform(*fleet.intake.held_kb, count)
     for n in range(count):
-        yield Wish(float(at[n]), int(classes[n]), int(tenants[n]), int(subjects[n]), float(work[n]),
-                   float(stated[n]), int(routers[n]), float(sizes[n]))
+        yield Wish(
+            float(at[n]),
+            int(classes[n]),
+            int(tenants[n]),
+            int(subjects[n]),
+            float(work[n]),
+            float(stated[n]),
+            int(routers[n]),
+            float(sizes[n]),
+        )
 
 
 def speeds(fleet: Fleet, streams: Streams) -> list[float]:
@@ -115,7 +136,7 @@
         call = s.cls, s.tenant, s.work, s.caller, s.address if not s.caller else ""
         lasts = fleet.classes[classes[s.cls]].deadline_ms * 1e6 if s.cls in classes else 0
         # Nothing tells tries apart where no work is stated: then the marks alone count.
-        known = not s.work or e.at - seen.get(call, -10**18) <= lasts
+        known = not s.work or e.at - seen.get(call, -(10**18)) <= lasts
         if not s.retry or not known:
             out.append(e)
         if not s.retry or not known or call not in seen:
@@ -147,8 +168,17 @@
         for n in range(int(copies) + (streams["arrivals"].uniform() < copies % 1)):
             at = (e.at - begin) / 1e9 + (streams["arrivals"].uniform() if n else 0.0)
             subject = e.subject + n if e.subject else 0
-            out.append(Wish(at, cls, tenants.get(e.seen.tenant, -1), subject, stated, stated,
-                            (e.seen.caller or xxhash.xxh32_intdigest(e.seen.address.encode())) % routers,
-                            float(streams["sizes"].uniform(*fleet.intake.held_kb))))
+            out.append(
+                Wish(
+                    at,
+                    cls,
+                    tenants.get(e.seen.tenant, -1),
+                    subject,
+                    stated,
+                    stated,
+                    (e.seen.caller or xxhash.xxh32_intdigest(e.seen.address.encode())) % routers,
+                    float(streams["sizes"].uniform(*fleet.intake.held_kb)),
+                )
+            )
     out.sort(key=lambda w: w.at)
     return out, out[-1].at
--- a/ochrehoist/plan/events.py
+++ b/ochrehoist/plan/events.py
@@ -70,8 +70,10 @@
         if not self.answered:
             self.answered = True
             self.worker.tries.pop(self.id, None)
-            self.sim.later(self.sim.delay(self.router, self.worker.number),
-                           partial(self.sim.answer, self, answer, backoff, final))
+            self.sim.later(
+                self.sim.delay(self.router, self.worker.number),
+                partial(self.sim.answer, self, answer, backoff, final),
+            )
 
     # ---- the core's way back
     def served(self, result: Result) -> bool:
@@ -111,8 +113,16 @@
         self.reading, self.running = 0, 0
         self.tries: dict[str, Try] = {}  # that came and are not answered
         self.callers: dict[int, float] = {}  # connections, and when each was last used
-        self.owner = Owner(sim.fleet.settings(self.kind, cold), sim.seed * 1000 + self.number, Waker(),
-                           self._clock, self._clock, self.log, RESULT_BYTES, self._measure)
+        self.owner = Owner(
+            sim.fleet.settings(self.kind, cold),
+            sim.seed * 1000 + self.number,
+            Waker(),
+            self._clock,
+            self._clock,
+            self.log,
+            RESULT_BYTES,
+            self._measure,
+        )
         self.owner.listeners.append(self)
         self.owner.post(Booted(cold, 0))
         self.settle()
@@ -225,17 +235,36 @@
         cls = settings.classes[call.cls]
         tenant = fleet.tenants[call.tenant].name if fleet.tenants else None
         return Inbound(
-            id=t.id, cls=cls, arrived=int((EPOCH + t.came) * NS), payload=call.work, responder=t,
-            executor=self, tenant=tenant, key=None if call.keyed or not call.subject else f"{call.subject:x}",
-            token=(tenant, cls.name, str(call.number)) if call.keyed else None, work=int(call.stated * NS),
-            memory_kb=call.memory_kb, rank=0.5, retry=t.again, write=call.keyed, caller=call.router)
+            id=t.id,
+            cls=cls,
+            arrived=int((EPOCH + t.came) * NS),
+            payload=call.work,
+            responder=t,
+            executor=self,
+            tenant=tenant,
+            key=None if call.keyed or not call.subject else f"{call.subject:x}",
+            token=(tenant, cls.name, str(call.number)) if call.keyed else None,
+            work=int(call.stated * NS),
+            memory_kb=call.memory_kb,
+            rank=0.5,
+            retry=t.again,
+            write=call.keyed,
+            caller=call.router,
+        )
 
 
 class Simulation:
     """`run` gives the Tally. `progress` is told the share of the time that is done, now and then."""
 
-    def __init__(self, fleet: Fleet, seed: int, seconds: float, settle: float = 5.0,
-                 troubles: Iterable[Trouble] = (), wishes: Iterable[Wish] | None = None) -> None:
+    def __init__(
+        self,
+        fleet: Fleet,
+        seed: int,
+        seconds: float,
+        settle: float = 5.0,
+        troubles: Iterable[Trouble] = (),
+        wishes: Iterable[Wish] | None = None,
+    ) -> None:
         self.fleet, self.seed, self.seconds, self.now = fleet, seed, seconds, 0.0
         self.heap: list[tuple[float, int, Callable[[], None]]] = []
         self.order = self.numbers = 0
@@ -253,8 +282,9 @@
             habits = fleet.routers[r.group]
             router = Router(habits, range(len(placed)), weights, bool(heeds[n]), seed * 10_000 + n)
             self.routers.append(router)
-        self.workers = [Worker(self, n, p, v)
-                        for n, (p, v) in enumerate(zip(placed, drawn_speeds, strict=True))]
+        self.workers = [
+            Worker(self, n, p, v) for n, (p, v) in enumerate(zip(placed, drawn_speeds, strict=True))
+        ]
         self.wishes = iter(drawn(fleet, streams, seconds) if wishes is None else wishes)
         for trouble in troubles:
             self.at(trouble.at, partial(self._lose, trouble))
@@ -317,8 +347,19 @@
     def _begin(self, wish: Wish) -> None:
         self.numbers += 1
         c, now = self.fleet.classes[wish.cls], self.now
-        call = Call(self.numbers, wish.cls, wish.tenant, wish.subject, wish.work, wish.stated, now,
-                    now + c.aim_ms / 1000, now + c.deadline_ms / 1000, c.repeat != "idempotent", wish.router)
+        call = Call(
+            self.numbers,
+            wish.cls,
+            wish.tenant,
+            wish.subject,
+            wish.work,
+            wish.stated,
+            now,
+            now + c.aim_ms / 1000,
+            now + c.deadline_ms / 1000,
+            c.repeat != "idempotent",
+            wish.router,
+        )
         call.inside = self.quotas[wish.tenant].takes(now) if self.quotas else True
         call.memory_kb = wish.memory_kb
         self.at(call.due, partial(self._give_up, call))
@@ -383,5 +424,4 @@
     def _end(self, call: Call, end: End) -> None:
         call.ended = True
         took = self.now - call.began
-        self.tally.count(call.cls, call.tenant, call.inside, call.began, end, took, call.tries,
-                         call.work)
+        self.tally.count(call.cls, call.tenant, call.inside, call.began, end, took, call.tries, call.work)
--- a/ochrehoist/plan/fit.py
+++ b/ochrehoist/plan/fit.py
@@ -36,8 +36,9 @@
         return dict(self.__dict__)
 
 
-def estimated(what: str, values: np.ndarray, of: Callable[[np.ndarray], float], rng: np.random.Generator,
-              note: str = "") -> Estimate:
+def estimated(
+    what: str, values: np.ndarray, of: Callable[[np.ndarray], float], rng: np.random.Generator, note: str = ""
+) -> Estimate:
     if len(values) < FEWEST:
         return Estimate(what, None, count=len(values), note=f"only {len(values)} values; {FEWEST} are needed")
     samples = [of(values[rng.integers(0, len(values), len(values))]) for _ in range(RESAMPLES)]
@@ -76,8 +77,12 @@
     """First tries a second, by whole seconds."""
     firsts = [e.at for e in capture.entries if not e.seen.retry]
     if capture.seconds < FEWEST:
-        return Estimate("first tries a second", len(firsts) / max(1.0, capture.seconds) / capture.sample,
-                        count=len(firsts), note=f"{capture.seconds:.0f} s are too short for an interval")
+        return Estimate(
+            "first tries a second",
+            len(firsts) / max(1.0, capture.seconds) / capture.sample,
+            count=len(firsts),
+            note=f"{capture.seconds:.0f} s are too short for an interval",
+        )
     counts = Counter((at - capture.entries[0].at) // 1_000_000_000 for at in firsts)
     values = np.array([counts[s] / capture.sample for s in range(int(capture.seconds))], dtype=float)
     return estimated("first tries a second", values, lambda v: float(v.mean()), rng)
@@ -89,8 +94,11 @@
 
 def _beside(entries: list[Entry], cores: int) -> dict[int, tuple[float, float]]:
     """For each run, by its place in the list: the mean share of a core that it had, and the crowd a core."""
-    spans = [(n, e.at + e.seen.unread + e.seen.waited, e.seen.ran) for n, e in enumerate(entries)
-             if e.seen.waited >= 0 and e.seen.ran > 0]
+    spans = [
+        (n, e.at + e.seen.unread + e.seen.waited, e.seen.ran)
+        for n, e in enumerate(entries)
+        if e.seen.waited >= 0 and e.seen.ran > 0
+    ]
     if not spans:
         return {}
     begins = np.array([b for _, b, _ in spans], dtype=float)
@@ -103,13 +111,16 @@
     share = np.concatenate([[0.0], np.cumsum(widths * np.minimum(1.0, cores / np.maximum(1, running[:-1])))])
     crowd = np.concatenate([[0.0], np.cumsum(widths * running[:-1] / cores)])
     lasted = np.maximum(1.0, ends - begins)
-    had, beside = ((np.interp(ends, moments, area) - np.interp(begins, moments, area)) / lasted
-                   for area in (share, crowd))
+    had, beside = (
+        (np.interp(ends, moments, area) - np.interp(begins, moments, area)) / lasted
+        for area in (share, crowd)
+    )
     return {n: (float(had[k]), float(beside[k])) for k, (n, _, _) in enumerate(spans)}
 
 
-def _machine(name: str, entries: list[Entry], cores: int, rng: np.random.Generator,
-             sampled: bool) -> list[Estimate]:
+def _machine(
+    name: str, entries: list[Entry], cores: int, rng: np.random.Generator, sampled: bool
+) -> list[Estimate]:
     """Speed, crowd and reading of one worker. What ran beside a run is told by all others' times; of a
     sampled capture only by how many ran as it came."""
     beside = {} if sampled else _beside(entries, cores)
@@ -121,8 +132,11 @@
         return own[id(e)] or (min(1.0, 1 / n), n)
 
     alone = np.array([e.seen.work / e.seen.ran / neighbours(e)[0] for e in ran if neighbours(e)[1] <= 1.0])
-    note = "as runs have it, less what reading takes" if len(alone) >= FEWEST \
+    note = (
+        "as runs have it, less what reading takes"
+        if len(alone) >= FEWEST
         else "too few runs had a core of their own"
+    )
     speed = estimated(f"{name}: speed of a core", alone, median, rng, note)
     out = [speed]
     if speed.value is None:
@@ -138,17 +152,31 @@
         most = crowd
         at = estimated("", np.array(parts), median, rng)
         if at.high < CLEAR and slow is None:
-            slow = Estimate(f"{name}: {SLOWS}", crowd, crowd - 0.5, crowd + 0.5,
-                            len(parts), f"to {at.value:.2f} of the capacity there")
+            slow = Estimate(
+                f"{name}: {SLOWS}",
+                crowd,
+                crowd - 0.5,
+                crowd + 0.5,
+                len(parts),
+                f"to {at.value:.2f} of the capacity there",
+            )
     never = f"it was never seen to slow, up to {most:g} running a core"
     out.append(slow or Estimate(f"{name}: {SLOWS}", None, note=never))
-    calm = np.array([e.seen.unread / 1e9 for e in entries
-                     if e.seen.running <= CALM * cores and not e.seen.held])
+    calm = np.array(
+        [e.seen.unread / 1e9 for e in entries if e.seen.running <= CALM * cores and not e.seen.held]
+    )
     work = np.array([e.seen.work / 1e9 for e in entries if e.seen.work])
     if len(work):
         mean = float(work.mean())
-        out.append(estimated(f"{name}: reading, of the mean work", calm * speed.value / mean, median, rng,
-                             "an upper bound: what passed before the request was read"))
+        out.append(
+            estimated(
+                f"{name}: reading, of the mean work",
+                calm * speed.value / mean,
+                median,
+                rng,
+                "an upper bound: what passed before the request was read",
+            )
+        )
     return out
 
 
--- a/ochrehoist/plan/fleet.py
+++ b/ochrehoist/plan/fleet.py
@@ -198,7 +198,7 @@
             if getattr(self, key) and abs(total - 1) > 0.01:
                 raise ValueError(f"{key}: the shares make {total:.3f}, not 1")
         for a, site in enumerate(self.sites):
-            for other in self.sites[a + 1:]:
+            for other in self.sites[a + 1 :]:
                 both = site.space & other.space
                 if both:
                     raise ValueError(f"sites: {site.name} and {other.name} both hold {both.iter_cidrs()[0]}")
@@ -231,13 +231,19 @@
 
     @cached_property
     def placed_workers(self) -> list[Placed]:
-        return [Placed(address=a, site=s, kind=g.kind) for at, g in enumerate(self.workers)
-                for a, s in self._place("workers", at, g.addresses)]
+        return [
+            Placed(address=a, site=s, kind=g.kind)
+            for at, g in enumerate(self.workers)
+            for a, s in self._place("workers", at, g.addresses)
+        ]
 
     @cached_property
     def placed_routers(self) -> list[Placed]:
-        return [Placed(address=a, site=s, group=at) for at, g in enumerate(self.routers)
-                for a, s in self._place("routers", at, g.addresses)]
+        return [
+            Placed(address=a, site=s, group=at)
+            for at, g in enumerate(self.routers)
+            for a, s in self._place("routers", at, g.addresses)
+        ]
 
     def kind(self, name: str) -> Kind:
         return next(kind for kind in self.kinds if kind.name == name)
@@ -267,18 +273,43 @@
     def settings(self, kind: Kind, cold: bool) -> i.Settings:
         """What a worker of this kind is told."""
         return i.Settings(
-            classes=tuple(i.RequestClass(
-                name=c.name, aim=int(c.aim_ms * MS), deadline=int(c.deadline_ms * MS), worth=c.worth,
-                late_worth=c.late_worth, repeat=REPEATS[c.repeat], window=int(c.window_ms * MS))
-                for c in self.classes),
+            classes=tuple(
+                i.RequestClass(
+                    name=c.name,
+                    aim=int(c.aim_ms * MS),
+                    deadline=int(c.deadline_ms * MS),
+                    worth=c.worth,
+                    late_worth=c.late_worth,
+                    repeat=REPEATS[c.repeat],
+                    window=int(c.window_ms * MS),
+                )
+                for c in self.classes
+            ),
             tenants=tuple(i.Tenant(t.name, self.quota(t), t.share) for t in self.tenants),
-            cores=kind.cores, memory_kb=kind.memory_mb * 1000, tip_multiple=kind.crowd, fall=1500 * MS,
-            run_factor=self.intake.run_factor, drain_grace=2500 * MS, answer_grace=80 * MS,
-            goal=i.Goal(0.45, 0.15, 0.3, 0.1), fleet_size=len(self.placed_workers),
-            callers=len(self.placed_routers), key_kb=self.intake.key_kb, just_started=cold,
-            cold=int(kind.cold_s * 1000 * MS), cold_from=kind.cold_from, tells_gone=True, marks_retry=True,
-            worth_by_work=True, over_share_worth=self.over_share_worth, backoff_relayed=True,
-            max_backoff=1000 * MS, readiness=True, idle=int(self.intake.idle_s * 1000 * MS), step=4 * MS)
+            cores=kind.cores,
+            memory_kb=kind.memory_mb * 1000,
+            tip_multiple=kind.crowd,
+            fall=1500 * MS,
+            run_factor=self.intake.run_factor,
+            drain_grace=2500 * MS,
+            answer_grace=80 * MS,
+            goal=i.Goal(0.45, 0.15, 0.3, 0.1),
+            fleet_size=len(self.placed_workers),
+            callers=len(self.placed_routers),
+            key_kb=self.intake.key_kb,
+            just_started=cold,
+            cold=int(kind.cold_s * 1000 * MS),
+            cold_from=kind.cold_from,
+            tells_gone=True,
+            marks_retry=True,
+            worth_by_work=True,
+            over_share_worth=self.over_share_worth,
+            backoff_relayed=True,
+            max_backoff=1000 * MS,
+            readiness=True,
+            idle=int(self.intake.idle_s * 1000 * MS),
+            step=4 * MS,
+        )
 
     def told(self, kind: Kind) -> dict[str, Any]:
         """The same as the platform's settings object, for a real worker."""
@@ -286,20 +317,51 @@
         names = {repeat: name for name, repeat in REPEATS.items()}
         s = self.settings(kind, cold=False)
         return {
-            "Classes": [{"Name": c.name, "Slo": c.aim, "Deadline": c.deadline, "Gain": c.worth,
-                         "LateValue": c.late_worth, "Repeat": names[c.repeat]}
-                        | ({"Window": c.window} if c.window else {}) for c in s.classes],
+            "Classes": [
+                {
+                    "Name": c.name,
+                    "Slo": c.aim,
+                    "Deadline": c.deadline,
+                    "Gain": c.worth,
+                    "LateValue": c.late_worth,
+                    "Repeat": names[c.repeat],
+                }
+                | ({"Window": c.window} if c.window else {})
+                for c in s.classes
+            ],
             "Tenants": [{"Name": t.name, "QuotaPerS": t.quota_per_s, "Fraction": t.share} for t in s.tenants],
-            "FamilyInfo": {"Cores": s.cores, "HeapKb": s.memory_kb, "RunFactor": s.run_factor,
-                           "KeyKb": s.key_kb, "Callers": s.callers, "Idle": s.idle, "TellsGone": True,
-                           "Readiness": True, "OwnStats": ["cpu_busy", "runnable"]},
-            "FleetSize": s.fleet_size, "Step": s.step, "WorthBy": "work",
-            "OverShareWorth": s.over_share_worth, "ClientHabits": {"MarksRetry": True},
-            "ResultMix": {"Whole": s.goal.whole, "WorstWindow": s.goal.worst_window,
-                          "WorstClass": s.goal.worst_class, "WorstTenant": s.goal.worst_tenant},
+            "FamilyInfo": {
+                "Cores": s.cores,
+                "HeapKb": s.memory_kb,
+                "RunFactor": s.run_factor,
+                "KeyKb": s.key_kb,
+                "Callers": s.callers,
+                "Idle": s.idle,
+                "TellsGone": True,
+                "Readiness": True,
+                "OwnStats": ["cpu_busy", "runnable"],
+            },
+            "FleetSize": s.fleet_size,
+            "Step": s.step,
+            "WorthBy": "work",
+            "OverShareWorth": s.over_share_worth,
+            "ClientHabits": {"MarksRetry": True},
+            "ResultMix": {
+                "Whole": s.goal.whole,
+                "WorstWindow": s.goal.worst_window,
+                "WorstClass": s.goal.worst_class,
+                "WorstTenant": s.goal.worst_tenant,
+            },
             "PolicyLimits": {"RetryAfter": True, "MaxRetryAfter": s.max_backoff},
-            "Rules": {"Cold": max(1, s.cold), "ColdFrom": s.cold_from, "DrainGrace": s.drain_grace,
-                      "Fall": int(1.5 * ns), "GraceToAnswer": s.answer_grace, "TipMultiple": s.tip_multiple}}
+            "Rules": {
+                "Cold": max(1, s.cold),
+                "ColdFrom": s.cold_from,
+                "DrainGrace": s.drain_grace,
+                "Fall": int(1.5 * ns),
+                "GraceToAnswer": s.answer_grace,
+                "TipMultiple": s.tip_multiple,
+            },
+        }
 
     def quota(self, tenant: Tenant) -> float:
         return tenant.quota_per_s if tenant.quota_per_s is not None else tenant.share * self.load.rate
--- a/ochrehoist/plan/measure.py
+++ b/ochrehoist/plan/measure.py
@@ -71,9 +71,15 @@
         passed = socket.create_server(("127.0.0.1", 0), backlog=1024)
         listen = passed.getsockname()[1]
         self.address = ("127.0.0.1", listen)
-        config = {"name": f"n{self.number}", "listen": f"127.0.0.1:{listen}", "kernel": f"127.0.0.1:{port}",
-                  "seed": f"{self.play.seed * 1000 + self.number:x}", "stop_ms": 3000,
-                  "limits": {"memory_mb": 192, "sockets": 512}, "settings": self.play.fleet.told(self.kind)}
+        config = {
+            "name": f"n{self.number}",
+            "listen": f"127.0.0.1:{listen}",
+            "kernel": f"127.0.0.1:{port}",
+            "seed": f"{self.play.seed * 1000 + self.number:x}",
+            "stop_ms": 3000,
+            "limits": {"memory_mb": 192, "sockets": 512},
+            "settings": self.play.fleet.told(self.kind),
+        }
         path = Path(self.play.folder, f"n{self.number}.json")
         path.write_text(json.dumps(config))
         env = {k: v for k, v in os.environ.items() if not k.startswith(("EDGE_", "OCHREHOIST_", "TMPDIR"))}
@@ -83,8 +89,13 @@
             env["OCHREHOIST_AJP"] = str(file)
         with open(Path(self.play.folder, f"n{self.number}.log"), "ab") as log:
             env |= {"EDGE_CONFIG": str(path), "EDGE_PASSED_SOCKET": str(passed.fileno())}
-            self.process = subprocess.Popen([sys.executable, "-m", "ochrehoist"], stderr=log, env=env,
-                                            cwd=ROOT, pass_fds=[passed.fileno()])
+            self.process = subprocess.Popen(
+                [sys.executable, "-m", "ochrehoist"],
+                stderr=log,
+                env=env,
+                cwd=ROOT,
+                pass_fds=[passed.fileno()],
+            )
         passed.close()
         try:
             await asyncio.wait_for(self.linked.wait(), START_S)
@@ -119,8 +130,15 @@
                 if not what.done():
                     what.set_result(True)
             elif kind == "run":
-                self._notice({"cmd": "REAP", "req": what, "result": "OK",
-                              "elapsed_ms": round((now - since) * 1000, 3), "payload": ""})
+                self._notice(
+                    {
+                        "cmd": "REAP",
+                        "req": what,
+                        "result": "OK",
+                        "elapsed_ms": round((now - since) * 1000, 3),
+                        "payload": "",
+                    }
+                )
         while self.unread and self.reading < self.machine.cores:
             future = self.unread.popleft()
             if not future.done():
@@ -146,9 +164,14 @@
                 m = json.loads(line)
                 if m["cmd"] == "OPEN":
                     self.link = writer
-                    self._say({"cmd": "BOOTED", "result": "COLD" if self.cold else "WARM",
-                               "elapsed_ms": 0 if self.cold else WARM_MS})
-                    for notice in self.notices[m["offset"]:]:
+                    self._say(
+                        {
+                            "cmd": "BOOTED",
+                            "result": "COLD" if self.cold else "WARM",
+                            "elapsed_ms": 0 if self.cold else WARM_MS,
+                        }
+                    )
+                    for notice in self.notices[m["offset"] :]:
                         self._say(notice)
                     self.linked.set()
                 elif m["cmd"] == "SYSINFO":
@@ -209,8 +232,11 @@
     def invoke(self, fields: dict[str, str], body: bytes) -> tuple[int, asyncio.Future]:
         self.seqid += 1
         values = {k.encode(): v.encode() for k, v in fields.items()}
-        arguments = thrift.field(thrift.MAP, 1, thrift.strings(values)) \
-            + thrift.field(thrift.STRING, 2, thrift.string(body)) + thrift.END
+        arguments = (
+            thrift.field(thrift.MAP, 1, thrift.strings(values))
+            + thrift.field(thrift.STRING, 2, thrift.string(body))
+            + thrift.END
+        )
         self.writer.write(thrift.message(thrift.CALL, b"invoke", self.seqid, arguments))
         future = self.waiting[self.seqid] = asyncio.get_running_loop().create_future()
         return self.seqid, future
@@ -218,8 +244,9 @@
     def abort(self, seqid: int) -> None:
         if self.waiting.pop(seqid, None) is not None and not self.closed:
             number = seqid.to_bytes(4, "big")
-            self.writer.write(thrift.message(thrift.ONEWAY, b"abort", 0,
-                                             thrift.field(thrift.I32, 1, number) + thrift.END))
+            self.writer.write(
+                thrift.message(thrift.ONEWAY, b"abort", 0, thrift.field(thrift.I32, 1, number) + thrift.END)
+            )
 
     async def _read(self) -> None:
         try:
@@ -265,9 +292,16 @@
 class Play:
     """One measured run: the same calls, speeds and habits as the model's of the same seed."""
 
-    def __init__(self, fleet: Fleet, seed: int, seconds: float, settle: float = 5.0,
-                 troubles: Iterable[Trouble] = (), wishes: Iterable[Wish] | None = None,
-                 operators: str | None = None) -> None:
+    def __init__(
+        self,
+        fleet: Fleet,
+        seed: int,
+        seconds: float,
+        settle: float = 5.0,
+        troubles: Iterable[Trouble] = (),
+        wishes: Iterable[Wish] | None = None,
+        operators: str | None = None,
+    ) -> None:
         """`operators`: the text of a further file for each worker (TOML; `{worker}` is its name)."""
         self.operators = operators
         self.fleet, self.seed, self.seconds = fleet, seed, seconds
@@ -276,10 +310,13 @@
         drawn_speeds = speeds(fleet, streams)
         weights = [fleet.kind(p.kind).cores * v for p, v in zip(placed, drawn_speeds, strict=True)]
         heeds = streams["heed"].uniform(size=len(routers)) < fleet.clients.heed
-        self.routers = [Router(fleet.routers[r.group], range(len(placed)), weights, bool(heeds[n]),
-                               seed * 10_000 + n) for n, r in enumerate(routers)]
-        self.stands = [Stand(self, n, p, v)
-                       for n, (p, v) in enumerate(zip(placed, drawn_speeds, strict=True))]
+        self.routers = [
+            Router(fleet.routers[r.group], range(len(placed)), weights, bool(heeds[n]), seed * 10_000 + n)
+            for n, r in enumerate(routers)
+        ]
+        self.stands = [
+            Stand(self, n, p, v) for n, (p, v) in enumerate(zip(placed, drawn_speeds, strict=True))
+        ]
         self.quotas = [Quota(fleet.quota(t)) for t in fleet.tenants]
         self.wishes = list(drawn(fleet, streams, seconds) if wishes is None else wishes)
         self.began, self.numbers = 0.0, 0
@@ -328,8 +365,9 @@
 
     # ---- troubles
     def _listed(self, worker: int, listed: bool) -> None:
-        self.loop.call_later(self.fleet.membership.lag_s,
-                             lambda: [r.learn(worker, listed) for r in self.routers])
+        self.loop.call_later(
+            self.fleet.membership.lag_s, lambda: [r.learn(worker, listed) for r in self.routers]
+        )
 
     def _lose(self, trouble: Trouble) -> None:
         self.tally.events.append((self.now(), f"{trouble.name or 'workers'} lost"))
@@ -350,9 +388,19 @@
         c, began = self.fleet.classes[wish.cls], wish.at
         self.late.record_value(max(1, min(LONGEST_MS, int((self.now() - began) * 1000))))
         self.numbers += 1
-        call = Call(self.numbers, wish.cls, wish.tenant, wish.subject, wish.work, wish.stated, began,
-                    began + c.aim_ms / 1000, began + c.deadline_ms / 1000, c.repeat != "idempotent",
-                    wish.router)
+        call = Call(
+            self.numbers,
+            wish.cls,
+            wish.tenant,
+            wish.subject,
+            wish.work,
+            wish.stated,
+            began,
+            began + c.aim_ms / 1000,
+            began + c.deadline_ms / 1000,
+            c.repeat != "idempotent",
+            wish.router,
+        )
         call.memory_kb = wish.memory_kb
         call.inside = self.quotas[wish.tenant].takes(began) if self.quotas else True
         try:
@@ -407,8 +455,15 @@
                 return Answer.FAILED, {}
             connection = await stand.connection(call.router)
             cls = fleet.classes[call.cls]
-            fields = {"method": cls.name, "rid": rid, "t0": str(t0), "peer": str(call.router),
-                      "est": f"{call.stated * 1000:.2f}", "mem": f"{call.memory_kb:.1f}", "prio": "0.5"}
+            fields = {
+                "method": cls.name,
+                "rid": rid,
+                "t0": str(t0),
+                "peer": str(call.router),
+                "est": f"{call.stated * 1000:.2f}",
+                "mem": f"{call.memory_kb:.1f}",
+                "prio": "0.5",
+            }
             if fleet.tenants:
                 fields["acct"] = fleet.tenants[call.tenant].name
             if call.tries > 1:
--- a/ochrehoist/plan/outcome.py
+++ b/ochrehoist/plan/outcome.py
@@ -77,8 +77,17 @@
         # Of what was served, in ms.
         self.latency = [HdrHistogram(1, LONGEST_MS, 3) for _ in self.fleet.classes]
 
-    def count(self, cls: int, tenant: int, inside: bool, began: float, end: End, took: float,
-              tries: int, work: float) -> None:
+    def count(
+        self,
+        cls: int,
+        tenant: int,
+        inside: bool,
+        began: float,
+        end: End,
+        took: float,
+        tries: int,
+        work: float,
+    ) -> None:
         """`work` in s on a core of speed 1: worth is counted for each unit of it, as the module is told."""
         c, second = self.fleet.classes[cls], int(began)
         worth = c.worth * work * (1.0 if inside else self.fleet.over_share_worth)
@@ -121,21 +130,36 @@
 
     def values(self) -> dict[str, Any]:
         """Plain values for tables, JSON and reports."""
+
         def percentiles(cls: int) -> dict[str, float]:
             h = self.latency[cls]
-            return {f"p{p}_ms": float(h.get_value_at_percentile(p)) if h.get_total_count() else 0.0
-                    for p in (50, 99)}
+            return {
+                f"p{p}_ms": float(h.get_value_at_percentile(p)) if h.get_total_count() else 0.0
+                for p in (50, 99)
+            }
 
         return {
-            "goodput": self.goodput, "calls": self.calls, "tries_per_call": self.tries / max(1, self.calls),
+            "goodput": self.goodput,
+            "calls": self.calls,
+            "tries_per_call": self.tries / max(1, self.calls),
             "shares": {e.value: self.share(e) for e in End},
-            "classes": {c.name: {"goodput": self.gained[at] / self.asked[at] if self.asked[at] else 1.0,
-                                 "refused": self.share(End.REFUSED, at)} | percentiles(at)
-                        for at, c in enumerate(self.fleet.classes)},
+            "classes": {
+                c.name: {
+                    "goodput": self.gained[at] / self.asked[at] if self.asked[at] else 1.0,
+                    "refused": self.share(End.REFUSED, at),
+                }
+                | percentiles(at)
+                for at, c in enumerate(self.fleet.classes)
+            },
             "tenants": {
                 t.name: self.tenant_gained[at] / self.tenant_asked[at] if self.tenant_asked[at] else 1.0
-                for at, t in enumerate(self.fleet.tenants)},
+                for at, t in enumerate(self.fleet.tenants)
+            },
             "workers": [w.line() for w in self.workers],
-            "seconds": [[s, self.second_gained[s] / self.second_asked[s]] for s in sorted(self.second_asked)
-                        if s < self.seconds],
-            "events": [[round(at, 2), text] for at, text in self.events]}
+            "seconds": [
+                [s, self.second_gained[s] / self.second_asked[s]]
+                for s in sorted(self.second_asked)
+                if s < self.seconds
+            ],
+            "events": [[round(at, 2), text] for at, text in self.events],
+        }
--- a/ochrehoist/plan/pictures.py
+++ b/ochrehoist/plan/pictures.py
@@ -16,9 +16,19 @@
 Values = dict[str, Any]
 MAIN, SECOND, BAD, QUIET = "#2b6cb0", "#c77d0a", "#b03a48", "#8a8f98"
 KINDS = (MAIN, SECOND, "#4b8b5a", "#7a5ba6", "#3f8f98")
-STYLE = {"axes.spines.top": False, "axes.spines.right": False, "axes.grid": True, "grid.color": "#e3e5e8",
-         "axes.axisbelow": True, "font.size": 9.0, "axes.titlesize": 10.0, "axes.titlelocation": "left",
-         "svg.hashsalt": "ochrehoist", "svg.fonttype": "none", "legend.frameon": False}
+STYLE = {
+    "axes.spines.top": False,
+    "axes.spines.right": False,
+    "axes.grid": True,
+    "grid.color": "#e3e5e8",
+    "axes.axisbelow": True,
+    "font.size": 9.0,
+    "axes.titlesize": 10.0,
+    "axes.titlelocation": "left",
+    "svg.hashsalt": "ochrehoist",
+    "svg.fonttype": "none",
+    "legend.frameon": False,
+}
 LINES = (("measured", MAIN), ("forecast", SECOND))
 WIDE, TALL = 7.2, 2.7  # inches of one picture
 MOST_BARS = 60  # workers drawn one by one; beyond, by kind
@@ -36,8 +46,9 @@
     axes.set_ylabel(label)
 
 
-def _over_time(axes: Axes, lines: Sequence[tuple[str, str, list[list[float]]]],
-               events: Sequence[tuple[float, str]] = ()) -> None:
+def _over_time(
+    axes: Axes, lines: Sequence[tuple[str, str, list[list[float]]]], events: Sequence[tuple[float, str]] = ()
+) -> None:
     for name, colour, points in lines:
         axes.plot([p[0] for p in points], [p[1] for p in points], color=colour, label=name, lw=1.4)
     for at, text in events:
@@ -69,8 +80,12 @@
         axes.bar(range(len(order)), [w["busy"] for w in order], color=[colours[w["kind"]] for w in order])
         axes.set_xticks(range(len(order)), [w["address"].rsplit(".", 1)[-1] for w in order], fontsize=7)
         axes.set_xlabel("worker, by the last part of its address")
-        axes.legend(handles=[Patch(color=colours[k], label=k) for k in kinds], loc="lower right",
-                    bbox_to_anchor=(1, 1), ncols=len(kinds))
+        axes.legend(
+            handles=[Patch(color=colours[k], label=k) for k in kinds],
+            loc="lower right",
+            bbox_to_anchor=(1, 1),
+            ncols=len(kinds),
+        )
     else:
         axes.boxplot([[w["busy"] for w in workers if w["kind"] == k] for k in kinds], tick_labels=kinds)
         axes.set_xlabel(f"{len(workers)} workers")
@@ -91,16 +106,29 @@
     figure, (a,) = _drawn("the load raised step by step")
     rates = [s["rate"] for s in v["steps"]]
     goodput = [s["goodput"]["mean"] for s in v["steps"]]
-    a.errorbar(rates, goodput, yerr=[s["goodput"]["half"] or 0.0 for s in v["steps"]], color=MAIN, capsize=3,
-               label="goodput")
+    a.errorbar(
+        rates,
+        goodput,
+        yerr=[s["goodput"]["half"] or 0.0 for s in v["steps"]],
+        color=MAIN,
+        capsize=3,
+        label="goodput",
+    )
     a.plot(rates, [s["refused"] for s in v["steps"]], color=SECOND, label="refused, of all calls")
     per_factor = rates[0] / v["steps"][0]["factor"]
     for which in ("first", "next"):
         at = v[which]["factor"] * per_factor
         if at <= rates[-1] * 1.05:
             a.axvline(at, color=BAD, lw=1, ls="--")
-            a.annotate(f"{which}: {v[which]['limit']} of {v[which]['kind']}", (at, 0.04), color=BAD,
-                       fontsize=8, rotation=90, ha="right", va="bottom")
+            a.annotate(
+                f"{which}: {v[which]['limit']} of {v[which]['kind']}",
+                (at, 0.04),
+                color=BAD,
+                fontsize=8,
+                rotation=90,
+                ha="right",
+                va="bottom",
+            )
     a.set_xlabel("calls a second")
     a.legend(loc="upper right", bbox_to_anchor=(1, 1.16), ncols=2)
     _share(a, "share")
@@ -109,8 +137,10 @@
 
 def of_size(v: Values) -> list[Figure]:
     figure, (a,) = _drawn(f"machines of {v['kind']}, beside {v['others']} others")
-    for tried, colour, label in (("tried", MAIN, "goodput, lower end of the interval"),
-                                 ("tried_one_lost", SECOND, "the same without the strongest machine")):
+    for tried, colour, label in (
+        ("tried", MAIN, "goodput, lower end of the interval"),
+        ("tried_one_lost", SECOND, "the same without the strongest machine"),
+    ):
         counts = sorted((int(n), g) for n, g in v[tried].items())
         a.plot([n for n, _ in counts], [g for _, g in counts], "o-", color=colour, label=label)
     a.axhline(v["goal"], color=BAD, ls="--", lw=1, label="goal")
@@ -132,8 +162,14 @@
     figure, (a,) = _drawn("the same draws on both")
     for first, second in v["pairs"]:
         a.plot((0, 1), (first, second), "o-", color=QUIET, lw=0.8)
-    a.errorbar((0, 1), (v["a"]["mean"], v["b"]["mean"]), yerr=[v[k]["half"] or 0.0 for k in "ab"], color=MAIN,
-               capsize=4, lw=2)
+    a.errorbar(
+        (0, 1),
+        (v["a"]["mean"], v["b"]["mean"]),
+        yerr=[v[k]["half"] or 0.0 for k in "ab"],
+        color=MAIN,
+        capsize=4,
+        lw=2,
+    )
     a.set_xticks((0, 1), ("A", "B"))
     a.set_xlim(-0.4, 1.4)
     _share(a)
@@ -161,8 +197,13 @@
     bars, (b,) = _drawn("goodput by class")
     names = list(v["measured"]["classes"])
     for shift, (which, colour) in zip((-0.2, 0.2), LINES, strict=True):
-        b.barh([n + shift for n in range(len(names))], [v[which]["classes"][n]["goodput"] for n in names],
-               height=0.36, color=colour, label=which)
+        b.barh(
+            [n + shift for n in range(len(names))],
+            [v[which]["classes"][n]["goodput"] for n in names],
+            height=0.36,
+            color=colour,
+            label=which,
+        )
     b.set_yticks(range(len(names)), names)
     b.set_xlim(0, 1.02)
     b.legend(loc="lower left")
@@ -198,8 +239,14 @@
         a.plot([x for x, _ in plot["points"]], [y for _, y in plot["points"]], "o", color=MAIN)
         if plot["fit"] is not None:
             ends = [plot["fit"]["from"], plot["fit"]["to"]]
-            a.plot(ends, [plot["fit"]["at_none"] + plot["fit"]["per_member"] * x for x in ends],
-                   color=QUIET, lw=1, ls="--", label="least squares")
+            a.plot(
+                ends,
+                [plot["fit"]["at_none"] + plot["fit"]["per_member"] * x for x in ends],
+                color=QUIET,
+                lw=1,
+                ls="--",
+                label="least squares",
+            )
             a.legend(loc="upper left")
         a.set_ylabel(plot["unit"])
         a.set_ylim(bottom=0)
@@ -208,9 +255,17 @@
 
 
 PICTURES: dict[str, Callable[[Values], list[Figure]]] = {
-    "forecast": of_forecast, "breaks": of_breaks, "size": of_size, "lose": of_lose, "compare": of_compare,
-    "captures": of_captures, "measure": of_measure, "fit": of_fit, "play": of_play,
-    "scale": of_scale}
+    "forecast": of_forecast,
+    "breaks": of_breaks,
+    "size": of_size,
+    "lose": of_lose,
+    "compare": of_compare,
+    "captures": of_captures,
+    "measure": of_measure,
+    "fit": of_fit,
+    "play": of_play,
+    "scale": of_scale,
+}
 
 
 def drawn(question: str, values: Values, form: str) -> list[bytes]:
--- a/ochrehoist/plan/questions.py
+++ b/ochrehoist/plan/questions.py
@@ -61,8 +61,11 @@
     tally = Simulation(run.fleet, run.seed, run.seconds, run.settle, run.troubles, run.wishes).run()
     values = tally.values()
     if run.recovery_from is not None:
-        before = [tally.second_gained[s] / tally.second_asked[s] for s in tally.second_asked
-                  if run.settle <= s < run.recovery_from - 1 and tally.second_asked[s]]
+        before = [
+            tally.second_gained[s] / tally.second_asked[s]
+            for s in tally.second_asked
+            if run.settle <= s < run.recovery_from - 1 and tally.second_asked[s]
+        ]
         values["before"] = mean(before) if before else 1.0
         values["recovered_s"] = tally.recovered(run.recovery_from, RECOVERED * values["before"])
     return values
@@ -90,19 +93,27 @@
     except KeyboardInterrupt:
         if len(got) < whole:
             raise
-    return got[:len(got) // whole * whole]
+    return got[: len(got) // whole * whole]
 
 
-def forecast_of_capture(fleet: Fleet, capture: Capture, seeds: Sequence[int], jobs: int,
-                        progress: Progress) -> dict[str, Any]:
+def forecast_of_capture(
+    fleet: Fleet, capture: Capture, seeds: Sequence[int], jobs: int, progress: Progress
+) -> dict[str, Any]:
     """What the fleet would make of a recorded load; the seeds draw its speeds and habits."""
     listed, span = captured(fleet, capture, Streams(1))
-    return forecast(fleet.with_load(len(listed) / max(1.0, span)), seeds, max(12.0, span), jobs, progress,
-                    tuple(listed))
-
-
-def forecast(fleet: Fleet, seeds: Sequence[int], seconds: float, jobs: int, progress: Progress,
-             wishes: tuple[Wish, ...] | None = None) -> dict[str, Any]:
+    return forecast(
+        fleet.with_load(len(listed) / max(1.0, span)), seeds, max(12.0, span), jobs, progress, tuple(listed)
+    )
+
+
+def forecast(
+    fleet: Fleet,
+    seeds: Sequence[int],
+    seconds: float,
+    jobs: int,
+    progress: Progress,
+    wishes: tuple[Wish, ...] | None = None,
+) -> dict[str, Any]:
     """Goodput by class, tenant and worker, refusals, latencies; what is known so far if interrupted."""
     got = known([Run(fleet, s, seconds, wishes=wishes) for s in seeds], jobs, progress)
     return summed(fleet, got) | {"seeds": len(got), "asked_seeds": len(seeds), "seconds": seconds}
@@ -118,37 +129,57 @@
         return ranged(values)
 
     return {
-        "goodput": over("goodput").values(), "tries_per_call": over("tries_per_call").values(),
-        "demand": fleet.demand, "rate": fleet.load.rate,
+        "goodput": over("goodput").values(),
+        "tries_per_call": over("tries_per_call").values(),
+        "demand": fleet.demand,
+        "rate": fleet.load.rate,
         "shares": {key: over("shares", key).values() for key in got[0]["shares"]},
-        "classes": {c.name: {key: over("classes", c.name, key).values() for key in got[0]["classes"][c.name]}
-                    for c in fleet.classes},
+        "classes": {
+            c.name: {key: over("classes", c.name, key).values() for key in got[0]["classes"][c.name]}
+            for c in fleet.classes
+        },
         "tenants": {t.name: over("tenants", t.name).values() for t in fleet.tenants},
-        "workers": got[0]["workers"], "seconds_line": got[0]["seconds"], "events": got[0]["events"]}
-
-
-def breaks(fleet: Fleet, factors: Sequence[float], seeds: Sequence[int], seconds: float, jobs: int,
-           progress: Progress) -> dict[str, Any]:
+        "workers": got[0]["workers"],
+        "seconds_line": got[0]["seconds"],
+        "events": got[0]["events"],
+    }
+
+
+def breaks(
+    fleet: Fleet,
+    factors: Sequence[float],
+    seeds: Sequence[int],
+    seconds: float,
+    jobs: int,
+    progress: Progress,
+) -> dict[str, Any]:
     """Raises the load step by step; and which limit binds first, on which worker, and what is next once that
     kind's limit is lifted."""
     steps = []
     runs = [Run(fleet.with_load(fleet.load.rate * f), s, seconds) for f in factors for s in seeds]
     got = known(runs, jobs, progress, len(seeds))
-    for n, factor in enumerate(factors[:len(got) // len(seeds)]):
-        mine = got[n * len(seeds):(n + 1) * len(seeds)]
-        steps.append({"factor": factor, "rate": fleet.load.rate * factor,
-                      "goodput": ranged([v["goodput"] for v in mine]).values(),
-                      "refused": mean(v["shares"]["refused"] for v in mine),
-                      "busiest": max(mine[0]["workers"], key=lambda w: w["busy"])["address"]})
+    for n, factor in enumerate(factors[: len(got) // len(seeds)]):
+        mine = got[n * len(seeds) : (n + 1) * len(seeds)]
+        steps.append(
+            {
+                "factor": factor,
+                "rate": fleet.load.rate * factor,
+                "goodput": ranged([v["goodput"] for v in mine]).values(),
+                "refused": mean(v["shares"]["refused"] for v in mine),
+                "busiest": max(mine[0]["workers"], key=lambda w: w["busy"])["address"],
+            }
+        )
     drawn = speeds(fleet, Streams(seeds[0]))
     first = analytic.steady(fleet, drawn).first
     at = analytic.knee(fleet, drawn) / fleet.load.rate
     lifted = _lifted(fleet, first.kind, first.limit)
     then = analytic.steady(lifted, speeds(lifted, Streams(seeds[0]))).first
     again = analytic.knee(lifted, speeds(lifted, Streams(seeds[0]))) / fleet.load.rate
-    return {"steps": steps, "first": {"limit": first.limit, "worker": first.address, "kind": first.kind,
-                                      "factor": at},
-            "next": {"limit": then.limit, "worker": then.address, "kind": then.kind, "factor": again}}
+    return {
+        "steps": steps,
+        "first": {"limit": first.limit, "worker": first.address, "kind": first.kind, "factor": at},
+        "next": {"limit": then.limit, "worker": then.address, "kind": then.kind, "factor": again},
+    }
 
 
 def _lifted(fleet: Fleet, kind: str, limit: str) -> Fleet:
@@ -185,8 +216,9 @@
     return Fleet.model_validate(fleet.model_dump() | {"workers": [g.model_dump() for g in groups]})
 
 
-def size(fleet: Fleet, kind: str, goal: float, seeds: Sequence[int], seconds: float, jobs: int,
-         progress: Progress) -> dict[str, Any]:
+def size(
+    fleet: Fleet, kind: str, goal: float, seeds: Sequence[int], seconds: float, jobs: int, progress: Progress
+) -> dict[str, Any]:
     """The smallest number of one kind, beside the others as they are, whose goodput is `goal` by the lower
     end of its interval; and the number that is enough without any one machine."""
     if not 0 < goal < 1:
@@ -215,15 +247,17 @@
         raise Unanswerable(f"stopped; so far {best[0]} of {kind} give {asked[best]:.3f}") from None
 
 
-def _searched(fleet: Fleet, kind: str, goal: float, good: Callable[..., bool],
-              asked: dict[tuple[int, bool], float]) -> dict[str, Any]:
+def _searched(
+    fleet: Fleet, kind: str, goal: float, good: Callable[..., bool], asked: dict[tuple[int, bool], float]
+) -> dict[str, Any]:
     others = sum(w.kind != kind for w in fleet.placed_workers)
     low, high = (0 if others else 1), max(1, sum(w.kind == kind for w in fleet.placed_workers))
     while not good(high):
         low, high = high + 1, high * 2
         if high > MOST_WORKERS:
-            raise Unanswerable(f"not reached with {low - 1} of {kind}: what is missing is not machines "
-                               "(see `plan breaks`)")
+            raise Unanswerable(
+                f"not reached with {low - 1} of {kind}: what is missing is not machines (see `plan breaks`)"
+            )
     while low < high:
         middle = (low + high) // 2
         if middle + others and good(middle):
@@ -235,14 +269,21 @@
         high += 1
         if high > 2 * needed + 8:
             raise Unanswerable(f"{needed} of {kind} reach the goal, but none up to {high - 1} bear a loss")
-    return {"kind": kind, "goal": goal, "needed": needed, "with_one_lost": high, "others": others,
-            "goodput": asked[needed, False],
-            "tried": {str(n): round(v, 4) for (n, lost), v in sorted(asked.items()) if not lost},
-            "tried_one_lost": {str(n): round(v, 4) for (n, lost), v in sorted(asked.items()) if lost}}
+    return {
+        "kind": kind,
+        "goal": goal,
+        "needed": needed,
+        "with_one_lost": high,
+        "others": others,
+        "goodput": asked[needed, False],
+        "tried": {str(n): round(v, 4) for (n, lost), v in sorted(asked.items()) if not lost},
+        "tried_one_lost": {str(n): round(v, 4) for (n, lost), v in sorted(asked.items()) if lost},
+    }
 
 
 def without_strongest(fleet: Fleet) -> Fleet:
     """The fleet without one machine of the kind whose loss costs most."""
+
     def strength(kind: str) -> float:
         k = fleet.kind(kind)
         return k.cores * sum(k.speeds)
@@ -251,8 +292,16 @@
     return with_workers(fleet, strongest, sum(w.kind == strongest for w in fleet.placed_workers) - 1)
 
 
-def lose(fleet: Fleet, site: str, at: float, back: float | None, seeds: Sequence[int], seconds: float,
-         jobs: int, progress: Progress) -> dict[str, Any]:
+def lose(
+    fleet: Fleet,
+    site: str,
+    at: float,
+    back: float | None,
+    seeds: Sequence[int],
+    seconds: float,
+    jobs: int,
+    progress: Progress,
+) -> dict[str, Any]:
     """A site is lost at once, and returns cold; whether the rest bears it, and when all is as before."""
     which = tuple(n for n, w in enumerate(fleet.placed_workers) if w.site == site)
     if not which:
@@ -270,17 +319,26 @@
         return mean(v for s, v in values["seconds"] if first <= s < last)
 
     times = [v["recovered_s"] for v in got]
-    return {"site": site, "workers": len(which), "of": len(fleet.placed_workers), "at": at, "back": back,
-            "before": ranged([v["before"] for v in got]).values(),
-            "during": ranged([part(v, at, during) for v in got]).values(),
-            "worst_second": min(v for r in got for s, v in r["seconds"] if at <= s < seconds - 1),
-            "tips_over": sum(t is None for t in times), "seeds": len(got),
-            "recovered_s": None if None in times else ranged(times).values(),
-            "seconds_line": got[0]["seconds"], "events": got[0]["events"]}
-
-
-def measured(fleet: Fleet, seed: int, seconds: float, lost: str | None, progress: Progress,
-             record: Path | None = None) -> dict[str, Any]:
+    return {
+        "site": site,
+        "workers": len(which),
+        "of": len(fleet.placed_workers),
+        "at": at,
+        "back": back,
+        "before": ranged([v["before"] for v in got]).values(),
+        "during": ranged([part(v, at, during) for v in got]).values(),
+        "worst_second": min(v for r in got for s, v in r["seconds"] if at <= s < seconds - 1),
+        "tips_over": sum(t is None for t in times),
+        "seeds": len(got),
+        "recovered_s": None if None in times else ranged(times).values(),
+        "seconds_line": got[0]["seconds"],
+        "events": got[0]["events"],
+    }
+
+
+def measured(
+    fleet: Fleet, seed: int, seconds: float, lost: str | None, progress: Progress, record: Path | None = None
+) -> dict[str, Any]:
     """One run in real time with real workers, and the forecast of the same draw; `record` is a folder for
     what the workers saw. Raises measure.Failed."""
     from ochrehoist.plan.measure import Play
@@ -295,17 +353,27 @@
     capture = None if record is None else f"[capture]\nfolder = {json.dumps(str(record.absolute()))}\n"
     play = Play(fleet, seed, seconds, troubles=troubles, operators=capture)
     real = play.run(lambda share: progress(int(share * 100), 100))
-    return {"measured": real.values(), "forecast": forecast_of.values(),
-            "ratio": forecast_of.goodput / max(1e-9, real.goodput),
-            "late_p99_ms": float(play.late.get_value_at_percentile(99))}
+    return {
+        "measured": real.values(),
+        "forecast": forecast_of.values(),
+        "ratio": forecast_of.goodput / max(1e-9, real.goodput),
+        "late_p99_ms": float(play.late.get_value_at_percentile(99)),
+    }
 
 
-def compare(a: Fleet, b: Fleet, seeds: Sequence[int], seconds: float, jobs: int,
-            progress: Progress) -> dict[str, Any]:
+def compare(
+    a: Fleet, b: Fleet, seeds: Sequence[int], seconds: float, jobs: int, progress: Progress
+) -> dict[str, Any]:
     """Two fleets on the same seeds: each one's goodput, and the interval of the difference, pair by pair."""
     got = known([Run(f, s, seconds) for s in seeds for f in (a, b)], jobs, progress, 2)
     pairs = [(got[n]["goodput"], got[n + 1]["goodput"]) for n in range(0, len(got), 2)]
     difference = ranged([second - first for first, second in pairs])
     clear = difference.half is not None and abs(difference.mean) > difference.half
-    return {"a": ranged([p[0] for p in pairs]).values(), "b": ranged([p[1] for p in pairs]).values(),
-            "difference": difference.values(), "clear": clear, "seeds": len(pairs), "pairs": pairs}
+    return {
+        "a": ranged([p[0] for p in pairs]).values(),
+        "b": ranged([p[1] for p in pairs]).values(),
+        "difference": difference.values(),
+        "clear": clear,
+        "seeds": len(pairs),
+        "pairs": pairs,
+    }
--- a/ochrehoist/plan/report.py
+++ b/ochrehoist/plan/report.py
@@ -43,15 +43,26 @@
     return f"{cell:.3f}" if isinstance(cell, float) else "-" if cell is None else str(cell)
 
 
-def page(question: str, title: str, made: str, values: dict[str, Any], tables: Sequence[Table],
-         notes: Sequence[str] = ()) -> str:
+def page(
+    question: str,
+    title: str,
+    made: str,
+    values: dict[str, Any],
+    tables: Sequence[Table],
+    notes: Sequence[str] = (),
+) -> str:
     """The whole page. `made` says by what command; `notes` what a reader must know first."""
     env = jinja2.Environment(autoescape=True, undefined=jinja2.StrictUndefined)
     env.filters["told"] = told
     drawn = [svg.decode().partition("<svg")[2] for svg in pictures.drawn(question, values, "svg")]
     return env.from_string(PAGE).render(
-        title=title, made=made, notes=notes, tables=tables, pictures=["<svg" + part for part in drawn],
-        values=json.dumps(values, indent=1))
+        title=title,
+        made=made,
+        notes=notes,
+        tables=tables,
+        pictures=["<svg" + part for part in drawn],
+        values=json.dumps(values, indent=1),
+    )
 
 
 def save(path: Path, text: str, question: str, values: dict[str, Any], with_pictures: bool) -> list[Path]:
--- a/ochrehoist/plan/restart.py
+++ b/ochrehoist/plan/restart.py
@@ -88,5 +88,3 @@
         "whole_s": None if waves is None else round(waves * (down + cold), 1),
         "tried": {str(n): round(v, 4) for n, v in sorted(tried.items())},
     }
-
-
--- a/ochrehoist/plan/routing.py
+++ b/ochrehoist/plan/routing.py
@@ -24,8 +24,9 @@
 class Router:
     """One router: its view of the workers, and its choice among them."""
 
-    def __init__(self, habits: Routers, workers: Sequence[int], weights: Sequence[float], heeds: bool,
-                 seed: int) -> None:
+    def __init__(
+        self, habits: Routers, workers: Sequence[int], weights: Sequence[float], heeds: bool, seed: int
+    ) -> None:
         self.random = random.Random(seed)
         kept = habits.keep_to and habits.keep_to < len(workers)
         self.workers = sorted(self.random.sample(list(workers), habits.keep_to)) if kept else list(workers)
@@ -103,8 +104,9 @@
     open: Any = None  # the try that is under way
 
 
-def after(call: Call, answer: Answer, final: bool, now: float, habits: Routers,
-          clients: Clients) -> tuple[Next, float]:
+def after(
+    call: Call, answer: Answer, final: bool, now: float, habits: Routers, clients: Clients
+) -> tuple[Next, float]:
     """What follows an answer, and after how long. `final`: the worker wished that no other be tried."""
     if answer is Answer.SERVED:
         return Next.END, 0.0
--- a/ochrehoist/reload.py
+++ b/ochrehoist/reload.py
@@ -35,6 +35,7 @@
 
 def switch_only(configure: Callable[[Config, Tenants], None]) -> Part:
     """A part that has nothing to prepare."""
+
     def prepare(new: Config, tenants: Tenants) -> Steps:
         return lambda: configure(new, tenants)
         yield
@@ -60,8 +61,16 @@
     Nothing is lost by it: runs, keys, notices and open connections go on. A bad file changes nothing.
     """
 
-    def __init__(self, loop: Loop, owner: Owner, config: Config, path: str | None, parts: Sequence[Part],
-                 kernel: Kernel | None, log: Any) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        owner: Owner,
+        config: Config,
+        path: str | None,
+        parts: Sequence[Part],
+        kernel: Kernel | None,
+        log: Any,
+    ) -> None:
         self.loop, self.owner, self.path, self.parts, self.log = loop, owner, path, parts, log
         self.config, self.kernel, self.watch = config, kernel, LinkWatch()
         self.good = True  # the kernel is within reach, or was a moment ago
@@ -92,19 +101,27 @@
         """For operators: what is in force and how it came about, and what has come of it since."""
         values = {"last": self.last, "age_s": round(time.monotonic() - self.at, 1)}
         values |= {"why": self.why} if self.why else {}
-        return values | {"since": self._since(), "version": self.version,
-                         "in_force_since": round(self.since, 3), "reading": self.reading,
-                         "took_s": round(self.read_s, 3), "switch_ms": round(1000 * self.switch_s, 3),
-                         "held_ms": round(1000 * self.held, 3)}
+        return values | {
+            "since": self._since(),
+            "version": self.version,
+            "in_force_since": round(self.since, 3),
+            "reading": self.reading,
+            "took_s": round(self.read_s, 3),
+            "switch_ms": round(1000 * self.switch_s, 3),
+            "held_ms": round(1000 * self.held, 3),
+        }
 
     def figures(self) -> str:
         """Lines beside the fixed names: which version is in force, since when, and what reading has cost."""
-        return counted({
-            "app_conf_info": [(f'{{version="{self.version}"}}', 1)],
-            "app_conf_in_force_since_seconds": [("", round(self.since, 3))],
-            "app_conf_took_seconds": [("", round(self.read_s, 6))],
-            "app_conf_held_seconds": [("", round(self.held, 6))],
-            "app_conf_held_longest_seconds": [("", round(self.longest, 6))]})
+        return counted(
+            {
+                "app_conf_info": [(f'{{version="{self.version}"}}', 1)],
+                "app_conf_in_force_since_seconds": [("", round(self.since, 3))],
+                "app_conf_took_seconds": [("", round(self.read_s, 6))],
+                "app_conf_held_seconds": [("", round(self.held, 6))],
+                "app_conf_held_longest_seconds": [("", round(self.longest, 6))],
+            }
+        )
 
     # ---- reading
     def _begin(self) -> None:
@@ -130,8 +147,9 @@
         except BadInput as error:
             figures["conf_invalid_total"] += 1
             self._turned_down(str(error))
-            self.log.error("configuration can't be used, the old one stays", why=str(error),
-                           version=self.version)
+            self.log.error(
+                "configuration can't be used, the old one stays", why=str(error), version=self.version
+            )
             return
         except Exception:  # a fault of ours: the old one stays, and who looks is told so
             figures["conf_invalid_total"] += 1
@@ -142,8 +160,13 @@
             self._tell_taken(change)
 
     def _tell_taken(self, change: Change) -> None:
-        self.log.info("configuration read again", needs_a_restart=change.fixed, version=self.version,
-                      took_ms=round(1000 * self.read_s, 1), held_ms=round(1000 * self.held, 2))
+        self.log.info(
+            "configuration read again",
+            needs_a_restart=change.fixed,
+            version=self.version,
+            took_ms=round(1000 * self.read_s, 1),
+            held_ms=round(1000 * self.held, 2),
+        )
 
     def _change(self, only_new: bool = False) -> Change | None:
         """Reads the file and brings it into force. Raises BadInput. None where another process decides now,
@@ -277,11 +300,15 @@
             self.log.error("cut off, and the configuration can't be used: mend the file", why=str(error))
             return
         if change is None and self.owner.forwarder is None:
-            self.log.warning("cut off, and the configuration is as before: is the kernel up?",
-                             kernel=self.kernel.view())
+            self.log.warning(
+                "cut off, and the configuration is as before: is the kernel up?", kernel=self.kernel.view()
+            )
         elif change is not None:
-            self.log.warning("cut off: a new configuration was found and taken", needs_a_restart=change.fixed,
-                             version=self.version)
+            self.log.warning(
+                "cut off: a new configuration was found and taken",
+                needs_a_restart=change.fixed,
+                version=self.version,
+            )
 
     def _turned_down(self, why: str) -> None:
         self.last, self.why, self.at = "turned down", why, time.monotonic()
@@ -290,8 +317,9 @@
         """Only of the newest: several within a moment are told of once."""
         if at == self.at:
             kernel = {"kernel": self.kernel.view()} if self.kernel else {}
-            self.log.info("since the configuration was read again", state=self.owner.state, **self._since(),
-                          **kernel)
+            self.log.info(
+                "since the configuration was read again", state=self.owner.state, **self._since(), **kernel
+            )
 
     def _counts(self) -> dict[str, int]:
         return {word: self.owner.figures.total(name) for word, name in COUNTED.items()}
--- a/ochrehoist/routes.py
+++ b/ochrehoist/routes.py
@@ -65,12 +65,12 @@
         if not wild:
             self._literal.setdefault(uri, []).append((position, rule, None))
             return False
-        begin, end = uri[:wild[0]], uri[wild[-1] + 1:]
+        begin, end = uri[: wild[0]], uri[wild[-1] + 1 :]
         middle: Middle = None
         if uri.count("*") != len(wild):
             middle = re.compile(translate(uri))
         elif len(wild) > 1:
-            middle = tuple(text for text in uri[wild[0]:wild[-1]].split("*") if text) or None
+            middle = tuple(text for text in uri[wild[0] : wild[-1]].split("*") if text) or None
         if end:
             self._closed_lengths.setdefault(len(begin), position)
             ends, lengths = self._closed.setdefault(begin, ({}, {}))
@@ -96,8 +96,9 @@
             for position, rule, middle in self._open.get(path[:length], ()):
                 if position >= best:
                     break
-                if (not rule.methods or method in rule.methods) \
-                        and (middle is None or _between(middle, path, length, size)):
+                if (not rule.methods or method in rule.methods) and (
+                    middle is None or _between(middle, path, length, size)
+                ):
                     best, found = position, rule
                     break
         for length, first in self._closed_lengths.items():
@@ -113,8 +114,9 @@
                 for position, rule, middle in ends.get(path[rest:], ()):
                     if position >= best:
                         break
-                    if (not rule.methods or method in rule.methods) \
-                            and (middle is None or _between(middle, path, length, rest)):
+                    if (not rule.methods or method in rule.methods) and (
+                        middle is None or _between(middle, path, length, rest)
+                    ):
                         best, found = position, rule
                         break
         return found
--- a/ochrehoist/rules.py
+++ b/ochrehoist/rules.py
@@ -11,9 +11,37 @@
 from math import exp, inf
 
 from ochrehoist.interface import (
-    NEVER_RAN, Adopted, Advice, Advise, Alarm, Below, Call, CallEnded, CallerGone, CallNeeded, Completed,
-    Fail, Forget, Health, Join, Keep, KeepAlive, Leave, Limits, Outcome, Preemption, Refuse, Repeat, Request,
-    SetAlarm, SkipCall, Start, Started, Stop, TenantsChanged)
+    NEVER_RAN,
+    Adopted,
+    Advice,
+    Advise,
+    Alarm,
+    Below,
+    Call,
+    CallEnded,
+    CallerGone,
+    CallNeeded,
+    Completed,
+    Fail,
+    Forget,
+    Health,
+    Join,
+    Keep,
+    KeepAlive,
+    Leave,
+    Limits,
+    Outcome,
+    Preemption,
+    Refuse,
+    Repeat,
+    Request,
+    SetAlarm,
+    SkipCall,
+    Start,
+    Started,
+    Stop,
+    TenantsChanged,
+)
 
 
 S = 1_000_000_000
@@ -107,7 +135,7 @@
         self.ran, self.at, self.may_ask, self.lack = ran, 0, may_ask, NO_LACK
 
     def after(self, beats):  # no max here and below: with thousands active that is half of the time
-        left = FADE ** beats
+        left = FADE**beats
         asked, served = self.asked * left, self.served * left
         return asked if asked > LEAST else LEAST, served if served > LEAST else LEAST, self.ran * left
 
@@ -290,8 +318,11 @@
             known.beat(self.beats, inf)
         whole = sum(k.lack for k in kinds)
         offered = max(1e-9, sum(c.worth * k.may_ask for c, k in zip(s.classes, kinds, strict=True)))
-        self.gains = [(s.goal.whole + s.goal.worst_window) * c.worth / offered + s.goal.worst_class
-                      * (k.lack / whole / k.may_ask) for c, k in zip(s.classes, kinds, strict=True)]
+        self.gains = [
+            (s.goal.whole + s.goal.worst_window) * c.worth / offered
+            + s.goal.worst_class * (k.lack / whole / k.may_ask)
+            for c, k in zip(s.classes, kinds, strict=True)
+        ]
         if not self.beats % FORGET:
             self.known = {t: known for t, known in self.known.items() if self.beats - known.at < FORGET}
 
@@ -300,7 +331,7 @@
         if tenant is not None:
             inside = self._inside(tenant, (known := self.activity(tenant)).ran)
             plus = self.s.goal.worst_tenant * (known.lack / self.lack / known.may_ask)
-            times = 1.0 if inside == 1 else inside ** 2 + (1 - inside ** 2) * self.s.over_share_worth
+            times = 1.0 if inside == 1 else inside**2 + (1 - inside**2) * self.s.over_share_worth
         work = 1.0 if self.s.worth_by_work else j.r.work or self.took[j.r.kind].value
         return (self.gains[j.r.kind] + plus) * times / work
 
@@ -608,7 +639,15 @@
             self.acts.append(Advise(value))
 
     HANDLERS = {
-        Started: _on_started, Request: _on_request, Adopted: _on_adopted, Completed: of_open(_on_completed),
-        CallNeeded: of_open(_on_call_needed), CallEnded: of_open(_on_call_ended),
-        CallerGone: of_open(_on_gone), Alarm: _on_alarm, Leave: _on_leave,
-        Limits: lambda self, e: setattr(self, "limits", e), TenantsChanged: _on_tenants}
+        Started: _on_started,
+        Request: _on_request,
+        Adopted: _on_adopted,
+        Completed: of_open(_on_completed),
+        CallNeeded: of_open(_on_call_needed),
+        CallEnded: of_open(_on_call_ended),
+        CallerGone: of_open(_on_gone),
+        Alarm: _on_alarm,
+        Leave: _on_leave,
+        Limits: lambda self, e: setattr(self, "limits", e),
+        TenantsChanged: _on_tenants,
+    }
--- a/ochrehoist/settings.py
+++ b/ochrehoist/settings.py
@@ -10,8 +10,12 @@
 
 REPEATS = {"idempotent": i.Repeat.SAFE, "deduplicated": i.Repeat.KEYED, "at_most_once": i.Repeat.UNSAFE}
 BELOW = {"off": i.Below.NOTHING, "shared": i.Below.SHARED, "tier": i.Below.TIER}
-ADVICE = {"off": i.Advice.NONE, "window": i.Advice.WINDOW, "threshold": i.Advice.LEVEL,
-          "share_of": i.Advice.WEIGHT}
+ADVICE = {
+    "off": i.Advice.NONE,
+    "window": i.Advice.WINDOW,
+    "threshold": i.Advice.LEVEL,
+    "share_of": i.Advice.WEIGHT,
+}
 PREEMPTION = {"off": i.Preemption.NONE, "abort": i.Preemption.DROP, "suspend": i.Preemption.PAUSE}
 REQUIRED = object()
 STEP = 1000  # tenants looked at in one step
@@ -50,8 +54,12 @@
 
     def number(self, key, default=REQUIRED, least=0.0):
         value = self._get(key, default)
-        if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value) \
-                or value < least:
+        if (
+            isinstance(value, bool)
+            or not isinstance(value, int | float)
+            or not math.isfinite(value)
+            or value < least
+        ):
             raise self._bad(key, value)
         return value
 
@@ -104,12 +112,20 @@
     for at, data in enumerate(listed):
         c = Reader(data, f"Classes[{at}].")
         repeat = c.choice("Repeat", REPEATS)
-        out.append(i.RequestClass(
-            name=c.text("Name"), aim=c.whole("Slo", least=1), deadline=c.whole("Deadline", least=1),
-            worth=c.number("Gain"), late_worth=c.number("LateValue", 0.0), repeat=repeat,
-            window=c.whole("Window", REQUIRED if repeat is i.Repeat.KEYED else 0),
-            aim_stretch=c.number("AimStretch", 0.0), calls=calls[at], skip_worth=float(skips[at]),
-        ))
+        out.append(
+            i.RequestClass(
+                name=c.text("Name"),
+                aim=c.whole("Slo", least=1),
+                deadline=c.whole("Deadline", least=1),
+                worth=c.number("Gain"),
+                late_worth=c.number("LateValue", 0.0),
+                repeat=repeat,
+                window=c.whole("Window", REQUIRED if repeat is i.Repeat.KEYED else 0),
+                aim_stretch=c.number("AimStretch", 0.0),
+                calls=calls[at],
+                skip_worth=float(skips[at]),
+            )
+        )
     names = [c.name for c in out]
     if len(set(names)) < len(names):
         raise BadInput(f"setting Classes: a name that comes twice in {names!r}")
@@ -160,8 +176,9 @@
             gc.freeze()
         return tenant
 
-    def all_in_steps(self, listed: Sequence[Any]) \
-            -> Generator[None, None, tuple[tuple[i.Tenant, ...], Mapping[str, int]]]:
+    def all_in_steps(
+        self, listed: Sequence[Any]
+    ) -> Generator[None, None, tuple[tuple[i.Tenant, ...], Mapping[str, int]]]:
         """All of them, and their places by name. `listed`: data, tenants, and ranges of those of before.
 
         Raises BadInput.
@@ -200,12 +217,13 @@
         return tenants, places
 
 
-def spliced_in_steps(parts: Sequence[range | list[T]], before: tuple[T, ...]) \
-        -> Generator[None, None, tuple[T, ...]]:
+def spliced_in_steps(
+    parts: Sequence[range | list[T]], before: tuple[T, ...]
+) -> Generator[None, None, tuple[T, ...]]:
     """All of the parts; a range stands for elements of before."""
     out: list[T] = parts[0] if len(parts) == 1 and type(parts[0]) is list else []
     for part in parts if not out else ():
-        out += before[part.start:part.stop] if type(part) is range else part
+        out += before[part.start : part.stop] if type(part) is range else part
     if len(out) <= STEP:
         return tuple(out)
     yield
@@ -247,8 +265,9 @@
     return at_once(settings_in_steps(data, Tenants()))[0]
 
 
-def settings_in_steps(data: Any, tenants: Tenants) \
-        -> Generator[None, None, tuple[i.Settings, dict[str, int]]]:
+def settings_in_steps(
+    data: Any, tenants: Tenants
+) -> Generator[None, None, tuple[i.Settings, dict[str, int]]]:
     """As settings_from(), and the places of the tenants by name. Tenants in `data` may be made already."""
     top = Reader(data, "")
     info, rules, limits = top.part("FamilyInfo"), top.part("Rules"), top.part("PolicyLimits", {})
@@ -259,27 +278,46 @@
     classes = _classes(top, info)
     listed, places = yield from tenants.all_in_steps(top.items("Tenants", []))
     return i.Settings(
-        classes=classes, tenants=listed,
-        goal=i.Goal(mix.number("Whole"), mix.number("WorstWindow", 0.0), mix.number("WorstClass", 0.0),
-                    mix.number("WorstTenant", 0.0)),
+        classes=classes,
+        tenants=listed,
+        goal=i.Goal(
+            mix.number("Whole"),
+            mix.number("WorstWindow", 0.0),
+            mix.number("WorstClass", 0.0),
+            mix.number("WorstTenant", 0.0),
+        ),
         prices={k: v for k, v in prices.data.items() if isinstance(v, int | float)},
-        fleet_size=top.whole("FleetSize", least=1), tier=top.whole("Stage", 0),
+        fleet_size=top.whole("FleetSize", least=1),
+        tier=top.whole("Stage", 0),
         callers=info.whole("Callers", 0),
-        cores=info.whole("Cores", least=1), memory_kb=info.number("HeapKb"),
-        run_factor=info.number("RunFactor", least=1.0), key_kb=info.number("KeyKb", 0.0),
-        just_started=info.flag("JustStarted", False), cold=rules.whole("Cold"),
-        cold_from=rules.number("ColdFrom"), tip_multiple=rules.number("TipMultiple", least=1.0),
-        fall=rules.whole("Fall"), drain_grace=rules.whole("DrainGrace"),
-        answer_grace=rules.whole("GraceToAnswer"), passes_deadline=info.flag("PassesDeadline", False),
+        cores=info.whole("Cores", least=1),
+        memory_kb=info.number("HeapKb"),
+        run_factor=info.number("RunFactor", least=1.0),
+        key_kb=info.number("KeyKb", 0.0),
+        just_started=info.flag("JustStarted", False),
+        cold=rules.whole("Cold"),
+        cold_from=rules.number("ColdFrom"),
+        tip_multiple=rules.number("TipMultiple", least=1.0),
+        fall=rules.whole("Fall"),
+        drain_grace=rules.whole("DrainGrace"),
+        answer_grace=rules.whole("GraceToAnswer"),
+        passes_deadline=info.flag("PassesDeadline", False),
         tells_gone=info.flag("TellsGone", False),
         marks_retry=top.part("ClientHabits", {}).flag("MarksRetry", False),
         worth_by_work=top.choice("WorthBy", {"request": False, "work": True}, "request"),
-        over_share_worth=top.number("OverShareWorth", 1.0), below=below,
-        fair_calls=info.number("FairCalls", shared), calls_over=info.whole("CallsOver", shared),
-        lingers=info.whole("Lingers", 0), fresh_for=info.whole("FreshFor", 0), advice=advice,
-        advice_heard_for=info.whole("HeardFor", 0), backoff_relayed=limits.flag("RetryAfter", False),
+        over_share_worth=top.number("OverShareWorth", 1.0),
+        below=below,
+        fair_calls=info.number("FairCalls", shared),
+        calls_over=info.whole("CallsOver", shared),
+        lingers=info.whole("Lingers", 0),
+        fresh_for=info.whole("FreshFor", 0),
+        advice=advice,
+        advice_heard_for=info.whole("HeardFor", 0),
+        backoff_relayed=limits.flag("RetryAfter", False),
         max_backoff=limits.whole("MaxRetryAfter", 0),
-        preemption=info.choice("Preemption", PREEMPTION, "off"), readiness=info.flag("Readiness", False),
-        deep_checks=info.flag("DeepChecks", False), idle=info.whole("Idle", 0),
+        preemption=info.choice("Preemption", PREEMPTION, "off"),
+        readiness=info.flag("Readiness", False),
+        deep_checks=info.flag("DeepChecks", False),
+        idle=info.whole("Idle", 0),
         step=top.whole("Step", least=1),
     ), places
--- a/ochrehoist/store/ageing.py
+++ b/ochrehoist/store/ageing.py
@@ -53,26 +53,36 @@
     for which in BY_CLASS:  # what an older program kept lacks some
         if which in learned:
             most = FEW if which == "took" else float("inf")
-            out[which] = {name: [value, min(most, weight * fade)]
-                          for name, (value, weight) in learned[which].items()}
-    out["means"] = {name: [value, min(FEW, weight * fade)]
-                    for name, (value, weight) in learned["means"].items()}
+            out[which] = {
+                name: [value, min(most, weight * fade)] for name, (value, weight) in learned[which].items()
+            }
+    out["means"] = {
+        name: [value, min(FEW, weight * fade)] for name, (value, weight) in learned["means"].items()
+    }
     out["ran"] = {name: rate * fade for name, rate in learned["ran"].items()}
     for which in ("asked", "served"):
         out[which] = [[name, max(LEAST, count * fade)] for name, count in learned[which]]
     if "beats" in learned:  # else of an older program, with all tenants among the others
         out["beats"] = learned["beats"] + round(math.log(max(fade, FORGOTTEN)) / math.log(FADE))
-        out["tenants"] = [[name, max(LEAST, asked * fade), max(LEAST, served * fade)]
-                          for name, asked, served in learned["tenants"]]
+        out["tenants"] = [
+            [name, max(LEAST, asked * fade), max(LEAST, served * fade)]
+            for name, asked, served in learned["tenants"]
+        ]
     out["heard"] = [[caller, age + gone] for caller, age in learned["heard"] if age + gone < PATIENCE_LASTS]
     known = {caller for caller, _ in out["heard"]}
     out["left"] = [[caller, ages] for caller, ages in learned["left"] if caller in known]
-    out["patience"] = [[caller, lasts, rest - gone] for caller, lasts, rest in learned["patience"]
-                       if caller in known and rest > gone]
+    out["patience"] = [
+        [caller, lasts, rest - gone]
+        for caller, lasts, rest in learned["patience"]
+        if caller in known and rest > gone
+    ]
     cores, crowd, base, time, done = learned["curve"]
     out["sent"] = 0.0 if gone >= PATIENCE_LASTS else learned["sent"]
     # Time and finishes fade alike: the rates stay, and give way to new ones the sooner.
     fade = min(fade, FEW_S / max(FEW_S, sum(time)))
-    out["curve"] = [0, 0, base, [], []] if cold else \
-        [cores, crowd, base, [v * fade for v in time], [v * fade for v in done]]
+    out["curve"] = (
+        [0, 0, base, [], []]
+        if cold
+        else [cores, crowd, base, [v * fade for v in time], [v * fade for v in done]]
+    )
     return out
--- a/ochrehoist/store/backlog.py
+++ b/ochrehoist/store/backlog.py
@@ -153,8 +153,14 @@
 
     def end_of(self, key: bytes) -> Finished | None:
         """How a filing ended, where that is still on its way to the disk."""
-        return next((op.record for op in (*(self.under_way or ()), *self.waiting)
-                     if isinstance(op, End) and op.key == key), None)
+        return next(
+            (
+                op.record
+                for op in (*(self.under_way or ()), *self.waiting)
+                if isinstance(op, End) and op.key == key
+            ),
+            None,
+        )
 
     # ---- what goes to the disk
     def group(self, now: float) -> list[Op] | None:
--- a/ochrehoist/store/disk.py
+++ b/ochrehoist/store/disk.py
@@ -1,9 +1,9 @@
 """The store's files: one SQLite database, a marker, a witness and a lock. All here may wait for the disk.
 
-    state-N.db   begun and finished filings, and what else is kept by name; N is the format
-    store.json   made once: that the folder holds a store, and the longest window it has kept
-    witness      the number of the last durable commit, written after it and not synced
-    owner.lock   locked by the one process that writes, and its name
+state-N.db   begun and finished filings, and what else is kept by name; N is the format
+store.json   made once: that the folder holds a store, and the longest window it has kept
+witness      the number of the last durable commit, written after it and not synced
+owner.lock   locked by the one process that writes, and its name
 """
 
 import errno
@@ -181,16 +181,20 @@
     unreadable: str | None = None
 
     def seen(self, marker: bool, newer: str | None, witness: int | None) -> Seen:
-        counted = None if self.census is None else \
-            Census(self.census.number, self.counted.count, self.counted.digest)
+        counted = (
+            None
+            if self.census is None
+            else Census(self.census.number, self.counted.count, self.counted.digest)
+        )
         return Seen(marker, True, newer, self.unreadable, self.damaged, self.census, counted, witness)
 
 
 class Database:
     """One file. `vfs` names a file system that apsw knows, for tests that put their own under it."""
 
-    def __init__(self, path: Path, max_mb: float = 0, vfs: str | None = None,
-                 read_only: bool = False) -> None:
+    def __init__(
+        self, path: Path, max_mb: float = 0, vfs: str | None = None, read_only: bool = False
+    ) -> None:
         writing = apsw.SQLITE_OPEN_READWRITE | apsw.SQLITE_OPEN_CREATE
         flags = apsw.SQLITE_OPEN_READONLY if read_only else writing
         self.path, self.vfs, self.census, self.log_pages = path, vfs, Census(), 0
@@ -201,7 +205,8 @@
                 self.db.execute("PRAGMA locking_mode=EXCLUSIVE")
             if not read_only:
                 self.db.execute(
-                    "PRAGMA journal_mode=WAL; PRAGMA synchronous=FULL; PRAGMA wal_autocheckpoint=0")
+                    "PRAGMA journal_mode=WAL; PRAGMA synchronous=FULL; PRAGMA wal_autocheckpoint=0"
+                )
                 self.db.set_wal_hook(self._logged)
             self.db.execute("PRAGMA cell_size_check=ON; PRAGMA trusted_schema=OFF; PRAGMA mmap_size=0")
             if max_mb:
@@ -264,13 +269,15 @@
         replaced = [key for key, change in changes.items() if change.replaces]
         if replaced:
             known = f"({', '.join('?' * len(replaced))})"
-            for (old,) in self.db.execute(f"DELETE FROM begun WHERE key IN {known} RETURNING data",
-                                          replaced).fetchall():
+            for (old,) in self.db.execute(
+                f"DELETE FROM begun WHERE key IN {known} RETURNING data", replaced
+            ).fetchall():
                 self.census = self.census.changed(0, digest(old), -1)
             self.db.execute(f"DELETE FROM finished WHERE key IN {known}", replaced)
         self.put_begun([(key, pack(key, c.begun)) for key, c in changes.items() if c.begun is not None])
-        self.put_finished([(key, pack(key, c.finished)) for key, c in changes.items()
-                           if c.finished is not None])
+        self.put_finished(
+            [(key, pack(key, c.finished)) for key, c in changes.items() if c.finished is not None]
+        )
         for name, record in named.items():
             self._save(name, record)
 
@@ -284,9 +291,10 @@
 
     def _insert(self, into: str, rows: Sequence[tuple[bytes, bytes]]) -> None:
         for at in range(0, len(rows), AT_ONCE):
-            part = rows[at:at + AT_ONCE]
-            self.db.execute(f"{into} VALUES {', '.join(['(?, ?)'] * len(part))}",
-                            [value for row in part for value in row])
+            part = rows[at : at + AT_ONCE]
+            self.db.execute(
+                f"{into} VALUES {', '.join(['(?, ?)'] * len(part))}", [value for row in part for value in row]
+            )
 
     def _save(self, name: str, record: Any) -> None:
         self.db.execute("INSERT OR REPLACE INTO named VALUES (?, ?)", (name, pack(name.encode(), record)))
@@ -300,7 +308,8 @@
         try:
             sums, begun, ended = 0, out.begun.append, out.ended.append
             for key, data, end in self.db.execute(
-                    "SELECT b.key, b.data, f.key IS NOT NULL FROM begun b LEFT JOIN finished f USING (key)"):
+                "SELECT b.key, b.data, f.key IS NOT NULL FROM begun b LEFT JOIN finished f USING (key)"
+            ):
                 try:
                     begun(unpack(key, data, Begun))
                     ended(end)
@@ -355,8 +364,14 @@
             self.db.close(True)
 
 
-def fill(path: Path, number: int, begun: Iterable[Begun], finished: Iterable[tuple[bytes, bytes]],
-         named: dict[str, Any], vfs: str | None = None) -> None:
+def fill(
+    path: Path,
+    number: int,
+    begun: Iterable[Begun],
+    finished: Iterable[tuple[bytes, bytes]],
+    named: dict[str, Any],
+    vfs: str | None = None,
+) -> None:
     """A whole new store in one step: it is not there, or all of it is. Raises Failed."""
     new = path.with_name(path.name + NEW)
     for ending in ("", "-wal", "-shm"):
--- a/ochrehoist/store/journal.py
+++ b/ochrehoist/store/journal.py
@@ -44,8 +44,16 @@
 class Journal:
     """`replacing`: another process may still have the folder, and will let go of it."""
 
-    def __init__(self, loop: Loop, owner: Owner, config: StateConfig, name: str,
-                 codec: handover.DetailCodec, log: Any, replacing: bool) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        owner: Owner,
+        config: StateConfig,
+        name: str,
+        codec: handover.DetailCodec,
+        log: Any,
+        replacing: bool,
+    ) -> None:
         self.loop, self.owner, self.config, self.name = loop, owner, config, name
         self.codec, self.log, self.folder = codec, log, Path(config.folder)
         self.backlog = Backlog(config.commit_ms / 1000, config.stall_ms / 1000)
@@ -69,8 +77,10 @@
             if not replacing:
                 self.lock = Lock(self.folder, name)
         except Held as held:
-            raise BadInput(f"setting state.folder: {self.folder}: in use by {held}; stop that one first, or "
-                           "replace it: the same name and TMPDIR") from None
+            raise BadInput(
+                f"setting state.folder: {self.folder}: in use by {held}; stop that one first, or "
+                "replace it: the same name and TMPDIR"
+            ) from None
         except FileNotFoundError as error:
             raise BadInput(f"setting state.folder: {self.folder}: {error.strerror}") from None
         except Failed as missing:
@@ -147,8 +157,13 @@
         self.learned, lesson = opened.learned, None
         if opened.learned is not None and opened.learned.layout == handover.LEARNED:
             try:
-                lesson = aged(opened.learned.values, opened.learned.at, stamp_now(),
-                              int(self.config.learned_half_life_s * SECOND), self.owner.started_cold)
+                lesson = aged(
+                    opened.learned.values,
+                    opened.learned.at,
+                    stamp_now(),
+                    int(self.config.learned_half_life_s * SECOND),
+                    self.owner.started_cold,
+                )
             except (KeyError, TypeError, ValueError) as fault:
                 self.log.warning("what was learned can't be read", why=repr(fault))
         before = dict(self.owner.keys.runs)
@@ -161,8 +176,9 @@
                 self._add(Begin("", key_of(token), self._begun(token, run)))
             if run.result is not None and not (on_record and on_record.stored):
                 self.end(token, run, run.result)
-        self.log.info("the store is open", case=opened.case.value, filings=len(restored),
-                      stale=len(opened.stale))
+        self.log.info(
+            "the store is open", case=opened.case.value, filings=len(restored), stale=len(opened.stale)
+        )
         opened.stale = []
         if self.testifier is not None:
             self.testifier.opened([key_of(token) for token in {**restored, **before}])
@@ -265,9 +281,13 @@
     def _result(self, record: Finished | None) -> Result | None:
         with suppress(KeyError, TypeError, ValueError):
             if record is not None:
-                return Result(Outcome[record.outcome], record.body,
-                              self.codec.from_json(json.loads(record.detail)), record.detail_bytes,
-                              record.success)
+                return Result(
+                    Outcome[record.outcome],
+                    record.body,
+                    self.codec.from_json(json.loads(record.detail)),
+                    record.detail_bytes,
+                    record.success,
+                )
         return None
 
     # ---- to the disk and back
@@ -338,8 +358,11 @@
 
         def write() -> Any:
             # Off the loop, as there may be very many. What ends meanwhile is among what waits.
-            begun = [self._record(token, run, windows, clock, stamp) for token, run in runs
-                     if run.result is not None or run.dropped or run.id in live]
+            begun = [
+                self._record(token, run, windows, clock, stamp)
+                for token, run in runs
+                if run.result is not None or run.dropped or run.id in live
+            ]
             return rewrite(self.opened, self.config.max_mb, begun, loss, learned)
 
         self.backlog.rebuilding(now)
@@ -406,8 +429,12 @@
         if not self.released:
             self.save_learned()
             until = time.monotonic() + FLUSH
-            while len(self.backlog) and self.backlog.open and self.backlog.error is None \
-                    and time.monotonic() < until:
+            while (
+                len(self.backlog)
+                and self.backlog.open
+                and self.backlog.error is None
+                and time.monotonic() < until
+            ):
                 self._look()
                 self.thread.tell()
                 time.sleep(0.001)
@@ -419,31 +446,47 @@
     # ---- for operators
     def view(self) -> dict[str, Any]:
         now, hold = time.monotonic(), max(0, self.hold_until - self.owner.clock())
-        return {"folder": str(self.folder), "open": self.backlog.open, "bytes": self.bytes,
-                "refuses": self.backlog.refuses(now) or ("a loss" if hold else ""), "hold_s": hold // SECOND,
-                "trouble": self.trouble, "waiting": len(self.backlog), "commits": self.commits,
-                "operations": self.operations, "refused": self.refusals,
-                "last_commit_s": None if self.committed_at is None else round(now - self.committed_at, 1),
-                "commit_ms": {name: round(self.latency.get_value_at_percentile(p) / 1000, 2)
-                              for name, p in (("p50", 50), ("p99", 99), ("max", 100))},
-                "losses": self.losses, "not_recorded": self.backlog.not_recorded,
-                "set_aside": [] if self.opened is None else self.opened.set_aside}
+        return {
+            "folder": str(self.folder),
+            "open": self.backlog.open,
+            "bytes": self.bytes,
+            "refuses": self.backlog.refuses(now) or ("a loss" if hold else ""),
+            "hold_s": hold // SECOND,
+            "trouble": self.trouble,
+            "waiting": len(self.backlog),
+            "commits": self.commits,
+            "operations": self.operations,
+            "refused": self.refusals,
+            "last_commit_s": None if self.committed_at is None else round(now - self.committed_at, 1),
+            "commit_ms": {
+                name: round(self.latency.get_value_at_percentile(p) / 1000, 2)
+                for name, p in (("p50", 50), ("p99", 99), ("max", 100))
+            },
+            "losses": self.losses,
+            "not_recorded": self.backlog.not_recorded,
+            "set_aside": [] if self.opened is None else self.opened.set_aside,
+        }
 
     def figures(self) -> str:
         """Lines in the exposition format, behind those of the core."""
         view = self.view()
         lines = []
         for name, kind, value in (
-                ("store_bytes", "gauge", view["bytes"]), ("store_waiting", "gauge", view["waiting"]),
-                ("store_open", "gauge", int(view["open"])),
-                ("store_refusing", "gauge", int(bool(view["refuses"]))),
-                ("store_commits_total", "counter", self.commits),
-                ("store_operations_total", "counter", self.operations),
-                ("store_losses_total", "counter", self.losses),
-                ("store_not_recorded_total", "counter", self.backlog.not_recorded)):
+            ("store_bytes", "gauge", view["bytes"]),
+            ("store_waiting", "gauge", view["waiting"]),
+            ("store_open", "gauge", int(view["open"])),
+            ("store_refusing", "gauge", int(bool(view["refuses"]))),
+            ("store_commits_total", "counter", self.commits),
+            ("store_operations_total", "counter", self.operations),
+            ("store_losses_total", "counter", self.losses),
+            ("store_not_recorded_total", "counter", self.backlog.not_recorded),
+        ):
             lines += [f"# TYPE app_{name} {kind}", f"app_{name} {value}"]
         lines.append("# TYPE app_store_commit_seconds summary")
-        lines += [f'app_store_commit_seconds{{quantile="{p / 100}"}} '
-                  f"{self.latency.get_value_at_percentile(p) / 1e6}" for p in (50, 90, 99, 99.9)]
+        lines += [
+            f'app_store_commit_seconds{{quantile="{p / 100}"}} '
+            f"{self.latency.get_value_at_percentile(p) / 1e6}"
+            for p in (50, 90, 99, 99.9)
+        ]
         lines.append(f"app_store_commit_seconds_count {self.latency.get_total_count()}")
         return "\n".join(lines) + "\n"
--- a/ochrehoist/store/opening.py
+++ b/ochrehoist/store/opening.py
@@ -128,8 +128,11 @@
         found, witness = disk.stores(folder), None
     present = FORMAT in found
     contents = _read(path) if present else Contents()
-    seen = contents.seen(marker is not None, unknown, witness) if present else \
-        Seen(marker is not None, False, unknown)
+    seen = (
+        contents.seen(marker is not None, unknown, witness)
+        if present
+        else Seen(marker is not None, False, unknown)
+    )
     verdict = judge(seen)
     if wrong:
         verdict = Verdict(Case.LOST, verdict.why + wrong, verdict.set_aside)
@@ -141,8 +144,9 @@
         if verdict.set_aside:
             aside.append(disk.set_aside(path, "damaged"))
         number = max(witness or 0, contents.census.number if contents.census else 0) + 1
-        disk.fill(path, number, contents.begun, results,
-                  {disk.LOSS: contents.loss, disk.LEARNED: contents.learned})
+        disk.fill(
+            path, number, contents.begun, results, {disk.LOSS: contents.loss, disk.LEARNED: contents.learned}
+        )
         contents = _read(path)
     elif verdict.case is Case.LOST:
         db = Database(path)
@@ -181,15 +185,21 @@
     results = _results(paths)
     if path.exists():
         disk.set_aside(path, "merged")
-    disk.fill(path, max(witness or 0, number) + 1, begun.values(), results, {
-        disk.LOSS: losses[-1] if losses else None, disk.LEARNED: lessons[-1] if lessons else None})
+    disk.fill(
+        path,
+        max(witness or 0, number) + 1,
+        begun.values(),
+        results,
+        {disk.LOSS: losses[-1] if losses else None, disk.LEARNED: lessons[-1] if lessons else None},
+    )
     for one in older:
         disk.set_aside(one, "taken")
     return why
 
 
-def rewrite(opened: Opened, max_mb: float, begun: list[Begun], loss: Loss | None,
-            learned: Learned | None) -> Database:
+def rewrite(
+    opened: Opened, max_mb: float, begun: list[Begun], loss: Loss | None, learned: Learned | None
+) -> Database:
     """Writes the store anew from what the worker knows; results come from the old one, as far as they are
     good."""
     path, number = opened.db.path, opened.db.census.number + 1
--- a/ochrehoist/store/tool.py
+++ b/ochrehoist/store/tool.py
@@ -59,17 +59,26 @@
         left = [remaining(r.at, r.left, r.window, now) for r in contents.begun]
         loss = contents.loss
         return {
-            "folder": str(folder), "store": disk.db_name(), "state": verdict.case.value, "why": verdict.why,
-            "held_by": holder(folder), "bytes": db.bytes, "filings": len(contents.begun),
-            "with_result": sum(contents.ended), "may_have_run": len(left) - sum(contents.ended),
+            "folder": str(folder),
+            "store": disk.db_name(),
+            "state": verdict.case.value,
+            "why": verdict.why,
+            "held_by": holder(folder),
+            "bytes": db.bytes,
+            "filings": len(contents.begun),
+            "with_result": sum(contents.ended),
+            "may_have_run": len(left) - sum(contents.ended),
             "over": sum(n <= 0 for n in left),
-            "longest_left_s": round(max(left, default=0) / 1e9, 1), "commit": contents.census and
-            contents.census.number, "witness": witness,
+            "longest_left_s": round(max(left, default=0) / 1e9, 1),
+            "commit": contents.census and contents.census.number,
+            "witness": witness,
             "learned": contents.learned is not None,
             "hold_s": 0 if loss is None else round(remaining(loss.at, loss.hold, loss.hold, now) / 1e9, 1),
             "loss": "" if loss is None else loss.why,
-            "set_aside": sorted(p.name for p in folder.iterdir()
-                                if p.name.startswith("state-") and ".db." in p.name)}
+            "set_aside": sorted(
+                p.name for p in folder.iterdir() if p.name.startswith("state-") and ".db." in p.name
+            ),
+        }
 
 
 def check(folder: Path) -> list[str]:
@@ -105,8 +114,10 @@
 
 
 def _moved(db: Database, contents: Contents, now: Stamp) -> Moved:
-    filings = [(r, db.fetch(key_of(r.token)) if ended else None)
-               for r, ended in zip(contents.begun, contents.ended, strict=True)]
+    filings = [
+        (r, db.fetch(key_of(r.token)) if ended else None)
+        for r, ended in zip(contents.begun, contents.ended, strict=True)
+    ]
     return Moved(now, filings, contents.learned, contents.loss)
 
 
@@ -117,8 +128,10 @@
         with reading(folder) as (db, contents, witness):
             verdict = judge(contents.seen(True, None, witness))
             if verdict.case is not Case.SOUND:
-                raise NoStore(f"{folder}: not sound: {'; '.join(verdict.why)}; start the worker on it first, "
-                              "which sets aside what is damaged")
+                raise NoStore(
+                    f"{folder}: not sound: {'; '.join(verdict.why)}; start the worker on it first, "
+                    "which sets aside what is damaged"
+                )
             return _moved(db, contents, now)
     finally:
         lock.release()
@@ -140,10 +153,17 @@
         both = merged(here, come or Moved(now, []), now)
         path = folder / disk.db_name()
         new = path.with_name(path.name + disk.ANEW)
-        disk.fill(new, number, [begun for begun, _ in both.filings],
-                  [(key_of(begun.token), pack(key_of(begun.token), end))
-                   for begun, end in both.filings if end is not None],
-                  {disk.LOSS: both.loss, disk.LEARNED: both.learned})
+        disk.fill(
+            new,
+            number,
+            [begun for begun, _ in both.filings],
+            [
+                (key_of(begun.token), pack(key_of(begun.token), end))
+                for begun, end in both.filings
+                if end is not None
+            ],
+            {disk.LOSS: both.loss, disk.LEARNED: both.learned},
+        )
         for ending in ("-wal", "-shm"):
             with suppress(FileNotFoundError):
                 path.with_name(path.name + ending).unlink()
@@ -152,4 +172,3 @@
         return len(here.filings), len(both.filings)
     finally:
         lock.release()
-
