--- a/ochrehoist/store/transfer.py
+++ b/ochrehoist/store/transfer.py
@@ -93,8 +93,9 @@
                 moved.learned = Learned(part.at, part.values, part.layout)
             else:
                 if part.filings != len(moved.filings):
-                    raise Unusable(f"line {number}: {part.filings} filings were exported, "
-                                   f"{len(moved.filings)} are here")
+                    raise Unusable(
+                        f"line {number}: {part.filings} filings were exported, {len(moved.filings)} are here"
+                    )
                 return moved
         except (msgspec.MsgspecError, ValueError) as error:
             raise Unusable(f"line {number}: {error}") from None
@@ -133,6 +134,7 @@
     A loss on either side is one of both: the longer hold counts. What was learned here stays, if there is
     any.
     """
+
     def lasts(begun: Begun) -> int:
         return remaining(begun.at, begun.left, begun.window, now)
 
--- a/ochrehoist/wirehost.py
+++ b/ochrehoist/wirehost.py
@@ -12,9 +12,14 @@
 from ochrehoist.settings import BadInput, read_settings
 
 OUTCOMES = {
-    "Ok": i.Outcome.OK, "Failed": i.Outcome.FAILED, "QueueFull": i.Outcome.FULL,
-    "TimedOut": i.Outcome.TIMED_OUT, "ConnectError": i.Outcome.UNREACHABLE, "ResetByPeer": i.Outcome.RESET,
-    "Canceled": i.Outcome.CANCELLED, "Ignored": i.Outcome.MOOT,
+    "Ok": i.Outcome.OK,
+    "Failed": i.Outcome.FAILED,
+    "QueueFull": i.Outcome.FULL,
+    "TimedOut": i.Outcome.TIMED_OUT,
+    "ConnectError": i.Outcome.UNREACHABLE,
+    "ResetByPeer": i.Outcome.RESET,
+    "Canceled": i.Outcome.CANCELLED,
+    "Ignored": i.Outcome.MOOT,
 }
 
 # ---- events
@@ -83,12 +88,23 @@
     size, rank, bits = f.number("SizeKb"), f.number("Place", True) or 0.0, f.whole("Bitmap", True) or 0
     caller, unread = f.whole("SrcPeer", True) or 0, f.whole("UnreadFor", True) or 0
     original = f.text("Original", absent=True)
-    return f.end(i.Request(
-        id=job, kind=kinds[kind], tenant=tenants.get(tenant), key=key, remaining=remaining or None,
-        work=work if bits & 1 and work else None, memory_kb=size, rank=rank, retry=bool(bits & 2),
-        write=bool(bits & 4), caller=caller, unread_for=unread,
-        original=None if original == "0" else original,
-    ))
+    return f.end(
+        i.Request(
+            id=job,
+            kind=kinds[kind],
+            tenant=tenants.get(tenant),
+            key=key,
+            remaining=remaining or None,
+            work=work if bits & 1 and work else None,
+            memory_kb=size,
+            rank=rank,
+            retry=bool(bits & 2),
+            write=bool(bits & 4),
+            caller=caller,
+            unread_for=unread,
+            original=None if original == "0" else original,
+        )
+    )
 
 
 def _ended(f, event):
--- a/ochrehoist/worker.py
+++ b/ochrehoist/worker.py
@@ -47,8 +47,15 @@
         self.log = start_log(self.sink).bind(name=config.name)
         self.loop = loop = Loop(self.log)
         self.owner = owner = Owner(
-            config.settings, config.seed, Signal(loop), steady_clock(), time.time_ns, self.log,
-            int(config.memory_mb * 1e6 * RESULT_SHARE), lambda: self.gauge_source.measure())
+            config.settings,
+            config.seed,
+            Signal(loop),
+            steady_clock(),
+            time.time_ns,
+            self.log,
+            int(config.memory_mb * 1e6 * RESULT_SHARE),
+            lambda: self.gauge_source.measure(),
+        )
         self.inherited = predecessors_sockets(config.link) if config.link else None
         self.members: Members | None = None
         self.successors: Successors | None = None
@@ -76,11 +83,14 @@
             if most < 1:
                 raise BadInput(f"setting limits.sockets: too few: {config.sockets}")
             room -= most
-            front = AjpFront(loop, owner, servers, config.ajp, most, body_bytes, self.log,
-                             inherited(config.ajp.listen))
+            front = AjpFront(
+                loop, owner, servers, config.ajp, most, body_bytes, self.log, inherited(config.ajp.listen)
+            )
             self.fronts.append(front)
-            parts += [switch_only(lambda new, _: servers.configure(new.ajp)),
-                      lambda new, _: front.prepare(new.ajp, new.settings)]
+            parts += [
+                switch_only(lambda new, _: servers.configure(new.ajp)),
+                lambda new, _: front.prepare(new.ajp, new.settings),
+            ]
         if config.listen:
             kernel = Kernel(loop, owner, config.kernel, config.gauges, self.log)
             self.gauge_source = self.kernel = kernel
@@ -102,15 +112,29 @@
         owner.listeners += self.fronts
         self.listeners: list = list(self.fronts)
         if config.agent:
-            self.listeners.append(agent.AgentCheck(loop, owner, config.agent, self.log,
-                                                   inherited(config.agent)))
+            self.listeners.append(
+                agent.AgentCheck(loop, owner, config.agent, self.log, inherited(config.agent))
+            )
         if config.admin:
-            self.listeners.append(Operators(loop, config.admin, self._with_orders({
-                "/status": {"GET": self.status}, "/status/metrics": {"GET": self.metrics},
-                "/standby": {"POST": lambda: self.standby(True)},
-                "/active": {"POST": lambda: self.standby(False)}}), self.log, inherited(config.admin)))
-        self.handed = {p.listening.address for p in self.listeners
-                       if p.listening.sock in (self.inherited or {}).values()}
+            self.listeners.append(
+                Operators(
+                    loop,
+                    config.admin,
+                    self._with_orders(
+                        {
+                            "/status": {"GET": self.status},
+                            "/status/metrics": {"GET": self.metrics},
+                            "/standby": {"POST": lambda: self.standby(True)},
+                            "/active": {"POST": lambda: self.standby(False)},
+                        }
+                    ),
+                    self.log,
+                    inherited(config.admin),
+                )
+            )
+        self.handed = {
+            p.listening.address for p in self.listeners if p.listening.sock in (self.inherited or {}).values()
+        }
         for address, sock in (self.inherited or {}).items():
             if address not in self.handed:
                 sock.close()  # of no use here: what waits in its queue is for the process that listens there
@@ -122,7 +146,8 @@
             from ochrehoist.store.journal import Journal
 
             self.journal = owner.filings.journal = Journal(
-                loop, owner, config.state, config.name, ReplyCodec(), self.log, self.inherited is not None)
+                loop, owner, config.state, config.name, ReplyCodec(), self.log, self.inherited is not None
+            )
         self.capture: Any = None
         if config.capture:
             from ochrehoist.capture.taker import Capture
@@ -135,8 +160,9 @@
             from ochrehoist.net.selfmeasure import SelfMeasure
 
             self.measures = SelfMeasure(loop, owner, config.overload, config.memory_mb, self.fronts, self.log)
-            parts.append(switch_only(
-                lambda new, tenants: self.measures.configure(new.settings, new.overload, tenants)))
+            parts.append(
+                switch_only(lambda new, tenants: self.measures.configure(new.settings, new.overload, tenants))
+            )
         self.peers: Any = None
         if config.peers:
             from ochrehoist.net.peers import Peers
@@ -163,7 +189,8 @@
             self._take_up(config.link)
         if self.kernel:
             self.kernel.shared = lambda: bool(
-                owner.forwarder or (self.predecessor and self.predecessor.present))
+                owner.forwarder or (self.predecessor and self.predecessor.present)
+            )
         self.started = time.monotonic()
         self.serving = False  # clients are taken
 
@@ -198,20 +225,32 @@
         if self.measures:
             self.measures.close()
         f = self.owner.figures
-        self.log.info("ended", served=f.total("answered_total"), refused=f.total("deferred_total"),
-                      failed=f.total("errored_total"))
+        self.log.info(
+            "ended",
+            served=f.total("answered_total"),
+            refused=f.total("deferred_total"),
+            failed=f.total("errored_total"),
+        )
         return 0
 
     # ---- what operators call
     def status(self) -> Answer:
         o, f = self.owner, self.owner.figures
-        values = {"name": self.config.name, "state": o.state,
-                  "up_s": round(time.monotonic() - self.started, 1), "in_hand": o.owed,
-                  "running": sum(r.started for r in o.live.values()), "served": f.total("answered_total"),
-                  "refused": f.total("deferred_total"), "failed": f.total("errored_total"),
-                  "keys": len(o.keys.runs), "result_bytes": o.keys.bytes, "log_dropped": self.sink.dropped,
-                  "connections": {type(f).__name__: len(f.connections) for f in self.fronts},
-                  "configuration": self.reloading.view()}
+        values = {
+            "name": self.config.name,
+            "state": o.state,
+            "up_s": round(time.monotonic() - self.started, 1),
+            "in_hand": o.owed,
+            "running": sum(r.started for r in o.live.values()),
+            "served": f.total("answered_total"),
+            "refused": f.total("deferred_total"),
+            "failed": f.total("errored_total"),
+            "keys": len(o.keys.runs),
+            "result_bytes": o.keys.bytes,
+            "log_dropped": self.sink.dropped,
+            "connections": {type(f).__name__: len(f.connections) for f in self.fronts},
+            "configuration": self.reloading.view(),
+        }
         if self.journal:
             values["store"] = self.journal.view()
         if self.capture:
@@ -232,8 +271,11 @@
     def metrics(self) -> Answer:
         text = self.owner.figures.text(self.owner.current)
         conf = self.config.ajp and self.reloading  # the platform's worker keeps to the fixed names
-        text += "".join(part.figures() for part in (conf, self.journal, self.measures, self.peers, self.sites,
-                                                       self.recovery) if part)
+        text += "".join(
+            part.figures()
+            for part in (conf, self.journal, self.measures, self.peers, self.sites, self.recovery)
+            if part
+        )
         return Answer(HTTPStatus.OK, text.encode(), CONTENT_TYPE)
 
     def _with_orders(self, calls: dict[str, Any]) -> dict[str, Any]:
@@ -241,8 +283,12 @@
         if self.config.recovery:
             from ochrehoist.recovery.stages import STAGES
 
-            calls |= {f"/recovery/skip/{stage}": {"POST": lambda stage=stage: said(
-                {"said": self.recovery.skip(stage)})} for stage in STAGES}
+            calls |= {
+                f"/recovery/skip/{stage}": {
+                    "POST": lambda stage=stage: said({"said": self.recovery.skip(stage)})
+                }
+                for stage in STAGES
+            }
         if not self.config.sites:
             return calls
         from ochrehoist.net.sites import Calls
@@ -257,13 +303,21 @@
     def _take_up(self, path: str) -> None:
         """Finds out whether another process serves, and prepares to replace it, and to be replaced."""
         codec = ReplyCodec()
-        self.successors = Successors(self.loop, self.owner, path, codec, self._sockets, self._replaced,
-                                     self.log)
+        self.successors = Successors(
+            self.loop, self.owner, path, codec, self._sockets, self._replaced, self.log
+        )
         if self.inherited is None:
             return
         self.predecessor = Predecessor(
-            self.loop, self.owner, path, codec, lambda: [p.listening.address for p in self.listeners],
-            self._took_over, self._make_way, self.log)
+            self.loop,
+            self.owner,
+            path,
+            codec,
+            lambda: [p.listening.address for p in self.listeners],
+            self._took_over,
+            self._make_way,
+            self.log,
+        )
         self.tasks.append(self.predecessor.run)
 
     def _took_over(self) -> None:
--- a/tests/fault_disk.py
+++ b/tests/fault_disk.py
@@ -56,9 +56,9 @@
                 offset, new = write
                 for at in range(0, len(new), SECTOR):
                     if source.random() < 0.8:
-                        piece = new[at:at + SECTOR]
+                        piece = new[at : at + SECTOR]
                         data.extend(bytes(max(0, offset + at + len(piece) - len(data))))
-                        data[offset + at:offset + at + len(piece)] = piece
+                        data[offset + at : offset + at + len(piece)] = piece
             out[path] = bytes(data)
         return out
 
--- a/tests/filing_clerk.py
+++ b/tests/filing_clerk.py
@@ -73,8 +73,9 @@
                 if at is not program or client is None:
                     client, at = program.ajp(), program
                 ran_before = self.office.runs[body] > 0
-                status, _, data = client.call("POST", "/filings", {
-                    "Idempotency-Key": body.decode(), "X-Tenant": "acme"}, body)
+                status, _, data = client.call(
+                    "POST", "/filings", {"Idempotency-Key": body.decode(), "X-Tenant": "acme"}, body
+                )
             except (OSError, EOFError, AssertionError):
                 client = None
                 self.todo.put((body, tries + 1))
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -9,8 +9,18 @@
 
 
 def request_class(**changes):
-    base = i.RequestClass(name="read", aim=2 * S, deadline=5 * S, worth=1.0, late_worth=0.0,
-                          repeat=i.Repeat.SAFE, window=0, aim_stretch=0.0, calls=False, skip_worth=0.0)
+    base = i.RequestClass(
+        name="read",
+        aim=2 * S,
+        deadline=5 * S,
+        worth=1.0,
+        late_worth=0.0,
+        repeat=i.Repeat.SAFE,
+        window=0,
+        aim_stretch=0.0,
+        calls=False,
+        skip_worth=0.0,
+    )
     return dataclasses.replace(base, **changes)
 
 
@@ -24,14 +34,44 @@
 
 def settings(**changes):
     base = i.Settings(
-        classes=CLASSES, tenants=(), goal=i.Goal(0.6, 0.2, 0.2, 0.0), prices={}, fleet_size=10, tier=0,
-        callers=3, cores=4, memory_kb=20_000.0, run_factor=4.0, key_kb=50.0, just_started=False, cold=10 * S,
-        cold_from=0.25, tip_multiple=5.0, fall=2 * S, drain_grace=2 * S, answer_grace=100 * MS,
+        classes=CLASSES,
+        tenants=(),
+        goal=i.Goal(0.6, 0.2, 0.2, 0.0),
+        prices={},
+        fleet_size=10,
+        tier=0,
+        callers=3,
+        cores=4,
+        memory_kb=20_000.0,
+        run_factor=4.0,
+        key_kb=50.0,
+        just_started=False,
+        cold=10 * S,
+        cold_from=0.25,
+        tip_multiple=5.0,
+        fall=2 * S,
+        drain_grace=2 * S,
+        answer_grace=100 * MS,
         passes_deadline=True,
-        tells_gone=False, marks_retry=True, worth_by_work=False, over_share_worth=0.1, below=i.Below.NOTHING,
-        fair_calls=0.0, calls_over=0, lingers=0, fresh_for=0, advice=i.Advice.NONE, advice_heard_for=S,
-        backoff_relayed=True, max_backoff=S, preemption=i.Preemption.NONE, readiness=False, deep_checks=False,
-        idle=15 * S, step=4 * MS)
+        tells_gone=False,
+        marks_retry=True,
+        worth_by_work=False,
+        over_share_worth=0.1,
+        below=i.Below.NOTHING,
+        fair_calls=0.0,
+        calls_over=0,
+        lingers=0,
+        fresh_for=0,
+        advice=i.Advice.NONE,
+        advice_heard_for=S,
+        backoff_relayed=True,
+        max_backoff=S,
+        preemption=i.Preemption.NONE,
+        readiness=False,
+        deep_checks=False,
+        idle=15 * S,
+        step=4 * MS,
+    )
     return dataclasses.replace(base, **changes)
 
 
@@ -51,9 +91,21 @@
 
     def request(self, kind=0, remaining=3 * S, **changes):
         self.count += 1
-        base = i.Request(id=f"r{self.count}", kind=kind, tenant=None, key=None, remaining=remaining,
-                         work=None, memory_kb=30.0, rank=0.5, retry=False, write=False,
-                         caller=1, unread_for=10 * MS, original=None)
+        base = i.Request(
+            id=f"r{self.count}",
+            kind=kind,
+            tenant=None,
+            key=None,
+            remaining=remaining,
+            work=None,
+            memory_kb=30.0,
+            rank=0.5,
+            retry=False,
+            write=False,
+            caller=1,
+            unread_for=10 * MS,
+            original=None,
+        )
         event = dataclasses.replace(base, **changes)
         self.arrived[event.id] = self.now - event.unread_for
         return event.id, self.send(event)
--- a/tests/machine.py
+++ b/tests/machine.py
@@ -56,7 +56,7 @@
             if m["cmd"] == "OPEN":
                 self.out = sock
                 self._say(cmd="BOOTED", result="WARM", elapsed_ms=5000)
-                for notice in self.notices[m["offset"]:]:
+                for notice in self.notices[m["offset"] :]:
                     self._say(**notice)
                 self.opened.put(m["offset"])
             elif m["cmd"] == "SYSINFO":
@@ -81,9 +81,16 @@
             while not self.ended:
                 while self.wake and self.wake[0][0] <= time.monotonic():
                     _, rid, body = heapq.heappop(self.wake)
-                    self.notices.append({"cmd": "REAP", "offset": len(self.notices) + 1, "req": rid,
-                                         "result": "OK", "elapsed_ms": 10,
-                                         "payload": base64.b64encode(b"made of " + body).decode()})
+                    self.notices.append(
+                        {
+                            "cmd": "REAP",
+                            "offset": len(self.notices) + 1,
+                            "req": rid,
+                            "result": "OK",
+                            "elapsed_ms": 10,
+                            "payload": base64.b64encode(b"made of " + body).decode(),
+                        }
+                    )
                     self._say(**self.notices[-1])
                 self.lock.wait(self.wake[0][0] - time.monotonic() if self.wake else None)
 
@@ -92,4 +99,3 @@
             self.ended = True
             self.lock.notify()
         self.at.close()
-
--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -29,17 +29,39 @@
     """Settings whose callers wait long enough for a program to start between two steps of a test."""
     base = {
         "Classes": [
-            {"Name": "read", "Slo": 9_000 * MS, "Deadline": 18_000 * MS, "Gain": 1.0,
-             "Repeat": "idempotent"},
-            {"Name": "filing", "Slo": 9_000 * MS, "Deadline": 18_000 * MS, "Gain": 3.0,
-             "Repeat": "deduplicated", "Window": 20_000 * MS}],
-        "FamilyInfo": {"Cores": 2, "HeapKb": 90000.0, "RunFactor": 4.0, "KeyKb": 10.0, "Callers": 2,
-                       "TellsGone": True, "Idle": 30_000 * MS, "OwnStats": ["cpu_busy", "runnable"]},
-        "FleetSize": 2, "ResultMix": {"Whole": 1.0}, "Step": MS,
+            {"Name": "read", "Slo": 9_000 * MS, "Deadline": 18_000 * MS, "Gain": 1.0, "Repeat": "idempotent"},
+            {
+                "Name": "filing",
+                "Slo": 9_000 * MS,
+                "Deadline": 18_000 * MS,
+                "Gain": 3.0,
+                "Repeat": "deduplicated",
+                "Window": 20_000 * MS,
+            },
+        ],
+        "FamilyInfo": {
+            "Cores": 2,
+            "HeapKb": 90000.0,
+            "RunFactor": 4.0,
+            "KeyKb": 10.0,
+            "Callers": 2,
+            "TellsGone": True,
+            "Idle": 30_000 * MS,
+            "OwnStats": ["cpu_busy", "runnable"],
+        },
+        "FleetSize": 2,
+        "ResultMix": {"Whole": 1.0},
+        "Step": MS,
         "PolicyLimits": {"RetryAfter": True, "MaxRetryAfter": 1000 * MS},
         "Tenants": [{"Name": "acme", "QuotaPerS": 100.0, "Fraction": 1.0}],
-        "Rules": {"Cold": 1000 * MS, "ColdFrom": 0.3, "DrainGrace": 300 * MS, "Fall": 1000 * MS,
-                  "GraceToAnswer": 80 * MS, "TipMultiple": 5.0},
+        "Rules": {
+            "Cold": 1000 * MS,
+            "ColdFrom": 0.3,
+            "DrainGrace": 300 * MS,
+            "Fall": 1000 * MS,
+            "GraceToAnswer": 80 * MS,
+            "TipMultiple": 5.0,
+        },
     }
     return base | changes
 
@@ -60,7 +82,7 @@
 
     def sendall(self, data):
         for n in range(len(data)):
-            self.sock.sendall(data[n:n + 1])
+            self.sock.sendall(data[n : n + 1])
 
     def __getattr__(self, name):
         return getattr(self.sock, name)
@@ -151,7 +173,7 @@
                 with self.lock:
                     self.out, self.silent = sock, False
                     self._say(cmd="BOOTED", result="WARM", elapsed_ms=5000)
-                    for notice in self.notices[max(self.forgotten, m["offset"]):]:
+                    for notice in self.notices[max(self.forgotten, m["offset"]) :]:
                         self._say(**notice)
                 self.opened.put(m["offset"])
             elif m["cmd"] == "SYSINFO":
@@ -181,8 +203,9 @@
             self._say(cmd="EINVAL", result="SCHED", req=rid)
 
     def reap(self, rid, end="OK", body=b"", say=True):
-        self.notice(say, cmd="REAP", req=rid, result=end, elapsed_ms=20,
-                    payload=base64.b64encode(body).decode())
+        self.notice(
+            say, cmd="REAP", req=rid, result=end, elapsed_ms=20, payload=base64.b64encode(body).decode()
+        )
 
     def notice(self, say=True, **notice):
         with self.lock:
@@ -292,12 +315,22 @@
 
     def invoke(self, method="read", body=b"", drop=(), **fields):
         Thrift.count += 1
-        values = {"method": method, "rid": f"{Thrift.count:016x}", "t0": str(time.time_ns() // MS),
-                  "peer": "1", "acct": "acme", "est": "20.0", "mem": "20.0", "prio": "0.5"} | fields
+        values = {
+            "method": method,
+            "rid": f"{Thrift.count:016x}",
+            "t0": str(time.time_ns() // MS),
+            "peer": "1",
+            "acct": "acme",
+            "est": "20.0",
+            "mem": "20.0",
+            "prio": "0.5",
+        } | fields
         values = {k: v for k, v in values.items() if k not in drop}
         packed = b"".join(text(k) + text(v) for k, v in values.items())
-        return self.send("invoke", b"\x0d\0\1\x0b\x0b" + struct.pack(">i", len(values)) + packed
-                         + b"\x0b\0\2" + text(body) + b"\0")
+        return self.send(
+            "invoke",
+            b"\x0d\0\1\x0b\x0b" + struct.pack(">i", len(values)) + packed + b"\x0b\0\2" + text(body) + b"\0",
+        )
 
     def abort(self, seqid):
         self.send("abort", b"\x08\0\1" + struct.pack(">i", seqid) + b"\0", kind=4)
@@ -316,14 +349,14 @@
                 out[number], at = struct.unpack_from(">i", data, at)[0], at + 4
             elif kind == 11:
                 size = struct.unpack_from(">i", data, at)[0]
-                out[number], at = data[at + 4:at + 4 + size], at + 4 + size
+                out[number], at = data[at + 4 : at + 4 + size], at + 4 + size
             elif kind == 12:
                 out[number], at = self._struct(data, at)
             else:
                 count, at, strings = struct.unpack_from(">i", data, at + 2)[0], at + 6, []
                 for _ in range(2 * count):
                     size = struct.unpack_from(">i", data, at)[0]
-                    strings.append(data[at + 4:at + 4 + size].decode())
+                    strings.append(data[at + 4 : at + 4 + size].decode())
                     at += 4 + size
                 out[number] = dict(zip(strings[::2], strings[1::2], strict=True))
         return out, at + 1
@@ -350,11 +383,15 @@
             if data[3] == 3:
                 self.early[got] = ("Exception", {}, value[1])
             else:
-                (field, inner), = value.items()
+                ((field, inner),) = value.items()
                 self.good = inner.get(3)
-                self.early[got] = (("Answer", inner[2], inner[1]), ("Throttled", inner[1], b""),
-                                   ("Broken", inner[1], b""))[field] if field == 0 \
+                self.early[got] = (
+                    (("Answer", inner[2], inner[1]), ("Throttled", inner[1], b""), ("Broken", inner[1], b""))[
+                        field
+                    ]
+                    if field == 0
                     else (("Throttled", "Broken")[field - 1], inner[1], b"")
+                )
         return self.early[seqid]
 
     def call(self, *args, **fields):
@@ -390,8 +427,12 @@
 
     def forward(self, method="GET", uri="/reads/1", headers=(), length=None, secret=None):
         named = [(n, v) for n, v in dict(headers).items()]
-        out = b"\2" + bytes((self.codes[method],)) + b"".join(
-            ajp_text(t) for t in ("HTTP/1.1", uri, "127.0.0.1", "client", "site")) + struct.pack(">HB", 80, 0)
+        out = (
+            b"\2"
+            + bytes((self.codes[method],))
+            + b"".join(ajp_text(t) for t in ("HTTP/1.1", uri, "127.0.0.1", "client", "site"))
+            + struct.pack(">HB", 80, 0)
+        )
         out += struct.pack(">H", len(named) + (length is not None))
         out += b"".join(ajp_text(n) + ajp_text(v) for n, v in named)
         if length is not None:
@@ -438,11 +479,11 @@
                             pair.append(size)
                             at += 2
                         else:
-                            pair.append(m[at + 2:at + 2 + size].decode())
+                            pair.append(m[at + 2 : at + 2 + size].decode())
                             at += size + 3
                     headers[pair[0]] = pair[1]
             elif m[0] == 3:
-                body += m[3:3 + struct.unpack_from(">H", m, 1)[0]]
+                body += m[3 : 3 + struct.unpack_from(">H", m, 1)[0]]
             else:
                 assert m[0] == 5
                 self.reuse = bool(m[1])
@@ -475,7 +516,7 @@
                 sock.sendall(ajp_packet(b"AB", b"\x09"))
                 continue
             body, at = b"", packet.find(b"\xa0\x08")
-            length = int(packet[at + 4:packet.index(b"\0", at + 4)]) if at >= 0 else 0
+            length = int(packet[at + 4 : packet.index(b"\0", at + 4)]) if at >= 0 else 0
             chunked = b"chunked" in packet
             first = True
             while len(body) < length or chunked:
@@ -488,12 +529,21 @@
             done = threading.Event()
 
             def respond(status=200, data=b"", done=done, sock=sock):
-                head = struct.pack(">BH", 4, status) + ajp_text("Fine") + struct.pack(">H", 1) \
-                    + ajp_text("X-Made-By") + ajp_text("server")
-                parts = [data[n:n + 8000] for n in range(0, len(data), 8000)]
-                sock.sendall(ajp_packet(b"AB", head) + b"".join(
-                    ajp_packet(b"AB", b"\3" + struct.pack(">H", len(p)) + p + b"\0") for p in parts)
-                    + ajp_packet(b"AB", b"\5\1"))
+                head = (
+                    struct.pack(">BH", 4, status)
+                    + ajp_text("Fine")
+                    + struct.pack(">H", 1)
+                    + ajp_text("X-Made-By")
+                    + ajp_text("server")
+                )
+                parts = [data[n : n + 8000] for n in range(0, len(data), 8000)]
+                sock.sendall(
+                    ajp_packet(b"AB", head)
+                    + b"".join(
+                        ajp_packet(b"AB", b"\3" + struct.pack(">H", len(p)) + p + b"\0") for p in parts
+                    )
+                    + ajp_packet(b"AB", b"\5\1")
+                )
                 done.set()
 
             def cut(done=done):
@@ -509,18 +559,48 @@
 
 
 def run(*arguments, env=None):
-    return subprocess.run([sys.executable, "-m", "ochrehoist", *arguments], cwd=ROOT, env=env,
-                          capture_output=True, text=True, timeout=PATIENCE)
+    return subprocess.run(
+        [sys.executable, "-m", "ochrehoist", *arguments],
+        cwd=ROOT,
+        env=env,
+        capture_output=True,
+        text=True,
+        timeout=PATIENCE,
+    )
 
 
 class Program:
     """python -m ochrehoist, with stand-ins behind it; fronts are on as asked for."""
 
-    def __init__(self, thrift=True, ajp=False, site=None, stop_ms=2500, sockets=256, secret=None, fault=None,
-                 stall_log=False, boot=True, passed=False, before=None, appliance=None, inherits=None,
-                 kernel=None, state=None, server=None, root=ROOT, capture=None, overload=None,
-                 peers=None, sites=None, recovery=None, name="n1", listen="127.0.0.1:0", members=None,
-                 **more):
+    def __init__(
+        self,
+        thrift=True,
+        ajp=False,
+        site=None,
+        stop_ms=2500,
+        sockets=256,
+        secret=None,
+        fault=None,
+        stall_log=False,
+        boot=True,
+        passed=False,
+        before=None,
+        appliance=None,
+        inherits=None,
+        kernel=None,
+        state=None,
+        server=None,
+        root=ROOT,
+        capture=None,
+        overload=None,
+        peers=None,
+        sites=None,
+        recovery=None,
+        name="n1",
+        listen="127.0.0.1:0",
+        members=None,
+        **more,
+    ):
         """With `before`, it is started beside that program to replace it. `passed`: its socket stays here.
 
         `inherits` is called in the new process before the program, as a parent that leaves signals changed.
@@ -536,17 +616,28 @@
         env["TMPDIR"] = self.folder.name
         if self.passed:
             env["EDGE_PASSED_SOCKET"] = str(self.passed.fileno())
-        front = {"listen": "127.0.0.1:0", "rules": [
-            {"uri": "/reads/*", "class": "read"},
-            {"uri": "/filings*", "methods": ["POST"], "class": "filing"}],
-            "servers": [{"address": self.server.address, "reply_ms": 15_000}], "body_s": 3.0} | more
+        front = {
+            "listen": "127.0.0.1:0",
+            "rules": [
+                {"uri": "/reads/*", "class": "read"},
+                {"uri": "/filings*", "methods": ["POST"], "class": "filing"},
+            ],
+            "servers": [{"address": self.server.address, "reply_ms": 15_000}],
+            "body_s": 3.0,
+        } | more
         if secret:
             front["secret"] = secret
         top = {"name": name, "stop_ms": stop_ms, "limits": limits, "admin": "127.0.0.1:0"}
         if ajp:
             whole = top | {"ajp": front, "console": {"agent_check": "127.0.0.1:0"}, "settings": site}
-            parts = ("state", state), ("capture", capture), ("overload", overload), ("peers", peers), \
-                ("sites", sites), ("recovery", recovery)
+            parts = (
+                ("state", state),
+                ("capture", capture),
+                ("overload", overload),
+                ("peers", peers),
+                ("sites", sites),
+                ("recovery", recovery),
+            )
             whole |= {k: v for k, v in parts if v is not None}
             env["OCHREHOIST_AJP"] = self.file("ajp.toml", appliance or toml_file(whole))
             self.appliance = whole
@@ -554,16 +645,26 @@
             env["OCHREHOIST_AJP"] = self.file("operators.toml", toml_file({"overload": overload}))
         if thrift:
             self.config = top | {
-                "listen": listen, "kernel": self.kernel.address, "members": self.members.address,
-                "seed": "8c1f30d27a5be964", "settings": site}
+                "listen": listen,
+                "kernel": self.kernel.address,
+                "members": self.members.address,
+                "seed": "8c1f30d27a5be964",
+                "settings": site,
+            }
             env["EDGE_CONFIG"] = self.file("config.json", json.dumps(self.config))
         if fault:  # run at the start of the interpreter, before the program itself
             self.file("sitecustomize.py", fault)
             env["PYTHONPATH"] = f"{self.folder.name}:{root}"
         self.env, self.lines, self.at = env, [], {}
-        self.process = subprocess.Popen([sys.executable, "-m", "ochrehoist"], cwd=root, env=env,
-                                        stderr=subprocess.PIPE, text=True, preexec_fn=inherits,
-                                        pass_fds=[self.passed.fileno()] if self.passed else [])
+        self.process = subprocess.Popen(
+            [sys.executable, "-m", "ochrehoist"],
+            cwd=root,
+            env=env,
+            stderr=subprocess.PIPE,
+            text=True,
+            preexec_fn=inherits,
+            pass_fds=[self.passed.fileno()] if self.passed else [],
+        )
         self.started = threading.Event()
         self.expected, self.stall_log = 1 + thrift + 2 * ajp + (peers is not None), stall_log
         self.reader = threading.Thread(target=self._read, daemon=True)
--- a/tests/test_ajp_front.py
+++ b/tests/test_ajp_front.py
@@ -52,11 +52,14 @@
             self.assertEqual(self.server.pings, number)  # and checked before it is used again
 
     def test_what_the_front_turns_away_itself(self):
-        for status, how in ((404, {"uri": "/none"}), (404, {"uri": "/filings", "method": "GET"}),
-                            (400, {"uri": "/filings", "method": "POST", "body": b"no key"}),
-                            (400, {"headers": {"X-Tenant": "who"}}),
-                            (400, {"headers": {"X-Tenant": b"\xff"}}),
-                            (413, {"method": "POST", "body": b"x" * (1 << 20 | 1)})):
+        for status, how in (
+            (404, {"uri": "/none"}),
+            (404, {"uri": "/filings", "method": "GET"}),
+            (400, {"uri": "/filings", "method": "POST", "body": b"no key"}),
+            (400, {"headers": {"X-Tenant": "who"}}),
+            (400, {"headers": {"X-Tenant": b"\xff"}}),
+            (413, {"method": "POST", "body": b"x" * (1 << 20 | 1)}),
+        ):
             with self.subTest(how=str(how)[:60]):
                 web = self.program.ajp()
                 self.assertEqual(web.call(**how)[0], status)
@@ -127,9 +130,14 @@
 
     def test_bad_packets_end_their_own_connection_only(self):
         good = self.program.ajp()
-        for data in (b"GET / HTTP/1.1\r\n", b"\x12\x34\xff\xff", ajp_packet(b"\x12\x34", b"\2\2\xff\xf0"),
-                     ajp_packet(b"\x12\x34", b"\2\xfe" + b"\0" * 40), ajp_packet(b"\x12\x34", b"\x63"),
-                     ajp_packet(b"\x12\x34", b"")):
+        for data in (
+            b"GET / HTTP/1.1\r\n",
+            b"\x12\x34\xff\xff",
+            ajp_packet(b"\x12\x34", b"\2\2\xff\xf0"),
+            ajp_packet(b"\x12\x34", b"\2\xfe" + b"\0" * 40),
+            ajp_packet(b"\x12\x34", b"\x63"),
+            ajp_packet(b"\x12\x34", b""),
+        ):
             bad = self.program.ajp()
             bad.sock.sendall(data)
             with self.assertRaises(EOFError):
--- a/tests/test_bad_clients.py
+++ b/tests/test_bad_clients.py
@@ -67,10 +67,10 @@
             self.assertEqual(keeper.ping()[0], "Answer")
             if spent > step / 10:  # a piece each tenth of a second
                 for sock, data in parts:
-                    sock.sendall(data[step * len(data) // 22:(step + 1) * len(data) // 22])
+                    sock.sendall(data[step * len(data) // 22 : (step + 1) * len(data) // 22])
                 step += 1
         for sock, data in parts:
-            sock.sendall(data[step * len(data) // 22:])
+            sock.sendall(data[step * len(data) // 22 :])
         self.kernel.reap(self.kernel.next()[0], body=b"came at last")
         self.assertEqual(slow.answer(1)[2], b"came at last")
         self.program.server.next()[2](data=b"came too")
@@ -94,8 +94,9 @@
         self.assertEqual(router.answer(open_)[2], b"filed")
         self.assertEqual(bad.call("filing", b"other", token="key")[0], "Broken")
         web = self.program.ajp()
-        self.assertEqual(web.call("POST", "/filings", {"Idempotency-Key": "key", "X-Tenant": "acme"},
-                                  b"other")[0], 422)
+        self.assertEqual(
+            web.call("POST", "/filings", {"Idempotency-Key": "key", "X-Tenant": "acme"}, b"other")[0], 422
+        )
         self.assertEqual(bad.call("filing", b"doc", token="key")[2], b"filed")
 
     def test_a_length_that_no_request_has_ends_its_connection_before_more_is_read(self):
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -31,21 +31,25 @@
     """Two claimants and one right, every order within the bounds. `make orders` takes wider ones."""
 
     def test_no_order_of_messages_doubles_a_right(self):
-        self.assertGreater(explore.explore(Bounds(voters=1, asks=1, gifts=1, kills=0, repeats=1, ticks=3)),
-        500)
+        self.assertGreater(
+            explore.explore(Bounds(voters=1, asks=1, gifts=1, kills=0, repeats=1, ticks=3)), 500
+        )
 
     def test_no_death_of_a_voter_or_holder_does(self):
-        self.assertGreater(explore.explore(Bounds(voters=1, asks=1, gifts=0, kills=1, repeats=0, ticks=3)),
-        200)
+        self.assertGreater(
+            explore.explore(Bounds(voters=1, asks=1, gifts=0, kills=1, repeats=0, ticks=3)), 200
+        )
 
     def test_no_two_majorities_do(self):
-        self.assertGreater(explore.explore(Bounds(voters=2, asks=1, gifts=0, kills=0, repeats=0, ticks=2)),
-        200)
+        self.assertGreater(
+            explore.explore(Bounds(voters=2, asks=1, gifts=0, kills=0, repeats=0, ticks=2)), 200
+        )
 
 
 def no_end(patch):
-    patch(Held, "until", lambda self, majority: float("inf") if len(self.votes) >= majority else
-    float("-inf"))
+    patch(
+        Held, "until", lambda self, majority: float("inf") if len(self.votes) >= majority else float("-inf")
+    )
 
 
 def half_is_enough(patch):
@@ -131,6 +135,7 @@
 
     def caught(self, defect):
         """By one of some storms, none of which breaks a rule without the defect."""
+
         def check():
             with self.assertRaises(virtual.Broken):
                 storms()
@@ -162,12 +167,27 @@
         self.doubled_by(voter_without_a_wait, [*HELD, "kill voter 0", *OTHERS])
 
     def test_a_word_for_a_claim_that_was_given_back(self):
-        self.doubled_by(old_words_count, ["ask 0", "take 0", "again 0", "gift 0", "take 1", "ask 1", "take 1",
-                                          "take 1", "ask 0", "take 0"])
+        self.doubled_by(
+            old_words_count,
+            [
+                "ask 0",
+                "take 0",
+                "again 0",
+                "gift 0",
+                "take 1",
+                "ask 1",
+                "take 1",
+                "take 1",
+                "ask 0",
+                "take 0",
+            ],
+        )
 
     def test_a_gift_of_a_life_before(self):
-        self.doubled_by(any_life_gives_back, [*HELD, "gift 0", "again 0", "kill holder 0", "ask 0", "take 1",
-                                              "take 1", "take 0", *OTHERS])
+        self.doubled_by(
+            any_life_gives_back,
+            [*HELD, "gift 0", "again 0", "kill holder 0", "ask 0", "take 1", "take 1", "take 0", *OTHERS],
+        )
 
     def test_suspicion_without_a_check_of_ones_own_lateness(self):
         def states():
@@ -193,12 +213,13 @@
     def test_the_same_holds_for_more_voters_than_two(self):
         b = Budget("x", 1, NAMES, lease_s=2.0, floor=0.0)
         voters, first, second = [Voter(b, -99.0) for _ in NAMES], Holder(b), Holder(b)
-        for holder, life, some in ((first, Life("a", 1, 1), voters[:2]), (second, Life("b", 1, 1),
-        voters[1:])):
+        for holder, life, some in (
+            (first, Life("a", 1, 1), voters[:2]),
+            (second, Life("b", 1, 1), voters[1:]),
+        ):
             holder.claim(0, 0.0)
             round_, due = holder.ask(0.0, 0.2)
             for n, voter in enumerate(voters):
                 if voter in some:
                     holder.vouched(NAMES[n], round_, voter.claimed(life, b.terms, round_, due, 0.0), 0.0)
         self.assertEqual((first.holds(0, 1.0), second.holds(0, 1.0)), (True, False))
-
--- a/tests/test_capture.py
+++ b/tests/test_capture.py
@@ -33,9 +33,23 @@
 
 
 def seen(n=0, **more):
-    values = {"at": n * MS, "cls": "read", "tenant": "acme", "front": "ajp", "subject": n % 7, "work": 5 * MS,
-              "caller": 1, "address": "127.0.0.1", "retry": False, "outcome": Outcome.SERVED, "unread": 0,
-              "waited": MS, "ran": 5 * MS, "running": 1, "held": 0} | more
+    values = {
+        "at": n * MS,
+        "cls": "read",
+        "tenant": "acme",
+        "front": "ajp",
+        "subject": n % 7,
+        "work": 5 * MS,
+        "caller": 1,
+        "address": "127.0.0.1",
+        "retry": False,
+        "outcome": Outcome.SERVED,
+        "unread": 0,
+        "waited": MS,
+        "ran": 5 * MS,
+        "running": 1,
+        "held": 0,
+    } | more
     return Seen(**values)
 
 
@@ -71,7 +85,7 @@
         at, out = HEADER, set()
         while at <= len(whole()):
             out.add(at)
-            at += 12 + int.from_bytes(whole()[at:at + 4] or b"\xff\xff", "big")
+            at += 12 + int.from_bytes(whole()[at : at + 4] or b"\xff\xff", "big")
         return out
 
     @settings(max_examples=300, deadline=None)
@@ -92,9 +106,13 @@
         self.assertEqual(damage.unknown, 1)
 
     def test_what_is_no_capture_is_named(self):
-        for data, why in ((b"", "not a capture"), (b"PNG" * 9, "not a capture"),
-                          (start()[:-1] + b"\x09", "version 9"), (start(), "nothing that is whole"),
-                          (start() + block([seen()]), "head is damaged")):
+        for data, why in (
+            (b"", "not a capture"),
+            (b"PNG" * 9, "not a capture"),
+            (start()[:-1] + b"\x09", "version 9"),
+            (start(), "nothing that is whole"),
+            (start() + block([seen()]), "head is damaged"),
+        ):
             with self.assertRaises(Unusable) as raised:
                 read_file(data, Capture(), 1)
             self.assertIn(why, str(raised.exception))
@@ -155,8 +173,9 @@
             each.request("GET", "/reads/1", {"X-Retry": "1"})
         ends = [each.answer()[0] for each in crowd]
         capture = self.ended(program)
-        reads, (ran, joined) = ([e.seen for e in capture.entries if e.seen.cls == name]
-                                for name in ("read", "filing"))
+        reads, (ran, joined) = (
+            [e.seen for e in capture.entries if e.seen.cls == name] for name in ("read", "filing")
+        )
         self.assertEqual((ran.outcome, joined.outcome, ran.tenant, ran.front), (0, 0, "acme", "ajp"))
         self.assertEqual(ran.subject, joined.subject)
         self.assertGreater(ran.ran, 0)
@@ -200,9 +219,11 @@
         path = self.folder / "a.toml"
         front = {"listen": "127.0.0.1:0", "rules": [], "servers": [{"address": "127.0.0.1:1"}]}
         top = {"name": "n1", "admin": "127.0.0.1:0", "ajp": front, "settings": site_settings()}
-        for capture, key in (({"folder": "/nowhere/at/all"}, "capture.folder"),
-                             ({"folder": "x", "sample": 0}, "capture.sample"),
-                             ({"folder": "x", "sampel": 1}, "capture.sampel")):
+        for capture, key in (
+            ({"folder": "/nowhere/at/all"}, "capture.folder"),
+            ({"folder": "x", "sample": 0}, "capture.sample"),
+            ({"folder": "x", "sampel": 1}, "capture.sampel"),
+        ):
             path.write_text(toml_file(top | {"capture": capture}))
             done = run("--config", str(path), "run")
             self.assertEqual((done.returncode, key in done.stderr), (2, True), done.stderr)
@@ -210,8 +231,10 @@
 
 class Platform(unittest.TestCase):
     def test_a_worker_without_a_capture_loads_nothing_of_it(self):
-        loaded = "import atexit, sys\natexit.register(lambda: print('{\"event\": \"loaded\", \"names\": \"'" \
-                 " + ' '.join(m for m in sys.modules) + '\"}', file=sys.stderr))"
+        loaded = (
+            'import atexit, sys\natexit.register(lambda: print(\'{"event": "loaded", "names": "\''
+            " + ' '.join(m for m in sys.modules) + '\"}', file=sys.stderr))"
+        )
         program = Program(fault=loaded)
         self.addCleanup(program.close)
         program.process.terminate()
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -26,7 +26,7 @@
 from ochrehoist.sites.order import MOST_TOLD, Order
 from ochrehoist.worker import Worker
 
-OPENS_ONCE = '''
+OPENS_ONCE = """
 import os, time
 from ochrehoist.store.journal import Journal
 opened = Journal._open
@@ -35,8 +35,8 @@
         time.sleep(0.005)
     return opened(self, longest)
 Journal._open = waits
-'''  # the disk does not answer as long as there is a file of this name
-RUNS_OUT = '''
+"""  # the disk does not answer as long as there is a file of this name
+RUNS_OUT = """
 from ochrehoist import config
 whole, failed = config.load_in_steps, []
 def runs_out(*arguments, before=None, **more):
@@ -47,7 +47,7 @@
         raise MemoryError
     return (yield from steps)
 config.load_in_steps = runs_out
-'''  # in the middle of the first reading after the start
+"""  # in the middle of the first reading after the start
 NAMES = st.lists(st.integers(0, 12), unique=True, max_size=12)
 
 
@@ -81,28 +81,40 @@
         table = at_once(changed(first(tenants(old)), tenants(new)))
         names = {f"t{n}" for n in used}
         got = at_once(compact(table, names))
-        self.assertEqual(got.places[:len(new)], tenants(new))
+        self.assertEqual(got.places[: len(new)], tenants(new))
         self.assertEqual(set(got.gone), {f"t{n}" for n in set(old) - set(new)} & names)
         for name, position in (got.at | got.gone).items():
             self.assertEqual(got.places[position].name, name)
 
     def test_it_is_crowded_once_more_than_the_spare_places_and_a_tenth_are_of_the_gone(self):
-        for stay, gone, crowded in ((0, SPARE, False), (0, SPARE + 1, True), (20 * SPARE, 2 * SPARE, False),
-                                    (20 * SPARE, 3 * SPARE, True)):
+        for stay, gone, crowded in (
+            (0, SPARE, False),
+            (0, SPARE + 1, True),
+            (20 * SPARE, 2 * SPARE, False),
+            (20 * SPARE, 3 * SPARE, True),
+        ):
             table = at_once(changed(first(tenants(range(stay + gone))), tenants(range(stay))))
             self.assertEqual(table.crowded, crowded, (stay, gone))
 
 
 def appliance(folder, numbers, routes, quota=1.0, peers=None, **changes):
     """A configuration with so many tenants and routes."""
-    site = settings(Tenants=[{"Name": f"t{n}", "QuotaPerS": quota, "Fraction": 0.1} for n in numbers],
-                    **changes)
+    site = settings(
+        Tenants=[{"Name": f"t{n}", "QuotaPerS": quota, "Fraction": 0.1} for n in numbers], **changes
+    )
     rules = [{"uri": f"/r{n}/*", "class": "read"} for n in range(routes)]
     path = Path(folder, "ajp.toml")
-    path.write_text(toml_file({
-        "name": "n1", "settings": site, "overload": {},
-        "ajp": {"listen": "127.0.0.1:0", "rules": rules, "servers": [{"address": "127.0.0.1:9"}]}}
-        | ({"peers": peers} if peers else {})))
+    path.write_text(
+        toml_file(
+            {
+                "name": "n1",
+                "settings": site,
+                "overload": {},
+                "ajp": {"listen": "127.0.0.1:0", "rules": rules, "servers": [{"address": "127.0.0.1:9"}]},
+            }
+            | ({"peers": peers} if peers else {})
+        )
+    )
     return str(path)
 
 
@@ -137,6 +149,7 @@
                 return call()
             finally:
                 sys.settrace(before)
+
         while True:
             try:
                 counted(lambda: next(steps))
@@ -165,8 +178,9 @@
         return worker
 
     def test_one_tenant_changed_costs_the_loop_as_much_whatever_the_number_of_others(self):
-        worker = self.flat(lambda folder, count, routes: appliance(
-            folder, [n for n in range(count + 1) if n != 1], routes))
+        worker = self.flat(
+            lambda folder, count, routes: appliance(folder, [n for n in range(count + 1) if n != 1], routes)
+        )
         table = worker.owner.tenants
         self.assertEqual((table.position("t20000"), table.gone), (20_000, {"t1": 1}))
         self.assertEqual(len(worker.owner.controller.s.tenants), 20_001)
@@ -192,9 +206,15 @@
         self.addCleanup(folder.cleanup)
 
         def written(numbers, budgets):
-            peers = {"listen": "127.0.0.1:0", "group": "g", "secrets": ["sixteen characters"],
-                     "voters": ["n1"], "budgets": [{"name": name, "use": "tenant", "of": of, "amount": 8}
-                                                   for name, of in budgets.items()]}
+            peers = {
+                "listen": "127.0.0.1:0",
+                "group": "g",
+                "secrets": ["sixteen characters"],
+                "voters": ["n1"],
+                "budgets": [
+                    {"name": name, "use": "tenant", "of": of, "amount": 8} for name, of in budgets.items()
+                ],
+            }
             return appliance(folder.name, numbers, 1, peers=peers)
 
         path = written(range(5), {"b1": "t1"})
@@ -209,9 +229,10 @@
         module = worker.owner.controller
         self.assertEqual(follow(), {"t1": "b1"})
         for numbers, budgets, expected in (
-                ((0, 2, 3, 4), {}, {}),  # both go: who is gone has the quota of the file for what is open
-                (range(6), {"b2": "t1", "b3": "t5"}, {"t1": "b2", "t5": "b3"}),  # back, by another budget
-                (range(6), {"b4": "t1", "b3": "t5"}, {"t1": "b4", "t5": "b3"})):  # budgets alone
+            ((0, 2, 3, 4), {}, {}),  # both go: who is gone has the quota of the file for what is open
+            (range(6), {"b2": "t1", "b3": "t5"}, {"t1": "b2", "t5": "b3"}),  # back, by another budget
+            (range(6), {"b4": "t1", "b3": "t5"}, {"t1": "b4", "t5": "b3"}),
+        ):  # budgets alone
             written(numbers, budgets)
             brought_into_force(worker, at_once(worker.reloading._steps(False)))
             self.assertEqual(follow(), expected)
@@ -256,7 +277,7 @@
         for count in (0, 3, 70_000):
             of = tuple((f"t{n}", float(n)) for n in range(count))
             head = Head("n1", 5, 1.0, 4, 1000.0, (("read", 1, 2, 1.0, 0.0),), of)
-            pieces = [told(of[n:n + 500]) for n in range(0, count, 500)]
+            pieces = [told(of[n : n + 500]) for n in range(0, count, 500)]
             data = start() + head_block(msgspec.structs.replace(head, tenants=()), count, pieces)
             self.assertEqual(list(records(data, Damage())), [head])
 
@@ -330,8 +351,11 @@
             os.replace(new, Path(program.folder.name, "ajp.toml"))
             program.process.send_signal(signal.SIGHUP)
         web, until = program.ajp(), time.monotonic() + PATIENCE
-        while web.call("GET", "/none", {"X-Tenant": "v9"})[0] != 404 \
-                or self.configuration(program)["reading"] or not self.known(program, "v9"):
+        while (
+            web.call("GET", "/none", {"X-Tenant": "v9"})[0] != 404
+            or self.configuration(program)["reading"]
+            or not self.known(program, "v9")
+        ):
             self.assertLess(time.monotonic(), until)
         self.assertFalse(self.known(program, "v8"))
         self.assertIn(program.figure("conf_loaded_total"), range(1, 11))
@@ -401,8 +425,9 @@
         program.process.send_signal(signal.SIGHUP)
         program.wait_said("fault in a task")
         after = self.configuration(program)
-        self.assertEqual((after["version"], after["last"], after["reading"]),
-                         (before["version"], "turned down", False))
+        self.assertEqual(
+            (after["version"], after["last"], after["reading"]), (before["version"], "turned down", False)
+        )
         self.assertEqual(program.figure("conf_invalid_total"), 1)
         program.server.next()[2](data=b"as before")
         self.assertEqual(web.answer()[2], b"as before")
@@ -430,8 +455,10 @@
 
     def test_a_change_before_the_kernel_is_up_is_in_force_once_it_is(self):
         program = self.start(boot=False)
-        said = program.reload("config.json", self.content(program, Tenants=[
-            {"Name": "later", "QuotaPerS": 1.0, "Fraction": 1.0}]))
+        said = program.reload(
+            "config.json",
+            self.content(program, Tenants=[{"Name": "later", "QuotaPerS": 1.0, "Fraction": 1.0}]),
+        )
         program.kernel.boots = True
         program.kernel.drop_links()
         program.kernel.opened.get(timeout=PATIENCE)
@@ -445,8 +472,10 @@
         router = program.thrift()
         filing = router.invoke("filing", b"doc", token="t")
         rid = program.kernel.next()[0]
-        program.reload("config.json", self.content(program, Tenants=[
-            {"Name": "other", "QuotaPerS": 1.0, "Fraction": 1.0}]))
+        program.reload(
+            "config.json",
+            self.content(program, Tenants=[{"Name": "other", "QuotaPerS": 1.0, "Fraction": 1.0}]),
+        )
         again = router.invoke("filing", b"doc", token="t", again="1")
         program.served(router, acct="other")
         program.kernel.reap(rid, body=b"filed")
--- a/tests/test_changes_processes.py
+++ b/tests/test_changes_processes.py
@@ -44,8 +44,14 @@
 
 class Changes(unittest.TestCase):
     def start(self, **how):
-        how = {"thrift": False, "ajp": True, "site": site(), "sockets": 1024, "stop_ms": 30_000,
-               "max_connections": 400} | how
+        how = {
+            "thrift": False,
+            "ajp": True,
+            "site": site(),
+            "sockets": 1024,
+            "stop_ms": 30_000,
+            "max_connections": 400,
+        } | how
         server = how.setdefault("server", InstantServer())
         if "before" not in how:
             self.addCleanup(server.close)
@@ -57,8 +63,10 @@
     def text(self, program, *more, rules=(), **changes):
         """Its configuration with more tenants and rules; the usual rules stay, in front."""
         front = program.appliance["ajp"]
-        return toml_file(program.appliance | {
-            "ajp": front | {"rules": [READS, FILINGS, *rules]}, "settings": site(*more, **changes)})
+        return toml_file(
+            program.appliance
+            | {"ajp": front | {"rules": [READS, FILINGS, *rules]}, "settings": site(*more, **changes)}
+        )
 
     def version(self, program, number):
         """One that differs from all others in one tenant and one route."""
@@ -172,7 +180,7 @@
         webs = self.opened(program, server)
         # A third of the tenants of what is open go, and all others have another quota.
         changed = site("v1")
-        changed["Tenants"] = [t | {"QuotaPerS": 7.0} for t in changed["Tenants"][OPEN // 3:]]
+        changed["Tenants"] = [t | {"QuotaPerS": 7.0} for t in changed["Tenants"][OPEN // 3 :]]
         front = program.appliance["ajp"] | {"rules": [FILINGS, READS | {"uri": "/other/*"}]}
         program.reload("ajp.toml", toml_file(program.appliance | {"ajp": front, "settings": changed}))
         self.assertEqual(json.loads(program.operator()[1])["in_hand"], OPEN)
@@ -194,8 +202,11 @@
         webs = self.opened(old, server)
         old.reload("ajp.toml", self.version(old, 1))
         at = {part: f"{host}:{port}" for part, (host, port) in old.at.items()}
-        old.appliance |= {"admin": at["Operators"], "console": {"agent_check": at["AgentCheck"]},
-                          "ajp": old.appliance["ajp"] | {"listen": at["AjpFront"]}}
+        old.appliance |= {
+            "admin": at["Operators"],
+            "console": {"agent_check": at["AgentCheck"]},
+            "ajp": old.appliance["ajp"] | {"listen": at["AjpFront"]},
+        }
         new = self.start(server=server, before=old, appliance=self.version(old, 2))
         new.took_over()
         old.process.send_signal(signal.SIGTERM)
@@ -219,8 +230,11 @@
         server = AjpServer()
         classes = site()["Classes"]
         gone = classes[0] | {"Name": "gone"}
-        program = self.start(server=server, site=site(Classes=[*classes, gone]),
-                             rules=[READS, FILINGS, {"uri": "/gone/*", "class": "gone"}])
+        program = self.start(
+            server=server,
+            site=site(Classes=[*classes, gone]),
+            rules=[READS, FILINGS, {"uri": "/gone/*", "class": "gone"}],
+        )
 
         def begun(uri, tenant):
             web = program.ajp()
@@ -229,13 +243,19 @@
             self.assertEqual(web.asked_for(), 814)
             return web
 
-        kept = {uri: begun(uri, tenant) for uri, tenant in (
-            ("/reads/1", "t1"), ("/reads/2", f"t{TENANTS - 1}"), ("/filings", "t3"))}
+        kept = {
+            uri: begun(uri, tenant)
+            for uri, tenant in (("/reads/1", "t1"), ("/reads/2", f"t{TENANTS - 1}"), ("/filings", "t3"))
+        }
         of_gone = begun("/gone/1", "t1")
         shorter = [c | {"Deadline": 80_000 * MS} for c in classes]
         front = program.appliance["ajp"] | {"rules": [FILINGS | {"uri": "/other"}]}
-        program.reload("ajp.toml", toml_file(program.appliance | {
-            "ajp": front, "settings": site(count=TENANTS - 1, Classes=shorter)}))
+        program.reload(
+            "ajp.toml",
+            toml_file(
+                program.appliance | {"ajp": front, "settings": site(count=TENANTS - 1, Classes=shorter)}
+            ),
+        )
         for uri, web in kept.items():
             web.chunk(b"y" * 814)
             packet, body, respond = server.next()
--- a/tests/test_config_at_size.py
+++ b/tests/test_config_at_size.py
@@ -38,8 +38,13 @@
 
 
 def platform(tenants):
-    return {"name": "n1", "listen": "127.0.0.1:0", "kernel": "127.0.0.1:9", "seed": "1f",
-            "settings": site(Tenants=tenants)}
+    return {
+        "name": "n1",
+        "listen": "127.0.0.1:0",
+        "kernel": "127.0.0.1:9",
+        "seed": "1f",
+        "settings": site(Tenants=tenants),
+    }
 
 
 def steps(generator):
@@ -80,17 +85,44 @@
 
     def setUp(self):
         super().setUp()
-        for module, values in ((config_toml, {"ELEMENTS": 4, "BORDER": 2}),
-                               (config_json, {"WHOLE": -1, "TAKEN": 50}), (config_source, {"PART": 300})):
+        for module, values in (
+            (config_toml, {"ELEMENTS": 4, "BORDER": 2}),
+            (config_json, {"WHOLE": -1, "TAKEN": 50}),
+            (config_source, {"PART": 300}),
+        ):
             patch = mock.patch.multiple(module, **values)
             patch.start()
             self.addCleanup(patch.stop)
 
     @settings(max_examples=120, deadline=None)
-    @given(st.lists(st.tuples(
-        st.sampled_from(["quota", "whole", "flag", "share", "name", "remove", "add", "move", "route",
-                         "route_away", "comment", "bad", "twice", "class"]),
-        st.integers(0, 30), st.integers(0, 30)), max_size=6), st.booleans())
+    @given(
+        st.lists(
+            st.tuples(
+                st.sampled_from(
+                    [
+                        "quota",
+                        "whole",
+                        "flag",
+                        "share",
+                        "name",
+                        "remove",
+                        "add",
+                        "move",
+                        "route",
+                        "route_away",
+                        "comment",
+                        "bad",
+                        "twice",
+                        "class",
+                    ]
+                ),
+                st.integers(0, 30),
+                st.integers(0, 30),
+            ),
+            max_size=6,
+        ),
+        st.booleans(),
+    )
     def test_a_change_gives_what_reading_afresh_gives_and_keeps_what_is_unchanged(self, edits, as_json):
         tenants, rules = [tenant(at) for at in range(24)], [rule(at) for at in range(12)]
 
@@ -173,8 +205,10 @@
             except BadInput:
                 continue
             self.assertIsNotNone(plain, cut)
-            self.assertEqual([t.name for t in got.settings.tenants],
-                             [t["Name"] for t in plain["settings"].get("Tenants", [])])
+            self.assertEqual(
+                [t.name for t in got.settings.tenants],
+                [t["Name"] for t in plain["settings"].get("Tenants", [])],
+            )
         data = json.dumps(platform([tenant(at) for at in range(6)])).encode()
         for cut in range(len(data)):
             self.assertIn("setting EDGE_CONFIG", self.refused(data[:cut], name="a.json"))
@@ -184,8 +218,10 @@
         before = self.load(toml_file(appliance([tenant(0)], rules)))
         after = appliance([tenant(0)], rules)
         after["settings"]["Classes"] = after["settings"]["Classes"][:1]
-        self.assertIn("setting ajp.rules[1].class: unknown class 'filing' (in the table of line ",
-                      self.refused(toml_file(after), before))
+        self.assertIn(
+            "setting ajp.rules[1].class: unknown class 'filing' (in the table of line ",
+            self.refused(toml_file(after), before),
+        )
 
     def test_a_port_of_digits_that_are_none_of_ascii_is_refused(self):
         for port in ("²", "٣٤", "9" * 5000):
@@ -195,8 +231,10 @@
 
 class Faulty(Files):
     def test_what_is_nested_too_deeply_is_refused_and_ends_nothing(self):
-        for text, name in (('{"settings": ' + "[" * 60_000 + "]" * 60_000 + "}", "a.json"),
-                           ("a = " + "[" * 60_000 + "]" * 60_000, "a.toml")):
+        for text, name in (
+            ('{"settings": ' + "[" * 60_000 + "]" * 60_000 + "}", "a.json"),
+            ("a = " + "[" * 60_000 + "]" * 60_000, "a.toml"),
+        ):
             self.assertIn("nested too deeply", self.refused(text, name=name))
 
 
@@ -208,8 +246,10 @@
         patch = mock.patch.multiple(config_source, PART=100, WHOLE=0)
         patch.start()
         self.addCleanup(patch.stop)
-        self.texts = [toml_file(appliance([tenant(n, Name=f"{word}{n}") for n in range(20)], [rule(0)]))
-                      for word in ("old", "new")]
+        self.texts = [
+            toml_file(appliance([tenant(n, Name=f"{word}{n}") for n in range(20)], [rule(0)]))
+            for word in ("old", "new")
+        ]
 
     def interrupted(self, by, path=None):
         """The names read, where `by` is called when most of the file is."""
@@ -239,7 +279,7 @@
         self.assertEqual(self.interrupted(turn, path), {"new"})
 
     def test_one_that_is_half_written_when_read_first_is_read_again(self):
-        half = self.texts[1].encode()[:len(self.texts[1]) // 2] + b"\xff"
+        half = self.texts[1].encode()[: len(self.texts[1]) // 2] + b"\xff"
 
         def twice(path):
             Path(path).write_bytes(half)
@@ -265,7 +305,7 @@
 
     def test_what_is_no_utf_8_is_told_with_its_line(self):
         text = self.texts[0].encode().replace(b"old7", b"old\xff")
-        line = text[:text.index(b"\xff")].count(b"\n") + 1
+        line = text[: text.index(b"\xff")].count(b"\n") + 1
         self.assertIn(f"not UTF-8: invalid start byte (at line {line})", self.refused(text))
 
 
@@ -276,8 +316,12 @@
 
 def large(tenants, routes, **changes):
     """Text of so many; `changes`: elements by their place."""
-    return toml_file(appliance([changes.get(f"t{at}") or tenant(at) for at in range(tenants)],
-                               [changes.get(f"r{at}") or rule(at) for at in range(routes)]))
+    return toml_file(
+        appliance(
+            [changes.get(f"t{at}") or tenant(at) for at in range(tenants)],
+            [changes.get(f"r{at}") or rule(at) for at in range(routes)],
+        )
+    )
 
 
 class Counted:
@@ -380,8 +424,10 @@
         self.assertEqual(sum(a is not b for a, b in pairs), 1)
 
     def test_a_short_file_takes_one_step(self):
-        for name, text in (("a.json", json.dumps(platform([tenant(0)]))),
-                           ("a.toml", toml_file(appliance([tenant(0)], [rule(0)])))):
+        for name, text in (
+            ("a.json", json.dumps(platform([tenant(0)]))),
+            ("a.toml", toml_file(appliance([tenant(0)], [rule(0)]))),
+        ):
             _, count = steps(config.load_in_steps(self.file(text, name), {}))
             self.assertEqual(count, 1)
 
@@ -481,11 +527,14 @@
         self.assertIn("as a whole", done.stdout)
 
     def test_the_platforms_worker_loads_nothing_for_files_that_it_has_not(self):
-        code = ("import sys; from ochrehoist import worker, config; config.load(sys.argv[1], {}); "
-                "print(*sys.modules)")
+        code = (
+            "import sys; from ochrehoist import worker, config; config.load(sys.argv[1], {}); "
+            "print(*sys.modules)"
+        )
         file = self.file(json.dumps(platform([tenant(0)])), "a.json")
-        done = subprocess.run([sys.executable, "-c", code, file], cwd=ROOT, capture_output=True, text=True,
-                              check=True)
+        done = subprocess.run(
+            [sys.executable, "-c", code, file], cwd=ROOT, capture_output=True, text=True, check=True
+        )
         loaded = set(done.stdout.split())
         self.assertFalse(loaded & {"tomli", "tomllib", "ochrehoist.config_toml", "ochrehoist.config_fleet"})
 
@@ -493,17 +542,37 @@
         code = "import sys; from ochrehoist import config; config.load(sys.argv[1], {}); print(*sys.modules)"
         loaded = []
         for text in (toml_file(appliance([tenant(0)], [rule(0)])), large(1_000, 65)):
-            done = subprocess.run([sys.executable, "-c", code, self.file(text)], cwd=ROOT,
-                                  capture_output=True, text=True, check=True)
+            done = subprocess.run(
+                [sys.executable, "-c", code, self.file(text)],
+                cwd=ROOT,
+                capture_output=True,
+                text=True,
+                check=True,
+            )
             loaded.append("ochrehoist.config_toml" in done.stdout.split())
         self.assertEqual(loaded, [False, True])
 
     def test_no_module_of_the_configuration_needs_one_that_needs_it(self):
-        names = ["config", "config_fleet", "config_json", "config_source", "config_toml", "config_types",
-                 "config_values", "settings"]
-        needs = {name: set(re.findall(r"^\s*(?:from ochrehoist\.(\w+) import|from ochrehoist import (\w+))",
-                                      Path(ROOT, "ochrehoist", f"{name}.py").read_text(), re.MULTILINE))
-                 for name in names}
+        names = [
+            "config",
+            "config_fleet",
+            "config_json",
+            "config_source",
+            "config_toml",
+            "config_types",
+            "config_values",
+            "settings",
+        ]
+        needs = {
+            name: set(
+                re.findall(
+                    r"^\s*(?:from ochrehoist\.(\w+) import|from ochrehoist import (\w+))",
+                    Path(ROOT, "ochrehoist", f"{name}.py").read_text(),
+                    re.MULTILINE,
+                )
+            )
+            for name in names
+        }
         needs = {name: {a or b for a, b in found} & set(names) for name, found in needs.items()}
         while needs:
             free = {name for name, others in needs.items() if not others & needs.keys()}
--- a/tests/test_config_text.py
+++ b/tests/test_config_text.py
@@ -35,22 +35,67 @@
 
 # ---- TOML, against tomllib
 
-HEADERS = st.sampled_from([
-    "[[a]]", "[[a.b]]", "[[c.d]]", "[[c.d]]", "[[c.d]]", "[a]", "[c]", "[c.d]", "[c.e]", "[a.b]", "[x.y]",
-    "[c.d.f]", '["a"]', "[[ c.d ]]", '[["c".d]]', "[[c.d]] # of some", "  [[c.d]]\t", "[[true]]", "[c]]",
-    "[[c.d]"])
+HEADERS = st.sampled_from(
+    [
+        "[[a]]",
+        "[[a.b]]",
+        "[[c.d]]",
+        "[[c.d]]",
+        "[[c.d]]",
+        "[a]",
+        "[c]",
+        "[c.d]",
+        "[c.e]",
+        "[a.b]",
+        "[x.y]",
+        "[c.d.f]",
+        '["a"]',
+        "[[ c.d ]]",
+        '[["c".d]]',
+        "[[c.d]] # of some",
+        "  [[c.d]]\t",
+        "[[true]]",
+        "[c]]",
+        "[[c.d]",
+    ]
+)
 LINES = st.one_of(
-    st.builds("k{} = {}".format, st.integers(0, 9),
-              st.sampled_from(["1", '"v"', "[1, 2]", "0.5", "'[[c.d]]'"])),
-    st.sampled_from([
-        "", "# [[c.d]]", "  ", "b = 2", "e.f = 1", 'm = [\n"x",\n"y"\n]', "m = [\n[1],\n[2]\n]",
-        "t = { b = 1 }",
-        'u = "é\u2028\u0085x"', 's = "a # b [c]"', '"q" = 1', "n = 1979-05-27", "z = [\n[true]\n]", "d = []",
-        # and what is no TOML
-        "m = [", "bad", 'u = ["a"', "[", "q = [\n[[c.d]]\n]", "k = 1 # \x00", 'k = "', "m = [1,",
-        "i = " + "9" * 5000,
-        # and lines within a string
-        'y = """\n[[c.d]]\n"""', "y = '''\n[c]\n'''", "w = \"'''\""]))
+    st.builds(
+        "k{} = {}".format, st.integers(0, 9), st.sampled_from(["1", '"v"', "[1, 2]", "0.5", "'[[c.d]]'"])
+    ),
+    st.sampled_from(
+        [
+            "",
+            "# [[c.d]]",
+            "  ",
+            "b = 2",
+            "e.f = 1",
+            'm = [\n"x",\n"y"\n]',
+            "m = [\n[1],\n[2]\n]",
+            "t = { b = 1 }",
+            'u = "é\u2028\u0085x"',
+            's = "a # b [c]"',
+            '"q" = 1',
+            "n = 1979-05-27",
+            "z = [\n[true]\n]",
+            "d = []",
+            # and what is no TOML
+            "m = [",
+            "bad",
+            'u = ["a"',
+            "[",
+            "q = [\n[[c.d]]\n]",
+            "k = 1 # \x00",
+            'k = "',
+            "m = [1,",
+            "i = " + "9" * 5000,
+            # and lines within a string
+            'y = """\n[[c.d]]\n"""',
+            "y = '''\n[c]\n'''",
+            "w = \"'''\"",
+        ]
+    ),
+)
 NEWLINES = st.sampled_from(["\n", "\n", "\n", "\r\n", "\r", "\n\n"])
 
 
@@ -69,18 +114,26 @@
 
 class Toml(Files):
     @settings(max_examples=1500, deadline=None)
-    @given(texts(), st.sampled_from([1, 2, 64]), st.sampled_from([1, 2, 24]), st.sampled_from([1, 5, 4096]),
-           st.sampled_from([0, 8192, 8192, 8192]))
-    def test_any_text_gives_the_same_data_or_a_fault_at_the_same_line(self, text, elements, border, part,
-                                                                      short):
+    @given(
+        texts(),
+        st.sampled_from([1, 2, 64]),
+        st.sampled_from([1, 2, 24]),
+        st.sampled_from([1, 5, 4096]),
+        st.sampled_from([0, 8192, 8192, 8192]),
+    )
+    def test_any_text_gives_the_same_data_or_a_fault_at_the_same_line(
+        self, text, elements, border, part, short
+    ):
         path = self.file(text)
         plain, fault, got = None, None, None
         try:
             plain = tomllib.loads(Path(path).read_text(encoding="utf-8"))
         except ValueError as error:
             fault = error
-        with mock.patch.multiple(config_toml, SHORT=short, ELEMENTS=elements, BORDER=border), \
-                mock.patch.object(config_source, "PART", part):
+        with (
+            mock.patch.multiple(config_toml, SHORT=short, ELEMENTS=elements, BORDER=border),
+            mock.patch.object(config_source, "PART", part),
+        ):
             try:
                 text = at_once(config_source.text_in_steps(path))
                 got = at_once(config_toml.read_in_steps(text, {ARRAY: take}, None))
@@ -103,7 +156,7 @@
                 return reading.data, None
             listed = reading.data["c"]["d"] if ARRAY in reading.stretches else []
             known = before.kept[ARRAY].elements if before and ARRAY in before.kept else ()
-            whole = [e for x in listed for e in (known[x.start:x.stop] if type(x) is range else (x,))]
+            whole = [e for x in listed for e in (known[x.start : x.stop] if type(x) is range else (x,))]
             data = config_source.joined(reading.data, {ARRAY: whole}) if listed else reading.data
             return data, reading.source(text.digest, {ARRAY: whole})
 
@@ -122,20 +175,28 @@
 
 VALUES = st.recursive(
     st.one_of(st.none(), st.booleans(), st.integers(), st.floats(), st.text(max_size=4)),
-    lambda inner: st.one_of(st.lists(inner, max_size=4), st.dictionaries(
-        st.sampled_from(["settings", "Tenants", "a", "b"]), inner, max_size=4)), max_leaves=20)
+    lambda inner: st.one_of(
+        st.lists(inner, max_size=4),
+        st.dictionaries(st.sampled_from(["settings", "Tenants", "a", "b"]), inner, max_size=4),
+    ),
+    max_leaves=20,
+)
 
 
 @st.composite
 def json_texts(draw):
-    text = json.dumps(draw(VALUES), indent=draw(st.sampled_from([None, 0, 1])),
-                      ensure_ascii=draw(st.booleans()))
+    text = json.dumps(
+        draw(VALUES), indent=draw(st.sampled_from([None, 0, 1])), ensure_ascii=draw(st.booleans())
+    )
     if draw(st.booleans()):  # a name that comes twice
         text = text.replace('"a"', '"b"')
     for _ in range(draw(st.integers(0, 2))):
         at = draw(st.integers(0, len(text)))
-        text = text[:at] + draw(st.sampled_from(["", " ", "\r\n", ",", "{", "]", '"', "\\", "\ufeff", "0"])) \
-            + text[at + draw(st.integers(0, 2)):]
+        text = (
+            text[:at]
+            + draw(st.sampled_from(["", " ", "\r\n", ",", "{", "]", '"', "\\", "\ufeff", "0"]))
+            + text[at + draw(st.integers(0, 2)) :]
+        )
     return text
 
 
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -24,24 +24,25 @@
     def test_a_fault_in_the_appliances_file_is_named(self):
         whole = tomllib.loads((ROOT / "deploy" / "ajp.toml").read_text())
         for named, change in (
-                ("setting ajp.listen", {"ajp": {"listen": "0.0.0.0:8009"}}),
-                ("setting ajp.listen", {"ajp": {"listen": "127.0.0.1"}}),
-                ("setting ajp.listen", {"ajp": {"listen": None}}),
-                ("setting ajp.packet_size", {"ajp": {"packet_size": 100}}),
-                ("setting ajp.servers[0].address", {"ajp": {"servers": [{"address": "192.0.2.1:8009"}]}}),
-                ("setting ajp.servers", {"ajp": {"servers": []}}),
-                ("setting ajp.rules[0].class", {"ajp": {"rules": [{"uri": "/", "class": "none"}]}}),
-                ("setting ajp.rules[0].uri", {"ajp": {"rules": [{"uri": "a", "class": "company-read"}]}}),
-                ("setting ajp.headers.key", {"ajp": {"headers": {"key": "no header"}}}),
-                ("setting ajp.default_tenant", {"ajp": {"default_tenant": "who"}}),
-                ("setting ajp.secrte", {"ajp": {"secrte": "misspelt"}}),
-                ("setting limits.memory", {"limits": {"memory": 1}}),
-                ("setting admin", {"admin": "192.0.2.1:80"}),
-                ("setting console.agent_check", {"console": {"agent_check": "192.0.2.1:80"}}),
-                ("setting FleetSize", {"settings": {"FleetSize": 0}}),
-                ("setting stop_ms", {"stop_ms": "soon"})):
+            ("setting ajp.listen", {"ajp": {"listen": "0.0.0.0:8009"}}),
+            ("setting ajp.listen", {"ajp": {"listen": "127.0.0.1"}}),
+            ("setting ajp.listen", {"ajp": {"listen": None}}),
+            ("setting ajp.packet_size", {"ajp": {"packet_size": 100}}),
+            ("setting ajp.servers[0].address", {"ajp": {"servers": [{"address": "192.0.2.1:8009"}]}}),
+            ("setting ajp.servers", {"ajp": {"servers": []}}),
+            ("setting ajp.rules[0].class", {"ajp": {"rules": [{"uri": "/", "class": "none"}]}}),
+            ("setting ajp.rules[0].uri", {"ajp": {"rules": [{"uri": "a", "class": "company-read"}]}}),
+            ("setting ajp.headers.key", {"ajp": {"headers": {"key": "no header"}}}),
+            ("setting ajp.default_tenant", {"ajp": {"default_tenant": "who"}}),
+            ("setting ajp.secrte", {"ajp": {"secrte": "misspelt"}}),
+            ("setting limits.memory", {"limits": {"memory": 1}}),
+            ("setting admin", {"admin": "192.0.2.1:80"}),
+            ("setting console.agent_check", {"console": {"agent_check": "192.0.2.1:80"}}),
+            ("setting FleetSize", {"settings": {"FleetSize": 0}}),
+            ("setting stop_ms", {"stop_ms": "soon"}),
+        ):
             with self.subTest(named):
-                (part, values), = change.items()
+                ((part, values),) = change.items()
                 if isinstance(values, dict):
                     values = {k: v for k, v in (whole[part] | values).items() if v is not None}
                 parts = whole | {part: values}
@@ -50,13 +51,22 @@
                 self.assertIn(named, done.stderr)
 
     def test_a_fault_in_the_platforms_file_is_named(self):
-        whole = {"name": "n", "listen": "127.0.0.1:1", "kernel": "127.0.0.1:2", "seed": "f",
-                 "settings": settings()}
+        whole = {
+            "name": "n",
+            "listen": "127.0.0.1:1",
+            "kernel": "127.0.0.1:2",
+            "seed": "f",
+            "settings": settings(),
+        }
         self.assertEqual(self.check(json.dumps(whole), "a.json").returncode, 0)
-        for named, change in (("kernel", {"kernel": None}), ("seed", {"seed": "xyz"}),
-                              ("listen", {"listen": "a:b"}), ("settings", {"settings": None}),
-                              ("limits.sockets", {"limits": {"sockets": 1}}),
-                              ("Rules.Cold", {"settings": settings(Rules={})})):
+        for named, change in (
+            ("kernel", {"kernel": None}),
+            ("seed", {"seed": "xyz"}),
+            ("listen", {"listen": "a:b"}),
+            ("settings", {"settings": None}),
+            ("limits.sockets", {"limits": {"sockets": 1}}),
+            ("Rules.Cold", {"settings": settings(Rules={})}),
+        ):
             with self.subTest(named):
                 done = self.check(json.dumps(whole | change), "a.json")
                 self.assertEqual(done.returncode, 2)
--- a/tests/test_crossing_links.py
+++ b/tests/test_crossing_links.py
@@ -95,8 +95,10 @@
         program.reload("config.json", json.dumps(program.config | {"members": old.address}))
         old.wait_for("UP")
         # The next connection is made while the signal comes, and the file names another address.
-        os.replace(program.file("new", json.dumps(program.config | {"members": new.address})),
-                   os.path.join(program.folder.name, "config.json"))
+        os.replace(
+            program.file("new", json.dumps(program.config | {"members": new.address})),
+            os.path.join(program.folder.name, "config.json"),
+        )
         with open(flag, "w"):
             pass
         old.drop_links()
@@ -169,7 +171,6 @@
         self.assertEqual(program.said("the kernel's link is silent"), [])
         self.assertTrue(kernel.opened.empty())
 
-
     def test_an_end_that_is_told_spoilt_is_told_again_and_only_then_failed(self):
         program = self.start()
         router, kernel = program.thrift(), program.kernel
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -229,8 +229,9 @@
         while len(busy) < 23:  # all that there is room for, each with a request that is open
             router = program.thrift()
             busy.append((router, router.invoke(body=b"busy")))
-        program.wait_for(lambda status: "'ThriftFront': 23" in status["connections"]
-                         and status["in_hand"] == "23")
+        program.wait_for(
+            lambda status: "'ThriftFront': 23" in status["connections"] and status["in_hand"] == "23"
+        )
         waiting = program.thrift()
         seqid = waiting.invoke(body=b"in the queue")
         program.process.send_signal(signal.SIGTERM)
--- a/tests/test_doubts.py
+++ b/tests/test_doubts.py
@@ -10,9 +10,16 @@
 from ochrehoist.net.doubts import LOSS, REACHED, Runs
 
 STEP = 0.004  # s between two events of a play
-STEPS = st.lists(st.tuples(st.sampled_from(
-    ("filing", "read", "ask", "ask", "pass", "arrive", "end", "break", "loss", "heard", "heard")),
-    st.integers(0, 5)), min_size=10, max_size=120)
+STEPS = st.lists(
+    st.tuples(
+        st.sampled_from(
+            ("filing", "read", "ask", "ask", "pass", "arrive", "end", "break", "loss", "heard", "heard")
+        ),
+        st.integers(0, 5),
+    ),
+    min_size=10,
+    max_size=120,
+)
 
 
 class Truthful:
@@ -83,8 +90,9 @@
 
 
 def request(number, keyed, lag=0.0):
-    return SimpleNamespace(id=f"r{number}", lag=lag,
-                           cls=SimpleNamespace(repeat=Repeat.KEYED if keyed else Repeat.SAFE))
+    return SimpleNamespace(
+        id=f"r{number}", lag=lag, cls=SimpleNamespace(repeat=Repeat.KEYED if keyed else Repeat.SAFE)
+    )
 
 
 class Proof(unittest.TestCase):
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -117,13 +117,34 @@
         self.assertEqual(program.thrift().ping()[0], "Answer")
 
 
-FORWARD = b"".join([
-    b"\2\2", *(ajp.string(text) for text in (b"HTTP/1.1", b"/a", b"1", b"h", b"s")), b"\0\x50\0\0\2\xa0\x08",
-    *(ajp.string(text) for text in (b"5", b"x", b"y")), b"\x05", ajp.string(b"q"), b"\x0a", ajp.string(b"n"),
-    ajp.string(b"v"), b"\x0b\0\1\x0c", ajp.string(b"secret"), b"\xff"])
-INVOKE = thrift.message(thrift.CALL, b"invoke", 1, b"".join((
-    thrift.field(thrift.MAP, 1, thrift.strings({b"a": b"b"})),
-    thrift.field(thrift.STRING, 2, thrift.string(b"x")), thrift.END)))[4:]
+FORWARD = b"".join(
+    [
+        b"\2\2",
+        *(ajp.string(text) for text in (b"HTTP/1.1", b"/a", b"1", b"h", b"s")),
+        b"\0\x50\0\0\2\xa0\x08",
+        *(ajp.string(text) for text in (b"5", b"x", b"y")),
+        b"\x05",
+        ajp.string(b"q"),
+        b"\x0a",
+        ajp.string(b"n"),
+        ajp.string(b"v"),
+        b"\x0b\0\1\x0c",
+        ajp.string(b"secret"),
+        b"\xff",
+    ]
+)
+INVOKE = thrift.message(
+    thrift.CALL,
+    b"invoke",
+    1,
+    b"".join(
+        (
+            thrift.field(thrift.MAP, 1, thrift.strings({b"a": b"b"})),
+            thrift.field(thrift.STRING, 2, thrift.string(b"x")),
+            thrift.END,
+        )
+    ),
+)[4:]
 DAMAGE = st.lists(st.tuples(st.integers(0, 200), st.integers(0, 255)), max_size=4)
 
 
@@ -131,7 +152,7 @@
     data = bytearray(data)
     for at, byte in damage:
         data[at % len(data)] = byte
-    return bytes(data[:len(data) - end])
+    return bytes(data[: len(data) - end])
 
 
 class Codecs(unittest.TestCase):
--- a/tests/test_filings.py
+++ b/tests/test_filings.py
@@ -28,8 +28,16 @@
 
 
 def settings(*classes, **more):
-    return i.Settings(classes=classes or (FILING, READ), cores=2, memory_kb=1e6, tip_multiple=5.0, fall=2 * S,
-                      tenants=(i.Tenant("acme", 50.0, 1.0),), max_backoff=S, **more)
+    return i.Settings(
+        classes=classes or (FILING, READ),
+        cores=2,
+        memory_kb=1e6,
+        tip_multiple=5.0,
+        fall=2 * S,
+        tenants=(i.Tenant("acme", 50.0, 1.0),),
+        max_backoff=S,
+        **more,
+    )
 
 
 class Book:
@@ -63,8 +71,9 @@
         self.now, self.ends, self.started, self.n = 1000 * S, {}, [], 0
         quiet = SimpleNamespace(info=self.said, warning=self.said, error=self.said, exception=self.fault)
         waker = SimpleNamespace(set=lambda: None)
-        self.owner = Owner(settings(), 1, waker, lambda: self.now, lambda: self.now, quiet, 10**6,
-                           lambda: None)
+        self.owner = Owner(
+            settings(), 1, waker, lambda: self.now, lambda: self.now, quiet, 10**6, lambda: None
+        )
         self.book = self.owner.filings.journal = Book()
         self.do(Booted(None, 0))
 
@@ -86,12 +95,28 @@
         responder = SimpleNamespace(
             served=lambda result: ends.append(("served", result.body)),
             refused=lambda backoff, no_retry: ends.append(("refused", backoff)),
-            failed=lambda reason, result=None: ends.append(("failed", reason)))
+            failed=lambda reason, result=None: ends.append(("failed", reason)),
+        )
         executor = SimpleNamespace(start=lambda r: self.started.append(r.id))
         token = ("acme", cls.name, key) if cls is FILING else None
-        self.do(Arrived(Inbound(
-            rid, cls, self.now, None, responder, executor, "acme", token=token, retry=retry,
-            fingerprint=(None, b"x") if token else None, work=10**7, memory_kb=10.0)))
+        self.do(
+            Arrived(
+                Inbound(
+                    rid,
+                    cls,
+                    self.now,
+                    None,
+                    responder,
+                    executor,
+                    "acme",
+                    token=token,
+                    retry=retry,
+                    fingerprint=(None, b"x") if token else None,
+                    work=10**7,
+                    memory_kb=10.0,
+                )
+            )
+        )
         return rid
 
     def running(self):
@@ -139,8 +164,10 @@
     def test_while_the_journal_refuses_only_what_is_not_known_is_turned_away(self):
         done = self.arrive("done")
         self.do(Recorded(done, True), Ended(done, Result(i.Outcome.OK, b"done"), S))
-        for refusal, end in ((Refusal(7 * S), ("refused", 7 * S)),
-                             (Refusal(0, may_have_run=True), ("failed", Reason.MAY_HAVE_RUN))):
+        for refusal, end in (
+            (Refusal(7 * S), ("refused", 7 * S)),
+            (Refusal(0, may_have_run=True), ("failed", Reason.MAY_HAVE_RUN)),
+        ):
             self.book.refusal = refusal
             self.assertEqual(self.ends[self.arrive("new")], [end])
             self.assertEqual(self.ends[self.arrive("done", retry=True)], [("served", b"done")])
@@ -148,8 +175,12 @@
             self.assertEqual(self.started[-1], read)
 
     def restore(self, **more):
-        runs = {("acme", "filing", key): Run(f"old {key}", self.now + 9 * S, (None, b"x"), dropped=True,
-                                             asleep=True, **values) for key, values in more.items()}
+        runs = {
+            ("acme", "filing", key): Run(
+                f"old {key}", self.now + 9 * S, (None, b"x"), dropped=True, asleep=True, **values
+            )
+            for key, values in more.items()
+        }
         self.do(Restored(runs, None))
 
     def test_after_a_restart_results_are_fetched_and_what_may_have_run_fails(self):
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -70,11 +70,20 @@
         site["Rules"] |= {"TipMultiple": 1.3}
         site["Classes"] = [dict(site["Classes"][n > 0], Name=f"class-{n}") for n in range(classes)]
         site["Classes"][0]["Repeat"] = "idempotent"
-        site["Tenants"] = [{"Name": f"tenant-{n:06}", "QuotaPerS": 100.0, "Fraction": 1 / tenants}
-                           for n in range(tenants)]
+        site["Tenants"] = [
+            {"Name": f"tenant-{n:06}", "QuotaPerS": 100.0, "Fraction": 1 / tenants} for n in range(tenants)
+        ]
         self.now, self.part, self.sent = 10**18, Runs(), 0
-        self.owner = Owner(settings_from(site), 7, self.part, lambda: self.now, lambda: self.now,
-                           logging.getLogger("growth"), 10**9, lambda: None)
+        self.owner = Owner(
+            settings_from(site),
+            7,
+            self.part,
+            lambda: self.now,
+            lambda: self.now,
+            logging.getLogger("growth"),
+            10**9,
+            lambda: None,
+        )
         self.owner.post(Booted(False, 0))
         self.owner.step()
 
@@ -82,8 +91,18 @@
         self.sent += 1
         cls, tenant = self.owner.settings.classes[kind], self.owner.settings.tenants[0].name
         token = (tenant, cls.name, key) if key else None
-        r = Inbound(f"r{self.sent:08}", cls, self.now, None, self.part, self.part, tenant, memory_kb=1.0,
-                    token=token, fingerprint=(None, bytes(32)) if key else None)
+        r = Inbound(
+            f"r{self.sent:08}",
+            cls,
+            self.now,
+            None,
+            self.part,
+            self.part,
+            tenant,
+            memory_kb=1.0,
+            token=token,
+            fingerprint=(None, bytes(32)) if key else None,
+        )
         self.owner.post(Arrived(r))
         self.owner.step()
         return r
@@ -169,8 +188,7 @@
 
 
 def handed(core):
-    return [len(json.dumps(line)) for line in
-            handover.lines(core.owner.freeze(), 0, Plain())]
+    return [len(json.dumps(line)) for line in handover.lines(core.owner.freeze(), 0, Plain())]
 
 
 class HandedOver(unittest.TestCase):
--- a/tests/test_growth_messages.py
+++ b/tests/test_growth_messages.py
@@ -42,14 +42,29 @@
         return total + sum(size(v, seen) for v in value)
     names = [s for c in type(value).__mro__ for s in getattr(c, "__slots__", ())]
     names += getattr(type(value), "__struct_fields__", ())
-    return total + sum(size(getattr(value, n), seen) for n in names if hasattr(value, n)) \
+    return (
+        total
+        + sum(size(getattr(value, n), seen) for n in names if hasattr(value, n))
         + size(getattr(value, "__dict__", None) or (), seen)
+    )
 
 
 def state(node):
     g = node.group
-    held = (g.members.members, g.members.ended, g.members.rumours, g.members.probes, g.members.round, g.seen,
-            g.decoded, g.ended_at, g.ledger.books, g.ledger.past, g.hellos, g.helping)
+    held = (
+        g.members.members,
+        g.members.ended,
+        g.members.rumours,
+        g.members.probes,
+        g.members.round,
+        g.seen,
+        g.decoded,
+        g.ended_at,
+        g.ledger.books,
+        g.ledger.past,
+        g.hellos,
+        g.helping,
+    )
     return size(held, set())
 
 
@@ -89,8 +104,11 @@
                 within([Measured(count, seed) for count in SIZES])
 
     def test_an_answer_that_tells_of_all_members_is_seen(self):
-        with mock.patch.object(group, "NEWS", 10**6), mock.patch.object(group, "KNOW", 10**6), \
-                self.assertRaisesRegex(AssertionError, "bytes a second for each member"):
+        with (
+            mock.patch.object(group, "NEWS", 10**6),
+            mock.patch.object(group, "KNOW", 10**6),
+            self.assertRaisesRegex(AssertionError, "bytes a second for each member"),
+        ):
             within([Measured(count) for count in (20, 60)])
 
     def test_a_probe_of_more_members_the_more_there_are_is_seen(self):
@@ -103,8 +121,10 @@
                 self.probes[nonce] = members.Probe(name, nonce, now)
             return out + more
 
-        with mock.patch.object(members.Membership, "beat", beat), \
-                self.assertRaisesRegex(AssertionError, "messages a second"):
+        with (
+            mock.patch.object(members.Membership, "beat", beat),
+            self.assertRaisesRegex(AssertionError, "messages a second"),
+        ):
             within([Measured(count) for count in (20, 60)])
 
     def test_a_book_of_what_each_said_of_each_is_seen(self):
@@ -115,8 +135,10 @@
             book[e.life.name, e.version] = e
             usual(self, e, lag, now)
 
-        with mock.patch.object(members.Membership, "learn", learn), \
-                self.assertRaisesRegex(AssertionError, "bytes of state for each member"):
+        with (
+            mock.patch.object(members.Membership, "learn", learn),
+            self.assertRaisesRegex(AssertionError, "bytes of state for each member"),
+        ):
             within([Measured(count) for count in (20, 60)])
 
 
@@ -136,8 +158,10 @@
 
     @staticmethod
     def whole(w, count):
-        return all(sum(m.state == ALIVE for m in n.group.members.members.values()) == count - 1
-                   for n in w.nodes.values())
+        return all(
+            sum(m.state == ALIVE for m in n.group.members.members.values()) == count - 1
+            for n in w.nodes.values()
+        )
 
     def test_a_few_are_at_rest_again_after_a_pause(self):
         self.whole_after(8, lambda w, node: w.pause(node, 1.5))
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -21,9 +21,14 @@
         (root / "test_some.py").write_text(tests)
         if lines:
             (root / "KNOWN-RED.txt").write_text("".join(f"{line}\n" for line in lines))
-        done = subprocess.run([sys.executable, RUNNER, "-q", "-p", "no:cacheprovider"], cwd=root,
-                              env=os.environ | {"PYTEST_DISABLE_PLUGIN_AUTOLOAD": "1"},
-                              capture_output=True, text=True, timeout=60)
+        done = subprocess.run(
+            [sys.executable, RUNNER, "-q", "-p", "no:cacheprovider"],
+            cwd=root,
+            env=os.environ | {"PYTEST_DISABLE_PLUGIN_AUTOLOAD": "1"},
+            capture_output=True,
+            text=True,
+            timeout=60,
+        )
         return done.returncode, done.stdout + done.stderr
 
     def test_a_red_test_that_is_listed_is_passed_over_and_printed(self):
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -25,8 +25,14 @@
 READ = i.RequestClass(name="read", aim=2 * S, deadline=5 * S, worth=1.0, repeat=i.Repeat.SAFE)
 LOW = i.RequestClass(name="low", aim=2 * S, deadline=5 * S, worth=0.2, repeat=i.Repeat.SAFE)
 FILING = i.RequestClass(name="filing", aim=2 * S, deadline=5 * S, worth=3.0, repeat=i.Repeat.KEYED, window=S)
-SITE = i.Settings(classes=(READ, LOW, FILING), cores=4, memory_kb=1e6, tip_multiple=8.0, fall=S,
-                  tenants=(i.Tenant("a", 10.0, 0.75), i.Tenant("b", 10.0, 0.25)))
+SITE = i.Settings(
+    classes=(READ, LOW, FILING),
+    cores=4,
+    memory_kb=1e6,
+    tip_multiple=8.0,
+    fall=S,
+    tenants=(i.Tenant("a", 10.0, 0.75), i.Tenant("b", 10.0, 0.25)),
+)
 
 
 class Driver(Plain):
@@ -44,13 +50,25 @@
 
 
 def request(cls=READ, key=None, work=None, kb=20.0, retry=False, caller=1):
-    return Inbound(id=f"r{next(NUMBERS)}", cls=cls, arrived=0, payload=None, responder=Nobody(),
-                   executor=None, key=key, work=work, memory_kb=kb, retry=retry, caller=caller)
+    return Inbound(
+        id=f"r{next(NUMBERS)}",
+        cls=cls,
+        arrived=0,
+        payload=None,
+        responder=Nobody(),
+        executor=None,
+        key=key,
+        work=work,
+        memory_kb=kb,
+        retry=retry,
+        caller=caller,
+    )
 
 
 class SharingOut(unittest.TestCase):
-    asks = st.lists(st.builds(Ask, st.integers(0, 3), st.floats(0, 50), st.floats(0.01, 5), st.floats(0, 5)),
-                    max_size=12)
+    asks = st.lists(
+        st.builds(Ask, st.integers(0, 3), st.floats(0, 50), st.floats(0.01, 5), st.floats(0, 5)), max_size=12
+    )
 
     @settings(max_examples=300, deadline=None)
     @given(st.floats(0, 200), asks)
@@ -94,8 +112,17 @@
             backlog = max(0.0, backlog + need - LOOK_S * share)
             done = min(need, LOOK_S * share)
             was = watch.behind
-            watch.look(Sample(at, done, done / share, 0.001 + backlog / share, round(admitted),
-                              round(come - admitted), 20_000_000))
+            watch.look(
+                Sample(
+                    at,
+                    done,
+                    done / share,
+                    0.001 + backlog / share,
+                    round(admitted),
+                    round(come - admitted),
+                    20_000_000,
+                )
+            )
             if watch.behind != was:
                 turns.append((round(at, 1), watch.behind))
         return watch, turns
@@ -235,7 +262,7 @@
             time = time_of(running, n) * rng.lognormvariate(0, noise)
             controller.window(Window(running / time, time, running, 30))
             limits_seen.append(controller.limit)
-        return sum(limits_seen[windows // 2:]) / (windows // 2)
+        return sum(limits_seen[windows // 2 :]) / (windows // 2)
 
     def machine(self, cores, slow=0.08):
         return lambda n, _: max(1.0, n / cores) * (1 + slow * max(0, n - 1.3 * cores))
@@ -287,8 +314,11 @@
         self.assertEqual(limits(20, SITE, seen, 101.0 + SEEN_S, {"low"}, False).caps, (20, 20, 20))
 
     def test_cheap_is_what_costs_little_beside_the_rest(self):
-        seen = {"read": Seen(held=5, running=5, cost=0.3), "low": Seen(held=5, running=5, cost=0.02),
-                "filing": Seen(cost=0.0)}
+        seen = {
+            "read": Seen(held=5, running=5, cost=0.3),
+            "low": Seen(held=5, running=5, cost=0.02),
+            "filing": Seen(cost=0.0),
+        }
         self.assertEqual(cheap(seen), {"low"})
         self.assertEqual(cheap({"read": seen["read"]}), set())
 
@@ -304,13 +334,19 @@
         for n in range(count):
             heavy = rng.random() < heavy_share
             took = 0.1 * rng.lognormvariate(0, 0.5) * (15 if heavy else 1)
-            r = request(work=int(took * S * rng.lognormvariate(0, 0.2)) if stated else None,
-                        key=key(heavy, rng) if key else None, kb=kb(heavy, rng) if kb else 20.0)
+            r = request(
+                work=int(took * S * rng.lognormvariate(0, 0.2)) if stated else None,
+                key=key(heavy, rng) if key else None,
+                kb=kb(heavy, rng) if kb else 20.0,
+            )
             times = outliers.times(r, n * 0.05)
             outliers.ended(r, n * 0.05, took, 1.0)
             if n > count // 2:
-                right, wrong, missed = right + (heavy and times > 1), wrong + (not heavy and times > 1), \
-                    missed + (heavy and times == 1)
+                right, wrong, missed = (
+                    right + (heavy and times > 1),
+                    wrong + (not heavy and times > 1),
+                    missed + (heavy and times == 1),
+                )
         return right, wrong, missed
 
     def test_by_stated_work_nearly_all_are_known_beforehand(self):
@@ -319,14 +355,18 @@
         self.assertLess(wrong, 5)
 
     def test_by_subject_where_no_work_is_stated(self):
-        right, wrong, missed = self.learned(0.05, stated=False, key=lambda heavy, rng: (
-            f"large{rng.randrange(3)}" if heavy else f"{rng.randrange(400)}"))
+        right, wrong, missed = self.learned(
+            0.05,
+            stated=False,
+            key=lambda heavy, rng: f"large{rng.randrange(3)}" if heavy else f"{rng.randrange(400)}",
+        )
         self.assertGreater(right, 4 * missed)
         self.assertLess(wrong, 5)
 
     def test_by_size_where_nothing_else_tells(self):
-        right, wrong, missed = self.learned(0.05, stated=False,
-                                            kb=lambda heavy, rng: 300.0 if heavy else 20.0)
+        right, wrong, missed = self.learned(
+            0.05, stated=False, kb=lambda heavy, rng: 300.0 if heavy else 20.0
+        )
         self.assertGreater(right, missed)
         self.assertLess(wrong, 5)
 
@@ -461,8 +501,12 @@
         self.assertIn(heavy[1], d.ids(i.Start) + d.ids(i.Refuse))
 
     @settings(max_examples=60, deadline=None)
-    @given(st.lists(st.tuples(st.integers(0, 2), st.booleans(), st.integers(0, 3)), max_size=60),
-           st.integers(1, 6), st.integers(1, 4), st.integers(1, 3))
+    @given(
+        st.lists(st.tuples(st.integers(0, 2), st.booleans(), st.integers(0, 3)), max_size=60),
+        st.integers(1, 6),
+        st.integers(1, 4),
+        st.integers(1, 3),
+    )
     def test_whatever_comes_and_ends_limits_hold_and_each_is_decided_once(self, steps, total, cap, lane):
         d = self.driver(total=total, caps=(cap, cap, 99), floors=(1, 0, 0), heavy=lane)
         kinds, heavies, running = {}, set(), []
--- a/tests/test_linkwatch.py
+++ b/tests/test_linkwatch.py
@@ -28,8 +28,10 @@
         self.assertEqual([v.good for _, v in seen], [at < PATIENCE for at, _ in seen])
         times = [at for at, v in seen if v.read_again]
         gaps = [b - a for a, b in zip(times, times[1:], strict=False)]
-        self.assertEqual((times[0], gaps), (PATIENCE, [FIRST, 2 * FIRST, 4 * FIRST, 8 * FIRST] +
-                                            [LONGEST] * (len(gaps) - 4)))
+        self.assertEqual(
+            (times[0], gaps),
+            (PATIENCE, [FIRST, 2 * FIRST, 4 * FIRST, 8 * FIRST] + [LONGEST] * (len(gaps) - 4)),
+        )
 
     def test_a_new_address_is_given_time_but_no_health_before_its_link_is_up(self):
         watch = LinkWatch()
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -19,7 +19,7 @@
     def raw(self, data, pieces=False):
         """The status line of what is answered to these bytes, sent at once or one by one."""
         with socket.create_connection(tuple(self.program.at["Operators"]), timeout=PATIENCE) as sock:
-            for piece in ((data[n:n + 1] for n in range(len(data))) if pieces else (data,)):
+            for piece in (data[n : n + 1] for n in range(len(data))) if pieces else (data,):
                 sock.sendall(piece)
             return sock.makefile("rb").readline().decode().split(" ")[1]
 
@@ -32,18 +32,32 @@
 class Calls(Case):
     def test_each_call_and_what_is_none(self):
         for method, path, status in (
-                ("GET", "/status", 200), ("GET", "/status?host=n1", 200), ("GET", "/status/metrics", 200),
-                ("HEAD", "/status", 200), ("POST", "/standby", 200), ("GET", "/status", 503),
-                ("POST", "/active", 200), ("GET", "/status", 200), ("GET", "/standby", 405),
-                ("POST", "/status", 405), ("DELETE", "/active", 405), ("GET", "/", 404),
-                ("POST", "/drain", 404)):
+            ("GET", "/status", 200),
+            ("GET", "/status?host=n1", 200),
+            ("GET", "/status/metrics", 200),
+            ("HEAD", "/status", 200),
+            ("POST", "/standby", 200),
+            ("GET", "/status", 503),
+            ("POST", "/active", 200),
+            ("GET", "/status", 200),
+            ("GET", "/standby", 405),
+            ("POST", "/status", 405),
+            ("DELETE", "/active", 405),
+            ("GET", "/", 404),
+            ("POST", "/drain", 404),
+        ):
             with self.subTest(method=method, path=path):
                 self.assertEqual(self.program.operator(method, path)[0], status)
-        for call in (b"hello\r\n\r\n", b"\x16\x03\x01\x00", b"GET /status\r\n\r\n",
-                     b"GET status HTTP/1.1\r\n\r\n",
-                     b"FLY /status HTTP/1.1\r\n\r\n", b"GET /status HTTP/1.1\r\nno colon\r\n\r\n",
-                     b"POST /standby HTTP/1.1\r\nContent-Length: -1\r\n\r\n",
-                     b"POST /standby HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"):
+        for call in (
+            b"hello\r\n\r\n",
+            b"\x16\x03\x01\x00",
+            b"GET /status\r\n\r\n",
+            b"GET status HTTP/1.1\r\n\r\n",
+            b"FLY /status HTTP/1.1\r\n\r\n",
+            b"GET /status HTTP/1.1\r\nno colon\r\n\r\n",
+            b"POST /standby HTTP/1.1\r\nContent-Length: -1\r\n\r\n",
+            b"POST /standby HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n",
+        ):
             with self.subTest(call):
                 self.assertEqual(self.raw(call), "400")
         long = b"POST /active HTTP/1.1\r\nContent-Length: 5000\r\n\r\n" + b"x" * 5000
@@ -107,8 +121,11 @@
         counters = ("answered_total", "deferred_total", "errored_total", "sends_total")
 
         def figures():
-            return {(name, group): self.program.figure(name, group) for name in counters
-                    for group in ("read", "filing")}
+            return {
+                (name, group): self.program.figure(name, group)
+                for name in counters
+                for group in ("read", "filing")
+            }
 
         self.assertEqual(set(figures().values()), {0})
         for name in ("current", "conf_loaded_total", "conf_invalid_total"):
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -149,8 +149,11 @@
         self.assertEqual(self.status(program)["overload"]["running"]["controller"], "module")
         program.reload("operators.toml", toml_file({"overload": {"controller": "seek", "most_running": 4}}))
         self.until(program, lambda s: s["overload"]["running"]["controller"] == "seek")
-        program.reload("operators.toml", toml_file({"overload": {"controller": "best"}}),
-                       event="configuration can't be used, the old one stays")
+        program.reload(
+            "operators.toml",
+            toml_file({"overload": {"controller": "best"}}),
+            event="configuration can't be used, the old one stays",
+        )
         self.assertEqual(self.status(program)["overload"]["running"]["controller"], "seek")
         self.assertEqual(program.thrift().call()[0], "Answer")
 
@@ -170,8 +173,12 @@
 class Off(unittest.TestCase):
     def test_without_its_table_nothing_of_it_is_loaded_or_said(self):
         done = subprocess.run(
-            [sys.executable, "-c", "import ochrehoist.worker, sys; print(*sys.modules)"], cwd=ROOT,
-            capture_output=True, text=True, timeout=PATIENCE)
+            [sys.executable, "-c", "import ochrehoist.worker, sys; print(*sys.modules)"],
+            cwd=ROOT,
+            capture_output=True,
+            text=True,
+            timeout=PATIENCE,
+        )
         loaded = done.stdout.split()
         self.assertIn("ochrehoist.core.owner", loaded)
         self.assertEqual([m for m in loaded if m.startswith(("ochrehoist.limits", "hdrh"))], [])
@@ -182,11 +189,15 @@
 
     def test_each_fault_is_named_by_its_key(self):
         whole = (ROOT / "deploy/ajp.toml").read_text()
-        for table, key in (("admission = 1", "overload.admission"), ("door = 1", "overload.door"),
-                           ("door = false\nadmission = false", "overload.door"),
-                           ('controller = "best"', "overload.controller"),
-                           ("most_running = 900", "overload.most_running"), ("lan = true", "overload.lan"),
-                           ("least_running = 9\nmost_running = 4", "overload.least_running")):
+        for table, key in (
+            ("admission = 1", "overload.admission"),
+            ("door = 1", "overload.door"),
+            ("door = false\nadmission = false", "overload.door"),
+            ('controller = "best"', "overload.controller"),
+            ("most_running = 900", "overload.most_running"),
+            ("lan = true", "overload.lan"),
+            ("least_running = 9\nmost_running = 4", "overload.least_running"),
+        ):
             with self.subTest(table):
                 path = self.write(whole + f"\n[overload]\n{table}\n")
                 with self.assertRaises(BadInput) as raised:
@@ -195,8 +206,12 @@
 
     def test_the_older_name_of_a_key_is_still_taken(self):
         whole = (ROOT / "deploy/ajp.toml").read_text()
-        for table, told in (("", True), ("admission = false", False), ("door = false", False),
-                            ("door = true", True)):
+        for table, told in (
+            ("", True),
+            ("admission = false", False),
+            ("door = false", False),
+            ("door = true", True),
+        ):
             with self.subTest(table):
                 config = load_appliance(self.write(whole + f"\n[overload]\n{table}\n"), {})
                 self.assertIs(config.overload.admission, told)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -21,8 +21,14 @@
 
 
 def message(**changes):
-    values = {"group": "g", "sender": A, "to": "b", "to_inc": 10, "seq": 1,
-              "items": [wire.Ping(5, [("c", 1, 2)]), wire.Claim("x", "t", 3, [1, 2])]}
+    values = {
+        "group": "g",
+        "sender": A,
+        "to": "b",
+        "to_inc": 10,
+        "seq": 1,
+        "items": [wire.Ping(5, [("c", 1, 2)]), wire.Claim("x", "t", 3, [1, 2])],
+    }
     return Message(**(values | changes))
 
 
@@ -41,19 +47,25 @@
 
     def test_strangers_other_groups_and_versions_are_told_apart(self):
         body = bytes((wire.VERSION + 1,)) + b"x"
-        for data, why in ((wire.packed(message(), b"another secret...."), "stranger"),
-                          (wire.packed(message(group="h"), SECRETS[0]), "group"),
-                          (wire.MAGIC + wire._digest(body, SECRETS[0]) + body, "version"), (b"", "garbled"),
-                          (wire.MAGIC + b"0" * (wire.MOST + 1), "garbled")):
+        for data, why in (
+            (wire.packed(message(), b"another secret...."), "stranger"),
+            (wire.packed(message(group="h"), SECRETS[0]), "group"),
+            (wire.MAGIC + wire._digest(body, SECRETS[0]) + body, "version"),
+            (b"", "garbled"),
+            (wire.MAGIC + b"0" * (wire.MOST + 1), "garbled"),
+        ):
             with self.subTest(why), self.assertRaisesRegex(wire.Rejected, why):
                 wire.unpacked(data, SECRETS, "g")
 
     @given(st.binary(max_size=300), st.integers(0, 400), st.booleans())
     def test_no_bytes_do_harm(self, noise, at, signed):
         data = wire.packed(message(), SECRETS[0])
-        for bad in (noise, data[:at], data[:at] + noise + data[at:],
-                    wire.MAGIC + wire._digest(b"\1" + noise, SECRETS[0]) + b"\1" + noise if signed else
-                    noise):
+        for bad in (
+            noise,
+            data[:at],
+            data[:at] + noise + data[at:],
+            wire.MAGIC + wire._digest(b"\1" + noise, SECRETS[0]) + b"\1" + noise if signed else noise,
+        ):
             if bad == data:
                 continue
             with self.assertRaises(wire.Rejected):
@@ -322,8 +334,12 @@
     def seen(self, at, slow=(), took=0.5, verdict=services.OK, count=4):
         for n in range(count):
             for name in self.judge.services:
-                self.run_at(name, at + n * 0.01, took if name in slow else 0.02,
-                            verdict if name in slow else services.OK)
+                self.run_at(
+                    name,
+                    at + n * 0.01,
+                    took if name in slow else 0.02,
+                    verdict if name in slow else services.OK,
+                )
 
     def standing(self, now):
         self.judge.look(now)
@@ -387,8 +403,13 @@
 
     def bad(self, *names, who=("x", "y"), verdict=services.SLOW):
         for member in who:
-            self.told[member] = 0.1, [Evidence(n, verdict if n in names else services.OK, 9, 0, 20.0)
-                                      for n in self.judge.services]
+            self.told[member] = (
+                0.1,
+                [
+                    Evidence(n, verdict if n in names else services.OK, 9, 0, 20.0)
+                    for n in self.judge.services
+                ],
+            )
 
     def test_hearsay_counts_from_two_and_has_an_end(self):
         self.bad("s1", who=("x",))
@@ -516,8 +537,18 @@
         at, rng = {f"w{n}": f"127.0.0.1:{9000 + n}" for n in range(count)}, Random(seed)
         groups, open_, sent = [], [], 0
         for name, address in at.items():
-            terms = Terms("g", address, "", {n: a for n, a in at.items() if n != name}, (), 0.1, (),
-                          ("s0", "s1", "s2"), 0.5, 3000)
+            terms = Terms(
+                "g",
+                address,
+                "",
+                {n: a for n, a in at.items() if n != name},
+                (),
+                0.1,
+                (),
+                ("s0", "s1", "s2"),
+                0.5,
+                3000,
+            )
             group = Group(terms, Life(name, 1, 1), 0.0, rng.getrandbits(30))
             if fleet is not None:
                 group.judge.fleet = fleet
--- a/tests/test_peers_counts.py
+++ b/tests/test_peers_counts.py
@@ -228,15 +228,21 @@
             with self.subTest(keys=keys):
                 teller = filled(A, keys)
                 for n in range(6):
-                    teller.learn(Tally(Life(f"m{n}", 1, 1), 3, 0, False, {f"k{i}": 1 for i in range(keys)})
-                                 if keys <= MOST_KEYS else Tally(B, 1, 0, False, {}), 0.0, 1.0)
+                    teller.learn(
+                        Tally(Life(f"m{n}", 1, 1), 3, 0, False, {f"k{i}": 1 for i in range(keys)})
+                        if keys <= MOST_KEYS
+                        else Tally(B, 1, 0, False, {}),
+                        0.0,
+                        1.0,
+                    )
                 for _ in range(10):
                     tallies = teller.to_tell(1.0, 6144)
                     self.assertLessEqual(len(encode(tallies)), 6144)
                     self.assertEqual(told, any(t.life == A for t in tallies))
                     for t in tallies:
-                        self.assertEqual(t.counts, dict(teller.own) if t.life == A else
-                                         teller.books[t.life].counts)
+                        self.assertEqual(
+                            t.counts, dict(teller.own) if t.life == A else teller.books[t.life].counts
+                        )
 
     def test_of_a_book_that_parts_have_begun_to_renew_none_of_before_is_told(self):
         teller, asker = filled(A, 100), Ledger(B, 100.0, 0.0)
@@ -266,12 +272,19 @@
         return w, nodes
 
     def whole(self, w, nodes, total):
-        return all(sum(n.group.ledger.read(k, n.clock(w.now)).total for k in nodes[0].group.ledger.keys())
-                   == total and not n.group.ledger.begun for n in nodes)
+        return all(
+            sum(n.group.ledger.read(k, n.clock(w.now)).total for k in nodes[0].group.ledger.keys()) == total
+            and not n.group.ledger.begun
+            for n in nodes
+        )
 
     def test_with_many_tenants_all_stay_alive_and_all_counts_come_in_the_stated_time(self):
-        for count, tenants, loss, kind in ((5, 100, 0.0, "tenant"), (5, 2000, 0.0, "tenant"),
-                                           (5, 2000, 0.2, "class"), (12, 100, 0.0, "class")):
+        for count, tenants, loss, kind in (
+            (5, 100, 0.0, "tenant"),
+            (5, 2000, 0.0, "tenant"),
+            (5, 2000, 0.2, "class"),
+            (12, 100, 0.0, "class"),
+        ):
             with self.subTest(count=count, tenants=tenants, loss=loss):
                 w, nodes = self.fleet(count, tenants, loss, kind)
                 began, rounds = w.now, (2 + parts_of(nodes[0].group.ledger)) * (3 if loss else 1)
@@ -292,16 +305,20 @@
                 w.run(w.now + 0.1)
             began = [(n.sent, n.bytes_out) for n in nodes]
             w.run(w.now + 4.0)
-            sent[tenants] = tuple(sum(x[i] for x in [(n.sent, n.bytes_out) for n in nodes]) -
-                                  sum(b[i] for b in began) for i in (0, 1))
+            sent[tenants] = tuple(
+                sum(x[i] for x in [(n.sent, n.bytes_out) for n in nodes]) - sum(b[i] for b in began)
+                for i in (0, 1)
+            )
         for tenants in (100, 2000):
             self.assertLessEqual(sent[tenants][0], 1.05 * sent[3][0])
             answers = sent[3][0] / 2
             self.assertLessEqual(sent[tenants][1], sent[3][1] + answers * TOLD_BYTES)
 
     def test_it_is_red_where_an_answer_tells_all(self):
-        with mock.patch.multiple(counts, OWN_BYTES=10**6, MOST_KEYS=2100), \
-                self.assertRaisesRegex(ValueError, "a message of"):
+        with (
+            mock.patch.multiple(counts, OWN_BYTES=10**6, MOST_KEYS=2100),
+            self.assertRaisesRegex(ValueError, "a message of"),
+        ):
             w, _ = self.fleet(5, 2000, kind="class")
             w.run(w.now + 3.0)
 
@@ -316,8 +333,14 @@
             g.members.met(life, f"at:m{n}", "", 0.0)
             g.members.learn(Entry(life, f"at:m{n}", "", ALIVE, 5, 0, b"x" * 3000), 0.0, 0.0)
         for asked in (None, [Asked("a", 10, 0, "")]):
-            m = Message("g", Life("m1", 1, 1), "a", 10, 1 + (asked is None),
-                        [Hello("at:m1", ""), Ping(7, [], [], asked)])
+            m = Message(
+                "g",
+                Life("m1", 1, 1),
+                "a",
+                10,
+                1 + (asked is None),
+                [Hello("at:m1", ""), Ping(7, [], [], asked)],
+            )
             sends = g.took(m, "at:m1", 1.0)
             ack = sends[0].items[-1]
             self.assertGreater(len(ack.entries), 2)
@@ -341,8 +364,9 @@
             self.assertNotIn(life, node.group.ended_at)
             self.assertFalse(node.group.ledger.books[life].ended)
         nodes[1].group.ledger.add("tenant/customer-00000/served", 4)
-        r = nodes[0].group.ledger.read("tenant/customer-00000/served", nodes[0].clock(w.now),
-                                       nodes[0].group.ended_at)
+        r = nodes[0].group.ledger.read(
+            "tenant/customer-00000/served", nodes[0].clock(w.now), nodes[0].group.ended_at
+        )
         self.assertLessEqual(9, r.total + r.missing)
 
 
--- a/tests/test_peers_suspicion.py
+++ b/tests/test_peers_suspicion.py
@@ -140,10 +140,12 @@
     def wrong(w, count):
         if len(w.nodes) < count:
             return ["one is not there"]
-        return [(n.name, m.life.name, m.state) for n in w.nodes.values()
-                for m in n.group.members.members.values() if m.state != ALIVE or m.life !=
-                w.nodes[w.address(m.life.name)].group.life] + \
-            [n.name for n in w.nodes.values() if len(n.group.members.members) != count - 1]
+        return [
+            (n.name, m.life.name, m.state)
+            for n in w.nodes.values()
+            for m in n.group.members.members.values()
+            if m.state != ALIVE or m.life != w.nodes[w.address(m.life.name)].group.life
+        ] + [n.name for n in w.nodes.values() if len(n.group.members.members) != count - 1]
 
     def test_after_a_pause(self):
         for count in (20, 40):
--- a/tests/test_plan.py
+++ b/tests/test_plan.py
@@ -58,17 +58,20 @@
 
     def test_each_fault_is_named_by_its_key(self):
         for path, value, said in (
-                ("kinds__0__cores", 0, "kinds[0].cores"), ("load__rate", "many", "load.rate"),
-                ("load__zopf", 1, "load.zopf"), ("classes__0__share", 0.9, "classes: the shares make"),
-                ("classes__0__aim_ms", 9e9, "classes[0]: aim_ms is past deadline_ms"),
-                ("classes__2__window_ms", 0, "classes[2]: window_ms: missing"),
-                ("workers__0__kind", "huge", "workers[0].kind: no kind 'huge'"),
-                ("workers__0__addresses", ["172.16.0.1"], "workers[0].addresses: 172.16.0.1 lies in no site"),
-                ("workers__0__addresses", ["10.1.0.9-10.1.0.1"], "workers[0].addresses: '10.1.0.9-10.1.0.1'"),
-                ("routers__0__addresses", ["10.1.0.1"], "10.1.0.1 stands for two"),
-                ("sites__1__networks", ["10.1.128.0/17"], "both hold 10.1.128.0/17"),
-                ("sites__0__networks", ["10.1.0/40"], "sites[0].networks"),
-                ("kinds__0__speed", [2.0, 1.0], "kinds[0].speed")):
+            ("kinds__0__cores", 0, "kinds[0].cores"),
+            ("load__rate", "many", "load.rate"),
+            ("load__zopf", 1, "load.zopf"),
+            ("classes__0__share", 0.9, "classes: the shares make"),
+            ("classes__0__aim_ms", 9e9, "classes[0]: aim_ms is past deadline_ms"),
+            ("classes__2__window_ms", 0, "classes[2]: window_ms: missing"),
+            ("workers__0__kind", "huge", "workers[0].kind: no kind 'huge'"),
+            ("workers__0__addresses", ["172.16.0.1"], "workers[0].addresses: 172.16.0.1 lies in no site"),
+            ("workers__0__addresses", ["10.1.0.9-10.1.0.1"], "workers[0].addresses: '10.1.0.9-10.1.0.1'"),
+            ("routers__0__addresses", ["10.1.0.1"], "10.1.0.1 stands for two"),
+            ("sites__1__networks", ["10.1.128.0/17"], "both hold 10.1.128.0/17"),
+            ("sites__0__networks", ["10.1.0/40"], "sites[0].networks"),
+            ("kinds__0__speed", [2.0, 1.0], "kinds[0].speed"),
+        ):
             with self.subTest(path=path, value=value), self.assertRaises(BadFleet) as raised:
                 fleet(**{path: value})
             self.assertIn(said, str(raised.exception))
@@ -208,19 +211,27 @@
                 if request.token:
                     begun.append((w.number, id(w.owner), request.token))
                 plain(request)
+
             w.start = start
         sim.run()
         self.assertGreater(len(begun), 50)
         self.assertEqual(len(begun), len(set(begun)))
 
     @settings(max_examples=25, deadline=None)
-    @given(st.floats(0.3, 2.0), st.integers(0, 4), st.floats(1.0, 1.5), st.floats(0.5, 1.0),
-           st.sampled_from(("round", "least")))
+    @given(
+        st.floats(0.3, 2.0),
+        st.integers(0, 4),
+        st.floats(1.0, 1.5),
+        st.floats(0.5, 1.0),
+        st.sampled_from(("round", "least")),
+    )
     def test_more_machines_faster_or_less_load_never_forecast_less(self, demand, more, faster, less, choice):
         f = fleet(routers__0__choice=choice).at(demand)
         bigger, calmer = with_workers(f, "fast-node", 3 + more), f.with_load(f.load.rate * less)
-        base, *better = (analytic.steady(which, [speed] * len(which.placed_workers)).goodput
-                         for which, speed in ((f, 1.0), (bigger, 1.0), (f, faster), (calmer, 1.0)))
+        base, *better = (
+            analytic.steady(which, [speed] * len(which.placed_workers)).goodput
+            for which, speed in ((f, 1.0), (bigger, 1.0), (f, faster), (calmer, 1.0))
+        )
         self.assertGreaterEqual(min(better), base - 0.02)  # what is drawn within it swings by less
 
 
@@ -238,11 +249,21 @@
 
     def test_what_cannot_be_told_gets_no_number(self):
         f = fleet()
-        for ask in (lambda: size(f, "fast-node", 1.2, (1,), 12.0, 1, quiet),
-                    lambda: lose(f, "brussels", 6.5, 7.0, (1,), 14.0, 1, quiet),
-                    lambda: lose(f, "ghent", 6.0, None, (1,), 14.0, 1, quiet),
-                    lambda: lose(with_workers(fleet(workers__0__addresses=["10.1.0.1"]), "fast-node", 1),
-                                 "brussels", 6.0, None, (1,), 14.0, 1, quiet)):
+        for ask in (
+            lambda: size(f, "fast-node", 1.2, (1,), 12.0, 1, quiet),
+            lambda: lose(f, "brussels", 6.5, 7.0, (1,), 14.0, 1, quiet),
+            lambda: lose(f, "ghent", 6.0, None, (1,), 14.0, 1, quiet),
+            lambda: lose(
+                with_workers(fleet(workers__0__addresses=["10.1.0.1"]), "fast-node", 1),
+                "brussels",
+                6.0,
+                None,
+                (1,),
+                14.0,
+                1,
+                quiet,
+            ),
+        ):
             self.assertRaises(Unanswerable, ask)
 
     def test_the_loss_of_a_site_costs_and_its_return_heals(self):
@@ -259,9 +280,26 @@
 
     def test_a_sampled_capture_is_made_whole_and_a_foreign_class_is_named(self):
         f, head = fleet(), Head("n1", 0, 0.5, 4, 1.0, (), ())
-        seen = [Seen(0, "company-read", "startdesk", "ajp", 7, 10**8, n - (n % 4 == 3), "", n % 4 == 3, 0, 0,
-                     0, 0, 0, 0)
-                for n in range(400)]
+        seen = [
+            Seen(
+                0,
+                "company-read",
+                "startdesk",
+                "ajp",
+                7,
+                10**8,
+                n - (n % 4 == 3),
+                "",
+                n % 4 == 3,
+                0,
+                0,
+                0,
+                0,
+                0,
+                0,
+            )
+            for n in range(400)
+        ]
         entries = [Entry("n1", n * 10**7, s, s.subject) for n, s in enumerate(seen)]
         wishes, span = captured(f, Capture([head], entries), Streams(1))
         self.assertEqual(len(wishes), 600)  # 300 first tries, of every second subject
@@ -300,8 +338,23 @@
             for number in there.advance(now):
                 began, work, running = begun.pop(number)
                 subject, stated = int(rng.zipf(1.9)), int(work * 1e9 * rng.lognormal(0, 0.1))
-                seen = Seen(int(began * 1e9), "read", None, "ajp", subject, stated, 1, "", len(out) % 10 == 0,
-                            0, 15_000_000, 0, int((now - began) * 1e9), running, 0)
+                seen = Seen(
+                    int(began * 1e9),
+                    "read",
+                    None,
+                    "ajp",
+                    subject,
+                    stated,
+                    1,
+                    "",
+                    len(out) % 10 == 0,
+                    0,
+                    15_000_000,
+                    0,
+                    int((now - began) * 1e9),
+                    running,
+                    0,
+                )
                 out.append(Entry("n1", int(began * 1e9), seen, subject))
         return Capture([Head("n1", 0, 1.0, cores, 1.0, (), ())], sorted(out, key=lambda e: e.at))
 
@@ -366,9 +419,11 @@
         done = run("plan", "forecast", example, "--seeds", "1", "--seconds", "12", "--json")
         self.assertEqual(done.returncode, 0, done.stderr)
         self.assertGreater(json.loads(done.stdout)["goodput"]["mean"], 0.8)
-        for words, code, said in ((("lose", example, "ghent", "--seeds", "1"), 1, "no number can be given"),
-                                  (("size", example, "--kind", "huge"), 2, "no such kind"),
-                                  (("check", "/nowhere.toml"), 2, "/nowhere.toml")):
+        for words, code, said in (
+            (("lose", example, "ghent", "--seeds", "1"), 1, "no number can be given"),
+            (("size", example, "--kind", "huge"), 2, "no such kind"),
+            (("check", "/nowhere.toml"), 2, "/nowhere.toml"),
+        ):
             done = run("plan", *words)
             self.assertEqual((done.returncode, said in done.stderr), (code, True), done.stderr)
 
--- a/tests/test_plan_answers.py
+++ b/tests/test_plan_answers.py
@@ -40,10 +40,23 @@
     rng, at, entries = Streams(seed)["arrivals"], 0.0, []
     while (at := at + float(rng.exponential(1 / rate))) < seconds:
         ran = rng.uniform() >= refused
-        seen = Seen(int(at * 1e9), cls, None, "thrift", 1 + int(rng.integers(0, 50)), int(work_ms * MS), 1,
-                    "", False, Outcome.SERVED if ran else Outcome.REFUSED, MS,
-                    int(rng.exponential(waited_ms) * MS) if ran else NEVER,
-                    int(rng.exponential(work_ms) * MS) if ran else NEVER, 2, 0)
+        seen = Seen(
+            int(at * 1e9),
+            cls,
+            None,
+            "thrift",
+            1 + int(rng.integers(0, 50)),
+            int(work_ms * MS),
+            1,
+            "",
+            False,
+            Outcome.SERVED if ran else Outcome.REFUSED,
+            MS,
+            int(rng.exponential(waited_ms) * MS) if ran else NEVER,
+            int(rng.exponential(work_ms) * MS) if ran else NEVER,
+            2,
+            0,
+        )
         entries.append(Entry("n1", int(at * 1e9), seen, seen.subject))
     return Capture([Head("n1", 0, 1.0, 4, 1.0, (), ())], entries)
 
@@ -60,12 +73,27 @@
         yield "captures", {"figures": [c.line() for c in changes], "on": []}
         yield "fit", {"estimates": [e.line() for e in fitted(capture())]}
         same = forecast(f, (1,), 12.0, 1, quiet)
-        one = {"classes": {c: {"goodput": v["goodput"]["mean"]} for c, v in same["classes"].items()},
-               "seconds": same["seconds_line"], "events": [[3.0, "one lost"]]}
+        one = {
+            "classes": {c: {"goodput": v["goodput"]["mean"]} for c, v in same["classes"].items()},
+            "seconds": same["seconds_line"],
+            "events": [[3.0, "one lost"]],
+        }
         yield "measure", {"measured": one, "forecast": one}
         fit = scale_report.slope([(20, 1.0), (50, 2.0), (100, 3.0)])
-        yield "scale", {"plots": [{"name": "bytes", "unit": "kB/s", "fit": fit,
-                                   "points": [[20, 1.0], [50, 2.0], [100, 3.0]]}], "runs": []}
+        yield (
+            "scale",
+            {
+                "plots": [
+                    {
+                        "name": "bytes",
+                        "unit": "kB/s",
+                        "fit": fit,
+                        "points": [[20, 1.0], [50, 2.0], [100, 3.0]],
+                    }
+                ],
+                "runs": [],
+            },
+        )
 
     def test_each_question_has_a_page_that_is_whole_and_needs_no_network(self):
         seen = set()
@@ -85,12 +113,27 @@
     def test_a_page_and_its_pictures_from_the_shell(self):
         with tempfile.TemporaryDirectory() as folder:
             page = Path(folder, "page.html")
-            done = run("plan", "forecast", "deploy/fleet.toml", "--seeds", "1", "--seconds", "12",
-                       "--jobs", "1", "--html", str(page), "--pictures", "--json")
+            done = run(
+                "plan",
+                "forecast",
+                "deploy/fleet.toml",
+                "--seeds",
+                "1",
+                "--seconds",
+                "12",
+                "--jobs",
+                "1",
+                "--html",
+                str(page),
+                "--pictures",
+                "--json",
+            )
             self.assertEqual(done.returncode, 0, done.stderr)
             self.assertGreater(json.loads(done.stdout)["goodput"]["mean"], 0.5)
-            self.assertEqual(sorted(p.name for p in Path(folder).iterdir()),
-                             ["page-1.png", "page-2.png", "page-3.png", "page.html"])
+            self.assertEqual(
+                sorted(p.name for p in Path(folder).iterdir()),
+                ["page-1.png", "page-2.png", "page-3.png", "page.html"],
+            )
             self.assertEqual(Path(folder, "page-1.png").read_bytes()[:4], b"\x89PNG")
 
 
@@ -108,8 +151,9 @@
         self.assertEqual(found["read: stated work, ms"].change, 0.0)
 
     def test_two_draws_of_one_load_differ_in_few_figures(self):
-        clear = [c.what for seed in range(2, 12)
-                 for c in side_by_side(capture(), capture(seed=seed)) if c.clear]
+        clear = [
+            c.what for seed in range(2, 12) for c in side_by_side(capture(), capture(seed=seed)) if c.clear
+        ]
         self.assertLessEqual(len(clear), 12, clear)  # of 110; a twentieth each by chance
 
     def test_what_cannot_be_told_gets_no_interval(self):
@@ -128,6 +172,7 @@
         def progress(done, _):
             if done > count:
                 raise KeyboardInterrupt
+
         return progress
 
     def test_what_is_known_so_far_is_told_and_nothing_of_half_a_pair(self):
@@ -146,22 +191,38 @@
         found = size(fleet(load__rate=35.0), "fast-node", 0.9, (1,), 12.0, 1, quiet)
         self.assertGreater(found["with_one_lost"], found["needed"])
         self.assertGreaterEqual(found["tried_one_lost"][str(found["with_one_lost"])], 0.9)
-        mixed = fleet(workers=[{"kind": "fast-node", "addresses": ["10.1.0.1", "10.1.0.2"]},
-                               {"kind": "small", "addresses": ["10.2.0.1"]}],
-                      kinds=[{"name": "fast-node", "cores": 4, "speed": 1.0, "memory_mb": 76.0},
-                             {"name": "small", "cores": 4, "speed": 0.5, "memory_mb": 76.0}])
-        self.assertEqual(sorted(w.kind for w in without_strongest(mixed).placed_workers),
-                         ["fast-node", "small"])
+        mixed = fleet(
+            workers=[
+                {"kind": "fast-node", "addresses": ["10.1.0.1", "10.1.0.2"]},
+                {"kind": "small", "addresses": ["10.2.0.1"]},
+            ],
+            kinds=[
+                {"name": "fast-node", "cores": 4, "speed": 1.0, "memory_mb": 76.0},
+                {"name": "small", "cores": 4, "speed": 0.5, "memory_mb": 76.0},
+            ],
+        )
+        self.assertEqual(
+            sorted(w.kind for w in without_strongest(mixed).placed_workers), ["fast-node", "small"]
+        )
 
 
 class Recorded(unittest.TestCase):
     def test_a_repeat_whose_first_try_no_worker_saw_is_a_call_and_any_other_is_none(self):
         def tried(at, work, retry, caller=1):
-            seen = Seen(0, "company-read", "startdesk", "thrift", 7, work, caller, "", retry, 1, 0, 0, 0,
-                        0, 0)
+            seen = Seen(
+                0, "company-read", "startdesk", "thrift", 7, work, caller, "", retry, 1, 0, 0, 0, 0, 0
+            )
             return Entry("n1", at * MS, seen, 7)
-        entries = [tried(0, 10, False), tried(50, 10, True), tried(60, 20, True), tried(90, 20, True),
-                   tried(95, 20, True, caller=2), tried(9000, 10, True), tried(9001, 0, True)]
+
+        entries = [
+            tried(0, 10, False),
+            tried(50, 10, True),
+            tried(60, 20, True),
+            tried(90, 20, True),
+            tried(95, 20, True, caller=2),
+            tried(9000, 10, True),
+            tried(9001, 0, True),
+        ]
         wishes, _ = captured(fleet(), Capture([Head("n1", 0, 1.0, 4, 1.0, (), ())], entries), Streams(1))
         self.assertEqual([round(w.at * 1000) for w in wishes], [0, 60, 95, 9000])
 
@@ -176,8 +237,10 @@
             reached = sum(w.served + w.refused + w.failed for w in tally.workers)
             self.assertGreaterEqual(len(recorded.entries), reached)
             self.assertLessEqual(len(recorded.entries), sum(w.tries for w in tally.workers))
-            self.assertEqual(sum(e.seen.outcome == Outcome.SERVED for e in recorded.entries),
-                             sum(w.served for w in tally.workers))
+            self.assertEqual(
+                sum(e.seen.outcome == Outcome.SERVED for e in recorded.entries),
+                sum(w.served for w in tally.workers),
+            )
             values = forecast(f, (1,), 12.0, 1, quiet)
             self.assertTrue(0 < values["goodput"]["mean"] <= 1)
 
--- a/tests/test_random.py
+++ b/tests/test_random.py
@@ -7,17 +7,21 @@
 from ochrehoist import interface as i
 
 STEP = st.one_of(
-    st.tuples(st.just("request"), st.integers(0, 3), st.integers(50, 6000), st.integers(0, 1500),
-              st.integers(0, 9)),
+    st.tuples(
+        st.just("request"), st.integers(0, 3), st.integers(50, 6000), st.integers(0, 1500), st.integers(0, 9)
+    ),
     st.tuples(st.just("finish"), st.integers(0, 20), st.sampled_from([i.Outcome.OK, i.Outcome.FAILED])),
     st.tuples(st.just("needs"), st.integers(0, 20)),
     st.tuples(st.just("called"), st.integers(0, 20), st.sampled_from([o for o in i.Outcome])),
     st.tuples(st.just("gone"), st.integers(0, 20)),
     st.tuples(st.just("wait"), st.integers(1, 1200)),
 )
-SITES = ({}, {"below": i.Below.SHARED, "fair_calls": 2.0, "calls_over": 5 * S, "lingers": 200 * MS},
-         {"below": i.Below.SHARED, "fair_calls": 0.3, "calls_over": 5 * S, "lingers": 200 * MS, "cores": 2},
-         {"below": i.Below.TIER, "memory_kb": 900.0, "advice": i.Advice.WINDOW, "just_started": True})
+SITES = (
+    {},
+    {"below": i.Below.SHARED, "fair_calls": 2.0, "calls_over": 5 * S, "lingers": 200 * MS},
+    {"below": i.Below.SHARED, "fair_calls": 0.3, "calls_over": 5 * S, "lingers": 200 * MS, "cores": 2},
+    {"below": i.Below.TIER, "memory_kb": 900.0, "advice": i.Advice.WINDOW, "just_started": True},
+)
 
 
 class World:
@@ -29,7 +33,7 @@
         self.kind, self.ran, self.kept, self.root, self.leave, self.seen = {}, set(), {}, {}, None, 0
 
     def check(self):
-        for now, a in self.d.log[self.seen:]:
+        for now, a in self.d.log[self.seen :]:
             job = getattr(a, "id", None)
             if isinstance(a, i.Start):
                 assert job in self.open and job not in self.ran and self.root.get(job, job) not in self.ran
@@ -77,8 +81,13 @@
             self.kind[job], self.open[job] = n, d.now + remaining * MS
             if original:
                 self.root[job] = self.root.get(original, original)
-            d.request(kind=n, remaining=remaining * MS, unread_for=unread * MS, original=original,
-                      retry=bool(original))
+            d.request(
+                kind=n,
+                remaining=remaining * MS,
+                unread_for=unread * MS,
+                original=original,
+                retry=bool(original),
+            )
         elif what == "finish" and self.running:
             self.end(self.running[n % len(self.running)], *rest)
         elif what == "needs" and self.running and d.settings.below is not i.Below.NOTHING:
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -1,6 +1,6 @@
 """Many processes restarted at one moment: each is ready when it says so, and soon (RESTARTED=30 for many).
 
-    RESTARTED=30 python -m pytest -q -s tests/test_ready.py
+RESTARTED=30 python -m pytest -q -s tests/test_ready.py
 """
 
 import os
@@ -65,8 +65,10 @@
         self.assertEqual(len(again), COUNT)
         took.sort()
         print(f"\n{self.id().split('.')[-1]}: {COUNT} processes")
-        print(f"ready after p50 {statistics.median(took):.2f}, p90 {took[int(0.9 * (COUNT - 1))]:.2f}, "
-              f"all {took[-1]:.2f} s")
+        print(
+            f"ready after p50 {statistics.median(took):.2f}, p90 {took[int(0.9 * (COUNT - 1))]:.2f}, "
+            f"all {took[-1]:.2f} s"
+        )
         self.assertLess(took[int(0.9 * (COUNT - 1))], NINE_IN_TEN)
         self.assertLess(took[-1], EACH)
         return again, took[0]
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -92,8 +92,9 @@
     @given(st.integers(0, 10**6), st.integers(1, 5), st.floats(0, 0.6), st.floats(1, 30))
     @example(20201, 2, 0.25, 21.0)  # asked 0.1 s after the end of a window whose filing had waited 0.12 s
     @example(20201, 2, 0.25, 20.86)  # and 0.04 s before it
-    def test_whatever_is_lost_and_whoever_died_no_filing_that_began_is_taken_for_new(self, seed, count, loss,
-                                                                                     span):
+    def test_whatever_is_lost_and_whoever_died_no_filing_that_began_is_taken_for_new(
+        self, seed, count, loss, span
+    ):
         world = World(seed, count)
         world.live(span, loss)
         self.assertEqual(missed(world), [])
@@ -106,6 +107,7 @@
                 world.live(6.0, 0.5)
                 out += len(missed(world))
             return out
+
         self.assertGreater(some(guard=False), 0)
         with mock.patch.object(witness, "needed", lambda count: (1, 1)):
             self.assertGreater(some(), 0)
@@ -196,19 +198,29 @@
 
 
 def play(faults, seed=1, **changes):
-    values = {"name": "t", "seconds": 10.0, "workers": 5, "state": True, "faults": faults,
-              "load": {"rate": 40.0, "tries": 15, "wait_ms": 200}, "services": {"shared": 0},
-              "classes": [{"name": "read", "share": 0.4, "work_ms": 40},
-                          {"name": "filing", "share": 0.6, "work_ms": 150, "worth": 3, "keyed": True,
-                           "window_s": 5.0}],
-              "tables": {"recovery": {"witnesses": 2}}, "balancer": {"choice": "weighted", "check_s": 0.2}}
+    values = {
+        "name": "t",
+        "seconds": 10.0,
+        "workers": 5,
+        "state": True,
+        "faults": faults,
+        "load": {"rate": 40.0, "tries": 15, "wait_ms": 200},
+        "services": {"shared": 0},
+        "classes": [
+            {"name": "read", "share": 0.4, "work_ms": 40},
+            {"name": "filing", "share": 0.6, "work_ms": 150, "worth": 3, "keyed": True, "window_s": 5.0},
+        ],
+        "tables": {"recovery": {"witnesses": 2}},
+        "balancer": {"choice": "weighted", "check_s": 0.2},
+    }
     return Play(parse(values | changes), seed).run()
 
 
 class OverProcesses(unittest.TestCase):
     def test_two_that_lost_their_folders_take_filings_again_and_none_runs_twice(self):
-        v = play([{"at": 8.0, "kind": "kill", "who": ["w0", "w1"], "lasts": 0.2, "store": "removed"}],
-                 seconds=14.0)
+        v = play(
+            [{"at": 8.0, "kind": "kill", "who": ["w0", "w1"], "lasts": 0.2, "store": "removed"}], seconds=14.0
+        )
         self.assertEqual(v["broken"], [])  # of which a filing that ran before and after is one
         for name in ("w0", "w1"):
             told = v["told_at_end"][name]
@@ -217,14 +229,29 @@
         self.assertGreater(v["goodput"]["after"]["filing"], 0.85 * v["goodput"]["quiet"]["filing"])
 
     def test_an_older_folder_is_found_out_and_a_worker_cut_off_from_its_witnesses_begins_nothing(self):
-        v = play([{"at": 6.0, "kind": "kill", "who": ["w0"], "lasts": 0.2, "store": "older"},
-                  {"at": 7.0, "kind": "cut", "who": ["w3"], "lasts": 2.0}], seconds=11.0)
+        v = play(
+            [
+                {"at": 6.0, "kind": "kill", "who": ["w0"], "lasts": 0.2, "store": "older"},
+                {"at": 7.0, "kind": "cut", "who": ["w3"], "lasts": 2.0},
+            ],
+            seconds=11.0,
+        )
         self.assertEqual(v["broken"], [])
         self.assertGreater(v["statuses"].get("200", 0), 0)
 
     def test_all_are_killed_and_their_folders_lost_and_the_hold_stays(self):
-        v = play([{"at": 3.0, "kind": "kill", "who": [f"w{n}" for n in range(5)], "lasts": 0.5,
-                   "store": "removed"}], seconds=8.0)
+        v = play(
+            [
+                {
+                    "at": 3.0,
+                    "kind": "kill",
+                    "who": [f"w{n}" for n in range(5)],
+                    "lasts": 0.5,
+                    "store": "removed",
+                }
+            ],
+            seconds=8.0,
+        )
         self.assertEqual(v["broken"], [])
         stages = [[s["stage"] for s in t["recovery"]["stages"]] for t in v["told_at_end"].values()]
         self.assertTrue(all("lost" in s for s in stages), stages)  # no witness remembers: nothing is proved
@@ -232,8 +259,10 @@
 
 class OneWorker(unittest.TestCase):
     def test_nothing_of_it_is_loaded_without_its_table(self):
-        code = ("import sys, ochrehoist.worker, ochrehoist.net.peers, ochrehoist.store.journal; "
-                "print([m for m in sys.modules if 'recovery' in m])")
+        code = (
+            "import sys, ochrehoist.worker, ochrehoist.net.peers, ochrehoist.store.journal; "
+            "print([m for m in sys.modules if 'recovery' in m])"
+        )
         done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True)
         self.assertEqual(done.stdout.strip(), "[]", done.stderr)
 
@@ -253,11 +282,15 @@
         with tempfile.TemporaryDirectory() as folder:
             file = Path(folder, "x.toml")
             text = (ROOT / "deploy/recovery.toml").read_text()
-            for old, new, key in (('witnesses = ["register-2", "register-3"]', 'witnesses = ["w9"]',
-                                   "recovery.witnesses"),
-                                  ('witnesses = ["register-2", "register-3"]', 'witnesses = ["register-1"]',
-                                   "recovery.witnesses"),
-                                  ("wait_ms = 250", "wait_ms = 0", "recovery.wait_ms")):
+            for old, new, key in (
+                ('witnesses = ["register-2", "register-3"]', 'witnesses = ["w9"]', "recovery.witnesses"),
+                (
+                    'witnesses = ["register-2", "register-3"]',
+                    'witnesses = ["register-1"]',
+                    "recovery.witnesses",
+                ),
+                ("wait_ms = 250", "wait_ms = 0", "recovery.wait_ms"),
+            ):
                 with self.subTest(new):
                     self.assertIn(old, text)
                     file.write_text(text.replace(old, new))
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -52,7 +52,8 @@
     read, filing = base["Classes"]
     base["Classes"] = [
         (filing if "Window" in more else read) | {"Name": name, "Deadline": deadline * MS} | more
-        for name, deadline, more in classes]
+        for name, deadline, more in classes
+    ]
     return base
 
 
@@ -89,8 +90,13 @@
         rid, method, body = self.kernel.next()
         self.assertEqual((method, body), ("filing", b"held"))  # open: it keeps its class
         self.kernel.reap(rid, body=b"made of held")
-        for number, body in ((running, b"doc"), (joined, b"doc"), (again, b"doc"), (read, b"read"),
-                             (held, b"held")):
+        for number, body in (
+            (running, b"doc"),
+            (joined, b"doc"),
+            (again, b"doc"),
+            (read, b"read"),
+            (held, b"held"),
+        ):
             self.assertEqual(router.answer(number), ("Answer", {}, b"made of " + body))
         fresh = router.invoke("new", b"doc", token="t1")  # another class: another filing
         rid, method, _ = self.kernel.next()
@@ -108,7 +114,7 @@
     def test_a_file_that_is_not_whole_and_good_changes_nothing_and_is_counted(self):
         whole = self.program.config | {"settings": site(("new", 1500, {}))}
         text = json.dumps(whole)
-        bad = ["", text[:len(text) // 2], text[:-1], "null"]
+        bad = ["", text[: len(text) // 2], text[:-1], "null"]
         for key in whole:
             bad.append(json.dumps({k: v for k, v in whole.items() if k != key}))
         for key in whole["settings"]:
@@ -205,10 +211,14 @@
         client.request()
         _, _, respond = program.server.next()
         whole = program.appliance
-        front = whole["ajp"] | {"servers": [{"address": other.address}], "listen": "127.0.0.1:1",
-                                "rules": [{"uri": "/new/*", "class": "read"}]}
-        self.assertEqual(program.reload("ajp.toml", toml_file(whole | {"ajp": front}))["needs_a_restart"],
-                         ["ajp.listen"])
+        front = whole["ajp"] | {
+            "servers": [{"address": other.address}],
+            "listen": "127.0.0.1:1",
+            "rules": [{"uri": "/new/*", "class": "read"}],
+        }
+        self.assertEqual(
+            program.reload("ajp.toml", toml_file(whole | {"ajp": front}))["needs_a_restart"], ["ajp.listen"]
+        )
         late.request(uri="/new/1")
         other.next()[2](data=b"by the new server")
         self.assertEqual(late.answer()[2], b"by the new server")
--- a/tests/test_reload_stress.py
+++ b/tests/test_reload_stress.py
@@ -89,14 +89,14 @@
         self.moved()
 
     def bad_then_good(self):
-        self.replace(json.dumps(self.config)[:self.random.randrange(400)])
+        self.replace(json.dumps(self.config)[: self.random.randrange(400)])
         self.signal()
         self.moved()
 
     def torn(self):
         self.config["kernel"] = self.machine.move(0.0)
         text = json.dumps(self.config)
-        self.write(text[:self.random.randrange(len(text))])
+        self.write(text[: self.random.randrange(len(text))])
         self.signal()
         self.write(text)
         self.signal()
@@ -183,8 +183,10 @@
         self.assertFalse(router.good)
         program.members.wait_for("OUT")
         self.assertIn("turned down", program.operator()[1])
-        os.replace(program.file("new", json.dumps(program.config | {"kernel": address})),
-                   Path(program.folder.name, "config.json"))
+        os.replace(
+            program.file("new", json.dumps(program.config | {"kernel": address})),
+            Path(program.folder.name, "config.json"),
+        )
         program.wait_for(lambda status: status["state"] == "up")
         program.members.wait_for("UP")
         self.assertEqual(router.call("read", b"after")[0], "Answer")
--- a/tests/test_replace.py
+++ b/tests/test_replace.py
@@ -76,8 +76,10 @@
         self.assertTrue(old.kernel.scheduled.empty() and new.kernel.scheduled.empty())
         router.close()
         self.assertEqual(old.ended(), 0)
-        self.assertEqual(sum(p.figure("answered_total", "filing") for p in (new,))
-                         + old.said("ended")[0]["served"], sum(map(len, tries.values())))
+        self.assertEqual(
+            sum(p.figure("answered_total", "filing") for p in (new,)) + old.said("ended")[0]["served"],
+            sum(map(len, tries.values())),
+        )
         for line in old.lines + new.lines:
             self.assertNotIn(line["level"], ("error", "critical"), line)
 
@@ -255,9 +257,19 @@
         web.request("POST", "/filings", key, b"doc")
         respond = old.server.next()[2]
         at = {part: f"{host}:{port}" for part, (host, port) in old.at.items()}
-        new = self.start(thrift=False, ajp=True, before=old, appliance=toml_file(old.appliance | {
-            "ajp": old.appliance["ajp"] | {"listen": at["AjpFront"]}, "admin": at["Operators"],
-            "console": {"agent_check": at["AgentCheck"]}}))
+        new = self.start(
+            thrift=False,
+            ajp=True,
+            before=old,
+            appliance=toml_file(
+                old.appliance
+                | {
+                    "ajp": old.appliance["ajp"] | {"listen": at["AjpFront"]},
+                    "admin": at["Operators"],
+                    "console": {"agent_check": at["AgentCheck"]},
+                }
+            ),
+        )
         new.took_over()
         self.assertEqual(new.at, old.at)
         repeat = new.ajp()
@@ -266,8 +278,9 @@
         respond(200, b"filed")
         self.assertEqual((web.answer()[::2], web.reuse), ((200, b"filed"), False))
         self.assertEqual(repeat.answer(), (200, {"X-Made-By": "server"}, b"filed"))
-        self.assertEqual(new.ajp().call("POST", "/filings", key, b"doc"),
-                         (200, {"X-Made-By": "server"}, b"filed"))
+        self.assertEqual(
+            new.ajp().call("POST", "/filings", key, b"doc"), (200, {"X-Made-By": "server"}, b"filed")
+        )
         self.assertTrue(old.server.got.empty() and new.server.got.empty())
         idle.close()
         self.assertEqual(old.ended(), 0)
@@ -285,8 +298,10 @@
         repeat = late.invoke("filing", b"doc", token="f1", again="1")
         late.ping()
         old.kernel.reap(rid, body=b"filed")
-        self.assertEqual((router.answer(first)[2], web.answer()[::2], late.answer(repeat)[2]),
-                         (b"filed", (200, b"filed"), b"filed"))
+        self.assertEqual(
+            (router.answer(first)[2], web.answer()[::2], late.answer(repeat)[2]),
+            (b"filed", (200, b"filed"), b"filed"),
+        )
         self.assertEqual(new.ajp().call("POST", "/filings", key, b"doc")[::2], (200, b"filed"))
         self.assertTrue(new.kernel.scheduled.empty() and new.server.got.empty())
 
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -20,8 +20,9 @@
 
 def plain(rules, method, path):
     """As it is defined: the first that fits, by the whole list."""
-    return next((r for r in rules if (not r.methods or method in r.methods) and fnmatchcase(path, r.uri)),
-                None)
+    return next(
+        (r for r in rules if (not r.methods or method in r.methods) and fnmatchcase(path, r.uri)), None
+    )
 
 
 def rules(*uris):
@@ -30,12 +31,42 @@
     return tuple(AjpRule(uri, frozenset(methods), f"{n}") for n, (uri, methods) in enumerate(named))
 
 
-PIECES = ("/", "a", "b", "ab", "A", "é", "\N{SNOWMAN}", "0", "-", ".", "*", "*", "*", "**", "?", "[ab]",
-          "[!a]", "[a-c]", "[!]]", "[]a]", "[", "]", "[!", "\\", "\n", "(", "|", "$")
+PIECES = (
+    "/",
+    "a",
+    "b",
+    "ab",
+    "A",
+    "é",
+    "\N{SNOWMAN}",
+    "0",
+    "-",
+    ".",
+    "*",
+    "*",
+    "*",
+    "**",
+    "?",
+    "[ab]",
+    "[!a]",
+    "[a-c]",
+    "[!]]",
+    "[]a]",
+    "[",
+    "]",
+    "[!",
+    "\\",
+    "\n",
+    "(",
+    "|",
+    "$",
+)
 METHODS = ("GET", "HEAD", "POST", "PUT", "get")
 patterns = st.lists(st.sampled_from(PIECES), max_size=7).map("".join)
-tables = st.lists(st.builds(AjpRule, patterns, st.frozensets(st.sampled_from(METHODS), max_size=2),
-                            st.just("read")), max_size=14)
+tables = st.lists(
+    st.builds(AjpRule, patterns, st.frozensets(st.sampled_from(METHODS), max_size=2), st.just("read")),
+    max_size=14,
+)
 paths = st.lists(st.sampled_from([p for p in PIECES if p != "*"] + ["c", "/x"]), max_size=7).map("".join)
 
 
@@ -60,13 +91,61 @@
                 self.assertIs(index.find(method, path), plain(table, method, path), (table, method, path))
 
     def test_what_each_form_of_a_pattern_fits(self):
-        forms = rules("/lit", "/lit/", "/pre*", "/a*z", "/a*b*z", "*", "*x", "*x*", "/q?", "/s[ab]t",
-                      "/s[!ab]t", "/open[b", "/é*ü", "", "?", "**", "/a**z", "/A*", "/a*/*/z", "/*//*")
-        asked = ("", "/", "/lit", "/lit/", "/LIT", "/pre", "/prefix/more", "/az", "/a/z", "/abz", "/azb",
-                 "/a", "/z", "/a/b/z/b/z", "/q", "/qq", "/sat", "/sct", "/s[t", "/open[b", "/openb", "/é\nü",
-                 "/eu", "x", "ax", "/axa", "/a//z", "/a/c/z", "//")
+        forms = rules(
+            "/lit",
+            "/lit/",
+            "/pre*",
+            "/a*z",
+            "/a*b*z",
+            "*",
+            "*x",
+            "*x*",
+            "/q?",
+            "/s[ab]t",
+            "/s[!ab]t",
+            "/open[b",
+            "/é*ü",
+            "",
+            "?",
+            "**",
+            "/a**z",
+            "/A*",
+            "/a*/*/z",
+            "/*//*",
+        )
+        asked = (
+            "",
+            "/",
+            "/lit",
+            "/lit/",
+            "/LIT",
+            "/pre",
+            "/prefix/more",
+            "/az",
+            "/a/z",
+            "/abz",
+            "/azb",
+            "/a",
+            "/z",
+            "/a/b/z/b/z",
+            "/q",
+            "/qq",
+            "/sat",
+            "/sct",
+            "/s[t",
+            "/open[b",
+            "/openb",
+            "/é\nü",
+            "/eu",
+            "x",
+            "ax",
+            "/axa",
+            "/a//z",
+            "/a/c/z",
+            "//",
+        )
         for n in range(len(forms)):
-            for table in (forms[n:n + 1], forms[n:], forms[:n + 1][::-1]):
+            for table in (forms[n : n + 1], forms[n:], forms[: n + 1][::-1]):
                 index = at_once(RouteIndex.in_steps(table))
                 for path in asked:
                     self.assertIs(index.find("GET", path), plain(table, "GET", path), (table, path))
@@ -108,9 +187,19 @@
     config = load_appliance(str(ROOT / "deploy/ajp.toml"), {})
     classes = tuple(i.RequestClass(name=kind, aim=1, deadline=2) for kind in sorted({r.kind for r in table}))
     return AjpReader(
-        SimpleNamespace(settings=SimpleNamespace(classes=classes, tenants=()), tenants={}), None,
-        SimpleNamespace(secret=None, max_body=0, packet_size=8192, servers=config.ajp.servers, rules=table,
-                        tenant_header=b"t", key_header=b"k", default_tenant=None))
+        SimpleNamespace(settings=SimpleNamespace(classes=classes, tenants=()), tenants={}),
+        None,
+        SimpleNamespace(
+            secret=None,
+            max_body=0,
+            packet_size=8192,
+            servers=config.ajp.servers,
+            rules=table,
+            tenant_header=b"t",
+            key_header=b"k",
+            default_tenant=None,
+        ),
+    )
 
 
 def lines(call):
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -248,7 +248,7 @@
         self.d, self.spans, self.seen = d, {}, 0
 
     def look(self):
-        for at, a in self.d.log[self.seen:]:
+        for at, a in self.d.log[self.seen :]:
             if isinstance(a, i.Call):
                 self.spans.setdefault(a.id, []).append([at, a.stop_at + self.d.settings.lingers])
         self.seen = len(self.d.log)
@@ -259,8 +259,10 @@
     def worst(self):
         over = self.d.settings.calls_over
         spans = [s for many in self.spans.values() for s in many]
-        return max((sum(max(0, min(b, end) - max(a, end - over)) for a, b in spans) / over
-                    for _, end in spans), default=0.0)
+        return max(
+            (sum(max(0, min(b, end) - max(a, end - over)) for a, b in spans) / over for _, end in spans),
+            default=0.0,
+        )
 
 
 @pytest.mark.parametrize("fair", [0.2, 0.5, 0.9, 3.0])
@@ -268,8 +270,16 @@
 def test_calls_that_last_as_long_as_they_may_stay_within_the_share_of_any_period(fair, ending):
     # One call was let out until its deadline where the share is under one call, and a call whose caller left
     # or whose answer was given did not count while it lingered: the sum over a fleet could pass the shares.
-    d = Driver(below=i.Below.SHARED, fair_calls=fair, calls_over=5 * S, lingers=200 * MS, cores=2,
-               classes=(CLASSES[0], CLASSES[1], CLASSES[0], CLASSES[3]), passes_deadline=False, step=10 * MS)
+    d = Driver(
+        below=i.Below.SHARED,
+        fair_calls=fair,
+        calls_over=5 * S,
+        lingers=200 * MS,
+        cores=2,
+        classes=(CLASSES[0], CLASSES[1], CLASSES[0], CLASSES[3]),
+        passes_deadline=False,
+        step=10 * MS,
+    )
     below = SlowBelow(d)
     for n in range(2000):
         if n % 5 == 0:
@@ -562,15 +572,28 @@
 # ---- settings at their edges
 
 
-@pytest.mark.parametrize("changes", [
-    {"cores": 1, "fleet_size": 1, "callers": 0}, {"callers": 1000, "advice": i.Advice.WINDOW},
-    {"cold": 0, "just_started": True, "cold_from": 0.0},
-    {"step": 1, "idle": 0, "max_backoff": 0, "drain_grace": 0},
-    {"tenants": (i.Tenant("none", 0.0, 0.0),)},
-    {"below": i.Below.SHARED, "fair_calls": 0.0, "calls_over": 1, "lingers": 0},
-    {"cores": 2, "tells_gone": True, "passes_deadline": False, "below": i.Below.SHARED,
-     "fair_calls": 0.02, "calls_over": 5 * S, "lingers": 200 * MS, "marks_retry": False,
-     "tenants": (i.Tenant("far over", 1.0, 0.4), *(i.Tenant(f"t{n}", 90.0, 0.15) for n in range(4)))}])
+@pytest.mark.parametrize(
+    "changes",
+    [
+        {"cores": 1, "fleet_size": 1, "callers": 0},
+        {"callers": 1000, "advice": i.Advice.WINDOW},
+        {"cold": 0, "just_started": True, "cold_from": 0.0},
+        {"step": 1, "idle": 0, "max_backoff": 0, "drain_grace": 0},
+        {"tenants": (i.Tenant("none", 0.0, 0.0),)},
+        {"below": i.Below.SHARED, "fair_calls": 0.0, "calls_over": 1, "lingers": 0},
+        {
+            "cores": 2,
+            "tells_gone": True,
+            "passes_deadline": False,
+            "below": i.Below.SHARED,
+            "fair_calls": 0.02,
+            "calls_over": 5 * S,
+            "lingers": 200 * MS,
+            "marks_retry": False,
+            "tenants": (i.Tenant("far over", 1.0, 0.4), *(i.Tenant(f"t{n}", 90.0, 0.15) for n in range(4))),
+        },
+    ],
+)
 def test_settings_at_their_edges_and_missing_gauges_decide_without_a_fault(changes):
     d = Driver(**changes)
     for n in range(40):
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -50,8 +50,13 @@
     def begin(self, *arguments):
         name, _, value = self.mark.partition("=")
         return subprocess.Popen(
-            [sys.executable, "-m", "ochrehoist", "lab", "scale", *map(str, arguments)], cwd=ROOT,
-            env=os.environ | {name: value}, stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True)
+            [sys.executable, "-m", "ochrehoist", "lab", "scale", *map(str, arguments)],
+            cwd=ROOT,
+            env=os.environ | {name: value},
+            stdout=subprocess.PIPE,
+            stderr=subprocess.PIPE,
+            text=True,
+        )
 
     def run_whole(self, *arguments):
         process = self.begin(*arguments)
@@ -71,10 +76,31 @@
     def test_a_small_one_with_real_workers_a_cut_a_restart_and_changes(self):
         out, page = Path(self.folder, "out.json"), Path(self.folder, "page.html")
         code, said, err = self.run_whole(
-            "--members", 14, "--real", 2, "--seconds", 1, "--settle", 0.2, "--faults", "zone,restart",
-            "--lasts", 0.5, "--heal", 3, "--changes", 2, "--seed", 7, "--json", out, "--html", page)
+            "--members",
+            14,
+            "--real",
+            2,
+            "--seconds",
+            1,
+            "--settle",
+            0.2,
+            "--faults",
+            "zone,restart",
+            "--lasts",
+            0.5,
+            "--heal",
+            3,
+            "--changes",
+            2,
+            "--seed",
+            7,
+            "--json",
+            out,
+            "--html",
+            page,
+        )
         self.assertEqual(code, 0, err)
-        run, = json.loads(out.read_text())["runs"]
+        (run,) = json.loads(out.read_text())["runs"]
         self.assertEqual((run["ended"], run["spec"]["seed"], run["join"]["hollow"]), ("whole", 7, 12))
         self.assertGreater(run["rest"]["hollow"]["bytes_out_per_s"]["p50"], 0)
         self.assertGreater(run["rest"]["real"]["received_per_s"]["p50"], 0)  # both kinds in one group
@@ -94,7 +120,7 @@
                 out = Path(self.folder, f"{word}.json")
                 code, said, err = self.run_whole("--members", 10, "--seconds", 600, *bound, "--json", out)
                 self.assertEqual(code, 1, err)
-                run, = json.loads(out.read_text())["runs"]
+                (run,) = json.loads(out.read_text())["runs"]
                 self.assertTrue(run["ended"].startswith(word), run["ended"])
                 self.assertIn(f"broken off: {word}", said)
 
@@ -116,22 +142,38 @@
         process.communicate(timeout=PATIENCE)  # what is left is looked at when the test is over
 
     def test_a_run_is_told_against_another(self):
-        one = {"spec": {"members": 20, "seed": 1, "real": 0, "pace": 1.0}, "version": "then",
-               "ended": "whole", "rest": {"hollow": {}, "cpu_share": 0.02}, "join": {}, "notes": [],
-               "processes": 1, "peak_mb": 1.0, "machine": {"load": [0.0], "cores": 8}, "empty_cpu_share": 0.0,
-               "date": "2026-12-02"}
+        one = {
+            "spec": {"members": 20, "seed": 1, "real": 0, "pace": 1.0},
+            "version": "then",
+            "ended": "whole",
+            "rest": {"hollow": {}, "cpu_share": 0.02},
+            "join": {},
+            "notes": [],
+            "processes": 1,
+            "peak_mb": 1.0,
+            "machine": {"load": [0.0], "cores": 8},
+            "empty_cpu_share": 0.0,
+            "date": "2026-12-02",
+        }
         then, now = Path(self.folder, "then.json"), Path(self.folder, "now.json")
         then.write_text(json.dumps({"runs": [one]}))
-        with mock.patch.object(scale.Scale, "run", lambda self, tell: one | {
-                "version": "now", "rest": {"hollow": {}, "cpu_share": 0.01}}):
+        with mock.patch.object(
+            scale.Scale,
+            "run",
+            lambda self, tell: one | {"version": "now", "rest": {"hollow": {}, "cpu_share": 0.01}},
+        ):
             done = CliRunner().invoke(lab, ["scale", "--json", str(now), "--against", str(then)])
         self.assertEqual(done.exit_code, 0, done.output)
         self.assertRegex(done.output, r"processor, % of a core, at 20 +2 +- +1 +- +0\.5")
 
 
 def made(members, cpu, seed=1, **more):
-    return {"spec": {"members": members, "seed": seed, "real": 0}, "version": "v", "ended": "whole",
-            "rest": {"cpu_share": cpu}} | more
+    return {
+        "spec": {"members": members, "seed": seed, "real": 0},
+        "version": "v",
+        "ended": "whole",
+        "rest": {"cpu_share": cpu},
+    } | more
 
 
 class Report(unittest.TestCase):
@@ -145,23 +187,27 @@
         self.assertAlmostEqual(fit["residual"], 0.0)
         self.assertEqual((fit["from"], fit["to"], fit["runs"]), (20, 100, 3))
         off = scale_report.slope([(0, 0.0), (1, 3.0), (2, 0.0)])
-        self.assertAlmostEqual(off["residual"], 2 ** 0.5)
+        self.assertAlmostEqual(off["residual"], 2**0.5)
         self.assertIsNone(scale_report.slope([(1, 1.0), (1, 2.0), (2, 3.0)]))
 
     def test_slopes_stand_side_by_side(self):
         before, now = ([made(n, slope * n) for n in (20, 50, 100)] for slope in (0.0004, 0.0001))
         _, _, rows = scale_report.against(now, before)
-        row, = (r for r in rows if r[0].startswith("processor"))
+        (row,) = (r for r in rows if r[0].startswith("processor"))
         self.assertAlmostEqual(row[1], 0.04)
         self.assertAlmostEqual(row[3], 0.01)
         self.assertAlmostEqual(row[5], 0.25)
 
     def test_a_check_says_by_how_much_hollow_workers_are_out(self):
-        rest = {"not_voters": {"sent_per_s": {"p50": 20.0}, "peers_cpu_s": {"p50": 0.010}}, "was_late": 0,
-                "hollows": 20, "seconds": 10.0, "cpu_share": 0.015,
-                "hollow": {"peers_cpu_s": {"mean": 0.012}},
-                "real": {"sent_per_s": {"p50": 21.0}, "peers_cpu_s": {"p50": 0.015},
-                         "cpu_s": {"p50": 0.020}}}
+        rest = {
+            "not_voters": {"sent_per_s": {"p50": 20.0}, "peers_cpu_s": {"p50": 0.010}},
+            "was_late": 0,
+            "hollows": 20,
+            "seconds": 10.0,
+            "cpu_share": 0.015,
+            "hollow": {"peers_cpu_s": {"mean": 0.012}},
+            "real": {"sent_per_s": {"p50": 21.0}, "peers_cpu_s": {"p50": 0.015}, "cpu_s": {"p50": 0.020}},
+        }
         for late, valid in ((0, True), (20, True), (21, False)):
             run = made(40, 0) | {"rest": rest | {"was_late": late}, "join": {"all_s": 1.0}, "notes": []}
             with mock.patch.object(scale.Scale, "run", lambda self, tell, run=run: run):
@@ -181,8 +227,11 @@
         self.assertTrue(network.passes(a, b))
         self.assertFalse(network.passes(a, c) or network.passes(c, b))
         sent = []
-        link = hollow.Link(SimpleNamespace(fileno=0, close=0, getsockname=0, sendto=lambda data, to:
-                                           sent.append(to)), network, a)
+        link = hollow.Link(
+            SimpleNamespace(fileno=0, close=0, getsockname=0, sendto=lambda data, to: sent.append(to)),
+            network,
+            a,
+        )
         link.sendto(b"x", b)
         link.sendto(b"x", c)
         self.assertEqual(sent, [b])
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -28,8 +28,9 @@
 ROOT = Path(__file__).parent.parent
 READ = i.RequestClass(name="read", aim=2 * S, deadline=5 * S, repeat=i.Repeat.SAFE)
 REFRESH = i.RequestClass(name="refresh", aim=2 * S, deadline=5 * S, repeat=i.Repeat.SAFE)
-FILING = i.RequestClass(name="filing", aim=2 * S, deadline=5 * S, worth=0.5, repeat=i.Repeat.KEYED,
-                        window=20 * S)
+FILING = i.RequestClass(
+    name="filing", aim=2 * S, deadline=5 * S, worth=0.5, repeat=i.Repeat.KEYED, window=20 * S
+)
 
 
 def an_order(costs=(0.1, 0.1, 0.1), quota=None, rate=0.0):
@@ -71,8 +72,10 @@
         beyond = [x for n in range(300) if o.beyond(x := ("", "read", n), "acme", 3.0)]
         self.assertTrue(0.4 < len(beyond) / 300 < 0.6)
         inside = [("", "read", n) for n in range(300) if ("", "read", n) not in beyond]
-        self.assertLess(max(o.place(x, "read", "acme", 3.0) for x in inside),
-                        min(o.place(x, "read", "acme", 3.0) for x in beyond))
+        self.assertLess(
+            max(o.place(x, "read", "acme", 3.0) for x in inside),
+            min(o.place(x, "read", "acme", 3.0) for x in beyond),
+        )
 
     def test_further_tries_are_no_demand_marked_or_not(self):
         o = an_order()
@@ -262,6 +265,7 @@
                 now += 0.1
                 leaving.look(now, Others(3, level, 10.0))
             return now
+
         self.assertLess(out(1.0), 2.0)
         self.assertTrue(5.0 < out(0.5) < 12.0)
 
@@ -317,8 +321,9 @@
 
     def test_what_the_planner_writes_can_be_read_and_is_the_same(self):
         self.assertEqual(playbook.parse(self.text, [c.name for c in self.fleet.classes]), self.book)
-        self.assertEqual(playbook.unpacked(playbook.packed(self.book), {c.name for c in self.fleet.classes}),
-                         self.book)
+        self.assertEqual(
+            playbook.unpacked(playbook.packed(self.book), {c.name for c in self.fleet.classes}), self.book
+        )
 
     def test_filings_are_all_let_in_and_those_of_like_worth_alike(self):
         for loss in self.book.loss:
@@ -349,7 +354,7 @@
             playbook.parse(more)
 
     def test_text_that_is_no_playbook_is_refused(self):
-        for text in ("", "version = 1", "[[[", "version = \"one\"\nmade = 1"):
+        for text in ("", "version = 1", "[[[", 'version = "one"\nmade = 1'):
             with self.subTest(text), self.assertRaises(playbook.BadPlaybook):
                 playbook.parse(text)
 
@@ -367,7 +372,7 @@
         a = desk_module.Desk("w0", "brussels", settings, self.book, 0.0, False)
         b = desk_module.Desk("w1", "antwerp", settings, younger, 0.0, False)
         a.look(0.1, [desk_module.Peer("w1", "antwerp", "alive", 0.1, b.word(0.1))])
-        (to, topic, data), = a.sends(0.1)
+        ((to, topic, data),) = a.sends(0.1)
         self.assertEqual((to, topic), ("w1", desk_module.ASK_BOOK))
         for answer_topic, answer in b.took(mock.Mock(), topic, data, 0.1):
             a.took(mock.Mock(), answer_topic, answer, 0.1)
@@ -418,7 +423,9 @@
                 world.at(10, lambda site=site: world.bring_back(site))
             world.run(30)
             return world.at_once()
+
         self.assertEqual([both(s) for s in range(3)], [[], [], []])
-        with mock.patch.object(desk_module.Desk, "_permit", lambda self, now: (
-                setattr(self, "site_returns", True) or True, 0.0)):
+        with mock.patch.object(
+            desk_module.Desk, "_permit", lambda self, now: (setattr(self, "site_returns", True) or True, 0.0)
+        ):
             self.assertTrue(any(both(s) for s in range(3)))
--- a/tests/test_sites_fleet.py
+++ b/tests/test_sites_fleet.py
@@ -18,16 +18,26 @@
 logging.getLogger("asyncio").setLevel(logging.CRITICAL)
 ROOT = Path(__file__).parent.parent
 TWO = {"brussels": ["w0", "w1", "w2"], "antwerp": ["w3", "w4", "w5"]}
-CLASSES = [{"name": "read", "share": 0.8, "work_ms": 200},
-           {"name": "filing", "share": 0.2, "work_ms": 200, "worth": 3, "keyed": True}]
+CLASSES = [
+    {"name": "read", "share": 0.8, "work_ms": 200},
+    {"name": "filing", "share": 0.2, "work_ms": 200, "worth": 3, "keyed": True},
+]
 
 
 def play(faults, seed=1, sites=TWO, load=0.4, **changes):
     count = sum(map(len, sites.values()))
-    values = {"name": "t", "seconds": 12.0, "workers": count, "sites": sites, "classes": CLASSES,
-              "load": {"rate": load * count * 4 / 0.2}, "tables": {"sites": {}}, "faults": faults,
-              "services": {"shared": 0, "cores": 4, "cold_from": 0.3, "cold_s": 3.0},
-              "balancer": {"choice": "weighted", "check_s": 0.2, "redispatch": True}}
+    values = {
+        "name": "t",
+        "seconds": 12.0,
+        "workers": count,
+        "sites": sites,
+        "classes": CLASSES,
+        "load": {"rate": load * count * 4 / 0.2},
+        "tables": {"sites": {}},
+        "faults": faults,
+        "services": {"shared": 0, "cores": 4, "cold_from": 0.3, "cold_s": 3.0},
+        "balancer": {"choice": "weighted", "check_s": 0.2, "redispatch": True},
+    }
     return Play(parse(values | changes), seed).run()
 
 
@@ -35,8 +45,11 @@
     def test_a_site_is_lost_known_to_be_and_comes_back_by_steps(self):
         v = play([{"at": 7.0, "kind": "kill", "who": ["antwerp"], "lasts": 4.0}], seconds=16.0)
         self.assertEqual(v["broken"], [])
-        self.assertLessEqual({"w0", "w1", "w2"}, {w for _, w, site, state, _ in v["known"]
-                                                  if (site, state) == ("antwerp", "lost")}, v["known"])
+        self.assertLessEqual(
+            {"w0", "w1", "w2"},
+            {w for _, w, site, state, _ in v["known"] if (site, state) == ("antwerp", "lost")},
+            v["known"],
+        )
         self.assertGreater(v["goodput"]["faults"]["filing"], 0.9 * v["goodput"]["quiet"]["filing"])
         parts = {n: [w for at, name, w in v["weights"] if name == n and at > 10.9] for n in TWO["antwerp"]}
         self.assertTrue(all(min(p) < 50 for p in parts.values()), v["weights"])  # each asks for little first
@@ -51,15 +64,23 @@
 
     def test_two_sites_that_come_back_together_never_step_at_once(self):
         sites = {"brussels": ["w0", "w1"], "antwerp": ["w2", "w3"], "ghent": ["w4", "w5"]}
-        v = play([{"at": 4.0, "kind": "kill", "who": ["antwerp", "ghent"], "lasts": 1.5}], sites=sites,
-                 seconds=13.0)
+        v = play(
+            [{"at": 4.0, "kind": "kill", "who": ["antwerp", "ghent"], "lasts": 1.5}],
+            sites=sites,
+            seconds=13.0,
+        )
         self.assertEqual(v["broken"], [])  # of which steps at once are one
         self.assertGreater(len(v["stepped"]), 0)
 
     def test_operators_empty_a_site_though_one_worker_does_not_hear_the_order_and_let_it_return(self):
-        v = play([{"at": 2.0, "kind": "cut", "who": ["w5"], "lasts": 2.0},
-                  {"at": 2.5, "kind": "call", "who": ["w3"], "path": "/sites/evacuate/antwerp"},
-                  {"at": 8.0, "kind": "call", "who": ["w0"], "path": "/sites/return/antwerp"}], seconds=14.0)
+        v = play(
+            [
+                {"at": 2.0, "kind": "cut", "who": ["w5"], "lasts": 2.0},
+                {"at": 2.5, "kind": "call", "who": ["w3"], "path": "/sites/evacuate/antwerp"},
+                {"at": 8.0, "kind": "call", "who": ["w0"], "path": "/sites/return/antwerp"},
+            ],
+            seconds=14.0,
+        )
         self.assertEqual(v["broken"], [])
         for worker in TWO["antwerp"]:
             mine = [(at, w) for at, name, w in v["weights"] if name == worker]
@@ -71,25 +92,34 @@
 
 class OneWorker(unittest.TestCase):
     def worker(self, sites, **peers):
-        table = {"listen": "127.0.0.1:0", "group": "g", "secrets": ["sixteen characters"], "site": "a",
-                 "voters": ["n1"]} | peers
+        table = {
+            "listen": "127.0.0.1:0",
+            "group": "g",
+            "secrets": ["sixteen characters"],
+            "site": "a",
+            "voters": ["n1"],
+        } | peers
         p = Program(thrift=False, ajp=True, peers=table, sites=sites)
         self.addCleanup(p.close)
         return p
 
     def test_nothing_of_it_is_loaded_without_its_table(self):
-        code = ("import sys, ochrehoist.worker, ochrehoist.net.peers, ochrehoist.net.ajp_front; "
-                "print([m for m in sys.modules if 'sites' in m])")
+        code = (
+            "import sys, ochrehoist.worker, ochrehoist.net.peers, ochrehoist.net.ajp_front; "
+            "print([m for m in sys.modules if 'sites' in m])"
+        )
         done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True)
         self.assertEqual(done.stdout.strip(), "[]", done.stderr)
 
     def test_a_file_that_cannot_hold_is_refused_by_its_key(self):
         folder = Path(self.enterContext(tempfile.TemporaryDirectory()))
         base = (ROOT / "deploy/sites.toml").read_text()
-        for old, new, key in (("\n[sites]\n", "\n[sites]\nno_such_key = 1\n", "sites.no_such_key"),
-                              ('site = "brussels"', 'site = "ghent"', "sites.site"),
-                              ('playbook = "', 'playbook = "no-such-', "sites.playbook"),
-                              ('fleet = "', 'fleet = "no-such-', "sites.fleet")):
+        for old, new, key in (
+            ("\n[sites]\n", "\n[sites]\nno_such_key = 1\n", "sites.no_such_key"),
+            ('site = "brussels"', 'site = "ghent"', "sites.site"),
+            ('playbook = "', 'playbook = "no-such-', "sites.playbook"),
+            ('fleet = "', 'fleet = "no-such-', "sites.fleet"),
+        ):
             with self.subTest(key):
                 self.assertIn(old, base)
                 file = folder / "s.toml"
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -182,8 +182,9 @@
         self.recorded(first, 2)
         self.kill(first)
         for hours in (-1, 24):
-            set_clock = "import time\nreal = time.time_ns\n" \
-                f"time.time_ns = lambda: real() + {hours} * 3600 * 10**9\n"
+            set_clock = (
+                f"import time\nreal = time.time_ns\ntime.time_ns = lambda: real() + {hours} * 3600 * 10**9\n"
+            )
             program = self.start(fault=set_clock)
             client = program.ajp()
             self.file(client, "k")
@@ -405,14 +406,23 @@
 
     def test_a_folder_whose_parent_is_not_there_is_named(self):
         config = self.base / "a.toml"
-        whole = {"name": "n", "ajp": {"listen": "127.0.0.1:0", "rules": [], "servers": [
-            {"address": "127.0.0.1:1"}]}, "settings": settings(), "state": {"folder": "/nowhere/at/all"}}
+        whole = {
+            "name": "n",
+            "ajp": {"listen": "127.0.0.1:0", "rules": [], "servers": [{"address": "127.0.0.1:1"}]},
+            "settings": settings(),
+            "state": {"folder": "/nowhere/at/all"},
+        }
         config.write_text(toml_file(whole))
         done = run("--config", str(config), "run")
         self.assertEqual(done.returncode, 2)
         self.assertIn("setting state.folder: /nowhere/at/all", done.stderr)
-        for key, value in (("on_loss", "pray"), ("max_mb", 0), ("folder", 3), ("fodler", "x"),
-                           ("learned_half_life_s", 0)):
+        for key, value in (
+            ("on_loss", "pray"),
+            ("max_mb", 0),
+            ("folder", 3),
+            ("fodler", "x"),
+            ("learned_half_life_s", 0),
+        ):
             config.write_text(toml_file(whole | {"state": {"folder": str(self.base)} | {key: value}}))
             done = run("check", str(config))
             self.assertEqual(done.returncode, 2)
@@ -449,8 +459,11 @@
         self.kill(new)
         third = self.start()
         client = third.ajp()
-        for key, result in (("done", b"by the old"), ("running", b"ended at the old"),
-                            ("new", b"by the new")):
+        for key, result in (
+            ("done", b"by the old"),
+            ("running", b"ended at the old"),
+            ("new", b"by the new"),
+        ):
             self.file(client, key)
             self.assertEqual(client.answer()[2], result)
         self.assertEqual(third.server.got.qsize(), 0)
@@ -478,7 +491,6 @@
                 self.assertEqual(client.answer()[0], 502)
                 self.assertEqual(old.server.got.qsize(), 0)
 
-
     def test_either_may_die_at_each_moment_of_handing_the_store_over(self):
         for point in HANDOVER:
             dying = "new" if point.startswith("open") else "old"
--- a/tests/test_store_decisions.py
+++ b/tests/test_store_decisions.py
@@ -41,8 +41,13 @@
 
 
 def begun(n=1, **more):
-    values = {"token": ("acme", "filing", f"k{n}"), "id": f"r{n}", "window": 20 * SECOND, "left": 20 * SECOND,
-              "at": Stamp(DAY, "b", HOUR)} | more
+    values = {
+        "token": ("acme", "filing", f"k{n}"),
+        "id": f"r{n}",
+        "window": 20 * SECOND,
+        "left": 20 * SECOND,
+        "at": Stamp(DAY, "b", HOUR),
+    } | more
     return Begun(**values)
 
 
@@ -73,10 +78,19 @@
         self.assertEqual(got == window or got <= left, True)
 
     def test_what_was_learned_fades_and_what_was_known_of_callers_expires(self):
-        learned = {"took": {"read": [5.0, 8.0]}, "means": {"unread": [1.0, 4.0]}, "ran": {"acme": 2.0},
-                   "asked": [["read", 8.0]], "served": [["read", 0.1]], "curve": [2, 8, 1.0, [4.0], [6.0]],
-                   "floor": 3, "sent": 9.0, "heard": [[1, 0], [2, 9 * SECOND]], "left": [[1, [3]], [2, [4]]],
-                   "patience": [[1, 5, 6 * SECOND], [2, 5, SECOND]]}
+        learned = {
+            "took": {"read": [5.0, 8.0]},
+            "means": {"unread": [1.0, 4.0]},
+            "ran": {"acme": 2.0},
+            "asked": [["read", 8.0]],
+            "served": [["read", 0.1]],
+            "curve": [2, 8, 1.0, [4.0], [6.0]],
+            "floor": 3,
+            "sent": 9.0,
+            "heard": [[1, 0], [2, 9 * SECOND]],
+            "left": [[1, [3]], [2, [4]]],
+            "patience": [[1, 5, 6 * SECOND], [2, 5, SECOND]],
+        }
         then = Stamp(DAY, "b", DAY)
         soon = aged(learned, then, Stamp(DAY, "b", DAY + 2 * SECOND), HOUR, False)
         self.assertEqual(soon["heard"], [[1, 2 * SECOND]])
@@ -91,9 +105,13 @@
 
 
 class Records(unittest.TestCase):
-    ALL = ((begun(), key_of(TOKEN)), (Finished("OK", True, b"body", b'{"a": 1}', 3), b"k"),
-           (Learned(Stamp(1), {"a": [1]}, 1), b"learned"), (Loss(Stamp(1), 2, "why"), b"loss"),
-           (Census(1, 2, 2**64 - 1), b"census"))
+    ALL = (
+        (begun(), key_of(TOKEN)),
+        (Finished("OK", True, b"body", b'{"a": 1}', 3), b"k"),
+        (Learned(Stamp(1), {"a": [1]}, 1), b"learned"),
+        (Loss(Stamp(1), 2, "why"), b"loss"),
+        (Census(1, 2, 2**64 - 1), b"census"),
+    )
 
     def test_what_was_packed_is_unpacked(self):
         for record, key in self.ALL:
@@ -140,18 +158,19 @@
         census = Census(7, 2, 5)
         sound = {"marker": True, "store": True, "census": census, "counted": census, "witness": 7}
         for changes, case, aside in (
-                ({}, Case.SOUND, False),
-                ({"witness": 6}, Case.SOUND, False),  # not synced: it may lag
-                ({"witness": None, "marker": False}, Case.SOUND, False),
-                ({"marker": False, "store": False}, Case.FIRST, False),
-                ({"store": False}, Case.LOST, False),
-                ({"witness": 8}, Case.LOST, True),
-                ({"counted": Census(7, 1, 5)}, Case.LOST, True),
-                ({"damaged": 1}, Case.LOST, True),
-                ({"census": None}, Case.LOST, True),
-                ({"unreadable": "malformed"}, Case.LOST, True),
-                ({"newer": "state-9.db"}, Case.LOST, False),
-                ({"newer": "state-9.db", "store": False, "marker": False}, Case.LOST, False)):
+            ({}, Case.SOUND, False),
+            ({"witness": 6}, Case.SOUND, False),  # not synced: it may lag
+            ({"witness": None, "marker": False}, Case.SOUND, False),
+            ({"marker": False, "store": False}, Case.FIRST, False),
+            ({"store": False}, Case.LOST, False),
+            ({"witness": 8}, Case.LOST, True),
+            ({"counted": Census(7, 1, 5)}, Case.LOST, True),
+            ({"damaged": 1}, Case.LOST, True),
+            ({"census": None}, Case.LOST, True),
+            ({"unreadable": "malformed"}, Case.LOST, True),
+            ({"newer": "state-9.db"}, Case.LOST, False),
+            ({"newer": "state-9.db", "store": False, "marker": False}, Case.LOST, False),
+        ):
             with self.subTest(changes):
                 verdict = judge(Seen(**sound | changes))
                 self.assertEqual((verdict.case, verdict.set_aside), (case, aside))
@@ -195,10 +214,20 @@
     def test_a_group_comes_to_one_change_for_each_filing(self):
         one, two, end = begun(1), begun(2), Finished("OK", True, b"x")
         lesson = Learned(Stamp(1), {}, 1)
-        changes, named = net([Drop(b"a"), Begin("r1", b"a", one), End(b"a", end), End(b"b", end),
-                              Begin("r2", b"c", two), Drop(b"c"), Save("x", lesson)])
-        self.assertEqual(changes, {b"a": Change(True, one, end), b"b": Change(False, None, end),
-                                   b"c": Change(True)})
+        changes, named = net(
+            [
+                Drop(b"a"),
+                Begin("r1", b"a", one),
+                End(b"a", end),
+                End(b"b", end),
+                Begin("r2", b"c", two),
+                Drop(b"c"),
+                Save("x", lesson),
+            ]
+        )
+        self.assertEqual(
+            changes, {b"a": Change(True, one, end), b"b": Change(False, None, end), b"c": Change(True)}
+        )
         self.assertEqual(named, {"x": lesson})
 
     def test_a_long_queue_goes_at_once_and_in_bounded_groups(self):
@@ -239,8 +268,13 @@
         self.assertEqual(self.b.bytes, 0)
 
     def test_a_failed_sync_wants_all_written_anew_and_a_disk_that_is_full_does_not(self):
-        for error, wants in ((Error.SYNC, True), (Error.IO, True), (Error.DAMAGED, True), (Error.FULL, False),
-                             (Error.READ_ONLY, False)):
+        for error, wants in (
+            (Error.SYNC, True),
+            (Error.IO, True),
+            (Error.DAMAGED, True),
+            (Error.FULL, False),
+            (Error.READ_ONLY, False),
+        ):
             self.setUp()
             self.begin(1)
             self.b.group(0.001)
@@ -330,8 +364,11 @@
 
     @invariant()
     def sums(self):
-        held = sum(len(op.record.body) + len(op.record.detail) for op in
-                   (*self.b.waiting, *(self.b.under_way or ())) if isinstance(op, End))
+        held = sum(
+            len(op.record.body) + len(op.record.detail)
+            for op in (*self.b.waiting, *(self.b.under_way or ()))
+            if isinstance(op, End)
+        )
         assert self.b.bytes == held
         assert set(self.b.begins) == self.open
         assert len(self.b.waiting) == len(self.b.since)
--- a/tests/test_store_disk.py
+++ b/tests/test_store_disk.py
@@ -166,8 +166,11 @@
         return cases
 
     def files(self):
-        return [p for p in (self.path, self.path.with_name(self.path.name + "-wal"))
-                if p.exists() and p.stat().st_size]
+        return [
+            p
+            for p in (self.path, self.path.with_name(self.path.name + "-wal"))
+            if p.exists() and p.stat().st_size
+        ]
 
     def test_changed_bits_are_seen_or_do_no_harm(self):
         def flip(source):
@@ -185,8 +188,11 @@
         def cut(source):
             path = source.choice(self.files())
             size = path.stat().st_size
-            os.truncate(path, source.choice((0, 1, 24, 32, 4096, size // 4096 * 4096, size - 1,
-                                             source.randrange(size))) % size)
+            os.truncate(
+                path,
+                source.choice((0, 1, 24, 32, 4096, size // 4096 * 4096, size - 1, source.randrange(size)))
+                % size,
+            )
 
         for close in (True, False):
             self.damaged(cut, SEEDS // 2, close)
@@ -370,8 +376,12 @@
 
         db = self.under(fails)
         good, bad = filing(1), filing(2)
-        db.commit([Begin(good.id, key_of(good.token), good),
-                   End(key_of(good.token), Finished("OK", True, b"result"))])
+        db.commit(
+            [
+                Begin(good.id, key_of(good.token), good),
+                End(key_of(good.token), Finished("OK", True, b"result")),
+            ]
+        )
         broken.append(True)
         with self.assertRaises(Failed) as failed:
             db.commit([Begin(bad.id, key_of(bad.token), bad)])
--- a/tests/test_tenants_at_size.py
+++ b/tests/test_tenants_at_size.py
@@ -86,10 +86,14 @@
         asked = [min(a, m) for a, m in zip(self.asked, most, strict=True)]
         lack = [(1.01 - min(1.0, v / a)) ** 2 for v, a in zip(self.served, asked, strict=True)]
         offered = sum(c.worth * a for c, a in zip(classes, asked, strict=False))
-        self.gains = [(goal.whole + goal.worst_window) * classes[at].worth / offered
-                      + goal.worst_class * lack[at] / sum(lack[:2]) / asked[at] for at in range(2)]
-        self.plus = [goal.worst_tenant * miss / sum(lack[2:]) / a
-                     for miss, a in zip(lack[2:], asked[2:], strict=True)]
+        self.gains = [
+            (goal.whole + goal.worst_window) * classes[at].worth / offered
+            + goal.worst_class * lack[at] / sum(lack[:2]) / asked[at]
+            for at in range(2)
+        ]
+        self.plus = [
+            goal.worst_tenant * miss / sum(lack[2:]) / a for miss, a in zip(lack[2:], asked[2:], strict=True)
+        ]
 
     def beat(self):
         self.value()
@@ -99,7 +103,7 @@
 
     def probe(self, tenant):
         inside = min(1.0, self.share(self.of[tenant]) / max(1e-9, self.ran[tenant]))
-        times = inside ** 2 + (1 - inside ** 2) * self.m.settings.over_share_worth
+        times = inside**2 + (1 - inside**2) * self.m.settings.over_share_worth
         return (self.gains[0] + self.plus[tenant]) * times / S, inside
 
 
@@ -142,7 +146,7 @@
         m = Module(tenants(2, 0.05), fleet_size=1)
         started = sum(m.serve(0) for _ in range(200))
         m.beats(650)
-        self.assertAlmostEqual(m.probe(0)[1], 0.05 / ((0.05 + started / 20) * FADE ** 650))
+        self.assertAlmostEqual(m.probe(0)[1], 0.05 / ((0.05 + started / 20) * FADE**650))
         self.assertLess(m.probe(0)[1], 0.2)
 
     def test_so_are_2000(self):
@@ -192,8 +196,10 @@
         self.same(lambda m: m.serve(1))
 
     def test_a_change_of_tenants_goes_through_none(self):
-        changed = {size: Looked((*tenants(size - 1), i.Tenant("other", 5.0, 0.1), i.Tenant("new", 5.0, 0.1)))
-                   for size in SIZES}
+        changed = {
+            size: Looked((*tenants(size - 1), i.Tenant("other", 5.0, 0.1), i.Tenant("new", 5.0, 0.1)))
+            for size in SIZES
+        }
         self.same(lambda m: m.send(i.TenantsChanged(changed[len(m.settings.tenants)])))
 
     def test_a_beat_grows_with_those_that_lack_answers_alone(self):
@@ -335,14 +341,14 @@
         quiet = [[f"tenant{n}", level] for n in range(2, 50)]
         lesson["asked"] += [["tenant0", 8.0], ["tenant1", 4.0], *quiet]
         lesson["served"] += [["tenant0", 2.0], ["tenant1", 4.0], *quiet]
-        lesson["ran"] = {f"tenant{n}": 3.0 * FADE ** beats for n in range(2, 50)}
+        lesson["ran"] = {f"tenant{n}": 3.0 * FADE**beats for n in range(2, 50)}
         lesson["ran"] |= {"tenant0": 9.0, "tenant1": 1.0}
         return lesson
 
     def test_the_form_of_an_older_program_is_taken_up(self):
         for beats in (0, 100, 2000):
             with self.subTest(beats=beats):
-                level = max(0.1, FADE ** beats)
+                level = max(0.1, FADE**beats)
                 fresh = Module(tenants(50, 30.0))
                 handover.teach(fresh.c, self.older(level, beats), fresh.now)
                 self.assertLessEqual(fresh.c.known.keys(), {0, 1})
--- a/tests/test_thrift_front.py
+++ b/tests/test_thrift_front.py
@@ -206,7 +206,7 @@
                 self.kernel.reap(self.kernel.next()[0], body=b"%d" % number, say=False)
                 line = json.dumps(self.kernel.notices[-1]).encode() + b"\n"
                 if damage == "cut":
-                    self.kernel.say_raw(line[:len(line) // 2])
+                    self.kernel.say_raw(line[: len(line) // 2])
                     self.kernel.drop_links()
                 elif damage == "repeated":
                     self.kernel.say_raw(line * 3)
@@ -252,9 +252,13 @@
 class BadInput(Case):
     def test_a_bad_frame_ends_its_own_connection_only(self):
         good = self.program.thrift()
-        for frame in (b"\xff\xff\xff\xff", b"\0\0\0\x04junk", b"\0\0\0\x0c\x80\x01\0\x01\x7f\xff\xff\xffaaaa",
-                      struct.pack(">I", 19) + b"\x80\x01\0\x01\0\0\0\x06invoke\0\0\0\x01\x0d",
-                      struct.pack(">I", 4) + b"\0\0\0\x01"):
+        for frame in (
+            b"\xff\xff\xff\xff",
+            b"\0\0\0\x04junk",
+            b"\0\0\0\x0c\x80\x01\0\x01\x7f\xff\xff\xffaaaa",
+            struct.pack(">I", 19) + b"\x80\x01\0\x01\0\0\0\x06invoke\0\0\0\x01\x0d",
+            struct.pack(">I", 4) + b"\0\0\0\x01",
+        ):
             bad = self.program.thrift()
             bad.sock.sendall(frame)
             self.assertEqual(bad.sock.recv(1), b"")
@@ -262,10 +266,24 @@
 
     def test_bad_and_missing_fields_get_an_application_exception(self):
         router = self.program.thrift()
-        for fields in ({"method": "none"}, {"rid": "short"}, {"t0": "-1"}, {"t0": "soon"}, {"mem": "nan"},
-                       {"acct": "who"}, {"est": "x"}, {"prio": "1"}, {"peer": "x"}, {"obj": b"\xff"},
-                       {"drop": ["rid"]}, {"drop": ["t0"]}, {"drop": ["mem"]}, {"drop": ["acct"]},
-                       {"method": "filing"}, {"method": "filing", "token": ""}):
+        for fields in (
+            {"method": "none"},
+            {"rid": "short"},
+            {"t0": "-1"},
+            {"t0": "soon"},
+            {"mem": "nan"},
+            {"acct": "who"},
+            {"est": "x"},
+            {"prio": "1"},
+            {"peer": "x"},
+            {"obj": b"\xff"},
+            {"drop": ["rid"]},
+            {"drop": ["t0"]},
+            {"drop": ["mem"]},
+            {"drop": ["acct"]},
+            {"method": "filing"},
+            {"method": "filing", "token": ""},
+        ):
             with self.subTest(fields):
                 self.assertEqual(router.call(**fields)[0], "Exception")
         self.assertEqual(router.answer(router.send("fly", b"\0"))[0], "Exception")
@@ -283,7 +301,6 @@
                 slow.sock.sendall(frame)
         self.assertEqual(quick.ping()[0], "Answer")
 
-
     def test_many_readers_that_take_nothing_are_bounded_together(self):
         junk = struct.pack(">I", 0x80010001) + b"\0\0\x27\x10" + b"x" * 10000 + b"\0\0\0\x01\0"
         frame, slow = struct.pack(">I", len(junk)) + junk, []
