--- a/Makefile
+++ b/Makefile
@@ -37,6 +37,7 @@
 	cp requirements-dev.txt $@
 
 lint: build
+	$(VENV)/bin/ruff format --check .
 	$(VENV)/bin/ruff check ochrehoist tests benchmarks
 
 test: lint
--- a/benchmarks/beat.py
+++ b/benchmarks/beat.py
@@ -21,8 +21,23 @@
 
 from benchmarks.earlier import versions
 from benchmarks.same_decisions import rules_of
-from ochrehoist import interface as i
-from ochrehoist import rules
+from ochrehoist.admission import controller
+from ochrehoist.admission.actions import Action, StartRun
+from ochrehoist.admission.events import (
+    Event,
+    InstanceStarted,
+    Outcome,
+    RequestCompleted,
+    RequestReceived,
+    TimerFired,
+)
+from ochrehoist.admission.settings import (
+    AdmissionSettings,
+    Idempotency,
+    ObjectiveWeights,
+    RequestClass,
+    Tenant,
+)
 
 MS, S = 1_000_000, 1_000_000_000
 SIZES = (  # tenants, active, and whether these lack answers
@@ -40,24 +55,30 @@
 BLOCKS = 4  # of beats, by turns: a version's own caches, as in a process of its own
 
 
-def settings(tenants: int) -> i.Settings:
+def settings(tenants: int) -> AdmissionSettings:
     classes = (
-        i.RequestClass(name="read", aim=800 * MS, deadline=3 * S),
-        i.RequestClass(name="write", aim=2 * S, deadline=5 * S, worth=3.0, repeat=i.Repeat.KEYED),
-        i.RequestClass(name="report", aim=4 * S, deadline=9 * S, worth=2.0),
+        RequestClass(name="read", latency_objective_ns=800 * MS, deadline_ns=3 * S),
+        RequestClass(
+            name="write",
+            latency_objective_ns=2 * S,
+            deadline_ns=5 * S,
+            priority_weight=3.0,
+            idempotency=Idempotency.KEYED,
+        ),
+        RequestClass(name="report", latency_objective_ns=4 * S, deadline_ns=9 * S, priority_weight=2.0),
     )
-    return i.Settings(
+    return AdmissionSettings(
         classes=classes,
-        tenants=tuple(i.Tenant(f"tenant-{n}", 40.0, 1 / tenants) for n in range(tenants)),
-        goal=i.Goal(0.45, 0.15, 0.3, 0.1),
+        tenants=tuple(Tenant(f"tenant-{n}", 40.0, 1 / tenants) for n in range(tenants)),
+        objective=ObjectiveWeights(0.45, 0.15, 0.3, 0.1),
         fleet_size=12,
-        callers=10,
+        caller_count=10,
         cores=4,
         memory_kb=1e6,
-        tip_multiple=3.0,
-        fall=S,
-        over_share_worth=0.1,
-        max_backoff=S,
+        collapse_multiple=3.0,
+        collapse_after_ns=S,
+        over_quota_weight=0.1,
+        max_retry_after_ns=S,
     )
 
 
@@ -70,31 +91,33 @@
         before = tracemalloc.get_traced_memory()[0]
         self.controller = code.AdmissionController(told, 1)
         self.now, self.number, self.rng = 1000 * S, 0, random.Random(1)
-        self.tell(i.Started())
+        self.tell(InstanceStarted())
         self.tenants, self.active = tenants, self.rng.sample(range(tenants), active)
         self.waiting: list[str] = []
         self.running: list[str] = []
         self.born_kb = (tracemalloc.get_traced_memory()[0] - before) / 1000
         tracemalloc.stop()
-        self.outcome = i.Outcome.FAILED if lacking else i.Outcome.OK
+        self.outcome = Outcome.FAILED if lacking else Outcome.OK
         for tenant in self.active:
             self.request(tenant)
         self.beats: list[int] = []
 
-    def tell(self, event: i.Event) -> list[i.Action]:
+    def tell(self, event: Event) -> list[Action]:
         return self.controller.handle(self.now, event)
 
     def request(self, tenant: int) -> None:
         self.number += 1
         job = f"r{self.number}"
-        acts = self.tell(i.Request(job, self.number % 3, tenant, memory_kb=10.0, caller=self.number % 10))
+        acts = self.tell(
+            RequestReceived(job, self.number % 3, tenant, memory_kb=10.0, caller=self.number % 10)
+        )
         for a in acts:
-            if isinstance(a, i.Start):
+            if isinstance(a, StartRun):
                 self.running.append(a.id)
         self.now += 1
         if self.running and len(self.controller.jobs) > self.depth:
-            acts = self.tell(i.Completed(self.running.pop(0), self.outcome, 20 * MS))
-            self.running += [a.id for a in acts if isinstance(a, i.Start)]
+            acts = self.tell(RequestCompleted(self.running.pop(0), self.outcome, 20 * MS))
+            self.running += [a.id for a in acts if isinstance(a, StartRun)]
 
     depth = 0  # requests that stay open behind the one that comes
 
@@ -103,7 +126,7 @@
         for _ in range(min(20, len(self.active))):  # as many as come in a beat, of those that came before
             self.request(self.rng.choice(self.active))
         began = time.thread_time_ns()
-        self.tell(i.Alarm(1, {"cpu_busy": 0.5}))
+        self.tell(TimerFired(1, {"cpu_busy": 0.5}))
         self.beats.append(time.thread_time_ns() - began)
 
     def requests(self, count: int, depth: int) -> float:
@@ -150,7 +173,7 @@
 def side_by_side(few: int, many: int, scale: float) -> dict[str, Any]:
     """This version alone at two sizes, nobody active, in short blocks by turns: the load of the machine
     changes within a run, and is the same for both."""
-    modules = {size: Module(rules, size, 0) for size in (few, many)}
+    modules = {size: Module(controller, size, 0) for size in (few, many)}
     for _ in range(int(scale * 100)):
         for module in modules.values():
             for _ in range(40):
@@ -169,7 +192,7 @@
     parser.add_argument("--scale", type=float, default=1.0, help="of the beats and requests measured")
     args = parser.parse_args()
     with versions(args.revision) as ((_, tree), _):
-        codes = {"before": rules_of(tree), "now": rules}
+        codes = {"before": rules_of(tree), "now": controller}
         for size in SIZES:
             print(json.dumps(row(codes, *size, args.scale)), flush=True)
     print(json.dumps(side_by_side(3, 58_000, args.scale)))
--- a/benchmarks/config_reading.py
+++ b/benchmarks/config_reading.py
@@ -80,7 +80,7 @@
 
 def one(folder: str, ending: str) -> dict[str, tuple[float, float, float, float]]:
     """In the tree that is measured: seconds, ms of the longest step, MB then, and at the most, by kind."""
-    from ochrehoist import config
+    from ochrehoist.config import loader as config
 
     # Loaded beforehand: what a worker has loaded when a change comes.
     config.load(str(Path(folder, f"warm{ending}")), {})
--- a/benchmarks/knee.py
+++ b/benchmarks/knee.py
@@ -14,7 +14,7 @@
 
 import joblib
 
-from ochrehoist.limits.controllers import CONTROLLERS, Bounds, Fixed, Windows
+from ochrehoist.overload.controllers import CONTROLLERS, Bounds, Fixed, Windows
 from ochrehoist.plan.cores import Cores, Machine
 
 
--- a/benchmarks/limit_choice.py
+++ b/benchmarks/limit_choice.py
@@ -14,8 +14,8 @@
 
 import joblib
 
-from ochrehoist.config import CONTROLLERS, OverloadConfig
-from ochrehoist.limits.limiter import Limiter
+from ochrehoist.config.loader import CONTROLLERS, OverloadConfig
+from ochrehoist.overload.limiter import Limiter
 from ochrehoist.plan.cores import Cores
 from ochrehoist.plan.events import Simulation
 from ochrehoist.plan.fleet import parse
--- a/benchmarks/routes.py
+++ b/benchmarks/routes.py
@@ -26,8 +26,8 @@
 CHILD = """
 import json, sys, time, tracemalloc
 from types import SimpleNamespace as Plain
-from ochrehoist import interface as i
-from ochrehoist.config import AjpRule
+from ochrehoist.admission import interface as i
+from ochrehoist.config.loader import AjpRule
 from ochrehoist.net import ajp
 from ochrehoist.net.ajp_front import AjpReader, Rejected
 task = json.load(sys.stdin)
@@ -74,7 +74,7 @@
             steps.append((time.perf_counter_ns() - began) / 1e6)
     building = None
     tracemalloc.start()
-    from ochrehoist.settings import at_once
+    from ochrehoist.config.settings import at_once
     index = at_once(RouteIndex.in_steps(rules))
     out |= {"built_ms": sum(steps), "longest_step_ms": max(steps),
             "bytes_a_route": tracemalloc.get_traced_memory()[0] / size}
--- a/benchmarks/same_decisions.py
+++ b/benchmarks/same_decisions.py
@@ -25,8 +25,32 @@
 from types import ModuleType
 
 from benchmarks.earlier import versions
-from ochrehoist import interface as i
-from ochrehoist import rules
+from ochrehoist.admission import controller
+from ochrehoist.admission.actions import SetTimer, StartDownstreamCall, StartRun
+from ochrehoist.admission.events import (
+    ConcurrencyLimits,
+    DownstreamCallEnded,
+    DownstreamCallNeeded,
+    Event,
+    InstanceStarted,
+    Outcome,
+    RequestAbandoned,
+    RequestCompleted,
+    RequestReceived,
+    RunAdopted,
+    TenantsReplaced,
+    TimerFired,
+)
+from ochrehoist.admission.settings import (
+    AdmissionSettings,
+    BackpressureSignal,
+    DownstreamScope,
+    Idempotency,
+    ObjectiveWeights,
+    Preemption,
+    RequestClass,
+    Tenant,
+)
 
 MS, S = 1_000_000, 1_000_000_000
 
@@ -48,19 +72,19 @@
     return module
 
 
-def site(rng: random.Random, tenants: int) -> i.Settings:
+def site(rng: random.Random, tenants: int) -> AdmissionSettings:
     """Any settings: all weights of the goal, quotas from nothing to more than there is room for."""
     kinds = rng.randint(1, 4)
     classes = tuple(
-        i.RequestClass(
+        RequestClass(
             name=f"class{n}",
-            aim=rng.randrange(200, 3000) * MS,
-            deadline=rng.randrange(1000, 6000) * MS,
-            worth=rng.choice((1.0, 1.0, 2.0, 5.5)),
-            repeat=rng.choice(tuple(i.Repeat)),
-            window=rng.choice((0, 10 * S)),
-            calls=rng.random() < 0.3,
-            skip_worth=rng.choice((0.0, 0.5)),
+            latency_objective_ns=rng.randrange(200, 3000) * MS,
+            deadline_ns=rng.randrange(1000, 6000) * MS,
+            priority_weight=rng.choice((1.0, 1.0, 2.0, 5.5)),
+            idempotency=rng.choice(tuple(Idempotency)),
+            idempotency_window_ns=rng.choice((0, 10 * S)),
+            calls_downstream=rng.random() < 0.3,
+            fallback_weight=rng.choice((0.0, 0.5)),
         )
         for n in range(kinds)
     )
@@ -69,36 +93,38 @@
     quotas = [rng.choice((0.0, usual / 10, usual, usual, usual * rng.random() * 2)) for _ in range(tenants)]
     weights = rng.choice(((0.45, 0.15, 0.3, 0.1), (0.6, 0.2, 0.2, 0.0), (0.2, 0.0, 0.1, 0.7), (0, 0, 0, 1.0)))
     fleet = rng.choice((1, 1, 12))
-    return i.Settings(
+    return AdmissionSettings(
         classes=classes,
-        tenants=tuple(i.Tenant(f"tenant{n}", q * fleet, 1 / tenants) for n, q in enumerate(quotas)),
-        goal=i.Goal(*weights),
+        tenants=tuple(Tenant(f"tenant{n}", q * fleet, 1 / tenants) for n, q in enumerate(quotas)),
+        objective=ObjectiveWeights(*weights),
         fleet_size=fleet,
-        callers=rng.choice((0, 3, 400)),
+        caller_count=rng.choice((0, 3, 400)),
         cores=cores,
         memory_kb=rng.choice((4000.0, 200_000.0)),
-        run_factor=rng.choice((1.0, 4.0)),
+        run_memory_factor=rng.choice((1.0, 4.0)),
         key_kb=10.0,
-        just_started=rng.random() < 0.2,
-        cold=10 * S,
-        cold_from=0.25,
-        tip_multiple=rng.choice((2.0, 5.0)),
-        fall=2 * S,
-        drain_grace=2 * S,
-        passes_deadline=rng.random() < 0.5,
-        tells_gone=True,
-        marks_retry=rng.random() < 0.5,
-        worth_by_work=rng.random() < 0.5,
-        over_share_worth=rng.choice((0.0, 0.1, 1.0)),
-        below=rng.choice((i.Below.NOTHING, i.Below.NOTHING, i.Below.TIER, i.Below.SHARED)),
-        fair_calls=2.0,
-        calls_over=5 * S,
-        lingers=200 * MS,
-        advice=rng.choice(tuple(i.Advice)),
-        max_backoff=S,
-        preemption=rng.choice(tuple(i.Preemption)),
-        idle=15 * S,
-        step=4 * MS,
+        cold_start=rng.random() < 0.2,
+        warmup_ns=10 * S,
+        warmup_speed=0.25,
+        collapse_multiple=rng.choice((2.0, 5.0)),
+        collapse_after_ns=2 * S,
+        drain_grace_ns=2 * S,
+        propagates_deadline=rng.random() < 0.5,
+        reports_disconnects=True,
+        marks_retries=rng.random() < 0.5,
+        weighs_work=rng.random() < 0.5,
+        over_quota_weight=rng.choice((0.0, 0.1, 1.0)),
+        downstream=rng.choice(
+            (DownstreamScope.NONE, DownstreamScope.NONE, DownstreamScope.TIER, DownstreamScope.SHARED)
+        ),
+        downstream_share=2.0,
+        downstream_window_ns=5 * S,
+        abandoned_call_ns=200 * MS,
+        backpressure=rng.choice(tuple(BackpressureSignal)),
+        max_retry_after_ns=S,
+        preemption=rng.choice(tuple(Preemption)),
+        idle_timeout_ns=15 * S,
+        clock_step_ns=4 * MS,
     )
 
 
@@ -112,10 +138,10 @@
         self.live = tuple(Live(t.name, t.quota_per_s, t.share) for t in settings.tenants)
         live = replace(settings, tenants=self.live)
         self.before = before.AdmissionController(live, seed)
-        self.now_module = rules.AdmissionController(settings if self.told else live, seed)
+        self.now_module = controller.AdmissionController(settings if self.told else live, seed)
         self.settings, self.seconds = settings, seconds
         self.now, self.due, self.number = 1000 * S, [], 0
-        self.open: dict[str, i.Request] = {}
+        self.open: dict[str, RequestReceived] = {}
         self.seen: Counter = Counter()
         self.difference: str | None = None
         self.running: set[str] = set()
@@ -124,7 +150,7 @@
         self.number += 1
         heappush(self.due, (self.now + int(delay), self.number, what, rest))
 
-    def tell(self, event: i.Event, before: i.Event | None = None) -> None:
+    def tell(self, event: Event, before: Event | None = None) -> None:
         """`before`: what the earlier version is told instead."""
         if self.difference is not None:
             return
@@ -137,11 +163,11 @@
             return
         for a in was:
             self.seen[type(a).__name__] += 1
-            if isinstance(a, i.SetAlarm):
-                self.at(a.delay + self.rng.choice((0, 0, 0, 3 * MS, 400 * MS)), "beat", a.token)
-            elif isinstance(a, i.Start):
+            if isinstance(a, SetTimer):
+                self.at(a.delay_ns + self.rng.choice((0, 0, 0, 3 * MS, 400 * MS)), "beat", a.timer_id)
+            elif isinstance(a, StartRun):
                 self.at(self.rng.expovariate(1 / self.takes) * S, "end", a.id)
-            elif isinstance(a, i.Call):
+            elif isinstance(a, StartDownstreamCall):
                 self.at(self.rng.expovariate(20) * S, "called", a.id)
 
     def run(self) -> None:
@@ -150,10 +176,10 @@
         rate = s.cores / self.takes * rng.choice((0.3, 0.8, 1.1, 2.0))
         self.mean = S / min(rate, 40.0 if self.seconds > 60 else 150.0)
         self.skew = rng.choice((0.5, 1.0, 3.0))
-        self.tell(i.Started())
+        self.tell(InstanceStarted())
         for n in range(rng.choice((0, 0, 3))):
-            r = i.Request(f"old{n}", rng.randrange(len(s.classes)), self.any_tenant(), unread_for=S)
-            self.tell(i.Adopted(r, rng.random() < 0.5, rng.random() < 0.5))
+            r = RequestReceived(f"old{n}", rng.randrange(len(s.classes)), self.any_tenant(), unread_ns=S)
+            self.tell(RunAdopted(r, rng.random() < 0.5, rng.random() < 0.5))
             self.at(rng.expovariate(1 / self.takes) * S, "end", r.id)
         self.at(0, "request")
         if self.changes != "none":
@@ -176,18 +202,18 @@
         rng, s = self.rng, self.settings
         kind = rng.randrange(len(s.classes))
         original = rng.choice(list(self.open)) if self.open and rng.random() < 0.05 else None
-        r = i.Request(
+        r = RequestReceived(
             f"r{self.number}",
             kind,
             self.any_tenant(),
-            remaining=rng.randrange(300, 4000) * MS if s.passes_deadline else None,
-            work=rng.choice((None, rng.randrange(1, 300) * MS)),
+            remaining_ns=rng.randrange(300, 4000) * MS if s.propagates_deadline else None,
+            work_ns=rng.choice((None, rng.randrange(1, 300) * MS)),
             memory_kb=30.0,
-            retry=rng.random() < 0.15,
+            is_retry=rng.random() < 0.15,
             caller=rng.randrange(5),
-            unread_for=rng.randrange(50) * MS,
-            original=original,
-            times=rng.choice((1.0,) * 20 + (8.0,)),
+            unread_ns=rng.randrange(50) * MS,
+            duplicate_of=original,
+            cost_multiple=rng.choice((1.0,) * 20 + (8.0,)),
         )
         self.open[r.id] = r
         if len(self.open) > 50:
@@ -201,28 +227,30 @@
             self.at(rng.randrange(5, 3000) * MS, "gone", r.id)
         if rng.random() < 0.002:
             kinds = len(s.classes)
-            told = i.Limits(rng.randint(1, 30), (1,) * kinds, (rng.randint(1, 20),) * kinds, 3)
-            self.tell(rng.choice((told, i.Limits())))
+            told = ConcurrencyLimits(rng.randint(1, 30), (1,) * kinds, (rng.randint(1, 20),) * kinds, 3)
+            self.tell(rng.choice((told, ConcurrencyLimits())))
 
     def on_beat(self, token: int) -> None:
         if self.change_due:
             self.change_quotas()
-        self.tell(i.Alarm(token, {"cpu_busy": self.rng.random() * 1.1, "runnable": self.rng.randrange(12)}))
+        self.tell(
+            TimerFired(token, {"cpu_busy": self.rng.random() * 1.1, "runnable": self.rng.randrange(12)})
+        )
 
     def on_end(self, job: str) -> None:
         rng = self.rng
-        if rng.random() < 0.15 and self.settings.below is not i.Below.NOTHING:
-            self.tell(i.CallNeeded(job))
+        if rng.random() < 0.15 and self.settings.downstream is not DownstreamScope.NONE:
+            self.tell(DownstreamCallNeeded(job))
             return self.at(rng.expovariate(1 / self.takes) * S, "end", job)
-        outcome = rng.choice((i.Outcome.OK,) * 12 + (i.Outcome.FAILED, i.Outcome.FULL))
-        self.tell(i.Completed(job, outcome, int(rng.expovariate(1 / self.takes) * S)))
+        outcome = rng.choice((Outcome.OK,) * 12 + (Outcome.FAILED, Outcome.QUEUE_FULL))
+        self.tell(RequestCompleted(job, outcome, int(rng.expovariate(1 / self.takes) * S)))
 
     def on_called(self, job: str) -> None:
-        outcome = self.rng.choice((i.Outcome.OK,) * 6 + (i.Outcome.TIMED_OUT, i.Outcome.UNREACHABLE))
-        self.tell(i.CallEnded(job, outcome, int(self.rng.expovariate(20) * S)))
+        outcome = self.rng.choice((Outcome.OK,) * 6 + (Outcome.TIMED_OUT, Outcome.UNREACHABLE))
+        self.tell(DownstreamCallEnded(job, outcome, int(self.rng.expovariate(20) * S)))
 
     def on_gone(self, job: str) -> None:
-        self.tell(i.CallerGone(job, self.rng.random() < 0.8))
+        self.tell(RequestAbandoned(job, self.rng.random() < 0.8))
 
     def on_change(self) -> None:
         if self.changes == "any":
@@ -238,8 +266,8 @@
             most = max(t.quota_per_s for t in self.tenants) or 10.0
             self.live[at].quota_per_s = self.rng.choice((0.0, most * self.rng.random()))
         if self.told:
-            tenants = tuple(i.Tenant(t.name, t.quota_per_s, t.share) for t in self.live)
-            self.tell(i.TenantsChanged(tenants), i.CallerGone("nobody"))  # any event looks at the queue
+            tenants = tuple(Tenant(t.name, t.quota_per_s, t.share) for t in self.live)
+            self.tell(TenantsReplaced(tenants), RequestAbandoned("nobody"))  # any event looks at the queue
 
 
 def rounded(module: ModuleType, digits: int) -> ModuleType:
@@ -265,7 +293,7 @@
         before = rules_of(tree)
         if args.digits:
             rounded(before, args.digits)
-            rounded(rules, args.digits)
+            rounded(controller, args.digits)
         for seed in range(args.seed, args.seed + args.histories):
             tenants = args.tenants or 1 + seed % 6
             history = History(before, seed, tenants, args.changes, args.seconds)
--- a/benchmarks/slopes/connections.py
+++ b/benchmarks/slopes/connections.py
@@ -17,13 +17,13 @@
 def turns(size: int, seed: int) -> Measures:
     """A turn of the loop in which one of so many connections asks, and is answered."""
     from ochrehoist.net.loop import Loop
-    from ochrehoist.net.stream import Closed, Stream
+    from ochrehoist.net.stream import ConnectionClosedError, Stream
 
     resource.setrlimit(resource.RLIMIT_NOFILE, (resource.getrlimit(resource.RLIMIT_NOFILE)[1],) * 2)
     loop, done = Loop(None), [0.0, 0.0]
 
     def waits(stream: Stream) -> None:
-        with suppress(Closed):
+        with suppress(ConnectionClosedError):
             while True:
                 stream.fill()
                 stream.write(bytes(stream.buffer))
--- a/benchmarks/slopes/module.py
+++ b/benchmarks/slopes/module.py
@@ -5,6 +5,13 @@
 from typing import Any
 
 from benchmarks.slopes.points import Bound, Measures, Probe, cpu_us, each_us, grown
+from ochrehoist.admission.events import (
+    Outcome,
+    RequestAbandoned,
+    RequestCompleted,
+    RequestReceived,
+    TimerFired,
+)
 
 MS = 1_000_000
 S = 1000 * MS
@@ -15,50 +22,56 @@
 
 def settings(tenants: int = 3, classes: int = 2, **changes: Any) -> Any:
     """Of an appliance as its deploy file has it: reads first, the last class of filings."""
-    from ochrehoist import interface as i
+    from ochrehoist.admission.settings import (
+        AdmissionSettings,
+        Idempotency,
+        ObjectiveWeights,
+        RequestClass,
+        Tenant,
+    )
 
     aim = changes.pop("aim", 900 * MS)
     kinds = tuple(
-        i.RequestClass(
+        RequestClass(
             name=f"class-{n}",
-            aim=aim,
-            deadline=2 * aim,
-            worth=1.0 + n % 3,
-            repeat=i.Repeat.KEYED if n == classes - 1 else i.Repeat.SAFE,
-            window=900 * S if n == classes - 1 else 0,
+            latency_objective_ns=aim,
+            deadline_ns=2 * aim,
+            priority_weight=1.0 + n % 3,
+            idempotency=Idempotency.KEYED if n == classes - 1 else Idempotency.IDEMPOTENT,
+            idempotency_window_ns=900 * S if n == classes - 1 else 0,
         )
         for n in range(classes)
     )
-    named = tuple(i.Tenant(f"tenant-{n:06}", 100.0, 1 / max(1, tenants)) for n in range(tenants))
+    named = tuple(Tenant(f"tenant-{n:06}", 100.0, 1 / max(1, tenants)) for n in range(tenants))
     values = {
         "classes": kinds,
         "tenants": named,
         "cores": 16,
         "memory_kb": 90e6,
-        "tip_multiple": 5.0,
-        "fall": S,
-        "run_factor": 4.0,
+        "collapse_multiple": 5.0,
+        "collapse_after_ns": S,
+        "run_memory_factor": 4.0,
         "key_kb": 10.0,
-        "callers": 2,
-        "idle": 30 * S,
+        "caller_count": 2,
+        "idle_timeout_ns": 30 * S,
         "fleet_size": 2,
-        "goal": i.Goal(0.5, 0.1, 0.2, 0.2),
-        "max_backoff": S,
-        "over_share_worth": 0.2,
+        "objective": ObjectiveWeights(0.5, 0.1, 0.2, 0.2),
+        "max_retry_after_ns": S,
+        "over_quota_weight": 0.2,
     }
-    return i.Settings(**values | changes)
+    return AdmissionSettings(**values | changes)
 
 
 class Driver:
     """A module and a clock; requests that end as they start, unless they are held."""
 
     def __init__(self, given: Any, seed: int) -> None:
-        from ochrehoist import interface as i
-        from ochrehoist.rules import AdmissionController
+        from ochrehoist.admission.controller import AdmissionController
+        from ochrehoist.admission.events import InstanceStarted
 
-        self.i, self.given, self.rng = i, given, Random(seed)
+        self.given, self.rng = given, Random(seed)
         self.module, self.now, self.ids = AdmissionController(given, seed), S, count()
-        self.tell(i.Started())
+        self.tell(InstanceStarted())
 
     def tell(self, event: Any) -> list:
         return self.module.handle(self.now, event)
@@ -68,18 +81,18 @@
         name = f"r{next(self.ids)}"
         if tenant is None and self.given.tenants:
             tenant = self.rng.randrange(len(self.given.tenants))
-        self.tell(self.i.Request(name, kind, tenant=tenant, memory_kb=kb, caller=caller))
+        self.tell(RequestReceived(name, kind, tenant_index=tenant, memory_kb=kb, caller=caller))
         return name
 
     def through(self, kind: int = 0, caller: int = 0) -> None:
         """One that comes, runs and ends."""
         name = self.request(kind, caller)
         self.now += 4 * MS
-        self.tell(self.i.Completed(name, self.i.Outcome.OK, 4 * MS))
+        self.tell(RequestCompleted(name, Outcome.OK, 4 * MS))
 
     def beat(self) -> None:
         self.now += MS  # so little that nothing runs out while a beat is measured again and again
-        self.tell(self.i.Alarm(1, {"cpu_busy": 0.5, "runnable": 1.0}))
+        self.tell(TimerFired(1, {"cpu_busy": 0.5, "runnable": 1.0}))
 
     def measured(self) -> Measures:
         for _ in range(30):
@@ -130,8 +143,8 @@
     def heard() -> None:
         for tenant in driver.rng.sample(range(58000), size):
             name = driver.request(tenant=tenant)
-            outcome = driver.i.Outcome.OK if answered else driver.i.Outcome.FAILED
-            driver.tell(driver.i.Completed(name, outcome, 4 * MS))
+            outcome = Outcome.OK if answered else Outcome.FAILED
+            driver.tell(RequestCompleted(name, outcome, 4 * MS))
 
     _, of_active = grown(heard)
     return {"bytes": of_active, "beat_us": cpu_us(driver.beat)}
@@ -148,7 +161,7 @@
     def heard() -> None:
         for caller in range(size):
             name = driver.request(caller=caller)
-            driver.tell(driver.i.Completed(name, driver.i.Outcome.OK, 4 * MS))
+            driver.tell(RequestCompleted(name, Outcome.OK, 4 * MS))
             for _ in range(12):
                 driver.module._on_left(_Left(caller, driver.now))
 
@@ -200,7 +213,7 @@
     def comes_and_leaves() -> None:
         name = comes()
         driver.now += 60_000
-        driver.tell(driver.i.CallerGone(name))
+        driver.tell(RequestAbandoned(name))
 
     queue = driver.module.held if hasattr(driver.module, "held") else driver.module.queue  # as it was named
     for _ in range(3 * size + 200):
--- a/benchmarks/slopes/state.py
+++ b/benchmarks/slopes/state.py
@@ -7,6 +7,7 @@
 
 from benchmarks.slopes.module import MS, Driver, S, settings
 from benchmarks.slopes.points import Bound, Measures, Probe, cpu_us, each_us, grown
+from ochrehoist.admission.events import Outcome, RequestCompleted
 
 TURN = "5.4 ms on a request's way"
 LINE = Bound("line_bytes", 8 << 20, "net.link.MAX_LINE and MAX_UNSENT")
@@ -51,7 +52,7 @@
     driver = Driver(settings(58000), seed)
     for tenant in driver.rng.sample(range(58000), size):
         name = driver.request(tenant=tenant)
-        driver.tell(driver.i.Completed(name, driver.i.Outcome.OK, 4 * MS))
+        driver.tell(RequestCompleted(name, Outcome.OK, 4 * MS))
     driver.beat()
     known = handover.learned(driver.module)
     return {
@@ -98,16 +99,16 @@
 
 
 def _keys(size: int) -> Any:
+    from ochrehoist.admission.events import Outcome
     from ochrehoist.core.keys import KeyTable
-    from ochrehoist.core.requests import Result
-    from ochrehoist.interface import Outcome
+    from ochrehoist.core.results import RunResult
 
     table = KeyTable(2 * S, 1 << 40)
     for n in range(size):
         token = f"tenant-{n % 1000:06}", "class-1", f"key {n:032}"
         table.keep(token, f"r{n}", 900 * S, (None, bytes(32)))
         table.started(token, f"r{n}", 900 * S, (None, bytes(32)))
-        table.ended(token, f"r{n}", Result(Outcome.OK, b"done" * 75), 900)
+        table.ended(token, f"r{n}", RunResult(Outcome.OK, b"done" * 75), 900)
     return table
 
 
@@ -291,7 +292,10 @@
             1.0,
             s.cores,
             s.memory_kb,
-            tuple((c.name, c.aim, c.deadline, c.worth, c.late_worth) for c in s.classes),
+            tuple(
+                (c.name, c.latency_objective_ns, c.deadline_ns, c.priority_weight, c.late_weight)
+                for c in s.classes
+            ),
             tuple((t.name, t.quota_per_s) for t in s.tenants),
         )
 
--- a/ochrehoist/__main__.py
+++ b/ochrehoist/__main__.py
@@ -3,15 +3,15 @@
 
 import sys
 
-from ochrehoist.settings import BadInput
+from ochrehoist.errors import InvalidInputError
 
 
 def plain_run() -> int:
-    from ochrehoist.worker import serve
+    from ochrehoist.app.worker import serve
 
     try:
         return serve(None)
-    except BadInput as error:
+    except InvalidInputError as error:
         print(f"ochrehoist: {error}", file=sys.stderr)
         return 2
 
--- a/ochrehoist/rules.py
+++ b/ochrehoist/admission/controller.py
@@ -10,37 +10,43 @@
 from heapq import heappop, heappush
 from math import exp, inf
 
-from ochrehoist.interface import (
+from ochrehoist.admission.actions import (
+    AttachDuplicate,
+    CancelRun,
+    FailRequest,
+    RejectRequest,
+    ReleaseKey,
+    RetainKey,
+    SendBackpressure,
+    SetHealth,
+    SetIdleTimeout,
+    SetTimer,
+    SkipDownstreamCall,
+    StartDownstreamCall,
+    StartRun,
+)
+from ochrehoist.admission.events import (
+    ConcurrencyLimits,
+    DownstreamCallEnded,
+    DownstreamCallNeeded,
+    DrainStarted,
+    InstanceStarted,
     NEVER_RAN,
-    Adopted,
-    Advice,
-    Advise,
-    Alarm,
-    Below,
-    Call,
-    CallEnded,
-    CallerGone,
-    CallNeeded,
-    Completed,
-    Fail,
-    Forget,
-    Health,
-    Join,
-    Keep,
-    KeepAlive,
-    Leave,
-    Limits,
     Outcome,
+    RequestAbandoned,
+    RequestCompleted,
+    RequestReceived,
+    RunAdopted,
+    TenantsReplaced,
+    TimerFired,
+)
+from ochrehoist.admission.settings import (
+    AdmissionSettings,
+    RequestClass,
+    BackpressureSignal,
+    DownstreamScope,
+    Idempotency,
     Preemption,
-    Refuse,
-    Repeat,
-    Request,
-    SetAlarm,
-    SkipCall,
-    Start,
-    Started,
-    Stop,
-    TenantsChanged,
 )
 
 
@@ -148,15 +154,21 @@
 
 
 class Job:
-    def __init__(self, r, kind, now):
+    def __init__(self, r: RequestReceived, kind: RequestClass, now: int) -> None:
         self.r, self.kind, self.state, self.kb = r, kind, QUEUED, r.memory_kb
         self.ran = self.answered = self.kept = False
-        self.heavy, self.size = r.times > 1, r.times  # how many times the usual cost of its class
+        self.heavy, self.size = (
+            r.cost_multiple > 1,
+            r.cost_multiple,
+        )  # how many times the usual cost of its class
         self.tries = self.not_before = self.called = self.reserved = 0
         self.first, self.twins = None, []  # the queued try it waits for; the repeats that wait for it
-        self.arrived = now - r.unread_for
-        self.due = now + r.remaining if r.remaining else self.arrived + kind.deadline
-        self.aim, self.tenant = self.arrived + kind.aim, None  # the one in whose activity it counts
+        self.arrived = now - r.unread_ns
+        self.due = now + r.remaining_ns if r.remaining_ns else self.arrived + kind.deadline_ns
+        self.aim, self.tenant = (
+            self.arrived + kind.latency_objective_ns,
+            None,
+        )  # the one in whose activity it counts
 
 
 def of_open(handler):  # an event of a job: nothing is done about one that is over
@@ -164,7 +176,7 @@
 
 
 class AdmissionController:
-    def __init__(self, settings, seed):
+    def __init__(self, settings: AdmissionSettings, seed: int) -> None:
         self.s = s = settings
         self.rng, n = random.Random(seed), len(s.classes)
         self.now = self.born = self.last = self.progress = 0
@@ -172,8 +184,8 @@
         self.groups, self.ranked = {}, 0  # the queue by groups of like worth; when it was last ranked whole
         self.cores, self.out, self.used, self.keys = 0, 0, 0.0, {}
         self.expiries, self.calls_over, self.call_time = [], deque(), 0  # ended calls, ns spent and reserved
-        self.mean_aim = sum(c.aim for c in s.classes) / n
-        crowd = max(s.cores + 1, int(s.cores * s.tip_multiple * CROWD_SHARE))
+        self.mean_aim = sum(c.latency_objective_ns for c in s.classes) / n
+        crowd = max(s.cores + 1, int(s.cores * s.collapse_multiple * CROWD_SHARE))
         self.curve = RateCurve(s.cores, crowd, s.cores / (self.mean_aim / S / 4))
         self.floor, self.climb, self.policy, self.rebuilt = s.cores, 1 + s.cores // 4, None, 0
         self.stated, self.tells = [[Recent(MEMORY_S, x, 3 * x) for _ in s.classes] for x in (0.0, 1.0)]
@@ -189,7 +201,11 @@
         self.heard = {}  # when each caller was last heard, oldest first, forgotten after HEARD_S
         self.left, self.patience = {}, {}  # by caller: ages of what it took back; how long it waits
         self.said, self.idle, self.healthy, self.stalled, self.busy = -1.0, None, True, False, 0.0
-        self.limits, self.on, self.heavies = Limits(), [0] * n, 0  # told; running by class; heavy ones
+        self.limits, self.on, self.heavies = (
+            ConcurrencyLimits(),
+            [0] * n,
+            0,
+        )  # told; running by class; heavy ones
         self.wanted = self.others = self.measured = 0  # what wants the cores; of it reads, checks, handshakes
 
     def handle(self, now, event):
@@ -206,7 +222,7 @@
         self.born = self.last = self.progress = self.rebuilt = self.now
         self._rebuild()
         self.revalue()
-        self.acts += [Health(True, True), SetAlarm(BEAT, 1)]
+        self.acts += [SetHealth(True, True), SetTimer(BEAT, 1)]
 
     def _pass_time(self):
         # The beat rings at least so often; a longer gap is a pause of the whole process, not time at work.
@@ -217,11 +233,11 @@
         self.progress, self.last = self.progress + max(0, self.now - self.last - BEAT), self.now
 
     def _warmth(self):
-        share = (self.now - self.born) / max(1, self.s.cold) if self.s.just_started else 1.0
-        return max(0.01, min(1.0, self.s.cold_from + (1 - self.s.cold_from) * share))
+        share = (self.now - self.born) / max(1, self.s.warmup_ns) if self.s.cold_start else 1.0
+        return max(0.01, min(1.0, self.s.warmup_speed + (1 - self.s.warmup_speed) * share))
 
     def _ceiling(self):  # the running crowd kept under, on cores and out at calls
-        return int(max(1, CROWD_SHARE * self.s.cores * (1 + (self.s.tip_multiple - 1) * self._warmth())))
+        return int(max(1, CROWD_SHARE * self.s.cores * (1 + (self.s.collapse_multiple - 1) * self._warmth())))
 
     def _rate(self):  # finishes a second with the cores full
         return self.curve.mu(max(self.floor, min(self.cores, self.curve.crowd)))
@@ -232,25 +248,25 @@
         return max(1.0, min(n, self.floor) / self.s.cores)
 
     # ---- arrivals
-    def _on_request(self, r):
-        j = self.jobs[r.id] = Job(r, self.s.classes[r.kind], self.now)
+    def _on_request(self, r: RequestReceived):
+        j = self.jobs[r.id] = Job(r, self.s.classes[r.class_index], self.now)
         j.due = min(j.due, self.stop_at or j.due)
-        if r.work:
-            self.stated[r.kind].add(self.now, r.work)
-            j.size = max(SMALL, min(LARGE, r.work / self.stated[r.kind].value))
+        if r.work_ns:
+            self.stated[r.class_index].add(self.now, r.work_ns)
+            j.size = max(SMALL, min(LARGE, r.work_ns / self.stated[r.class_index].value))
         self.used, self.sent = self.used + j.kb, self.sent + 1 / QUOTA_S
-        self.retries.add(self.now, r.retry)
-        self.unread.add(self.now, r.unread_for)
+        self.retries.add(self.now, r.is_retry)
+        self.unread.add(self.now, r.unread_ns)
         self.heard.pop(r.caller, None)
         self.heard[r.caller] = self.now
-        self.kinds[r.kind].asked += not r.retry
-        if r.tenant is not None:
-            j.tenant = r.tenant
-            self.lacking.add(r.tenant)
-            self.activity(r.tenant).asked += not r.retry
+        self.kinds[r.class_index].asked += not r.is_retry
+        if r.tenant_index is not None:
+            j.tenant = r.tenant_index
+            self.lacking.add(r.tenant_index)
+            self.activity(r.tenant_index).asked += not r.is_retry
         j.aim = min(j.aim, j.due - BEAT)  # a try must end before its caller gives up, a beat before
         # A repeat is run only where the first is known never to have run: one effect, whatever callers send.
-        first = self.jobs.get(r.original) or self.past.get(r.original)
+        first = self.jobs.get(r.duplicate_of) or self.past.get(r.duplicate_of)
         if first is not None and first is not j:
             j.aim = min(j.aim, first.aim)  # of the same client, which waits since then
             if first.state == TWIN:
@@ -264,26 +280,30 @@
                 return self._join(j)
         self._place(j)
 
-    def _on_adopted(self, e):  # started by the instance before this one: counted, and never started here
-        j = self.jobs[e.request.id] = Job(e.request, self.s.classes[e.request.kind], self.now)
-        j.ran, j.answered, j.kb = True, e.answered or e.over, j.kb * self.s.run_factor
+    def _on_adopted(
+        self, e: RunAdopted
+    ):  # started by the instance before this one: counted, and never started here
+        j = self.jobs[e.request.id] = Job(e.request, self.s.classes[e.request.class_index], self.now)
+        j.ran, j.answered, j.kb = True, e.answered or e.ended, j.kb * self.s.run_memory_factor
         self.used, self.progress = self.used + j.kb, self.now
         self._move(j, CORE)
-        if j.kind.repeat is Repeat.KEYED:
+        if j.kind.idempotency is Idempotency.KEYED:
             self._keep(j)
-        if e.over:
+        if e.ended:
             self._end(j)
 
-    def _place(self, j):
-        late = self.leave_at is not None and j.arrived > self.leave_at + self.s.drain_grace
+    def _place(self, j: Job):
+        late = self.leave_at is not None and j.arrived > self.leave_at + self.s.drain_grace_ns
         if self.stalled or late or not self._fits(j):
             return self._refuse(j)
         j.state = QUEUED
         self.queue[j.r.id] = self.groups.setdefault(self._like(j), {})[j.r.id] = self.came = j
-        if j.kind.repeat is Repeat.KEYED:
+        if j.kind.idempotency is Idempotency.KEYED:
             self._keep(j)
 
-    def _succeed(self, j):  # its first try was let go before it ran: its repeats still wait for an answer
+    def _succeed(
+        self, j: Job
+    ):  # its first try was let go before it ran: its repeats still wait for an answer
         twins = [t for t in j.twins if t.state == TWIN]
         if twins:
             twins[0].twins = twins[1:]
@@ -297,7 +317,7 @@
         share, rate = self.s.tenants[tenant].quota_per_s / self.s.fleet_size, ran if ran > 1e-9 else 1e-9
         return 1.0 if share >= rate else share / rate
 
-    def _on_tenants(self, e):
+    def _on_tenants(self, e: TenantsReplaced):
         self.quotas += [0.0] * (len(e.tenants) - len(self.quotas))
         self.s = replace(self.s, tenants=e.tenants)
 
@@ -317,23 +337,23 @@
         for known in kinds:
             known.beat(self.beats, inf)
         whole = sum(k.lack for k in kinds)
-        offered = max(1e-9, sum(c.worth * k.may_ask for c, k in zip(s.classes, kinds, strict=True)))
+        offered = max(1e-9, sum(c.priority_weight * k.may_ask for c, k in zip(s.classes, kinds, strict=True)))
         self.gains = [
-            (s.goal.whole + s.goal.worst_window) * c.worth / offered
-            + s.goal.worst_class * (k.lack / whole / k.may_ask)
+            (s.objective.overall + s.objective.worst_window) * c.priority_weight / offered
+            + s.objective.worst_class * (k.lack / whole / k.may_ask)
             for c, k in zip(s.classes, kinds, strict=True)
         ]
         if not self.beats % FORGET:
             self.known = {t: known for t, known in self.known.items() if self.beats - known.at < FORGET}
 
-    def _value(self, j):  # what the goal gains by each unit of expected work
-        tenant, plus, times = j.r.tenant, 0.0, 1.0
+    def _value(self, j: Job):  # what the goal gains by each unit of expected work
+        tenant, plus, times = j.r.tenant_index, 0.0, 1.0
         if tenant is not None:
             inside = self._inside(tenant, (known := self.activity(tenant)).ran)
-            plus = self.s.goal.worst_tenant * (known.lack / self.lack / known.may_ask)
-            times = 1.0 if inside == 1 else inside**2 + (1 - inside**2) * self.s.over_share_worth
-        work = 1.0 if self.s.worth_by_work else j.r.work or self.took[j.r.kind].value
-        return (self.gains[j.r.kind] + plus) * times / work
+            plus = self.s.objective.worst_tenant * (known.lack / self.lack / known.may_ask)
+            times = 1.0 if inside == 1 else inside**2 + (1 - inside**2) * self.s.over_quota_weight
+        work = 1.0 if self.s.weighs_work else j.r.work_ns or self.took[j.r.class_index].value
+        return (self.gains[j.r.class_index] + plus) * times / work
 
     def _rank(self, starts):
         # The queue, dearest first, by groups of like worth. What cannot end in time behind the rest is told
@@ -346,7 +366,7 @@
         groups = [list(group.values()) for group in self.groups.values()]
         dearest = (lambda g: (self._pool(g[0]), -self._value(g[0]))) if len(groups) > 1 else None
         for group in sorted(groups, key=dearest):
-            took = MARGIN * self.took[group[0].r.kind].value / warm
+            took = MARGIN * self.took[group[0].r.class_index].value / warm
             n += len(group)
             if not whole and group[-1] is self.came and self._hopeless(group[-1], n, starts, took, run):
                 self._refuse(group.pop())
@@ -359,7 +379,7 @@
                     ranked.append(j)
         return ranked
 
-    def _hopeless(self, j, n, starts, took, run):  # as the n-th of the queue, of which so many start now
+    def _hopeless(self, j: Job, n, starts, took, run):  # as the n-th of the queue, of which so many start now
         need = took * self._size(j) * self._crowding(self.cores + n) if n > 1 or self.cores + self.out else 0
         idle = n <= starts and self.cores < self.s.cores  # a core takes it now, and waits for nothing else
         need = need / MARGIN if idle else need + max(0, n - starts) * run
@@ -368,29 +388,31 @@
 
     # Callers give up after a time of their own that no request tells, often the same for all they send. What
     # ends later is waste. Harm: what is taken back for other reasons counts as haste, for HEARD_S at most.
-    def _on_left(self, j):
+    def _on_left(self, j: Job):
         ages = self.left.setdefault(j.r.caller, deque(maxlen=LEFT))
         ages.append(self.now - j.arrived)
         if len(ages) > LEFT // 4:
             self.patience[j.r.caller] = sorted(ages)[len(ages) * 3 // 4], self.now + HEARD_S * S
 
-    def _patience(self, j):
+    def _patience(self, j: Job):
         lasts, until = self.patience.get(j.r.caller, (0, 0))
-        return lasts if self.now < until else j.kind.deadline
+        return lasts if self.now < until else j.kind.deadline_ns
 
-    def _size(self, j):  # alike in a class where what they state betters no guess, on the mean (ns)
-        return j.size if self.tells[j.r.kind].value > 0 else j.r.times
+    def _size(self, j: Job):  # alike in a class where what they state betters no guess, on the mean (ns)
+        return j.size if self.tells[j.r.class_index].value > 0 else j.r.cost_multiple
 
-    def _like(self, j):  # what is of like worth, but for its age
-        return j.r.kind, j.r.tenant, j.heavy, self.s.worth_by_work or j.r.work
+    def _like(self, j: Job):  # what is of like worth, but for its age
+        return j.r.class_index, j.r.tenant_index, j.heavy, self.s.weighs_work or j.r.work_ns
 
-    def _pool(self, j):  # by limits told from outside: 0 within its floor, 1 past it, 2 where it has to wait
-        e, kind = self.limits, j.r.kind
-        if e.caps and (self.on[kind] >= e.caps[kind] or j.heavy and self.heavies >= e.heavy):
+    def _pool(
+        self, j: Job
+    ):  # by limits told from outside: 0 within its floor, 1 past it, 2 where it has to wait
+        e, kind = self.limits, j.r.class_index
+        if e.class_caps and (self.on[kind] >= e.class_caps[kind] or j.heavy and self.heavies >= e.expensive):
             return 2
-        return int(not e.caps or j.heavy or self.on[kind] >= e.floors[kind])
+        return int(not e.class_caps or j.heavy or self.on[kind] >= e.class_floors[kind])
 
-    def _release(self, j):
+    def _release(self, j: Job):
         if self.queue.pop(j.r.id, None) is not None:
             group = self.groups[like := self._like(j)]
             del group[j.r.id]
@@ -419,31 +441,36 @@
         self.rebuilt, rates = self.now, [self.curve.mu(n) for n in range(self.curve.crowd + 2)]
         self.policy = light_approx(rates, MAX_QUEUE, self.curve.crowd, ZERO_SHARE)
 
-    def _start(self, j):
-        more = j.kb * (self.s.run_factor - 1)
+    def _start(self, j: Job):
+        more = j.kb * (self.s.run_memory_factor - 1)
         if self.used + more + len(self.keys) * self.s.key_kb > self.s.memory_kb * FIT:
             return False
         self._release(j)
         self.progress = self.progress if self.cores else self.now
         self._move(j, CORE)
         j.ran, j.kb, self.used = True, j.kb + more, self.used + more
-        self.acts.append(Start(j.r.id))
+        self.acts.append(StartRun(j.r.id))
         for t in [t for t in j.twins if t.state == TWIN]:
             self._join(t)
         self.turned.add(self.now, False)
-        if j.r.tenant is not None:
-            self.activity(j.r.tenant).ran += 1 / MEMORY_S
+        if j.r.tenant_index is not None:
+            self.activity(j.r.tenant_index).ran += 1 / MEMORY_S
         return True
 
-    def _on_completed(self, j, e):
+    def _on_completed(self, j: Job, e: RequestCompleted):
         if e.outcome in NEVER_RAN:  # nothing is learned of it, and a later try may run
             j.ran = False
             return self._drop(j)
         if j.state == CORE:
             if e.outcome is Outcome.OK and not self.stalled:
                 self.curve.done[min(self.cores, self.curve.crowd + 1)] += self._warmth() >= 1
-                took, usual = e.took * self._warmth() / self._crowding(self.cores), self.took[j.r.kind]
-                self.tells[j.r.kind].add(self.now, abs(took - usual.value) - abs(took - usual.value * j.size))
+                took, usual = (
+                    e.duration_ns * self._warmth() / self._crowding(self.cores),
+                    self.took[j.r.class_index],
+                )
+                self.tells[j.r.class_index].add(
+                    self.now, abs(took - usual.value) - abs(took - usual.value * j.size)
+                )
                 usual.add(self.now, took / self._size(j))
             # Idle is what a gauge said, once a beat: by one of them the floor must not climb to the top.
             idle = self.busy < FULL_LOAD and self.wanted < self.s.cores and self.queue
@@ -452,74 +479,84 @@
             self.floor = max(self.s.cores, min(self.curve.crowd, self.floor + change))
             self.progress = self.now
         if e.outcome is Outcome.OK and not j.answered and self.now <= j.aim:
-            self.kinds[j.r.kind].served += 1
+            self.kinds[j.r.class_index].served += 1
             if j.tenant is not None:
                 self.activity(j.tenant).served += 1
         j.answered = True
         self._end(j)
 
-    def _move(self, j, state):
+    def _move(self, j: Job, state):
         change = (state == CORE) - (j.state == CORE)
         self.cores, self.heavies = self.cores + change, self.heavies + change * j.heavy
-        self.on[j.r.kind] += change
+        self.on[j.r.class_index] += change
         self.out += (state == OUT) - (j.state == OUT)
         self.asking.pop(j.r.id, None)
         if state == ASKING:
             self.asking[j.r.id] = j
         j.state = state
 
-    def _end(self, j):
+    def _end(self, j: Job):
         self._release(j)
         if j.state == OUT:  # its caller left, or it was answered: the call is abandoned and may linger
             self._call_over(j, True)
         self._move(j, ENDED)
         self.used, j.kb = self.used - j.kb, 0.0
-        if j.ran and j.kind.repeat is Repeat.KEYED or j.kept:
+        if j.ran and j.kind.idempotency is Idempotency.KEYED or j.kept:
             self.past[j.r.id] = j
-            heappush(self.expiries, (self.now + 2 * j.kind.window + j.kind.deadline, j.r.id, False))
+            heappush(
+                self.expiries,
+                (self.now + 2 * j.kind.idempotency_window_ns + j.kind.deadline_ns, j.r.id, False),
+            )
         self.jobs.pop(j.r.id, None)
 
     # ---- answers
-    def _refuse(self, j):
+    def _refuse(self, j: Job):
         away = self.stalled or self.leave_at is not None
         self.turned.add(self.now, not away)
         wait = self.unread.value + (len(self.queue) + 1) / self._rate() * S
-        wait = self.s.max_backoff if away else min(wait, j.kind.aim * RETURN, self.s.max_backoff)
+        wait = (
+            self.s.max_retry_after_ns
+            if away
+            else min(wait, j.kind.latency_objective_ns * RETURN, self.s.max_retry_after_ns)
+        )
         # Retry storm: what others refuse too is not sent around; without marks our own share turned away must
         # tell. What is over its tenant's share is worth little anywhere. Harm: where only this one is full,
         # or slow, what others had room for is lost.
-        full = 2 * (self.retries.value if self.s.marks_retry else self.turned.value)
-        over = j.r.tenant is not None and self._inside(j.r.tenant, self.activity(j.r.tenant).ran) < 0.5
-        stay = not away and (j.r.retry or over or self.rng.random() < full)
-        self.acts.append(Refuse(j.r.id, int(wait), stay))
+        full = 2 * (self.retries.value if self.s.marks_retries else self.turned.value)
+        over = (
+            j.r.tenant_index is not None
+            and self._inside(j.r.tenant_index, self.activity(j.r.tenant_index).ran) < 0.5
+        )
+        stay = not away and (j.r.is_retry or over or self.rng.random() < full)
+        self.acts.append(RejectRequest(j.r.id, int(wait), stay))
         self._drop(j)
 
-    def _drop(self, j):
+    def _drop(self, j: Job):
         if j.kept:
-            self.acts.append(Forget(j.r.id))
+            self.acts.append(ReleaseKey(j.r.id))
             self.keys.pop(j.r.id, None)
             j.kept = False
         j.answered = True
         self._end(j)
         self._succeed(j)
 
-    def _fail(self, j):
-        self.acts.append(Fail(j.r.id))
+    def _fail(self, j: Job):
+        self.acts.append(FailRequest(j.r.id))
         if j.state in (QUEUED, JOINED, TWIN):
             return self._drop(j)
         j.answered = True
         if j.state == CORE and self.s.preemption is not Preemption.NONE:
-            self.acts.append(Stop(j.r.id))
+            self.acts.append(CancelRun(j.r.id))
 
-    def _on_gone(self, j, e):
-        if not j.answered and e.gave_up and self.now - j.arrived > j.kind.aim * HASTE:
+    def _on_gone(self, j: Job, e: RequestAbandoned):
+        if not j.answered and e.gave_up and self.now - j.arrived > j.kind.latency_objective_ns * HASTE:
             self._on_left(j)
         j.answered = True
         if j.state in (QUEUED, JOINED, TWIN):
             self._drop(j)
 
     # ---- calls
-    def _on_call_needed(self, j, e):
+    def _on_call_needed(self, j: Job, e: DownstreamCallNeeded):
         if j.state == CORE:
             self._move(j, ASKING)
             self.progress, j.not_before, j.tries = self.now, self.now, 0
@@ -531,77 +568,85 @@
             # Each call reserves its longest time and gets half of what is left of the share over its period:
             # no window holds more than the share, whatever ends the calls. For a slow-down of all, callers
             # that leave, a cold fleet that calls more. Harm: a long one is cut off though others leave room.
-            spare = (CALL_SHARE * s.fair_calls * s.calls_over - self.call_time - s.lingers) / 2
-            if s.below is Below.SHARED:
-                room = spare > s.step and (spare > self.latency.value or not self.call_time)
+            spare = (
+                CALL_SHARE * s.downstream_share * s.downstream_window_ns
+                - self.call_time
+                - s.abandoned_call_ns
+            ) / 2
+            if s.downstream is DownstreamScope.SHARED:
+                room = spare > s.clock_step_ns and (spare > self.latency.value or not self.call_time)
             else:
                 room = self.out + self.cores < self._ceiling()
-            if j.kind.skip_worth and (not room or j.tries or (sick and self.rng.random() > 0.1)):
-                self.acts.append(SkipCall(j.r.id))
+            if j.kind.fallback_weight and (not room or j.tries or (sick and self.rng.random() > 0.1)):
+                self.acts.append(SkipDownstreamCall(j.r.id))
                 self._move(j, CORE)
             elif room and self.now >= j.not_before:
-                stop = j.due if not j.kind.skip_worth or self.now >= j.aim else j.aim
-                if s.below is Below.SHARED:
+                stop = j.due if not j.kind.fallback_weight or self.now >= j.aim else j.aim
+                if s.downstream is DownstreamScope.SHARED:
                     stop = min(stop, self.now + int(spare))
-                    j.called, j.reserved = self.now, stop + s.step + s.lingers - self.now
+                    j.called, j.reserved = self.now, stop + s.clock_step_ns + s.abandoned_call_ns - self.now
                     self.call_time += j.reserved
-                self.acts.append(Call(j.r.id, stop))
+                self.acts.append(StartDownstreamCall(j.r.id, stop))
                 self._move(j, OUT)
                 j.tries += 1
 
-    def _on_call_ended(self, j, e):
+    def _on_call_ended(self, j: Job, e: DownstreamCallEnded):
         if j.state != OUT:
             return
         self._call_over(j, e.outcome is not Outcome.OK and e.outcome not in NEVER_RAN)
         self.bad_calls.add(self.now, e.outcome is not Outcome.OK)
         if e.outcome is Outcome.OK:
-            self.latency.add(self.now, e.took)
+            self.latency.add(self.now, e.duration_ns)
             self.progress = self.now
             return self._move(j, CORE)
         self._move(j, ASKING)
         j.not_before = self.now + BEAT // 4 * 2 ** min(j.tries, 5)
-        final = e.outcome not in NEVER_RAN and (j.kind.repeat is not Repeat.SAFE or j.tries > 1)
-        if final and not j.answered and not j.kind.skip_worth:
+        final = e.outcome not in NEVER_RAN and (
+            j.kind.idempotency is not Idempotency.IDEMPOTENT or j.tries > 1
+        )
+        if final and not j.answered and not j.kind.fallback_weight:
             self._fail(j)
 
-    def _call_over(self, j, abandoned):  # what it held of the share is given back one period later
-        if self.s.below is Below.SHARED:
-            ends = self.now + (self.s.lingers if abandoned else 0)
+    def _call_over(self, j: Job, abandoned):  # what it held of the share is given back one period later
+        if self.s.downstream is DownstreamScope.SHARED:
+            ends = self.now + (self.s.abandoned_call_ns if abandoned else 0)
             self.call_time += ends - j.called - j.reserved
-            self.calls_over.append((ends + self.s.calls_over, ends - j.called))
+            self.calls_over.append((ends + self.s.downstream_window_ns, ends - j.called))
 
     # ---- keys and memory
-    def _fits(self, j):
-        s, keys = self.s, len(self.keys) + (j.kind.repeat is Repeat.KEYED)
-        spare = max(0, s.cores - self.cores - self.out - len(self.asking)) * j.kb * (s.run_factor - 1)
+    def _fits(self, j: Job):
+        s, keys = self.s, len(self.keys) + (j.kind.idempotency is Idempotency.KEYED)
+        spare = max(0, s.cores - self.cores - self.out - len(self.asking)) * j.kb * (s.run_memory_factor - 1)
         return self.used + keys * s.key_kb + spare <= s.memory_kb * FIT
 
-    def _keep(self, j):
-        left = max(self.s.step, j.arrived + j.kind.window + self.s.step - self.now)
-        self.acts.append(Keep(j.r.id, left))
+    def _keep(self, j: Job):
+        left = max(
+            self.s.clock_step_ns, j.arrived + j.kind.idempotency_window_ns + self.s.clock_step_ns - self.now
+        )
+        self.acts.append(RetainKey(j.r.id, left))
         j.kept, self.keys[j.r.id] = True, j
         heappush(self.expiries, (self.now + left, j.r.id, True))
 
-    def _join(self, j):
+    def _join(self, j: Job):
         if self.used + len(self.keys) * self.s.key_kb > self.s.memory_kb * FIT or j.due < self.now + BEAT:
             return self._fail(j)
         j.state = JOINED
-        self.acts.append(Join(j.r.id))
+        self.acts.append(AttachDuplicate(j.r.id))
 
-    def _on_leave(self, e):
-        self.leave_at, self.stop_at = self.now, self.now + max(0, e.remaining - 2 * BEAT)
+    def _on_leave(self, e: DrainStarted):
+        self.leave_at, self.stop_at = self.now, self.now + max(0, e.remaining_ns - 2 * BEAT)
         for j in self.jobs.values():
             j.due = min(j.due, self.stop_at)
 
     # ---- sweep, signals and health
-    def _on_alarm(self, e):
+    def _on_alarm(self, e: TimerFired):
         self.busy, self.wanted = e.gauges.get("cpu_busy", 1.0), e.gauges.get("runnable", 0)
         self.others, self.measured = int(max(0, self.wanted - self.cores)), self.now
         self.climb = 1 + self.s.cores // 4
         for j in list(self.jobs.values()):
             if j.due - BEAT <= self.now and not j.answered:
                 self._fail(j)
-        self.acts.append(SetAlarm(BEAT, 1))
+        self.acts.append(SetTimer(BEAT, 1))
         self.beats += 1
         self.revalue()
         self.sent *= exp(-BEAT / S / QUOTA_S)
@@ -619,35 +664,37 @@
         healthy = not self.stalled and self.leave_at is None
         if healthy != self.healthy:
             self.healthy = healthy
-            self.acts.append(Health(healthy, True))
+            self.acts.append(SetHealth(healthy, True))
         self._advise(healthy)
         # Idle connections that no caller comes back to fill the table, take cores, keep a rush out. Where
         # half come back in time (all taken alike) handshakes cost more. Harm: where few callers send most.
-        back = 1 - exp(-self.sent * self.s.idle / S / max(1, self.s.callers))
-        idle = 0 if back > 0.5 else min(self.s.idle, BEAT)
+        back = 1 - exp(-self.sent * self.s.idle_timeout_ns / S / max(1, self.s.caller_count))
+        idle = 0 if back > 0.5 else min(self.s.idle_timeout_ns, BEAT)
         if idle != self.idle:
             self.idle = idle
-            self.acts.append(KeepAlive(idle))
+            self.acts.append(SetIdleTimeout(idle))
 
     def _advise(self, healthy):
         room = self._rate() * (TARGET * self.mean_aim - self.unread.value) / S
         window = max(room, 1.0) / max(1, len(self.heard)) if healthy else 0.0
         level = 0.0 if healthy else 1 - 1 / len(self.s.classes)
-        value = {Advice.LEVEL: level, Advice.WEIGHT: float(healthy)}.get(self.s.advice, window)
-        if self.s.advice is not Advice.NONE and abs(value - self.said) > 0.02 * self.said:
+        value = {BackpressureSignal.THRESHOLD: level, BackpressureSignal.WEIGHT: float(healthy)}.get(
+            self.s.backpressure, window
+        )
+        if self.s.backpressure is not BackpressureSignal.NONE and abs(value - self.said) > 0.02 * self.said:
             self.said = value
-            self.acts.append(Advise(value))
+            self.acts.append(SendBackpressure(value))
 
     HANDLERS = {
-        Started: _on_started,
-        Request: _on_request,
-        Adopted: _on_adopted,
-        Completed: of_open(_on_completed),
-        CallNeeded: of_open(_on_call_needed),
-        CallEnded: of_open(_on_call_ended),
-        CallerGone: of_open(_on_gone),
-        Alarm: _on_alarm,
-        Leave: _on_leave,
-        Limits: lambda self, e: setattr(self, "limits", e),
-        TenantsChanged: _on_tenants,
+        InstanceStarted: _on_started,
+        RequestReceived: _on_request,
+        RunAdopted: _on_adopted,
+        RequestCompleted: of_open(_on_completed),
+        DownstreamCallNeeded: of_open(_on_call_needed),
+        DownstreamCallEnded: of_open(_on_call_ended),
+        RequestAbandoned: of_open(_on_gone),
+        TimerFired: _on_alarm,
+        DrainStarted: _on_leave,
+        ConcurrencyLimits: lambda self, e: setattr(self, "limits", e),
+        TenantsReplaced: _on_tenants,
     }
--- /dev/null
+++ b/ochrehoist/app/__init__.py
@@ -0,0 +1,1 @@
+"""Composition of the programs: the worker, configuration reload, the simulator's adapter."""
--- a/ochrehoist/reload.py
+++ b/ochrehoist/app/reload.py
@@ -9,16 +9,16 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from ochrehoist import config as configuration
-from ochrehoist.config import Config
+from ochrehoist.config import loader as configuration
+from ochrehoist.config.loader import Config
 from ochrehoist.core.figures import counted
 from ochrehoist.core.linkwatch import LinkWatch
+from ochrehoist.core.messages import ConfigurationSwitched, KernelLinkChanged, SettingsChanged, TenantsChanged
 from ochrehoist.core.owner import Owner
-from ochrehoist.core.requests import Linked, Retuned, Switched, TenantsRetuned
 from ochrehoist.core.tenants import STEP, Tenants, changed, compact
+from ochrehoist.errors import InvalidInputError
 from ochrehoist.net.kernel import Kernel
 from ochrehoist.net.loop import Loop, Signal
-from ochrehoist.settings import BadInput
 
 LOOK = 0.25  # s from one look at the kernel's link to the next
 AFTER = 3.0  # s after a change of configuration at which the log tells what has come of it
@@ -50,7 +50,7 @@
     config: Config
     version: str
     fixed: list[str]  # keys that differ and need a restart
-    message: Retuned | TenantsRetuned | None  # for the core; None where it is not concerned
+    message: SettingsChanged | TenantsChanged | None  # for the core; None where it is not concerned
     commits: list[Commit]
     in_force: bool = False
 
@@ -144,7 +144,7 @@
         figures = self.owner.figures.single
         try:
             change = self._change()
-        except BadInput as error:
+        except InvalidInputError as error:
             figures["conf_invalid_total"] += 1
             self._turned_down(str(error))
             self.log.error(
@@ -169,7 +169,8 @@
         )
 
     def _change(self, only_new: bool = False) -> Change | None:
-        """Reads the file and brings it into force. Raises BadInput. None where another process decides now,
+        """Reads the file and brings it into force. Raises InvalidInputError. None where another process
+        decides now,
         or, with `only_new`, where nothing differs."""
         began, self.held = time.monotonic(), 0.0
         change = self._paced(self._steps(only_new))
@@ -223,9 +224,9 @@
         if other or tenants.crowded:
             if tenants.crowded:
                 tenants = yield from self._compacted(tenants)
-            message = Retuned(new.settings, tenants)
+            message = SettingsChanged(new.settings, tenants)
         elif told:
-            message = TenantsRetuned(new.settings, tenants)
+            message = TenantsChanged(new.settings, tenants)
         commits = []
         for prepare in self.parts:
             commits.append((yield from prepare(new, tenants)))
@@ -267,14 +268,14 @@
             self.loop.call_later(AFTER, lambda at=self.at: self._tell(at))
             self.switched.set()
 
-        self.owner.post(Switched(parts, change.message, done))
+        self.owner.post(ConfigurationSwitched(parts, change.message, done))
 
     # ---- the kernel's link
     def _look(self) -> None:
         verdict = self.watch.look(time.monotonic(), self.kernel.stream is not None, self.kernel.address)
         if verdict.good is not self.good:
             self.good = verdict.good
-            self.owner.post(Linked(verdict.good))
+            self.owner.post(KernelLinkChanged(verdict.good))
             if verdict.good:
                 self.log.info("the kernel is within reach again", kernel=self.kernel.view())
             else:
@@ -295,7 +296,7 @@
     def _look_for_another(self) -> None:
         try:
             change = self._change(only_new=True)
-        except BadInput as error:
+        except InvalidInputError as error:
             self._turned_down(str(error))
             self.log.error("cut off, and the configuration can't be used: mend the file", why=str(error))
             return
--- a/ochrehoist/wirehost.py
+++ b/ochrehoist/app/simulator_adapter.py
@@ -1,25 +1,52 @@
 """The adapter: reads batches of events from standard input, hands each to its controller, writes the actions.
 
-Translation only; what is decided, is decided in ochrehoist.rules.
+Translation only; what is decided, is decided in ochrehoist.admission.controller.
 """
 
 import math
 import sys
 import traceback
 
-from ochrehoist import interface as i
-from ochrehoist.rules import AdmissionController
-from ochrehoist.settings import BadInput, read_settings
+from ochrehoist.admission.actions import (
+    AttachDuplicate,
+    CancelRun,
+    FailRequest,
+    LogMessage,
+    RejectRequest,
+    ReleaseKey,
+    RetainKey,
+    SendBackpressure,
+    SetHealth,
+    SetIdleTimeout,
+    SetTimer,
+    SkipDownstreamCall,
+    StartDownstreamCall,
+    StartRun,
+)
+from ochrehoist.admission.controller import AdmissionController
+from ochrehoist.admission.events import (
+    DownstreamCallEnded,
+    DownstreamCallNeeded,
+    DrainStarted,
+    InstanceStarted,
+    Outcome,
+    RequestAbandoned,
+    RequestCompleted,
+    RequestReceived,
+    TimerFired,
+)
+from ochrehoist.config.settings import read_settings
+from ochrehoist.errors import InvalidInputError
 
 OUTCOMES = {
-    "Ok": i.Outcome.OK,
-    "Failed": i.Outcome.FAILED,
-    "QueueFull": i.Outcome.FULL,
-    "TimedOut": i.Outcome.TIMED_OUT,
-    "ConnectError": i.Outcome.UNREACHABLE,
-    "ResetByPeer": i.Outcome.RESET,
-    "Canceled": i.Outcome.CANCELLED,
-    "Ignored": i.Outcome.MOOT,
+    "Ok": Outcome.OK,
+    "Failed": Outcome.FAILED,
+    "QueueFull": Outcome.QUEUE_FULL,
+    "TimedOut": Outcome.TIMED_OUT,
+    "ConnectError": Outcome.UNREACHABLE,
+    "ResetByPeer": Outcome.CONNECTION_RESET,
+    "Canceled": Outcome.CANCELLED,
+    "Ignored": Outcome.NOT_STARTED,
 }
 
 # ---- events
@@ -32,7 +59,7 @@
         self.name, self.parts, self.at = name, rest.split(" ") if rest else [], 0
 
     def bad(self, field, why):
-        return BadInput(f"message {self.name} field {field}: {why}")
+        return InvalidInputError(f"message {self.name} field {field}: {why}")
 
     def text(self, field, absent=False):
         if self.at >= len(self.parts):
@@ -89,20 +116,20 @@
     caller, unread = f.whole("SrcPeer", True) or 0, f.whole("UnreadFor", True) or 0
     original = f.text("Original", absent=True)
     return f.end(
-        i.Request(
+        RequestReceived(
             id=job,
-            kind=kinds[kind],
-            tenant=tenants.get(tenant),
-            key=key,
-            remaining=remaining or None,
-            work=work if bits & 1 and work else None,
+            class_index=kinds[kind],
+            tenant_index=tenants.get(tenant),
+            routing_key=key,
+            remaining_ns=remaining or None,
+            work_ns=work if bits & 1 and work else None,
             memory_kb=size,
             rank=rank,
-            retry=bool(bits & 2),
-            write=bool(bits & 4),
+            is_retry=bool(bits & 2),
+            is_write=bool(bits & 4),
             caller=caller,
-            unread_for=unread,
-            original=None if original == "0" else original,
+            unread_ns=unread,
+            duplicate_of=None if original == "0" else original,
         )
     )
 
@@ -121,15 +148,15 @@
             colon = ""
         if not colon or not name:
             raise f.bad("Gauge", f"not name:value: {pair!r}")
-    return f.end(i.Alarm(token, gauges))
+    return f.end(TimerFired(token, gauges))
 
 
 EVENTS = {
-    "COMPLETED": lambda f: _ended(f, i.Completed),
-    "READY_TO_CALL": lambda f: f.end(i.CallNeeded(f.text("Job"))),
-    "DOWNSTREAM": lambda f: _ended(f, i.CallEnded),
-    "EXPIRED": lambda f: f.end(i.CallerGone(f.text("Job"))),
-    "RETIRE_SOON": lambda f: f.end(i.Leave(f.whole("Remaining"))),
+    "COMPLETED": lambda f: _ended(f, RequestCompleted),
+    "READY_TO_CALL": lambda f: f.end(DownstreamCallNeeded(f.text("Job"))),
+    "DOWNSTREAM": lambda f: _ended(f, DownstreamCallEnded),
+    "EXPIRED": lambda f: f.end(RequestAbandoned(f.text("Job"))),
+    "RETIRE_SOON": lambda f: f.end(DrainStarted(f.whole("Remaining"))),
     "BELL": _alarm,
 }
 
@@ -142,20 +169,20 @@
 
 
 ACTIONS = {
-    i.Start: lambda a: f"PROCESS {a.id}",
-    i.Refuse: lambda a: f"PUSH_BACK {a.id} {a.backoff} {int(a.no_retry)}",
-    i.Fail: lambda a: f"LOSE {a.id}",
-    i.Stop: lambda a: f"ABORT_WORK {a.id}",
-    i.Call: lambda a: f"ASK_BELOW {a.id} {a.stop_at}",
-    i.SkipCall: lambda a: f"OMIT {a.id}",
-    i.Keep: lambda a: f"RETAIN {a.id} {a.hold_for}",
-    i.Forget: lambda a: f"EVICT {a.id}",
-    i.Join: lambda a: f"ATTACH {a.id}",
-    i.Health: lambda a: f"MARK_HEALTH {int(a.stored)} {int(a.good)}",
-    i.Advise: lambda a: f"HINT_OUT {_number(a.value)}",
-    i.KeepAlive: lambda a: f"KEEPALIVE {a.hold_for}",
-    i.SetAlarm: lambda a: f"WAKE_AT {a.delay} {a.token}",
-    i.Log: lambda a: "PRINT " + " ".join(a.text.split()),
+    StartRun: lambda a: f"PROCESS {a.id}",
+    RejectRequest: lambda a: f"PUSH_BACK {a.id} {a.retry_after_ns} {int(a.no_retry)}",
+    FailRequest: lambda a: f"LOSE {a.id}",
+    CancelRun: lambda a: f"ABORT_WORK {a.id}",
+    StartDownstreamCall: lambda a: f"ASK_BELOW {a.id} {a.stop_at_ns}",
+    SkipDownstreamCall: lambda a: f"OMIT {a.id}",
+    RetainKey: lambda a: f"RETAIN {a.id} {a.ttl_ns}",
+    ReleaseKey: lambda a: f"EVICT {a.id}",
+    AttachDuplicate: lambda a: f"ATTACH {a.id}",
+    SetHealth: lambda a: f"MARK_HEALTH {int(a.cached)} {int(a.healthy)}",
+    SendBackpressure: lambda a: f"HINT_OUT {_number(a.value)}",
+    SetIdleTimeout: lambda a: f"KEEPALIVE {a.idle_timeout_ns}",
+    SetTimer: lambda a: f"WAKE_AT {a.delay_ns} {a.timer_id}",
+    LogMessage: lambda a: "PRINT " + " ".join(a.text.split()),
 }
 
 
@@ -185,7 +212,7 @@
             self.now, self.batch = f.whole("clock"), f.end(f.whole("number"))
             self.current, self.replies = None, []
         elif self.batch is None:
-            raise BadInput(f"message {name}: outside a batch")
+            raise InvalidInputError(f"message {name}: outside a batch")
         elif name == "EOF_BATCH":
             _Fields(name, rest).end(None)
             self._reply()
@@ -207,19 +234,19 @@
 
     def _target(self, name):
         if self.current is None:
-            raise BadInput(f"message {name} field (instance): no TARGET_INSTANCE before it")
+            raise InvalidInputError(f"message {name} field (instance): no TARGET_INSTANCE before it")
         return self.current
 
     def _create(self, seed, text):
         at, settings = self._target("CREATE"), read_settings(text)
         self._decide(at, lambda: self.instances.update({at: _Instance(settings, seed)}) or [])
         if at in self.instances:
-            self._decide(at, lambda: self.instances[at].controller.handle(self.now, i.Started()))
+            self._decide(at, lambda: self.instances[at].controller.handle(self.now, InstanceStarted()))
 
     def _event(self, name, f):
         instance = self.instances.get(self._target(name))
         if instance is None:
-            raise BadInput(f"message {name} field (instance): {self.current} was never created")
+            raise InvalidInputError(f"message {name} field (instance): {self.current} was never created")
         event = _request(f, instance.kinds, instance.tenants) if name == "INCOMING" else EVENTS[name](f)
         self._decide(self.current, lambda: instance.controller.handle(self.now, event))
 
@@ -251,7 +278,7 @@
             line = line.rstrip("\r\n")
             if line:
                 host.line(line)
-    except BadInput as error:
+    except InvalidInputError as error:
         print(f"ochrehoist: {error}", file=err)
         return 2
     except BrokenPipeError:
--- a/ochrehoist/worker.py
+++ b/ochrehoist/app/worker.py
@@ -9,12 +9,14 @@
 from http import HTTPStatus
 from typing import Any
 
-from ochrehoist import config as configuration
-from ochrehoist.config import Config
+from ochrehoist.app.logs import LogSink, start_log
+from ochrehoist.app.reload import Part, Reloading, switch_only
+from ochrehoist.config import loader as configuration
+from ochrehoist.config.loader import Config
 from ochrehoist.core.figures import CONTENT_TYPE
+from ochrehoist.core.messages import ExecutorReady, StandbyChanged
 from ochrehoist.core.owner import Owner
-from ochrehoist.core.requests import Booted, Standby
-from ochrehoist.logs import LogSink, start_log
+from ochrehoist.errors import InvalidInputError
 from ochrehoist.net import agent
 from ochrehoist.net.ajp import ReplyCodec
 from ochrehoist.net.ajp_front import AjpFront
@@ -27,8 +29,6 @@
 from ochrehoist.net.members import Members
 from ochrehoist.net.operators import Answer, Operators, said
 from ochrehoist.net.thrift_front import ThriftFront
-from ochrehoist.reload import Part, Reloading, switch_only
-from ochrehoist.settings import BadInput
 
 RESULT_SHARE = 0.15  # of the process memory, for the results of filings
 BODY_SHARE = 0.12  # of it, for AJP bodies coming in, for responses being read, and for those not yet sent
@@ -77,11 +77,11 @@
             servers = AjpServers(loop, owner, config.ajp, body_bytes, self.log)
             self.gauge_source = servers
             # What runs is bounded by the crowd that the cores survive, whatever the module learns.
-            room -= int(config.settings.cores * config.settings.tip_multiple)
+            room -= int(config.settings.cores * config.settings.collapse_multiple)
             room -= sum(s.max_idle for s in config.ajp.servers)
             most = min(config.ajp.max_connections, room // 2 if config.listen else room)
             if most < 1:
-                raise BadInput(f"setting limits.sockets: too few: {config.sockets}")
+                raise InvalidInputError(f"setting limits.sockets: too few: {config.sockets}")
             room -= most
             front = AjpFront(
                 loop, owner, servers, config.ajp, most, body_bytes, self.log, inherited(config.ajp.listen)
@@ -104,7 +104,7 @@
             parts.append(switch_only(lambda new, _: routers.configure(new.settings)))
             self.fronts.append(routers)
         else:
-            owner.post(Booted(None, 0))
+            owner.post(ExecutorReady(None, 0))
         if config.members:
             self.members = members = Members(loop, owner, config.members, config.name, self.log)
             parts.append(switch_only(lambda new, _: members.move(new.members)))
@@ -296,7 +296,7 @@
         return Calls(calls, lambda site, word: self.sites.order(site, word))
 
     def standby(self, on: bool) -> Answer:
-        self.owner.post(Standby(on))
+        self.owner.post(StandbyChanged(on))
         return said({"standby": on})
 
     # ---- replacing the process
@@ -374,10 +374,10 @@
 
 
 def serve(path: str | None) -> int:
-    """Serves until it is told to leave. Raises BadInput, which names the key."""
+    """Serves until it is told to leave. Raises InvalidInputError, which names the key."""
     config = configuration.load(path)
     try:
         worker = Worker(config, path)
     except OSError as error:
-        raise BadInput(f"setting listen, or an address of the console: {error}") from None
+        raise InvalidInputError(f"setting listen, or an address of the console: {error}") from None
     return worker.run()
--- a/ochrehoist/capture/records.py
+++ b/ochrehoist/capture/records.py
@@ -15,6 +15,8 @@
 import xxhash
 import zstandard
 
+from ochrehoist.errors import OchrehoistError
+
 MAGIC, MAJOR, SUFFIX = b"ochrecap", 1, ".ochrecap"
 HEADER = len(MAGIC) + 1
 MAX_BLOCK = 16 << 20  # bytes of a block; more is damage
@@ -75,7 +77,7 @@
 _plain = msgspec.msgpack.Decoder(list[msgspec.Raw])
 
 
-class Unusable(Exception):
+class Unusable(OchrehoistError):
     """No capture, or one that this program can't read; the text says which."""
 
 
--- a/ochrehoist/capture/taker.py
+++ b/ochrehoist/capture/taker.py
@@ -11,6 +11,7 @@
 
 import xxhash
 
+from ochrehoist.admission.settings import AdmissionSettings, Tenant
 from ochrehoist.capture.pace import Batches, Sample, file_ends, surplus
 from ochrehoist.capture.records import (
     NEVER,
@@ -25,14 +26,13 @@
     start,
     told,
 )
-from ochrehoist.config import Config
+from ochrehoist.config.loader import Config
 from ochrehoist.core.answers import ANSWERED, REFUSED
 from ochrehoist.core.owner import Owner
-from ochrehoist.core.requests import Inbound
-from ochrehoist.interface import Settings, Tenant
+from ochrehoist.core.request import InboundRequest
+from ochrehoist.errors import InvalidInputError
 from ochrehoist.net.loop import Loop
 from ochrehoist.net.offloop import OffLoop
-from ochrehoist.settings import BadInput
 
 FLUSH = 1.0  # s after which what waits is written, full or not
 END = 1.0  # s at the most for the last writes
@@ -73,10 +73,10 @@
         try:
             self.folder.mkdir(mode=0o700, exist_ok=True)
         except OSError as error:
-            raise BadInput(f"setting capture.folder: {self.folder}: {error.strerror}") from None
+            raise InvalidInputError(f"setting capture.folder: {self.folder}: {error.strerror}") from None
         self.sample, self.batches = Sample(config.sample), Batches()
         # By request: itself, when it was read, and how many others ran and were held then.
-        self.open: dict[str, tuple[Inbound, int, int, int]] = {}
+        self.open: dict[str, tuple[InboundRequest, int, int, int]] = {}
         self.waiting: list[Record] = []
         self.salt = secrets.randbits(64)  # of the file that records are made for
         self.started = 0
@@ -88,7 +88,7 @@
         loop.call_later(FLUSH, self._flush_again)
 
     # ---- what the core tells
-    def arrived(self, r: Inbound) -> None:
+    def arrived(self, r: InboundRequest) -> None:
         subject = r.token[2] if r.token else r.key
         if subject is not None and not self.sample.takes(subject.encode()):
             return
@@ -96,7 +96,7 @@
         counts = (module.cores, len(module.queue)) if module is not None else (0, 0)
         self.open[r.id] = r, self.owner.now, *counts
 
-    def answered(self, r: Inbound, figure: str | None, backoff: int) -> None:
+    def answered(self, r: InboundRequest, figure: str | None, backoff: int) -> None:
         known = self.open.get(r.id)
         if known is None or known[0] is not r:  # not sampled, or one that has the id of another
             return
@@ -145,7 +145,7 @@
             self._new_file(new.settings)
         self.many = many
 
-    def _new_file(self, s: Settings) -> None:
+    def _new_file(self, s: AdmissionSettings) -> None:
         self._flush()  # what waits is of the old salt
         self.told_of = replace(s, tenants=())
         self.salt, self.started = secrets.randbits(64), self.owner.clock()
@@ -155,7 +155,10 @@
             self.config.sample,
             s.cores,
             s.memory_kb,
-            tuple((c.name, c.aim, c.deadline, c.worth, c.late_worth) for c in s.classes),
+            tuple(
+                (c.name, c.latency_objective_ns, c.deadline_ns, c.priority_weight, c.late_weight)
+                for c in s.classes
+            ),
             (),
         )
         self._submit(lambda: self._open(head, s.tenants))
--- a/ochrehoist/cli/lab.py
+++ b/ochrehoist/cli/lab.py
@@ -19,10 +19,10 @@
 def _told(error: BaseException) -> None:
     if isinstance(error, ModuleNotFoundError):
         end("the laboratory's libraries are missing: install them by `pip install 'ochrehoist[plan]'`", WRONG)
-    from ochrehoist.lab.scenario import BadScenario
+    from ochrehoist.lab.scenario import ScenarioError
     from ochrehoist.lab.workers import Failed
 
-    if isinstance(error, BadScenario):
+    if isinstance(error, ScenarioError):
         end(str(error), WRONG)
     if isinstance(error, Failed | OSError):
         end(str(error), NO)
--- a/ochrehoist/cli/main.py
+++ b/ochrehoist/cli/main.py
@@ -8,14 +8,14 @@
 
 import click
 
-from ochrehoist import config as configuration
 from ochrehoist.cli import peers, recovery, sites
 from ochrehoist.cli.lab import lab
 from ochrehoist.cli.plan import plan
 from ochrehoist.cli.state import state
-from ochrehoist.config_json import WHOLE
+from ochrehoist.config import loader as configuration
+from ochrehoist.config.json_reader import WHOLE
+from ochrehoist.errors import InvalidInputError
 from ochrehoist.net.operators import ask
-from ochrehoist.settings import BadInput
 
 NO, WRONG = 1, 2
 
@@ -26,7 +26,7 @@
     def invoke(self, ctx: click.Context) -> object:
         try:
             return super().invoke(ctx)
-        except BadInput as error:
+        except InvalidInputError as error:
             click.echo(f"ochrehoist: {error}", err=True)
             ctx.exit(WRONG)
 
@@ -55,7 +55,7 @@
 
 
 def _serve(path: str | None) -> int:
-    from ochrehoist.worker import serve  # only here: the other commands need none of it
+    from ochrehoist.app.worker import serve  # only here: the other commands need none of it
 
     return serve(path)
 
@@ -90,7 +90,7 @@
 def _asked(path: str | None, method: str, target: str) -> tuple[bool, str]:
     config = configuration.load(path)
     if config.admin is None:
-        raise BadInput("setting admin: missing")
+        raise InvalidInputError("setting admin: missing")
     try:
         return ask(config.admin, method, target)
     except OSError as error:
--- a/ochrehoist/cli/plan.py
+++ b/ochrehoist/cli/plan.py
@@ -24,12 +24,12 @@
     if isinstance(error, ImportError):
         end(f"{EXTRA} ({error})", WRONG)
     from ochrehoist.capture.records import Unusable
-    from ochrehoist.plan.fleet import BadFleet
-    from ochrehoist.plan.questions import Unanswerable
+    from ochrehoist.plan.fleet import FleetDescriptionError
+    from ochrehoist.plan.questions import UnanswerableQuestionError
 
-    if isinstance(error, Unanswerable):
+    if isinstance(error, UnanswerableQuestionError):
         end(f"no number can be given: {error}", NO)
-    if isinstance(error, (BadFleet, Unusable, OSError, ValueError)):
+    if isinstance(error, (FleetDescriptionError, Unusable, OSError, ValueError)):
         end(str(error), WRONG)
 
 
--- a/ochrehoist/cli/state.py
+++ b/ochrehoist/cli/state.py
@@ -7,9 +7,9 @@
 
 import click
 
-from ochrehoist import config as configuration
 from ochrehoist.cli.common import DAMAGED, NO, end, stops
-from ochrehoist.settings import BadInput
+from ochrehoist.config import loader as configuration
+from ochrehoist.errors import InvalidInputError
 
 FOLDER = click.option(
     "--folder",
@@ -23,12 +23,12 @@
 def _stops(error: Exception) -> None:
     """What can't be done is told in one line, with what to do."""
     from ochrehoist.store.disk import Failed, Held
-    from ochrehoist.store.tool import NoStore
+    from ochrehoist.store.tool import StoreMissingError
     from ochrehoist.store.transfer import Unusable
 
     if isinstance(error, Held):
         _no(f"in use by {error}; stop that worker first")
-    if isinstance(error, (NoStore, Unusable)):
+    if isinstance(error, (StoreMissingError, Unusable)):
         _no(str(error))
     if isinstance(error, (Failed, OSError)):
         _no(f"{error}; nothing was changed")
@@ -44,8 +44,8 @@
         return folder, 0
     config = configuration.load(ctx.obj)
     if config.state is None:
-        raise BadInput("setting state.folder: missing; or name one by --folder")
-    return Path(config.state.folder), max(c.window for c in config.settings.classes)
+        raise InvalidInputError("setting state.folder: missing; or name one by --folder")
+    return Path(config.state.folder), max(c.idempotency_window_ns for c in config.settings.classes)
 
 
 @click.group()
--- /dev/null
+++ b/ochrehoist/config/__init__.py
@@ -0,0 +1,1 @@
+"""Configuration: read, checked and given defaults here, and nowhere else."""
--- a/ochrehoist/config_fleet.py
+++ b/ochrehoist/config/fleet.py
@@ -4,7 +4,8 @@
 from pathlib import Path
 from typing import Any
 
-from ochrehoist.config_types import (
+from ochrehoist.admission.settings import AdmissionSettings
+from ochrehoist.config.schema import (
     USES,
     Address,
     AjpConfig,
@@ -14,17 +15,21 @@
     SitesConfig,
     StateConfig,
 )
-from ochrehoist.config_values import address, only, required
-from ochrehoist.interface import Settings
-from ochrehoist.settings import REQUIRED, BadInput, Reader
+from ochrehoist.config.settings import REQUIRED, Reader
+from ochrehoist.config.values import address, only, required
+from ochrehoist.errors import InvalidInputError
 
 STEP = 50  # budgets or members made in one step
 
 
 def fleet_tables(
-    top: Reader, settings: Settings, tenants: Container[str], ajp: AjpConfig | None, state: StateConfig | None
+    top: Reader,
+    settings: AdmissionSettings,
+    tenants: Container[str],
+    ajp: AjpConfig | None,
+    state: StateConfig | None,
 ) -> Generator[None, None, dict[str, Any]]:
-    """In steps. `tenants`: their names. Raises BadInput, which names the key."""
+    """In steps. `tenants`: their names. Raises InvalidInputError, which names the key."""
     peers = yield from peers_of(top, tenants, ajp)
     return {
         "peers": peers,
@@ -36,9 +41,9 @@
 def _texts(r: Reader, key: str, default: Any) -> tuple[str, ...]:
     values = r.items(key, default)
     if not all(isinstance(v, str) and v for v in values):
-        raise BadInput(f"setting {r.path}{key}: unusable value {values!r}")
+        raise InvalidInputError(f"setting {r.path}{key}: unusable value {values!r}")
     if len(set(values)) < len(values):
-        raise BadInput(f"setting {r.path}{key}: a value comes twice")
+        raise InvalidInputError(f"setting {r.path}{key}: a value comes twice")
     return tuple(values)
 
 
@@ -47,15 +52,17 @@
     use, of = r.choice("use", {word: word for word in USES}), r.text("of", None)
     known = tenants if use == "tenant" else servers
     if (of is None and use != "repeats") or (of is not None and of not in known):
-        raise BadInput(f"setting {r.path}of: no such {'tenant' if use == 'tenant' else 'server'}: {of!r}")
+        raise InvalidInputError(
+            f"setting {r.path}of: no such {'tenant' if use == 'tenant' else 'server'}: {of!r}"
+        )
     longest = r.number("longest_ms", 0.0)
     if use == "server" and not longest:
-        raise BadInput(f"setting {r.path}longest_ms: missing: how long one run may take")
+        raise InvalidInputError(f"setting {r.path}longest_ms: missing: how long one run may take")
     if not voters:
-        raise BadInput("setting peers.voters: missing: budgets need them")
+        raise InvalidInputError("setting peers.voters: missing: budgets need them")
     floor = r.number("floor", 0.1)
     if floor > 1:
-        raise BadInput(f"setting {r.path}floor: above 1: {floor!r}")
+        raise InvalidInputError(f"setting {r.path}floor: above 1: {floor!r}")
     return BudgetConfig(
         name=r.text("name"),
         use=use,
@@ -92,13 +99,15 @@
     listen, others = required(r, "listen", loopback=True), r.part("members", {})
     secret = _texts(r, "secrets", REQUIRED)
     if not secret or min(map(len, secret)) < 16:
-        raise BadInput(f"setting {r.path}secrets: one at least, each of 16 characters or more")
+        raise InvalidInputError(f"setting {r.path}secrets: one at least, each of 16 characters or more")
     voters, most_out = _texts(r, "voters", []), r.number("most_out", 0.5)
     if most_out >= 1:
-        raise BadInput(f"setting {r.path}most_out: not below 1: {most_out!r}")
+        raise InvalidInputError(f"setting {r.path}most_out: not below 1: {most_out!r}")
     starts, known = _texts(r, "start", []), {top.text("name"), *others.data}
     if set(voters) - known:  # on one address for each rests that each has one vote
-        raise BadInput(f"setting {r.path}voters: not in {r.path}members: {sorted(set(voters) - known)}")
+        raise InvalidInputError(
+            f"setting {r.path}voters: not in {r.path}members: {sorted(set(voters) - known)}"
+        )
     servers = {s.name for s in ajp.servers} if ajp else set()
     budgets: list[BudgetConfig] = []
     for at, data in enumerate(r.items("budgets", [])):
@@ -108,7 +117,7 @@
     for key in ("name", "of"):
         seen = [(b.use if key == "of" else None, getattr(b, key)) for b in budgets]
         if len(set(seen)) < len(seen):
-            raise BadInput(f"setting {r.path}budgets: two of one {key}")
+            raise InvalidInputError(f"setting {r.path}budgets: two of one {key}")
     members: dict[str, Address] = {}
     for name in others.data:
         members[name] = required(others, name, loopback=True)
@@ -130,42 +139,44 @@
     )
 
 
-def sites_of(top: Reader, settings: Settings, peers: PeersConfig | None) -> SitesConfig | None:
+def sites_of(top: Reader, settings: AdmissionSettings, peers: PeersConfig | None) -> SitesConfig | None:
     if "sites" not in top.data:
         return None
     # Their libraries are for those who want them.
-    from ochrehoist.sites.playbook import BadPlaybook, parse
+    from ochrehoist.sites.playbook import PlaybookError, parse
 
     r = only(top.part("sites"), "site", "fleet", "playbook", "pace")
     if peers is None:
-        raise BadInput("setting sites: needs [peers]: sites are known by their workers")
+        raise InvalidInputError("setting sites: needs [peers]: sites are known by their workers")
     if r.flag("pace", True) and not peers.voters:
-        raise BadInput(
+        raise InvalidInputError(
             "setting peers.voters: missing: a site that comes back steps by their permit; or set "
             "sites.pace = false"
         )
     places, file = None, r.text("fleet", None)
     if file is not None:
-        from ochrehoist.sites.places import BadPlaces, Places
+        from ochrehoist.sites.places import Places, SiteMapError
 
         try:
             places = Places.load(Path(file))
-        except BadPlaces as error:
-            raise BadInput(f"setting {r.path}fleet: {error}") from None
+        except SiteMapError as error:
+            raise InvalidInputError(f"setting {r.path}fleet: {error}") from None
     site = r.text("site", None) or (places.site_of(peers.address[0]) if places else None) or peers.site
     if not site:
-        raise BadInput(
+        raise InvalidInputError(
             f"setting {r.path}site: missing, and no description of the fleet tells of "
             f"{peers.address[0]}; nor does peers.site"
         )
     if places is not None and site not in places.names:
-        raise BadInput(f"setting {r.path}site: no such site in {file}: {site!r}; there are {places.names}")
+        raise InvalidInputError(
+            f"setting {r.path}site: no such site in {file}: {site!r}; there are {places.names}"
+        )
     book, file = None, r.text("playbook", None)
     if file is not None:
         try:
             book = parse(Path(file).read_text(encoding="utf-8"), [c.name for c in settings.classes])
-        except (OSError, ValueError, BadPlaybook) as error:
-            raise BadInput(f"setting {r.path}playbook: {file}: {error}") from None
+        except (OSError, ValueError, PlaybookError) as error:
+            raise InvalidInputError(f"setting {r.path}playbook: {file}: {error}") from None
     return SitesConfig(site=site, places=places, playbook=book, pace=r.flag("pace", True))
 
 
@@ -175,11 +186,13 @@
     r = only(top.part("recovery"), "witnesses", "wait_ms")
     witnesses = _texts(r, "witnesses", [])
     if witnesses and (peers is None or state is None):
-        raise BadInput(f"setting {r.path}witnesses: need [peers], by which they are told, and [state]")
+        raise InvalidInputError(
+            f"setting {r.path}witnesses: need [peers], by which they are told, and [state]"
+        )
     unknown = sorted(set(witnesses) - set(peers.members)) if peers is not None else []
     if unknown:
-        raise BadInput(f"setting {r.path}witnesses: not in peers.members: {unknown}")
+        raise InvalidInputError(f"setting {r.path}witnesses: not in peers.members: {unknown}")
     if top.text("name") in witnesses:
-        raise BadInput(f"setting {r.path}witnesses: this worker itself is none")
+        raise InvalidInputError(f"setting {r.path}witnesses: this worker itself is none")
     wait = r.number("wait_ms", state.stall_ms if state is not None else 250, least=1)
     return RecoveryConfig(witnesses=witnesses, wait_ms=wait)
--- a/ochrehoist/config.py
+++ b/ochrehoist/config/loader.py
@@ -11,9 +11,9 @@
 from pathlib import Path
 from typing import Any
 
-from ochrehoist import config_json
-from ochrehoist.config_source import Kept, Reading, Source, Text, joined, text_in_steps
-from ochrehoist.config_types import (
+from ochrehoist.admission.settings import AdmissionSettings
+from ochrehoist.config import json_reader
+from ochrehoist.config.schema import (
     CONTROLLERS,
     ON_LOSS,
     Address,
@@ -25,9 +25,10 @@
     OverloadConfig,
     StateConfig,
 )
-from ochrehoist.config_values import address, header, only, required
-from ochrehoist.interface import Settings
-from ochrehoist.settings import BadInput, Reader, Tenants, at_once, settings_in_steps, spliced_in_steps
+from ochrehoist.config.settings import Reader, Tenants, at_once, settings_in_steps, spliced_in_steps
+from ochrehoist.config.source import Kept, Reading, Source, Text, joined, text_in_steps
+from ochrehoist.config.values import address, header, only, required
+from ochrehoist.errors import InvalidInputError
 
 Steps = Generator[None, None, Any]
 
@@ -46,7 +47,7 @@
     try:
         return int(text, 16)
     except ValueError:
-        raise BadInput(f"setting seed: not hexadecimal: {text!r}") from None
+        raise InvalidInputError(f"setting seed: not hexadecimal: {text!r}") from None
 
 
 # ---- the second front and the appliance
@@ -70,20 +71,22 @@
         """Adds the rule, its class not yet looked up, or the data where they can't be used."""
         try:
             into.append(self._checked(data, "", None))
-        except BadInput:
+        except InvalidInputError:
             into.append(data)
 
     def _checked(self, data: Any, path: str, kinds: Mapping[str, str] | None) -> AjpRule:
-        """Raises BadInput, which names the key after `path`. `kinds`: names of classes; None: any will do."""
+        """Raises InvalidInputError, which names the key after `path`. `kinds`: names of classes; None: any
+        will do.
+        """
         rule = only(Reader(data, path), "uri", "methods", "class")
         kind, methods = rule.text("class"), rule.items("methods", [])
         if kinds is not None and kind not in kinds:
-            raise BadInput(f"setting {rule.path}class: unknown class {kind!r}")
+            raise InvalidInputError(f"setting {rule.path}class: unknown class {kind!r}")
         if not all(isinstance(m, str) and m for m in methods):
-            raise BadInput(f"setting {rule.path}methods: unusable value {methods!r}")
+            raise InvalidInputError(f"setting {rule.path}methods: unusable value {methods!r}")
         uri = rule.text("uri")
         if not uri.startswith("/"):
-            raise BadInput(f"setting {rule.path}uri: does not start with /: {uri!r}")
+            raise InvalidInputError(f"setting {rule.path}uri: does not start with /: {uri!r}")
         some = frozenset(m.upper() for m in methods)
         some = self.methods.setdefault(some, some)
         at = self.known.get(self._key(uri, some, kind))
@@ -93,15 +96,19 @@
     def _key(uri: str, methods: frozenset[str], kind: str) -> str:
         return f"{id(methods)} {len(uri)} {uri}{kind}"
 
-    def all_in_steps(self, r: Reader, settings: Settings) -> Generator[None, None, tuple[AjpRule, ...]]:
-        """All of them. Raises BadInput."""
+    def all_in_steps(
+        self, r: Reader, settings: AdmissionSettings
+    ) -> Generator[None, None, tuple[AjpRule, ...]]:
+        """All of them. Raises InvalidInputError."""
         kinds, out = {c.name: c.name for c in settings.classes}, []
         for item in r.items("rules"):
             for rule in self.before[item.start : item.stop] if type(item) is range else (item,):
                 if type(rule) is not AjpRule:
                     rule = self._checked(rule, f"{r.path}rules[{len(out)}].", kinds)
                 elif rule.kind not in kinds:
-                    raise BadInput(f"setting {r.path}rules[{len(out)}].class: unknown class {rule.kind!r}")
+                    raise InvalidInputError(
+                        f"setting {r.path}rules[{len(out)}].class: unknown class {rule.kind!r}"
+                    )
                 out.append(rule)
                 if not len(out) % STEP:
                     yield
@@ -134,14 +141,14 @@
         if not len(out) % FEW:
             yield
     if not out:
-        raise BadInput(f"setting {r.path}servers: none named")
+        raise InvalidInputError(f"setting {r.path}servers: none named")
     if len({s.name for s in out}) < len(out):
-        raise BadInput(f"setting {r.path}servers: two of one name or address")
+        raise InvalidInputError(f"setting {r.path}servers: two of one name or address")
     return tuple(out)
 
 
 def _ajp(
-    r: Reader, settings: Settings, places: Mapping[str, int], rules: _Rules
+    r: Reader, settings: AdmissionSettings, places: Mapping[str, int], rules: _Rules
 ) -> Generator[None, None, AjpConfig]:
     only(
         r,
@@ -163,11 +170,11 @@
     )
     packet = r.whole("packet_size", MIN_PACKET, least=MIN_PACKET)
     if packet > MAX_PACKET:
-        raise BadInput(f"setting {r.path}packet_size: over {MAX_PACKET}: {packet}")
+        raise InvalidInputError(f"setting {r.path}packet_size: over {MAX_PACKET}: {packet}")
     headers = only(r.part("headers", {}), "tenant", "key", "retry")
     tenant = r.text("default_tenant", None)
     if tenant is not None and tenant not in places:
-        raise BadInput(f"setting {r.path}default_tenant: unknown tenant {tenant!r}")
+        raise InvalidInputError(f"setting {r.path}default_tenant: unknown tenant {tenant!r}")
     return AjpConfig(
         listen=required(r, "listen", loopback=True),
         secret=r.text("secret", None),
@@ -194,20 +201,20 @@
     yield from rules.know_in_steps()
     try:
         text = yield from text_in_steps(path)
-        if text.size <= config_json.WHOLE:
+        if text.size <= json_reader.WHOLE:
             import tomli  # for those who have such a file
 
             read = Reading(tomli.loads(text.whole()))
         else:
-            from ochrehoist import config_toml  # for those who have a large one
+            from ochrehoist.config import toml_reader  # for those who have a large one
 
-            read = yield from config_toml.read_in_steps(
+            read = yield from toml_reader.read_in_steps(
                 text, {TENANTS: tenants.take, RULES: rules.take}, before
             )
     except RecursionError:
-        raise BadInput(f"setting {key}: {path}: nested too deeply") from None
+        raise InvalidInputError(f"setting {key}: {path}: nested too deeply") from None
     except (OSError, ValueError) as error:
-        raise BadInput(f"setting {key}: {path}: {error}") from None
+        raise InvalidInputError(f"setting {key}: {path}: {error}") from None
     top = only(
         Reader(read.data, ""),
         "name",
@@ -262,7 +269,7 @@
     r = only(top.part("capture"), "folder", "sample", "max_mb", "file_mb", "file_s")
     sample = r.number("sample", 1.0)
     if not 0 < sample <= 1:
-        raise BadInput(f"setting {r.path}sample: not above 0 and at most 1: {sample!r}")
+        raise InvalidInputError(f"setting {r.path}sample: not above 0 and at most 1: {sample!r}")
     return CaptureConfig(
         folder=r.text("folder"),
         sample=sample,
@@ -272,7 +279,7 @@
     )
 
 
-def _overload(top: Reader, settings: Settings) -> OverloadConfig | None:
+def _overload(top: Reader, settings: AdmissionSettings) -> OverloadConfig | None:
     if "overload" not in top.data:
         return None
     r = only(
@@ -288,13 +295,15 @@
     )
     admission = "door" if "door" in r.data else "admission"  # as it was called before
     if {"door", "admission"} <= r.data.keys():
-        raise BadInput(f"setting {r.path}door: the older name of admission, which is there too")
-    survives = int(settings.cores * settings.tip_multiple)
+        raise InvalidInputError(f"setting {r.path}door: the older name of admission, which is there too")
+    survives = int(settings.cores * settings.collapse_multiple)
     least, most = (r.whole(key, 0) or None for key in ("least_running", "most_running"))
     if most is not None and most > survives:
-        raise BadInput(f"setting {r.path}most_running: over the {survives} that the cores survive: {most}")
+        raise InvalidInputError(
+            f"setting {r.path}most_running: over the {survives} that the cores survive: {most}"
+        )
     if (least or 1) > (most or survives):
-        raise BadInput(f"setting {r.path}least_running: over the most that may run: {least}")
+        raise InvalidInputError(f"setting {r.path}least_running: over the most that may run: {least}")
     return OverloadConfig(
         admission=r.flag(admission, True),
         pools=r.flag("pools", True),
@@ -306,13 +315,13 @@
     )
 
 
-def _operators(top: Reader, settings: Settings, places: Mapping[str, int], rules: _Rules) -> Steps:
+def _operators(top: Reader, settings: AdmissionSettings, places: Mapping[str, int], rules: _Rules) -> Steps:
     """What operators of other installations switch on, each by its table."""
     console = only(top.part("console", {}), "agent_check")
     ajp = (yield from _ajp(top.part("ajp"), settings, places, rules)) if "ajp" in top.data else None
     state, fleet = _state(top), {}
     if {"peers", "sites", "recovery"} & top.data.keys():
-        from ochrehoist.config_fleet import fleet_tables  # only for those who want a fleet
+        from ochrehoist.config.fleet import fleet_tables  # only for those who want a fleet
 
         fleet = yield from fleet_tables(top, settings, places, ajp, state)
     return {
@@ -329,7 +338,7 @@
     settings, places = yield from settings_in_steps(raw.data, tenants)
     gauges = raw.part("FamilyInfo").items("OwnStats", [])
     if not all(isinstance(g, str) for g in gauges):
-        raise BadInput(f"setting settings.FamilyInfo.OwnStats: unusable value {gauges!r}")
+        raise InvalidInputError(f"setting settings.FamilyInfo.OwnStats: unusable value {gauges!r}")
     return {
         "name": top.text("name"),
         "settings": settings,
@@ -362,11 +371,11 @@
     if not text:
         return None
     if not (text.isascii() and text.isdigit() and len(text) < 10):
-        raise BadInput(f"setting EDGE_PASSED_SOCKET: not a descriptor: {text!r}")
+        raise InvalidInputError(f"setting EDGE_PASSED_SOCKET: not a descriptor: {text!r}")
     try:
         sock = socket.socket(fileno=int(text))
     except OSError as error:
-        raise BadInput(f"setting EDGE_PASSED_SOCKET: {text}: {error}") from None
+        raise InvalidInputError(f"setting EDGE_PASSED_SOCKET: {text}: {error}") from None
     try:
         listens = (
             sock.family == socket.AF_INET
@@ -377,7 +386,9 @@
     finally:
         sock.detach()
     if not listens or (address[1] and at != address):
-        raise BadInput(f"setting EDGE_PASSED_SOCKET: {text}: does not listen at {address[0]}:{address[1]}")
+        raise InvalidInputError(
+            f"setting EDGE_PASSED_SOCKET: {text}: does not listen at {address[0]}:{address[1]}"
+        )
     return int(text)
 
 
@@ -385,14 +396,14 @@
     if before is not None and before.digest == text.digest:
         return joined(before.rest, {TENANTS: [range(len(before.kept[TENANTS].elements))]})
     whole = text.whole()
-    if text.size > config_json.WHOLE:
+    if text.size > json_reader.WHOLE:
         yield
     text.parts.clear()
-    return (yield from config_json.read_in_steps(whole, {TENANTS: tenants.take}))
+    return (yield from json_reader.read_in_steps(whole, {TENANTS: tenants.take}))
 
 
-def _json_source(data: dict[str, Any], text: Text, settings: Settings) -> Source | None:
-    if text.size <= config_json.WHOLE or "Tenants" not in data["settings"]:
+def _json_source(data: dict[str, Any], text: Text, settings: AdmissionSettings) -> Source | None:
+    if text.size <= json_reader.WHOLE or "Tenants" not in data["settings"]:
         return None
     return Source(text.digest, joined(data, {TENANTS: []}), b"", {TENANTS: Kept(settings.tenants)})
 
@@ -401,14 +412,14 @@
     return sha256(b"".join(digests)).hexdigest()[:12]
 
 
-def _placed(error: BadInput, lines: Mapping[tuple[str, ...], Sequence[int]]) -> BadInput:
+def _placed(error: InvalidInputError, lines: Mapping[tuple[str, ...], Sequence[int]]) -> InvalidInputError:
     """With the lines of the elements that the error names."""
     named = re.match(r"setting (?:(ajp\.rules)|Tenants)\[(\d+)\]", str(error))
     at = lines.get(RULES if named and named[1] else TENANTS)
     if not named or at is None:
         return error
     other = f", and in line {at[error.first]}" if error.first is not None else ""
-    return BadInput(f"{error} (in the table of line {at[int(named[2])]}{other})")
+    return InvalidInputError(f"{error} (in the table of line {at[int(named[2])]}{other})")
 
 
 def _appliance(path: str, environment: Mapping[str, str], before: Config | None) -> Steps:
@@ -421,7 +432,7 @@
     try:
         common = yield from _common(top, secrets.randbits(64), tenants)
         tables = yield from _operators(top, common["settings"], common["tenants_at"], rules)
-    except BadInput as error:
+    except InvalidInputError as error:
         raise _placed(error, read.lines) from None
     source = read.source(digest, {TENANTS: common["settings"].tenants, RULES: tables["ajp"].rules})
     return Config(
@@ -454,7 +465,7 @@
         text = yield from text_in_steps(path)
         data = yield from _json(text, tenants, before and before.source)
     except (OSError, ValueError) as error:
-        raise BadInput(f"setting EDGE_CONFIG: {error}") from None
+        raise InvalidInputError(f"setting EDGE_CONFIG: {error}") from None
     top = Reader(dict(data) if isinstance(data, dict) else data, "")
     for variable, key in (("EDGE_NAME", "name"), ("EDGE_LISTEN", "listen"), ("EDGE_ADMIN", "admin")):
         if environment.get(variable):
@@ -478,7 +489,7 @@
     appliance, read, digest = yield from _toml(second, "OCHREHOIST_AJP", rules, Tenants(), None)
     try:
         tables = yield from _operators(appliance, out.settings, out.tenants_at, rules)
-    except BadInput as error:
+    except InvalidInputError as error:
         raise _placed(error, read.lines) from None
     return replace(out, version=_version(text.digest, digest), **tables)
 
@@ -490,7 +501,7 @@
 
     A generator that returns the Config: each step is short, so that others get a turn. `before` is the Config
     in force: its tenants and rules that did not change come back as the same objects, and where all are the
-    same, as the same tuple. Raises BadInput, which names key and place.
+    same, as the same tuple. Raises InvalidInputError, which names key and place.
     """
     if path and path.endswith(".json"):
         return (yield from _platform(path, environment, before))
@@ -523,16 +534,18 @@
 def taken_over(old: Config, new: Config) -> tuple[Config, list[str]]:
     """The old configuration with what can change in a running worker, and the keys that differ but can't."""
     for key in sorted(old.keys - new.keys):
-        raise BadInput(f"setting {key}: missing")
+        raise InvalidInputError(f"setting {key}: missing")
     old = replace(old, keys=new.keys, version=new.version, tenants_at=new.tenants_at, source=new.source)
     if None not in (old.peers, new.peers):
         # Majorities of two lists that differ by more need not share a voter.
         if len(set(old.peers.voters) ^ set(new.peers.voters)) > 1:
-            raise BadInput("setting peers.voters: change one name at a time, and wait for the longest lease")
+            raise InvalidInputError(
+                "setting peers.voters: change one name at a time, and wait for the longest lease"
+            )
         if (old.peers.listen, old.peers.group) != (new.peers.listen, new.peers.group):
-            raise BadInput("setting peers.listen, peers.group: need a restart")
+            raise InvalidInputError("setting peers.listen, peers.group: need a restart")
     if None not in (old.sites, new.sites) and old.sites.site != new.sites.site:
-        raise BadInput("setting sites.site: needs a restart")
+        raise InvalidInputError("setting sites.site: needs a restart")
     differing = _differing(old, new) - {"seed", "ajp", "link", "passed"}  # used up at the start
     for key in LIVE & differing:  # a part that was not started has nothing to hand the address to
         if None not in (getattr(old, key), getattr(new, key)):
--- a/ochrehoist/config_types.py
+++ b/ochrehoist/config/schema.py
@@ -4,8 +4,8 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ochrehoist.config_source import Source
-from ochrehoist.interface import Settings
+from ochrehoist.admission.settings import AdmissionSettings
+from ochrehoist.config.source import Source
 
 Address = tuple[str, int]
 ON_LOSS = ("hold", "serve")  # refuse filings until no window of before can be open, or take the risk
@@ -145,7 +145,7 @@
 @dataclass(slots=True, frozen=True, kw_only=True)
 class Config:
     name: str
-    settings: Settings
+    settings: AdmissionSettings
     gauges: tuple[str, ...]
     seed: int
     stop_ms: int
--- a/ochrehoist/settings.py
+++ b/ochrehoist/config/settings.py
@@ -5,18 +5,32 @@
 from collections.abc import Generator, Mapping, Sequence
 from typing import Any, TypeVar
 
-from ochrehoist import config_json
-from ochrehoist import interface as i
-
-REPEATS = {"idempotent": i.Repeat.SAFE, "deduplicated": i.Repeat.KEYED, "at_most_once": i.Repeat.UNSAFE}
-BELOW = {"off": i.Below.NOTHING, "shared": i.Below.SHARED, "tier": i.Below.TIER}
+from ochrehoist.admission.settings import (
+    AdmissionSettings,
+    BackpressureSignal,
+    DownstreamScope,
+    Idempotency,
+    ObjectiveWeights,
+    Preemption,
+    RequestClass,
+    Tenant,
+)
+from ochrehoist.config import json_reader
+from ochrehoist.errors import InvalidInputError
+
+REPEATS = {
+    "idempotent": Idempotency.IDEMPOTENT,
+    "deduplicated": Idempotency.KEYED,
+    "at_most_once": Idempotency.AT_MOST_ONCE,
+}
+BELOW = {"off": DownstreamScope.NONE, "shared": DownstreamScope.SHARED, "tier": DownstreamScope.TIER}
 ADVICE = {
-    "off": i.Advice.NONE,
-    "window": i.Advice.WINDOW,
-    "threshold": i.Advice.LEVEL,
-    "share_of": i.Advice.WEIGHT,
+    "off": BackpressureSignal.NONE,
+    "window": BackpressureSignal.WINDOW,
+    "threshold": BackpressureSignal.THRESHOLD,
+    "share_of": BackpressureSignal.WEIGHT,
 }
-PREEMPTION = {"off": i.Preemption.NONE, "abort": i.Preemption.DROP, "suspend": i.Preemption.PAUSE}
+PREEMPTION = {"off": Preemption.NONE, "abort": Preemption.DROP, "suspend": Preemption.PAUSE}
 REQUIRED = object()
 STEP = 1000  # tenants looked at in one step
 STAY = 4000  # new tenants after which the collector is told that they stay
@@ -24,12 +38,6 @@
 T = TypeVar("T")
 
 
-class BadInput(Exception):
-    """A line or a setting that cannot be used; the text names it."""
-
-    first: int | None = None  # of two elements that can't be together, the place of the other
-
-
 # ---- settings
 
 
@@ -38,19 +46,19 @@
 
     def __init__(self, data, path):
         if not isinstance(data, dict):
-            raise BadInput(f"setting {path or 'Settings'}: not an object")
+            raise InvalidInputError(f"setting {path or 'Settings'}: not an object")
         self.data, self.path = data, path
 
     def _get(self, key, default):
         value = self.data.get(key)
         if value is None:
             if default is REQUIRED:
-                raise BadInput(f"setting {self.path}{key}: missing")
+                raise InvalidInputError(f"setting {self.path}{key}: missing")
             return default
         return value
 
     def _bad(self, key, value):
-        return BadInput(f"setting {self.path}{key}: unusable value {value!r}")
+        return InvalidInputError(f"setting {self.path}{key}: unusable value {value!r}")
 
     def number(self, key, default=REQUIRED, least=0.0):
         value = self._get(key, default)
@@ -102,33 +110,33 @@
 def _classes(top, info):
     listed = top.items("Classes")
     if not listed:
-        raise BadInput("setting Classes: unusable value []")
+        raise InvalidInputError("setting Classes: unusable value []")
     calls = info.items("ClassCalls", [False] * len(listed))
     skips = info.items("ClassSkipWorth", [0.0] * len(listed))
     for name, values, kinds in (("ClassCalls", calls, bool), ("ClassSkipWorth", skips, int | float)):
         if len(values) != len(listed) or not all(isinstance(v, kinds) for v in values):
-            raise BadInput(f"setting FamilyInfo.{name}: unusable value {values!r}")
+            raise InvalidInputError(f"setting FamilyInfo.{name}: unusable value {values!r}")
     out = []
     for at, data in enumerate(listed):
         c = Reader(data, f"Classes[{at}].")
         repeat = c.choice("Repeat", REPEATS)
         out.append(
-            i.RequestClass(
+            RequestClass(
                 name=c.text("Name"),
-                aim=c.whole("Slo", least=1),
-                deadline=c.whole("Deadline", least=1),
-                worth=c.number("Gain"),
-                late_worth=c.number("LateValue", 0.0),
-                repeat=repeat,
-                window=c.whole("Window", REQUIRED if repeat is i.Repeat.KEYED else 0),
-                aim_stretch=c.number("AimStretch", 0.0),
-                calls=calls[at],
-                skip_worth=float(skips[at]),
+                latency_objective_ns=c.whole("Slo", least=1),
+                deadline_ns=c.whole("Deadline", least=1),
+                priority_weight=c.number("Gain"),
+                late_weight=c.number("LateValue", 0.0),
+                idempotency=repeat,
+                idempotency_window_ns=c.whole("Window", REQUIRED if repeat is Idempotency.KEYED else 0),
+                objective_stretch=c.number("AimStretch", 0.0),
+                calls_downstream=calls[at],
+                fallback_weight=float(skips[at]),
             )
         )
     names = [c.name for c in out]
     if len(set(names)) < len(names):
-        raise BadInput(f"setting Classes: a name that comes twice in {names!r}")
+        raise InvalidInputError(f"setting Classes: a name that comes twice in {names!r}")
     return tuple(out)
 
 
@@ -137,7 +145,7 @@
 
     fresh = 0  # tenants made by this process since the collector was told
 
-    def __init__(self, before: tuple[i.Tenant, ...] = (), places: Mapping[str, int] | None = None) -> None:
+    def __init__(self, before: tuple[Tenant, ...] = (), places: Mapping[str, int] | None = None) -> None:
         self.before, self.places = before, places or {}
 
     def take(self, data: Any, into: list[Any]) -> None:
@@ -149,7 +157,7 @@
         if at is None:
             try:
                 into.append(self._checked(data, ""))
-            except BadInput:
+            except InvalidInputError:
                 into.append(data)
         elif into and type(into[-1]) is range and into[-1].stop == at:
             into[-1] = range(into[-1].start, at + 1)
@@ -164,10 +172,10 @@
         same = self.before[at].quota_per_s == quota and self.before[at].share == share
         return at if same and type(quota) is not bool and type(share) is not bool else None
 
-    def _checked(self, data: Any, path: str) -> i.Tenant:
-        """Raises BadInput, which names the key after `path`."""
+    def _checked(self, data: Any, path: str) -> Tenant:
+        """Raises InvalidInputError, which names the key after `path`."""
         t = Reader(data, path)
-        tenant = i.Tenant(t.text("Name"), t.number("QuotaPerS"), t.number("Fraction", 0.0))
+        tenant = Tenant(t.text("Name"), t.number("QuotaPerS"), t.number("Fraction", 0.0))
         Tenants.fresh += 1
         if Tenants.fresh == STAY:
             # Looking through tens of thousands of them again and again would hold up the loop. Not more often
@@ -178,20 +186,20 @@
 
     def all_in_steps(
         self, listed: Sequence[Any]
-    ) -> Generator[None, None, tuple[tuple[i.Tenant, ...], Mapping[str, int]]]:
+    ) -> Generator[None, None, tuple[tuple[Tenant, ...], Mapping[str, int]]]:
         """All of them, and their places by name. `listed`: data, tenants, and ranges of those of before.
 
-        Raises BadInput.
+        Raises InvalidInputError.
         """
         at, moved, same = 0, len(self.places) != len(self.before), True
-        parts: list[range | list[i.Tenant]] = []
+        parts: list[range | list[Tenant]] = []
         for number, item in enumerate(listed):
             if type(item) is range:
                 moved |= item.start != at
                 at += len(item)
                 parts.append(item)
             else:
-                if type(item) is not i.Tenant:
+                if type(item) is not Tenant:
                     place = self._place(item)
                     item = self._checked(item, f"Tenants[{at}].") if place is None else self.before[place]
                 was = self.before[at] if at < len(self.before) else None
@@ -236,8 +244,8 @@
     return whole
 
 
-def _twice(name: str, at: int, first: int) -> BadInput:
-    error = BadInput(f"setting Tenants[{at}].Name: {name!r} is the name of Tenants[{first}] too")
+def _twice(name: str, at: int, first: int) -> InvalidInputError:
+    error = InvalidInputError(f"setting Tenants[{at}].Name: {name!r} is the name of Tenants[{first}] too")
     error.first = first
     return error
 
@@ -254,9 +262,9 @@
 def read_settings(text):
     """The settings object of a CREATE message, as the controller's Settings."""
     try:
-        data = at_once(config_json.read_in_steps(text, {("Tenants",): Tenants().take}))
+        data = at_once(json_reader.read_in_steps(text, {("Tenants",): Tenants().take}))
     except ValueError as error:
-        raise BadInput(f"message CREATE field Settings: {error}") from None
+        raise InvalidInputError(f"message CREATE field Settings: {error}") from None
     return settings_from(data)
 
 
@@ -267,20 +275,20 @@
 
 def settings_in_steps(
     data: Any, tenants: Tenants
-) -> Generator[None, None, tuple[i.Settings, dict[str, int]]]:
+) -> Generator[None, None, tuple[AdmissionSettings, dict[str, int]]]:
     """As settings_from(), and the places of the tenants by name. Tenants in `data` may be made already."""
     top = Reader(data, "")
     info, rules, limits = top.part("FamilyInfo"), top.part("Rules"), top.part("PolicyLimits", {})
     mix, prices = top.part("ResultMix"), top.part("Charges", {})
     below = info.choice("DependsOn", BELOW, "off")
-    shared = REQUIRED if below is i.Below.SHARED else 0
+    shared = REQUIRED if below is DownstreamScope.SHARED else 0
     advice = info.choice("Say", ADVICE, "off")
     classes = _classes(top, info)
     listed, places = yield from tenants.all_in_steps(top.items("Tenants", []))
-    return i.Settings(
+    return AdmissionSettings(
         classes=classes,
         tenants=listed,
-        goal=i.Goal(
+        objective=ObjectiveWeights(
             mix.number("Whole"),
             mix.number("WorstWindow", 0.0),
             mix.number("WorstClass", 0.0),
@@ -289,35 +297,35 @@
         prices={k: v for k, v in prices.data.items() if isinstance(v, int | float)},
         fleet_size=top.whole("FleetSize", least=1),
         tier=top.whole("Stage", 0),
-        callers=info.whole("Callers", 0),
+        caller_count=info.whole("Callers", 0),
         cores=info.whole("Cores", least=1),
         memory_kb=info.number("HeapKb"),
-        run_factor=info.number("RunFactor", least=1.0),
+        run_memory_factor=info.number("RunFactor", least=1.0),
         key_kb=info.number("KeyKb", 0.0),
-        just_started=info.flag("JustStarted", False),
-        cold=rules.whole("Cold"),
-        cold_from=rules.number("ColdFrom"),
-        tip_multiple=rules.number("TipMultiple", least=1.0),
-        fall=rules.whole("Fall"),
-        drain_grace=rules.whole("DrainGrace"),
-        answer_grace=rules.whole("GraceToAnswer"),
-        passes_deadline=info.flag("PassesDeadline", False),
-        tells_gone=info.flag("TellsGone", False),
-        marks_retry=top.part("ClientHabits", {}).flag("MarksRetry", False),
-        worth_by_work=top.choice("WorthBy", {"request": False, "work": True}, "request"),
-        over_share_worth=top.number("OverShareWorth", 1.0),
-        below=below,
-        fair_calls=info.number("FairCalls", shared),
-        calls_over=info.whole("CallsOver", shared),
-        lingers=info.whole("Lingers", 0),
-        fresh_for=info.whole("FreshFor", 0),
-        advice=advice,
-        advice_heard_for=info.whole("HeardFor", 0),
-        backoff_relayed=limits.flag("RetryAfter", False),
-        max_backoff=limits.whole("MaxRetryAfter", 0),
+        cold_start=info.flag("JustStarted", False),
+        warmup_ns=rules.whole("Cold"),
+        warmup_speed=rules.number("ColdFrom"),
+        collapse_multiple=rules.number("TipMultiple", least=1.0),
+        collapse_after_ns=rules.whole("Fall"),
+        drain_grace_ns=rules.whole("DrainGrace"),
+        answer_grace_ns=rules.whole("GraceToAnswer"),
+        propagates_deadline=info.flag("PassesDeadline", False),
+        reports_disconnects=info.flag("TellsGone", False),
+        marks_retries=top.part("ClientHabits", {}).flag("MarksRetry", False),
+        weighs_work=top.choice("WorthBy", {"request": False, "work": True}, "request"),
+        over_quota_weight=top.number("OverShareWorth", 1.0),
+        downstream=below,
+        downstream_share=info.number("FairCalls", shared),
+        downstream_window_ns=info.whole("CallsOver", shared),
+        abandoned_call_ns=info.whole("Lingers", 0),
+        freshness_ns=info.whole("FreshFor", 0),
+        backpressure=advice,
+        backpressure_ttl_ns=info.whole("HeardFor", 0),
+        relays_retry_after=limits.flag("RetryAfter", False),
+        max_retry_after_ns=limits.whole("MaxRetryAfter", 0),
         preemption=info.choice("Preemption", PREEMPTION, "off"),
         readiness=info.flag("Readiness", False),
-        deep_checks=info.flag("DeepChecks", False),
-        idle=info.whole("Idle", 0),
-        step=top.whole("Step", least=1),
+        deep_health_checks=info.flag("DeepChecks", False),
+        idle_timeout_ns=info.whole("Idle", 0),
+        clock_step_ns=top.whole("Step", least=1),
     ), places
--- a/ochrehoist/config_source.py
+++ b/ochrehoist/config/source.py
@@ -9,7 +9,7 @@
 from hashlib import sha256
 from typing import Any
 
-from ochrehoist.config_json import WHOLE, Path
+from ochrehoist.config.json_reader import WHOLE, Path
 
 PART = 16384  # bytes taken in one step
 TRIES = 5  # at a file that changes while it is read
--- a/ochrehoist/config_toml.py
+++ b/ochrehoist/config/toml_reader.py
@@ -18,8 +18,9 @@
 
 import tomli
 
-from ochrehoist.config_json import Path, Taker
-from ochrehoist.config_source import Reading, Source, Stretches, Text, joined
+from ochrehoist.config.json_reader import Path, Taker
+from ochrehoist.config.source import Reading, Source, Stretches, Text, joined
+from ochrehoist.errors import OchrehoistError
 
 ELEMENTS = 64  # of a stretch, at the most,
 STRETCH = 4096  # or so many characters, unless one element has more
@@ -38,11 +39,11 @@
 _TABLE: Path = ()
 
 
-class _Unusual(Exception):
+class _Unusual(OchrehoistError):
     """The text can't be parted."""
 
 
-class _Faulty(Exception):
+class _Faulty(OchrehoistError):
     """The text is no TOML."""
 
 
--- a/ochrehoist/core/answers.py
+++ b/ochrehoist/core/answers.py
@@ -3,9 +3,11 @@
 from collections.abc import Callable
 from typing import Any
 
+from ochrehoist.admission.events import Outcome
 from ochrehoist.core.figures import Figures
-from ochrehoist.core.requests import Inbound, Observer, Reason, Result
-from ochrehoist.interface import Outcome
+from ochrehoist.core.protocols import RequestObserver
+from ochrehoist.core.request import InboundRequest
+from ochrehoist.core.results import FailureReason, RunResult
 
 ANSWERED, REFUSED, FAILED = "answered_total", "deferred_total", "errored_total"
 
@@ -15,8 +17,8 @@
 
     def __init__(self, figures: Figures, log: Any) -> None:
         self.figures, self.log = figures, log
-        self.observers: list[Observer] = []
-        self.live: dict[str, Inbound] = {}
+        self.observers: list[RequestObserver] = []
+        self.live: dict[str, InboundRequest] = {}
         self.owed = 0
 
     def clear(self) -> None:
@@ -24,11 +26,11 @@
         self.live.clear()
         self.owed = 0
 
-    def take(self, r: Inbound) -> None:
+    def take(self, r: InboundRequest) -> None:
         self.live[r.id] = r
         self.owed += not r.answered
 
-    def settle(self, r: Inbound) -> bool:
+    def settle(self, r: InboundRequest) -> bool:
         """Marks that nothing is owed for it any more; whether something was."""
         if r.answered:
             return False
@@ -38,20 +40,22 @@
             self.live.pop(r.id, None)
         return True
 
-    def finish(self, r: Inbound, result: Result) -> None:
+    def finish(self, r: InboundRequest, result: RunResult) -> None:
         """The answer that its run, or the one it repeats, has made."""
         if self.settle(r):
             self.tell_result(r, result)
 
-    def fail(self, r: Inbound, reason: Reason) -> None:
+    def fail(self, r: InboundRequest, reason: FailureReason) -> None:
         if self.settle(r):
             self.send(r, FAILED, lambda: r.responder.failed(reason))
 
-    def refuse(self, r: Inbound, backoff: int, no_retry: bool = False) -> None:
+    def refuse(self, r: InboundRequest, backoff: int, no_retry: bool = False) -> None:
         if self.settle(r):
             self.send(r, REFUSED, lambda: r.responder.refused(backoff, no_retry), backoff)
 
-    def turn_away(self, r: Inbound, reason: Reason | None, backoff: int, no_retry: bool = False) -> None:
+    def turn_away(
+        self, r: InboundRequest, reason: FailureReason | None, backoff: int, no_retry: bool = False
+    ) -> None:
         """One that never became live: refused, or failed for a reason."""
         r.answered = True
         if reason is None:
@@ -59,19 +63,19 @@
         else:
             self.send(r, FAILED, lambda: r.responder.failed(reason))
 
-    def tell_result(self, r: Inbound, result: Result) -> None:
+    def tell_result(self, r: InboundRequest, result: RunResult) -> None:
         if result.outcome is Outcome.OK:
             self.send(r, ANSWERED, lambda: r.responder.served(result))
         else:
-            self.send(r, FAILED, lambda: r.responder.failed(Reason.EXECUTOR, result))
+            self.send(r, FAILED, lambda: r.responder.failed(FailureReason.EXECUTOR, result))
 
-    def gone(self, r: Inbound) -> None:
+    def gone(self, r: InboundRequest) -> None:
         """Its caller has left."""
         if self.settle(r):
             for observer in self.observers:
                 observer.answered(r, None, 0)
 
-    def send(self, r: Inbound, figure: str, tell: Callable[[], bool | None], backoff: int = 0) -> None:
+    def send(self, r: InboundRequest, figure: str, tell: Callable[[], bool | None], backoff: int = 0) -> None:
         try:
             if tell() is False:
                 figure = FAILED
@@ -82,7 +86,7 @@
         except Exception:
             self.log.exception("an answer could not be sent", id=r.id)
 
-    def execute(self, r: Inbound) -> bool:
+    def execute(self, r: InboundRequest) -> bool:
         """Hands it to what runs it; whether that went well."""
         if not r.remote:
             self.figures.count("sends_total", r.cls.name)
--- a/ochrehoist/core/filings.py
+++ b/ochrehoist/core/filings.py
@@ -4,20 +4,21 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from ochrehoist import interface as i
+from ochrehoist.admission.events import (
+    NEVER_RAN,
+    Event,
+    Outcome,
+    RequestCompleted,
+    RequestReceived,
+    RunAdopted,
+)
 from ochrehoist.core import handover
 from ochrehoist.core.answers import Answers
 from ochrehoist.core.keys import KeyTable, Run
-from ochrehoist.core.requests import (
-    Inbound,
-    Joined,
-    Journal,
-    KeyId,
-    Reason,
-    Recorded,
-    Restored,
-    Result,
-)
+from ochrehoist.core.messages import DuplicateResolved, IntentRecorded, StateRestored
+from ochrehoist.core.protocols import IdempotencyJournal
+from ochrehoist.core.request import IdempotencyKey, InboundRequest
+from ochrehoist.core.results import FailureReason, RunResult
 from ochrehoist.core.tenants import Tenants
 
 RESULT_OVERHEAD = 600  # bytes that one remembered run takes beyond its result
@@ -27,16 +28,16 @@
     """What filings need of the core that they belong to."""
 
     keys: KeyTable
-    live: dict[str, Inbound]
+    live: dict[str, InboundRequest]
     answers: Answers
     controller: Any  # None until the module is up
     kinds: dict[str, int]
     tenants: Tenants
     now: int
     log: Any
-    tell: Callable[[i.Event], Any]
+    tell: Callable[[Event], Any]
     post: Callable[[Any], None]
-    execute: Callable[[Inbound], None]
+    execute: Callable[[InboundRequest], None]
     turn_away: Callable[..., None]
 
 
@@ -45,11 +46,11 @@
 
     def __init__(self, owner: Core) -> None:
         self.owner = owner
-        self.journal: Journal | None = None
+        self.journal: IdempotencyJournal | None = None
         self.lesson: dict | None = None  # what was learned before, for a module that is not up yet
 
     # ---- in
-    def turned_away(self, r: Inbound) -> bool:
+    def turned_away(self, r: InboundRequest) -> bool:
         """Answers one that can't go on record now, unless another try of it is known."""
         owner = self.owner
         if self.journal is None or owner.keys.original(r.token, r.arrived) is not None:
@@ -58,18 +59,18 @@
         if refusal is None:
             return False
         if refusal.may_have_run:
-            owner.turn_away(r, Reason.MAY_HAVE_RUN)
+            owner.turn_away(r, FailureReason.MAY_HAVE_RUN)
         else:
             owner.turn_away(r, backoff=refusal.backoff)
         return True
 
-    def begin(self, r: Inbound) -> None:
+    def begin(self, r: InboundRequest) -> None:
         """Runs it once it is on record, which a Recorded tells."""
         if self.journal is None:
             return self.owner.execute(r)
         self.journal.begin(r, self.owner.keys.runs[r.token])
 
-    def recorded(self, m: Recorded) -> None:
+    def recorded(self, m: IntentRecorded) -> None:
         owner, r = self.owner, self.owner.live.get(m.id)
         run = owner.keys.runs.get(r.token) if r is not None else None
         if run is None or run.id != r.id or run.begun:
@@ -85,12 +86,12 @@
             if waiting is not None:
                 owner.answers.refuse(waiting, m.backoff)
                 owner.live.pop(request_id, None)
-                owner.tell(i.Completed(request_id, i.Outcome.MOOT, 0))
+                owner.tell(RequestCompleted(request_id, Outcome.NOT_STARTED, 0))
 
     # ---- out
-    def ended(self, r: Inbound, result: Result) -> None:
+    def ended(self, r: InboundRequest, result: RunResult) -> None:
         owner = self.owner
-        if result.outcome in i.NEVER_RAN:
+        if result.outcome in NEVER_RAN:
             waiters = owner.keys.never_ran(r.token, r.id)
             if self.journal is not None:
                 self.journal.never_ran(r.token)
@@ -101,9 +102,9 @@
             if self.journal is not None and run is not None and run.id == r.id:
                 self.journal.end(r.token, run, result)
         for waiter in waiters:
-            owner.post(Joined(waiter, result))
+            owner.post(DuplicateResolved(waiter, result))
 
-    def join(self, r: Inbound) -> None:
+    def join(self, r: InboundRequest) -> None:
         """Gives a repeat the result of the run it repeats, at once or when it is there."""
         owner = self.owner
         r.joined_at = owner.now
@@ -111,11 +112,11 @@
         if run is not None and run.result is None and not run.dropped:
             run.waiters += (r.id,)
         elif run is not None and run.result is not None:
-            owner.post(Joined(r.id, run.result))
+            owner.post(DuplicateResolved(r.id, run.result))
         elif run is not None and run.stored and self.journal is not None:
             self.journal.fetch(r.token, r.id)
         else:  # a run whose result was let go, or never known, can't be served again, only failed
-            owner.post(Joined(r.id, Result(i.Outcome.FAILED)))
+            owner.post(DuplicateResolved(r.id, RunResult(Outcome.FAILED)))
 
     def sweep(self) -> None:
         for token in self.owner.keys.sweep(self.owner.now):
@@ -123,7 +124,7 @@
                 self.journal.drop(token)
 
     # ---- after a restart
-    def restored(self, m: Restored) -> None:
+    def restored(self, m: StateRestored) -> None:
         """Takes up what was on record; what has come since goes before it."""
         m.runs.update(self.owner.keys.runs)
         self.owner.keys.runs = m.runs
@@ -140,7 +141,7 @@
         except Exception:  # it learns anew
             self.owner.log.exception("what was learned before can't be taken up")
 
-    def wake(self, token: KeyId) -> None:
+    def wake(self, token: IdempotencyKey) -> None:
         """Tells the module of a run of before a restart, now that it is asked for: all at once were too
         much."""
         run = self.owner.keys.runs.get(token)
@@ -148,8 +149,8 @@
             run.asleep = False
             self.adopt(token, run)
 
-    def adopt(self, token: KeyId, run: Run) -> None:
+    def adopt(self, token: IdempotencyKey, run: Run) -> None:
         owner = self.owner
         kind = owner.kinds[token[1]]
-        since = max(0, owner.now - (run.window_end - owner.controller.s.classes[kind].window))
-        owner.tell(i.Adopted(i.Request(run.id, kind, unread_for=since), True, True))
+        since = max(0, owner.now - (run.window_end - owner.controller.s.classes[kind].idempotency_window_ns))
+        owner.tell(RunAdopted(RequestReceived(run.id, kind, unread_ns=since), True, True))
--- a/ochrehoist/core/forwarder.py
+++ b/ochrehoist/core/forwarder.py
@@ -6,10 +6,19 @@
 
 from collections.abc import Callable
 
-from ochrehoist import interface as i
+from ochrehoist.admission.events import Outcome
 from ochrehoist.core.answers import FAILED, REFUSED, Answers
 from ochrehoist.core.handover import DetailCodec, Line, Send, request_line, result_from, result_line
-from ochrehoist.core.requests import Arrived, Ended, Gone, Inbound, Message, Reason, Recorded, Result, Standby
+from ochrehoist.core.messages import (
+    CallerDisconnected,
+    IntentRecorded,
+    Message,
+    RequestArrived,
+    RunCompleted,
+    StandbyChanged,
+)
+from ochrehoist.core.request import InboundRequest
+from ochrehoist.core.results import FailureReason, RunResult
 
 LATE = 25_000_000  # ns past its due time after which a request is answered here, whatever the other does
 
@@ -17,7 +26,7 @@
 class Forwarder:
     def __init__(
         self,
-        pending: dict[str, Inbound],
+        pending: dict[str, InboundRequest],
         send: Send,
         codec: DetailCodec,
         answers: Answers,
@@ -28,7 +37,7 @@
         self.clock, self.wall = clock, wall
         self.send: Send | None = send  # None: the other process is gone
         self.ends_at: int | None = None  # by the clock: what is open then is failed, for this process ends
-        self.over: dict[str, Ended] = {}  # runs that have ended, whose answer is still to be told
+        self.over: dict[str, RunCompleted] = {}  # runs that have ended, whose answer is still to be told
 
     @property
     def owed(self) -> int:
@@ -36,19 +45,19 @@
 
     # ---- what this process's own parts post
     def take(self, message: Message) -> None:
-        if isinstance(message, Arrived):
+        if isinstance(message, RequestArrived):
             self._arrived(message.request)
-        elif isinstance(message, Gone):
+        elif isinstance(message, CallerDisconnected):
             r = self.pending.get(message.id)
             if r is not None:
                 r.answered = True
                 self._tell({"m": "gone", "id": r.id, "gave_up": message.gave_up})
                 self._let_go(r)
-        elif isinstance(message, Ended):
+        elif isinstance(message, RunCompleted):
             self._ended(message)
-        elif isinstance(message, Recorded):
+        elif isinstance(message, IntentRecorded):
             self._recorded(message)
-        elif isinstance(message, Standby):
+        elif isinstance(message, StandbyChanged):
             self._tell({"m": "standby", "on": message.on})
         # Gauges, alarms, joined repeats and the notice to leave concern the one that decides.
 
@@ -56,25 +65,25 @@
         if self.send is not None:
             self.send(line)
 
-    def _arrived(self, r: Inbound) -> None:
+    def _arrived(self, r: InboundRequest) -> None:
         now = self.clock()
-        r.due = max(now, now - max(0, self.wall() - r.arrived) + r.cls.deadline)
+        r.due = max(now, now - max(0, self.wall() - r.arrived) + r.cls.deadline_ns)
         if r.id in self.pending or self.send is None:
             # Whether a filing has run is known only to the other process: no refusal can be given.
             r.answered = True
-            return self.answers.send(r, FAILED, lambda: r.responder.failed(Reason.INTERNAL))
+            return self.answers.send(r, FAILED, lambda: r.responder.failed(FailureReason.INTERNAL))
         self.pending[r.id] = r
         self._tell({"m": "arrived"} | request_line(r, r.arrived))
 
-    def _recorded(self, m: Recorded) -> None:
+    def _recorded(self, m: IntentRecorded) -> None:
         """A filing that was on its way to the disk when the other process took over."""
         r = self.pending.get(m.id)
         if r is not None and m.ok and not r.answered:
             self._execute(r)
         elif r is not None:
-            self.take(Ended(r.id, Result(i.Outcome.MOOT), 0))
+            self.take(RunCompleted(r.id, RunResult(Outcome.NOT_STARTED), 0))
 
-    def _ended(self, m: Ended) -> None:
+    def _ended(self, m: RunCompleted) -> None:
         r = self.pending.get(m.id)
         if r is None:
             return
@@ -99,22 +108,22 @@
         elif kind == "failed":
             result = None if line["result"] is None else result_from(line["result"], self.codec)
             r.answered = True
-            self.answers.send(r, FAILED, lambda: r.responder.failed(Reason[line["reason"]], result))
+            self.answers.send(r, FAILED, lambda: r.responder.failed(FailureReason[line["reason"]], result))
         self._let_go(r)
 
-    def _start(self, request_id: str, r: Inbound | None) -> None:
+    def _start(self, request_id: str, r: InboundRequest | None) -> None:
         if r is None or r.started:  # its caller has left: nothing is begun
             if r is None:
-                moot = result_line(Result(i.Outcome.MOOT), self.codec)
+                moot = result_line(RunResult(Outcome.NOT_STARTED), self.codec)
                 self._tell({"m": "ended", "id": request_id, "result": moot, "took": 0})
             return
         r.started = True
         self._execute(r)
 
-    def _execute(self, r: Inbound) -> None:
+    def _execute(self, r: InboundRequest) -> None:
         r.begun_at = self.clock()
         if not self.answers.execute(r):
-            self.take(Ended(r.id, Result(i.Outcome.FAILED), 0))
+            self.take(RunCompleted(r.id, RunResult(Outcome.FAILED), 0))
 
     def lost(self) -> None:
         """The other process is gone. What runs here is answered when it ends; nothing else will be begun."""
@@ -126,7 +135,7 @@
             if ended is not None:
                 self._finish(r, ended.result)
             elif not r.started:
-                self._fail(r, Reason.INTERNAL)
+                self._fail(r, FailureReason.INTERNAL)
             self._let_go(r)
 
     def tick(self) -> None:
@@ -135,20 +144,20 @@
             due = r.due + LATE if self.ends_at is None else min(r.due + LATE, self.ends_at)
             if not r.answered and due <= now:
                 self.log.warning("answered without the process that decides", id=r.id)
-                self._fail(r, Reason.GIVEN_UP)
+                self._fail(r, FailureReason.GIVEN_UP)
                 self._tell({"m": "gone", "id": r.id, "gave_up": False})
                 self._let_go(r)
 
     # ---- answers
-    def _finish(self, r: Inbound, result: Result) -> None:
+    def _finish(self, r: InboundRequest, result: RunResult) -> None:
         r.answered = True
         self.answers.tell_result(r, result)
 
-    def _fail(self, r: Inbound, reason: Reason) -> None:
+    def _fail(self, r: InboundRequest, reason: FailureReason) -> None:
         r.answered = True
         self.answers.send(r, FAILED, lambda: r.responder.failed(reason))
 
-    def _let_go(self, r: Inbound) -> None:
+    def _let_go(self, r: InboundRequest) -> None:
         """What is answered and does not run is of no more concern here."""
         if r.answered and (not r.started or r.id in self.over):
             self.pending.pop(r.id, None)
--- a/ochrehoist/core/handover.py
+++ b/ochrehoist/core/handover.py
@@ -8,13 +8,16 @@
 import math
 from collections import deque
 from collections.abc import Callable, Iterator, Mapping
-from dataclasses import asdict, dataclass, field, replace
+from dataclasses import dataclass, field, replace
 from typing import Any, Protocol
 
-from ochrehoist import interface as i
+from ochrehoist.admission.controller import FADE, LEAST, LEFT, AdmissionController
+from ochrehoist.admission.settings import AdmissionSettings, RequestClass
 from ochrehoist.core.keys import KeyTable, Run
-from ochrehoist.core.requests import Fingerprint, Inbound, KeyId, Reason, Result
-from ochrehoist.rules import FADE, LEAST, LEFT, AdmissionController
+from ochrehoist.core.persisted_names import OUTCOME_NAMES, OUTCOMES_BY_NAME, class_from_json, class_to_json
+from ochrehoist.core.request import Fingerprint, IdempotencyKey, InboundRequest
+from ochrehoist.core.results import FailureReason, RunResult
+from ochrehoist.errors import OchrehoistError
 
 VERSION = 1
 NO_RATE = 1e-6  # starts a second of a tenant that are not worth telling
@@ -24,7 +27,7 @@
 Send = Callable[[Line], bool | None]  # False where the other process is gone
 
 
-class Unusable(Exception):
+class Unusable(OchrehoistError):
     """The state can't be taken up; the text says what is wrong."""
 
 
@@ -53,16 +56,16 @@
     return None if data is None else (_from_text(data[0]), _from_text(data[1]))
 
 
-def _token(data: list | None) -> KeyId | None:
+def _token(data: list | None) -> IdempotencyKey | None:
     if data is None:
         return None
     tenant, kind, text = data
     return tenant, kind, text
 
 
-def result_line(result: Result, codec: DetailCodec) -> Line:
+def result_line(result: RunResult, codec: DetailCodec) -> Line:
     return {
-        "outcome": result.outcome.name,
+        "outcome": OUTCOME_NAMES[result.outcome],
         "body": _bytes(result.body),
         "success": result.success,
         "detail": codec.to_json(result.detail),
@@ -70,9 +73,9 @@
     }
 
 
-def result_from(data: Line, codec: DetailCodec) -> Result:
-    return Result(
-        i.Outcome[data["outcome"]],
+def result_from(data: Line, codec: DetailCodec) -> RunResult:
+    return RunResult(
+        OUTCOMES_BY_NAME[data["outcome"]],
         _from_text(data["body"]),
         codec.from_json(data["detail"]),
         int(data["detail_bytes"]),
@@ -80,14 +83,6 @@
     )
 
 
-def class_line(cls: i.RequestClass) -> Line:
-    return asdict(cls) | {"repeat": cls.repeat.name}
-
-
-def class_from(data: Line) -> i.RequestClass:
-    return i.RequestClass(**data | {"repeat": i.Repeat[data["repeat"]]})
-
-
 AS_THEY_ARE = (
     "id",
     "tenant",
@@ -103,20 +98,20 @@
 )
 
 
-def request_line(r: Inbound, arrived: int) -> Line:
+def request_line(r: InboundRequest, arrived: int) -> Line:
     """All but what stays with the process that read it: its payload, the way back, and what runs it."""
     return {name: getattr(r, name) for name in AS_THEY_ARE} | {
-        "cls": class_line(r.cls),
+        "cls": class_to_json(r.cls),
         "arrived": arrived,
         "token": r.token,
         "fingerprint": _fingerprint(r.fingerprint),
     }
 
 
-def request_from(data: Line, far: "Remote", classes: dict[str, i.RequestClass]) -> Inbound:
+def request_from(data: Line, far: "Remote", classes: dict[str, RequestClass]) -> InboundRequest:
     known = classes.get(data["cls"]["name"])
-    return Inbound(
-        cls=known or class_from(data["cls"]),
+    return InboundRequest(
+        cls=known or class_from_json(data["cls"]),
         arrived=int(data["arrived"]),
         payload=None,
         responder=far,
@@ -134,14 +129,14 @@
     def __init__(self, request_id: str, send: Send, codec: DetailCodec) -> None:
         self.id, self.send, self.codec = request_id, send, codec
 
-    def served(self, result: Result) -> bool:
+    def served(self, result: RunResult) -> bool:
         self.send({"m": "served", "id": self.id, "result": result_line(result, self.codec)})
         return True
 
     def refused(self, backoff: int, no_retry: bool) -> None:
         self.send({"m": "refused", "id": self.id, "backoff": backoff, "no_retry": no_retry})
 
-    def failed(self, reason: Reason, result: Result | None = None) -> None:
+    def failed(self, reason: FailureReason, result: RunResult | None = None) -> None:
         self.send(
             {
                 "m": "failed",
@@ -154,7 +149,7 @@
     def origin(self) -> tuple[str, str]:
         return "", ""
 
-    def start(self, request: Inbound) -> None:
+    def start(self, request: InboundRequest) -> None:
         if self.send({"m": "start", "id": self.id}) is False:
             raise ConnectionError("the process that read it is gone")
 
@@ -269,9 +264,9 @@
 
     learned: Line | None = None
     standby: bool = False
-    requests: list[Inbound] = field(default_factory=list)
+    requests: list[InboundRequest] = field(default_factory=list)
     keys: KeyTable | None = None
-    classes: dict[str, i.RequestClass] = field(default_factory=dict)  # of what it holds, by name
+    classes: dict[str, RequestClass] = field(default_factory=dict)  # of what it holds, by name
 
 
 def lines(state: State, offset: int, codec: DetailCodec) -> Iterator[Line]:
@@ -301,7 +296,7 @@
     for r in state.requests:
         yield {"m": "request"} | request_line(r, r.arrived - offset)
     for cls in state.classes.values():
-        yield {"m": "class"} | class_line(cls)
+        yield {"m": "class"} | class_to_json(cls)
     yield {"m": "end"}
 
 
@@ -311,7 +306,7 @@
     def __init__(
         self,
         offset: int,
-        classes: dict[str, i.RequestClass],
+        classes: dict[str, RequestClass],
         max_bytes: int,
         overhead: int,
         send: Send,
@@ -364,7 +359,7 @@
             r.arrived += self.offset
             state.requests.append(r)
         elif kind == "class":
-            state.classes[data["name"]] = class_from({k: v for k, v in data.items() if k != "m"})
+            state.classes[data["name"]] = class_from_json({k: v for k, v in data.items() if k != "m"})
         elif kind == "end":
             if state.learned is not None and not isinstance(state.learned, dict):
                 raise Unusable("no learned means")
@@ -373,7 +368,7 @@
             raise Unusable(f"an unknown line {kind!r}")
 
 
-def settings_with(settings: i.Settings, state: State) -> i.Settings:
+def settings_with(settings: AdmissionSettings, state: State) -> AdmissionSettings:
     """The settings, and behind their classes those that are gone but have requests or keys in the state."""
     known = {c.name for c in settings.classes}
     gone = [c for name, c in state.classes.items() if name not in known]
--- a/ochrehoist/core/owner.py
+++ b/ochrehoist/core/owner.py
@@ -8,7 +8,35 @@
 from dataclasses import replace
 from typing import Any
 
-from ochrehoist import interface as i
+from ochrehoist.admission.actions import (
+    Action,
+    AttachDuplicate,
+    CancelRun,
+    FailRequest,
+    LogMessage,
+    RejectRequest,
+    ReleaseKey,
+    RetainKey,
+    SendBackpressure,
+    SetHealth,
+    SetIdleTimeout,
+    SetTimer,
+    SkipDownstreamCall,
+    StartDownstreamCall,
+    StartRun,
+)
+from ochrehoist.admission.controller import AdmissionController
+from ochrehoist.admission.events import (
+    DrainStarted,
+    Event,
+    InstanceStarted,
+    Outcome,
+    RequestAbandoned,
+    RequestCompleted,
+    RequestReceived,
+    TimerFired,
+)
+from ochrehoist.admission.settings import AdmissionSettings, BackpressureSignal, Tenant
 from ochrehoist.core import arrivals, handover, retuning, succession
 from ochrehoist.core.answers import Answers
 from ochrehoist.core.deadlines import REARM, Deadlines
@@ -16,33 +44,28 @@
 from ochrehoist.core.filings import Filings
 from ochrehoist.core.forwarder import Forwarder
 from ochrehoist.core.keys import KeyTable
-from ochrehoist.core.requests import (
-    Arrived,
-    Booted,
-    Ended,
-    Gate,
-    Gauges,
-    Gone,
-    Inbound,
-    Joined,
-    Leaving,
-    Limiter,
-    Linked,
-    Listener,
+from ochrehoist.core.messages import (
+    CallerDisconnected,
+    ConfigurationSwitched,
+    DuplicateResolved,
+    ExecutorReady,
+    GaugesMeasured,
+    IntentRecorded,
+    KernelLinkChanged,
     Message,
-    Reason,
-    Recorded,
-    Restored,
-    Result,
-    Retuned,
-    Standby,
-    Switched,
-    TakenOver,
-    TenantsRetuned,
-    Waker,
+    RequestArrived,
+    RunCompleted,
+    SettingsChanged,
+    ShutdownRequested,
+    StandbyChanged,
+    StateRestored,
+    StateTransferred,
+    TenantsChanged,
 )
+from ochrehoist.core.protocols import ConcurrencyLimiter, FleetAdmission, LifecycleListener, Waker
+from ochrehoist.core.request import InboundRequest
+from ochrehoist.core.results import FailureReason, RunResult
 from ochrehoist.core.tenants import Tenants, first
-from ochrehoist.rules import AdmissionController
 
 MS = 1_000_000
 SECOND = 1000 * MS
@@ -59,7 +82,7 @@
 
     def __init__(
         self,
-        settings: i.Settings,
+        settings: AdmissionSettings,
         seed: int,
         waker: Waker,
         clock: Callable[[], int],
@@ -73,19 +96,21 @@
         self.measure = measure
         self.inbox: deque[Message] = deque()
         self.controller: AdmissionController | None = None
-        self.listeners: list[Listener] = []
+        self.listeners: list[LifecycleListener] = []
         self.figures = Figures(c.name for c in settings.classes)
         self.answers = Answers(self.figures, log)
         self.live = self.answers.live  # owed an answer, or still running
         self.deadlines = Deadlines()
         self.result_bytes = result_bytes
-        self.keys = KeyTable(slack=max(c.deadline for c in settings.classes) + SECOND, max_bytes=result_bytes)
+        self.keys = KeyTable(
+            slack=max(c.deadline_ns for c in settings.classes) + SECOND, max_bytes=result_bytes
+        )
         self.filings = Filings(self)
-        self.limiter: Limiter | None = None
-        self.gate: Gate | None = None
+        self.limiter: ConcurrencyLimiter | None = None
+        self.gate: FleetAdmission | None = None
         self.tenants = first(settings.tenants)
         # Where a fleet is known: its tenants by position, whose quotas here follow what this worker holds.
-        self.live_tenants: Callable[[Tenants, int], tuple[i.Tenant, ...]] | None = None
+        self.live_tenants: Callable[[Tenants, int], tuple[Tenant, ...]] | None = None
         self.gauges: dict[str, float] = {}
         self.now = 0
         self.module_good = True  # the module's own verdict
@@ -101,13 +126,13 @@
         # Replacing the process: what asks the one before this for its state, once this one is up; whether
         # this core stands still while the next one takes its state; and what it then is reduced to.
         self.predecessor: Callable[[], None] | None = None
-        self.booted: Booted | None = None
+        self.booted: ExecutorReady | None = None
         self.born = 0  # when the executor came up
         self.frozen = False
         self.forwarder: Forwarder | None = None
         self.inherited_standby = False
 
-    def index(self, settings: i.Settings) -> None:
+    def index(self, settings: AdmissionSettings) -> None:
         """Positions of classes in the module's settings: only its events speak of positions.
 
         Behind the classes of the settings there may be some that are gone and still have requests or keys.
@@ -116,7 +141,7 @@
         self.served_classes = {c.name for c in self.settings.classes}
 
     @property
-    def told_tenants(self) -> tuple[i.Tenant, ...]:
+    def told_tenants(self) -> tuple[Tenant, ...]:
         """Tenants by position, as the module is told of them."""
         if self.live_tenants is None:
             return self.tenants.places
@@ -205,7 +230,7 @@
         return None if due is None else max(0, due - self.clock()) / SECOND
 
     # ---- messages
-    def _booted(self, m: Booted) -> None:
+    def _booted(self, m: ExecutorReady) -> None:
         if self.controller is not None or self.booted is not None:
             return
         self.booted, self.born = m, self.now - m.age
@@ -214,18 +239,18 @@
         else:
             self.boot(self.settings)
 
-    def boot(self, settings: i.Settings) -> None:
+    def boot(self, settings: AdmissionSettings) -> None:
         """A fresh module for these settings."""
         m = self.booted
         self.deadlines.forget_alarms()
         self.index(settings)
         settings = replace(settings, tenants=self.told_tenants)
         if m.cold is not None:
-            settings = replace(settings, just_started=m.cold)
+            settings = replace(settings, cold_start=m.cold)
         self.controller = AdmissionController(settings, self.seed)
-        self.tell(i.Started(), at=self.born)
+        self.tell(InstanceStarted(), at=self.born)
         if self.leave_at is not None:
-            self.tell(i.Leave(self.stop_at - self.leave_at), at=self.leave_at)
+            self.tell(DrainStarted(self.stop_at - self.leave_at), at=self.leave_at)
         self.filings.teach()
 
     # ---- replacing the process: the old one's side
@@ -249,7 +274,7 @@
         return self.forwarder
 
     # ---- the new one's side
-    def _taken_over(self, m: TakenOver) -> None:
+    def _taken_over(self, m: StateTransferred) -> None:
         """Goes on from the state of the process before this one, or from nothing."""
         self.predecessor = None
         if self.controller is not None:
@@ -261,43 +286,43 @@
         succession.take_up(self, state)
         self._judge()
 
-    def owe(self, r: Inbound) -> None:
+    def owe(self, r: InboundRequest) -> None:
         self.answers.take(r)
         if not r.answered:
-            r.due = max(self.now, r.arrived + r.cls.deadline)
+            r.due = max(self.now, r.arrived + r.cls.deadline_ns)
             if self.stop_at is not None:
                 r.due = min(r.due, self.stop_at - LAST_CALL)
             self.deadlines.answer_by(r.due, r.id)
 
-    def event(self, r: Inbound) -> i.Request:
+    def event(self, r: InboundRequest) -> RequestReceived:
         if self.limiter is not None:
             r.times = self.limiter.times(r, self.now)
         original = self.keys.original(r.token, r.arrived) if r.token else None
         if original is not None:
             self.filings.wake(r.token)
-        return i.Request(
+        return RequestReceived(
             id=r.id,
-            kind=self.kinds[r.cls.name],
-            tenant=self.tenants.position(r.tenant),
-            key=r.key,
-            work=r.work,
+            class_index=self.kinds[r.cls.name],
+            tenant_index=self.tenants.position(r.tenant),
+            routing_key=r.key,
+            work_ns=r.work,
             memory_kb=r.memory_kb,
             rank=r.rank,
-            retry=r.retry,
-            write=r.write,
+            is_retry=r.retry,
+            is_write=r.write,
             caller=r.caller,
-            unread_for=max(0, self.now - r.arrived),
-            original=original,
-            times=r.times,
+            unread_ns=max(0, self.now - r.arrived),
+            duplicate_of=original,
+            cost_multiple=r.times,
         )
 
     # ---- messages
-    def _arrived(self, m: Arrived) -> None:
+    def _arrived(self, m: RequestArrived) -> None:
         r = m.request
         if self.controller is None:  # nothing ran: the module is not up
             return self.turn_away(r)
         if r.id in self.live:  # an id that comes twice while the first is in hand
-            return self.turn_away(r, Reason.INTERNAL)
+            return self.turn_away(r, FailureReason.INTERNAL)
         # Told by the Unix clock, which may have been set since the start: only its distance from now counts.
         # A time to come would put off the due time, and the window.
         r.arrived = self.now - max(0, self.wall() - r.arrived)
@@ -314,17 +339,17 @@
         self.owe(r)
         self.tell(self.event(r))
 
-    def _gone(self, m: Gone) -> None:
+    def _gone(self, m: CallerDisconnected) -> None:
         r = self.live.get(m.id)
         if r is None:
             return
         self.answers.gone(r)
-        self.tell(i.CallerGone(r.id, m.gave_up))
+        self.tell(RequestAbandoned(r.id, m.gave_up))
 
-    def _ended(self, m: Ended) -> None:
+    def _ended(self, m: RunCompleted) -> None:
         r = self.live.pop(m.id, None)
         if r is None:  # the module let it go before, or never knew that it was over
-            self.tell(i.Completed(m.id, m.result.outcome, m.took))
+            self.tell(RequestCompleted(m.id, m.result.outcome, m.took))
             return
         took = m.took
         if self.limiter is not None and r.begun_at:  # what was held back never counted as running
@@ -335,26 +360,30 @@
             self.filings.ended(r, m.result)
         self._finish(r, m.result, took)
 
-    def _joined(self, m: Joined) -> None:
+    def _joined(self, m: DuplicateResolved) -> None:
         r = self.live.pop(m.id, None)
         if r is not None:
             self._finish(r, m.result, self.now - r.joined_at)
 
     def turn_away(
-        self, r: Inbound, reason: Reason | None = None, backoff: int = SECOND, no_retry: bool = False
+        self,
+        r: InboundRequest,
+        reason: FailureReason | None = None,
+        backoff: int = SECOND,
+        no_retry: bool = False,
     ) -> None:
         """Answers what the module never hears of: refused, or failed for a reason."""
         self.answers.turn_away(r, reason, backoff, no_retry)
 
-    def _finish(self, r: Inbound, result: Result, took: int) -> None:
+    def _finish(self, r: InboundRequest, result: RunResult, took: int) -> None:
         self.answers.finish(r, result)
-        self.tell(i.Completed(r.id, result.outcome, took))
+        self.tell(RequestCompleted(r.id, result.outcome, took))
 
-    def _measured(self, m: Gauges) -> None:
+    def _measured(self, m: GaugesMeasured) -> None:
         self.gauges = m.values
         self._ring()
 
-    def _leaving(self, m: Leaving) -> None:
+    def _leaving(self, m: ShutdownRequested) -> None:
         if self.leave_at is not None:
             return
         self.leave_at, self.stop_at = self.now - m.age, self.now + m.remaining
@@ -362,38 +391,38 @@
             if not r.answered:
                 self.deadlines.answer_by(self.stop_at - LAST_CALL, r.id)
         if self.controller is not None:
-            self.tell(i.Leave(m.remaining))
+            self.tell(DrainStarted(m.remaining))
         for listener in self.listeners:
             listener.leaving(m.remaining)
         self._judge()
 
-    def _stood_by(self, m: Standby) -> None:
+    def _stood_by(self, m: StandbyChanged) -> None:
         self.inherited_standby = False
         if m.on != self.standby:
             self.standby = m.on
             self.log.info("standby" if m.on else "active", in_hand=self.owed)
             self._judge()
 
-    def _linked(self, m: Linked) -> None:
+    def _linked(self, m: KernelLinkChanged) -> None:
         self.linked = m.up
         self._judge()
 
     TAKES = {
-        Booted: _booted,
-        Arrived: _arrived,
-        Gone: _gone,
-        Ended: _ended,
-        Joined: _joined,
-        Gauges: _measured,
-        Leaving: _leaving,
-        Standby: _stood_by,
-        Linked: _linked,
-        Retuned: retuning.retuned,
-        TenantsRetuned: retuning.tenants_retuned,
-        Switched: retuning.switched,
-        TakenOver: _taken_over,
-        Recorded: lambda self, m: self.filings.recorded(m),
-        Restored: lambda self, m: self.filings.restored(m),
+        ExecutorReady: _booted,
+        RequestArrived: _arrived,
+        CallerDisconnected: _gone,
+        RunCompleted: _ended,
+        DuplicateResolved: _joined,
+        GaugesMeasured: _measured,
+        ShutdownRequested: _leaving,
+        StandbyChanged: _stood_by,
+        KernelLinkChanged: _linked,
+        SettingsChanged: retuning.retuned,
+        TenantsChanged: retuning.tenants_retuned,
+        ConfigurationSwitched: retuning.switched,
+        StateTransferred: _taken_over,
+        IntentRecorded: lambda self, m: self.filings.recorded(m),
+        StateRestored: lambda self, m: self.filings.restored(m),
     }
 
     # ---- time
@@ -402,8 +431,8 @@
             r = self.live.get(request_id)
             if r is not None and not r.answered:  # the module should have: a fault, or a beat that came late
                 self.log.warning("answered by the backstop", id=r.id, started=r.started)
-                self.answers.fail(r, Reason.GIVEN_UP)
-                self.tell(i.CallerGone(r.id, False))
+                self.answers.fail(r, FailureReason.GIVEN_UP)
+                self.tell(RequestAbandoned(r.id, False))
                 self._not_running(r)
         if self.deadlines.collect(self.now):
             self.measure()
@@ -421,11 +450,11 @@
 
     def _ring(self) -> None:
         for token in self.deadlines.rung():
-            if not self.tell(i.Alarm(token, dict(self.gauges))):
+            if not self.tell(TimerFired(token, dict(self.gauges))):
                 self.deadlines.set_alarm(self.now + REARM, token)
 
     # ---- the module
-    def tell(self, event: i.Event, at: int | None = None) -> bool:
+    def tell(self, event: Event, at: int | None = None) -> bool:
         """Hands the module an event, and carries out what it says; False after a fault of its own."""
         try:
             actions = self.controller.handle(self.now if at is None else at, event)
@@ -433,7 +462,7 @@
             self.log.exception("fault in the decision module", event_type=type(event).__name__)
             r = self.live.get(getattr(event, "id", None))
             if r is not None and not r.answered and not r.started:
-                self.answers.fail(r, Reason.INTERNAL)
+                self.answers.fail(r, FailureReason.INTERNAL)
                 self._not_running(r)
             return False
         for action in actions:
@@ -443,29 +472,29 @@
                 self.log.exception("fault in an action", action=type(action).__name__)
         return True
 
-    def _not_running(self, r: Inbound) -> None:
+    def _not_running(self, r: InboundRequest) -> None:
         """After a fault the module may count as running what was never started: its slot is given back."""
         if not r.started:
-            self.post(Ended(r.id, Result(i.Outcome.MOOT), 0))
+            self.post(RunCompleted(r.id, RunResult(Outcome.NOT_STARTED), 0))
 
-    def _start(self, a: i.Start) -> None:
+    def _start(self, a: StartRun) -> None:
         r = self.live.get(a.id)
         if r is None:  # over already, as after a fault: the module must not count it as running for ever
-            return self.post(Ended(a.id, Result(i.Outcome.MOOT), 0))
+            return self.post(RunCompleted(a.id, RunResult(Outcome.NOT_STARTED), 0))
         if r.started:
             return
         if r.token is not None:
             if not self.keys.may_run(r.token, r.arrived):  # the module's rule; kept here a second time
                 self.log.error("a second run of one filing was held back", id=r.id)
                 r.started = True
-                return self.post(Ended(r.id, Result(i.Outcome.FAILED), 0))
-            self.keys.started(r.token, r.id, r.arrived + r.cls.window, r.fingerprint)
+                return self.post(RunCompleted(r.id, RunResult(Outcome.FAILED), 0))
+            self.keys.started(r.token, r.id, r.arrived + r.cls.idempotency_window_ns, r.fingerprint)
         r.started = True
         if r.token is not None:
             return self.filings.begin(r)
         self.execute(r)
 
-    def execute(self, r: Inbound) -> None:
+    def execute(self, r: InboundRequest) -> None:
         """Hands it to what runs it."""
         r.begun_at = self.now
         if self.limiter is not None:
@@ -473,31 +502,35 @@
         if self.gate is not None:
             self.gate.begun(r, self.now)
         if not self.answers.execute(r):
-            self.post(Ended(r.id, Result(i.Outcome.FAILED), 0))
+            self.post(RunCompleted(r.id, RunResult(Outcome.FAILED), 0))
 
-    def _refuse(self, a: i.Refuse) -> None:
+    def _refuse(self, a: RejectRequest) -> None:
         if (r := self.live.get(a.id)) is not None:
-            backoff = a.backoff if self.limiter is None else self.limiter.refused(r, a.backoff, self.now)
+            backoff = (
+                a.retry_after_ns
+                if self.limiter is None
+                else self.limiter.refused(r, a.retry_after_ns, self.now)
+            )
             self.answers.refuse(r, backoff, a.no_retry)
 
-    def _give_up(self, a: i.Fail) -> None:
+    def _give_up(self, a: FailRequest) -> None:
         if (r := self.live.get(a.id)) is not None:
-            self.answers.fail(r, Reason.GIVEN_UP)
+            self.answers.fail(r, FailureReason.GIVEN_UP)
 
-    def _keep(self, a: i.Keep) -> None:
+    def _keep(self, a: RetainKey) -> None:
         r = self.live.get(a.id)
         if r is not None and r.token is not None:
-            self.keys.keep(r.token, r.id, self.now + a.hold_for, r.fingerprint)
+            self.keys.keep(r.token, r.id, self.now + a.ttl_ns, r.fingerprint)
 
-    def _forget(self, a: i.Forget) -> None:
+    def _forget(self, a: ReleaseKey) -> None:
         self.keys.forget(a.id)
 
-    def _join(self, a: i.Join) -> None:
+    def _join(self, a: AttachDuplicate) -> None:
         if (r := self.live.get(a.id)) is not None:
             self.filings.join(r)
 
-    def _set_health(self, a: i.Health) -> None:
-        self.module_good = a.good
+    def _set_health(self, a: SetHealth) -> None:
+        self.module_good = a.healthy
         self._judge()
 
     def _judge(self) -> None:
@@ -507,33 +540,33 @@
             for listener in self.listeners:
                 listener.health_changed(good)
 
-    def _keep_alive(self, a: i.KeepAlive) -> None:
+    def _keep_alive(self, a: SetIdleTimeout) -> None:
         for listener in self.listeners:
-            listener.keep_alive_changed(a.hold_for or self.settings.idle)
+            listener.keep_alive_changed(a.idle_timeout_ns or self.settings.idle_timeout_ns)
 
-    def _set_alarm(self, a: i.SetAlarm) -> None:
-        self.deadlines.set_alarm(self.now + a.delay, a.token)
+    def _set_alarm(self, a: SetTimer) -> None:
+        self.deadlines.set_alarm(self.now + a.delay_ns, a.timer_id)
 
-    def _advise(self, a: i.Advise) -> None:
-        if self.settings.advice is i.Advice.WEIGHT:
+    def _advise(self, a: SendBackpressure) -> None:
+        if self.settings.backpressure is BackpressureSignal.WEIGHT:
             self.weight = max(1, min(100, round(a.value * 100)))
 
-    def _unsupported(self, a: i.Action) -> None:
+    def _unsupported(self, a: Action) -> None:
         self.log.error("an action that this worker has no means for", action=type(a).__name__)
 
     ACTS = {
-        i.Start: _start,
-        i.Refuse: _refuse,
-        i.Fail: _give_up,
-        i.Keep: _keep,
-        i.Forget: _forget,
-        i.Join: _join,
-        i.Health: _set_health,
-        i.KeepAlive: _keep_alive,
-        i.SetAlarm: _set_alarm,
-        i.Log: lambda self, a: self.log.info("module", text=a.text),
-        i.Stop: _unsupported,
-        i.Call: _unsupported,
-        i.SkipCall: _unsupported,
-        i.Advise: _advise,
+        StartRun: _start,
+        RejectRequest: _refuse,
+        FailRequest: _give_up,
+        RetainKey: _keep,
+        ReleaseKey: _forget,
+        AttachDuplicate: _join,
+        SetHealth: _set_health,
+        SetIdleTimeout: _keep_alive,
+        SetTimer: _set_alarm,
+        LogMessage: lambda self, a: self.log.info("module", text=a.text),
+        CancelRun: _unsupported,
+        StartDownstreamCall: _unsupported,
+        SkipDownstreamCall: _unsupported,
+        SendBackpressure: _advise,
     }
--- /dev/null
+++ b/ochrehoist/core/persisted_names.py
@@ -0,0 +1,57 @@
+"""The names under which outcomes and request classes are written: to the store, exports and handover lines.
+
+They are part of stored formats and of the protocol between two releases, so they stay as they are when the
+types in the code are renamed.
+"""
+
+from typing import Any
+
+from ochrehoist.admission.events import Outcome
+from ochrehoist.admission.settings import Idempotency, RequestClass
+
+OUTCOME_NAMES = {
+    Outcome.OK: "OK",
+    Outcome.FAILED: "FAILED",
+    Outcome.QUEUE_FULL: "FULL",
+    Outcome.TIMED_OUT: "TIMED_OUT",
+    Outcome.UNREACHABLE: "UNREACHABLE",
+    Outcome.CONNECTION_RESET: "RESET",
+    Outcome.CANCELLED: "CANCELLED",
+    Outcome.NOT_STARTED: "MOOT",
+}
+OUTCOMES_BY_NAME = {name: outcome for outcome, name in OUTCOME_NAMES.items()}
+
+IDEMPOTENCY_NAMES = {
+    Idempotency.IDEMPOTENT: "SAFE",
+    Idempotency.KEYED: "KEYED",
+    Idempotency.AT_MOST_ONCE: "UNSAFE",
+}
+IDEMPOTENCY_BY_NAME = {name: idempotency for idempotency, name in IDEMPOTENCY_NAMES.items()}
+
+# By persisted name, in the order in which they are written.
+CLASS_FIELDS = {
+    "name": "name",
+    "aim": "latency_objective_ns",
+    "deadline": "deadline_ns",
+    "worth": "priority_weight",
+    "late_worth": "late_weight",
+    "repeat": "idempotency",
+    "window": "idempotency_window_ns",
+    "aim_stretch": "objective_stretch",
+    "calls": "calls_downstream",
+    "skip_worth": "fallback_weight",
+}
+
+
+def class_to_json(request_class: RequestClass) -> dict[str, Any]:
+    """The request class as it is written."""
+    data = {persisted: getattr(request_class, field) for persisted, field in CLASS_FIELDS.items()}
+    data["repeat"] = IDEMPOTENCY_NAMES[request_class.idempotency]
+    return data
+
+
+def class_from_json(data: dict[str, Any]) -> RequestClass:
+    """The request class that was written; raises KeyError or TypeError where it was not one."""
+    values = {CLASS_FIELDS[persisted]: value for persisted, value in data.items()}
+    values["idempotency"] = IDEMPOTENCY_BY_NAME[data["repeat"]]
+    return RequestClass(**values)
--- a/ochrehoist/core/retuning.py
+++ b/ochrehoist/core/retuning.py
@@ -2,12 +2,13 @@
 
 from typing import Protocol
 
-from ochrehoist import interface as i
+from ochrehoist.admission.events import TenantsReplaced
+from ochrehoist.admission.settings import AdmissionSettings, Tenant
+from ochrehoist.config.settings import at_once
 from ochrehoist.core import succession
 from ochrehoist.core.figures import Figures
-from ochrehoist.core.requests import Retuned, Switched, TenantsRetuned
+from ochrehoist.core.messages import ConfigurationSwitched, SettingsChanged, TenantsChanged
 from ochrehoist.core.tenants import Tenants, changed
-from ochrehoist.settings import at_once
 
 
 class Core(succession.Core, Protocol):
@@ -16,12 +17,12 @@
     tenants: Tenants
     figures: Figures
     served_classes: set[str]
-    told_tenants: tuple[i.Tenant, ...]
+    told_tenants: tuple[Tenant, ...]
 
-    def index(self, settings: i.Settings) -> None: ...
+    def index(self, settings: AdmissionSettings) -> None: ...
 
 
-def retuned(core: Core, m: Retuned) -> None:
+def retuned(core: Core, m: SettingsChanged) -> None:
     """By a fresh module, that is told of all that is open: its cost grows with that."""
     tenants = m.tenants if m.tenants is not None else at_once(changed(core.tenants, m.settings.tenants))
     core.settings, core.tenants = m.settings, tenants
@@ -36,18 +37,18 @@
     )
 
 
-def tenants_retuned(core: Core, m: TenantsRetuned) -> None:
+def tenants_retuned(core: Core, m: TenantsChanged) -> None:
     """In the module that there is: positions stay, so nothing that is open need be told again."""
     core.settings, core.tenants = m.settings, m.tenants
     if core.controller is not None:
-        core.tell(i.TenantsChanged(core.told_tenants))
+        core.tell(TenantsReplaced(core.told_tenants))
 
 
-def switched(core: Core, m: Switched) -> None:
+def switched(core: Core, m: ConfigurationSwitched) -> None:
     """What was read before it was decided by what was in force before; no request meets half of a change."""
     try:
         m.parts()
-        if isinstance(m.core, Retuned):
+        if isinstance(m.core, SettingsChanged):
             retuned(core, m.core)
         elif m.core is not None:
             tenants_retuned(core, m.core)
--- a/ochrehoist/core/succession.py
+++ b/ochrehoist/core/succession.py
@@ -3,12 +3,13 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from ochrehoist import interface as i
+from ochrehoist.admission.events import RequestReceived, RunAdopted
+from ochrehoist.admission.settings import AdmissionSettings
 from ochrehoist.core import handover
 from ochrehoist.core.answers import Answers
 from ochrehoist.core.filings import Filings
 from ochrehoist.core.keys import KeyTable
-from ochrehoist.core.requests import Inbound
+from ochrehoist.core.request import InboundRequest
 from ochrehoist.core.tenants import Tenants
 
 SECOND = 1_000_000_000
@@ -17,9 +18,9 @@
 class Core(Protocol):
     """What passing on needs of the core."""
 
-    settings: i.Settings
+    settings: AdmissionSettings
     keys: KeyTable
-    live: dict[str, Inbound]
+    live: dict[str, InboundRequest]
     answers: Answers
     filings: Filings
     controller: Any
@@ -29,9 +30,9 @@
     now: int
     log: Any
     tell: Callable[..., Any]
-    boot: Callable[[i.Settings], None]
-    owe: Callable[[Inbound], None]
-    event: Callable[[Inbound], i.Request]
+    boot: Callable[[AdmissionSettings], None]
+    owe: Callable[[InboundRequest], None]
+    event: Callable[[InboundRequest], RequestReceived]
 
 
 def state_of(core: Core) -> handover.State:
@@ -48,28 +49,28 @@
 
 def take_up(core: Core, state: handover.State) -> None:
     """A fresh module that knows what was begun, what is held, and what was learned."""
-    state.keys.slack = max(c.deadline for c in (*core.settings.classes, *state.classes.values())) + SECOND
+    state.keys.slack = max(c.deadline_ns for c in (*core.settings.classes, *state.classes.values())) + SECOND
     core.keys = state.keys
     core.answers.clear()
     core.boot(handover.settings_with(core.settings, state))
     begun = {r.id: r for r in state.requests if r.started}
-    windows = {c.name: c.window for c in core.settings.classes}
+    windows = {c.name: c.idempotency_window_ns for c in core.settings.classes}
     for token, run in core.keys.runs.items():
         known = state.classes.get(token[1])
         if known is not None:  # a longer window holds for what ran before it, too
-            run.window_end += max(0, windows.get(known.name, 0) - known.window)
+            run.window_end += max(0, windows.get(known.name, 0) - known.idempotency_window_ns)
         run.waiters = ()  # each is told of anew below
         if run.id not in begun and not run.asleep and token[1] in core.kinds:
             core.filings.adopt(token, run)
     for r in begun.values():
         core.owe(r)
-        core.tell(i.Adopted(core.event(r), r.answered, False))
+        core.tell(RunAdopted(core.event(r), r.answered, False))
     _teach(core, state.learned)
     held = [r for r in state.requests if not r.started and not r.answered]
     for r in sorted(held, key=lambda r: r.arrived):
         core.owe(r)
         event = core.event(r)
-        event.remaining = max(1, r.due - core.now)  # by its own class, whatever has become of that
+        event.remaining_ns = max(1, r.due - core.now)  # by its own class, whatever has become of that
         core.tell(event)
     _teach(core, state.learned)  # what was held is no news of how long requests wait to be read
 
--- a/ochrehoist/core/tenants.py
+++ b/ochrehoist/core/tenants.py
@@ -7,7 +7,7 @@
 from collections.abc import Collection, Generator
 from dataclasses import dataclass, field
 
-from ochrehoist.interface import Tenant
+from ochrehoist.admission.settings import Tenant
 
 STEP = 400  # names looked at in a step
 ALIKE = 8192  # that are compared in a step where nothing has changed: by identity, in C
--- a/ochrehoist/lab/drill.py
+++ b/ochrehoist/lab/drill.py
@@ -5,7 +5,7 @@
 
 from ochrehoist.lab import judge
 from ochrehoist.lab.judge import CallMade
-from ochrehoist.lab.scenario import BadScenario, Scenario, parse
+from ochrehoist.lab.scenario import Scenario, ScenarioError, parse
 from ochrehoist.plan.fleet import Fleet
 
 AT_S, AFTER_S = 8.0, 14.0  # of the loss; that is played after the return
@@ -15,22 +15,22 @@
 
 
 def scenario_of(fleet: Fleet, site: str, workers: int, lasts: float) -> Scenario:
-    """`workers` appliances in the fleet's sites, in proportion, one site lost. Raises BadScenario."""
+    """`workers` appliances in the fleet's sites, in proportion, one site lost. Raises ScenarioError."""
     sites = _sites(fleet, workers)
     if site not in sites or len(sites) < 2:
-        raise BadScenario(f"site: {site!r} is none of {sorted(sites)}, or there is no other")
+        raise ScenarioError(f"site: {site!r} is none of {sorted(sites)}, or there is no other")
     loss = {"at": AT_S, "kind": "kill", "who": [site], "lasts": lasts}
     return parse(_small(fleet, f"drill-{site}", sites, AT_S + lasts + AFTER_S, [loss]))
 
 
 def rolling_of(fleet: Fleet, workers: int, at_once: int, down: float) -> Scenario:
     """All of `workers` told to leave and started again, so many at once, sites in turn; the next once the
-    last had the time that a cold machine takes. Raises BadScenario."""
+    last had the time that a cold machine takes. Raises ScenarioError."""
     sites = _sites(fleet, workers)
     rows = [list(row) for row in sites.values()]
     order = [row[n] for n in range(max(map(len, rows))) for row in rows if n < len(row)]
     if not 1 <= at_once < len(order):
-        raise BadScenario(f"at_once: from 1 to {len(order) - 1}, or nobody is left to serve")
+        raise ScenarioError(f"at_once: from 1 to {len(order) - 1}, or nobody is left to serve")
     wave = down + max(k.cold_s for k in fleet.kinds) + STARTS_S
     waves = [order[n : n + at_once] for n in range(0, len(order), at_once)]
     faults = [
--- a/ochrehoist/lab/ends.py
+++ b/ochrehoist/lab/ends.py
@@ -94,7 +94,9 @@
 
     async def _accepted(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.writers.add(writer)
-        with suppress(asyncio.IncompleteReadError, ConnectionError, ajp.BadPacket, asyncio.CancelledError):
+        with suppress(
+            asyncio.IncompleteReadError, ConnectionError, ajp.MalformedPacketError, asyncio.CancelledError
+        ):
             while True:
                 packet = await read(reader)
                 if packet[:1] == bytes((ajp.CPING,)):
--- a/ochrehoist/lab/explore.py
+++ b/ochrehoist/lab/explore.py
@@ -6,6 +6,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
+from ochrehoist.errors import OchrehoistError
 from ochrehoist.peers.rights import Budget, Holder, Voter
 from ochrehoist.peers.wire import Life
 
@@ -73,7 +74,7 @@
         )
 
 
-class Doubled(Exception):
+class Doubled(OchrehoistError):
     """Two lives hold one right at once; `path` is how that came about."""
 
     def __init__(self, path: list[str]) -> None:
--- a/ochrehoist/lab/hollow.py
+++ b/ochrehoist/lab/hollow.py
@@ -24,11 +24,13 @@
 
 from greenlet import GreenletExit
 
-from ochrehoist import config as configuration
-from ochrehoist.config import Config
+from ochrehoist.admission.events import Event, TimerFired
+from ochrehoist.app.reload import Reloading
+from ochrehoist.app.worker import BODY_SHARE, RESULT_SHARE
+from ochrehoist.config import loader as configuration
+from ochrehoist.config.loader import Config
+from ochrehoist.core.messages import ExecutorReady
 from ochrehoist.core.owner import Owner
-from ochrehoist.core.requests import Booted
-from ochrehoist.interface import Alarm, Event
 from ochrehoist.lab.toml import toml
 from ochrehoist.net.ajp_front import AjpReader
 from ochrehoist.net.ajp_server import AjpServers
@@ -36,11 +38,9 @@
 from ochrehoist.net.peers import BEAT_S, Peers
 from ochrehoist.peers.members import ALIVE
 from ochrehoist.peers.wire import Entry, Life, Tally
-from ochrehoist.reload import Reloading
-from ochrehoist.worker import BODY_SHARE, RESULT_SHARE
 
 try:
-    from ochrehoist.reload import switch_only
+    from ochrehoist.app.reload import switch_only
 except ImportError:  # a tree of before the reading in steps: its parts take a configuration whole
     switch_only = None
 
@@ -186,7 +186,7 @@
         self.beats: deque[float] = deque(maxlen=BEATS)
 
     def tell(self, event: Event, at: int | None = None) -> bool:
-        if type(event) is not Alarm:
+        if type(event) is not TimerFired:
             return super().tell(event, at)
         began = time.thread_time()
         done = super().tell(event, at)
@@ -213,7 +213,7 @@
         )
         self.servers = AjpServers(loop, self.owner, config.ajp, int(bytes_ * BODY_SHARE), log)
         self.reader = AjpReader(self.owner, self.servers, config.ajp)
-        self.owner.post(Booted(None, 0))
+        self.owner.post(ExecutorReady(None, 0))
         self.peers = HollowPeers(loop, self.owner, config, log)
         self.peers.network = network
         # The choices of a worker are chance's; here a seed's.
--- a/ochrehoist/lab/scale.py
+++ b/ochrehoist/lab/scale.py
@@ -20,6 +20,7 @@
 from random import Random
 from typing import Any
 
+from ochrehoist.errors import OchrehoistError
 from ochrehoist.lab.scale_workers import RealWorker, Shell, resident_kb
 from ochrehoist.lab.scenario import Scenario, parse
 from ochrehoist.lab.toml import toml_file
@@ -65,7 +66,7 @@
     probe_ms: int = 100
 
 
-class Bound(Exception):
+class Bound(OchrehoistError):
     """The run was ended by one of its own bounds; the text says which."""
 
 
--- a/ochrehoist/lab/scenario.py
+++ b/ochrehoist/lab/scenario.py
@@ -6,8 +6,9 @@
 
 from pydantic import Field, ValidationError, model_validator
 
+from ochrehoist.errors import OchrehoistError
 from ochrehoist.lab.balancer import Habits
-from ochrehoist.plan.fleet import BadFleet, Part, Positive, Share, told_faults
+from ochrehoist.plan.fleet import FleetDescriptionError, Part, Positive, Share, told_faults
 
 Links = Literal["peers", "fronts", "servers", "checks", "all"]
 KINDS = (
@@ -38,7 +39,7 @@
 )
 
 
-class BadScenario(Exception):
+class ScenarioError(OchrehoistError):
     """The scenario can't be played; one line for each fault, each with its key."""
 
 
@@ -167,16 +168,16 @@
 
 
 def parse(data: dict) -> Scenario:
-    """Raises BadScenario, with a line for each fault."""
+    """Raises ScenarioError, with a line for each fault."""
     try:
         return Scenario.model_validate(data)
     except ValidationError as error:
-        raise BadScenario("\n".join(told_faults(error))) from None
+        raise ScenarioError("\n".join(told_faults(error))) from None
 
 
 def load(path: Path) -> Scenario:
-    """Raises BadScenario, which names the file, and OSError."""
+    """Raises ScenarioError, which names the file, and OSError."""
     try:
         return parse(tomllib.loads(path.read_text(encoding="utf-8")))
-    except (tomllib.TOMLDecodeError, BadScenario, BadFleet) as error:
-        raise BadScenario("\n".join(f"{path}: {line}" for line in str(error).splitlines())) from None
+    except (tomllib.TOMLDecodeError, ScenarioError, FleetDescriptionError) as error:
+        raise ScenarioError("\n".join(f"{path}: {line}" for line in str(error).splitlines())) from None
--- a/ochrehoist/lab/sitestorm.py
+++ b/ochrehoist/lab/sitestorm.py
@@ -9,12 +9,20 @@
 from random import Random
 from typing import Any
 
-from ochrehoist import interface as i
-from ochrehoist.core.requests import Inbound
+from ochrehoist.admission.actions import FailRequest, RejectRequest, StartRun
+from ochrehoist.admission.controller import AdmissionController
+from ochrehoist.admission.events import (
+    InstanceStarted,
+    Outcome,
+    RequestCompleted,
+    RequestReceived,
+    TimerFired,
+)
+from ochrehoist.admission.settings import AdmissionSettings, Idempotency, RequestClass
+from ochrehoist.core.request import InboundRequest
 from ochrehoist.lab.balancer import Balancer, Habits
 from ochrehoist.lab.virtual import Node, World
 from ochrehoist.plan.cores import Cores, Machine
-from ochrehoist.rules import AdmissionController
 from ochrehoist.sites.desk import Desk
 from ochrehoist.sites.heard import heard
 from ochrehoist.sites.knowing import BURSTS, LOST, SURE
@@ -28,18 +36,28 @@
 BEAT = int(0.1 * S)  # ns between two alarms of the module
 
 
-def settings(cores: int) -> i.Settings:
-    read = i.RequestClass(name="read", aim=int(1.8 * S), deadline=int(4.5 * S), repeat=i.Repeat.SAFE)
-    filing = i.RequestClass(
+def settings(cores: int) -> AdmissionSettings:
+    read = RequestClass(
+        name="read",
+        latency_objective_ns=int(1.8 * S),
+        deadline_ns=int(4.5 * S),
+        idempotency=Idempotency.IDEMPOTENT,
+    )
+    filing = RequestClass(
         name="filing",
-        aim=int(1.8 * S),
-        deadline=int(4.5 * S),
-        worth=3.0,
-        repeat=i.Repeat.KEYED,
-        window=20 * S,
+        latency_objective_ns=int(1.8 * S),
+        deadline_ns=int(4.5 * S),
+        priority_weight=3.0,
+        idempotency=Idempotency.KEYED,
+        idempotency_window_ns=20 * S,
     )
-    return i.Settings(
-        classes=(read, filing), cores=cores, memory_kb=1e6, tip_multiple=8.0, fall=2 * S, max_backoff=S
+    return AdmissionSettings(
+        classes=(read, filing),
+        cores=cores,
+        memory_kb=1e6,
+        collapse_multiple=8.0,
+        collapse_after_ns=2 * S,
+        max_retry_after_ns=S,
     )
 
 
@@ -64,7 +82,7 @@
     desk: Desk
     cores: Cores
     module: AdmissionController
-    live: dict[str, tuple[Call, Inbound]] = field(default_factory=dict)
+    live: dict[str, tuple[Call, InboundRequest]] = field(default_factory=dict)
     running: dict[str, float] = field(default_factory=dict)
     born: float = 0.0
     looked: float = 0.0
@@ -123,7 +141,7 @@
         module = AdmissionController(self.settings, self.rng["groups"].getrandbits(30))
         s = self.stations[node.name] = Station(node, desk, cores, module)
         s.born = self.now
-        self._tell(s, i.Started())
+        self._tell(s, InstanceStarted())
         node.group.extensions[TOPIC] = desk
         desk.ask_permit = lambda t, node=node: self._permit(node, t)
         desk.drop_permit = lambda node=node: self._let_go(node)
@@ -151,7 +169,9 @@
             self._come(call, s)
         self._advance(s)
         running = len(s.running)
-        self._tell(s, i.Alarm(1, {"cpu_busy": min(1.0, running / self.machine.cores), "runnable": running}))
+        self._tell(
+            s, TimerFired(1, {"cpu_busy": min(1.0, running / self.machine.cores), "runnable": running})
+        )
         before = s.desk.ramp.number if s.desk.ramp is not None else None
         known = len(s.desk.knowing.changes)
         s.desk.look(now, heard(node.group))
@@ -236,7 +256,7 @@
             return s.unread.append(call)
         now = int(s.node.clock(self.now) * S)
         cls = self.settings.classes[call.filing]
-        r = Inbound(
+        r = InboundRequest(
             f"r{call.number}-{call.tries}",
             cls,
             now,
@@ -253,7 +273,12 @@
             return self._answered(call, False)
         s.live[r.id] = call, r
         self._advance(s)
-        self._tell(s, i.Request(id=r.id, kind=int(call.filing), retry=r.retry, memory_kb=24.0, rank=0.5))
+        self._tell(
+            s,
+            RequestReceived(
+                id=r.id, class_index=int(call.filing), is_retry=r.retry, memory_kb=24.0, rank=0.5
+            ),
+        )
 
     # ---- the module
     def _tell(self, s: Station, event: Any) -> None:
@@ -263,15 +288,15 @@
             if found is None:
                 continue
             call, r = found
-            if isinstance(a, i.Start):
+            if isinstance(a, StartRun):
                 s.running[r.id] = self.now
                 s.desk.begun(r, now)
                 s.cores.start(r.id, call.work)
-            elif isinstance(a, i.Refuse | i.Fail):
+            elif isinstance(a, RejectRequest | FailRequest):
                 s.desk.answered(r, "deferred_total", 0)
                 if r.id not in s.running:
                     del s.live[r.id]
-                self._answered(call, False if isinstance(a, i.Refuse) else None)
+                self._answered(call, False if isinstance(a, RejectRequest) else None)
         self._set_timer(s)
 
     def _set_timer(self, s: Station) -> None:
@@ -291,11 +316,11 @@
                 continue
             call, r = found
             now, took = int(s.node.clock(self.now) * S), int((self.now - began) * S)
-            s.desk.ended(r, now, took, i.Outcome.OK)
+            s.desk.ended(r, now, took, Outcome.OK)
             s.desk.answered(r, "answered_total", 0)
             if not call.ended:
                 self._answered(call, True)
-            self._tell(s, i.Completed(rid, i.Outcome.OK, took))
+            self._tell(s, RequestCompleted(rid, Outcome.OK, took))
         self._set_timer(s)
 
     def _answered(self, call: Call, served: bool | None) -> None:
--- a/ochrehoist/lab/virtual.py
+++ b/ochrehoist/lab/virtual.py
@@ -9,6 +9,7 @@
 from heapq import heappop, heappush
 from random import Random
 
+from ochrehoist.errors import OchrehoistError
 from ochrehoist.peers.group import Group, Send, Terms
 from ochrehoist.peers.rights import DRIFT, Budget
 from ochrehoist.peers.wire import Life, Message, packed, unpacked
@@ -17,7 +18,7 @@
 SECRET = b"a secret of the laboratory"
 
 
-class Broken(Exception):
+class Broken(OchrehoistError):
     """A rule did not hold; the text says which, when and with what."""
 
 
--- a/ochrehoist/lab/workers.py
+++ b/ochrehoist/lab/workers.py
@@ -15,6 +15,7 @@
 from pathlib import Path
 from typing import Any
 
+from ochrehoist.errors import OchrehoistError
 from ochrehoist.lab.scenario import Scenario
 from ochrehoist.lab.toml import toml_file
 
@@ -34,7 +35,7 @@
 """
 
 
-class Failed(Exception):
+class Failed(OchrehoistError):
     """The play can't go on; the text says why."""
 
 
--- a/ochrehoist/net/ajp.py
+++ b/ochrehoist/net/ajp.py
@@ -7,6 +7,8 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
+from ochrehoist.errors import OchrehoistError
+
 TO_CONTAINER, TO_SERVER = b"\x12\x34", b"AB"
 FORWARD, SHUTDOWN, PING, CPING = 2, 7, 8, 10
 BODY_CHUNK, HEADERS, END_RESPONSE, GET_BODY, CPONG = 3, 4, 5, 6, 9
@@ -67,7 +69,7 @@
 _U16 = struct.Struct(">H")
 
 
-class BadPacket(Exception):
+class MalformedPacketError(OchrehoistError):
     """The peer does not speak AJP/1.3: its connection is of no further use."""
 
 
@@ -78,7 +80,7 @@
     def take(self, count: int) -> bytes:
         end = self.at + count
         if end > len(self.data):
-            raise BadPacket("a length beyond the packet")
+            raise MalformedPacketError("a length beyond the packet")
         data, self.at = self.data[self.at : end], end
         return data
 
@@ -94,7 +96,7 @@
             return None
         data = self.take(size + 1)
         if data[-1]:
-            raise BadPacket("a string without its end")
+            raise MalformedPacketError("a string without its end")
         return data[:-1]
 
 
@@ -149,20 +151,20 @@
             value = c.string()
             if kind == A_SECRET:
                 if f.secret is not None:
-                    raise BadPacket("two secrets")
+                    raise MalformedPacketError("two secrets")
                 f.secret, f.secret_at = value or b"", (start, c.at)
             elif kind == A_STORED_METHOD and code == STORED_METHOD:
                 f.method = (value or b"").decode("latin-1")
         else:
-            raise BadPacket(f"an unknown attribute {kind}")
+            raise MalformedPacketError(f"an unknown attribute {kind}")
     f.end_at = c.at - 1
     if not f.method:
-        raise BadPacket(f"an unknown method {code}")
+        raise MalformedPacketError(f"an unknown method {code}")
     told = f.headers.get(b"content-length")
     f.chunked = told is None and b"chunked" in f.headers.get(b"transfer-encoding", b"").lower()
     if told is not None:
         if not told.isdigit() or len(told) > 15:
-            raise BadPacket("a content length that is no number")
+            raise MalformedPacketError("a content length that is no number")
         f.length = int(told)
     return f
 
@@ -172,7 +174,7 @@
     if size >> 8 == 0xA0:
         at = size & 0xFF
         if not 0 < at < len(REQUEST_HEADERS):
-            raise BadPacket(f"an unknown header code {at}")
+            raise MalformedPacketError(f"an unknown header code {at}")
         name = REQUEST_HEADERS[at]
     else:
         c.at -= 2
