--- a/ochrehoist/net/ajp_front.py
+++ b/ochrehoist/net/ajp_front.py
@@ -11,17 +11,22 @@
 from typing import Any
 from zlib import crc32
 
-from ochrehoist.config import AjpConfig
+from ochrehoist.admission.events import Outcome
+from ochrehoist.admission.settings import AdmissionSettings, Idempotency, RequestClass
+from ochrehoist.config.loader import AjpConfig
+from ochrehoist.config.settings import at_once
+from ochrehoist.core.messages import CallerDisconnected, RequestArrived
 from ochrehoist.core.owner import Owner
-from ochrehoist.core.requests import Admission, Arrived, Executor, Gone, Inbound, Reason, Result
-from ochrehoist.interface import Outcome, Repeat, RequestClass, Settings
+from ochrehoist.core.protocols import AdmissionFilter, Executor
+from ochrehoist.core.request import InboundRequest
+from ochrehoist.core.results import FailureReason, RunResult
+from ochrehoist.errors import OchrehoistError
 from ochrehoist.net import ajp
 from ochrehoist.net.ajp_server import AjpPayload, read_packet
 from ochrehoist.net.listener import Listening, Pace, close_least
 from ochrehoist.net.loop import Loop
-from ochrehoist.net.stream import Closed, Stream, TimedOut
+from ochrehoist.net.stream import ConnectionClosedError, Stream, StreamTimeoutError
 from ochrehoist.routes import RouteIndex
-from ochrehoist.settings import at_once
 
 S = 1_000_000_000
 STUCK = 1.0  # s without a byte after which a packet that was begun is taken for one that won't come
@@ -31,7 +36,7 @@
 WHOLE = 2.5  # s for a packet that was begun, and for the first of a new connection
 
 
-class Rejected(Exception):
+class Rejected(OchrehoistError):
     """Answered by the front itself: the request never becomes one of the core's."""
 
     def __init__(self, status: HTTPStatus, why: str) -> None:
@@ -59,7 +64,9 @@
         self.ids = itertools.count(1)
         self.process = secrets.token_hex(4)  # ids must differ from those of a process that this one replaces
 
-    def prepare(self, config: AjpConfig, settings: Settings) -> Generator[None, None, Callable[[], None]]:
+    def prepare(
+        self, config: AjpConfig, settings: AdmissionSettings
+    ) -> Generator[None, None, Callable[[], None]]:
         """In steps that are well under 1 ms each; nothing changes before the call that it gives."""
         index = self.index
         if self.config is None or config.rules is not self.config.rules:
@@ -73,7 +80,7 @@
 
         return commit
 
-    def configure(self, config: AjpConfig, settings: Settings) -> None:
+    def configure(self, config: AjpConfig, settings: AdmissionSettings) -> None:
         """At once, as at the start."""
         at_once(self.prepare(config, settings))()
 
@@ -100,12 +107,12 @@
             raise Rejected(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "no room for the server's secret")
         tenant = _text(f, self.config.tenant_header) or self.config.default_tenant
         known = self.owner.tenants
-        token = _text(f, self.config.key_header).strip() if cls.repeat is Repeat.KEYED else ""
+        token = _text(f, self.config.key_header).strip() if cls.idempotency is Idempotency.KEYED else ""
         if len(token) > 1 and token[0] == token[-1] == '"':  # the header's own form is a quoted string
             token = token[1:-1]
         if tenant is not None and known and tenant not in known and not self._repeats(cls, tenant, token):
             raise Rejected(HTTPStatus.BAD_REQUEST, "unknown tenant")
-        if cls.repeat is Repeat.KEYED and not 0 < len(token) <= 255:
+        if cls.idempotency is Idempotency.KEYED and not 0 < len(token) <= 255:
             raise Rejected(HTTPStatus.BAD_REQUEST, "a filing needs a key")
         return tenant, token or None
 
@@ -116,10 +123,10 @@
 
     def request(
         self, f: ajp.Forward, checked: tuple, body: bytes, arrived: int, responder: "AjpResponder"
-    ) -> Inbound:
+    ) -> InboundRequest:
         cls, tenant, token = checked
         retry = f.headers.get(self.config.retry_header, b"")
-        return Inbound(
+        return InboundRequest(
             id=f"ajp-{self.process}-{next(self.ids)}",
             cls=cls,
             arrived=arrived,
@@ -135,7 +142,7 @@
             memory_kb=self.config.memory_kb + (len(f.packet) + len(body)) / 1024,
             rank=0.5,
             retry=retry not in (b"", b"0"),
-            write=cls.repeat is not Repeat.SAFE,
+            write=cls.idempotency is not Idempotency.IDEMPOTENT,
         )
 
 
@@ -159,7 +166,7 @@
         ]
         self._respond(ajp.headers(status.value, status.phrase, values), text)
 
-    def served(self, result: Result) -> bool:
+    def served(self, result: RunResult) -> bool:
         self.connection.served = True
         if isinstance(result.detail, ajp.Reply):
             self._respond(result.detail.headers, result.body)
@@ -181,14 +188,14 @@
     def origin(self) -> tuple[str, str]:
         return "ajp", self.connection.stream.peer
 
-    def failed(self, reason: Reason, result: Result | None = None) -> None:
+    def failed(self, reason: FailureReason, result: RunResult | None = None) -> None:
         if result is not None and isinstance(result.detail, ajp.Reply):
             return self._respond(result.detail.headers, result.body)  # the server's own error page
-        if reason is Reason.GIVEN_UP or (result is not None and result.outcome is Outcome.TIMED_OUT):
+        if reason is FailureReason.GIVEN_UP or (result is not None and result.outcome is Outcome.TIMED_OUT):
             self.plain(HTTPStatus.GATEWAY_TIMEOUT, reason.value)
-        elif reason in (Reason.EXECUTOR, Reason.MAY_HAVE_RUN):
+        elif reason in (FailureReason.EXECUTOR, FailureReason.MAY_HAVE_RUN):
             self.plain(HTTPStatus.BAD_GATEWAY, reason.value)
-        elif reason is Reason.OTHER_CONTENT:
+        elif reason is FailureReason.OTHER_CONTENT:
             self.plain(HTTPStatus.UNPROCESSABLE_ENTITY, reason.value)
         else:
             self.plain(HTTPStatus.INTERNAL_SERVER_ERROR, reason.value)
@@ -232,10 +239,10 @@
                     self._hold(0)
                     self.used_at = time.monotonic()
                 elif kind not in (ajp.SHUTDOWN, ajp.PING):  # asked by nobody who may: passed over
-                    raise ajp.BadPacket(f"an unexpected packet {kind}")
-        except (Closed, TimedOut):
+                    raise ajp.MalformedPacketError(f"an unexpected packet {kind}")
+        except (ConnectionClosedError, StreamTimeoutError):
             pass
-        except ajp.BadPacket as error:  # ends this connection only
+        except ajp.MalformedPacketError as error:  # ends this connection only
             self.front.log.warning("bad AJP packet", why=str(error))
         finally:
             self._hold(0)
@@ -256,7 +263,7 @@
             self._ask_admission(checked)
             self._book(f.length)
             # A body that takes longer than its caller waits is of no use.
-            until = time.monotonic() + checked[0].deadline / S
+            until = time.monotonic() + checked[0].deadline_ns / S
             body = self._body(f, until)
             unread = False
         except Rejected as error:
@@ -277,7 +284,7 @@
                 )
             return
         request = self.front.reader.request(f, checked, body, arrived, responder)
-        self.front.owner.post(Arrived(request))
+        self.front.owner.post(RequestArrived(request))
         while not responder.done:
             self.stream.watch(lambda: responder.done)
             # Once answered, what is in the buffer may be the next request, whole with its first chunk: a loop
@@ -286,8 +293,8 @@
                 self.stream.ended or len(self.stream.buffer) > self.front.config.packet_size
             ):
                 responder.done = True
-                self.front.owner.post(Gone(request.id))
-                raise Closed
+                self.front.owner.post(CallerDisconnected(request.id))
+                raise ConnectionClosedError
 
     def _ask_admission(self, checked: tuple) -> None:
         """Turns away, before its body is read, what the worker is too far behind to decide on."""
@@ -312,18 +319,18 @@
             first = False
             left = until - time.monotonic()
             if left <= 0:
-                raise TimedOut
+                raise StreamTimeoutError
             piece = ajp.body(read_packet(self.stream, ajp.TO_CONTAINER, size, left))
             body += piece
             if not piece:
                 if f.chunked:
                     break
-                raise Closed  # the caller's body ended early
+                raise ConnectionClosedError  # the caller's body ended early
             if len(body) > config.max_body:
                 raise Rejected(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "body too large")
             self._book(max(f.length, len(body)))
             if not f.chunked and len(body) > f.length:
-                raise ajp.BadPacket("more body than told")
+                raise ajp.MalformedPacketError("more body than told")
         return bytes(body)
 
     def _book(self, size: int) -> None:
@@ -369,13 +376,15 @@
         self.connections: set[AjpConnection] = set()
         self.body_bytes = 0  # of all connections
         self.draining = False
-        self.admission: Admission | None = None
+        self.admission: AdmissionFilter | None = None
         self.numbers = itertools.count(1)
         self.listening = Listening(
             loop, config.listen, self._accepted, max_connections, log, sock, self._make_room
         )
 
-    def prepare(self, config: AjpConfig, settings: Settings) -> Generator[None, None, Callable[[], None]]:
+    def prepare(
+        self, config: AjpConfig, settings: AdmissionSettings
+    ) -> Generator[None, None, Callable[[], None]]:
         """What a configuration read again comes to, in short steps; it is in force by the call that it
         gives. What was checked before that call keeps the class that it was checked with."""
         take = yield from self.reader.prepare(config, settings)
@@ -386,7 +395,7 @@
 
         return commit
 
-    def configure(self, config: AjpConfig, settings: Settings) -> None:
+    def configure(self, config: AjpConfig, settings: AdmissionSettings) -> None:
         """At once."""
         self.config = config
         self.reader.configure(config, settings)
--- a/ochrehoist/net/ajp_server.py
+++ b/ochrehoist/net/ajp_server.py
@@ -9,13 +9,15 @@
 from dataclasses import dataclass, field
 from typing import Any, Protocol
 
-from ochrehoist.config import AjpConfig, AjpServer
+from ochrehoist.admission.events import Outcome
+from ochrehoist.config.loader import AjpConfig, AjpServer
+from ochrehoist.core.messages import GaugesMeasured, RunCompleted
 from ochrehoist.core.owner import Owner
-from ochrehoist.core.requests import Ended, Gauges, Inbound, Result
-from ochrehoist.interface import Outcome
+from ochrehoist.core.request import InboundRequest
+from ochrehoist.core.results import RunResult
 from ochrehoist.net import ajp
 from ochrehoist.net.loop import Loop
-from ochrehoist.net.stream import Closed, Stream, TimedOut, connect
+from ochrehoist.net.stream import ConnectionClosedError, Stream, StreamTimeoutError, connect
 
 
 @dataclass(slots=True)
@@ -61,7 +63,7 @@
     head = stream.take(ajp.HEAD, timeout)
     length = int.from_bytes(head[2:], "big")
     if head[:2] != magic or length > size - ajp.HEAD:
-        raise ajp.BadPacket("not a packet of this direction, or one too long")
+        raise ajp.MalformedPacketError("not a packet of this direction, or one too long")
     return stream.take(length, timeout)
 
 
@@ -82,16 +84,16 @@
             while pool.idle:
                 pool.idle.pop()[0].close()
 
-    def start(self, request: Inbound) -> None:
+    def start(self, request: InboundRequest) -> None:
         self.running += 1
         self.loop.spawn(self._run, request)
 
     def measure(self) -> None:
         """The gauges where no kernel tells them: what runs here stands for what is on the cores."""
         s = self.owner.settings
-        held = sum(r.memory_kb * (s.run_factor if r.started else 1) for r in self.owner.live.values())
+        held = sum(r.memory_kb * (s.run_memory_factor if r.started else 1) for r in self.owner.live.values())
         self.owner.post(
-            Gauges(
+            GaugesMeasured(
                 {
                     "cpu_busy": min(1.0, self.running / s.cores),
                     "runnable": float(self.running),
@@ -101,19 +103,19 @@
             )
         )
 
-    def _run(self, request: Inbound) -> None:
+    def _run(self, request: InboundRequest) -> None:
         began = time.monotonic()
-        result = Result(Outcome.FAILED)
+        result = RunResult(Outcome.FAILED)
         try:
             result = self._ask(request) if self.advisor is None else self._advised(request, self.advisor)
         finally:  # whatever happens, one Ended for each start
             self.running -= 1
-            self.owner.post(Ended(request.id, result, int((time.monotonic() - began) * 1e9)))
+            self.owner.post(RunCompleted(request.id, result, int((time.monotonic() - began) * 1e9)))
 
-    def _advised(self, request: Inbound, advisor: Advisor) -> Result:
+    def _advised(self, request: InboundRequest, advisor: Advisor) -> RunResult:
         """By outstanding work and judgement. What may have reached a server is sent to another only where it
         may be run again, is in time, and the fleet's budget of repeats gives one."""
-        result, sent = Result(Outcome.UNREACHABLE, success=False), False
+        result, sent = RunResult(Outcome.UNREACHABLE, success=False), False
         by_name = {pool.server.name: pool for pool in self.pools}
         for name in advisor.order({p.server.name: p.busy for p in self.pools}):
             pool = by_name.get(name)
@@ -149,7 +151,7 @@
                 advisor.ended(ticket, verdict)
         return result
 
-    def _ask(self, request: Inbound) -> Result:
+    def _ask(self, request: InboundRequest) -> RunResult:
         for pool in self._order():
             pool.busy += 1
             try:
@@ -160,7 +162,7 @@
                 return self._exchange(pool, stream, request.payload)
             finally:
                 pool.busy -= 1
-        return Result(Outcome.UNREACHABLE, success=False)
+        return RunResult(Outcome.UNREACHABLE, success=False)
 
     def _order(self) -> Iterator[Pool]:
         """The least busy first; those that could not be reached lately last."""
@@ -172,7 +174,7 @@
         """One that is known to be alive: a pooled one, which may have been closed, answers a CPing first."""
         while pool.idle:
             stream, _ = pool.idle.pop()
-            with suppress(Closed, TimedOut, ajp.BadPacket):
+            with suppress(ConnectionClosedError, StreamTimeoutError, ajp.MalformedPacketError):
                 stream.write(ajp.PING_PACKET)
                 answer = read_packet(
                     stream, ajp.TO_SERVER, self.config.packet_size, pool.server.connect_ms / 1000
@@ -188,7 +190,7 @@
 
     def _exchange(
         self, pool: Pool, stream: Stream, payload: AjpPayload, longest: float | None = None
-    ) -> Result:
+    ) -> RunResult:
         size, room = self.config.packet_size, self.config.packet_size - ajp.HEAD - 2
         reuse, sent, found = False, 0, None
         until = time.monotonic() + min(pool.server.reply_ms / 1000, longest or float("inf"))
@@ -203,7 +205,7 @@
             while True:
                 left = until - time.monotonic()
                 if left <= 0:
-                    raise TimedOut
+                    raise StreamTimeoutError
                 m = read_packet(stream, ajp.TO_SERVER, size, left)
                 kind = m[0] if m else 0
                 if kind == ajp.GET_BODY:
@@ -217,20 +219,20 @@
                     body += piece
                     self.bytes += len(piece)
                     if len(body) > self.config.max_response or self.bytes > self.max_bytes:
-                        raise ajp.BadPacket("a response over the limit")
+                        raise ajp.MalformedPacketError("a response over the limit")
                 elif kind == ajp.END_RESPONSE and found is not None:
                     reuse = ajp.Cursor(m, 1).byte() == 1
                     break
                 else:
-                    raise ajp.BadPacket(f"an unexpected packet {kind}")
+                    raise ajp.MalformedPacketError(f"an unexpected packet {kind}")
             found.body = bytes(body)
             outcome = Outcome.OK if found.status < 500 else Outcome.FAILED
-            return Result(outcome, found.body, found, len(found.headers), 200 <= found.status < 300)
-        except TimedOut:
-            return Result(Outcome.TIMED_OUT, success=False)
-        except (Closed, ajp.BadPacket) as error:
+            return RunResult(outcome, found.body, found, len(found.headers), 200 <= found.status < 300)
+        except StreamTimeoutError:
+            return RunResult(Outcome.TIMED_OUT, success=False)
+        except (ConnectionClosedError, ajp.MalformedPacketError) as error:
             self.log.warning("AJP server failed", server=pool.server.name, why=repr(error))
-            return Result(Outcome.FAILED, success=False)
+            return RunResult(Outcome.FAILED, success=False)
         finally:
             self.bytes -= len(body)
             if (
--- a/ochrehoist/net/doubts.py
+++ b/ochrehoist/net/doubts.py
@@ -11,8 +11,8 @@
 from collections import deque
 from dataclasses import dataclass
 
-from ochrehoist.core.requests import Inbound
-from ochrehoist.interface import Repeat
+from ochrehoist.admission.settings import Idempotency
+from ochrehoist.core.request import InboundRequest
 
 LOSS = 0.06  # s before a break in which commands may be lost: 50 ms, and some for the clocks
 REACHED = 0.012  # s after its command was read in which a run reaches the cores: three steps of a machine
@@ -22,7 +22,7 @@
 class Run:
     """A request that was started and is not known to be over. Times are those of the caller's clock, in s."""
 
-    request: Inbound
+    request: InboundRequest
     given: float | None = None  # when its command was written to a link; None: not yet
     doubtful: bool = False  # its command may have been lost with a link
     known: bool = False  # its command was carried out
@@ -30,7 +30,7 @@
 
     @property
     def safe(self) -> bool:
-        return self.request.cls.repeat is Repeat.SAFE
+        return self.request.cls.idempotency is Idempotency.IDEMPOTENT
 
     def give(self, now: float) -> None:
         self.given, self.doubtful, self.untold = now, False, False
@@ -46,7 +46,7 @@
         self.reading: deque[tuple[float, float]] = deque()
         self.settled = -math.inf
 
-    def start(self, request: Inbound) -> Run:
+    def start(self, request: InboundRequest) -> Run:
         run = self.open[request.id] = Run(request)
         return run
 
--- a/ochrehoist/net/ending.py
+++ b/ochrehoist/net/ending.py
@@ -4,8 +4,8 @@
 from collections.abc import Callable, Sequence
 from typing import Any, Protocol
 
+from ochrehoist.core.messages import ShutdownRequested
 from ochrehoist.core.owner import Owner
-from ochrehoist.core.requests import Leaving
 from ochrehoist.net.loop import Loop
 
 MS = 1_000_000
@@ -39,14 +39,14 @@
             self.since = self.loop.looked
             age = int((time.monotonic() - self.since) * 1e9)
             self.log.info("leaving", stop_ms=self.stop_ms, in_hand=self.owner.owed, age_ms=age // MS)
-            self.owner.post(Leaving(max(0, self.stop_ms * MS - age), age))
+            self.owner.post(ShutdownRequested(max(0, self.stop_ms * MS - age), age))
             self.loop.spawn(self._drain)
 
     def _drain(self) -> None:
         """Answers all that was read, and ends as soon as no request can come any more."""
         stop = self.since + self.stop_ms / 1000 - END_EARLY
         # What comes later would not be run: from then on a refused connection tells as much.
-        closing = min(self.since + self.owner.settings.drain_grace / 1e9, stop - 0.3)
+        closing = min(self.since + self.owner.settings.drain_grace_ns / 1e9, stop - 0.3)
         while time.monotonic() < closing and self.owner.forwarder is None:
             self.loop.sleep(min(0.05, max(0.001, closing - time.monotonic())))
         if self.owner.forwarder is None:
@@ -65,7 +65,7 @@
         self.loop.spawn(self._retire, tell)
 
     def _retire(self, tell: Callable[[dict[str, int]], None]) -> None:
-        longest = max(c.deadline for c in self.owner.settings.classes) / 1e9
+        longest = max(c.deadline_ns for c in self.owner.settings.classes) / 1e9
         told: list[dict] = []
 
         def busy() -> bool:
--- a/ochrehoist/net/kernel.py
+++ b/ochrehoist/net/kernel.py
@@ -10,12 +10,15 @@
 from functools import partial
 from typing import Any
 
+from ochrehoist.admission.events import Outcome
+from ochrehoist.core.messages import ExecutorReady, GaugesMeasured, RunCompleted
 from ochrehoist.core.owner import Owner
-from ochrehoist.core.requests import Booted, Ended, Gauges, Inbound, Result
-from ochrehoist.interface import Outcome
+from ochrehoist.core.request import InboundRequest
+from ochrehoist.core.results import RunResult
+from ochrehoist.errors import OchrehoistError
 from ochrehoist.net.doubts import REACHED, Run, Runs
 from ochrehoist.net.loop import Loop, Signal
-from ochrehoist.net.stream import Closed, Stream, TimedOut, connect
+from ochrehoist.net.stream import ConnectionClosedError, Stream, StreamTimeoutError, connect
 
 MS = 1_000_000
 MAX_LINE = 1 << 20
@@ -26,14 +29,19 @@
 MUTE = 2.0  # the same on a link that tells other things meanwhile
 BOOT = 1.0  # s for the first word on a new link, once the kernel was up
 MAX_ASKED = 64  # questions without an answer that are remembered
-OUTCOMES = {"OK": Outcome.OK, "ERROR": Outcome.FAILED, "STOPPED": Outcome.CANCELLED, "MOOT": Outcome.MOOT}
+OUTCOMES = {
+    "OK": Outcome.OK,
+    "ERROR": Outcome.FAILED,
+    "STOPPED": Outcome.CANCELLED,
+    "MOOT": Outcome.NOT_STARTED,
+}
 
 
 def _line(**command: Any) -> bytes:
     return json.dumps(command, separators=(",", ":")).encode() + b"\n"
 
 
-class OutOfStep(Exception):
+class LinkSequenceError(OchrehoistError):
     """A notice was missed or can't be read: a new link tells it again."""
 
 
@@ -59,7 +67,7 @@
         self.shared: Callable[[], bool] = lambda: False  # whether another process may run something there
 
     # ---- for the core
-    def start(self, request: Inbound) -> None:
+    def start(self, request: InboundRequest) -> None:
         run = self.runs.start(request)
         if self.stream is not None:
             self._schedule(run)
@@ -139,9 +147,9 @@
             try:
                 if address == self.address:  # else it was moved while the connection was being made
                     self._talk(stream)
-            except (Closed, TimedOut):
+            except (ConnectionClosedError, StreamTimeoutError):
                 pass
-            except OutOfStep as error:
+            except LinkSequenceError as error:
                 why = str(error)
             except Exception:
                 self.log.exception("fault on the kernel link")
@@ -168,7 +176,7 @@
 
     def _let_go(self, run: Run) -> None:
         if run.doubtful and self.runs.is_open(run):
-            self._over(run.request.id, Result(Outcome.FAILED), int(LOST * 1e9))
+            self._over(run.request.id, RunResult(Outcome.FAILED), int(LOST * 1e9))
 
     def _talk(self, stream: Stream) -> None:
         stream.write(_line(cmd="OPEN", offset=self.offset))
@@ -186,19 +194,19 @@
             self.log.error("the kernel's notices have a gap", why=why, offset=self.offset)
             return self._wait_for_the_end_of(self.runs.gap())
         self.stepped_over = self.offset
-        raise OutOfStep(why)
+        raise LinkSequenceError(why)
 
     def _notice(self, stream: Stream, m: dict) -> None:
         command = m["cmd"]
         if command == "BOOTED":
             self.stream, self.booted, self.since = stream, True, time.monotonic()
             self.runs.linked(self.since)
-            self.owner.post(Booted(m["result"] == "COLD", int(m["elapsed_ms"] * MS)))
+            self.owner.post(ExecutorReady(m["result"] == "COLD", int(m["elapsed_ms"] * MS)))
             if self.runs.doubtful():
                 self.measure()  # answered after all notices of before
             for run in self.runs.not_given():
                 if run.request.answered:  # nobody waits for it any more
-                    self._over(run.request.id, Result(Outcome.MOOT), 0)
+                    self._over(run.request.id, RunResult(Outcome.NOT_STARTED), 0)
                 else:
                     self._schedule(run)
         elif command == "INFO":
@@ -209,7 +217,7 @@
                 self.runs.heed(asked, time.monotonic())
                 self._settle_doubts(asked, values.get("runnable"))
             self.measured_at = time.monotonic()
-            self.owner.post(Gauges(values))
+            self.owner.post(GaugesMeasured(values))
         elif command in ("REAP", "DMESG"):
             offset = m["offset"]
             if offset > self.offset + 1:
@@ -224,7 +232,7 @@
             self.log.warning(
                 "the kernel did not carry out a command", command=m.get("result"), id=m.get("req")
             )
-            self._over(m.get("req"), Result(Outcome.MOOT), 0)
+            self._over(m.get("req"), RunResult(Outcome.NOT_STARTED), 0)
         else:
             self.log.warning("unknown notice", command=command)
 
@@ -237,7 +245,7 @@
         for run in self.runs.lost(asked, runnable):
             self.log.info("a lost filing was found", id=run.request.id, answered=run.request.answered)
             if run.request.answered:
-                self._over(run.request.id, Result(Outcome.MOOT), 0)
+                self._over(run.request.id, RunResult(Outcome.NOT_STARTED), 0)
             else:
                 self._schedule(run)
         if self.runs.filings_in_doubt() and not self.asks_again:
@@ -250,7 +258,7 @@
         if self.runs.filings_in_doubt():
             self.measure()
 
-    def _end(self, m: dict) -> tuple[str, Result, int]:
+    def _end(self, m: dict) -> tuple[str, RunResult, int]:
         """Which run is over, its result, and how long it took; raises where that can't be read."""
         request_id = m["req"]
         try:
@@ -259,9 +267,9 @@
         except (ValueError, TypeError):
             if self.stepped_over != self.offset:
                 raise
-            return request_id, Result(Outcome.FAILED), 0  # told twice, and no better
-        return request_id, Result(OUTCOMES.get(m["result"], Outcome.FAILED), body), took
+            return request_id, RunResult(Outcome.FAILED), 0  # told twice, and no better
+        return request_id, RunResult(OUTCOMES.get(m["result"], Outcome.FAILED), body), took
 
-    def _over(self, request_id: str, result: Result, took: int) -> None:
+    def _over(self, request_id: str, result: RunResult, took: int) -> None:
         if self.runs.over(request_id) is not None:
-            self.owner.post(Ended(request_id, result, took))
+            self.owner.post(RunCompleted(request_id, result, took))
--- a/ochrehoist/net/link.py
+++ b/ochrehoist/net/link.py
@@ -16,14 +16,21 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
+from ochrehoist.admission.events import Outcome
 from ochrehoist.core import handover
 from ochrehoist.core.filings import RESULT_OVERHEAD
 from ochrehoist.core.forwarder import Forwarder
+from ochrehoist.core.messages import (
+    CallerDisconnected,
+    RequestArrived,
+    RunCompleted,
+    StandbyChanged,
+    StateTransferred,
+)
 from ochrehoist.core.owner import Owner
-from ochrehoist.core.requests import Arrived, Ended, Gone, Result, Standby, TakenOver
-from ochrehoist.interface import Outcome
+from ochrehoist.core.results import RunResult
 from ochrehoist.net.loop import Loop, Signal
-from ochrehoist.net.stream import Closed, Stream, TimedOut
+from ochrehoist.net.stream import ConnectionClosedError, Stream, StreamTimeoutError
 
 Address = tuple[str, int]
 MAX_LINE = 8 << 20
@@ -127,7 +134,7 @@
                 )
             elif asked == "take" and not self.owner.frozen and self.owner.forwarder is None:
                 self._hand_over(stream)
-        except (Closed, TimedOut, ValueError, KeyError, TypeError, OSError) as error:
+        except (ConnectionClosedError, StreamTimeoutError, ValueError, KeyError, TypeError, OSError) as error:
             self.log.warning("the link to another process ended", why=repr(error))
         finally:
             stream.close()
@@ -140,7 +147,7 @@
                 until = time.monotonic() + STILL
                 while len(stream.unsent) > AHEAD:
                     if stream.closed or time.monotonic() > until:
-                        raise TimedOut
+                        raise StreamTimeoutError
                     self.loop.sleep(0.001)
             yes = _read(stream, STILL)
             agreed = yes["m"] == "yes" and not stream.closed
@@ -212,7 +219,14 @@
             stream = Stream(self.loop, sock, MAX_UNSENT)
             try:
                 state = self._take(stream)
-            except (Closed, TimedOut, ValueError, KeyError, TypeError, handover.Unusable) as error:
+            except (
+                ConnectionClosedError,
+                StreamTimeoutError,
+                ValueError,
+                KeyError,
+                TypeError,
+                handover.Unusable,
+            ) as error:
                 # It goes on as it was: no yes is given without its keys.
                 self.log.warning("the state could not be taken over", why=repr(error))
                 stream.close()
@@ -248,7 +262,7 @@
         return not self.stream.closed
 
     def _go_on(self, state: handover.State | None) -> None:
-        self.owner.post(TakenOver(state))
+        self.owner.post(StateTransferred(state))
         self.log.info(
             "took over" if state else "nothing to take over",
             requests=len(state.requests) if state else 0,
@@ -260,7 +274,7 @@
         try:
             while True:
                 self._heard(_read(stream, None))
-        except (Closed, TimedOut):
+        except (ConnectionClosedError, StreamTimeoutError):
             pass
         except Exception:
             self.log.exception("fault on the link to the process before this one")
@@ -273,13 +287,15 @@
         if kind == "arrived":
             far = handover.Remote(line["id"], self._send, self.codec)
             classes = {c.name: c for c in owner.settings.classes}
-            owner.post(Arrived(handover.request_from(line, far, classes)))
+            owner.post(RequestArrived(handover.request_from(line, far, classes)))
         elif kind == "gone":
-            owner.post(Gone(line["id"], bool(line["gave_up"])))
+            owner.post(CallerDisconnected(line["id"], bool(line["gave_up"])))
         elif kind == "ended":
-            owner.post(Ended(line["id"], handover.result_from(line["result"], self.codec), int(line["took"])))
+            owner.post(
+                RunCompleted(line["id"], handover.result_from(line["result"], self.codec), int(line["took"]))
+            )
         elif kind == "standby":
-            owner.post(Standby(bool(line["on"])))
+            owner.post(StandbyChanged(bool(line["on"])))
         elif kind == "holds":
             self.holds(line["connections"])
 
@@ -289,14 +305,14 @@
         begun = [r.id for r in left if r.started]
         for r in left:
             if not r.started:
-                self.owner.post(Gone(r.id, gave_up=False))
+                self.owner.post(CallerDisconnected(r.id, gave_up=False))
         self.log.info("the process before this one has ended", left=len(left), running=len(begun))
         self.holds({})
 
         def over() -> None:
             self.present = False
             for request_id in begun:
-                self.owner.post(Ended(request_id, Result(Outcome.FAILED), int(RUNS_ON * 1e9)))
+                self.owner.post(RunCompleted(request_id, RunResult(Outcome.FAILED), int(RUNS_ON * 1e9)))
 
         self.loop.call_later(RUNS_ON, over)
 
--- a/ochrehoist/net/listener.py
+++ b/ochrehoist/net/listener.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from ochrehoist.net.loop import Loop
-from ochrehoist.net.stream import BACKLOG, Closed, Stream, TimedOut, listen
+from ochrehoist.net.stream import BACKLOG, ConnectionClosedError, Stream, StreamTimeoutError, listen
 
 PAUSE = 0.05  # s without accepting when no descriptor is to be had
 
@@ -191,7 +191,7 @@
     def _run(self, stream: Stream) -> None:
         try:
             self.serve(stream)
-        except (Closed, TimedOut):
+        except (ConnectionClosedError, StreamTimeoutError):
             pass
         finally:
             stream.close_when_sent()
--- a/ochrehoist/net/members.py
+++ b/ochrehoist/net/members.py
@@ -12,7 +12,7 @@
 
 from ochrehoist.core.owner import Owner
 from ochrehoist.net.loop import Loop, Signal
-from ochrehoist.net.stream import Closed, Stream, connect
+from ochrehoist.net.stream import ConnectionClosedError, Stream, connect
 
 EVERY = 0.8  # s from one report to the next; an entry lapses after 3
 RETRY = 0.2  # s between tries while the service is out of reach
@@ -57,7 +57,7 @@
                     self.stream = None
                 if status in (204, None):
                     pause = EVERY
-            except (OSError, Closed, ValueError, IndexError) as error:
+            except (OSError, ConnectionClosedError, ValueError, IndexError) as error:
                 status, good, why = 0, False, repr(error)
             if status != 204:
                 self._close()
@@ -97,7 +97,7 @@
             stream = connect(self.loop, address, CONNECT)
             if address != self.address or self.stopped:  # moved while the connection was being made
                 stream.close()
-                raise Closed
+                raise ConnectionClosedError
             stream.arrived = self.changed  # one wait for an answer and for a change
             self.stream = stream
         return self.stream
@@ -114,7 +114,7 @@
         """The status; None where it is not here by the time that the next report is due or has changed."""
         while (status := self._status(stream)) is None:
             if stream.ended or len(stream.buffer) > MAX_ANSWER:
-                raise Closed
+                raise ConnectionClosedError
             if time.monotonic() >= until or phase != self._phase():
                 break
             stream.watch(
--- a/ochrehoist/net/operators.py
+++ b/ochrehoist/net/operators.py
@@ -8,9 +8,10 @@
 from http import HTTPStatus
 from typing import Any
 
+from ochrehoist.errors import OchrehoistError
 from ochrehoist.net.listener import Service, close_least
 from ochrehoist.net.loop import Loop
-from ochrehoist.net.stream import Closed, Stream, TimedOut
+from ochrehoist.net.stream import ConnectionClosedError, Stream, StreamTimeoutError
 
 WHOLE = 2.5  # s for a whole call: the silent and the half-sent must not keep their places
 YOUNG = 0.2  # s that a connection has before it may have to make room
@@ -30,7 +31,7 @@
     return Answer(status, json.dumps(values).encode() + b"\n")
 
 
-class Rejected(Exception):
+class Rejected(OchrehoistError):
     """A call that can't be carried out, and the status that says why."""
 
     def __init__(self, status: HTTPStatus, why: str) -> None:
@@ -71,7 +72,7 @@
             answer, more = self._carry_out(method, path)
         except Rejected as error:
             answer, more = said({"error": str(error)}, error.status), b""
-        except (Closed, TimedOut):
+        except (ConnectionClosedError, StreamTimeoutError):
             raise
         except Exception:
             self.log.exception("fault in an operator's call")
--- a/ochrehoist/net/peers.py
+++ b/ochrehoist/net/peers.py
@@ -10,12 +10,12 @@
 from collections.abc import Callable, Generator, Mapping
 from typing import Any
 
-from ochrehoist.config import Config
+from ochrehoist.admission.settings import Tenant
+from ochrehoist.config.loader import Config
 from ochrehoist.core.figures import counted
 from ochrehoist.core.owner import Owner
-from ochrehoist.core.requests import Inbound
+from ochrehoist.core.request import InboundRequest
 from ochrehoist.core.tenants import Tenants
-from ochrehoist.interface import Tenant
 from ochrehoist.net.loop import Loop
 from ochrehoist.peers import wire
 from ochrehoist.peers.group import Group, Send, Terms
@@ -233,14 +233,14 @@
             self.sock = None
 
     # ---- the core's observer
-    def arrived(self, request: Inbound) -> None:
+    def arrived(self, request: InboundRequest) -> None:
         budget = self.tenants.get(request.tenant)
         if budget is not None:
             now = time.monotonic()
             wants, _ = self.group.shares[budget].meter.wants(now)
             self.group.asked(budget, wants <= self.part(budget), now)
 
-    def answered(self, request: Inbound, figure: str | None, backoff: int) -> None:
+    def answered(self, request: InboundRequest, figure: str | None, backoff: int) -> None:
         if figure is not None:
             word = figure.removesuffix("_total")
             self.group.ledger.add(f"class/{request.cls.name}/{word}")
--- a/ochrehoist/net/recovery.py
+++ b/ochrehoist/net/recovery.py
@@ -6,10 +6,10 @@
 from pathlib import Path
 from typing import Any
 
-from ochrehoist.config import Config
+from ochrehoist.config.loader import Config
 from ochrehoist.core.figures import counted
 from ochrehoist.core.owner import Owner
-from ochrehoist.core.requests import Inbound
+from ochrehoist.core.request import InboundRequest
 from ochrehoist.net.loop import Loop
 from ochrehoist.net.offloop import OffLoop
 from ochrehoist.peers.wire import Life
@@ -88,7 +88,7 @@
         """The store is in use, and what is on record is known."""
         self.restored = keys
         if self.config.witnesses and self.asked is None:
-            longest = max((c.window for c in self.owner.settings.classes), default=0) / S
+            longest = max((c.idempotency_window_ns for c in self.owner.settings.classes), default=0) / S
             self.asked = Asked(
                 self.config.witnesses, longest + SLACK_S, secrets.randbits(40), time.monotonic()
             )
@@ -224,15 +224,15 @@
             file.write(line)
 
     # ---- the core's observer
-    def arrived(self, request: Inbound) -> None:
+    def arrived(self, request: InboundRequest) -> None:
         pass
 
-    def answered(self, request: Inbound, figure: str | None, backoff: int) -> None:
+    def answered(self, request: InboundRequest, figure: str | None, backoff: int) -> None:
         if figure is None:
             return
         now = time.monotonic()
         if figure == "answered_total":
-            late = self.owner.now > request.arrived + request.cls.aim
+            late = self.owner.now > request.arrived + request.cls.latency_objective_ns
             self.service.count("late" if late else "good", now)
         else:
             self.service.count("refused" if figure == "deferred_total" else "failed", now)
--- a/ochrehoist/net/selfmeasure.py
+++ b/ochrehoist/net/selfmeasure.py
@@ -10,15 +10,15 @@
 from termios import FIONREAD
 from typing import Any
 
-from ochrehoist.config import OverloadConfig
+from ochrehoist.admission.settings import AdmissionSettings
+from ochrehoist.config.loader import OverloadConfig
 from ochrehoist.core.figures import counted
 from ochrehoist.core.owner import Owner
 from ochrehoist.core.tenants import Tenants
-from ochrehoist.interface import Settings
-from ochrehoist.limits.admission import Admission
-from ochrehoist.limits.limiter import Limiter
-from ochrehoist.limits.watch import LOOK_S, Parts, Sample, Watch
 from ochrehoist.net.loop import Loop
+from ochrehoist.overload.admission import Admission
+from ochrehoist.overload.limiter import Limiter
+from ochrehoist.overload.watch import LOOK_S, Parts, Sample, Watch
 
 PAGE = os.sysconf("SC_PAGE_SIZE")
 SAID_S = 5.0  # between two lines of the log while it sheds
@@ -51,7 +51,7 @@
         loop.meter = self._round
         loop.call_later(LOOK_S, self._look)
 
-    def configure(self, settings: Settings, config: OverloadConfig | None, tenants: Tenants) -> None:
+    def configure(self, settings: AdmissionSettings, config: OverloadConfig | None, tenants: Tenants) -> None:
         """Settings read again. What was off at the start stays off, and the other way round."""
         if config is not None:
             self.limiter.config = config
--- a/ochrehoist/net/sites.py
+++ b/ochrehoist/net/sites.py
@@ -7,10 +7,10 @@
 from http import HTTPStatus
 from typing import Any
 
-from ochrehoist.config import Config
+from ochrehoist.config.loader import Config
 from ochrehoist.core.figures import counted
+from ochrehoist.core.messages import StandbyChanged
 from ochrehoist.core.owner import Owner
-from ochrehoist.core.requests import Standby
 from ochrehoist.core.tenants import Tenants
 from ochrehoist.net.loop import Loop
 from ochrehoist.net.operators import Answer, said
@@ -82,7 +82,7 @@
         self.owner.part = self.desk.part
         if self.desk.empty != self.emptied:
             self.emptied = self.desk.empty
-            self.owner.post(Standby(self.emptied))
+            self.owner.post(StandbyChanged(self.emptied))
         while self.desk.news:
             event, details = self.desk.news.popleft()
             self.log.warning(event, **details)
--- a/ochrehoist/net/stream.py
+++ b/ochrehoist/net/stream.py
@@ -5,6 +5,7 @@
 import time
 from collections.abc import Callable
 
+from ochrehoist.errors import OchrehoistError
 from ochrehoist.net.loop import Loop, Signal, Timer
 
 READ = 16384  # at once: what hundreds of connections have read and not yet used must fit in memory
@@ -14,11 +15,11 @@
 MAX_DROPPED = 256 * 1024  # of what still comes then; from there on it is not even read
 
 
-class Closed(Exception):
+class ConnectionClosedError(OchrehoistError):
     """The connection has ended, or was ended by us."""
 
 
-class TimedOut(Exception):
+class StreamTimeoutError(OchrehoistError):
     """The peer took too long."""
 
 
@@ -55,7 +56,7 @@
         had, until = len(self.buffer), None if timeout is None else time.monotonic() + timeout
         while len(self.buffer) == had:
             if self.ended:
-                raise Closed
+                raise ConnectionClosedError
             self._want_input()
             if (
                 not self.arrived.wait(None if until is None else until - time.monotonic())
@@ -63,7 +64,7 @@
                 and time.monotonic() >= until
             ):
                 if not self.look() and not self.ended:
-                    raise TimedOut
+                    raise StreamTimeoutError
 
     def watch(self, done: Callable[[], bool], timeout: float | None = None) -> None:
         """Waits until done() holds (checked at each `arrived`, and as time is up), more comes or it ends."""
@@ -114,7 +115,7 @@
         while (at := self.buffer.find(b"\n", start)) < 0:
             start = len(self.buffer)
             if start > limit:
-                raise Closed
+                raise ConnectionClosedError
             self.fill(None if until is None else until - time.monotonic())
         line = bytes(self.buffer[:at])
         del self.buffer[: at + 1]
--- a/ochrehoist/net/thrift.py
+++ b/ochrehoist/net/thrift.py
@@ -7,6 +7,8 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
+from ochrehoist.errors import OchrehoistError
+
 VERSION = 0x80010000
 CALL, REPLY, EXCEPTION, ONEWAY = 1, 2, 3, 4
 STOP, BOOL, BYTE, DOUBLE, I16, I32, I64 = 0, 2, 3, 4, 6, 8, 10
@@ -19,11 +21,11 @@
 _FIELD = struct.Struct(">bh")
 
 
-class BadFrame(Exception):
+class MalformedFrameError(OchrehoistError):
     """The frame can't be read: the connection is of no further use."""
 
 
-class BadArguments(Exception):
+class InvalidArgumentsError(OchrehoistError):
     """The message is whole, but its arguments are not what the method takes."""
 
 
@@ -42,20 +44,20 @@
     def take(self, count: int) -> bytes:
         end = self.at + count
         if count < 0 or end > len(self.data):
-            raise BadFrame("a length beyond the frame")
+            raise MalformedFrameError("a length beyond the frame")
         data, self.at = self.data[self.at : end], end
         return data
 
     def byte(self) -> int:
         if self.at >= len(self.data):
-            raise BadFrame("a length beyond the frame")
+            raise MalformedFrameError("a length beyond the frame")
         self.at += 1
         return self.data[self.at - 1]
 
     def i32(self) -> int:
         self.at += 4
         if self.at > len(self.data):
-            raise BadFrame("a length beyond the frame")
+            raise MalformedFrameError("a length beyond the frame")
         return _I32.unpack_from(self.data, self.at - 4)[0]
 
     def string(self) -> bytes:
@@ -70,26 +72,26 @@
         """A map of strings to strings."""
         key, value, count = self.byte(), self.byte(), self.i32()
         if count < 0 or count * 8 > len(self.data) - self.at:
-            raise BadFrame("a count beyond the frame")
+            raise MalformedFrameError("a count beyond the frame")
         if count and (key, value) != (STRING, STRING):
-            raise BadFrame("a map of other types")
+            raise MalformedFrameError("a map of other types")
         # Each request has a dozen: read in place, since what is then refused should cost least.
         data, at, end, texts, unpack = self.data, self.at, len(self.data), [], _I32.unpack_from
         for _ in range(2 * count):
             start = at + 4
             if start > end:
-                raise BadFrame("a length beyond the frame")
+                raise MalformedFrameError("a length beyond the frame")
             size = unpack(data, at)[0]
             at = start + size
             if size < 0 or at > end:
-                raise BadFrame("a length beyond the frame")
+                raise MalformedFrameError("a length beyond the frame")
             texts.append(data[start:at])
         self.at = at
         return dict(zip(texts[::2], texts[1::2], strict=True))
 
     def skip(self, kind: int, depth: int = 0) -> None:
         if depth > MAX_DEPTH:
-            raise BadFrame("nested too deeply")
+            raise MalformedFrameError("nested too deeply")
         if kind in SIZES:
             self.take(SIZES[kind])
         elif kind == STRING:
@@ -102,19 +104,19 @@
             count = self.i32()
             # Each element takes a byte at least: a count beyond that would spin for nothing.
             if count < 0 or count > len(self.data) - self.at:
-                raise BadFrame("a count beyond the frame")
+                raise MalformedFrameError("a count beyond the frame")
             for _ in range(count):
                 for inner in kinds:
                     self.skip(inner, depth + 1)
         else:
-            raise BadFrame(f"an unknown type {kind}")
+            raise MalformedFrameError(f"an unknown type {kind}")
 
 
 def parse(frame: bytes) -> Message:
     c = Cursor(frame)
     head = c.i32() & 0xFFFFFFFF
     if head & 0xFFFF0000 != VERSION:
-        raise BadFrame("not the strict protocol")
+        raise MalformedFrameError("not the strict protocol")
     name = c.string()
     return Message(head & 0xFF, name, c.i32(), c)
 
--- a/ochrehoist/net/thrift_front.py
+++ b/ochrehoist/net/thrift_front.py
@@ -8,13 +8,16 @@
 from hashlib import sha256
 from typing import Any
 
+from ochrehoist.admission.settings import AdmissionSettings, Idempotency, RequestClass
+from ochrehoist.core.messages import CallerDisconnected, RequestArrived
 from ochrehoist.core.owner import Owner
-from ochrehoist.core.requests import Admission, Arrived, Executor, Gone, Inbound, Reason, Result
-from ochrehoist.interface import Repeat, RequestClass, Settings
+from ochrehoist.core.protocols import AdmissionFilter, Executor
+from ochrehoist.core.request import InboundRequest
+from ochrehoist.core.results import FailureReason, RunResult
 from ochrehoist.net import thrift
 from ochrehoist.net.listener import Listening, Pace, close_least
 from ochrehoist.net.loop import Loop
-from ochrehoist.net.stream import Closed, Stream, TimedOut
+from ochrehoist.net.stream import ConnectionClosedError, Stream, StreamTimeoutError
 
 MS = 1_000_000
 MAX_FRAME = 16 * 1024  # a body has 2 KiB at most, its fields far less; hundreds may be half sent at once
@@ -54,12 +57,12 @@
         value = self.values.get(name.encode())
         if value is None:
             if required:
-                raise thrift.BadArguments(f"field {name}: missing")
+                raise thrift.InvalidArgumentsError(f"field {name}: missing")
             return None
         try:
             return value.decode()
         except UnicodeDecodeError:
-            raise thrift.BadArguments(f"field {name}: not text") from None
+            raise thrift.InvalidArgumentsError(f"field {name}: not text") from None
 
     def number(self, name: str, least: float, below: float, required: bool = True) -> float | None:
         text = self.text(name, required)
@@ -70,7 +73,7 @@
         except ValueError:
             value = math.nan
         if not least <= value < below:  # NaN compares false
-            raise thrift.BadArguments(f"field {name}: unusable value")
+            raise thrift.InvalidArgumentsError(f"field {name}: unusable value")
         return value
 
     def whole(self, name: str, required: bool = True) -> int | None:
@@ -78,7 +81,7 @@
         if text is None:
             return None
         if not (text.isascii() and text.isdigit() and len(text) <= 15):
-            raise thrift.BadArguments(f"field {name}: not a whole number")
+            raise thrift.InvalidArgumentsError(f"field {name}: not a whole number")
         return int(text)
 
 
@@ -90,29 +93,31 @@
         self.classes: dict[str, RequestClass] = {}  # also those that are gone: the core answers them
         self.configure(owner.settings)
 
-    def configure(self, settings: Settings) -> None:
+    def configure(self, settings: AdmissionSettings) -> None:
         self.classes.update((c.name, c) for c in settings.classes)
 
-    def request(self, values: dict[bytes, bytes], body: bytes, responder: "ThriftResponder") -> Inbound:
+    def request(
+        self, values: dict[bytes, bytes], body: bytes, responder: "ThriftResponder"
+    ) -> InboundRequest:
         f = Fields(values)
         method, rid = f.text("method"), f.text("rid")
         cls = self.classes.get(method)
         if cls is None:
-            raise thrift.BadArguments("field method: unknown class")
+            raise thrift.InvalidArgumentsError("field method: unknown class")
         if len(rid) != 16 or not HEX.issuperset(rid):
-            raise thrift.BadArguments("field rid: not 16 hex digits")
+            raise thrift.InvalidArgumentsError("field rid: not 16 hex digits")
         tenants = self.owner.tenants
         acct = f.text("acct", required=bool(tenants.places))
         if acct is not None and not tenants.known(acct):  # one that is gone may repeat a filing that ran
-            raise thrift.BadArguments("field acct: unknown tenant")
-        keyed = cls.repeat is Repeat.KEYED
+            raise thrift.InvalidArgumentsError("field acct: unknown tenant")
+        keyed = cls.idempotency is Idempotency.KEYED
         token = f.text("token", required=keyed)
         if keyed and not token:
-            raise thrift.BadArguments("field token: empty")
+            raise thrift.InvalidArgumentsError("field token: empty")
         if len(body) > MAX_BODY:
-            raise thrift.BadArguments("body: too long")
+            raise thrift.InvalidArgumentsError("body: too long")
         est = f.number("est", 0.0, 1e9, required=False)
-        return Inbound(
+        return InboundRequest(
             id=rid,
             cls=cls,
             arrived=f.whole("t0") * MS,
@@ -127,7 +132,7 @@
             memory_kb=f.number("mem", SMALLEST, 2000.0),
             rank=f.number("prio", 0.0, 1.0, required=False) or 0.0,
             retry=f.text("again", required=False) == "1",
-            write=cls.repeat is not Repeat.SAFE,
+            write=cls.idempotency is not Idempotency.IDEMPOTENT,
             caller=f.whole("peer", required=False) or 0,
         )
 
@@ -143,7 +148,7 @@
     def _reply(self, field_id: int, value: bytes) -> None:
         self.connection.answer(self.seqid, thrift.reply(INVOKE, self.seqid, field_id, value))
 
-    def served(self, result: Result) -> bool:
+    def served(self, result: RunResult) -> bool:
         if not result.success or len(result.body) > MAX_RESULT:
             # A run of another front made it: an error there, or more than this wire can carry.
             self._reply(2, thrift.problem({b"reason": b"no result that this protocol can carry"}))
@@ -163,7 +168,7 @@
     def origin(self) -> tuple[str, str]:
         return "thrift", self.connection.stream.peer
 
-    def failed(self, reason: Reason, result: Result | None = None) -> None:
+    def failed(self, reason: FailureReason, result: RunResult | None = None) -> None:
         self._reply(2, thrift.problem({b"reason": reason.value.encode()}))
 
 
@@ -198,12 +203,12 @@
                 self._frame(self._next())
                 if not self.served:
                     self.pace.keep()
-        except Closed:
+        except ConnectionClosedError:
             if not self.stream.closing:
                 self.stream.close()
-        except TimedOut:
+        except StreamTimeoutError:
             self._spoil()
-        except thrift.BadFrame as error:  # ends this connection only
+        except thrift.MalformedFrameError as error:  # ends this connection only
             self.front.bad_frame(str(error))
             self._spoil()
         except BaseException:
@@ -240,7 +245,7 @@
         until = (time.monotonic() if self.known else self.opened) + WHOLE
         size = int.from_bytes(self.stream.take(4, until - time.monotonic()), "big")
         if size > MAX_FRAME:
-            raise thrift.BadFrame("frame too long")
+            raise thrift.MalformedFrameError("frame too long")
         return self.stream.take(size, until - time.monotonic())
 
     def _frame(self, frame: bytes) -> None:
@@ -257,7 +262,7 @@
                 if (kind, number) == (thrift.I32, 1):
                     gone = self.open.pop(m.args.i32(), None)
                     if gone is not None:
-                        self.front.owner.post(Gone(gone))
+                        self.front.owner.post(CallerDisconnected(gone))
                 else:
                     m.args.skip(kind)
         elif m.kind == thrift.CALL:
@@ -265,7 +270,7 @@
                 thrift.application_exception(m.method, m.seqid, thrift.UNKNOWN_METHOD, "unknown method")
             )
         elif m.kind != thrift.ONEWAY:
-            raise thrift.BadFrame("neither a call nor a oneway message")
+            raise thrift.MalformedFrameError("neither a call nor a oneway message")
 
     def _invoke(self, m: thrift.Message) -> None:
         values, body = None, b""
@@ -278,17 +283,17 @@
                 else:
                     m.args.skip(kind)
             if values is None:
-                raise thrift.BadArguments("fields: missing")
+                raise thrift.InvalidArgumentsError("fields: missing")
             if m.seqid in self.open:  # nobody could tell whose answer the next one is
                 self.front.bad_frame("a sequence number in use")
-                raise Closed
+                raise ConnectionClosedError
             if len(self.open) >= MAX_OPEN:
-                raise thrift.BadArguments("too many requests open")
+                raise thrift.InvalidArgumentsError("too many requests open")
             if self.front.admission is not None and self._ask_admission(m.seqid, values):
                 return
             responder = ThriftResponder(self, m.seqid)
             request = self.front.reader.request(values, body, responder)
-        except thrift.BadArguments as error:
+        except thrift.InvalidArgumentsError as error:
             self._write(thrift.application_exception(INVOKE, m.seqid, thrift.PROTOCOL_ERROR, str(error)))
             method = (values or {}).get(b"method", b"").decode("latin-1")
             if method in self.front.reader.classes:
@@ -297,7 +302,7 @@
         self.checks_only = False
         self.calls += 1
         self.open[m.seqid] = request.id
-        self.front.owner.post(Arrived(request))
+        self.front.owner.post(RequestArrived(request))
 
     def _ask_admission(self, seqid: int, values: dict[bytes, bytes]) -> bool:
         """Turns away what the worker is too far behind to decide on, by as little of it as can be read."""
@@ -362,15 +367,15 @@
         self.connections: set[Connection] = set()
         self.max_unsent = max_unsent  # bytes of all answers that are not taken yet
         self.draining = False
-        self.admission: Admission | None = None
+        self.admission: AdmissionFilter | None = None
         self.names: dict[bytes, str] = {}  # classes by what is on the wire
         self.configure(owner.settings)
-        self.idle: float = owner.settings.idle / 1e9
+        self.idle: float = owner.settings.idle_timeout_ns / 1e9
         self.bad_frames, self.why, self.logged = 0, "", 0.0
         self.listening = Listening(loop, address, self._accepted, max_connections, log, sock, self._make_room)
         loop.call_later(0.1, self._sweep)
 
-    def configure(self, settings: Settings) -> None:
+    def configure(self, settings: AdmissionSettings) -> None:
         self.reader.configure(settings)
         self.names = {name.encode(): name for name in self.reader.classes}
 
@@ -384,7 +389,7 @@
         self.connections.discard(connection)
         self.listening.closed()
         for rid in connection.open.values():
-            self.owner.post(Gone(rid, gave_up=False))
+            self.owner.post(CallerDisconnected(rid, gave_up=False))
         connection.open.clear()
 
     def bad_frame(self, why: str) -> None:
--- a/ochrehoist/limits/admission.py
+++ b/ochrehoist/overload/admission.py
@@ -12,10 +12,10 @@
 from random import Random
 from typing import Any
 
+from ochrehoist.admission.settings import AdmissionSettings, Idempotency
 from ochrehoist.core.tenants import Tenants, first
-from ochrehoist.interface import Repeat, Settings
-from ochrehoist.limits.allot import Ask, allot
-from ochrehoist.limits.watch import Watch
+from ochrehoist.overload.allot import Ask, allot
+from ochrehoist.overload.watch import Watch
 
 S = 1_000_000_000
 FLOOR = 0.05  # of what is let in, for each class: none starves, whatever it is worth
@@ -36,7 +36,9 @@
 class Admission:
     """`admits` for each request that may be run again; `look` ten times a second."""
 
-    def __init__(self, watch: Watch, settings: Settings, seed: int, tenants: Tenants | None = None) -> None:
+    def __init__(
+        self, watch: Watch, settings: AdmissionSettings, seed: int, tenants: Tenants | None = None
+    ) -> None:
         self.watch, self.rng = watch, Random(seed)
         self.asked: Counter[Group] = Counter()  # in this look
         self.lately: dict[Group, float] = {}  # a look, on a mean
@@ -46,12 +48,12 @@
         self.since_look = Counts()
         self.configure(settings, tenants)
 
-    def configure(self, settings: Settings, tenants: Tenants | None = None) -> None:
+    def configure(self, settings: AdmissionSettings, tenants: Tenants | None = None) -> None:
         """Takes new classes and tenants; what is open keeps what it was told."""
-        worths = sorted({c.worth for c in settings.classes}, reverse=True)
-        self.ranks = {c.name: worths.index(c.worth) for c in settings.classes}
-        self.safe = {c.name: c.repeat is Repeat.SAFE for c in settings.classes}
-        self.aims = {c.name: c.aim for c in settings.classes}
+        worths = sorted({c.priority_weight for c in settings.classes}, reverse=True)
+        self.ranks = {c.name: worths.index(c.priority_weight) for c in settings.classes}
+        self.safe = {c.name: c.idempotency is Idempotency.IDEMPOTENT for c in settings.classes}
+        self.aims = {c.name: c.latency_objective_ns for c in settings.classes}
         self.tenants = tenants if tenants is not None else first(settings.tenants)
 
     def may_shed(self, cls: str) -> bool:
--- a/ochrehoist/limits/limiter.py
+++ b/ochrehoist/overload/limiter.py
@@ -6,13 +6,15 @@
 from collections.abc import Mapping
 from typing import Any
 
-from ochrehoist.config import OverloadConfig
-from ochrehoist.core.requests import Inbound, Refusal
-from ochrehoist.interface import Limits, Outcome, Settings
-from ochrehoist.limits.controllers import CONTROLLERS, Bounds, Fixed, Windows
-from ochrehoist.limits.outliers import FIRST, HEAVY, Outliers
-from ochrehoist.limits.pools import Seen, cheap, limits
-from ochrehoist.limits.storms import Storms
+from ochrehoist.admission.events import ConcurrencyLimits, Outcome
+from ochrehoist.admission.settings import AdmissionSettings
+from ochrehoist.config.loader import OverloadConfig
+from ochrehoist.core.request import InboundRequest
+from ochrehoist.core.results import Rejection
+from ochrehoist.overload.controllers import CONTROLLERS, Bounds, Fixed, Windows
+from ochrehoist.overload.outliers import FIRST, HEAVY, Outliers
+from ochrehoist.overload.pools import Seen, cheap, limits
+from ochrehoist.overload.storms import Storms
 
 S = 1_000_000_000
 STORM_BACKOFF = S  # that one over its caller's budget is told
@@ -20,22 +22,25 @@
 
 
 class Limiter:
-    def __init__(self, config: OverloadConfig, settings: Settings, seed: int) -> None:
+    def __init__(self, config: OverloadConfig, settings: AdmissionSettings, seed: int) -> None:
         self.config, self.seed = config, seed
         self.outliers, self.storms, self.windows = Outliers(), Storms(seed), Windows()
         self.seen: dict[str, Seen] = {}
         self.units: dict[str, float] = {}  # what one of a class counts as, fixed once known
         self.running, self.at = 0, 0.0
-        self.told: Limits | None = None
+        self.told: ConcurrencyLimits | None = None
         self.cheap: set[str] = set()
         self.clipped = 0
         self.controller: Any = None
         self.configure(settings)
 
-    def configure(self, settings: Settings) -> None:
+    def configure(self, settings: AdmissionSettings) -> None:
         """Takes new settings; what was learned of classes that stay is kept."""
         self.settings = settings
-        c, crowd = self.config, max(settings.cores + 1, int(settings.cores * settings.tip_multiple * 0.8))
+        c, crowd = (
+            self.config,
+            max(settings.cores + 1, int(settings.cores * settings.collapse_multiple * 0.8)),
+        )
         bounds = Bounds(c.least or max(1, settings.cores // 4), c.most or crowd)
         kind = CONTROLLERS.get(c.controller, Fixed)
         if not isinstance(self.controller, kind) or kind is Fixed:
@@ -54,7 +59,7 @@
         return t
 
     # ---- what the core tells
-    def arrives(self, r: Inbound, now: int) -> Refusal | None:
+    def arrives(self, r: InboundRequest, now: int) -> Rejection | None:
         """Whether one that never ran is turned away before the module hears of it."""
         t = self._pass(now)
         if (seen := self.seen.get(r.cls.name)) is not None:
@@ -65,22 +70,22 @@
         allowed = self.storms.allows(self._caller(r), self._likeness(r), r.retry, full, t)
         # A filing is worth more than a first try of a read; the cheap cost little more than to refuse them.
         if not allowed and r.token is None and r.cls.name not in self.cheap:
-            return Refusal(self.storms.spread(STORM_BACKOFF))
+            return Rejection(self.storms.spread(STORM_BACKOFF))
         return None
 
-    def times(self, r: Inbound, now: int) -> float:
+    def times(self, r: InboundRequest, now: int) -> float:
         """How many times the usual it will cost."""
         if not self.config.lane:
             return 1.0
         return self.outliers.times(r, now / S)
 
-    def begun(self, r: Inbound, now: int) -> None:
+    def begun(self, r: InboundRequest, now: int) -> None:
         self._pass(now)
         self.running += 1
         if (seen := self.seen.get(r.cls.name)) is not None:
             seen.running += 1
 
-    def ended(self, r: Inbound, now: int, took: int, outcome: Outcome) -> int:
+    def ended(self, r: InboundRequest, now: int, took: int, outcome: Outcome) -> int:
         """Learns from a run; gives the time that the module is to hear."""
         t = self._pass(now)
         crowding = max(1.0, self.running / max(1, self.settings.cores))
@@ -104,14 +109,14 @@
             return int(took * TOLD / times)
         return took
 
-    def refused(self, r: Inbound, backoff: int, now: int) -> int:
+    def refused(self, r: InboundRequest, backoff: int, now: int) -> int:
         """The time to stay away that it is told."""
         if not self.config.retries:
             return backoff
         self.storms.was_refused(self._likeness(r), now / S)
         return self.storms.spread(backoff)
 
-    def look(self, now: int, held: Mapping[str, int]) -> Limits | None:
+    def look(self, now: int, held: Mapping[str, int]) -> ConcurrencyLimits | None:
         """What the module is to keep to, where that has changed; `held` are requests by class."""
         t = self._pass(now)
         for name, seen in self.seen.items():
@@ -130,10 +135,10 @@
 
     # ---- how callers and repeats are told apart
     @staticmethod
-    def _caller(r: Inbound) -> int | str:
+    def _caller(r: InboundRequest) -> int | str:
         return r.caller or r.responder.origin()[1]
 
-    def _likeness(self, r: Inbound) -> tuple:
+    def _likeness(self, r: InboundRequest) -> tuple:
         return self._caller(r), r.cls.name, r.key or r.token, r.work or r.memory_kb
 
     def view(self) -> dict[str, Any]:
@@ -143,7 +148,7 @@
             "controller": self.config.controller,
             "running": self.running,
             "cheap": sorted(self.cheap),
-            "floors": dict(zip([c.name for c in self.settings.classes], self.told.floors, strict=False))
+            "floors": dict(zip([c.name for c in self.settings.classes], self.told.class_floors, strict=False))
             if self.told
             else {},
             "usual_ms": {name: round(s.cost * 1000, 1) for name, s in self.seen.items() if s.cost},
--- a/ochrehoist/limits/outliers.py
+++ b/ochrehoist/overload/outliers.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-from ochrehoist.core.requests import Inbound
+from ochrehoist.core.request import InboundRequest
 
 HEAVY = 6.0  # times the usual, from which on one belongs in the narrow lane
 MOST_TIMES = 40.0  # that is believed
@@ -91,7 +91,7 @@
         self.found = dict.fromkeys(Why, 0)
         self.missed = 0  # ran as heavy unforeseen
 
-    def times(self, r: Inbound, now: float) -> float:
+    def times(self, r: InboundRequest, now: float) -> float:
         usual = self.usual.get(r.cls.name)
         if usual is None or usual.took.count < FIRST:
             return 1.0
@@ -106,12 +106,12 @@
         return 1.0
 
     @staticmethod
-    def _by_stated(usual: Usual, r: Inbound) -> float:
+    def _by_stated(usual: Usual, r: InboundRequest) -> float:
         if not r.work or usual.agrees.share < AGREES:
             return 0.0
         return math.log(r.work / 1e9) - usual.stated.value
 
-    def _by_subject(self, r: Inbound, now: float) -> float:
+    def _by_subject(self, r: InboundRequest, now: float) -> float:
         known = self.subjects.get((r.cls.name, r.key)) if r.key else None
         if known is None:
             return 0.0
@@ -119,12 +119,12 @@
         return value * 0.5 ** ((now - at) / FORGET_S)
 
     @staticmethod
-    def _by_size(usual: Usual, r: Inbound) -> float:
+    def _by_size(usual: Usual, r: InboundRequest) -> float:
         if not _large(usual, r) or usual.large_heavy < SIZE_SEEN or usual.large_heavy < 0.7 * usual.large:
             return 0.0
         return math.log(HEAVY)
 
-    def ended(self, r: Inbound, now: float, took: float, crowding: float) -> float:
+    def ended(self, r: InboundRequest, now: float, took: float, crowding: float) -> float:
         """Learns from a run that took so long (s) where runs took `crowding` times their time alone; gives
         how many times the usual it was."""
         usual = self.usual.setdefault(r.cls.name, Usual())
@@ -156,7 +156,7 @@
             self.subjects.popitem(last=False)
 
 
-def _large(usual: Usual, r: Inbound) -> bool:
+def _large(usual: Usual, r: InboundRequest) -> bool:
     return (
         usual.size.count >= FIRST
         and r.memory_kb > 0
--- a/ochrehoist/limits/pools.py
+++ b/ochrehoist/overload/pools.py
@@ -9,7 +9,8 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from ochrehoist.interface import UNLIMITED, Limits, Repeat, Settings
+from ochrehoist.admission.events import UNLIMITED, ConcurrencyLimits
+from ochrehoist.admission.settings import AdmissionSettings, Idempotency
 
 CHEAP = 0.2  # of the mean cost of all that runs, up to which a class is cheap
 RESERVE = 0.1  # of the limit that the cheap keep
@@ -41,16 +42,16 @@
 
 def limits(
     total: float | None,
-    settings: Settings,
+    settings: AdmissionSettings,
     seen: Mapping[str, Seen],
     now: float,
     cheap_classes: set[str],
     lane: bool,
-) -> Limits:
+) -> ConcurrencyLimits:
     """What the module is to keep to until it is told anew. Without a `total` it finds by itself how many run;
     pools are then parts of the cores, which it keeps at least, and nothing stands empty for the cheap."""
     most = max(1, int(total)) if total is not None else settings.cores
-    shares = [FILINGS if c.repeat is Repeat.KEYED else FLOOR for c in settings.classes]
+    shares = [FILINGS if c.idempotency is Idempotency.KEYED else FLOOR for c in settings.classes]
     scale = min(1.0, MOST_FLOORS / max(1e-9, sum(shares)))
     floors = [max(1, int(most * s * scale)) for s in shares]
     while sum(floors) > most and max(floors) > 1:
@@ -63,11 +64,11 @@
     for at, c in enumerate(settings.classes):
         if c.name in cheap_classes:
             floors[at] = max(floors[at], kept)
-    top = most if total is not None else max(most, int(settings.cores * settings.tip_multiple))
+    top = most if total is not None else max(most, int(settings.cores * settings.collapse_multiple))
     caps = tuple(top if c.name in cheap_classes else top - kept for c in settings.classes)
-    return Limits(
+    return ConcurrencyLimits(
         total=UNLIMITED if total is None else most,
-        floors=tuple(floors),
-        caps=caps,
-        heavy=max(1, int(most * LANE)) if lane else UNLIMITED,
+        class_floors=tuple(floors),
+        class_caps=caps,
+        expensive=max(1, int(most * LANE)) if lane else UNLIMITED,
     )
--- a/ochrehoist/peers/wire.py
+++ b/ochrehoist/peers/wire.py
@@ -9,6 +9,8 @@
 
 import msgspec
 
+from ochrehoist.errors import OchrehoistError
+
 MAGIC, VERSION = b"OH", 1
 DIGEST = 16  # bytes
 MOST = 16_384  # bytes of a datagram: past it nothing is read, and nothing is sent
@@ -198,7 +200,7 @@
     items: list[Item]
 
 
-class Rejected(Exception):
+class Rejected(OchrehoistError):
     """Not to be heard; the text is one word, by which such messages are counted."""
 
 
--- a/ochrehoist/plan/events.py
+++ b/ochrehoist/plan/events.py
@@ -10,9 +10,17 @@
 from heapq import heappop, heappush
 from typing import Any
 
+from ochrehoist.admission.events import Outcome
+from ochrehoist.core.messages import (
+    CallerDisconnected,
+    ExecutorReady,
+    GaugesMeasured,
+    RequestArrived,
+    RunCompleted,
+)
 from ochrehoist.core.owner import Owner
-from ochrehoist.core.requests import Arrived, Booted, Ended, Gauges, Gone, Inbound, Reason, Result
-from ochrehoist.interface import Outcome
+from ochrehoist.core.request import InboundRequest
+from ochrehoist.core.results import FailureReason, RunResult
 from ochrehoist.plan.cores import Cores, Machine
 from ochrehoist.plan.demand import Streams, Wish, drawn, speeds
 from ochrehoist.plan.fleet import Fleet, Placed
@@ -76,7 +84,7 @@
             )
 
     # ---- the core's way back
-    def served(self, result: Result) -> bool:
+    def served(self, result: RunResult) -> bool:
         self.worker.count.served += 1
         self.tell(Answer.SERVED)
         return True
@@ -85,7 +93,7 @@
         self.worker.count.refused += 1
         self.tell(Answer.REFUSED, backoff / NS, no_retry)
 
-    def failed(self, reason: Reason, result: Result | None = None) -> None:
+    def failed(self, reason: FailureReason, result: RunResult | None = None) -> None:
         self.worker.count.failed += 1
         self.tell(Answer.FAILED)
 
@@ -124,7 +132,7 @@
             self._measure,
         )
         self.owner.listeners.append(self)
-        self.owner.post(Booted(cold, 0))
+        self.owner.post(ExecutorReady(cold, 0))
         self.settle()
 
     def lose(self) -> None:
@@ -144,10 +152,10 @@
 
     def _measure(self) -> None:
         share = self.cores.busy_share(self.sim.now)
-        self.owner.post(Gauges({"cpu_busy": share, "runnable": float(len(self.cores.running))}))
+        self.owner.post(GaugesMeasured({"cpu_busy": share, "runnable": float(len(self.cores.running))}))
 
     # ---- what the core wants
-    def start(self, request: Inbound) -> None:
+    def start(self, request: InboundRequest) -> None:
         self.running += 1
         self.count.peak_running = max(self.count.peak_running, self.running)
         self.cores.start(("run", request.id, self.sim.now), request.payload)
@@ -176,7 +184,7 @@
         if self.up and self.tries.pop(t.id, None) is not None:
             t.answered = True
             if t.read:
-                self.owner.post(Gone(t.id))
+                self.owner.post(CallerDisconnected(t.id))
                 self.settle()
 
     def _connected(self, caller: int) -> None:
@@ -208,10 +216,10 @@
                 self.reading -= 1
                 if not what.answered:
                     what.read = True
-                    owner.post(Arrived(self._inbound(what)))
+                    owner.post(RequestArrived(self._inbound(what)))
             elif kind == "run":
                 self.running -= 1
-                owner.post(Ended(what, Result(Outcome.OK), int((now - since) * NS)))
+                owner.post(RunCompleted(what, RunResult(Outcome.OK), int((now - since) * NS)))
         self._read()
         owner.step()
         while owner.inbox:
@@ -230,11 +238,11 @@
             self.planned = -math.inf
             self.settle()
 
-    def _inbound(self, t: Try) -> Inbound:
+    def _inbound(self, t: Try) -> InboundRequest:
         call, settings, fleet = t.call, self.owner.settings, self.sim.fleet
         cls = settings.classes[call.cls]
         tenant = fleet.tenants[call.tenant].name if fleet.tenants else None
-        return Inbound(
+        return InboundRequest(
             id=t.id,
             cls=cls,
             arrived=int((EPOCH + t.came) * NS),
--- a/ochrehoist/plan/fleet.py
+++ b/ochrehoist/plan/fleet.py
@@ -12,15 +12,17 @@
 import netaddr
 from pydantic import BaseModel, ConfigDict, Field, ValidationError, field_validator, model_validator
 
-from ochrehoist import interface as i
-from ochrehoist.settings import REPEATS
+from ochrehoist.admission import settings as admission_settings
+from ochrehoist.admission.settings import AdmissionSettings, ObjectiveWeights, RequestClass
+from ochrehoist.config.settings import REPEATS
+from ochrehoist.errors import OchrehoistError
 
 Share = Annotated[float, Field(ge=0, le=1)]
 Positive = Annotated[float, Field(gt=0)]
 MS = 1_000_000
 
 
-class BadFleet(Exception):
+class FleetDescriptionError(OchrehoistError):
     """The description can't be used; one line for each fault, each with its key."""
 
 
@@ -270,45 +272,45 @@
         """The same with a load of so much of its capacity."""
         return self.with_load(self.load.rate * demand / self.demand)
 
-    def settings(self, kind: Kind, cold: bool) -> i.Settings:
+    def settings(self, kind: Kind, cold: bool) -> AdmissionSettings:
         """What a worker of this kind is told."""
-        return i.Settings(
+        return AdmissionSettings(
             classes=tuple(
-                i.RequestClass(
+                RequestClass(
                     name=c.name,
-                    aim=int(c.aim_ms * MS),
-                    deadline=int(c.deadline_ms * MS),
-                    worth=c.worth,
-                    late_worth=c.late_worth,
-                    repeat=REPEATS[c.repeat],
-                    window=int(c.window_ms * MS),
+                    latency_objective_ns=int(c.aim_ms * MS),
+                    deadline_ns=int(c.deadline_ms * MS),
+                    priority_weight=c.worth,
+                    late_weight=c.late_worth,
+                    idempotency=REPEATS[c.repeat],
+                    idempotency_window_ns=int(c.window_ms * MS),
                 )
                 for c in self.classes
             ),
-            tenants=tuple(i.Tenant(t.name, self.quota(t), t.share) for t in self.tenants),
+            tenants=tuple(admission_settings.Tenant(t.name, self.quota(t), t.share) for t in self.tenants),
             cores=kind.cores,
             memory_kb=kind.memory_mb * 1000,
-            tip_multiple=kind.crowd,
-            fall=1500 * MS,
-            run_factor=self.intake.run_factor,
-            drain_grace=2500 * MS,
-            answer_grace=80 * MS,
-            goal=i.Goal(0.45, 0.15, 0.3, 0.1),
+            collapse_multiple=kind.crowd,
+            collapse_after_ns=1500 * MS,
+            run_memory_factor=self.intake.run_factor,
+            drain_grace_ns=2500 * MS,
+            answer_grace_ns=80 * MS,
+            objective=ObjectiveWeights(0.45, 0.15, 0.3, 0.1),
             fleet_size=len(self.placed_workers),
-            callers=len(self.placed_routers),
+            caller_count=len(self.placed_routers),
             key_kb=self.intake.key_kb,
-            just_started=cold,
-            cold=int(kind.cold_s * 1000 * MS),
-            cold_from=kind.cold_from,
-            tells_gone=True,
-            marks_retry=True,
-            worth_by_work=True,
-            over_share_worth=self.over_share_worth,
-            backoff_relayed=True,
-            max_backoff=1000 * MS,
+            cold_start=cold,
+            warmup_ns=int(kind.cold_s * 1000 * MS),
+            warmup_speed=kind.cold_from,
+            reports_disconnects=True,
+            marks_retries=True,
+            weighs_work=True,
+            over_quota_weight=self.over_share_worth,
+            relays_retry_after=True,
+            max_retry_after_ns=1000 * MS,
             readiness=True,
-            idle=int(self.intake.idle_s * 1000 * MS),
-            step=4 * MS,
+            idle_timeout_ns=int(self.intake.idle_s * 1000 * MS),
+            clock_step_ns=4 * MS,
         )
 
     def told(self, kind: Kind) -> dict[str, Any]:
@@ -320,46 +322,46 @@
             "Classes": [
                 {
                     "Name": c.name,
-                    "Slo": c.aim,
-                    "Deadline": c.deadline,
-                    "Gain": c.worth,
-                    "LateValue": c.late_worth,
-                    "Repeat": names[c.repeat],
+                    "Slo": c.latency_objective_ns,
+                    "Deadline": c.deadline_ns,
+                    "Gain": c.priority_weight,
+                    "LateValue": c.late_weight,
+                    "Repeat": names[c.idempotency],
                 }
-                | ({"Window": c.window} if c.window else {})
+                | ({"Window": c.idempotency_window_ns} if c.idempotency_window_ns else {})
                 for c in s.classes
             ],
             "Tenants": [{"Name": t.name, "QuotaPerS": t.quota_per_s, "Fraction": t.share} for t in s.tenants],
             "FamilyInfo": {
                 "Cores": s.cores,
                 "HeapKb": s.memory_kb,
-                "RunFactor": s.run_factor,
+                "RunFactor": s.run_memory_factor,
                 "KeyKb": s.key_kb,
-                "Callers": s.callers,
-                "Idle": s.idle,
+                "Callers": s.caller_count,
+                "Idle": s.idle_timeout_ns,
                 "TellsGone": True,
                 "Readiness": True,
                 "OwnStats": ["cpu_busy", "runnable"],
             },
             "FleetSize": s.fleet_size,
-            "Step": s.step,
+            "Step": s.clock_step_ns,
             "WorthBy": "work",
-            "OverShareWorth": s.over_share_worth,
+            "OverShareWorth": s.over_quota_weight,
             "ClientHabits": {"MarksRetry": True},
             "ResultMix": {
-                "Whole": s.goal.whole,
-                "WorstWindow": s.goal.worst_window,
-                "WorstClass": s.goal.worst_class,
-                "WorstTenant": s.goal.worst_tenant,
+                "Whole": s.objective.overall,
+                "WorstWindow": s.objective.worst_window,
+                "WorstClass": s.objective.worst_class,
+                "WorstTenant": s.objective.worst_tenant,
             },
-            "PolicyLimits": {"RetryAfter": True, "MaxRetryAfter": s.max_backoff},
+            "PolicyLimits": {"RetryAfter": True, "MaxRetryAfter": s.max_retry_after_ns},
             "Rules": {
-                "Cold": max(1, s.cold),
-                "ColdFrom": s.cold_from,
-                "DrainGrace": s.drain_grace,
+                "Cold": max(1, s.warmup_ns),
+                "ColdFrom": s.warmup_speed,
+                "DrainGrace": s.drain_grace_ns,
                 "Fall": int(1.5 * ns),
-                "GraceToAnswer": s.answer_grace,
-                "TipMultiple": s.tip_multiple,
+                "GraceToAnswer": s.answer_grace_ns,
+                "TipMultiple": s.collapse_multiple,
             },
         }
 
@@ -390,18 +392,20 @@
 
 
 def parse(data: dict[str, Any]) -> Fleet:
-    """Raises BadFleet, with a line for each fault."""
+    """Raises FleetDescriptionError, with a line for each fault."""
     try:
         return Fleet.model_validate(data)
     except ValidationError as error:
-        raise BadFleet("\n".join(told_faults(error))) from None
+        raise FleetDescriptionError("\n".join(told_faults(error))) from None
 
 
 def load(path: Path) -> Fleet:
-    """Raises BadFleet, which names the file, and OSError."""
+    """Raises FleetDescriptionError, which names the file, and OSError."""
     try:
         return parse(tomllib.loads(path.read_text(encoding="utf-8")))
     except tomllib.TOMLDecodeError as error:
-        raise BadFleet(f"{path}: {error}") from None
-    except BadFleet as error:
-        raise BadFleet("\n".join(f"{path}: {line}" for line in str(error).splitlines())) from None
+        raise FleetDescriptionError(f"{path}: {error}") from None
+    except FleetDescriptionError as error:
+        raise FleetDescriptionError(
+            "\n".join(f"{path}: {line}" for line in str(error).splitlines())
+        ) from None
--- a/ochrehoist/plan/measure.py
+++ b/ochrehoist/plan/measure.py
@@ -21,6 +21,7 @@
 
 from hdrh.histogram import HdrHistogram
 
+from ochrehoist.errors import OchrehoistError
 from ochrehoist.net import thrift
 from ochrehoist.plan.cores import Cores, Machine
 from ochrehoist.plan.demand import Streams, Wish, drawn, speeds
@@ -36,7 +37,7 @@
 WARM_MS = 600_000  # age of a machine that is warm
 
 
-class Failed(Exception):
+class Failed(OchrehoistError):
     """The measurement can't be made; the text says why."""
 
 
@@ -263,7 +264,7 @@
                     future.set_result(_answer(m))
                 if self.closed and not self.waiting:
                     break
-        except (asyncio.IncompleteReadError, ConnectionError, thrift.BadFrame):
+        except (asyncio.IncompleteReadError, ConnectionError, thrift.MalformedFrameError):
             pass
         finally:
             self.closed = True
--- a/ochrehoist/plan/playbook.py
+++ b/ochrehoist/plan/playbook.py
@@ -8,7 +8,7 @@
 
 from ochrehoist.plan import analytic
 from ochrehoist.plan.fleet import Class, Fleet, Workers
-from ochrehoist.plan.questions import Unanswerable
+from ochrehoist.plan.questions import UnanswerableQuestionError
 from ochrehoist.sites.order import STEADY
 from ochrehoist.sites.playbook import VERSION, LetIn, Loss, Playbook
 from ochrehoist.sites.ramp import STEPS
@@ -44,12 +44,14 @@
 
 
 def without(fleet: Fleet, site: str) -> Fleet:
-    """The fleet while a site is gone. Raises Unanswerable."""
+    """The fleet while a site is gone. Raises UnanswerableQuestionError."""
     left = [p for p in fleet.placed_workers if p.site != site]
     if len(left) == len(fleet.placed_workers):
-        raise Unanswerable(f"no worker lies in {site!r}; there are {[s.name for s in fleet.sites]}")
+        raise UnanswerableQuestionError(
+            f"no worker lies in {site!r}; there are {[s.name for s in fleet.sites]}"
+        )
     if not left:
-        raise Unanswerable(f"all workers lie in {site!r}: nothing is left to let anybody in")
+        raise UnanswerableQuestionError(f"all workers lie in {site!r}: nothing is left to let anybody in")
     groups = [Workers(kind=p.kind, addresses=[p.address]) for p in left]
     return Fleet.model_validate(fleet.model_dump() | {"workers": [g.model_dump() for g in groups]})
 
@@ -107,10 +109,12 @@
 
 
 def made(fleet: Fleet, now: int) -> tuple[Playbook, dict[str, str]]:
-    """The playbook, and a word for its readers on each site. Raises Unanswerable."""
+    """The playbook, and a word for its readers on each site. Raises UnanswerableQuestionError."""
     sites = [s.name for s in fleet.sites if any(p.site == s.name for p in fleet.placed_workers)]
     if len(sites) < 2:
-        raise Unanswerable("a playbook needs two sites with workers: what is lost with the only one is all")
+        raise UnanswerableQuestionError(
+            "a playbook needs two sites with workers: what is lost with the only one is all"
+        )
     shared, over, losses, about = _shared(fleet), beyond(fleet), [], {}
     longest = WARM_TIMES * max(k.cold_s for k in fleet.kinds) + SPARE_S
     for site in sites:
--- a/ochrehoist/plan/questions.py
+++ b/ochrehoist/plan/questions.py
@@ -9,6 +9,7 @@
 from typing import Any
 
 from ochrehoist.capture.reader import Capture
+from ochrehoist.errors import OchrehoistError
 from ochrehoist.plan import analytic
 from ochrehoist.plan.demand import Streams, Wish, captured, speeds
 from ochrehoist.plan.events import Simulation, Trouble
@@ -20,7 +21,7 @@
 RECOVERED = 0.95  # of the goodput before a loss
 
 
-class Unanswerable(Exception):
+class UnanswerableQuestionError(OchrehoistError):
     """More than the model can tell; the text says why. No number is given."""
 
 
@@ -207,7 +208,7 @@
         pool = pools[len(addresses) % len(pools)]
         address = next((str(ip) for ip in pool if str(ip) not in taken), None)
         if address is None:
-            raise Unanswerable("the sites' networks have no address left for another worker")
+            raise UnanswerableQuestionError("the sites' networks have no address left for another worker")
         taken.add(address)
         addresses.append(address)
     groups = [Workers(kind=w.kind, addresses=[w.address]) for w in others]
@@ -222,7 +223,7 @@
     """The smallest number of one kind, beside the others as they are, whose goodput is `goal` by the lower
     end of its interval; and the number that is enough without any one machine."""
     if not 0 < goal < 1:
-        raise Unanswerable(f"a goal of {goal} is not between 0 and 1")
+        raise UnanswerableQuestionError(f"a goal of {goal} is not between 0 and 1")
     asked: dict[tuple[int, bool], float] = {}
 
     def good(count: int, lost: bool = False) -> bool:
@@ -244,7 +245,9 @@
         if not asked:
             raise
         best = max(asked, key=asked.get)
-        raise Unanswerable(f"stopped; so far {best[0]} of {kind} give {asked[best]:.3f}") from None
+        raise UnanswerableQuestionError(
+            f"stopped; so far {best[0]} of {kind} give {asked[best]:.3f}"
+        ) from None
 
 
 def _searched(
@@ -255,7 +258,7 @@
     while not good(high):
         low, high = high + 1, high * 2
         if high > MOST_WORKERS:
-            raise Unanswerable(
+            raise UnanswerableQuestionError(
                 f"not reached with {low - 1} of {kind}: what is missing is not machines (see `plan breaks`)"
             )
     while low < high:
@@ -268,7 +271,9 @@
     while not good(high, lost=True):
         high += 1
         if high > 2 * needed + 8:
-            raise Unanswerable(f"{needed} of {kind} reach the goal, but none up to {high - 1} bear a loss")
+            raise UnanswerableQuestionError(
+                f"{needed} of {kind} reach the goal, but none up to {high - 1} bear a loss"
+            )
     return {
         "kind": kind,
         "goal": goal,
@@ -305,12 +310,16 @@
     """A site is lost at once, and returns cold; whether the rest bears it, and when all is as before."""
     which = tuple(n for n, w in enumerate(fleet.placed_workers) if w.site == site)
     if not which:
-        raise Unanswerable(f"no worker lies in {site!r}; there are {[s.name for s in fleet.sites]}")
+        raise UnanswerableQuestionError(
+            f"no worker lies in {site!r}; there are {[s.name for s in fleet.sites]}"
+        )
     if len(which) == len(fleet.placed_workers):
-        raise Unanswerable(f"all workers lie in {site!r}: nothing is left to forecast")
+        raise UnanswerableQuestionError(f"all workers lie in {site!r}: nothing is left to forecast")
     during = back if back is not None else seconds
     if math.ceil(at) >= during:
-        raise Unanswerable(f"it is gone from second {at:g} to {during:g}: no whole second, too short to tell")
+        raise UnanswerableQuestionError(
+            f"it is gone from second {at:g} to {during:g}: no whole second, too short to tell"
+        )
     trouble = Trouble(at, which, back, site)
     runs = [Run(fleet, s, seconds, troubles=(trouble,), recovery_from=at) for s in seeds]
     got = known(runs, jobs, progress)
@@ -347,7 +356,9 @@
     if lost is not None:
         which = tuple(n for n, w in enumerate(fleet.placed_workers) if w.site == lost)
         if not which or len(which) == len(fleet.placed_workers):
-            raise Unanswerable(f"{lost!r} holds {len(which)} of {len(fleet.placed_workers)} workers")
+            raise UnanswerableQuestionError(
+                f"{lost!r} holds {len(which)} of {len(fleet.placed_workers)} workers"
+            )
         troubles = (Trouble(seconds / 2, which, None, lost),)
     forecast_of = Simulation(fleet, seed, seconds, troubles=troubles).run()
     capture = None if record is None else f"[capture]\nfolder = {json.dumps(str(record.absolute()))}\n"
--- a/ochrehoist/plan/restart.py
+++ b/ochrehoist/plan/restart.py
@@ -8,7 +8,7 @@
 from ochrehoist.plan import analytic
 from ochrehoist.plan.events import Trouble
 from ochrehoist.plan.fleet import Fleet
-from ochrehoist.plan.questions import Progress, Run, Unanswerable, known
+from ochrehoist.plan.questions import Progress, Run, UnanswerableQuestionError, known
 
 AT_S = 10.0  # s of the loss
 AFTER_S = 6.0  # that is played after the last of them is warm
@@ -48,10 +48,10 @@
     """The most that may restart at once where the worth served until they are warm stays at `goal` of that
     before, in the worst of the runs; `down`: s for which each is gone."""
     if not 0 < goal < 1:
-        raise Unanswerable(f"a goal of {goal} is not between 0 and 1")
+        raise UnanswerableQuestionError(f"a goal of {goal} is not between 0 and 1")
     total = len(fleet.placed_workers)
     if total < 2:
-        raise Unanswerable("a fleet of one has nobody to serve while it restarts")
+        raise UnanswerableQuestionError("a fleet of one has nobody to serve while it restarts")
     cold, order = max(k.cold_s for k in fleet.kinds), spread(fleet)
     until = AT_S + down + cold
     tried: dict[int, float] = {}
--- a/ochrehoist/sites/desk.py
+++ b/ochrehoist/sites/desk.py
@@ -11,9 +11,11 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ochrehoist.core.requests import Inbound, Refusal
+from ochrehoist.admission.events import Outcome
+from ochrehoist.admission.settings import AdmissionSettings
+from ochrehoist.core.request import InboundRequest
+from ochrehoist.core.results import Rejection
 from ochrehoist.core.tenants import Tenants, first
-from ochrehoist.interface import Outcome, Settings
 from ochrehoist.peers.wire import Life
 from ochrehoist.sites import orders as words_of_operators
 from ochrehoist.sites.knowing import LOST, RETURNING, Knowing, Load, Seen
@@ -78,7 +80,7 @@
         self,
         name: str,
         site: str,
-        settings: Settings,
+        settings: AdmissionSettings,
         book: Playbook | None,
         now: float,
         came_back: bool,
@@ -86,7 +88,7 @@
     ) -> None:
         self.name, self.site, self.now = name, site, now
         table = tenants if tenants is not None else first(settings.tenants)
-        self.order = Order(settings.classes, table, settings.over_share_worth)
+        self.order = Order(settings.classes, table, settings.over_quota_weight)
         self.level = Level(settings.cores, self._aim(settings))
         self.knowing, self.orders, self.lean = Knowing(), Orders(), Lean(now)
         self.book = self.file_book = book
@@ -111,20 +113,20 @@
         self.drop_permit: Callable[[], None] = lambda: None
 
     @staticmethod
-    def _aim(settings: Settings) -> float:
-        return min(c.aim for c in settings.classes) / S
+    def _aim(settings: AdmissionSettings) -> float:
+        return min(c.latency_objective_ns for c in settings.classes) / S
 
     def _ramp(self, now: float, why: str) -> Ramp:
         loss = self.book.of(self.site) if self.book is not None else None
         return Ramp(now, why, loss.steps, loss.longest_s) if loss is not None else Ramp(now, why, STEPS)
 
     def configure(
-        self, settings: Settings, book: Playbook | None, now: float, tenants: Tenants | None = None
+        self, settings: AdmissionSettings, book: Playbook | None, now: float, tenants: Tenants | None = None
     ) -> None:
         """New settings while it runs; a playbook of another file only where it is the younger."""
         self.settings = settings
         table = tenants if tenants is not None else first(settings.tenants)
-        self.order.configure(settings.classes, table, settings.over_share_worth)
+        self.order.configure(settings.classes, table, settings.over_quota_weight)
         self.level.configure(settings.cores, self._aim(settings))
         if book is not None and (self.file_book is None or book.digest != self.file_book.digest):
             self.file_book = book
@@ -137,11 +139,11 @@
                 )
 
     # ---- the core's gate
-    def _ident(self, r: Inbound) -> tuple:
+    def _ident(self, r: InboundRequest) -> tuple:
         what = r.token[2] if r.token is not None else r.subject or r.key or r.id
         return r.tenant or "", r.cls.name, what
 
-    def arrives(self, r: Inbound, now: int) -> Refusal | None:
+    def arrives(self, r: InboundRequest, now: int) -> Rejection | None:
         """Whether one that never ran is turned away before the module hears of it."""
         t, ident, cls = now / S, self._ident(r), r.cls.name
         if self.order.came(ident, cls, r.tenant, r.retry, t):
@@ -168,7 +170,7 @@
             return self.level.value
         return min(self.level.value, self.others.level + AGREE)
 
-    def _turned_away(self, ident: tuple, place: float, loss: Loss | None) -> Refusal:
+    def _turned_away(self, ident: tuple, place: float, loss: Loss | None) -> Rejection:
         fresh = [p for p in self.peers if p.fresh]
         nobody = all(place >= p.word.level for p in fresh)
         if loss is not None:
@@ -177,8 +179,8 @@
             away, spread = (NOBODY_AWAY_S, NOBODY_SPREAD_S) if nobody else (AWAY_S, SPREAD_S)
         # By the hash again: a caller is told about the same wherever it asks, and no two the same.
         backoff = int(S * (away + spread * part_of("away", *ident)))
-        most = self.settings.max_backoff
-        return Refusal(min(backoff, most) if most else backoff, no_retry=nobody)
+        most = self.settings.max_retry_after_ns
+        return Rejection(min(backoff, most) if most else backoff, no_retry=nobody)
 
     def _loss(self) -> Loss | None:
         """What the playbook says of the site that is lost, where there is one of both."""
@@ -186,10 +188,10 @@
             return None
         return next((x for s in self.knowing.lost() if (x := self.book.of(s)) is not None), None)
 
-    def begun(self, r: Inbound, now: int) -> None:
+    def begun(self, r: InboundRequest, now: int) -> None:
         self.running[r.id] = self.waiting.pop(r.id, 0.0)
 
-    def ended(self, r: Inbound, now: int, took: int, outcome: Outcome) -> None:
+    def ended(self, r: InboundRequest, now: int, took: int, outcome: Outcome) -> None:
         """A run is over; its time, less what it shared its cores, teaches what its class costs."""
         t, crowd = now / S, max(1, len(self.running))
         self.running.pop(r.id, None)
@@ -199,13 +201,13 @@
             self.order.ran(r.cls.name, took / S * share, learn)
             self.level.ended(self.order.cost(r.cls.name) or 0.0, t)
         if self.ramp is not None:
-            self.ramp.ended(outcome is Outcome.OK and now <= r.arrived + r.cls.aim)
+            self.ramp.ended(outcome is Outcome.OK and now <= r.arrived + r.cls.latency_objective_ns)
 
     # ---- the core's observer
-    def arrived(self, request: Inbound) -> None:
+    def arrived(self, request: InboundRequest) -> None:
         pass
 
-    def answered(self, request: Inbound, figure: str | None, backoff: int) -> None:
+    def answered(self, request: InboundRequest, figure: str | None, backoff: int) -> None:
         self.waiting.pop(request.id, None)
 
     # ---- time
--- a/ochrehoist/sites/order.py
+++ b/ochrehoist/sites/order.py
@@ -13,8 +13,8 @@
 
 import xxhash
 
+from ochrehoist.admission.settings import Idempotency, RequestClass
 from ochrehoist.core.tenants import Tenants
-from ochrehoist.interface import Repeat, RequestClass
 
 MEMORY_S = 6.0  # after which what came counts for 1/e
 LEARN, LEARN_COLD = 0.08, 0.25  # of a run's time, in the mean of its class; while the machine warms
@@ -125,10 +125,10 @@
         alike: no class is starved for another that is worth the same."""
         cls, beyond = group
         c = self.classes[cls]
-        worth = c.worth * (self.beyond_worth if beyond else 1.0)
+        worth = c.priority_weight * (self.beyond_worth if beyond else 1.0)
         by_work = math.log(max(1e-9, worth) / max(1e-9, self.agreed_cost(cls) or 1.0))
         # Beyond a tenant's share nothing goes before what is within one; a filing is the last to be refused.
-        return beyond, c.repeat is Repeat.SAFE, -round(by_work / STEADY)
+        return beyond, c.idempotency is Idempotency.IDEMPOTENT, -round(by_work / STEADY)
 
     def look(self, now: float) -> None:
         """Places the ranks anew, by the work that each brings."""
--- a/ochrehoist/sites/places.py
+++ b/ochrehoist/sites/places.py
@@ -4,10 +4,11 @@
 
 import netaddr
 
-from ochrehoist.plan.fleet import BadFleet, Fleet, load
+from ochrehoist.errors import OchrehoistError
+from ochrehoist.plan.fleet import Fleet, FleetDescriptionError, load
 
 
-class BadPlaces(Exception):
+class SiteMapError(OchrehoistError):
     """The description can't be used; the text names file and key."""
 
 
@@ -18,11 +19,11 @@
 
     @classmethod
     def load(cls, path: Path) -> "Places":
-        """Raises BadPlaces."""
+        """Raises SiteMapError."""
         try:
             return cls(load(path))
-        except (BadFleet, OSError) as error:
-            raise BadPlaces(str(error)) from None
+        except (FleetDescriptionError, OSError) as error:
+            raise SiteMapError(str(error)) from None
 
     def __eq__(self, other: object) -> bool:
         return isinstance(other, Places) and other.fleet == self.fleet
--- a/ochrehoist/sites/playbook.py
+++ b/ochrehoist/sites/playbook.py
@@ -9,13 +9,14 @@
 
 import msgspec
 
+from ochrehoist.errors import OchrehoistError
 from ochrehoist.sites.order import part_of
 
 VERSION = 1
 SLACK = 0.02  # by which the parts let in may be over what the others carry: they are told to two digits
 
 
-class BadPlaybook(Exception):
+class PlaybookError(OchrehoistError):
     """It can't be used; a line for each fault, each with its key."""
 
 
@@ -108,18 +109,18 @@
 
 
 def parse(text: str, classes: Collection[str] | None = None) -> Playbook:
-    """Raises BadPlaybook. `classes`: those that a worker knows, where it is one that reads."""
+    """Raises PlaybookError. `classes`: those that a worker knows, where it is one that reads."""
     try:
         book = msgspec.convert(tomllib.loads(text), Playbook, strict=True)
     except tomllib.TOMLDecodeError as error:
-        raise BadPlaybook(str(error)) from None
+        raise PlaybookError(str(error)) from None
     except msgspec.ValidationError as error:
         what, _, where = str(error).partition(" - at ")
         key = where.strip("`").removeprefix("$").removeprefix(".")
-        raise BadPlaybook(f"{key}: {what}" if key else what) from None
+        raise PlaybookError(f"{key}: {what}" if key else what) from None
     faults = _faults(book, classes)
     if faults:
-        raise BadPlaybook("\n".join(faults))
+        raise PlaybookError("\n".join(faults))
     return book
 
 
--- a/ochrehoist/store/ageing.py
+++ b/ochrehoist/store/ageing.py
@@ -5,8 +5,8 @@
 
 import msgspec
 
+from ochrehoist.admission.controller import FADE, LEAST
 from ochrehoist.core.handover import BY_CLASS
-from ochrehoist.rules import FADE, LEAST
 
 SECOND = 1_000_000_000
 # What times and rates of before a restart weigh at the most: cores may be cold now, and what a warm machine
--- a/ochrehoist/store/disk.py
+++ b/ochrehoist/store/disk.py
@@ -21,17 +21,18 @@
 import apsw
 import xxhash
 
+from ochrehoist.errors import OchrehoistError
 from ochrehoist.store.backlog import Error, Op, net
 from ochrehoist.store.loss import Seen
 from ochrehoist.store.records import (
     FORMAT,
     Begun,
     Census,
-    Damaged,
+    CorruptRecordError,
     Finished,
     Learned,
     Loss,
-    TooNew,
+    UnsupportedFormatError,
     digest,
     key_of,
     pack,
@@ -55,11 +56,11 @@
 FSYNC = {apsw.SQLITE_IOERR_FSYNC, apsw.SQLITE_IOERR_DIR_FSYNC}
 
 
-class Held(Exception):
+class Held(OchrehoistError):
     """Another process has the store; the text names it."""
 
 
-class Failed(Exception):
+class Failed(OchrehoistError):
     """The store did not do it, and nothing of it is on record."""
 
     def __init__(self, error: Error, why: str) -> None:
@@ -314,7 +315,7 @@
                     begun(unpack(key, data, Begun))
                     ended(end)
                     sums ^= digest(data)
-                except (Damaged, TooNew):
+                except (CorruptRecordError, UnsupportedFormatError):
                     out.damaged += 1
             out.counted = Census(0, len(out.begun), sums)
             named = dict(self.db.execute("SELECT name, data FROM named"))
@@ -325,7 +326,7 @@
             if name in named:
                 try:
                     setattr(out, name, unpack(name.encode(), named[name], kind))
-                except (Damaged, TooNew):
+                except (CorruptRecordError, UnsupportedFormatError):
                     out.damaged += name != LEARNED  # that is learned anew, and no filing is lost by it
         if out.census is not None:
             self.census = out.census
@@ -339,14 +340,14 @@
             raise failure(error) from None
         try:
             return unpack(key, row[0][0], Finished) if row else None
-        except (Damaged, TooNew):
+        except (CorruptRecordError, UnsupportedFormatError):
             return None
 
     def all_finished(self) -> Iterator[tuple[bytes, bytes]]:
         """Keys and records whose checksum fits, as far as they can be read."""
         try:
             for key, data in self.db.execute("SELECT key, data FROM finished"):
-                with suppress(Damaged, TooNew):
+                with suppress(CorruptRecordError, UnsupportedFormatError):
                     unpack(key, data, Finished)
                     yield key, data
         except (apsw.Error, OSError):
--- a/ochrehoist/store/journal.py
+++ b/ochrehoist/store/journal.py
@@ -14,15 +14,19 @@
 
 from hdrh.histogram import HdrHistogram
 
-from ochrehoist.config import StateConfig
+from ochrehoist.admission.events import Outcome
+from ochrehoist.config.loader import StateConfig
 from ochrehoist.core import handover
 from ochrehoist.core.keys import Run
+from ochrehoist.core.messages import DuplicateResolved, IntentRecorded, StateRestored
 from ochrehoist.core.owner import Owner
-from ochrehoist.core.requests import Inbound, Joined, KeyId, Recorded, Refusal, Restored, Result, Testifier
-from ochrehoist.interface import Outcome
+from ochrehoist.core.persisted_names import OUTCOME_NAMES, OUTCOMES_BY_NAME
+from ochrehoist.core.protocols import IntentReplicator
+from ochrehoist.core.request import IdempotencyKey, InboundRequest
+from ochrehoist.core.results import Rejection, RunResult
+from ochrehoist.errors import InvalidInputError
 from ochrehoist.net.loop import Loop
 from ochrehoist.net.offloop import OffLoop
-from ochrehoist.settings import BadInput
 from ochrehoist.store import disk
 from ochrehoist.store.ageing import Stamp, aged
 from ochrehoist.store.backlog import Backlog, Begin, Drop, End, Error, Op, Save
@@ -77,17 +81,17 @@
             if not replacing:
                 self.lock = Lock(self.folder, name)
         except Held as held:
-            raise BadInput(
+            raise InvalidInputError(
                 f"setting state.folder: {self.folder}: in use by {held}; stop that one first, or "
                 "replace it: the same name and TMPDIR"
             ) from None
         except FileNotFoundError as error:
-            raise BadInput(f"setting state.folder: {self.folder}: {error.strerror}") from None
+            raise InvalidInputError(f"setting state.folder: {self.folder}: {error.strerror}") from None
         except Failed as missing:
             self._in_trouble(missing)
         except OSError as error:
             self._in_trouble(disk.failure(error))
-        self.testifier: Testifier | None = None
+        self.testifier: IntentReplicator | None = None
         self.unready: dict[str, int] = {}  # tries that are to begin, and how much of it is still awaited
         self.thread = OffLoop(loop, "journal")
 
@@ -104,11 +108,11 @@
         self._open_again()
 
     def _open_again(self) -> None:
-        longest = max((c.window for c in self.owner.settings.classes), default=0)
+        longest = max((c.idempotency_window_ns for c in self.owner.settings.classes), default=0)
         gc.disable()  # what is taken up stays: looking through it meanwhile takes as long again
         self.thread.submit(lambda: self._open(longest), self._was_opened)
 
-    def _open(self, longest: int) -> tuple[Opened, dict[KeyId, Run]]:
+    def _open(self, longest: int) -> tuple[Opened, dict[IdempotencyKey, Run]]:
         reached("open")
         if self.lock is None:
             self._folder_there()
@@ -128,7 +132,9 @@
             runs[token] = Run(record.id, now + left, known, None, True, stored, False, True)
         return opened, runs
 
-    def _was_opened(self, found: tuple[Opened, dict[KeyId, Run]] | None, error: Exception | None) -> None:
+    def _was_opened(
+        self, found: tuple[Opened, dict[IdempotencyKey, Run]] | None, error: Exception | None
+    ) -> None:
         gc.enable()
         if error is not None:
             held = isinstance(error, Held)
@@ -183,7 +189,7 @@
         if self.testifier is not None:
             self.testifier.opened([key_of(token) for token in {**restored, **before}])
         gc.freeze()  # they stay: looking through them again and again would hold up the loop
-        self.owner.post(Restored(restored, lesson))
+        self.owner.post(StateRestored(restored, lesson))
         self.restored = True
         for call in self.when_restored:
             call()
@@ -191,23 +197,23 @@
         self.loop.call_later(self.config.learned_every_s, self._learn)
 
     # ---- what the core asks
-    def refuses(self, token: KeyId) -> Refusal | None:
+    def refuses(self, token: IdempotencyKey) -> Rejection | None:
         """Whether a filing that is not known can't be taken now, and what its caller is told."""
         if not self.restored:
-            return Refusal(0, may_have_run=True)
+            return Rejection(0, may_have_run=True)
         if self.testifier is not None and self.testifier.refuses(key_of(token)):
             self.refusals += 1
-            return Refusal(0, may_have_run=True)
+            return Rejection(0, may_have_run=True)
         if self.backlog.refuses(time.monotonic()):
             self.refusals += 1
-            return Refusal(SECOND)
+            return Rejection(SECOND)
         left = self.hold_until - self.owner.clock()
         if left > 0:
             self.refusals += 1
-            return Refusal(left)
+            return Rejection(left)
         return None
 
-    def begin(self, r: Inbound, run: Run) -> None:
+    def begin(self, r: InboundRequest, run: Run) -> None:
         """Told to the core by a Recorded, by the time that `stall_ms` is over."""
         if self.backlog.refuses(time.monotonic()):
             return self._refused([r.id])
@@ -234,41 +240,45 @@
             self.unready[request_id] = left - 1
             return
         del self.unready[request_id]
-        self.owner.post(Recorded(request_id, True))
+        self.owner.post(IntentRecorded(request_id, True))
 
-    def _begun(self, token: KeyId, run: Run) -> Begun:
-        windows = {c.name: c.window for c in self.owner.settings.classes}
+    def _begun(self, token: IdempotencyKey, run: Run) -> Begun:
+        windows = {c.name: c.idempotency_window_ns for c in self.owner.settings.classes}
         return self._record(token, run, windows, self.owner.clock(), stamp_now())
 
-    def _record(self, token: KeyId, run: Run, windows: dict[str, int], now: int, stamp: Stamp) -> Begun:
+    def _record(
+        self, token: IdempotencyKey, run: Run, windows: dict[str, int], now: int, stamp: Stamp
+    ) -> Begun:
         left = max(0, run.window_end - now)
         target, body = run.fingerprint or (None, None)
         return Begun(token, run.id, max(left, windows.get(token[1], 0)), left, stamp, target, body, self.name)
 
-    def end(self, token: KeyId, run: Run, result: Result) -> None:
+    def end(self, token: IdempotencyKey, run: Run, result: RunResult) -> None:
         reached("end")
         line = json.dumps(self.codec.to_json(result.detail)).encode()
-        record = Finished(result.outcome.name, result.success, result.body, line, result.detail_bytes)
+        record = Finished(
+            OUTCOME_NAMES[result.outcome], result.success, result.body, line, result.detail_bytes
+        )
         if len(result.body) + len(line) > self.config.max_result_kb * 1024:
             self.backlog.not_recorded += 1
             return
         run.stored = self._add(End(key_of(token), record))
 
-    def drop(self, token: KeyId) -> None:
+    def drop(self, token: IdempotencyKey) -> None:
         self._add(Drop(key_of(token)))
 
-    def never_ran(self, token: KeyId) -> None:
+    def never_ran(self, token: IdempotencyKey) -> None:
         """It was to begin, and did not."""
         self.drop(token)
         if self.testifier is not None:
             self.testifier.drop(key_of(token))
 
-    def fetch(self, token: KeyId, request_id: str) -> None:
+    def fetch(self, token: IdempotencyKey, request_id: str) -> None:
         """Told to the core by a Joined: with the result, or as failed where it can't be had."""
         key = key_of(token)
 
         def done(record: Finished | None, error: Exception | None) -> None:
-            self.owner.post(Joined(request_id, self._result(record) or Result(Outcome.FAILED)))
+            self.owner.post(DuplicateResolved(request_id, self._result(record) or RunResult(Outcome.FAILED)))
 
         waiting = self.backlog.end_of(key)
         if waiting is not None:
@@ -278,11 +288,11 @@
         else:
             self.thread.submit(lambda: self.opened.db.fetch(key), done)
 
-    def _result(self, record: Finished | None) -> Result | None:
+    def _result(self, record: Finished | None) -> RunResult | None:
         with suppress(KeyError, TypeError, ValueError):
             if record is not None:
-                return Result(
-                    Outcome[record.outcome],
+                return RunResult(
+                    OUTCOMES_BY_NAME[record.outcome],
                     record.body,
                     self.codec.from_json(json.loads(record.detail)),
                     record.detail_bytes,
@@ -339,7 +349,7 @@
         for request_id in self.backlog.committed():
             reached("recorded")
             if self.testifier is None:
-                self.owner.post(Recorded(request_id, True))
+                self.owner.post(IntentRecorded(request_id, True))
             else:
                 self._ready(request_id)
         self._look()
@@ -347,12 +357,12 @@
     def _refused(self, ids: list[str]) -> None:
         for request_id in ids:
             self.unready.pop(request_id, None)
-            self.owner.post(Recorded(request_id, False, SECOND))
+            self.owner.post(IntentRecorded(request_id, False, SECOND))
 
     def _rebuild(self, now: float) -> None:
         """From what the core knows: what the disk still shows may not be there after the next power cut."""
         runs, live = list(self.owner.keys.runs.items()), frozenset(self.owner.live)
-        windows = {c.name: c.window for c in self.owner.settings.classes}
+        windows = {c.name: c.idempotency_window_ns for c in self.owner.settings.classes}
         loss, learned = self.opened.loss, self.learned
         clock, stamp = self.owner.clock(), stamp_now()
 
--- a/ochrehoist/store/records.py
+++ b/ochrehoist/store/records.py
@@ -10,6 +10,7 @@
 import msgspec
 import xxhash
 
+from ochrehoist.errors import OchrehoistError
 from ochrehoist.store.ageing import Stamp
 
 FORMAT = 2  # 2: what was learned names its layout
@@ -17,11 +18,11 @@
 Token = tuple[str | None, str, str]
 
 
-class Damaged(Exception):
+class CorruptRecordError(OchrehoistError):
     """A record that is not what was written."""
 
 
-class TooNew(Exception):
+class UnsupportedFormatError(OchrehoistError):
     """A record of a version that this program does not know."""
 
 
@@ -102,14 +103,14 @@
 
 
 def unpack(key: bytes, data: bytes, kind: type[Record]) -> Record:
-    """The record, of this version; raises Damaged or TooNew."""
+    """The record, of this version; raises CorruptRecordError or UnsupportedFormatError."""
     if not isinstance(data, bytes) or len(data) <= HEAD:
-        raise Damaged("too short")
+        raise CorruptRecordError("too short")
     version, content = data[0], data[HEAD:]
     if checksum(key, data[:1] + content) != int.from_bytes(data[1:HEAD], "big"):
-        raise Damaged("the checksum does not fit")
+        raise CorruptRecordError("the checksum does not fit")
     if version > FORMAT:
-        raise TooNew(f"version {version}")
+        raise UnsupportedFormatError(f"version {version}")
     try:
         if version == FORMAT:
             return _decoders[kind].decode(content)
@@ -118,4 +119,4 @@
             value = MIGRATIONS.get((kind, older), lambda unchanged: unchanged)(value)
         return msgspec.convert(value, kind)
     except (msgspec.MsgspecError, ValueError, TypeError, IndexError, KeyError) as error:
-        raise Damaged(f"not of its schema: {error}") from None
+        raise CorruptRecordError(f"not of its schema: {error}") from None
--- a/ochrehoist/store/tool.py
+++ b/ochrehoist/store/tool.py
@@ -7,18 +7,26 @@
 
 import apsw
 
+from ochrehoist.errors import OchrehoistError
 from ochrehoist.store import disk
 from ochrehoist.store.ageing import Stamp, remaining
 from ochrehoist.store.disk import Contents, Database, Lock
 from ochrehoist.store.loss import Case, judge
 from ochrehoist.store.opening import make_folder, open_folder
-from ochrehoist.store.records import Damaged, Finished, TooNew, key_of, pack, unpack
+from ochrehoist.store.records import (
+    CorruptRecordError,
+    Finished,
+    UnsupportedFormatError,
+    key_of,
+    pack,
+    unpack,
+)
 from ochrehoist.store.transfer import Moved, merged
 
 WHO = "the state command"
 
 
-class NoStore(Exception):
+class StoreMissingError(OchrehoistError):
     """The folder holds none that this program can read."""
 
 
@@ -28,12 +36,14 @@
     path = folder / disk.db_name()
     if not path.exists():
         newer = [p.name for v, p in disk.stores(folder).items()] if folder.is_dir() else []
-        raise NoStore(f"{folder}: no {path.name}" + (f"; there is {', '.join(newer)}" if newer else ""))
+        raise StoreMissingError(
+            f"{folder}: no {path.name}" + (f"; there is {', '.join(newer)}" if newer else "")
+        )
     witness = disk.read_witness(folder)  # before the store: what comes meanwhile is no loss
     try:
         db = Database(path, read_only=True)
     except apsw.Error as error:
-        raise NoStore(f"{path}: {error}") from None
+        raise StoreMissingError(f"{path}: {error}") from None
     try:
         with suppress(apsw.Error):
             db.db.execute("BEGIN")
@@ -92,7 +102,7 @@
                 total += 1
                 try:
                     unpack(key, data, Finished)
-                except (Damaged, TooNew):
+                except (CorruptRecordError, UnsupportedFormatError):
                     bad += 1
         except apsw.Error as error:
             found.append(f"results: {error}")
@@ -102,12 +112,14 @@
 
 
 def begin(folder: Path, longest: int, now: Stamp) -> None:
-    """Makes the first store of a folder. Raises NoStore where there is or was one, Held, Failed, OSError."""
+    """Makes the first store of a folder. Raises StoreMissingError where there is or was one, Held, Failed,
+    OSError.
+    """
     make_folder(folder)
     lock = Lock(folder, WHO)
     try:
         if disk.read_marker(folder) is not None or disk.stores(folder):
-            raise NoStore(f"{folder}: it holds a store, or held one; nothing was changed")
+            raise StoreMissingError(f"{folder}: it holds a store, or held one; nothing was changed")
         open_folder(folder, 0, longest, now).db.close()
     finally:
         lock.release()
@@ -122,13 +134,13 @@
 
 
 def exported(folder: Path, now: Stamp) -> Moved:
-    """All of a store whose worker is stopped; raises Held, NoStore."""
+    """All of a store whose worker is stopped; raises Held, StoreMissingError."""
     lock = Lock(folder, WHO)
     try:
         with reading(folder) as (db, contents, witness):
             verdict = judge(contents.seen(True, None, witness))
             if verdict.case is not Case.SOUND:
-                raise NoStore(
+                raise StoreMissingError(
                     f"{folder}: not sound: {'; '.join(verdict.why)}; start the worker on it first, "
                     "which sets aside what is damaged"
                 )
--- a/ochrehoist/store/transfer.py
+++ b/ochrehoist/store/transfer.py
@@ -9,13 +9,14 @@
 
 import msgspec
 
+from ochrehoist.errors import OchrehoistError
 from ochrehoist.store.ageing import Stamp, remaining
 from ochrehoist.store.records import Begun, Finished, Learned, Loss, Token, key_of
 
 VERSION = 1
 
 
-class Unusable(Exception):
+class Unusable(OchrehoistError):
     """The text names the line."""
 
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -2,75 +2,92 @@
 
 import dataclasses
 
-from ochrehoist import interface as i
-from ochrehoist.rules import AdmissionController
+from ochrehoist.admission.controller import AdmissionController
+from ochrehoist.admission.events import (
+    InstanceStarted,
+    Outcome,
+    RequestCompleted,
+    RequestReceived,
+    TimerFired,
+)
+from ochrehoist.admission.settings import (
+    AdmissionSettings,
+    BackpressureSignal,
+    DownstreamScope,
+    Idempotency,
+    ObjectiveWeights,
+    Preemption,
+    RequestClass,
+)
 
 MS, S = 1_000_000, 1_000_000_000
 
 
 def request_class(**changes):
-    base = i.RequestClass(
+    base = RequestClass(
         name="read",
-        aim=2 * S,
-        deadline=5 * S,
-        worth=1.0,
-        late_worth=0.0,
-        repeat=i.Repeat.SAFE,
-        window=0,
-        aim_stretch=0.0,
-        calls=False,
-        skip_worth=0.0,
+        latency_objective_ns=2 * S,
+        deadline_ns=5 * S,
+        priority_weight=1.0,
+        late_weight=0.0,
+        idempotency=Idempotency.IDEMPOTENT,
+        idempotency_window_ns=0,
+        objective_stretch=0.0,
+        calls_downstream=False,
+        fallback_weight=0.0,
     )
     return dataclasses.replace(base, **changes)
 
 
 CLASSES = (
     request_class(),
-    request_class(name="write", worth=3.0, repeat=i.Repeat.KEYED, window=10 * S),
-    request_class(name="pay", worth=2.0, repeat=i.Repeat.UNSAFE),
-    request_class(name="rich", worth=1.0, calls=True, skip_worth=0.5),
+    request_class(
+        name="write", priority_weight=3.0, idempotency=Idempotency.KEYED, idempotency_window_ns=10 * S
+    ),
+    request_class(name="pay", priority_weight=2.0, idempotency=Idempotency.AT_MOST_ONCE),
+    request_class(name="rich", priority_weight=1.0, calls_downstream=True, fallback_weight=0.5),
 )
 
 
 def settings(**changes):
-    base = i.Settings(
+    base = AdmissionSettings(
         classes=CLASSES,
         tenants=(),
-        goal=i.Goal(0.6, 0.2, 0.2, 0.0),
+        objective=ObjectiveWeights(0.6, 0.2, 0.2, 0.0),
         prices={},
         fleet_size=10,
         tier=0,
-        callers=3,
+        caller_count=3,
         cores=4,
         memory_kb=20_000.0,
-        run_factor=4.0,
+        run_memory_factor=4.0,
         key_kb=50.0,
-        just_started=False,
-        cold=10 * S,
-        cold_from=0.25,
-        tip_multiple=5.0,
-        fall=2 * S,
-        drain_grace=2 * S,
-        answer_grace=100 * MS,
-        passes_deadline=True,
-        tells_gone=False,
-        marks_retry=True,
-        worth_by_work=False,
-        over_share_worth=0.1,
-        below=i.Below.NOTHING,
-        fair_calls=0.0,
-        calls_over=0,
-        lingers=0,
-        fresh_for=0,
-        advice=i.Advice.NONE,
-        advice_heard_for=S,
-        backoff_relayed=True,
-        max_backoff=S,
-        preemption=i.Preemption.NONE,
+        cold_start=False,
+        warmup_ns=10 * S,
+        warmup_speed=0.25,
+        collapse_multiple=5.0,
+        collapse_after_ns=2 * S,
+        drain_grace_ns=2 * S,
+        answer_grace_ns=100 * MS,
+        propagates_deadline=True,
+        reports_disconnects=False,
+        marks_retries=True,
+        weighs_work=False,
+        over_quota_weight=0.1,
+        downstream=DownstreamScope.NONE,
+        downstream_share=0.0,
+        downstream_window_ns=0,
+        abandoned_call_ns=0,
+        freshness_ns=0,
+        backpressure=BackpressureSignal.NONE,
+        backpressure_ttl_ns=S,
+        relays_retry_after=True,
+        max_retry_after_ns=S,
+        preemption=Preemption.NONE,
         readiness=False,
-        deep_checks=False,
-        idle=15 * S,
-        step=4 * MS,
+        deep_health_checks=False,
+        idle_timeout_ns=15 * S,
+        clock_step_ns=4 * MS,
     )
     return dataclasses.replace(base, **changes)
 
@@ -82,36 +99,36 @@
         self.settings = settings(**changes)
         self.controller = AdmissionController(self.settings, 7)
         self.now, self.count, self.log, self.arrived = 1000 * S, 0, [], {}
-        self.send(i.Started())
+        self.send(InstanceStarted())
 
     def send(self, event):
         actions = self.controller.handle(self.now, event)
         self.log += [(self.now, a) for a in actions]
         return actions
 
-    def request(self, kind=0, remaining=3 * S, **changes):
+    def request(self, class_index=0, remaining_ns=3 * S, **changes):
         self.count += 1
-        base = i.Request(
+        base = RequestReceived(
             id=f"r{self.count}",
-            kind=kind,
-            tenant=None,
-            key=None,
-            remaining=remaining,
-            work=None,
+            class_index=class_index,
+            tenant_index=None,
+            routing_key=None,
+            remaining_ns=remaining_ns,
+            work_ns=None,
             memory_kb=30.0,
             rank=0.5,
-            retry=False,
-            write=False,
+            is_retry=False,
+            is_write=False,
             caller=1,
-            unread_for=10 * MS,
-            original=None,
+            unread_ns=10 * MS,
+            duplicate_of=None,
         )
         event = dataclasses.replace(base, **changes)
-        self.arrived[event.id] = self.now - event.unread_for
+        self.arrived[event.id] = self.now - event.unread_ns
         return event.id, self.send(event)
 
-    def done(self, job_id, outcome=i.Outcome.OK, took=100 * MS):
-        return self.send(i.Completed(job_id, outcome, took))
+    def done(self, job_id, outcome=Outcome.OK, took=100 * MS):
+        return self.send(RequestCompleted(job_id, outcome, took))
 
     def run_for(self, span, every=25 * MS, gauges=None):
         """Let time pass, the sweep timer ringing."""
@@ -119,7 +136,7 @@
         end = self.now + span
         while self.now < end:
             self.now = min(end, self.now + every)
-            out += self.send(i.Alarm(1, gauges if gauges is not None else {"cpu_busy": 1.0}))
+            out += self.send(TimerFired(1, gauges if gauges is not None else {"cpu_busy": 1.0}))
         return out
 
     def said(self, kind):
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -14,17 +14,17 @@
 from hypothesis import strategies as st
 from stand_ins import MEMORY, PATIENCE, ProgramCase, settings, toml_file
 
-from ochrehoist import interface as i
+from ochrehoist.admission.settings import RequestClass, Tenant
+from ochrehoist.app.worker import Worker
 from ochrehoist.capture.records import Damage, Head, head_block, records, start, told
-from ochrehoist.config import load
+from ochrehoist.config.loader import load
+from ochrehoist.config.settings import at_once
 from ochrehoist.core.tenants import SPARE, changed, compact, first
 from ochrehoist.net.peers import FleetTenant
 from ochrehoist.peers import wire
 from ochrehoist.peers.counts import Ledger
 from ochrehoist.peers.wire import Life, Message
-from ochrehoist.settings import at_once
 from ochrehoist.sites.order import MOST_TOLD, Order
-from ochrehoist.worker import Worker
 
 OPENS_ONCE = """
 import os, time
@@ -37,7 +37,7 @@
 Journal._open = waits
 """  # the disk does not answer as long as there is a file of this name
 RUNS_OUT = """
-from ochrehoist import config
+from ochrehoist.config import loader as config
 whole, failed = config.load_in_steps, []
 def runs_out(*arguments, before=None, **more):
     steps = whole(*arguments, before=before, **more)
@@ -52,7 +52,7 @@
 
 
 def tenants(numbers, quota=1.0):
-    return tuple(i.Tenant(f"t{n}", quota, 0.1) for n in numbers)
+    return tuple(Tenant(f"t{n}", quota, 0.1) for n in numbers)
 
 
 class Table(unittest.TestCase):
@@ -262,8 +262,8 @@
         self.assertEqual(me.read("class/read/answered", 2.0).total, 42)
 
     def test_of_tenants_rates_the_nearest_to_their_share_are_told_and_the_quiet_forgotten(self):
-        many = tuple(i.Tenant(f"t{n}", 1.0 if n == 900 else 1000.0, 0.1) for n in range(1000))
-        order = Order((i.RequestClass(name="read", aim=1, deadline=2),), first(many), 0.1)
+        many = tuple(Tenant(f"t{n}", 1.0 if n == 900 else 1000.0, 0.1) for n in range(1000))
+        order = Order((RequestClass(name="read", latency_objective_ns=1, deadline_ns=2),), first(many), 0.1)
         for n in range(1000):
             order.came(("", "read", n), "read", f"t{n}", False, 1.0)
         told = order.told_rates(1.0)
--- a/tests/test_config_at_size.py
+++ b/tests/test_config_at_size.py
@@ -18,10 +18,14 @@
 from stand_ins import ROOT, run, toml_file
 from stand_ins import settings as site
 
-from ochrehoist import config, config_json, config_source, config_toml, wirehost
-from ochrehoist import settings as settings_module
+from ochrehoist.app import simulator_adapter
+from ochrehoist.config import json_reader, toml_reader
+from ochrehoist.config import loader as config
+from ochrehoist.config import settings as settings_module
+from ochrehoist.config import source as config_source
+from ochrehoist.config.settings import Tenants, at_once
+from ochrehoist.errors import InvalidInputError
 from ochrehoist.lab.toml import toml
-from ochrehoist.settings import BadInput, Tenants, at_once
 
 
 def tenant(at, **changes):
@@ -72,7 +76,7 @@
         return at_once(config.load_in_steps(self.file(text, name), {}, before))
 
     def refused(self, text, before=None, name="a.toml"):
-        with self.assertRaises(BadInput) as raised:
+        with self.assertRaises(InvalidInputError) as raised:
             self.load(text, before, name)
         return str(raised.exception)
 
@@ -86,8 +90,8 @@
     def setUp(self):
         super().setUp()
         for module, values in (
-            (config_toml, {"ELEMENTS": 4, "BORDER": 2}),
-            (config_json, {"WHOLE": -1, "TAKEN": 50}),
+            (toml_reader, {"ELEMENTS": 4, "BORDER": 2}),
+            (json_reader, {"WHOLE": -1, "TAKEN": 50}),
             (config_source, {"PART": 300}),
         ):
             patch = mock.patch.multiple(module, **values)
@@ -165,7 +169,7 @@
                 rules[a % len(rules)] = rule(b, **{"class": "none"})
             try:
                 fresh = self.load(text(), None, name)
-            except BadInput as error:
+            except InvalidInputError as error:
                 self.assertEqual(self.refused(text(), before, name), str(error))
                 return  # the one in force stays
             now = self.load(text(), before, name)
@@ -202,7 +206,7 @@
                 plain = None
             try:
                 got = self.load(data[:cut], before)
-            except BadInput:
+            except InvalidInputError:
                 continue
             self.assertIsNotNone(plain, cut)
             self.assertEqual(
@@ -288,14 +292,14 @@
         self.assertEqual(self.interrupted(twice), {"new"})
 
     def test_one_that_goes_is_told(self):
-        with self.assertRaises(BadInput) as raised:
+        with self.assertRaises(InvalidInputError) as raised:
             self.interrupted(os.remove)
         self.assertIn("setting OCHREHOIST_AJP", str(raised.exception))
 
     def test_one_that_never_comes_to_rest_is_refused_after_some_tries(self):
         path, count = self.file(self.texts[0]), 0
         reading = config.load_in_steps(path, {}, None)
-        with self.assertRaises(BadInput) as raised:
+        with self.assertRaises(InvalidInputError) as raised:
             for count in range(100_000):  # noqa: B007
                 next(reading)
                 with open(path, "a") as file:
@@ -370,9 +374,9 @@
                 self.assertEqual(first.made, tenants)
                 again = Counted()
                 now = again.read(self.file(large(tenants, routes, **changes)), before)
-                self.assertLessEqual(again.made, 2 * config_toml.ELEMENTS)
-                self.assertLessEqual(again.longest, 2 * config_toml.STRETCH)
-                self.assertLessEqual(first.longest, 2 * config_toml.STRETCH)
+                self.assertLessEqual(again.made, 2 * toml_reader.ELEMENTS)
+                self.assertLessEqual(again.longest, 2 * toml_reader.STRETCH)
+                self.assertLessEqual(first.longest, 2 * toml_reader.STRETCH)
                 self.assertLessEqual(max(first.most, again.most), settings_module.STEP)
                 figures.append((again.parsed, again.calls))
                 old, new = before.settings.tenants, now.settings.tenants
@@ -406,7 +410,7 @@
     def test_the_platforms_file_is_read_element_by_element_and_makes_what_is_new(self):
         listed = [tenant(at) for at in range(4_000)]
         before, count = steps(config.load_in_steps(self.file(json.dumps(platform(listed)), "a.json"), {}))
-        longest, real = [0], config_json._read
+        longest, real = [0], json_reader._read
 
         def read(text, at):
             value, end = real(text, at)
@@ -415,11 +419,11 @@
 
         listed[3_000] = tenant(3_000, QuotaPerS=1)
         counted = Counted()
-        with mock.patch.object(config_json, "_read", read):
+        with mock.patch.object(json_reader, "_read", read):
             now = counted.read(self.file(json.dumps(platform(listed)), "a.json"), before)
         self.assertEqual(counted.made, 1)
         self.assertLess(longest[0], 1_000)
-        self.assertGreater(count, len(json.dumps(platform(listed))) // (2 * config_json.TAKEN))
+        self.assertGreater(count, len(json.dumps(platform(listed))) // (2 * json_reader.TAKEN))
         pairs = zip(now.settings.tenants, before.settings.tenants, strict=True)
         self.assertEqual(sum(a is not b for a, b in pairs), 1)
 
@@ -505,7 +509,7 @@
 
         def create():
             message = f"CREATE 1 {json.dumps(site(Tenants=listed))}"
-            return wirehost.main(["BATCH 0 1", "TARGET_INSTANCE 0", message, "EOF_BATCH"], out, err)
+            return simulator_adapter.main(["BATCH 0 1", "TARGET_INSTANCE 0", message, "EOF_BATCH"], out, err)
 
         self.assertEqual(create(), 0)
         self.assertIn("OK 1", out.getvalue())
@@ -536,7 +540,9 @@
             [sys.executable, "-c", code, file], cwd=ROOT, capture_output=True, text=True, check=True
         )
         loaded = set(done.stdout.split())
-        self.assertFalse(loaded & {"tomli", "tomllib", "ochrehoist.config_toml", "ochrehoist.config_fleet"})
+        self.assertFalse(
+            loaded & {"tomli", "tomllib", "ochrehoist.config.toml_reader", "ochrehoist.config.fleet"}
+        )
 
     def test_a_short_file_does_not_load_the_reader_in_parts(self):
         code = "import sys; from ochrehoist import config; config.load(sys.argv[1], {}); print(*sys.modules)"
@@ -549,7 +555,7 @@
                 text=True,
                 check=True,
             )
-            loaded.append("ochrehoist.config_toml" in done.stdout.split())
+            loaded.append("ochrehoist.config.toml_reader" in done.stdout.split())
         self.assertEqual(loaded, [False, True])
 
     def test_no_module_of_the_configuration_needs_one_that_needs_it(self):
--- a/tests/test_config_text.py
+++ b/tests/test_config_text.py
@@ -11,8 +11,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ochrehoist import config_json, config_source, config_toml
-from ochrehoist.settings import at_once
+from ochrehoist.config import json_reader, toml_reader
+from ochrehoist.config import source as config_source
+from ochrehoist.config.settings import at_once
 
 TENANTS = ("settings", "Tenants")
 ARRAY = ("c", "d")
@@ -131,12 +132,12 @@
         except ValueError as error:
             fault = error
         with (
-            mock.patch.multiple(config_toml, SHORT=short, ELEMENTS=elements, BORDER=border),
+            mock.patch.multiple(toml_reader, SHORT=short, ELEMENTS=elements, BORDER=border),
             mock.patch.object(config_source, "PART", part),
         ):
             try:
                 text = at_once(config_source.text_in_steps(path))
-                got = at_once(config_toml.read_in_steps(text, {ARRAY: take}, None))
+                got = at_once(toml_reader.read_in_steps(text, {ARRAY: take}, None))
             except ValueError as error:
                 self.assertIsNotNone(fault, (text, error))
                 if line_of(fault):  # tomllib itself tells no line of a number that is too long
@@ -151,7 +152,7 @@
         def read(text, before):
             path = self.file(text)
             text = at_once(config_source.text_in_steps(path))
-            reading = at_once(config_toml.read_in_steps(text, {ARRAY: take}, before))
+            reading = at_once(toml_reader.read_in_steps(text, {ARRAY: take}, before))
             if reading.rest is None:
                 return reading.data, None
             listed = reading.data["c"]["d"] if ARRAY in reading.stretches else []
@@ -160,7 +161,7 @@
             data = config_source.joined(reading.data, {ARRAY: whole}) if listed else reading.data
             return data, reading.source(text.digest, {ARRAY: whole})
 
-        with mock.patch.multiple(config_toml, ELEMENTS=elements, BORDER=2):
+        with mock.patch.multiple(toml_reader, ELEMENTS=elements, BORDER=2):
             source = None
             for text in (first, second + first, first + second, second):
                 try:
@@ -204,15 +205,15 @@
     @settings(max_examples=1500, deadline=None)
     @given(json_texts())
     def test_any_text_gives_the_same_data_or_a_fault_at_the_same_place(self, text):
-        with mock.patch.multiple(config_json, WHOLE=-1, TAKEN=3):
+        with mock.patch.multiple(json_reader, WHOLE=-1, TAKEN=3):
             try:
                 plain = json.loads(text)
             except json.JSONDecodeError as fault:
                 with self.assertRaises(json.JSONDecodeError) as raised:
-                    at_once(config_json.read_in_steps(text, {TENANTS: take}))
+                    at_once(json_reader.read_in_steps(text, {TENANTS: take}))
                 self.assertEqual((raised.exception.pos, raised.exception.msg), (fault.pos, fault.msg))
                 return
-            got = at_once(config_json.read_in_steps(text, {TENANTS: take}))
+            got = at_once(json_reader.read_in_steps(text, {TENANTS: take}))
         self.assertEqual(repr(got), repr(plain))  # a NaN is like no other
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -20,14 +20,14 @@
 BUSY = """
 import time
 from ochrehoist.core.owner import Owner
-from ochrehoist.core.requests import Arrived
-plain = Owner.TAKES[Arrived]
+from ochrehoist.core.messages import RequestArrived
+plain = Owner.TAKES[RequestArrived]
 def arrived(owner, m):
     if m.request.payload.body == b"long":
         open({flag!r}, "w").close()
         time.sleep(0.8)
     plain(owner, m)
-Owner.TAKES[Arrived] = arrived
+Owner.TAKES[RequestArrived] = arrived
 """  # the core is busy with one request for longer than a connection lingers
 
 
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -2,14 +2,14 @@
 
 from helpers import MS, Driver
 
-from ochrehoist import interface as i
+from ochrehoist.admission.actions import StartRun
 
 
 def test_times_learned_in_a_crowd_do_not_shut_out_work_once_cores_are_idle():
     d = Driver()
     for _ in range(12):  # beside twice as many as the cores run, each takes twice as long as it would alone
         job_id, said = d.request()
-        assert i.Start(job_id) in said
+        assert StartRun(job_id) in said
         d.controller.floor = d.controller.cores = 8
         d.done(job_id, took=1600 * MS)
         d.controller.cores = 0
@@ -17,4 +17,4 @@
     d.controller.floor = 4
     d.request()
     fresh, said = d.request()  # beside one that runs; alone on its core it ends within its aim
-    assert i.Start(fresh) in said
+    assert StartRun(fresh) in said
--- a/tests/test_doubts.py
+++ b/tests/test_doubts.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ochrehoist.interface import Repeat
+from ochrehoist.admission.settings import Idempotency
 from ochrehoist.net.doubts import LOSS, REACHED, Runs
 
 STEP = 0.004  # s between two events of a play
@@ -91,7 +91,9 @@
 
 def request(number, keyed, lag=0.0):
     return SimpleNamespace(
-        id=f"r{number}", lag=lag, cls=SimpleNamespace(repeat=Repeat.KEYED if keyed else Repeat.SAFE)
+        id=f"r{number}",
+        lag=lag,
+        cls=SimpleNamespace(repeat=Idempotency.KEYED if keyed else Idempotency.IDEMPOTENT),
     )
 
 
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -13,8 +13,9 @@
 from ochrehoist.net import ajp, thrift
 
 FAULT = """
-from ochrehoist import interface, rules
-handle, seen = rules.AdmissionController.handle, []
+from ochrehoist.admission import interface
+from ochrehoist.admission import controller
+handle, seen = controller.AdmissionController.handle, []
 def broken(self, now, event):
     if isinstance(event, interface.Alarm) and len(seen) < 3 and not seen.append(event):
         raise RuntimeError("an alarm")
@@ -22,7 +23,7 @@
         handle(self, now, event)
         raise RuntimeError("a request, half way")
     return handle(self, now, event)
-rules.AdmissionController.handle = broken
+controller.AdmissionController.handle = broken
 """
 
 
@@ -166,7 +167,7 @@
     def test_damaged_ajp_is_read_or_refused(self, damage, end):
         try:
             f = ajp.forward(damaged(FORWARD, damage, end))
-        except ajp.BadPacket:
+        except ajp.MalformedPacketError:
             return
         self.assertTrue(f.method)
         self.assertGreaterEqual(f.length, 0)
@@ -180,7 +181,7 @@
                     self.assertLessEqual(len(m.args.strings()), 1)
                 else:
                     m.args.skip(kind)
-        except thrift.BadFrame:
+        except thrift.MalformedFrameError:
             return
         self.assertLessEqual(m.args.at, len(INVOKE))
 
--- a/tests/test_filings.py
+++ b/tests/test_filings.py
@@ -3,39 +3,46 @@
 import unittest
 from types import SimpleNamespace
 
-from ochrehoist import interface as i
+from ochrehoist.admission.events import Outcome
+from ochrehoist.admission.settings import AdmissionSettings, Idempotency, RequestClass, Tenant
 from ochrehoist.core.handover import learned
 from ochrehoist.core.keys import Run
-from ochrehoist.core.owner import Owner
-from ochrehoist.core.requests import (
-    Arrived,
-    Booted,
-    Ended,
-    Gone,
-    Inbound,
-    Joined,
-    Reason,
-    Recorded,
-    Refusal,
-    Restored,
-    Result,
-    Retuned,
+from ochrehoist.core.messages import (
+    CallerDisconnected,
+    DuplicateResolved,
+    ExecutorReady,
+    IntentRecorded,
+    RequestArrived,
+    RunCompleted,
+    SettingsChanged,
+    StateRestored,
 )
+from ochrehoist.core.owner import Owner
+from ochrehoist.core.request import InboundRequest
+from ochrehoist.core.results import FailureReason, Rejection, RunResult
 
 S = 10**9
-FILING = i.RequestClass(name="filing", aim=2 * S, deadline=5 * S, repeat=i.Repeat.KEYED, window=20 * S)
-READ = i.RequestClass(name="read", aim=2 * S, deadline=5 * S, repeat=i.Repeat.SAFE)
+FILING = RequestClass(
+    name="filing",
+    latency_objective_ns=2 * S,
+    deadline_ns=5 * S,
+    idempotency=Idempotency.KEYED,
+    idempotency_window_ns=20 * S,
+)
+READ = RequestClass(
+    name="read", latency_objective_ns=2 * S, deadline_ns=5 * S, idempotency=Idempotency.IDEMPOTENT
+)
 
 
 def settings(*classes, **more):
-    return i.Settings(
+    return AdmissionSettings(
         classes=classes or (FILING, READ),
         cores=2,
         memory_kb=1e6,
-        tip_multiple=5.0,
-        fall=2 * S,
-        tenants=(i.Tenant("acme", 50.0, 1.0),),
-        max_backoff=S,
+        collapse_multiple=5.0,
+        collapse_after_ns=2 * S,
+        tenants=(Tenant("acme", 50.0, 1.0),),
+        max_retry_after_ns=S,
         **more,
     )
 
@@ -75,7 +82,7 @@
             settings(), 1, waker, lambda: self.now, lambda: self.now, quiet, 10**6, lambda: None
         )
         self.book = self.owner.filings.journal = Book()
-        self.do(Booted(None, 0))
+        self.do(ExecutorReady(None, 0))
 
     def said(self, *args, **more):
         pass
@@ -100,8 +107,8 @@
         executor = SimpleNamespace(start=lambda r: self.started.append(r.id))
         token = ("acme", cls.name, key) if cls is FILING else None
         self.do(
-            Arrived(
-                Inbound(
+            RequestArrived(
+                InboundRequest(
                     rid,
                     cls,
                     self.now,
@@ -125,10 +132,10 @@
     def test_a_filing_begins_once_it_is_on_record_and_a_read_at_once(self):
         filing, read = self.arrive(), self.arrive(cls=READ)
         self.assertEqual((self.started, self.book.told), ([read], [("begin", filing)]))
-        self.do(Recorded(filing, True))
-        self.do(Recorded(filing, True))
+        self.do(IntentRecorded(filing, True))
+        self.do(IntentRecorded(filing, True))
         self.assertEqual(self.started, [read, filing])
-        self.do(Ended(filing, Result(i.Outcome.OK, b"done"), S))
+        self.do(RunCompleted(filing, RunResult(Outcome.OK, b"done"), S))
         self.assertEqual(self.book.told[1:], [("end", "k", b"done")])
         self.assertEqual(self.ends[filing], [("served", b"done")])
 
@@ -136,37 +143,37 @@
         first = self.arrive()
         repeat = self.arrive(retry=True)
         self.assertEqual(self.running(), 1)
-        self.do(Recorded(first, False, S))
+        self.do(IntentRecorded(first, False, S))
         self.assertEqual((self.ends[first], self.ends[repeat]), ([("refused", S)], [("refused", S)]))
         self.assertEqual((self.running(), self.owner.live, self.started), (0, {}, []))
         self.assertEqual(self.book.told, [("begin", first), ("drop", "k")])
         again = self.arrive()
-        self.do(Recorded(again, True))
+        self.do(IntentRecorded(again, True))
         self.assertEqual(self.started, [again])
 
     def test_one_whose_caller_has_left_meanwhile_is_not_begun_but_for_a_repeat(self):
         left = self.arrive()
-        self.do(Gone(left), Recorded(left, True))
+        self.do(CallerDisconnected(left), IntentRecorded(left, True))
         self.assertEqual((self.started, self.running()), ([], 0))
         self.assertEqual(self.book.told[-1], ("drop", "k"))
         left = self.arrive("other")
         repeat = self.arrive("other", retry=True)
-        self.do(Gone(left), Recorded(left, True))
+        self.do(CallerDisconnected(left), IntentRecorded(left, True))
         self.assertEqual(self.started, [left])
-        self.do(Ended(left, Result(i.Outcome.OK, b"done"), S))
+        self.do(RunCompleted(left, RunResult(Outcome.OK, b"done"), S))
         self.assertEqual(self.ends[repeat], [("served", b"done")])
 
     def test_what_never_ran_is_taken_out_again(self):
         filing = self.arrive()
-        self.do(Recorded(filing, True), Ended(filing, Result(i.Outcome.UNREACHABLE), 0))
+        self.do(IntentRecorded(filing, True), RunCompleted(filing, RunResult(Outcome.UNREACHABLE), 0))
         self.assertEqual(self.book.told[-1], ("drop", "k"))
 
     def test_while_the_journal_refuses_only_what_is_not_known_is_turned_away(self):
         done = self.arrive("done")
-        self.do(Recorded(done, True), Ended(done, Result(i.Outcome.OK, b"done"), S))
+        self.do(IntentRecorded(done, True), RunCompleted(done, RunResult(Outcome.OK, b"done"), S))
         for refusal, end in (
-            (Refusal(7 * S), ("refused", 7 * S)),
-            (Refusal(0, may_have_run=True), ("failed", Reason.MAY_HAVE_RUN)),
+            (Rejection(7 * S), ("refused", 7 * S)),
+            (Rejection(0, may_have_run=True), ("failed", FailureReason.MAY_HAVE_RUN)),
         ):
             self.book.refusal = refusal
             self.assertEqual(self.ends[self.arrive("new")], [end])
@@ -181,31 +188,31 @@
             )
             for key, values in more.items()
         }
-        self.do(Restored(runs, None))
+        self.do(StateRestored(runs, None))
 
     def test_after_a_restart_results_are_fetched_and_what_may_have_run_fails(self):
         self.restore(ended={"stored": True}, begun={})
         self.assertEqual(len(self.owner.controller.keys), 0)  # the module hears of none yet
         ended, begun = self.arrive("ended", retry=True), self.arrive("begun", retry=True)
         self.assertEqual(self.book.told, [("fetch", "ended", ended)])
-        self.assertEqual(self.ends[begun], [("failed", Reason.EXECUTOR)])
-        self.do(Joined(ended, Result(i.Outcome.OK, b"kept")))
+        self.assertEqual(self.ends[begun], [("failed", FailureReason.EXECUTOR)])
+        self.do(DuplicateResolved(ended, RunResult(Outcome.OK, b"kept")))
         self.assertEqual(self.ends[ended], [("served", b"kept")])
         self.assertEqual((self.started, len(self.owner.controller.keys)), ([], 2))
-        self.assertEqual(self.ends[self.arrive("begun", retry=True)], [("failed", Reason.EXECUTOR)])
+        self.assertEqual(self.ends[self.arrive("begun", retry=True)], [("failed", FailureReason.EXECUTOR)])
         self.assertEqual(len(self.owner.controller.keys), 2)
 
     def test_what_came_before_the_store_was_read_goes_before_it(self):
         mine = self.arrive("k")
-        self.do(Recorded(mine, True))
+        self.do(IntentRecorded(mine, True))
         self.restore(k={"stored": True})
-        self.do(Ended(mine, Result(i.Outcome.OK, b"mine"), S))
+        self.do(RunCompleted(mine, RunResult(Outcome.OK, b"mine"), S))
         self.assertEqual(self.ends[mine], [("served", b"mine")])
 
     def test_restored_filings_outlive_new_settings_without_their_class_and_expire(self):
         self.restore(k={"stored": True})
-        self.do(Retuned(settings(READ)))
-        self.do(Retuned(settings()))
+        self.do(SettingsChanged(settings(READ)))
+        self.do(SettingsChanged(settings()))
         self.arrive("k", retry=True)
         self.assertEqual(self.book.told[-1][:2], ("fetch", "k"))
         self.restore(late={})
@@ -217,9 +224,9 @@
     def test_what_was_learned_is_taught_at_once_or_when_the_module_comes_up(self):
         for n in range(6):
             rid = self.arrive(f"k{n}")
-            self.do(Recorded(rid, True))
+            self.do(IntentRecorded(rid, True))
             self.now += 300_000_000
-            self.do(Ended(rid, Result(i.Outcome.OK), 300_000_000))
+            self.do(RunCompleted(rid, RunResult(Outcome.OK), 300_000_000))
         lesson = learned(self.owner.controller)
         taught = self.owner.controller.took[0].value
         for late in (False, True):
@@ -228,9 +235,9 @@
             self.assertNotEqual(fresh, taught)
             if late:
                 self.owner.controller, self.owner.booted = None, None
-            self.do(Restored({}, lesson))
+            self.do(StateRestored({}, lesson))
             if late:
-                self.do(Booted(None, 0))
+                self.do(ExecutorReady(None, 0))
             self.assertEqual(self.owner.controller.took[0].value, taught)
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -186,7 +186,7 @@
 
     def test_nothing_of_it_is_loaded_without_its_table(self):
         code = (
-            "import sys, ochrehoist.worker, ochrehoist.net.ajp_front; "
+            "import sys, ochrehoist.app.worker, ochrehoist.net.ajp_front; "
             "print([m for m in sys.modules if 'peers' in m or 'lab' in m.split('.') or m == 'msgspec'])"
         )
         done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True)
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -10,15 +10,17 @@
 
 from stand_ins import MS, interpreter_steps, settings
 
-from ochrehoist import interface as i
+from ochrehoist.admission.events import Outcome
+from ochrehoist.config.settings import settings_from
 from ochrehoist.core import handover
 from ochrehoist.core.figures import Figures
+from ochrehoist.core.messages import ExecutorReady, RequestArrived, RunCompleted
 from ochrehoist.core.owner import Owner
-from ochrehoist.core.requests import Arrived, Booted, Ended, Inbound, Result
+from ochrehoist.core.request import InboundRequest
+from ochrehoist.core.results import RunResult
 from ochrehoist.net.members import Members
 from ochrehoist.peers import wire
 from ochrehoist.peers.counts import Ledger
-from ochrehoist.settings import settings_from
 from ochrehoist.store.backlog import Begin, Drop, End, net
 from ochrehoist.store.records import Begun, Finished, key_of, pack
 
@@ -84,14 +86,14 @@
             10**9,
             lambda: None,
         )
-        self.owner.post(Booted(False, 0))
+        self.owner.post(ExecutorReady(False, 0))
         self.owner.step()
 
     def comes(self, kind=0, key=None):
         self.sent += 1
         cls, tenant = self.owner.settings.classes[kind], self.owner.settings.tenants[0].name
         token = (tenant, cls.name, key) if key else None
-        r = Inbound(
+        r = InboundRequest(
             f"r{self.sent:08}",
             cls,
             self.now,
@@ -103,19 +105,21 @@
             token=token,
             fingerprint=(None, bytes(32)) if key else None,
         )
-        self.owner.post(Arrived(r))
+        self.owner.post(RequestArrived(r))
         self.owner.step()
         return r
 
     def ends(self, r):
         self.now += MS
-        self.owner.post(Ended(r.id, Result(i.Outcome.OK, b"done"), MS))
+        self.owner.post(RunCompleted(r.id, RunResult(Outcome.OK, b"done"), MS))
         self.owner.step()
 
     def goes_through(self, kind=0, key=None):
         r = self.comes(kind, key)
         self.ends(r)
-        assert r.answered and len(self.part.told) and isinstance(self.part.told[-1], Result), self.part.told
+        assert r.answered and len(self.part.told) and isinstance(self.part.told[-1], RunResult), (
+            self.part.told
+        )
 
 
 def one_request(core):
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -12,14 +12,14 @@
 from instant import InstantKernel, InstantServer
 from stand_ins import PATIENCE, ROOT, Program, Thrift, hasty, run, settings, toml_file
 
-from ochrehoist.config import load_appliance
-from ochrehoist.settings import BadInput
+from ochrehoist.config.loader import load_appliance
+from ochrehoist.errors import InvalidInputError
 
 # Run at the start of the interpreter: each decision takes 3 ms more, on whatever machine.
 SLOW = """
 import sys, time
 if "-m" in sys.orig_argv and "ochrehoist" in sys.orig_argv:
-    from ochrehoist.rules import AdmissionController
+    from ochrehoist.admission.controller import AdmissionController
     plain = AdmissionController.handle
     def handle(self, now, event):
         until = time.perf_counter() + 0.003
@@ -173,7 +173,7 @@
 class Off(unittest.TestCase):
     def test_without_its_table_nothing_of_it_is_loaded_or_said(self):
         done = subprocess.run(
-            [sys.executable, "-c", "import ochrehoist.worker, sys; print(*sys.modules)"],
+            [sys.executable, "-c", "import ochrehoist.app.worker, sys; print(*sys.modules)"],
             cwd=ROOT,
             capture_output=True,
             text=True,
@@ -181,7 +181,7 @@
         )
         loaded = done.stdout.split()
         self.assertIn("ochrehoist.core.owner", loaded)
-        self.assertEqual([m for m in loaded if m.startswith(("ochrehoist.limits", "hdrh"))], [])
+        self.assertEqual([m for m in loaded if m.startswith(("ochrehoist.overload", "hdrh"))], [])
         program = Program(site=settings(), kernel=InstantKernel())
         self.addCleanup(program.close)
         self.assertNotIn("overload", json.loads(program.operator()[1]))
@@ -200,7 +200,7 @@
         ):
             with self.subTest(table):
                 path = self.write(whole + f"\n[overload]\n{table}\n")
-                with self.assertRaises(BadInput) as raised:
+                with self.assertRaises(InvalidInputError) as raised:
                     load_appliance(path, {})
                 self.assertIn(key, str(raised.exception))
 
--- a/tests/test_limits.py
+++ b/tests/test_overload_parts.py
@@ -9,29 +9,50 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ochrehoist import interface as i
-from ochrehoist.config import OverloadConfig
-from ochrehoist.core.requests import Inbound
-from ochrehoist.limits.admission import FLOOR, Admission
-from ochrehoist.limits.allot import Ask, allot
-from ochrehoist.limits.controllers import CONTROLLERS, Bounds, Seek, Window, Windows
-from ochrehoist.limits.limiter import Limiter
-from ochrehoist.limits.outliers import Outliers
-from ochrehoist.limits.pools import SEEN_S, Seen, cheap, limits
-from ochrehoist.limits.storms import Storms
-from ochrehoist.limits.watch import LOOK_S, Parts, Sample, Watch
+from ochrehoist.admission.actions import FailRequest, RejectRequest, StartRun
+from ochrehoist.admission.events import UNLIMITED, ConcurrencyLimits, Outcome
+from ochrehoist.admission.settings import AdmissionSettings, Idempotency, RequestClass, Tenant
+from ochrehoist.config.loader import OverloadConfig
+from ochrehoist.core.request import InboundRequest
+from ochrehoist.overload.admission import FLOOR, Admission
+from ochrehoist.overload.allot import Ask, allot
+from ochrehoist.overload.controllers import CONTROLLERS, Bounds, Seek, Window, Windows
+from ochrehoist.overload.limiter import Limiter
+from ochrehoist.overload.outliers import Outliers
+from ochrehoist.overload.pools import SEEN_S, Seen, cheap, limits
+from ochrehoist.overload.storms import Storms
+from ochrehoist.overload.watch import LOOK_S, Parts, Sample, Watch
 
 S, MS = 10**9, 10**6
-READ = i.RequestClass(name="read", aim=2 * S, deadline=5 * S, worth=1.0, repeat=i.Repeat.SAFE)
-LOW = i.RequestClass(name="low", aim=2 * S, deadline=5 * S, worth=0.2, repeat=i.Repeat.SAFE)
-FILING = i.RequestClass(name="filing", aim=2 * S, deadline=5 * S, worth=3.0, repeat=i.Repeat.KEYED, window=S)
-SITE = i.Settings(
+READ = RequestClass(
+    name="read",
+    latency_objective_ns=2 * S,
+    deadline_ns=5 * S,
+    priority_weight=1.0,
+    idempotency=Idempotency.IDEMPOTENT,
+)
+LOW = RequestClass(
+    name="low",
+    latency_objective_ns=2 * S,
+    deadline_ns=5 * S,
+    priority_weight=0.2,
+    idempotency=Idempotency.IDEMPOTENT,
+)
+FILING = RequestClass(
+    name="filing",
+    latency_objective_ns=2 * S,
+    deadline_ns=5 * S,
+    priority_weight=3.0,
+    idempotency=Idempotency.KEYED,
+    idempotency_window_ns=S,
+)
+SITE = AdmissionSettings(
     classes=(READ, LOW, FILING),
     cores=4,
     memory_kb=1e6,
-    tip_multiple=8.0,
-    fall=S,
-    tenants=(i.Tenant("a", 10.0, 0.75), i.Tenant("b", 10.0, 0.25)),
+    collapse_multiple=8.0,
+    collapse_after_ns=S,
+    tenants=(Tenant("a", 10.0, 0.75), Tenant("b", 10.0, 0.25)),
 )
 
 
@@ -50,7 +71,7 @@
 
 
 def request(cls=READ, key=None, work=None, kb=20.0, retry=False, caller=1):
-    return Inbound(
+    return InboundRequest(
         id=f"r{next(NUMBERS)}",
         cls=cls,
         arrived=0,
@@ -248,7 +269,11 @@
     def test_new_settings_are_taken_while_it_sheds(self):
         admission = self.admission(0.0)
         admission.admits("read", "a", 1, 0)
-        admission.configure(i.Settings(classes=(FILING,), cores=4, memory_kb=1e6, tip_multiple=8.0, fall=S))
+        admission.configure(
+            AdmissionSettings(
+                classes=(FILING,), cores=4, memory_kb=1e6, collapse_multiple=8.0, collapse_after_ns=S
+            )
+        )
         # Of a class that is gone only the core can speak.
         self.assertIsNone(admission.admits("read", "a", 1, 0))
         admission.look(LOOK_S)
@@ -302,16 +327,18 @@
     def test_floors_fit_and_are_kept_for_filings_first(self):
         for total in (1, 2, 3, 5, 9, 40):
             told = limits(total, SITE, {}, 0.0, set(), True)
-            self.assertLessEqual(sum(told.floors), total)
-            self.assertEqual(told.caps, (total,) * 3)
-            self.assertGreaterEqual(told.heavy, 1)
-        self.assertEqual(limits(40, SITE, {}, 0.0, set(), False), i.Limits(40, (4, 4, 10), (40,) * 3))
+            self.assertLessEqual(sum(told.class_floors), total)
+            self.assertEqual(told.class_caps, (total,) * 3)
+            self.assertGreaterEqual(told.expensive, 1)
+        self.assertEqual(
+            limits(40, SITE, {}, 0.0, set(), False), ConcurrencyLimits(40, (4, 4, 10), (40,) * 3)
+        )
 
     def test_the_cheap_keep_a_reserve_while_they_come(self):
         seen = {"low": Seen(came=100.0), "read": Seen()}
         told = limits(20, SITE, seen, 100.0 + SEEN_S, {"low"}, False)
-        self.assertEqual((told.caps, told.floors[1]), ((18, 20, 18), 2))
-        self.assertEqual(limits(20, SITE, seen, 101.0 + SEEN_S, {"low"}, False).caps, (20, 20, 20))
+        self.assertEqual((told.class_caps, told.class_floors[1]), ((18, 20, 18), 2))
+        self.assertEqual(limits(20, SITE, seen, 101.0 + SEEN_S, {"low"}, False).class_caps, (20, 20, 20))
 
     def test_cheap_is_what_costs_little_beside_the_rest(self):
         seen = {
@@ -324,7 +351,7 @@
 
     def test_without_a_total_the_module_alone_says_how_many_run(self):
         told = limits(None, SITE, {"low": Seen(came=0.0)}, 0.0, {"low"}, True)
-        self.assertEqual((told.total, told.caps), (i.UNLIMITED, (32, 32, 32)))
+        self.assertEqual((told.total, told.class_caps), (UNLIMITED, (32, 32, 32)))
 
 
 class TheLane(unittest.TestCase):
@@ -384,21 +411,21 @@
             r, took = request(), (1500 if n % 40 == 39 else 100) * MS
             now += S // 10
             limiter.begun(r, now)
-            told.append(limiter.ended(r, now, took, i.Outcome.OK))
+            told.append(limiter.ended(r, now, took, Outcome.OK))
         self.assertLess(max(told[100:]), 1500 * MS / 2)
         self.assertEqual({t for t in told[100:] if t <= 100 * MS}, {100 * MS})
         self.assertEqual(limiter.running, 0)
         foreseen = request()
         foreseen.times = 15.0
         limiter.begun(foreseen, now)
-        self.assertEqual(limiter.ended(foreseen, now, 1500 * MS, i.Outcome.OK), 1500 * MS)
+        self.assertEqual(limiter.ended(foreseen, now, 1500 * MS, Outcome.OK), 1500 * MS)
 
     def test_what_is_foreseen_as_heavy_and_never_run_leaves_nothing_behind(self):
         limiter = Limiter(OverloadConfig(lane=True), SITE, 1)
         for n in range(100):
             r, took = request(work=(100 + n) * MS), (100 + n) * MS
             limiter.begun(r, n * S)
-            limiter.ended(r, n * S, took, i.Outcome.OK)
+            limiter.ended(r, n * S, took, Outcome.OK)
         sizes = {name: len(v) for name, v in vars(limiter).items() if hasattr(v, "__len__")}
         for _ in range(50):
             self.assertGreater(limiter.times(request(work=5 * S), 100 * S), 1)
@@ -455,50 +482,52 @@
     """Limits are told to it by an event; it starts and refuses as ever within them."""
 
     def driver(self, **told):
-        d = Driver(classes=(READ, LOW, FILING), memory_kb=1e6, marks_retry=False)
+        d = Driver(classes=(READ, LOW, FILING), memory_kb=1e6, marks_retries=False)
         if told:
-            d.send(i.Limits(**({"floors": (0, 0, 0), "caps": (99, 99, 99)} | told)))
+            d.send(ConcurrencyLimits(**({"class_floors": (0, 0, 0), "class_caps": (99, 99, 99)} | told)))
         return d
 
     def fill(self, d, *kinds, times=1.0):
         ids = []
         for kind in kinds:
-            ids.append(d.request(kind=kind, remaining=None, times=times if kind == 0 else 1.0)[0])
+            ids.append(
+                d.request(class_index=kind, remaining_ns=None, cost_multiple=times if kind == 0 else 1.0)[0]
+            )
         return ids
 
     def test_a_total_is_kept_to_and_without_one_the_module_decides_alone(self):
-        for total, most in ((2, 2), (i.UNLIMITED, 4)):
+        for total, most in ((2, 2), (UNLIMITED, 4)):
             d = self.driver(total=total)
             ids = self.fill(d, *[0] * 8)
-            self.assertEqual(d.ids(i.Start), ids[:most])
+            self.assertEqual(d.ids(StartRun), ids[:most])
             d.done(ids[0])
-            self.assertIn(len(d.ids(i.Start)), (most + 1,) if total == 2 else (most + 1, most + 2))
+            self.assertIn(len(d.ids(StartRun)), (most + 1,) if total == 2 else (most + 1, most + 2))
 
     def test_up_to_its_floor_a_class_goes_before_what_is_worth_more(self):
         for floors, first in (((0, 0, 0), 0), ((0, 1, 0), 1)):
-            d = self.driver(total=4, floors=floors)
+            d = self.driver(total=4, class_floors=floors)
             running = self.fill(d, 0, 0, 0, 0)
             wanted = dict(enumerate(self.fill(d, 0, 1)))
             d.done(running[0])
-            self.assertEqual(d.ids(i.Start)[-1], wanted[first])
+            self.assertEqual(d.ids(StartRun)[-1], wanted[first])
 
     def test_past_its_cap_a_class_waits_though_cores_are_free(self):
-        d = self.driver(total=4, caps=(2, 99, 99))
+        d = self.driver(total=4, class_caps=(2, 99, 99))
         ids = self.fill(d, 0, 0, 0, 1)
-        self.assertEqual(d.ids(i.Start), [ids[0], ids[1], ids[3]])
+        self.assertEqual(d.ids(StartRun), [ids[0], ids[1], ids[3]])
         d.done(ids[0])
-        self.assertEqual(d.ids(i.Start)[-1], ids[2])
+        self.assertEqual(d.ids(StartRun)[-1], ids[2])
 
     def test_heavy_ones_keep_to_the_lane_and_teach_the_class_their_usual_part(self):
-        d = self.driver(total=4, heavy=1)
+        d = self.driver(total=4, expensive=1)
         usual = d.controller.took[0].value
         heavy = self.fill(d, 0, 0, times=10.0)
         light = self.fill(d, 0, 0)
-        self.assertEqual(d.ids(i.Start), [heavy[0], *light])
+        self.assertEqual(d.ids(StartRun), [heavy[0], *light])
         d.now += S
         d.done(heavy[0], took=10 * usual)
         self.assertAlmostEqual(d.controller.took[0].value / usual, 1.0, delta=0.05)
-        self.assertIn(heavy[1], d.ids(i.Start) + d.ids(i.Refuse))
+        self.assertIn(heavy[1], d.ids(StartRun) + d.ids(RejectRequest))
 
     @settings(max_examples=60, deadline=None)
     @given(
@@ -508,23 +537,23 @@
         st.integers(1, 3),
     )
     def test_whatever_comes_and_ends_limits_hold_and_each_is_decided_once(self, steps, total, cap, lane):
-        d = self.driver(total=total, caps=(cap, cap, 99), floors=(1, 0, 0), heavy=lane)
+        d = self.driver(total=total, class_caps=(cap, cap, 99), class_floors=(1, 0, 0), expensive=lane)
         kinds, heavies, running = {}, set(), []
         for kind, heavy, ends in steps:
-            rid, _ = d.request(kind=kind, remaining=None, times=9.0 if heavy else 1.0)
+            rid, _ = d.request(class_index=kind, remaining_ns=None, cost_multiple=9.0 if heavy else 1.0)
             kinds[rid] = kind
             heavies |= {rid} if heavy else set()
-            running = [r for r in d.ids(i.Start) if r not in d.ended]
+            running = [r for r in d.ids(StartRun) if r not in d.ended]
             for r in running[:ends]:
                 d.ended.add(r)
                 d.now += 10 * MS
                 d.done(r)
-            running = [r for r in d.ids(i.Start) if r not in d.ended]
+            running = [r for r in d.ids(StartRun) if r not in d.ended]
             self.assertLessEqual(len(running), total)
             for at in (0, 1):
                 self.assertLessEqual(sum(kinds[r] == at for r in running), cap)
             self.assertLessEqual(len(heavies & set(running)), lane)
-        decided = d.ids(i.Start) + d.ids(i.Refuse) + d.ids(i.Fail)
+        decided = d.ids(StartRun) + d.ids(RejectRequest) + d.ids(FailRequest)
         self.assertEqual(len(decided), len(set(decided)))
 
 
--- a/tests/test_patience.py
+++ b/tests/test_patience.py
@@ -2,16 +2,17 @@
 
 from helpers import MS, Driver, S
 
-from ochrehoist import interface as i
+from ochrehoist.admission.actions import RejectRequest
+from ochrehoist.admission.events import RequestAbandoned, TimerFired
 
 
 def driver(waits, gave_up=True):
     """A caller has taken back eight requests that ran, each after `waits`."""
-    d = Driver(marks_retry=True)
+    d = Driver(marks_retries=True)
     for _ in range(8):
         job_id, _ = d.request()
         d.now += waits
-        d.send(i.CallerGone(job_id, gave_up))
+        d.send(RequestAbandoned(job_id, gave_up))
         d.done(job_id, took=400 * MS)
     for _ in range(4):
         d.request(caller=2)  # every core has work
@@ -22,26 +23,26 @@
     d = driver(400 * MS)
     hasty, _ = d.request()
     patient, _ = d.request(caller=2)
-    assert hasty in d.ids(i.Refuse)
-    assert patient not in d.ids(i.Refuse)
+    assert hasty in d.ids(RejectRequest)
+    assert patient not in d.ids(RejectRequest)
 
 
 def test_impatience_is_forgotten_when_nothing_is_taken_back_any_more():
     d = driver(400 * MS)
     d.now += 11 * S
     again, _ = d.request()
-    assert again not in d.ids(i.Refuse)
+    assert again not in d.ids(RejectRequest)
 
 
 def test_lost_connections_and_what_is_taken_back_at_once_say_nothing_of_patience():
     for d in (driver(400 * MS, gave_up=False), driver(20 * MS)):
         other, _ = d.request()
-        assert other not in d.ids(i.Refuse)
+        assert other not in d.ids(RejectRequest)
 
 
 def test_the_floor_does_not_grow_on_a_busy_share_that_is_half_a_second_old():
     d = Driver()
-    d.send(i.Alarm(1, {"cpu_busy": 0.2, "runnable": 9}))
+    d.send(TimerFired(1, {"cpu_busy": 0.2, "runnable": 9}))
     ids = [d.request()[0] for _ in range(12)]
     for job_id in ids[:4]:
         d.done(job_id, took=50 * MS)
@@ -49,7 +50,7 @@
 
 
 def test_times_to_run_are_learned_free_of_a_cold_start():
-    d = Driver(just_started=True, cold_from=0.25)
+    d = Driver(cold_start=True, warmup_speed=0.25)
     before = d.controller.took[0].value
     job_id, _ = d.request()
     d.now += 100 * MS
--- a/tests/test_plan.py
+++ b/tests/test_plan.py
@@ -14,17 +14,17 @@
 
 from ochrehoist.capture.reader import Capture, Entry
 from ochrehoist.capture.records import Head, Seen
+from ochrehoist.config.settings import settings_from
 from ochrehoist.plan import analytic
 from ochrehoist.plan.cores import Cores, Machine
 from ochrehoist.plan.demand import Streams, Wish, captured, drawn, speeds
 from ochrehoist.plan.events import Simulation, Trouble
 from ochrehoist.plan.fit import fitted
-from ochrehoist.plan.fleet import BadFleet, Choice, Clients, Routers, parse
+from ochrehoist.plan.fleet import Choice, Clients, FleetDescriptionError, Routers, parse
 from ochrehoist.plan.measure import Play
 from ochrehoist.plan.outcome import End
-from ochrehoist.plan.questions import Unanswerable, forecast, lose, ranged, size, with_workers
+from ochrehoist.plan.questions import UnanswerableQuestionError, forecast, lose, ranged, size, with_workers
 from ochrehoist.plan.routing import Answer, Call, Next, Router, after, rendezvous
-from ochrehoist.settings import settings_from
 
 EXAMPLE = tomllib.loads((ROOT / "deploy/fleet.toml").read_text())
 
@@ -72,12 +72,12 @@
             ("sites__0__networks", ["10.1.0/40"], "sites[0].networks"),
             ("kinds__0__speed", [2.0, 1.0], "kinds[0].speed"),
         ):
-            with self.subTest(path=path, value=value), self.assertRaises(BadFleet) as raised:
+            with self.subTest(path=path, value=value), self.assertRaises(FleetDescriptionError) as raised:
                 fleet(**{path: value})
             self.assertIn(said, str(raised.exception))
 
     def test_all_faults_come_at_once(self):
-        with self.assertRaises(BadFleet) as raised:
+        with self.assertRaises(FleetDescriptionError) as raised:
             fleet(load__rate=-1, kinds__0__cores=0, clients__heed=3)
         self.assertEqual(len(str(raised.exception).splitlines()), 3)
 
@@ -264,7 +264,7 @@
                 quiet,
             ),
         ):
-            self.assertRaises(Unanswerable, ask)
+            self.assertRaises(UnanswerableQuestionError, ask)
 
     def test_the_loss_of_a_site_costs_and_its_return_heals(self):
         f = fleet(membership__lag_s=0.5, kinds__0__cold_s=1.0).at(0.8)
@@ -389,7 +389,7 @@
         kind = f.kinds[0]
         told = settings_from(f.told(kind))
         model = f.settings(kind, cold=False)
-        self.assertEqual(dataclasses.replace(told, cold=0), dataclasses.replace(model, cold=0))
+        self.assertEqual(dataclasses.replace(told, warmup_ns=0), dataclasses.replace(model, warmup_ns=0))
 
     def test_real_workers_answer_each_call_once_and_a_lost_one_ends_its_own(self):
         f = fleet(clients__retries=1, membership__lag_s=0.2).at(0.5)
--- a/tests/test_plan_answers.py
+++ b/tests/test_plan_answers.py
@@ -20,7 +20,7 @@
 from ochrehoist.plan.measure import Play
 from ochrehoist.plan.questions import (
     Run,
-    Unanswerable,
+    UnanswerableQuestionError,
     breaks,
     compare,
     forecast,
@@ -183,7 +183,7 @@
         self.assertRaises(KeyboardInterrupt, known, runs, 1, self.after(1), 2)
         self.assertEqual(compare(f, f, (1, 2, 3), 12.0, 1, self.after(5))["seeds"], 2)
         self.assertEqual(len(breaks(f, (0.5, 0.8, 1.1), (1,), 12.0, 1, self.after(2))["steps"]), 2)
-        with self.assertRaises(Unanswerable) as raised:
+        with self.assertRaises(UnanswerableQuestionError) as raised:
             size(fleet(load__rate=60.0), "fast-node", 0.9, (1,), 12.0, 1, self.after(1))
         self.assertIn("so far", str(raised.exception))
 
--- a/tests/test_plan_restart.py
+++ b/tests/test_plan_restart.py
@@ -4,9 +4,9 @@
 from pathlib import Path
 
 from ochrehoist.lab.drill import rolling_of, scenario_of
-from ochrehoist.lab.scenario import BadScenario
+from ochrehoist.lab.scenario import ScenarioError
 from ochrehoist.plan.fleet import load
-from ochrehoist.plan.questions import Unanswerable
+from ochrehoist.plan.questions import UnanswerableQuestionError
 from ochrehoist.plan.restart import by_figures, restart, spread
 
 ROOT = Path(__file__).parent.parent
@@ -33,14 +33,14 @@
         quiet = lambda *_: None  # noqa: E731
         self.assertEqual(restart(self.fleet.at(0.2), 0.9, 1.0, (1,), 1, quiet)["most"], 2)
         self.assertEqual(restart(self.fleet.at(0.97), 0.99, 3.0, (1,), 1, quiet)["most"], 0)
-        with self.assertRaises(Unanswerable):
+        with self.assertRaises(UnanswerableQuestionError):
             restart(self.fleet, 1.0, 1.0, (1,), 1, quiet)
 
     def test_a_rolling_play_restarts_each_once_and_leaves_somebody(self):
         s = rolling_of(self.fleet, 4, 2, 1.0)
         restarted = sorted(w for f in s.faults for w in f.who)
         self.assertEqual(restarted, sorted(f"w{n}" for n in range(s.workers)))
-        with self.assertRaisesRegex(BadScenario, "at_once"):
+        with self.assertRaisesRegex(ScenarioError, "at_once"):
             rolling_of(self.fleet, 4, 9, 1.0)
-        with self.assertRaisesRegex(BadScenario, "site"):
+        with self.assertRaisesRegex(ScenarioError, "site"):
             scenario_of(self.fleet, "ghent", 4, 5.0)
--- a/tests/test_random.py
+++ b/tests/test_random.py
@@ -4,23 +4,56 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ochrehoist import interface as i
+from ochrehoist.admission.actions import (
+    AttachDuplicate,
+    FailRequest,
+    RejectRequest,
+    ReleaseKey,
+    RetainKey,
+    SkipDownstreamCall,
+    StartDownstreamCall,
+    StartRun,
+)
+from ochrehoist.admission.events import (
+    DownstreamCallEnded,
+    DownstreamCallNeeded,
+    DrainStarted,
+    Outcome,
+    RequestAbandoned,
+)
+from ochrehoist.admission.settings import BackpressureSignal, DownstreamScope, Idempotency
 
 STEP = st.one_of(
     st.tuples(
         st.just("request"), st.integers(0, 3), st.integers(50, 6000), st.integers(0, 1500), st.integers(0, 9)
     ),
-    st.tuples(st.just("finish"), st.integers(0, 20), st.sampled_from([i.Outcome.OK, i.Outcome.FAILED])),
+    st.tuples(st.just("finish"), st.integers(0, 20), st.sampled_from([Outcome.OK, Outcome.FAILED])),
     st.tuples(st.just("needs"), st.integers(0, 20)),
-    st.tuples(st.just("called"), st.integers(0, 20), st.sampled_from([o for o in i.Outcome])),
+    st.tuples(st.just("called"), st.integers(0, 20), st.sampled_from([o for o in Outcome])),
     st.tuples(st.just("gone"), st.integers(0, 20)),
     st.tuples(st.just("wait"), st.integers(1, 1200)),
 )
 SITES = (
     {},
-    {"below": i.Below.SHARED, "fair_calls": 2.0, "calls_over": 5 * S, "lingers": 200 * MS},
-    {"below": i.Below.SHARED, "fair_calls": 0.3, "calls_over": 5 * S, "lingers": 200 * MS, "cores": 2},
-    {"below": i.Below.TIER, "memory_kb": 900.0, "advice": i.Advice.WINDOW, "just_started": True},
+    {
+        "downstream": DownstreamScope.SHARED,
+        "downstream_share": 2.0,
+        "downstream_window_ns": 5 * S,
+        "abandoned_call_ns": 200 * MS,
+    },
+    {
+        "downstream": DownstreamScope.SHARED,
+        "downstream_share": 0.3,
+        "downstream_window_ns": 5 * S,
+        "abandoned_call_ns": 200 * MS,
+        "cores": 2,
+    },
+    {
+        "downstream": DownstreamScope.TIER,
+        "memory_kb": 900.0,
+        "backpressure": BackpressureSignal.WINDOW,
+        "cold_start": True,
+    },
 )
 
 
@@ -35,39 +68,43 @@
     def check(self):
         for now, a in self.d.log[self.seen :]:
             job = getattr(a, "id", None)
-            if isinstance(a, i.Start):
+            if isinstance(a, StartRun):
                 assert job in self.open and job not in self.ran and self.root.get(job, job) not in self.ran
-                assert CLASSES[self.kind[job]].repeat is not i.Repeat.KEYED or job in self.kept
-                assert self.leave is None or self.d.arrived[job] <= self.leave + self.d.settings.drain_grace
+                assert CLASSES[self.kind[job]].idempotency is not Idempotency.KEYED or job in self.kept
+                assert (
+                    self.leave is None or self.d.arrived[job] <= self.leave + self.d.settings.drain_grace_ns
+                )
                 self.ran.add(job)
                 self.running.append(job)
-            elif isinstance(a, i.Refuse | i.Fail):
+            elif isinstance(a, RejectRequest | FailRequest):
                 assert job in self.open, "a second final answer"
-                assert now <= self.open.pop(job) + self.d.settings.answer_grace
-                assert not (isinstance(a, i.Refuse) and (job in self.ran or self.root.get(job) in self.ran))
+                assert now <= self.open.pop(job) + self.d.settings.answer_grace_ns
+                assert not (
+                    isinstance(a, RejectRequest) and (job in self.ran or self.root.get(job) in self.ran)
+                )
                 if job in self.joined:
                     self.joined.remove(job)
                 if job in self.at_call + self.out:
                     self.end(job)
-            elif isinstance(a, i.Join):
+            elif isinstance(a, AttachDuplicate):
                 self.joined.append(job)
-            elif isinstance(a, i.Keep):
-                self.kept[job] = now + a.hold_for
-            elif isinstance(a, i.Forget):
+            elif isinstance(a, RetainKey):
+                self.kept[job] = now + a.ttl_ns
+            elif isinstance(a, ReleaseKey):
                 del self.kept[job]
-            elif isinstance(a, i.Call | i.SkipCall):
+            elif isinstance(a, StartDownstreamCall | SkipDownstreamCall):
                 self.at_call.remove(job)
-                (self.out if isinstance(a, i.Call) else self.running).append(job)
+                (self.out if isinstance(a, StartDownstreamCall) else self.running).append(job)
         self.seen = len(self.d.log)
         c = self.d.controller
         assert len(self.running) == c.cores and c.used + 50.0 * len(c.keys) <= self.d.settings.memory_kb
-        assert c.cores <= self.d.settings.cores * self.d.settings.tip_multiple
+        assert c.cores <= self.d.settings.cores * self.d.settings.collapse_multiple
 
-    def end(self, job, outcome=i.Outcome.CANCELLED):
+    def end(self, job, outcome=Outcome.CANCELLED):
         for place in (self.running, self.at_call, self.out):
             if job in place:
                 place.remove(job)
-        if outcome is not i.Outcome.CANCELLED:
+        if outcome is not Outcome.CANCELLED:
             self.open.pop(job, None)
         self.d.done(job, outcome)
 
@@ -82,28 +119,28 @@
             if original:
                 self.root[job] = self.root.get(original, original)
             d.request(
-                kind=n,
-                remaining=remaining * MS,
-                unread_for=unread * MS,
-                original=original,
-                retry=bool(original),
+                class_index=n,
+                remaining_ns=remaining * MS,
+                unread_ns=unread * MS,
+                duplicate_of=original,
+                is_retry=bool(original),
             )
         elif what == "finish" and self.running:
             self.end(self.running[n % len(self.running)], *rest)
-        elif what == "needs" and self.running and d.settings.below is not i.Below.NOTHING:
+        elif what == "needs" and self.running and d.settings.downstream is not DownstreamScope.NONE:
             job = self.running.pop(n % len(self.running))
             self.at_call.append(job)
-            d.send(i.CallNeeded(job))
+            d.send(DownstreamCallNeeded(job))
             if job not in self.open:
                 self.end(job)
         elif what == "called" and self.out:
             job = self.out.pop(n % len(self.out))
-            (self.running if rest[0] is i.Outcome.OK else self.at_call).append(job)
-            d.send(i.CallEnded(job, rest[0], 50 * MS))
+            (self.running if rest[0] is Outcome.OK else self.at_call).append(job)
+            d.send(DownstreamCallEnded(job, rest[0], 50 * MS))
         elif what == "gone" and self.open:
             job = list(self.open)[n % len(self.open)]
             del self.open[job]
-            d.send(i.CallerGone(job))
+            d.send(RequestAbandoned(job))
             if job in self.joined:
                 self.joined.remove(job)
             if job in self.at_call + self.out:
@@ -122,7 +159,7 @@
     for step in before:
         world.step(*step)
     world.leave = world.d.now
-    world.d.send(i.Leave(4 * S))
+    world.d.send(DrainStarted(4 * S))
     world.check()
     for step in after:
         if world.d.now < world.leave + 2500 * MS:
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -260,7 +260,7 @@
 class OneWorker(unittest.TestCase):
     def test_nothing_of_it_is_loaded_without_its_table(self):
         code = (
-            "import sys, ochrehoist.worker, ochrehoist.net.peers, ochrehoist.store.journal; "
+            "import sys, ochrehoist.app.worker, ochrehoist.net.peers, ochrehoist.store.journal; "
             "print([m for m in sys.modules if 'recovery' in m])"
         )
         done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True)
--- a/tests/test_replace.py
+++ b/tests/test_replace.py
@@ -11,11 +11,12 @@
 
 from stand_ins import PATIENCE, ProgramCase, Thrift, run, toml_file
 
-from ochrehoist import interface as i
+from ochrehoist.admission.settings import RequestClass
 from ochrehoist.core.answers import Answers
 from ochrehoist.core.figures import Figures
 from ochrehoist.core.forwarder import Forwarder
-from ochrehoist.core.requests import Inbound, Reason
+from ochrehoist.core.request import InboundRequest
+from ochrehoist.core.results import FailureReason
 
 S = 1_000_000_000
 
@@ -324,14 +325,14 @@
     """What is left of a core that was replaced, on explicit time."""
 
     def test_what_has_no_answer_when_the_process_ends_is_failed_before_and_not_dropped(self):
-        read = i.RequestClass(name="read", aim=S, deadline=9 * S)
+        read = RequestClass(name="read", latency_objective_ns=S, deadline_ns=9 * S)
         told = []
         responder = SimpleNamespace(failed=lambda reason, result=None: told.append(reason))
         now = [0]
-        for ends_at, want in ((None, []), (3 * S, [Reason.GIVEN_UP])):
+        for ends_at, want in ((None, []), (3 * S, [FailureReason.GIVEN_UP])):
             with self.subTest(ends_at=ends_at):
                 told.clear()
-                r = Inbound("r1", read, 0, None, responder, None, due=9 * S, started=True)
+                r = InboundRequest("r1", read, 0, None, responder, None, due=9 * S, started=True)
                 answers = Answers(Figures(["read"]), mock.Mock())
                 f = Forwarder({"r1": r}, lambda line: None, mock.Mock(), answers, lambda: now[0], lambda: 0)
                 f.ends_at = ends_at
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -8,12 +8,12 @@
 from hypothesis import strategies as st
 from stand_ins import ROOT, interpreter_steps
 
-from ochrehoist import interface as i
-from ochrehoist.config import AjpRule, load_appliance
+from ochrehoist.admission.settings import RequestClass
+from ochrehoist.config.loader import AjpRule, load_appliance
+from ochrehoist.config.settings import at_once
 from ochrehoist.net import ajp
 from ochrehoist.net.ajp_front import AjpReader, Rejected
 from ochrehoist.routes import RouteIndex
-from ochrehoist.settings import at_once
 
 SIZES = (38, 380, 3800)
 
@@ -185,7 +185,10 @@
 
 def reader(table):
     config = load_appliance(str(ROOT / "deploy/ajp.toml"), {})
-    classes = tuple(i.RequestClass(name=kind, aim=1, deadline=2) for kind in sorted({r.kind for r in table}))
+    classes = tuple(
+        RequestClass(name=kind, latency_objective_ns=1, deadline_ns=2)
+        for kind in sorted({r.kind for r in table})
+    )
     return AjpReader(
         SimpleNamespace(settings=SimpleNamespace(classes=classes, tenants=()), tenants={}),
         None,
--- a/tests/test_rush.py
+++ b/tests/test_rush.py
@@ -4,16 +4,17 @@
 
 from helpers import CLASSES, MS, Driver, request_class
 
-from ochrehoist import interface as i
+from ochrehoist.admission.actions import StartRun
+from ochrehoist.admission.events import TimerFired
 
-SHORT = (request_class(aim=450 * MS, deadline=1500 * MS),)
+SHORT = (request_class(latency_objective_ns=450 * MS, deadline_ns=1500 * MS),)
 
 
 def learned(cores=4, **changes):
     """A server that has finished many runs of 5 ms."""
     d = Driver(classes=SHORT, cores=cores, memory_kb=2_000_000.0, **changes)
     for _ in range(60):
-        job, _ = d.request(remaining=None)
+        job, _ = d.request(remaining_ns=None)
         d.now += 5 * MS
         d.done(job, took=5 * MS)
     return d
@@ -23,10 +24,10 @@
     def test_an_old_gauge_does_not_keep_work_from_idle_cores(self):
         d = learned()
         for _ in range(50):
-            d.request(remaining=None, unread_for=50 * MS)
+            d.request(remaining_ns=None, unread_ns=50 * MS)
         d.controller.sent = 500.0  # a second: two dozen of them wait to be read
-        running = [x for x in d.ids(i.Start) if x in d.controller.jobs]
-        d.send(i.Alarm(1, {"cpu_busy": 0.9, "runnable": 40.0}))
+        running = [x for x in d.ids(StartRun) if x in d.controller.jobs]
+        d.send(TimerFired(1, {"cpu_busy": 0.9, "runnable": 40.0}))
         for job in running:  # they end within the time of a run or two, long before the next gauge
             d.now += 10 * MS
             d.done(job, took=5 * MS)
@@ -35,9 +36,9 @@
 
     def test_one_gauge_lets_the_running_floor_climb_a_little_only(self):
         d = learned(cores=8)
-        d.send(i.Alarm(1, {"cpu_busy": 0.1, "runnable": 0.0}))
+        d.send(TimerFired(1, {"cpu_busy": 0.1, "runnable": 0.0}))
         for _ in range(60):
-            d.request(remaining=None)
+            d.request(remaining_ns=None)
         top, finishes = 0, 0
         while job := next((x for x, j in d.controller.jobs.items() if j.ran), None):
             d.now += MS // 2
@@ -49,18 +50,18 @@
     def test_a_pause_of_the_process_is_no_stall_where_runs_are_short(self):
         d = learned()
         for _ in range(4):
-            d.request(remaining=None)
+            d.request(remaining_ns=None)
         for _ in range(3):
             d.now += 50 * MS
-            d.send(i.Alarm(1, {"cpu_busy": 1.0, "runnable": 4.0}))
+            d.send(TimerFired(1, {"cpu_busy": 1.0, "runnable": 4.0}))
             self.assertFalse(d.controller.stalled)
         for _ in range(2):
             d.now += 50 * MS
-            d.send(i.Alarm(1, {"cpu_busy": 1.0, "runnable": 4.0}))
+            d.send(TimerFired(1, {"cpu_busy": 1.0, "runnable": 4.0}))
         self.assertTrue(d.controller.stalled)
 
     def test_arrivals_behind_a_long_hold_do_not_rank_it_anew_each(self):
-        d = Driver(classes=CLASSES[:1], memory_kb=2_000_000.0, cores=40, tip_multiple=2.0)
+        d = Driver(classes=CLASSES[:1], memory_kb=2_000_000.0, cores=40, collapse_multiple=2.0)
         asked = []
         plain = d.controller._hopeless
         d.controller._hopeless = lambda *args: asked.append(1) or plain(*args)
--- a/tests/test_wirehost.py
+++ b/tests/test_simulator_adapter.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from ochrehoist import wirehost
+from ochrehoist.app import simulator_adapter
 
 ID = "5d3a91c4-2d21-442e-aaef-21d776910d66"
 
@@ -52,7 +52,7 @@
 
 def play(*lines):
     out, err = io.StringIO(), io.StringIO()
-    code = wirehost.main(io.StringIO("".join(line + "\n" for line in lines)), out, err)
+    code = simulator_adapter.main(io.StringIO("".join(line + "\n" for line in lines)), out, err)
     return code, out.getvalue(), err.getvalue()
 
 
@@ -138,7 +138,7 @@
     def broken(self, now, event):
         raise RuntimeError("two\nlines")
 
-    monkeypatch.setattr(wirehost.AdmissionController, "handle", broken)
+    monkeypatch.setattr(simulator_adapter.AdmissionController, "handle", broken)
     code, out, err = play(*start())
     assert code == 0 and "EXCEPTION RuntimeError: two lines" in out and "Traceback" in err
 
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -10,7 +10,7 @@
 from hypothesis import settings as limits
 from hypothesis import strategies as st
 
-from ochrehoist import interface as i
+from ochrehoist.admission.settings import AdmissionSettings, Idempotency, RequestClass, Tenant
 from ochrehoist.core.tenants import first
 from ochrehoist.lab import sitestorm
 from ochrehoist.plan import playbook as plan_playbook
@@ -26,15 +26,24 @@
 
 S = 1_000_000_000
 ROOT = Path(__file__).parent.parent
-READ = i.RequestClass(name="read", aim=2 * S, deadline=5 * S, repeat=i.Repeat.SAFE)
-REFRESH = i.RequestClass(name="refresh", aim=2 * S, deadline=5 * S, repeat=i.Repeat.SAFE)
-FILING = i.RequestClass(
-    name="filing", aim=2 * S, deadline=5 * S, worth=0.5, repeat=i.Repeat.KEYED, window=20 * S
+READ = RequestClass(
+    name="read", latency_objective_ns=2 * S, deadline_ns=5 * S, idempotency=Idempotency.IDEMPOTENT
+)
+REFRESH = RequestClass(
+    name="refresh", latency_objective_ns=2 * S, deadline_ns=5 * S, idempotency=Idempotency.IDEMPOTENT
+)
+FILING = RequestClass(
+    name="filing",
+    latency_objective_ns=2 * S,
+    deadline_ns=5 * S,
+    priority_weight=0.5,
+    idempotency=Idempotency.KEYED,
+    idempotency_window_ns=20 * S,
 )
 
 
 def an_order(costs=(0.1, 0.1, 0.1), quota=None, rate=0.0):
-    tenants = (i.Tenant("acme", quota, 1.0),) if quota is not None else ()
+    tenants = (Tenant("acme", quota, 1.0),) if quota is not None else ()
     o = Order((READ, REFRESH, FILING), first(tenants), 0.1)
     for c, cost in zip((READ, REFRESH, FILING), costs, strict=True):
         o.ran(c.name, cost)
@@ -343,19 +352,19 @@
             "version = 1": ("version = 7", "version"),
         }
         for old, (new, key) in faults.items():
-            with self.subTest(key), self.assertRaises(playbook.BadPlaybook) as caught:
+            with self.subTest(key), self.assertRaises(playbook.PlaybookError) as caught:
                 playbook.parse(self.text.replace(old, new, 1), [c.name for c in self.fleet.classes])
             self.assertIn(key, str(caught.exception))
 
     def test_more_than_the_others_carry_is_not_let_in(self):
         more = self.text.replace("share = 0.5", "share = 0.9").replace("share = 0.4", "share = 0.9")
         self.assertNotEqual(more, self.text)
-        with self.assertRaisesRegex(playbook.BadPlaybook, r"let_in: .* is let in, and the others carry"):
+        with self.assertRaisesRegex(playbook.PlaybookError, r"let_in: .* is let in, and the others carry"):
             playbook.parse(more)
 
     def test_text_that_is_no_playbook_is_refused(self):
         for text in ("", "version = 1", "[[[", 'version = "one"\nmade = 1'):
-            with self.subTest(text), self.assertRaises(playbook.BadPlaybook):
+            with self.subTest(text), self.assertRaises(playbook.PlaybookError):
                 playbook.parse(text)
 
     def test_the_same_calls_are_let_in_everywhere_and_about_the_share_that_is_said(self):
@@ -366,8 +375,12 @@
         self.assertTrue(all(part_of("", "company-read", n) < share for n, let in enumerate(lets) if let))
 
     def test_the_younger_of_two_counts_and_comes_from_another_worker(self):
-        classes = tuple(READ.__class__(name=c.name, aim=S, deadline=2 * S) for c in self.fleet.classes)
-        settings = i.Settings(classes=classes, cores=4, memory_kb=1e6, tip_multiple=8.0, fall=S)
+        classes = tuple(
+            READ.__class__(name=c.name, latency_objective_ns=S, deadline_ns=2 * S) for c in self.fleet.classes
+        )
+        settings = AdmissionSettings(
+            classes=classes, cores=4, memory_kb=1e6, collapse_multiple=8.0, collapse_after_ns=S
+        )
         younger, _ = plan_playbook.made(self.fleet, 1_796_000_009)
         a = desk_module.Desk("w0", "brussels", settings, self.book, 0.0, False)
         b = desk_module.Desk("w1", "antwerp", settings, younger, 0.0, False)
--- a/tests/test_sites_fleet.py
+++ b/tests/test_sites_fleet.py
@@ -105,7 +105,7 @@
 
     def test_nothing_of_it_is_loaded_without_its_table(self):
         code = (
-            "import sys, ochrehoist.worker, ochrehoist.net.peers, ochrehoist.net.ajp_front; "
+            "import sys, ochrehoist.app.worker, ochrehoist.net.peers, ochrehoist.net.ajp_front; "
             "print([m for m in sys.modules if 'sites' in m])"
         )
         done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True)
