--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -5,7 +5,7 @@
 
 from helpers import MS, Driver, S
 
-from ochrehoist import interface as i
+from ochrehoist.admission.actions import RejectRequest, StartRun
 from ochrehoist.core import handover
 from ochrehoist.store.ageing import Stamp, aged
 
@@ -13,48 +13,48 @@
 class Sizes(unittest.TestCase):
     def taught(self, tells=True, count=80):
         """A module whose runs take 100 ms on the mean, as they state; or whatever they state."""
-        d, rng = Driver(marks_retry=False), Random(1)
+        d, rng = Driver(marks_retries=False), Random(1)
         for _ in range(count):
             work = int(100 * MS * rng.lognormvariate(-0.3, 0.8))
-            rid, _ = d.request(remaining=None, work=work)
+            rid, _ = d.request(remaining_ns=None, work_ns=work)
             d.now += 150 * MS
-            if rid in d.ids(i.Start):
+            if rid in d.ids(StartRun):
                 d.done(rid, took=work if tells else int(100 * MS * rng.lognormvariate(-0.3, 0.8)))
-        self.assertFalse(d.ids(i.Refuse))
+        self.assertFalse(d.ids(RejectRequest))
         return d
 
     def held(self, d, *works):
         """All cores with work that does not end, then these."""
         for _ in range(d.settings.cores):
-            d.request(remaining=None, work=100 * MS)
-        return [d.request(remaining=None, work=w)[0] for w in works]
+            d.request(remaining_ns=None, work_ns=100 * MS)
+        return [d.request(remaining_ns=None, work_ns=w)[0] for w in works]
 
     def test_a_large_one_that_would_end_too_late_is_told_so_and_a_small_one_waits(self):
         d = self.taught()
         large, small = self.held(d, 1800 * MS, 20 * MS)
-        self.assertIn(large, d.ids(i.Refuse))
-        self.assertNotIn(small, d.ids(i.Refuse))
+        self.assertIn(large, d.ids(RejectRequest))
+        self.assertNotIn(small, d.ids(RejectRequest))
 
     def test_where_statements_mean_nothing_all_of_a_class_are_alike(self):
         d = self.taught(tells=False)
         self.assertLess(d.controller.tells[0].value, 0)
         large, small = self.held(d, 1800 * MS, 20 * MS)
-        self.assertNotIn(large, d.ids(i.Refuse))
-        self.assertNotIn(small, d.ids(i.Refuse))
+        self.assertNotIn(large, d.ids(RejectRequest))
+        self.assertNotIn(small, d.ids(RejectRequest))
 
     def test_an_idle_core_takes_what_can_just_end_in_time(self):
         d = self.taught()
         usual = d.controller.took[0].value / d.controller.stated[0].value
         just, over = int(1600 * MS / usual), int(4000 * MS / usual)
-        d.request(remaining=None, work=100 * MS)  # an empty server tries anything
-        self.assertIn(d.request(remaining=None, work=just)[0], d.ids(i.Start))
-        self.assertIn(d.request(remaining=None, work=over)[0], d.ids(i.Refuse))
+        d.request(remaining_ns=None, work_ns=100 * MS)  # an empty server tries anything
+        self.assertIn(d.request(remaining_ns=None, work_ns=just)[0], d.ids(StartRun))
+        self.assertIn(d.request(remaining_ns=None, work_ns=over)[0], d.ids(RejectRequest))
 
     def test_large_ones_do_not_teach_the_class_a_wrong_time(self):
         d = self.taught()
         before = d.controller.took[0].value
         for _ in range(5):
-            rid, _ = d.request(remaining=None, work=1500 * MS)
+            rid, _ = d.request(remaining_ns=None, work_ns=1500 * MS)
             d.now += 1600 * MS
             d.done(rid, took=1500 * MS)
         self.assertLess(d.controller.took[0].value, 1.5 * before)
@@ -65,12 +65,12 @@
         now = Stamp(d.now, 0, "b")
         kept = aged(learned, now, now, 3600 * S, False)
         for told in (learned, kept):
-            fresh = Driver(marks_retry=False)
+            fresh = Driver(marks_retries=False)
             handover.teach(fresh.controller, told, fresh.now)
             self.assertAlmostEqual(fresh.controller.stated[0].value, d.controller.stated[0].value)
             self.assertAlmostEqual(fresh.controller.tells[0].value, d.controller.tells[0].value)
         older = {name: value for name, value in learned.items() if name not in ("stated", "tells")}
-        handover.teach(Driver(marks_retry=False).controller, older, d.now)
+        handover.teach(Driver(marks_retries=False).controller, older, d.now)
         self.assertNotIn("stated", aged(older, now, now, 3600 * S, False))
 
 
--- a/tests/test_store_decisions.py
+++ b/tests/test_store_decisions.py
@@ -26,11 +26,11 @@
 from ochrehoist.store.records import (
     Begun,
     Census,
-    Damaged,
+    CorruptRecordError,
     Finished,
     Learned,
     Loss,
-    TooNew,
+    UnsupportedFormatError,
     key_of,
     pack,
     unpack,
@@ -123,17 +123,17 @@
         packed = bytearray(pack(key, record))
         at = data.draw(st.integers(0, len(packed) - 1))
         packed[at] ^= 1 << data.draw(st.integers(0, 7))
-        with self.assertRaises((Damaged, TooNew)):
+        with self.assertRaises((CorruptRecordError, UnsupportedFormatError)):
             unpack(key, bytes(packed), type(record))
         cut = data.draw(st.integers(0, len(packed) - 1))
-        with self.assertRaises(Damaged):
+        with self.assertRaises(CorruptRecordError):
             unpack(key, pack(key, record)[:cut], type(record))
 
     def test_a_record_under_another_key_or_of_another_kind_is_damaged(self):
         record, key = self.ALL[0]
-        with self.assertRaises(Damaged):
+        with self.assertRaises(CorruptRecordError):
             unpack(key + b"x", pack(key, record), Begun)
-        with self.assertRaises(Damaged):
+        with self.assertRaises(CorruptRecordError):
             unpack(key, pack(key, Census()), Begun)
 
     def test_one_of_version_1_is_made_into_one_of_now(self):
@@ -143,13 +143,13 @@
 
     def test_one_of_a_newer_version_is_told_apart(self):
         record, key = self.ALL[0]
-        with self.assertRaises(TooNew):
+        with self.assertRaises(UnsupportedFormatError):
             unpack(key, pack(key, record, records.FORMAT + 1), Begun)
 
     @given(st.binary(max_size=60))
     def test_no_bytes_raise_anything_else(self, data):
         for kind in (Begun, Finished, Census):
-            with self.assertRaises((Damaged, TooNew)):
+            with self.assertRaises((CorruptRecordError, UnsupportedFormatError)):
                 unpack(b"k", data, kind)
 
 
--- a/tests/test_table.py
+++ b/tests/test_table.py
@@ -1,6 +1,6 @@
 """The LIGHT-APPROX table, against values worked out by hand and against the paper's shape."""
 
-from ochrehoist.rules import RateCurve, light_approx
+from ochrehoist.admission.controller import RateCurve, light_approx
 
 
 def flat(rate, n):
--- a/tests/test_tenants_at_size.py
+++ b/tests/test_tenants_at_size.py
@@ -9,10 +9,19 @@
 from helpers import CLASSES, MS, S, settings
 from stand_ins import interpreter_steps
 
-from ochrehoist import interface as i
+from ochrehoist.admission.actions import FailRequest, RejectRequest, StartRun
+from ochrehoist.admission.controller import AdmissionController, Job
+from ochrehoist.admission.events import (
+    InstanceStarted,
+    Outcome,
+    RequestCompleted,
+    RequestReceived,
+    TenantsReplaced,
+    TimerFired,
+)
+from ochrehoist.admission.settings import ObjectiveWeights, Tenant
 from ochrehoist.core import handover
 from ochrehoist.core.keys import KeyTable
-from ochrehoist.rules import AdmissionController, Job
 from ochrehoist.store.ageing import Stamp, aged
 
 BEAT = 100 * MS
@@ -28,18 +37,18 @@
 
 
 def tenants(count, quota=20.0):
-    return tuple(i.Tenant(f"tenant{n}", quota, 1 / count) for n in range(count))
+    return tuple(Tenant(f"tenant{n}", quota, 1 / count) for n in range(count))
 
 
 class Module:
     """The decision module, its clock, and requests that end well at once."""
 
     def __init__(self, of, **changes):
-        goal = i.Goal(0.45, 0.15, 0.3, 0.1)
-        self.settings = settings(tenants=of, goal=goal, classes=CLASSES[:1] * 2, **changes)
+        goal = ObjectiveWeights(0.45, 0.15, 0.3, 0.1)
+        self.settings = settings(tenants=of, objective=goal, classes=CLASSES[:1] * 2, **changes)
         self.c = AdmissionController(self.settings, 1)
         self.now, self.number, self.actions = 1000 * S, 0, []
-        self.send(i.Started())
+        self.send(InstanceStarted())
 
     def send(self, event):
         acts = self.c.handle(self.now, event)
@@ -48,22 +57,24 @@
 
     def ask(self, tenant, retry=False):
         self.number += 1
-        return self.send(i.Request(f"r{self.number}", self.number % 2, tenant, retry=retry, caller=1))
+        return self.send(
+            RequestReceived(f"r{self.number}", self.number % 2, tenant, is_retry=retry, caller=1)
+        )
 
-    def serve(self, tenant, retry=False, outcome=i.Outcome.OK):
-        started = [a.id for a in self.ask(tenant, retry) if isinstance(a, i.Start)]
+    def serve(self, tenant, retry=False, outcome=Outcome.OK):
+        started = [a.id for a in self.ask(tenant, retry) if isinstance(a, StartRun)]
         for job in started:
-            self.send(i.Completed(job, outcome, 10 * MS))
+            self.send(RequestCompleted(job, outcome, 10 * MS))
         return len(started)
 
     def beats(self, count=1):
         for _ in range(count):
             self.now += BEAT
-            self.send(i.Alarm(1, {"cpu_busy": 0.5}))
+            self.send(TimerFired(1, {"cpu_busy": 0.5}))
 
     def probe(self, tenant):
         """What the goal gains by an answer to it, and the part of what it starts that is within its share."""
-        job = Job(i.Request("probe", 0, tenant, work=S), self.settings.classes[0], self.now)
+        job = Job(RequestReceived("probe", 0, tenant, work_ns=S), self.settings.classes[0], self.now)
         return self.c._value(job), self.c._inside(tenant, self.c.activity(tenant).ran)
 
 
@@ -81,13 +92,13 @@
         return tenant.quota_per_s / self.m.settings.fleet_size
 
     def value(self):
-        goal, classes = self.m.settings.goal, self.m.settings.classes
+        goal, classes = self.m.settings.objective, self.m.settings.classes
         most = [float("inf")] * 2 + [max(0.1, self.share(t) * 20) for t in self.of]
         asked = [min(a, m) for a, m in zip(self.asked, most, strict=True)]
         lack = [(1.01 - min(1.0, v / a)) ** 2 for v, a in zip(self.served, asked, strict=True)]
-        offered = sum(c.worth * a for c, a in zip(classes, asked, strict=False))
+        offered = sum(c.priority_weight * a for c, a in zip(classes, asked, strict=False))
         self.gains = [
-            (goal.whole + goal.worst_window) * classes[at].worth / offered
+            (goal.overall + goal.worst_window) * classes[at].priority_weight / offered
             + goal.worst_class * lack[at] / sum(lack[:2]) / asked[at]
             for at in range(2)
         ]
@@ -103,7 +114,7 @@
 
     def probe(self, tenant):
         inside = min(1.0, self.share(self.of[tenant]) / max(1e-9, self.ran[tenant]))
-        times = inside**2 + (1 - inside**2) * self.m.settings.over_share_worth
+        times = inside**2 + (1 - inside**2) * self.m.settings.over_quota_weight
         return (self.gains[0] + self.plus[tenant]) * times / S, inside
 
 
@@ -111,18 +122,18 @@
     def play(self, seed, count, steps, probes, quota, pauses, apart=1e-9):
         rng = random.Random(seed)
         live = tuple(Live(f"tenant{n}", rng.choice((0.0, quota, quota * rng.random()))) for n in range(count))
-        m = Module(live, fleet_size=rng.choice((1, 10)), over_share_worth=rng.choice((0.0, 0.1, 1.0)))
+        m = Module(live, fleet_size=rng.choice((1, 10)), over_quota_weight=rng.choice((0.0, 0.1, 1.0)))
         dense, some = Dense(m), rng.sample(range(count), min(count, 40))
         for _ in range(steps):
             tenant = rng.choice(some)
             for _ in range(rng.choice((1, 1, 1, 8))):
                 retry = rng.random() < 0.2
-                outcome = rng.choice((i.Outcome.OK, i.Outcome.OK, i.Outcome.FAILED))
+                outcome = rng.choice((Outcome.OK, Outcome.OK, Outcome.FAILED))
                 kind = (m.number + 1) % 2
                 started = m.serve(tenant, retry, outcome)
                 for at in (kind, 2 + tenant):
                     dense.asked[at] += not retry
-                    dense.served[at] += started * (outcome is i.Outcome.OK)
+                    dense.served[at] += started * (outcome is Outcome.OK)
                 dense.ran[tenant] += started / 20
             for tenant in rng.sample(range(count), min(count, probes)):
                 for ours, theirs in zip(m.probe(tenant), dense.probe(tenant), strict=True):
@@ -197,16 +208,16 @@
 
     def test_a_change_of_tenants_goes_through_none(self):
         changed = {
-            size: Looked((*tenants(size - 1), i.Tenant("other", 5.0, 0.1), i.Tenant("new", 5.0, 0.1)))
+            size: Looked((*tenants(size - 1), Tenant("other", 5.0, 0.1), Tenant("new", 5.0, 0.1)))
             for size in SIZES
         }
-        self.same(lambda m: m.send(i.TenantsChanged(changed[len(m.settings.tenants)])))
+        self.same(lambda m: m.send(TenantsReplaced(changed[len(m.settings.tenants)])))
 
     def test_a_beat_grows_with_those_that_lack_answers_alone(self):
         m = self.quiet(58_000)
         quiet, _ = self.cost(m, m.beats)
         for tenant in range(2000):
-            m.serve(tenant, outcome=i.Outcome.FAILED)
+            m.serve(tenant, outcome=Outcome.FAILED)
         lacking, looked = self.cost(m, m.beats)
         self.assertLess(lacking - quiet, 250 * 2000)
         self.assertLessEqual(looked, 3 * 2000)
@@ -219,7 +230,7 @@
         m = self.quiet(2000)
         quiet = self.cost(m, m.beats)
         for tenant in range(500):
-            m.serve(tenant, outcome=i.Outcome.FAILED)
+            m.serve(tenant, outcome=Outcome.FAILED)
         m.beats(700)
         again = self.cost(m, m.beats)
         self.assertLess(again[0] - quiet[0], 50)
@@ -258,7 +269,7 @@
             m.serve(1)
         m.beats(20)
         before, quiet = m.probe(1), m.probe(0)
-        m.send(i.TenantsChanged((*tenants(3, 100.0), i.Tenant("new", 100.0, 0.1))))
+        m.send(TenantsReplaced((*tenants(3, 100.0), Tenant("new", 100.0, 0.1))))
         self.assertEqual((m.probe(1), m.probe(0)), (before, quiet))
         self.assertEqual(m.probe(3), quiet)
         m.serve(3)
@@ -267,18 +278,18 @@
 
     def test_open_requests_of_one_that_is_gone_go_on(self):
         m = Module(tenants(2))
-        started = [a.id for a in m.ask(1) if isinstance(a, i.Start)]
-        m.send(i.TenantsChanged((tenants(2)[0], i.Tenant("", 0.0, 0.0))))
+        started = [a.id for a in m.ask(1) if isinstance(a, StartRun)]
+        m.send(TenantsReplaced((tenants(2)[0], Tenant("", 0.0, 0.0))))
         m.beats()
-        m.send(i.Completed(started[0], i.Outcome.OK, MS))
+        m.send(RequestCompleted(started[0], Outcome.OK, MS))
         self.assertFalse(m.c.jobs)
         m.beats(30)
-        self.assertFalse([a for a in m.actions if isinstance(a, i.Fail)])
+        self.assertFalse([a for a in m.actions if isinstance(a, FailRequest)])
 
     def test_a_quota_of_nothing_is_one_whenever_it_comes(self):
         none, some = tenants(2, 0.0)[:1] + tenants(2)[1:], tenants(2)
         from_start, later = Module(none), Module(some)
-        later.send(i.TenantsChanged(none))
+        later.send(TenantsReplaced(none))
         for m in (from_start, later):
             m.beats()
             for n in range(60):
@@ -288,14 +299,14 @@
         self.assertEqual(from_start.actions, later.actions)
         self.assertEqual(from_start.probe(0), later.probe(0))
         self.assertEqual(later.probe(0)[1], 0.0)
-        self.assertTrue([a for a in later.actions if isinstance(a, i.Refuse)])
+        self.assertTrue([a for a in later.actions if isinstance(a, RejectRequest)])
 
     def test_a_quota_that_grows_again_is_used_at_once(self):
         m = Module(tenants(2, 1.0))
         for _ in range(40):
             m.serve(0)
         self.assertLess(m.probe(0)[1], 0.5)
-        m.send(i.TenantsChanged(tenants(2, 1000.0)))
+        m.send(TenantsReplaced(tenants(2, 1000.0)))
         self.assertEqual(m.probe(0)[1], 1.0)
 
 
@@ -303,7 +314,7 @@
     def active(self):
         m = Module(tenants(50, 30.0))
         for n in range(60):
-            m.serve(n % 7, outcome=i.Outcome.FAILED if n % 3 else i.Outcome.OK)
+            m.serve(n % 7, outcome=Outcome.FAILED if n % 3 else Outcome.OK)
         m.beats(30)
         return m
 
@@ -325,7 +336,7 @@
         self.assertEqual(len(fresh.c.known), 6)
 
     def test_a_class_and_a_tenant_of_one_name_keep_their_own_counts(self):
-        named = (i.Tenant("read", 30.0, 0.5), *tenants(1, 30.0))
+        named = (Tenant("read", 30.0, 0.5), *tenants(1, 30.0))
         m, fresh = Module(named), Module(named)
         for _ in range(9):
             m.serve(1)
--- a/tests/test_thrift_front.py
+++ b/tests/test_thrift_front.py
@@ -249,7 +249,7 @@
         self.assertEqual(router.answer(seqid), ("Answer", {}, b"ran"))
 
 
-class BadInput(Case):
+class MalformedInput(Case):
     def test_a_bad_frame_ends_its_own_connection_only(self):
         good = self.program.thrift()
         for frame in (
