--- a/benchmarks/state_load.py
+++ b/benchmarks/state_load.py
@@ -18,11 +18,12 @@
 from instant import InstantServer  # noqa: E402
 from stand_ins import Program  # noqa: E402
 
-from ochrehoist.store import disk  # noqa: E402
-from ochrehoist.store.backlog import Begin, End  # noqa: E402
-from ochrehoist.store.clock import stamp_now  # noqa: E402
-from ochrehoist.store.opening import open_folder  # noqa: E402
-from ochrehoist.store.records import Begun, Finished, key_of, pack  # noqa: E402
+from ochrehoist.store import files  # noqa: E402
+from ochrehoist.store.database import create_store  # noqa: E402
+from ochrehoist.store.operations import PutIntent, PutResult  # noqa: E402
+from ochrehoist.store.records import IntentRecord, ResultRecord, encode_key, encode_record  # noqa: E402
+from ochrehoist.store.store_repair import open_store  # noqa: E402
+from ochrehoist.store.timestamps import current_timestamp  # noqa: E402
 
 WINDOW = 900 * 10**9
 FILED = 100_000
@@ -80,21 +81,31 @@
     return took, pings, len(took) / seconds
 
 
+def intent(key, number):
+    token = "acme", "filing", key
+    return IntentRecord(token, f"r{number}", WINDOW, WINDOW, current_timestamp(), None, bytes(32))
+
+
 def raw(seconds):
     """Filings begun and ended a second by the store alone, in groups as under load."""
     folder = Path(tempfile.mkdtemp(dir="."))
-    opened, n, began = open_folder(folder, 0, WINDOW, stamp_now()), 0, time.monotonic()
+    opened, n, began = open_store(folder, 0, WINDOW, current_timestamp()), 0, time.monotonic()
     while time.monotonic() - began < seconds:
         group = []
         for _ in range(32):
             n += 1
-            record = Begun(("acme", "filing", f"k{n}"), f"r{n}", WINDOW, WINDOW, stamp_now(), None, bytes(32))
-            key = key_of(record.token)
-            group += [Begin(record.id, key, record), End(key, Finished("OK", True, bytes(300)))]
-        opened.db.commit(group)
-        opened.db.tidy()
+            record = IntentRecord(
+                ("acme", "filing", f"k{n}"), f"r{n}", WINDOW, WINDOW, current_timestamp(), None, bytes(32)
+            )
+            key = encode_key(record.idempotency_key)
+            group += [
+                PutIntent(record.request_id, key, record),
+                PutResult(key, ResultRecord("OK", True, bytes(300))),
+            ]
+        opened.database.commit(group)
+        opened.database.checkpoint_if_due()
     rate = n / (time.monotonic() - began)
-    opened.db.close()
+    opened.database.close()
     shutil.rmtree(folder)
     return rate
 
@@ -104,15 +115,21 @@
     folder = Path(tempfile.mkdtemp(dir="."))
     where, begun, ended = folder / "state", [], []
     if count:
-        open_folder_empty(where)
+        make_empty_store(where)
         for n in range(count):
-            record = Begun(
-                ("acme", "filing", f"key {n:032d}"), f"r{n}", WINDOW, WINDOW, stamp_now(), None, bytes(32)
+            record = IntentRecord(
+                ("acme", "filing", f"key {n:032d}"),
+                f"r{n}",
+                WINDOW,
+                WINDOW,
+                current_timestamp(),
+                None,
+                bytes(32),
             )
-            key = key_of(record.token)
+            key = encode_key(record.idempotency_key)
             begun.append(record)
-            ended.append((key, pack(key, Finished("OK", True, bytes(300)))))
-        disk.fill(where / disk.db_name(), 1, begun, ended, {})
+            ended.append((key, encode_record(key, ResultRecord("OK", True, bytes(300)))))
+        create_store(where / files.store_file_name(), 1, begun, ended, {})
     began = time.monotonic()
     program = Program(thrift=False, ajp=True, site=site(), state={"folder": str(where)})
     program.ajp().cping()
@@ -124,9 +141,9 @@
     return took, memory
 
 
-def open_folder_empty(where):
+def make_empty_store(where):
     where.mkdir()
-    open_folder(where, 0, WINDOW, stamp_now()).db.close()
+    open_store(where, 0, WINDOW, current_timestamp()).database.close()
 
 
 def main():
--- a/benchmarks/warm_start.py
+++ b/benchmarks/warm_start.py
@@ -25,8 +25,8 @@
 from machine import Address  # noqa: E402
 from stand_ins import MS, Program, settings  # noqa: E402
 
-from ochrehoist.store import disk  # noqa: E402
-from ochrehoist.store.disk import Database  # noqa: E402
+from ochrehoist.store import files  # noqa: E402
+from ochrehoist.store.database import LEARNED_STATE_NAME, Database  # noqa: E402
 
 CORES, CROWD, WORK, OVERLOAD = 2, 10, 0.020, 1.5
 SENDERS, STEADY, FIRST = 3, 12.0, 10.0
@@ -203,8 +203,8 @@
         first.process.kill()
         first.close()
         if not keep:
-            db = Database(folder / "state" / disk.db_name())
-            db.db.execute("DELETE FROM named WHERE name = ?", (disk.LEARNED,))
+            db = Database(folder / "state" / files.store_file_name())
+            db.connection.execute("DELETE FROM named WHERE name = ?", (LEARNED_STATE_NAME,))
             db.close()
         cores.fresh()
         second = Program(**how)
--- a/ochrehoist/app/worker.py
+++ b/ochrehoist/app/worker.py
@@ -337,7 +337,7 @@
             while waiting:
                 waiting.pop()()
 
-        self.journal.when_restored.append(serve)
+        self.journal.register_restored_listener(serve)
         self.loop.call_later(RESTORE, serve)
         self.journal.open()
 
--- a/ochrehoist/cli/state.py
+++ b/ochrehoist/cli/state.py
@@ -22,15 +22,18 @@
 @stops
 def _stops(error: Exception) -> None:
     """What can't be done is told in one line, with what to do."""
-    from ochrehoist.store.disk import Failed, Held
-    from ochrehoist.store.tool import StoreMissingError
-    from ochrehoist.store.transfer import Unusable
+    from ochrehoist.store.errors import (
+        InvalidExportError,
+        StoreFailedError,
+        StoreLockedError,
+        StoreMissingError,
+    )
 
-    if isinstance(error, Held):
+    if isinstance(error, StoreLockedError):
         _no(f"in use by {error}; stop that worker first")
-    if isinstance(error, (StoreMissingError, Unusable)):
+    if isinstance(error, (StoreMissingError, InvalidExportError)):
         _no(str(error))
-    if isinstance(error, (Failed, OSError)):
+    if isinstance(error, (StoreFailedError, OSError)):
         _no(f"{error}; nothing was changed")
 
 
@@ -60,10 +63,10 @@
 @_stops
 def show(ctx: click.Context, folder: Path | None, as_json: bool) -> None:
     """What is kept; also beside a running worker."""
-    from ochrehoist.store.clock import stamp_now
-    from ochrehoist.store.tool import show as shown
+    from ochrehoist.store.maintenance import describe_store
+    from ochrehoist.store.timestamps import current_timestamp
 
-    values = shown(_folder(ctx, folder)[0], stamp_now())
+    values = describe_store(_folder(ctx, folder)[0], current_timestamp())
     if as_json:
         return click.echo(json.dumps(values))
     for name, value in values.items():
@@ -77,9 +80,9 @@
 @_stops
 def check(ctx: click.Context, folder: Path | None, as_json: bool) -> None:
     """Read all of it and say what is wrong; also beside a running worker. Ends with 3 where something is."""
-    from ochrehoist.store.tool import check as checked
+    from ochrehoist.store.maintenance import verify_store
 
-    found = checked(_folder(ctx, folder)[0])
+    found = verify_store(_folder(ctx, folder)[0])
     click.echo(json.dumps({"found": found}) if as_json else "\n".join(found) or "sound")
     ctx.exit(DAMAGED if found else 0)
 
@@ -90,11 +93,11 @@
 @_stops
 def init(ctx: click.Context, folder: Path | None) -> None:
     """Make an empty store, for a worker whose configuration says that one must exist."""
-    from ochrehoist.store.clock import stamp_now
-    from ochrehoist.store.tool import begin
+    from ochrehoist.store.maintenance import initialize_store
+    from ochrehoist.store.timestamps import current_timestamp
 
     where, longest = _folder(ctx, folder)
-    begin(where, longest, stamp_now())
+    initialize_store(where, longest, current_timestamp())
     click.echo(f"{where}: an empty store")
 
 
@@ -105,19 +108,19 @@
 @_stops
 def export_(ctx: click.Context, folder: Path | None, file: str) -> None:
     """Write the store of a stopped worker to FILE (- for standard output), as JSON Lines."""
-    from ochrehoist.store.clock import stamp_now
-    from ochrehoist.store.disk import write_whole
-    from ochrehoist.store.tool import exported
-    from ochrehoist.store.transfer import export_lines
+    from ochrehoist.store.export import export_lines
+    from ochrehoist.store.files import write_atomically
+    from ochrehoist.store.maintenance import snapshot_store
+    from ochrehoist.store.timestamps import current_timestamp
 
-    moved = exported(_folder(ctx, folder)[0], stamp_now())
-    data = b"".join(export_lines(moved))
+    snapshot = snapshot_store(_folder(ctx, folder)[0], current_timestamp())
+    data = b"".join(export_lines(snapshot))
     if file == "-":
         sys.stdout.buffer.write(data)
     else:
-        write_whole(Path(file), data)
+        write_atomically(Path(file), data)
     click.echo(
-        f"{len(moved.filings)} filings; do not start the worker here again once they are imported "
+        f"{len(snapshot.requests)} filings; do not start the worker here again once they are imported "
         "elsewhere: each would let them run",
         err=True,
     )
@@ -130,14 +133,14 @@
 @_stops
 def import_(ctx: click.Context, folder: Path | None, file: str) -> None:
     """Take an export from FILE (- for standard input) into the folder of a stopped worker."""
-    from ochrehoist.store.clock import stamp_now
-    from ochrehoist.store.tool import take_in
-    from ochrehoist.store.transfer import read_lines
+    from ochrehoist.store.export import read_export
+    from ochrehoist.store.maintenance import import_snapshot
+    from ochrehoist.store.timestamps import current_timestamp
 
     data = sys.stdin.buffer.read() if file == "-" else Path(file).read_bytes()
     where, longest = _folder(ctx, folder)
-    before, after = take_in(where, read_lines(data.splitlines()), longest, stamp_now())
-    click.echo(f"{before} filings before, {after} now")
+    counts = import_snapshot(where, read_export(data.splitlines()), longest, current_timestamp())
+    click.echo(f"{counts.before} filings before, {counts.after} now")
 
 
 @state.command()
@@ -146,14 +149,13 @@
 @_stops
 def compact(ctx: click.Context, folder: Path | None) -> None:
     """Write the store of a stopped worker anew, without what is over."""
-    from ochrehoist.store.clock import stamp_now
-    from ochrehoist.store.tool import show as shown
-    from ochrehoist.store.tool import take_in
+    from ochrehoist.store.maintenance import compact_store, describe_store
+    from ochrehoist.store.timestamps import current_timestamp
 
     where, longest = _folder(ctx, folder)
-    began, size = time.monotonic(), shown(where, stamp_now())["bytes"]
-    before, after = take_in(where, None, longest, stamp_now())
+    began, size = time.monotonic(), describe_store(where, current_timestamp())["bytes"]
+    counts = compact_store(where, longest, current_timestamp())
     click.echo(
-        f"{before} filings before, {after} now; {size} bytes before, "
-        f"{shown(where, stamp_now())['bytes']} now, in {time.monotonic() - began:.1f} s"
+        f"{counts.before} filings before, {counts.after} now; {size} bytes before, "
+        f"{describe_store(where, current_timestamp())['bytes']} now, in {time.monotonic() - began:.1f} s"
     )
--- a/ochrehoist/net/recovery.py
+++ b/ochrehoist/net/recovery.py
@@ -31,7 +31,6 @@
     encode,
     unknown,
 )
-from ochrehoist.store.loss import Case
 
 TOPIC = "recovery"
 LOOK_S = 0.1
@@ -61,7 +60,7 @@
         if self.peers is not None:
             self.peers.group.extensions[TOPIC] = self
         if worker.journal is not None and self.config.witnesses:
-            worker.journal.testifier = self
+            worker.journal.register_replicator(self)
         owner.answers.observers.append(self)
         self.writer = OffLoop(loop, "restarts") if config.state else None
         self.folder = Path(config.state.folder) if config.state else None
@@ -137,7 +136,7 @@
             )
         elif topic == TOLD and isinstance(m, int):
             for request_id in self.begins.told(sender.name, m, now):
-                self.worker.journal.witnessed(request_id, True)
+                self.worker.journal.replication_ended(request_id, True)
         return []
 
     def _testify(self, now: float) -> None:
@@ -148,19 +147,18 @@
         self.known = unknown(self.asked.known, self.restored)
         self.testified = True
         if self._unsure():
-            journal.hold_until = self.owner.clock() + int(hold * S)
+            journal.set_hold_until(self.owner.clock() + int(hold * S))
         told = {"known": len(self.asked.known), "not_on_record": len(self.known)}
         self.log.info("witnesses have told what may have run", hold_s=self._held(), **told)
         if self.known:
             self.log.error("the store lacks filings that were begun: lost, or older than it was", **told)
 
     def _held(self) -> float:
-        return round(max(0.0, (self.worker.journal.hold_until - self.owner.clock()) / S), 1)
+        return round(max(0.0, (self.worker.journal.hold_until_ns - self.owner.clock()) / S), 1)
 
     def _unsure(self) -> bool:
         """Whether the store itself can't tell what ran: it is lost, or there never was one."""
-        j = self.worker.journal
-        return bool(j.losses) or j.hold_until > self.owner.clock() or j.opened.case is Case.FIRST
+        return self.worker.journal.may_lack_requests
 
     # ---- time
     def _look(self) -> None:
@@ -168,7 +166,7 @@
         if self.asked is not None and not self.testified:
             self._without_testimony(now)
         for request_id in self.begins.late(now):
-            self.worker.journal.witnessed(request_id, False)
+            self.worker.journal.replication_ended(request_id, False)
         if now - self.swept >= SWEEP_S:  # it looks at all that is remembered
             self.swept = now
             self.memory.forget(now)
@@ -187,7 +185,7 @@
         self.testified = True
         if self._unsure():
             window = self.owner.clock() + int(self.asked.window * S)
-            self.worker.journal.hold_until = max(self.worker.journal.hold_until, window)
+            self.worker.journal.set_hold_until(max(self.worker.journal.hold_until_ns, window))
         self.log.warning(
             "too few witnesses answered",
             of=len(self.config.witnesses),
@@ -199,7 +197,7 @@
         w = self.worker
         hold = None
         if w.journal is not None:
-            hold = max(0.0, (w.journal.hold_until - self.owner.clock()) / S)
+            hold = max(0.0, (w.journal.hold_until_ns - self.owner.clock()) / S)
             if w.journal.restored and not self.testified:
                 hold = max(hold, 0.1)
         peers = None
@@ -244,7 +242,7 @@
             raise KeyError(stage)
         self.way.skipped.add(stage)
         if stage == LOST and self.worker.journal is not None:
-            self.worker.journal.hold_until = 0
+            self.worker.journal.set_hold_until(0)
             self.testified, self.known = True, {}
         self.log.warning("operators", skipped=stage)
         return f"{stage} is skipped"
--- /dev/null
+++ b/ochrehoist/store/commit_scheduler.py
@@ -0,0 +1,191 @@
+"""The loop's side of group commit: sends groups to the journal's thread and handles what comes back."""
+
+import time
+from collections.abc import Callable, Sequence
+from dataclasses import dataclass
+from typing import Any, Protocol
+
+from ochrehoist.net.loop import Loop
+from ochrehoist.net.offloop import OffLoop
+from ochrehoist.store import failpoints
+from ochrehoist.store.errors import FailureKind, StoreFailedError
+from ochrehoist.store.failpoints import Failpoint
+from ochrehoist.store.folder_session import FolderSession
+from ochrehoist.store.journal_metrics import JournalMetrics
+from ochrehoist.store.operations import Operation
+from ochrehoist.store.records import DataLossRecord, IntentRecord, LearnedStateRecord
+from ochrehoist.store.write_queue import WriteQueue
+
+DRAIN_INTERVAL_S = 0.002
+FINAL_DRAIN_INTERVAL_S = 0.001
+
+
+@dataclass(slots=True)
+class RebuildContents:
+    """What a rebuilt store is to hold; `intents` may take long, and is called off the loop."""
+
+    intents: Callable[[], Sequence[IntentRecord]]
+    loss: DataLossRecord | None
+    learned: LearnedStateRecord | None
+
+
+class CommitListener(Protocol):
+    """Hears what became of intents. It never blocks."""
+
+    def intent_durable(self, request_id: str) -> None:
+        """The request may run, as far as this disk is concerned."""
+        ...
+
+    def intents_rejected(self, request_ids: Sequence[str]) -> None:
+        """The requests must not run: their intents are not stored, or are deleted again."""
+        ...
+
+    def rebuild_contents(self) -> RebuildContents:
+        """What the worker knows now, for a store that is rebuilt."""
+        ...
+
+
+class StoreFailureLog:
+    """The failure that the store is in, if any; logs it when it changes."""
+
+    def __init__(self, log: Any) -> None:
+        self.reason = ""  # empty: none since the last success
+        self._log = log
+
+    def failed(self, error: Exception) -> None:
+        """Keyed requests are rejected because of this error; all else goes on."""
+        if str(error) != self.reason:
+            self.reason = str(error)
+            self._log.error("store_unusable", reason=self.reason)
+
+    def clear(self) -> bool:
+        """Call after a success; whether there was a failure."""
+        had_failed = bool(self.reason)
+        self.reason = ""
+        return had_failed
+
+
+class CommitScheduler:
+    """Commits queued operations group by group; all methods are called on the loop and never block.
+
+    Args:
+        loop: the worker's loop.
+        thread: carries out calls that wait for the disk.
+        queue: decides what is committed when.
+        session: the state folder.
+        metrics: counts commits.
+        failures: hears of failures and successes.
+        listener: hears what became of intents.
+        log: the worker's log.
+    """
+
+    def __init__(
+        self,
+        loop: Loop,
+        thread: OffLoop,
+        queue: WriteQueue,
+        session: FolderSession,
+        metrics: JournalMetrics,
+        failures: StoreFailureLog,
+        listener: CommitListener,
+        log: Any,
+    ) -> None:
+        self._loop = loop
+        self._thread = thread
+        self._queue = queue
+        self._session = session
+        self._metrics = metrics
+        self._failures = failures
+        self._listener = listener
+        self._log = log
+        self._timer: Any = None
+        self._stopping = False
+
+    def add(self, operation: Operation) -> bool:
+        """Queues an operation; False where it is a result that is not stored, as too many wait."""
+        added = self._queue.add(time.monotonic(), operation)
+        self.run()
+        return added
+
+    def run(self) -> None:
+        """Does what is due now, and sets a timer for what is due later."""
+        now = time.monotonic()
+        self._reject_timed_out(now)
+        if self._queue.rebuild_is_due(now):
+            self._start_rebuild(now)
+        group = self._queue.next_group(now)
+        if group is not None:
+            self._thread.submit(lambda: self._session.commit(group), self._commit_ended)
+        self._set_timer(now)
+
+    def stop(self) -> None:
+        """No timer is set from now on."""
+        self._stopping = True
+
+    def drain(self, deadline: float, drained: Callable[[], None]) -> None:
+        """Calls `drained` once the queue is empty, or at `deadline` (monotonic seconds)."""
+        self.run()
+        if len(self._queue) and time.monotonic() < deadline:
+            self._loop.call_later(DRAIN_INTERVAL_S, lambda: self.drain(deadline, drained))
+        else:
+            drained()
+
+    def drain_without_loop(self, deadline: float) -> None:
+        """Empties the queue at the end of the process, when the loop no longer runs."""
+        queue = self._queue
+        while len(queue) and queue.open and queue.failure is None and time.monotonic() < deadline:
+            self.run()
+            self._thread.tell()
+            time.sleep(FINAL_DRAIN_INTERVAL_S)
+
+    def _reject_timed_out(self, now: float) -> None:
+        timed_out = self._queue.take_timed_out(now)
+        if timed_out:
+            self._log.warning("store_intents_timed_out", count=len(timed_out))
+            self._listener.intents_rejected(timed_out)
+
+    def _set_timer(self, now: float) -> None:
+        if self._timer is not None:
+            self._timer.cancel()
+            self._timer = None
+        next_event_at = self._queue.next_event_at(now)
+        if next_event_at is not None and not self._stopping:
+            self._timer = self._loop.call_later(next_event_at - now, self.run)
+
+    def _commit_ended(self, operations: int | None, error: Exception | None) -> None:
+        now = time.monotonic()
+        if error is not None:
+            kind = error.kind if isinstance(error, StoreFailedError) else FailureKind.IO
+            self._group_failed(error, kind, now)
+            return
+        if self._failures.clear():
+            self._log.info("store_works_again")
+        self._metrics.committed(operations or 0, self._queue.commit_started_at, now)
+        for request_id in self._queue.committed():
+            failpoints.reached(Failpoint.INTENT_DURABLE)
+            self._listener.intent_durable(request_id)
+        self.run()
+
+    def _group_failed(self, error: Exception, kind: FailureKind, now: float) -> None:
+        self._failures.failed(error)
+        self._listener.intents_rejected(self._queue.failed(now, kind))
+        self.run()
+
+    def _start_rebuild(self, now: float) -> None:
+        """What the disk still shows may not be there after the next power cut: all is written again."""
+        contents = self._listener.rebuild_contents()
+        self._queue.rebuild_started(now)
+        self._thread.submit(
+            lambda: self._session.rebuild(contents.intents(), contents.loss, contents.learned),
+            self._rebuild_ended,
+        )
+
+    def _rebuild_ended(self, _result: None, error: Exception | None) -> None:
+        if error is not None:
+            self._group_failed(error, FailureKind.IO, time.monotonic())
+            return
+        set_aside = self._session.rebuilt()
+        self._queue.rebuilt()
+        self._log.warning("store_rebuilt", set_aside=set_aside)
+        self._failures.clear()
+        self.run()
--- /dev/null
+++ b/ochrehoist/store/errors.py
@@ -0,0 +1,65 @@
+"""Errors of the store, and the failures of disk and database that they stand for."""
+
+import errno
+from enum import Enum
+
+import apsw
+
+from ochrehoist.errors import OchrehoistError
+
+_READ_ONLY_ERRORS = (apsw.ReadOnlyError, apsw.CantOpenError, apsw.PermissionsError, PermissionError)
+_SYNC_ERROR_CODES = frozenset({apsw.SQLITE_IOERR_FSYNC, apsw.SQLITE_IOERR_DIR_FSYNC})
+
+
+class FailureKind(Enum):
+    """What failed. The values are shown to operators."""
+
+    FULL = "no room on the disk, or max_mb is reached"
+    READ_ONLY = "the folder can't be written to"
+    IO = "the disk failed"
+    SYNC = "the disk failed to keep what was written: nothing written before it can be trusted"
+    DAMAGED = "the store is damaged"
+    MISSING = "no store is there, and must_exist says that there is one: is its volume mounted?"
+
+    @property
+    def invalidates_store(self) -> bool:
+        """Whether what was written before can't be trusted any more, so that the store is rebuilt."""
+        return self in (FailureKind.IO, FailureKind.SYNC, FailureKind.DAMAGED)
+
+
+class StoreFailedError(OchrehoistError):
+    """The store could not do what was asked, and nothing of it is stored."""
+
+    def __init__(self, kind: FailureKind, reason: str) -> None:
+        super().__init__(reason)
+        self.kind = kind
+
+
+class StoreLockedError(OchrehoistError):
+    """Another process has locked the state folder; the text names that process."""
+
+
+class StoreMissingError(OchrehoistError):
+    """The folder holds no store that this command can use; the text says what is there."""
+
+
+class InvalidExportError(OchrehoistError):
+    """An export that can't be imported; the text names the line and what is wrong with it."""
+
+
+def store_failure(error: Exception) -> StoreFailedError:
+    """The store's error for one that the database library or the operating system raised."""
+    return StoreFailedError(_failure_kind(error), f"{type(error).__name__}: {error}")
+
+
+def _failure_kind(error: Exception) -> FailureKind:
+    error_number = getattr(error, "errno", None)
+    if isinstance(error, apsw.FullError) or error_number in (errno.ENOSPC, errno.EDQUOT):
+        return FailureKind.FULL
+    if isinstance(error, _READ_ONLY_ERRORS) or error_number == errno.EROFS:
+        return FailureKind.READ_ONLY
+    if isinstance(error, apsw.CorruptError | apsw.NotADBError):
+        return FailureKind.DAMAGED
+    if getattr(error, "extendedresult", None) in _SYNC_ERROR_CODES:
+        return FailureKind.SYNC
+    return FailureKind.IO
--- /dev/null
+++ b/ochrehoist/store/folder_opener.py
@@ -0,0 +1,89 @@
+"""Opening a state folder off the loop, again and again until it succeeds."""
+
+import gc
+import time
+from collections.abc import Callable
+
+from ochrehoist.net.loop import Loop
+from ochrehoist.net.offloop import OffLoop
+from ochrehoist.store.commit_scheduler import StoreFailureLog
+from ochrehoist.store.errors import StoreLockedError
+from ochrehoist.store.folder_session import FolderSession, OpenedFolder
+
+LOCK_RETRY_DELAY_S = 0.02  # while the process before this one still has the folder
+LOCK_WAIT_LOGGED_S = 3.0  # after which waiting for it is reported
+MIN_RETRY_DELAY_S = 0.25  # after any other failure; doubled each time
+MAX_RETRY_DELAY_S = 10.0
+
+
+class FolderOpener:
+    """Tries to open the folder: soon again where another process has it, else with exponential backoff.
+
+    Args:
+        loop: the worker's loop.
+        thread: carries out calls that wait for the disk.
+        session: the state folder.
+        failures: hears why it could not be opened.
+        longest_window_ns: the longest idempotency window of the settings in force.
+        clock_ns: the core's clock.
+        opened: called on the loop once the folder is open.
+    """
+
+    def __init__(
+        self,
+        loop: Loop,
+        thread: OffLoop,
+        session: FolderSession,
+        failures: StoreFailureLog,
+        longest_window_ns: Callable[[], int],
+        clock_ns: Callable[[], int],
+        opened: Callable[[OpenedFolder], None],
+    ) -> None:
+        self._loop = loop
+        self._thread = thread
+        self._session = session
+        self._failures = failures
+        self._longest_window_ns = longest_window_ns
+        self._clock_ns = clock_ns
+        self._opened = opened
+        self._requested_at = time.monotonic()
+        self._retry_delay_s = MIN_RETRY_DELAY_S
+        self._stopping = False
+
+    def open(self) -> None:
+        """Starts opening the folder; `opened` is called sooner or later."""
+        self._requested_at = time.monotonic()
+        self._attempt()
+
+    def stop(self) -> None:
+        """No further attempt is made."""
+        self._stopping = True
+
+    def _attempt(self) -> None:
+        longest_window_ns = self._longest_window_ns()
+        gc.disable()  # all that is restored stays: collections meanwhile would double the time
+        self._thread.submit(
+            lambda: self._session.open(longest_window_ns, self._clock_ns), self._attempt_ended
+        )
+
+    def _attempt_ended(self, folder: OpenedFolder | None, error: Exception | None) -> None:
+        gc.enable()
+        if folder is not None:
+            self._opened(folder)
+        elif error is not None:
+            self._attempt_failed(error)
+
+    def _attempt_failed(self, error: Exception) -> None:
+        locked = isinstance(error, StoreLockedError)
+        if not locked:
+            self._failures.failed(error)
+        elif time.monotonic() - self._requested_at > LOCK_WAIT_LOGGED_S:
+            self._failures.failed(StoreLockedError(f"waits for the folder: in use by {error}"))
+        if self._stopping:
+            return
+        if locked:
+            self._loop.call_later(LOCK_RETRY_DELAY_S, self._attempt)
+            self._retry_delay_s = LOCK_RETRY_DELAY_S
+        else:
+            self._loop.call_later(self._retry_delay_s, self._attempt)
+            self._retry_delay_s = min(MAX_RETRY_DELAY_S, 2 * self._retry_delay_s)
--- a/ochrehoist/store/journal.py
+++ b/ochrehoist/store/journal.py
@@ -1,52 +1,67 @@
-"""The core's journal: filings go on record before they begin, and come back after a restart.
+"""The core's journal: keyed requests are recorded before they run, and are known again after a restart.
 
-It lives on the loop and never waits: `Backlog` decides, a thread carries out, and the core is told by
-messages.
+It lives on the loop and never blocks. `WriteQueue` decides what is written when, `CommitScheduler` has it
+done by a thread on a `FolderSession`, and the core is sent messages of what came of it.
 """
 
 import gc
-import json
 import time
-from collections.abc import Callable
-from contextlib import suppress
-from pathlib import Path
+from collections.abc import Callable, Sequence
 from typing import Any
 
-from hdrh.histogram import HdrHistogram
-
 from ochrehoist.admission.events import Outcome
-from ochrehoist.config.loader import StateConfig
-from ochrehoist.core import handover
+from ochrehoist.config.schema import StateConfig
+from ochrehoist.core.handover import DetailCodec
 from ochrehoist.core.keys import Run
 from ochrehoist.core.messages import DuplicateResolved, IntentRecorded, StateRestored
 from ochrehoist.core.owner import Owner
-from ochrehoist.core.persisted_names import OUTCOME_NAMES, OUTCOMES_BY_NAME
 from ochrehoist.core.protocols import IntentReplicator
 from ochrehoist.core.request import IdempotencyKey, InboundRequest
 from ochrehoist.core.results import Rejection, RunResult
 from ochrehoist.errors import InvalidInputError
 from ochrehoist.net.loop import Loop
 from ochrehoist.net.offloop import OffLoop
-from ochrehoist.store import disk
-from ochrehoist.store.ageing import Stamp, aged
-from ochrehoist.store.backlog import Backlog, Begin, Drop, End, Error, Op, Save
-from ochrehoist.store.clock import stamp_now
-from ochrehoist.store.disk import Failed, Held, Lock
-from ochrehoist.store.loss import held_for
-from ochrehoist.store.opening import Opened, Witness, make_folder, must_hold_a_store, open_folder, rewrite
-from ochrehoist.store.points import reached
-from ochrehoist.store.records import Begun, Finished, Learned, key_of
-
-SECOND = 1_000_000_000
-RETRY = 0.02  # s between two looks at a lock that the process before this one still has
-LONG = 3.0  # s after which waiting for it is worth a line in the log
-REOPEN = (0.25, 10.0)  # s until a folder that could not be opened is tried again, doubled up to the last
-LONGEST_US = 60_000_000  # the longest commit that is told apart
-FLUSH = 1.0  # s at the most for what waits, at the end of the process
+from ochrehoist.store import failpoints
+from ochrehoist.store.commit_scheduler import CommitScheduler, RebuildContents, StoreFailureLog
+from ochrehoist.store.damage import StoreCondition, remaining_hold_ns
+from ochrehoist.store.database import LEARNED_STATE_NAME
+from ochrehoist.store.errors import StoreFailedError, StoreLockedError, store_failure
+from ochrehoist.store.failpoints import Failpoint
+from ochrehoist.store.folder_opener import FolderOpener
+from ochrehoist.store.folder_session import FolderSession, OpenedFolder
+from ochrehoist.store.intent_confirmations import IntentConfirmations
+from ochrehoist.store.journal_metrics import JournalMetrics
+from ochrehoist.store.journal_records import (
+    IntentRecorder,
+    RunsByKey,
+    result_record,
+    stored_result,
+)
+from ochrehoist.store.learned_state import learned_state_record, restorable_state
+from ochrehoist.store.operations import DeleteIntent, PutIntent, PutNamed, PutResult
+from ochrehoist.store.records import IntentRecord, LearnedStateRecord, ResultRecord, encode_key
+from ochrehoist.store.store_repair import OpenStore
+from ochrehoist.store.timestamps import NS_PER_S, current_timestamp
+from ochrehoist.store.write_queue import WriteQueue
+
+FINAL_FLUSH_S = 1.0  # the longest that queued operations are waited for at the end of the process
+REJECTION_BACKOFF_NS = NS_PER_S
 
 
 class Journal:
-    """`replacing`: another process may still have the folder, and will let go of it."""
+    """Implements `core.protocols.IdempotencyJournal` on a state folder.
+
+    Args:
+        loop: the worker's loop.
+        owner: the core, which is sent messages.
+        config: the `[state]` table.
+        name: the worker's name, recorded with what it ran.
+        codec: puts the executor's part of results into JSON.
+        log: the worker's log.
+        replacing: another process may still have the folder, and will release it.
+
+    Raises InvalidInputError where the folder is in use by another process, or can't be made.
+    """
 
     def __init__(
         self,
@@ -54,449 +69,332 @@
         owner: Owner,
         config: StateConfig,
         name: str,
-        codec: handover.DetailCodec,
+        codec: DetailCodec,
         log: Any,
         replacing: bool,
     ) -> None:
-        self.loop, self.owner, self.config, self.name = loop, owner, config, name
-        self.codec, self.log, self.folder = codec, log, Path(config.folder)
-        self.backlog = Backlog(config.commit_ms / 1000, config.stall_ms / 1000)
-        self.lock: Lock | None = None
-        self.opened: Opened | None = None
-        self.witness: Witness | None = None
-        self.learned: Learned | None = None  # the newest, as it was last put on record
-        self.hold_until = 0  # by the core's clock
-        self.timer: Any = None
-        self.released = self.stopping = self.restored = False
-        self.wait = REOPEN[0]
-        self.latency = HdrHistogram(1, LONGEST_US, 2)  # us from the first of a group to its commit
-        self.commits = self.operations = self.losses = self.refusals = 0
-        self.committed_at: float | None = None
-        self.bytes = 0  # on disk, as of the last commit
-        self.trouble = ""  # the last error, until a commit goes well
-        self.asked_at = time.monotonic()  # for the folder
-        self.when_restored: list[Callable[[], None]] = []
+        self.restored = False  # the core has been sent what was stored
+        self._loop = loop
+        self._owner = owner
+        self._config = config
+        self._name = name
+        self._codec = codec
+        self._log = log
+        self._learned: LearnedStateRecord | None = None  # the newest, as it was last stored
+        self._hold_until_ns = 0  # by the core's clock
+        self._released = False  # another process decides now
+        self._stopping = False
+        self._restored_listeners: list[Callable[[], None]] = []
+        self._replicator: IntentReplicator | None = None
+        self._confirmations = IntentConfirmations()
+        self._metrics = JournalMetrics()
+        self._failures = StoreFailureLog(log)
+        self._queue = WriteQueue(config.commit_ms / 1000, config.stall_ms / 1000)
+        self._session = FolderSession(config, name)
+        self._prepare_folder(replacing)
+        self._thread = OffLoop(loop, "journal")
+        self._scheduler = CommitScheduler(
+            loop, self._thread, self._queue, self._session, self._metrics, self._failures, self, log
+        )
+        self._opener = FolderOpener(
+            loop,
+            self._thread,
+            self._session,
+            self._failures,
+            self._longest_window_ns,
+            owner.clock,
+            self._opened,
+        )
+
+    def _prepare_folder(self, replacing: bool) -> None:
+        """What can be mended meanwhile is no error: opening tries again."""
+        setting = f"setting state.folder: {self._session.folder}"
         try:
-            self._folder_there()
+            self._session.prepare()
             if not replacing:
-                self.lock = Lock(self.folder, name)
-        except Held as held:
+                self._session.lock()
+        except StoreLockedError as error:
             raise InvalidInputError(
-                f"setting state.folder: {self.folder}: in use by {held}; stop that one first, or "
-                "replace it: the same name and TMPDIR"
+                f"{setting}: in use by {error}; stop that one first, or replace it: the same name and TMPDIR"
             ) from None
         except FileNotFoundError as error:
-            raise InvalidInputError(f"setting state.folder: {self.folder}: {error.strerror}") from None
-        except Failed as missing:
-            self._in_trouble(missing)
+            raise InvalidInputError(f"{setting}: {error.strerror}") from None
+        except StoreFailedError as error:
+            self._failures.failed(error)
         except OSError as error:
-            self._in_trouble(disk.failure(error))
-        self.testifier: IntentReplicator | None = None
-        self.unready: dict[str, int] = {}  # tries that are to begin, and how much of it is still awaited
-        self.thread = OffLoop(loop, "journal")
-
-    def _folder_there(self) -> None:
-        if self.config.must_exist:
-            must_hold_a_store(self.folder)
-        else:
-            make_folder(self.folder)
-
-    # ---- taking the folder into use
-    def open(self) -> None:
-        """Told to the core by a Restored, sooner or later."""
-        self.asked_at = time.monotonic()
-        self._open_again()
-
-    def _open_again(self) -> None:
-        longest = max((c.idempotency_window_ns for c in self.owner.settings.classes), default=0)
-        gc.disable()  # what is taken up stays: looking through it meanwhile takes as long again
-        self.thread.submit(lambda: self._open(longest), self._was_opened)
-
-    def _open(self, longest: int) -> tuple[Opened, dict[IdempotencyKey, Run]]:
-        reached("open")
-        if self.lock is None:
-            self._folder_there()
-            self.lock = Lock(self.folder, self.name)
-        reached("opened")
-        # Both clocks are read at one moment: windows run on while the folder is opened.
-        stamp, now = stamp_now(), self.owner.clock()
-        opened = open_folder(self.folder, self.config.max_mb, longest, stamp)
-        self.witness = Witness(self.folder)
-        self.witness.write(opened.db.census.number)
-        runs, names, begun = {}, {}, opened.begun
-        while begun:  # each goes as it is taken up: all at once take much memory
-            record, left, stored = begun.pop()
-            tenant, kind, key = record.token
-            token = names.setdefault(tenant, tenant), names.setdefault(kind, kind), key
-            known = None if record.body is None else (record.target, record.body)
-            runs[token] = Run(record.id, now + left, known, None, True, stored, False, True)
-        return opened, runs
-
-    def _was_opened(
-        self, found: tuple[Opened, dict[IdempotencyKey, Run]] | None, error: Exception | None
-    ) -> None:
-        gc.enable()
-        if error is not None:
-            held = isinstance(error, Held)
-            if not held:
-                self._in_trouble(error)
-            elif time.monotonic() - self.asked_at > LONG:
-                self._in_trouble(Held(f"waits for the folder: in use by {error}"))
-            if not self.stopping:
-                self.loop.call_later(RETRY if held else self.wait, self._open_again)
-                self.wait = RETRY if held else min(REOPEN[1], 2 * self.wait)
-            return
-        opened, restored = found
-        self.opened, self.trouble, self.bytes = opened, "", opened.db.bytes
-        if self.released:  # meanwhile another process decides, and wants the folder
-            return
-        for name in opened.set_aside:
-            self.log.error("a damaged store was set aside", store=name, why=opened.why)
-        if opened.why:
-            self.losses += 1
-            self.log.error("what ran before is not fully known", why=opened.why, on_loss=self.config.on_loss)
-        now = self.owner.clock()
-        self.hold_until = now + held_for(opened.loss, self.config.on_loss, stamp_now())
-        if self.hold_until > now:
-            left = (self.hold_until - now) // SECOND + 1
-            self.log.warning("filings that are not known are refused", for_s=left)
-        self.learned, lesson = opened.learned, None
-        if opened.learned is not None and opened.learned.layout == handover.LEARNED:
-            try:
-                lesson = aged(
-                    opened.learned.values,
-                    opened.learned.at,
-                    stamp_now(),
-                    int(self.config.learned_half_life_s * SECOND),
-                    self.owner.started_cold,
-                )
-            except (KeyError, TypeError, ValueError) as fault:
-                self.log.warning("what was learned can't be read", why=repr(fault))
-        before = dict(self.owner.keys.runs)
-        self.backlog.open = True
-        for record in opened.stale:
-            self._add(Drop(key_of(record.token)))
-        for token, run in before.items():  # of the process before this one, whose store this is now
-            on_record = restored.get(token)
-            if on_record is None or on_record.id != run.id:
-                self._add(Begin("", key_of(token), self._begun(token, run)))
-            if run.result is not None and not (on_record and on_record.stored):
-                self.end(token, run, run.result)
-        self.log.info(
-            "the store is open", case=opened.case.value, filings=len(restored), stale=len(opened.stale)
+            self._failures.failed(store_failure(error))
+
+    def register_restored_listener(self, listener: Callable[[], None]) -> None:
+        """`listener` is called once the core has been sent what was stored."""
+        self._restored_listeners.append(listener)
+
+    def register_replicator(self, replicator: IntentReplicator) -> None:
+        """From now on requests run only once `replicator` has confirmed their intents, too."""
+        self._replicator = replicator
+
+    @property
+    def hold_until_ns(self) -> int:
+        """Until when unknown requests are rejected, by the core's clock."""
+        return self._hold_until_ns
+
+    def set_hold_until(self, clock_ns: int) -> None:
+        """Unknown requests are rejected until then, by the core's clock; 0: they are accepted."""
+        self._hold_until_ns = clock_ns
+
+    @property
+    def may_lack_requests(self) -> bool:
+        """Whether requests may have run that are not known: after a loss, at a first start, in a hold."""
+        return (
+            bool(self._metrics.losses)
+            or self._hold_until_ns > self._owner.clock()
+            or self._store_in_use().condition is StoreCondition.FIRST_START
         )
-        opened.stale = []
-        if self.testifier is not None:
-            self.testifier.opened([key_of(token) for token in {**restored, **before}])
-        gc.freeze()  # they stay: looking through them again and again would hold up the loop
-        self.owner.post(StateRestored(restored, lesson))
-        self.restored = True
-        for call in self.when_restored:
-            call()
-        self._look()
-        self.loop.call_later(self.config.learned_every_s, self._learn)
 
-    # ---- what the core asks
+    # The core's calls: `core.protocols.IdempotencyJournal`.
+
     def refuses(self, token: IdempotencyKey) -> Rejection | None:
-        """Whether a filing that is not known can't be taken now, and what its caller is told."""
+        """Why an unknown request can't be accepted now, as its caller is notified; None where it can."""
         if not self.restored:
             return Rejection(0, may_have_run=True)
-        if self.testifier is not None and self.testifier.refuses(key_of(token)):
-            self.refusals += 1
+        rejection = self._rejection(token)
+        if rejection is not None:
+            self._metrics.rejections += 1
+        return rejection
+
+    def _rejection(self, key: IdempotencyKey) -> Rejection | None:
+        if self._replicator is not None and self._replicator.refuses(encode_key(key)):
             return Rejection(0, may_have_run=True)
-        if self.backlog.refuses(time.monotonic()):
-            self.refusals += 1
-            return Rejection(SECOND)
-        left = self.hold_until - self.owner.clock()
-        if left > 0:
-            self.refusals += 1
-            return Rejection(left)
-        return None
-
-    def begin(self, r: InboundRequest, run: Run) -> None:
-        """Told to the core by a Recorded, by the time that `stall_ms` is over."""
-        if self.backlog.refuses(time.monotonic()):
-            return self._refused([r.id])
-        reached("begin")
-        record = self._begun(r.token, run)
-        self._add(Begin(r.id, key_of(r.token), record))
-        if self.testifier is not None:
-            self.unready[r.id] = 2
-            self.testifier.begin(r.id, key_of(r.token), record.left / SECOND)
-
-    def witnessed(self, request_id: str, ok: bool) -> None:
-        """Enough others know of a filing that is to begin; or they did not answer in time."""
-        if ok:
-            self._ready(request_id)
-        elif self.unready.pop(request_id, None) is not None:
-            self._refused([request_id])
-
-    def _ready(self, request_id: str) -> None:
-        """One of the things that a filing waits for has come."""
-        left = self.unready.get(request_id)
-        if left is None:
-            return
-        if left > 1:
-            self.unready[request_id] = left - 1
+        if self._queue.rejection_reason(time.monotonic()):
+            return Rejection(REJECTION_BACKOFF_NS)
+        hold_ns = self._hold_until_ns - self._owner.clock()
+        return Rejection(hold_ns) if hold_ns > 0 else None
+
+    def begin(self, request: InboundRequest, run: Run) -> None:
+        """Records the intent of a run; an `IntentRecorded` follows within the setting `stall_ms`."""
+        assert request.token is not None
+        if self._queue.rejection_reason(time.monotonic()):
+            self.intents_rejected([request.id])
             return
-        del self.unready[request_id]
-        self.owner.post(IntentRecorded(request_id, True))
-
-    def _begun(self, token: IdempotencyKey, run: Run) -> Begun:
-        windows = {c.name: c.idempotency_window_ns for c in self.owner.settings.classes}
-        return self._record(token, run, windows, self.owner.clock(), stamp_now())
-
-    def _record(
-        self, token: IdempotencyKey, run: Run, windows: dict[str, int], now: int, stamp: Stamp
-    ) -> Begun:
-        left = max(0, run.window_end - now)
-        target, body = run.fingerprint or (None, None)
-        return Begun(token, run.id, max(left, windows.get(token[1], 0)), left, stamp, target, body, self.name)
+        failpoints.reached(Failpoint.INTENT_QUEUED)
+        key = encode_key(request.token)
+        intent = self._recorder().record(request.token, run)
+        self._scheduler.add(PutIntent(request.id, key, intent))
+        if self._replicator is not None:
+            self._confirmations.expect(request.id)
+            self._replicator.begin(request.id, key, intent.remaining_ns / NS_PER_S)
 
     def end(self, token: IdempotencyKey, run: Run, result: RunResult) -> None:
-        reached("end")
-        line = json.dumps(self.codec.to_json(result.detail)).encode()
-        record = Finished(
-            OUTCOME_NAMES[result.outcome], result.success, result.body, line, result.detail_bytes
-        )
-        if len(result.body) + len(line) > self.config.max_result_kb * 1024:
-            self.backlog.not_recorded += 1
+        """Records the result of a run, unless it is too large."""
+        failpoints.reached(Failpoint.RESULT_QUEUED)
+        record = result_record(result, self._codec)
+        if len(record.body) + len(record.detail) > self._config.max_result_kb * 1024:
+            self._queue.discard_result()
             return
-        run.stored = self._add(End(key_of(token), record))
+        run.stored = self._scheduler.add(PutResult(encode_key(token), record))
 
     def drop(self, token: IdempotencyKey) -> None:
-        self._add(Drop(key_of(token)))
+        """Deletes a request whose window is over."""
+        self._scheduler.add(DeleteIntent(encode_key(token)))
 
     def never_ran(self, token: IdempotencyKey) -> None:
-        """It was to begin, and did not."""
+        """Deletes the intent of a request that did not run after all."""
         self.drop(token)
-        if self.testifier is not None:
-            self.testifier.drop(key_of(token))
+        if self._replicator is not None:
+            self._replicator.drop(encode_key(token))
 
     def fetch(self, token: IdempotencyKey, request_id: str) -> None:
-        """Told to the core by a Joined: with the result, or as failed where it can't be had."""
-        key = key_of(token)
+        """A `DuplicateResolved` follows: with the stored result, or as failed where it can't be read."""
+        key = encode_key(token)
 
-        def done(record: Finished | None, error: Exception | None) -> None:
-            self.owner.post(DuplicateResolved(request_id, self._result(record) or RunResult(Outcome.FAILED)))
+        def resolve(record: ResultRecord | None, _error: Exception | None) -> None:
+            result = stored_result(record, self._codec) or RunResult(Outcome.FAILED)
+            self._owner.post(DuplicateResolved(request_id, result))
 
-        waiting = self.backlog.end_of(key)
-        if waiting is not None:
-            done(waiting, None)
-        elif self.opened is None:
-            done(None, None)
+        queued = self._queue.queued_result(key)
+        if queued is not None or self._session.store is None:
+            resolve(queued, None)
         else:
-            self.thread.submit(lambda: self.opened.db.fetch(key), done)
-
-    def _result(self, record: Finished | None) -> RunResult | None:
-        with suppress(KeyError, TypeError, ValueError):
-            if record is not None:
-                return RunResult(
-                    OUTCOMES_BY_NAME[record.outcome],
-                    record.body,
-                    self.codec.from_json(json.loads(record.detail)),
-                    record.detail_bytes,
-                    record.success,
-                )
-        return None
-
-    # ---- to the disk and back
-    def _add(self, op: Op) -> bool:
-        added = self.backlog.add(time.monotonic(), op)
-        self._look()
-        return added
-
-    def _look(self) -> None:
-        """Sends what is due, and looks again in time."""
-        now = time.monotonic()
-        late = self.backlog.overdue(now)
-        if late:
-            self.log.warning("filings were not begun: the disk does not answer", count=len(late))
-            self._refused(late)
-        if self.backlog.may_rebuild(now):
-            self._rebuild(now)
-        group = self.backlog.group(now)
-        if group is not None:
-            self.thread.submit(lambda: self._commit(group), self._was_committed)
-        if self.timer is not None:
-            self.timer.cancel()
-            self.timer = None
-        due = self.backlog.due(now)
-        if due is not None and not self.stopping:
-            self.timer = self.loop.call_later(due - now, self._look)
-
-    def _commit(self, group: list[Op]) -> int:
-        reached("commit")
-        number = self.opened.db.commit(group)
-        reached("committed")
-        self.witness.write(number)
-        self.opened.db.tidy()
-        self.bytes = self.opened.db.bytes
-        return len(group)
-
-    def _was_committed(self, count: int | None, error: Exception | None) -> None:
-        now = time.monotonic()
-        if error is not None:
-            self._in_trouble(error)
-            failed = error.error if isinstance(error, Failed) else Error.IO
-            self._refused(self.backlog.failed(now, failed))
-            return self._look()
-        if self.trouble:
-            self.log.info("the store works again")
-            self.trouble = ""
-        self.commits, self.operations, self.committed_at = self.commits + 1, self.operations + count, now
-        self.latency.record_value(min(LONGEST_US, max(1, int((now - self.backlog.sent_at) * 1e6))))
-        for request_id in self.backlog.committed():
-            reached("recorded")
-            if self.testifier is None:
-                self.owner.post(IntentRecorded(request_id, True))
-            else:
-                self._ready(request_id)
-        self._look()
-
-    def _refused(self, ids: list[str]) -> None:
-        for request_id in ids:
-            self.unready.pop(request_id, None)
-            self.owner.post(IntentRecorded(request_id, False, SECOND))
-
-    def _rebuild(self, now: float) -> None:
-        """From what the core knows: what the disk still shows may not be there after the next power cut."""
-        runs, live = list(self.owner.keys.runs.items()), frozenset(self.owner.live)
-        windows = {c.name: c.idempotency_window_ns for c in self.owner.settings.classes}
-        loss, learned = self.opened.loss, self.learned
-        clock, stamp = self.owner.clock(), stamp_now()
-
-        def write() -> Any:
-            # Off the loop, as there may be very many. What ends meanwhile is among what waits.
-            begun = [
-                self._record(token, run, windows, clock, stamp)
-                for token, run in runs
-                if run.result is not None or run.dropped or run.id in live
-            ]
-            return rewrite(self.opened, self.config.max_mb, begun, loss, learned)
+            self._thread.submit(lambda: self._session.read_result(key), resolve)
 
-        self.backlog.rebuilding(now)
-        self.thread.submit(write, self._was_rebuilt)
+    # The replicator's answer, and the scheduler's: `commit_scheduler.CommitListener`.
 
-    def _was_rebuilt(self, db: Any, error: Exception | None) -> None:
-        if error is not None:
-            self._in_trouble(error)
-            self._refused(self.backlog.failed(time.monotonic(), Error.IO))
+    def replication_ended(self, request_id: str, confirmed: bool) -> None:
+        """Enough replicas have confirmed an intent; or they did not in time."""
+        if confirmed:
+            self._confirm(request_id)
+        elif self._confirmations.abandon(request_id):
+            self.intents_rejected([request_id])
+
+    def intent_durable(self, request_id: str) -> None:
+        """The intent is durable on this disk."""
+        if self._replicator is None:
+            self._owner.post(IntentRecorded(request_id, True))
         else:
-            self.witness.write(db.census.number)
-            self.backlog.rebuilt()
-            self.log.warning("the store was written anew", set_aside=self.opened.set_aside[-1])
-            self.trouble = ""
-        self._look()
-
-    def _in_trouble(self, error: Exception) -> None:
-        if str(error) != self.trouble:
-            self.trouble = str(error)
-            self.log.error("the store can't be used: filings are refused, all else goes on", why=str(error))
-
-    # ---- what was learned
-    def _learn(self) -> None:
-        if self.stopping or self.released:
+            self._confirm(request_id)
+
+    def _confirm(self, request_id: str) -> None:
+        if self._confirmations.confirm(request_id):
+            self._owner.post(IntentRecorded(request_id, True))
+
+    def intents_rejected(self, request_ids: Sequence[str]) -> None:
+        """The requests do not run; their callers may retry."""
+        for request_id in request_ids:
+            self._confirmations.abandon(request_id)
+            self._owner.post(IntentRecorded(request_id, False, REJECTION_BACKOFF_NS))
+
+    def rebuild_contents(self) -> RebuildContents:
+        """All runs that the core knows and that may have ended, or are running."""
+        runs = list(self._owner.keys.runs.items())
+        live_ids = frozenset(self._owner.live)
+        recorder = self._recorder()
+
+        def intents() -> list[IntentRecord]:
+            # Runs that end meanwhile have their results in the queue.
+            return [
+                recorder.record(key, run)
+                for key, run in runs
+                if run.result is not None or run.dropped or run.id in live_ids
+            ]
+
+        return RebuildContents(intents, self._store_in_use().loss, self._learned)
+
+    def _recorder(self) -> IntentRecorder:
+        windows_ns = {c.name: c.idempotency_window_ns for c in self._owner.settings.classes}
+        return IntentRecorder(self._name, windows_ns, self._owner.clock(), current_timestamp())
+
+    def _store_in_use(self) -> OpenStore:
+        if self._session.store is None:
+            raise RuntimeError("the store is not open")
+        return self._session.store
+
+    # Opening the folder.
+
+    def open(self) -> None:
+        """Opens the store; a `StateRestored` follows sooner or later."""
+        self._opener.open()
+
+    def _longest_window_ns(self) -> int:
+        return max((c.idempotency_window_ns for c in self._owner.settings.classes), default=0)
+
+    def _opened(self, opened: OpenedFolder) -> None:
+        self._session.use(opened.store)
+        self._failures.clear()
+        if self._released:  # another process waits for the folder
             return
-        self.save_learned()
-        self.loop.call_later(self.config.learned_every_s, self._learn)
+        self._report_condition(opened.store)
+        self._learned = opened.store.learned
+        learned = restorable_state(
+            self._learned, self._config.learned_half_life_s, self._owner.started_cold, self._log
+        )
+        self._queue.open = True
+        known_runs = dict(self._owner.keys.runs)
+        self._record_changes_since(opened, known_runs)
+        if self._replicator is not None:
+            self._replicator.opened([encode_key(key) for key in {**opened.runs, **known_runs}])
+        gc.freeze()  # collections would look through all restored runs again and again
+        self._owner.post(StateRestored(opened.runs, learned))
+        self.restored = True
+        for listener in self._restored_listeners:
+            listener()
+        self._scheduler.run()
+        self._loop.call_later(self._config.learned_every_s, self._save_learned_regularly)
+
+    def _report_condition(self, store: OpenStore) -> None:
+        reasons = store.loss_reasons
+        for file_name in store.set_aside:
+            self._log.error("damaged_store_set_aside", file=file_name, reasons=reasons)
+        if reasons:
+            self._metrics.losses += 1
+            self._log.error("store_data_lost", reasons=reasons, on_loss=self._config.on_loss)
+        now_ns = self._owner.clock()
+        hold_ns = remaining_hold_ns(store.loss, self._config.on_loss, current_timestamp())
+        self._hold_until_ns = now_ns + hold_ns
+        if hold_ns > 0:
+            self._log.warning("unknown_requests_held", hold_s=hold_ns // NS_PER_S + 1)
+
+    def _record_changes_since(self, opened: OpenedFolder, known_runs: RunsByKey) -> None:
+        """Brings the store up to date with the core, which may know more from the process before this one."""
+        expired = opened.store.expired_intents
+        for record in expired:
+            self.drop(record.idempotency_key)
+        recorder = self._recorder()
+        for key, run in known_runs.items():
+            stored_run = opened.runs.get(key)
+            if stored_run is None or stored_run.id != run.id:
+                self._scheduler.add(PutIntent("", encode_key(key), recorder.record(key, run)))
+            if run.result is not None and not (stored_run and stored_run.stored):
+                self.end(key, run, run.result)
+        self._log.info(
+            "store_opened",
+            condition=opened.store.condition.value,
+            intents=len(opened.runs),
+            expired_intents=len(expired),
+        )
+        opened.store.expired_intents = []
+
+    # Learned state.
+
+    def _save_learned_regularly(self) -> None:
+        if self._stopping or self._released:
+            return
+        self._save_learned()
+        self._loop.call_later(self._config.learned_every_s, self._save_learned_regularly)
 
-    def save_learned(self) -> None:
-        if self.owner.controller is not None and self.restored:
-            self.learned = Learned(stamp_now(), handover.learned(self.owner.controller), handover.LEARNED)
-            self._add(Save(disk.LEARNED, self.learned))
+    def _save_learned(self) -> None:
+        if self._owner.controller is not None and self.restored:
+            self._learned = learned_state_record(self._owner.controller)
+            self._scheduler.add(PutNamed(LEARNED_STATE_NAME, self._learned))
+
+    # The end.
 
-    # ---- the end
     def release(self) -> None:
-        """Another process decides now: writes what waits, and lets go of the folder."""
-        self.released = True
-        # Nobody hears this process any more: what still waits for witnesses was never begun.
-        self._refused(list(self.unready))
-        self._flush_until(time.monotonic() + FLUSH)
-
-    def _flush_until(self, until: float) -> None:
-        self._look()
-        if len(self.backlog) and time.monotonic() < until:
-            self.loop.call_later(0.002, lambda: self._flush_until(until))
-        else:
-            self.backlog.open = False
-            self.thread.submit(self._let_go, lambda _, error: self.log.info("the store was let go"))
-
-    def _let_go(self) -> None:
-        reached("release")
-        if self.opened is not None:
-            self.opened.db.close()
-            self.opened = None
-        if self.witness is not None:
-            self.witness.close()
-            self.witness = None
-        if self.lock is not None:
-            self.lock.release()
-        reached("released")
+        """Another process decides now: writes what is queued, and releases the folder."""
+        self._released = True
+        # Nobody hears this process any more: what still waits for replicas never runs here.
+        self.intents_rejected(self._confirmations.waiting())
+        self._scheduler.drain(time.monotonic() + FINAL_FLUSH_S, self._release_folder)
+
+    def _release_folder(self) -> None:
+        self._queue.open = False
+        self._thread.submit(self._session.release, lambda _, error: self._log.info("store_released"))
 
     def close(self) -> None:
-        """At the end of the process, when the loop no longer runs."""
-        if not self.released:
-            self.save_learned()
-            until = time.monotonic() + FLUSH
-            while (
-                len(self.backlog)
-                and self.backlog.open
-                and self.backlog.error is None
-                and time.monotonic() < until
-            ):
-                self._look()
-                self.thread.tell()
-                time.sleep(0.001)
-        self.stopping = True
-        self.thread.submit(self._let_go, lambda *_: None)
-        if not self.thread.close(FLUSH):
-            self.log.error("the disk does not answer: what waits is not on record", count=len(self.backlog))
-
-    # ---- for operators
+        """At the end of the process, when the loop no longer runs: writes what is queued, and closes."""
+        if not self._released:
+            self._save_learned()
+            self._scheduler.drain_without_loop(time.monotonic() + FINAL_FLUSH_S)
+        self._stopping = True
+        self._scheduler.stop()
+        self._opener.stop()
+        self._thread.submit(self._session.release, lambda *_: None)
+        if not self._thread.close(FINAL_FLUSH_S):
+            self._log.error("store_operations_lost_at_exit", count=len(self._queue))
+
+    # For operators.
+
     def view(self) -> dict[str, Any]:
-        now, hold = time.monotonic(), max(0, self.hold_until - self.owner.clock())
+        """The part `store` of the status, by its documented names."""
+        now = time.monotonic()
+        hold_ns = max(0, self._hold_until_ns - self._owner.clock())
+        store = self._session.store
         return {
-            "folder": str(self.folder),
-            "open": self.backlog.open,
-            "bytes": self.bytes,
-            "refuses": self.backlog.refuses(now) or ("a loss" if hold else ""),
-            "hold_s": hold // SECOND,
-            "trouble": self.trouble,
-            "waiting": len(self.backlog),
-            "commits": self.commits,
-            "operations": self.operations,
-            "refused": self.refusals,
-            "last_commit_s": None if self.committed_at is None else round(now - self.committed_at, 1),
-            "commit_ms": {
-                name: round(self.latency.get_value_at_percentile(p) / 1000, 2)
-                for name, p in (("p50", 50), ("p99", 99), ("max", 100))
-            },
-            "losses": self.losses,
-            "not_recorded": self.backlog.not_recorded,
-            "set_aside": [] if self.opened is None else self.opened.set_aside,
+            "folder": str(self._session.folder),
+            "open": self._queue.open,
+            "bytes": self._session.size_bytes,
+            "refuses": self._queue.rejection_reason(now) or ("a loss" if hold_ns else ""),
+            "hold_s": hold_ns // NS_PER_S,
+            "trouble": self._failures.reason,
+            "waiting": len(self._queue),
+            "commits": self._metrics.commits,
+            "operations": self._metrics.operations,
+            "refused": self._metrics.rejections,
+            "last_commit_s": self._metrics.seconds_since_commit(now),
+            "commit_ms": self._metrics.commit_latency_ms(),
+            "losses": self._metrics.losses,
+            "not_recorded": self._queue.results_not_stored,
+            "set_aside": [] if store is None else store.set_aside,
         }
 
     def figures(self) -> str:
-        """Lines in the exposition format, behind those of the core."""
-        view = self.view()
-        lines = []
-        for name, kind, value in (
-            ("store_bytes", "gauge", view["bytes"]),
-            ("store_waiting", "gauge", view["waiting"]),
-            ("store_open", "gauge", int(view["open"])),
-            ("store_refusing", "gauge", int(bool(view["refuses"]))),
-            ("store_commits_total", "counter", self.commits),
-            ("store_operations_total", "counter", self.operations),
-            ("store_losses_total", "counter", self.losses),
-            ("store_not_recorded_total", "counter", self.backlog.not_recorded),
-        ):
-            lines += [f"# TYPE app_{name} {kind}", f"app_{name} {value}"]
-        lines.append("# TYPE app_store_commit_seconds summary")
-        lines += [
-            f'app_store_commit_seconds{{quantile="{p / 100}"}} '
-            f"{self.latency.get_value_at_percentile(p) / 1e6}"
-            for p in (50, 90, 99, 99.9)
-        ]
-        lines.append(f"app_store_commit_seconds_count {self.latency.get_total_count()}")
-        return "\n".join(lines) + "\n"
+        """Metrics in the Prometheus text format."""
+        return self._metrics.exposition(self.view())
--- /dev/null
+++ b/ochrehoist/store/journal_metrics.py
@@ -0,0 +1,64 @@
+"""Figures of the journal: counters and commit latency, and how they are exposed to operators."""
+
+from typing import Any
+
+from hdrh.histogram import HdrHistogram
+
+MAX_LATENCY_US = 60_000_000  # longer commits count as this one
+SIGNIFICANT_DIGITS = 2
+STATUS_PERCENTILES = (("p50", 50), ("p99", 99), ("max", 100))
+METRIC_PERCENTILES = (50, 90, 99, 99.9)
+
+
+class JournalMetrics:
+    """What the journal counts from the start of the process on."""
+
+    def __init__(self) -> None:
+        self.commits = 0
+        self.operations = 0
+        self.losses = 0
+        self.rejections = 0
+        self._committed_at: float | None = None
+        self._latency_us: Any = HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
+
+    def committed(self, operations: int, started_at: float, now: float) -> None:
+        """Counts a group that was sent at `started_at` and durable at `now` (monotonic seconds)."""
+        self.commits += 1
+        self.operations += operations
+        self._committed_at = now
+        latency_us = int((now - started_at) * 1e6)
+        self._latency_us.record_value(min(MAX_LATENCY_US, max(1, latency_us)))
+
+    def seconds_since_commit(self, now: float) -> float | None:
+        """Seconds since the last commit; None before the first."""
+        return None if self._committed_at is None else round(now - self._committed_at, 1)
+
+    def commit_latency_ms(self) -> dict[str, float]:
+        """Percentiles of commit latency, by the names in the status."""
+        return {
+            name: round(self._latency_us.get_value_at_percentile(percentile) / 1000, 2)
+            for name, percentile in STATUS_PERCENTILES
+        }
+
+    def exposition(self, view: dict[str, Any]) -> str:
+        """Lines in the Prometheus text format; `view` is what the journal shows in the status."""
+        lines = []
+        for name, kind, value in (
+            ("store_bytes", "gauge", view["bytes"]),
+            ("store_waiting", "gauge", view["waiting"]),
+            ("store_open", "gauge", int(view["open"])),
+            ("store_refusing", "gauge", int(bool(view["refuses"]))),
+            ("store_commits_total", "counter", self.commits),
+            ("store_operations_total", "counter", self.operations),
+            ("store_losses_total", "counter", self.losses),
+            ("store_not_recorded_total", "counter", view["not_recorded"]),
+        ):
+            lines += [f"# TYPE app_{name} {kind}", f"app_{name} {value}"]
+        lines.append("# TYPE app_store_commit_seconds summary")
+        lines += [
+            f'app_store_commit_seconds{{quantile="{percentile / 100}"}} '
+            f"{self._latency_us.get_value_at_percentile(percentile) / 1e6}"
+            for percentile in METRIC_PERCENTILES
+        ]
+        lines.append(f"app_store_commit_seconds_count {self._latency_us.get_total_count()}")
+        return "\n".join(lines) + "\n"
--- /dev/null
+++ b/ochrehoist/store/journal_records.py
@@ -0,0 +1,90 @@
+"""Conversion between what the core knows of keyed requests and the records that are stored."""
+
+import json
+from collections.abc import Mapping
+from contextlib import suppress
+from dataclasses import dataclass
+
+from ochrehoist.core.handover import DetailCodec
+from ochrehoist.core.keys import Run
+from ochrehoist.core.persisted_names import OUTCOME_NAMES, OUTCOMES_BY_NAME
+from ochrehoist.core.request import IdempotencyKey
+from ochrehoist.core.results import RunResult
+from ochrehoist.store.records import IntentRecord, ResultRecord
+from ochrehoist.store.store_repair import LiveIntent
+from ochrehoist.store.timestamps import Timestamp
+
+RunsByKey = dict[IdempotencyKey, Run]
+
+
+@dataclass(slots=True)
+class IntentRecorder:
+    """Makes intent records as of one moment, given on the core's clock and as a timestamp.
+
+    `windows_ns` are the idempotency windows by name of the request class.
+    """
+
+    worker_name: str
+    windows_ns: Mapping[str, int]
+    clock_ns: int
+    now: Timestamp
+
+    def record(self, key: IdempotencyKey, run: Run) -> IntentRecord:
+        """The intent of a run."""
+        remaining_ns = max(0, run.window_end - self.clock_ns)
+        window_ns = max(remaining_ns, self.windows_ns.get(key[1], 0))
+        target, body = run.fingerprint or (None, None)
+        return IntentRecord(key, run.id, window_ns, remaining_ns, self.now, target, body, self.worker_name)
+
+
+def restored_runs(intents: list[LiveIntent], clock_ns: int) -> RunsByKey:
+    """The runs of stored intents, as of `clock_ns` on the core's clock.
+
+    `intents` is emptied on the way: both lists at once would take much memory.
+    """
+    runs: RunsByKey = {}
+    tenants: dict[str | None, str | None] = {}  # one string for each name: there may be very many intents
+    class_names: dict[str, str] = {}
+    while intents:
+        intent = intents.pop()
+        record = intent.record
+        tenant, class_name, caller_key = record.idempotency_key
+        key = (
+            tenants.setdefault(tenant, tenant),
+            class_names.setdefault(class_name, class_name),
+            caller_key,
+        )
+        fingerprint = None if record.body is None else (record.target, record.body)
+        runs[key] = Run(
+            id=record.request_id,
+            window_end=clock_ns + intent.remaining_ns,
+            fingerprint=fingerprint,
+            dropped=True,
+            stored=intent.has_result,
+            begun=False,
+            asleep=True,
+        )
+    return runs
+
+
+def result_record(result: RunResult, codec: DetailCodec) -> ResultRecord:
+    """The record of a result."""
+    detail = json.dumps(codec.to_json(result.detail)).encode()
+    return ResultRecord(
+        OUTCOME_NAMES[result.outcome], result.success, result.body, detail, result.detail_bytes
+    )
+
+
+def stored_result(record: ResultRecord | None, codec: DetailCodec) -> RunResult | None:
+    """The result that was stored; None where there is none, or it can't be read any more."""
+    if record is None:
+        return None
+    with suppress(KeyError, TypeError, ValueError):
+        return RunResult(
+            OUTCOMES_BY_NAME[record.outcome],
+            record.body,
+            codec.from_json(json.loads(record.detail)),
+            record.detail_bytes,
+            record.success,
+        )
+    return None
--- /dev/null
+++ b/ochrehoist/store/learned_state.py
@@ -0,0 +1,29 @@
+"""Saving what the admission controller learned, and restoring it after a restart."""
+
+from typing import Any
+
+from ochrehoist.core import handover
+from ochrehoist.store.expiry import LearnedState, expire_learned_state
+from ochrehoist.store.records import LearnedStateRecord
+from ochrehoist.store.timestamps import NS_PER_S, current_timestamp
+
+
+def learned_state_record(controller: Any) -> LearnedStateRecord:
+    """A snapshot of what a controller has learned."""
+    return LearnedStateRecord(current_timestamp(), handover.learned(controller), handover.LEARNED)
+
+
+def restorable_state(
+    record: LearnedStateRecord | None, half_life_s: float, cold: bool, log: Any
+) -> LearnedState | None:
+    """The part of a stored snapshot that still counts; None where it is of another layout, or corrupt."""
+    if record is None or record.layout != handover.LEARNED:
+        return None
+    half_life_ns = int(half_life_s * NS_PER_S)
+    try:
+        return expire_learned_state(
+            record.values, record.recorded_at, current_timestamp(), half_life_ns, cold
+        )
+    except (KeyError, TypeError, ValueError) as error:
+        log.warning("learned_state_unreadable", error=repr(error))
+        return None
--- a/ochrehoist/store/records.py
+++ b/ochrehoist/store/records.py
@@ -1,7 +1,8 @@
-"""What is on record, byte for byte: versioned, checksummed, and checked against a schema when read. No I/O.
+"""The stored records and their encoding: versioned, checksummed and validated when read. No I/O.
 
-A record is its version (1 byte), the XXH3 of key, version and content (8 bytes) and the content, as
-MessagePack.
+An encoded record is its format version (1 byte), the XXH3-64 of key, version and content (8 bytes,
+big-endian) and the content as MessagePack. Structs are encoded as arrays: the order of fields is part of the
+format, their names are not.
 """
 
 from collections.abc import Callable
@@ -10,113 +11,145 @@
 import msgspec
 import xxhash
 
+from ochrehoist.core.request import IdempotencyKey
 from ochrehoist.errors import OchrehoistError
-from ochrehoist.store.ageing import Stamp
+from ochrehoist.store.timestamps import Timestamp
 
-FORMAT = 2  # 2: what was learned names its layout
-HEAD = 9  # bytes before the content
-Token = tuple[str | None, str, str]
+FORMAT_VERSION = 2  # 2: learned state names its layout
+CHECKSUM_BYTES = 8
+HEADER_BYTES = 1 + CHECKSUM_BYTES
 
 
 class CorruptRecordError(OchrehoistError):
-    """A record that is not what was written."""
+    """A record that is not what was written: too short, wrong checksum, or not of its schema."""
 
 
 class UnsupportedFormatError(OchrehoistError):
-    """A record of a version that this program does not know."""
+    """A record of a format version that this release does not know."""
 
 
-class Begun(msgspec.Struct, frozen=True, array_like=True):
-    """A filing that was handed to an executor, or was about to be."""
+class IntentRecord(msgspec.Struct, frozen=True, array_like=True):
+    """A keyed request that was given to an executor, or was about to be.
 
-    token: Token  # tenant, class, key
-    id: str
-    window: int  # ns, and how many of them were left at `at`
-    left: int
-    at: Stamp
-    target: bytes | None = None  # its fingerprint, as far as it has one
+    Its idempotency window is `window_ns` long, of which `remaining_ns` were left at `recorded_at`.
+    """
+
+    idempotency_key: IdempotencyKey
+    request_id: str
+    window_ns: int
+    remaining_ns: int
+    recorded_at: Timestamp
+    target: bytes | None = None  # digests of the request, as far as it has them
     body: bytes | None = None
-    holder: str = ""  # the worker that ran it
+    worker_name: str = ""  # the worker that ran it
 
 
-class Finished(msgspec.Struct, frozen=True, array_like=True):
-    """How it ended. `detail` is JSON of the executor's side."""
+class ResultRecord(msgspec.Struct, frozen=True, array_like=True):
+    """The result of a keyed request. `detail` is JSON written by the executor's codec."""
 
-    outcome: str
+    outcome: str  # by its name in core.persisted_names
     success: bool
     body: bytes
     detail: bytes = b"null"
     detail_bytes: int = 0
 
 
-class Learned(msgspec.Struct, frozen=True, array_like=True):
-    at: Stamp
+class LearnedStateRecord(msgspec.Struct, frozen=True, array_like=True):
+    """A snapshot of what the admission controller learned; one of another `layout` is not restored."""
+
+    recorded_at: Timestamp
     values: dict[str, Any]
-    layout: int  # of the values: what another layout tells is learned anew
+    layout: int
+
+
+class DataLossRecord(msgspec.Struct, frozen=True, array_like=True):
+    """A detected loss: for `hold_ns` from then on, an unknown request may have run before."""
 
+    detected_at: Timestamp
+    hold_ns: int
+    reason: str
 
-class Loss(msgspec.Struct, frozen=True, array_like=True):
-    """Since when nobody knows what ran, and for how long (ns) that matters."""
 
-    at: Stamp
-    hold: int
-    why: str
+class CommitSummary(msgspec.Struct, frozen=True, array_like=True):
+    """All intent records as of one commit; used to detect missing or foreign records."""
 
+    commit_number: int = 0
+    intent_count: int = 0
+    intents_digest: int = 0  # the XOR of the checksums of all intent records
 
-class Census(msgspec.Struct, frozen=True, array_like=True):
-    """All begun filings together, at the commit of this number."""
+    def with_intent(self, checksum: int) -> "CommitSummary":
+        """The summary after an intent record with this checksum was added."""
+        return CommitSummary(self.commit_number, self.intent_count + 1, self.intents_digest ^ checksum)
 
-    number: int = 0
-    count: int = 0
-    digest: int = 0  # of all of them: the XOR of their checksums
+    def without_intent(self, checksum: int) -> "CommitSummary":
+        """The summary after an intent record with this checksum was removed."""
+        return CommitSummary(self.commit_number, self.intent_count - 1, self.intents_digest ^ checksum)
 
-    def changed(self, added: int, removed: int, count: int) -> "Census":
-        return Census(self.number, self.count + count, self.digest ^ added ^ removed)
+    def next_commit(self) -> "CommitSummary":
+        """The same records, as of the commit that follows."""
+        return CommitSummary(self.commit_number + 1, self.intent_count, self.intents_digest)
 
 
-Record = TypeVar("Record", Begun, Finished, Learned, Loss, Census)
+Record = TypeVar("Record", IntentRecord, ResultRecord, LearnedStateRecord, DataLossRecord, CommitSummary)
+NamedRecord = LearnedStateRecord | DataLossRecord | CommitSummary
+AnyRecord = IntentRecord | ResultRecord | NamedRecord
 _encoder = msgspec.msgpack.Encoder()
-_decoders = {kind: msgspec.msgpack.Decoder(kind) for kind in (Begun, Finished, Learned, Loss, Census)}
-# What a record of an older version (by kind and version) is made into, one version at a time: content to
-# content.
-MIGRATIONS: dict[tuple[type, int], Callable[[Any], Any]] = {
-    (Learned, 1): lambda content: [*content, 1],
+_decoders: dict[type, msgspec.msgpack.Decoder[Any]] = {
+    record_type: msgspec.msgpack.Decoder(record_type)
+    for record_type in (IntentRecord, ResultRecord, LearnedStateRecord, DataLossRecord, CommitSummary)
+}
+# By record type and the version it was written in: content of that version to content of the next one.
+_MIGRATIONS: dict[tuple[type, int], Callable[[Any], Any]] = {
+    (LearnedStateRecord, 1): lambda content: [*content, 1],
 }
 
 
-def key_of(token: Token) -> bytes:
-    return _encoder.encode(token)
+def encode_key(key: IdempotencyKey) -> bytes:
+    """The key under which the records of a request are stored."""
+    return _encoder.encode(key)
 
 
 def checksum(key: bytes, data: bytes) -> int:
+    """XXH3-64 of a record's version and content, seeded by its key."""
     return xxhash.xxh3_64_intdigest(data, seed=xxhash.xxh3_64_intdigest(key))
 
 
-def pack(key: bytes, record: Any, version: int = FORMAT) -> bytes:
+def encode_record(key: bytes, record: AnyRecord, version: int = FORMAT_VERSION) -> bytes:
+    """The record as it is stored under `key`."""
     content = bytes((version,)) + _encoder.encode(record)
-    return content[:1] + checksum(key, content).to_bytes(8, "big") + content[1:]
+    return content[:1] + checksum(key, content).to_bytes(CHECKSUM_BYTES, "big") + content[1:]
+
 
+def stored_checksum(data: bytes) -> int:
+    """The checksum that an encoded record carries; it is not verified."""
+    return int.from_bytes(data[1:HEADER_BYTES], "big")
 
-def digest(data: bytes) -> int:
-    """The checksum that a record carries."""
-    return int.from_bytes(data[1:HEAD], "big")
 
+def decode_record(key: bytes, data: bytes, record_type: type[Record]) -> Record:
+    """The record that was stored under `key`, migrated to the current format version.
 
-def unpack(key: bytes, data: bytes, kind: type[Record]) -> Record:
-    """The record, of this version; raises CorruptRecordError or UnsupportedFormatError."""
-    if not isinstance(data, bytes) or len(data) <= HEAD:
+    Raises CorruptRecordError or UnsupportedFormatError, and nothing else, whatever the bytes are.
+    """
+    if not isinstance(data, bytes) or len(data) <= HEADER_BYTES:
         raise CorruptRecordError("too short")
-    version, content = data[0], data[HEAD:]
-    if checksum(key, data[:1] + content) != int.from_bytes(data[1:HEAD], "big"):
+    version, content = data[0], data[HEADER_BYTES:]
+    if checksum(key, data[:1] + content) != stored_checksum(data):
         raise CorruptRecordError("the checksum does not fit")
-    if version > FORMAT:
+    if version > FORMAT_VERSION:
         raise UnsupportedFormatError(f"version {version}")
     try:
-        if version == FORMAT:
-            return _decoders[kind].decode(content)
-        value = msgspec.msgpack.decode(content)
-        for older in range(version, FORMAT):
-            value = MIGRATIONS.get((kind, older), lambda unchanged: unchanged)(value)
-        return msgspec.convert(value, kind)
+        return _decode_content(version, content, record_type)
     except (msgspec.MsgspecError, ValueError, TypeError, IndexError, KeyError) as error:
         raise CorruptRecordError(f"not of its schema: {error}") from None
+
+
+def _decode_content(version: int, content: bytes, record_type: type[Record]) -> Record:
+    if version == FORMAT_VERSION:
+        current: Record = _decoders[record_type].decode(content)
+        return current
+    value = msgspec.msgpack.decode(content)
+    for older_version in range(version, FORMAT_VERSION):
+        migrate = _MIGRATIONS.get((record_type, older_version))
+        if migrate is not None:
+            value = migrate(value)
+    return msgspec.convert(value, record_type)
--- a/tests/filing_clerk.py
+++ b/tests/filing_clerk.py
@@ -138,7 +138,7 @@
         program.process.kill()
         program.process.wait()
         program.reader.join(5)
-        self.losses += [line for line in program.lines if "why" in line and "known" in line["event"]]
+        self.losses += [line for line in program.lines if line["event"] == "store_data_lost"]
         program.close()
 
     def run(self, kills, told=lambda n: None):
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -28,13 +28,13 @@
 
 OPENS_ONCE = """
 import os, time
-from ochrehoist.store.journal import Journal
-opened = Journal._open
-def waits(self, longest):
+from ochrehoist.store.folder_session import FolderSession
+opened = FolderSession.open
+def waits(self, longest_window_ns, clock_ns):
     while os.path.exists({!r}):
         time.sleep(0.005)
-    return opened(self, longest)
-Journal._open = waits
+    return opened(self, longest_window_ns, clock_ns)
+FolderSession.open = waits
 """  # the disk does not answer as long as there is a file of this name
 RUNS_OUT = """
 from ochrehoist.config import loader as config
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -21,8 +21,8 @@
 from ochrehoist.net.members import Members
 from ochrehoist.peers import wire
 from ochrehoist.peers.counts import Ledger
-from ochrehoist.store.backlog import Begin, Drop, End, net
-from ochrehoist.store.records import Begun, Finished, key_of, pack
+from ochrehoist.store.operations import DeleteIntent, PutIntent, PutResult, coalesce
+from ochrehoist.store.records import IntentRecord, ResultRecord, encode_key, encode_record
 
 SIZES = 3, 300, 3000
 LEARNED = 85  # bytes a tenant, of what was learned, before there is much to tell
@@ -231,19 +231,25 @@
 class OnRecord(unittest.TestCase):
     def test_a_filing_is_one_change_whatever_its_steps(self):
         token = "tenant-000001", "class-1", "key"
-        begun = Begun(token, "r1", 1, 1, None, None, bytes(32))
-        key = key_of(token)
-        steps = [Begin("r1", key, begun), End(key, Finished("OK", True, bytes(300)))]
-        changes, named = net(steps)
-        self.assertEqual((len(changes), len(named)), (1, 0))
-        changes, _ = net([*steps, Drop(key)])
-        self.assertIsNone(changes[key].begun)
+        begun = IntentRecord(token, "r1", 1, 1, None, None, bytes(32))
+        key = encode_key(token)
+        steps = [PutIntent("r1", key, begun), PutResult(key, ResultRecord("OK", True, bytes(300)))]
+        changes = coalesce(steps)
+        self.assertEqual((len(changes.by_key), len(changes.named)), (1, 0))
+        changes = coalesce([*steps, DeleteIntent(key)])
+        self.assertIsNone(changes.by_key[key].intent)
 
     def test_its_bytes_do_not_grow_with_how_many_there_are(self):
         sizes = set()
         for n in (1, 10**3, 10**6):
             token = "tenant-000001", "class-1", f"key {n:032}"
-            sizes.add(len(pack(key_of(token), Begun(token, f"r{n:08}", 1, 1, None, None, bytes(32)))))
+            sizes.add(
+                len(
+                    encode_record(
+                        encode_key(token), IntentRecord(token, f"r{n:08}", 1, 1, None, None, bytes(32))
+                    )
+                )
+            )
         self.assertEqual(len(sizes), 1)
 
 
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -19,12 +19,12 @@
 SLOW = 2.0  # s that a store takes to open
 SLOW_DISK = f"""
 import time
-from ochrehoist.store import journal
-plain = journal.open_folder
-def open_folder(*args):
+from ochrehoist.store import folder_session
+plain = folder_session.open_store
+def open_store(*args):
     time.sleep({SLOW})
     return plain(*args)
-journal.open_folder = open_folder
+folder_session.open_store = open_store
 """
 
 
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -7,7 +7,8 @@
 
 from ochrehoist.admission.actions import RejectRequest, StartRun
 from ochrehoist.core import handover
-from ochrehoist.store.ageing import Stamp, aged
+from ochrehoist.store.expiry import expire_learned_state
+from ochrehoist.store.timestamps import Timestamp
 
 
 class Sizes(unittest.TestCase):
@@ -62,8 +63,8 @@
     def test_it_is_handed_on_and_what_an_older_program_kept_is_taken_too(self):
         d = self.taught()
         learned = handover.learned(d.controller)
-        now = Stamp(d.now, 0, "b")
-        kept = aged(learned, now, now, 3600 * S, False)
+        now = Timestamp(d.now, 0, "b")
+        kept = expire_learned_state(learned, now, now, 3600 * S, False)
         for told in (learned, kept):
             fresh = Driver(marks_retries=False)
             handover.teach(fresh.controller, told, fresh.now)
@@ -71,7 +72,7 @@
             self.assertAlmostEqual(fresh.controller.tells[0].value, d.controller.tells[0].value)
         older = {name: value for name, value in learned.items() if name not in ("stated", "tells")}
         handover.teach(Driver(marks_retries=False).controller, older, d.now)
-        self.assertNotIn("stated", aged(older, now, now, 3600 * S, False))
+        self.assertNotIn("stated", expire_learned_state(older, now, now, 3600 * S, False))
 
 
 if __name__ == "__main__":
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -13,26 +13,27 @@
 from machine import Machine
 from stand_ins import MEMORY, MS, PATIENCE, Program, run, settings, toml_file
 
-from ochrehoist.store.points import HANDOVER, POINTS
+from ochrehoist.store.failpoints import HANDOVER_FAILPOINTS, REQUEST_FAILPOINTS
 
 KILLS = int(os.environ.get("KILLS", "12"))
 KILL_AT = """
 import os, signal
-from ochrehoist.store import points
+from ochrehoist.store import failpoints
 left = [{nth}]
 def reached(point):
-    if point == {point!r}:
+    if point == {point.value!r}:
         left[0] -= 1
         if not left[0]:
             os.kill(os.getpid(), signal.SIGKILL)
-points.reached = reached
+failpoints.reached = reached
 """
 # The n-th commit from the start waits, fails or finds no room, as a file beside says; others go well.
 BAD_DISK = """
 import time, os, errno
 import apsw
-from ochrehoist.store import disk
-plain = disk.Database.commit
+from ochrehoist.store.database import Database
+from ochrehoist.store.errors import FailureKind, StoreFailedError
+plain = Database.commit
 def commit(self, ops):
     try:
         words = open({file!r}).read().split()
@@ -42,25 +43,25 @@
         while os.path.exists({file!r}):
             time.sleep(0.005)
     elif words[:1] == ["fail"]:
-        raise disk.Failed(disk.Error[words[1]], "as the test wants it")
+        raise StoreFailedError(FailureKind[words[1]], "as the test wants it")
     return plain(self, ops)
-disk.Database.commit = commit
+Database.commit = commit
 """
 # Some seconds pass on all clocks while the store is opened, and more once a file is there.
 TIME_PASSES = """
 import os, time
-from ochrehoist.store import journal
+from ochrehoist.store import folder_session
 flag, passed = os.path.join(os.path.dirname(__file__), "later"), [0]
 unix, steady, up = time.time_ns, time.monotonic_ns, time.clock_gettime_ns
 later = lambda: (passed[0] + {later} * os.path.exists(flag)) * 10**9
 time.time_ns = lambda: unix() + later()
 time.monotonic_ns = lambda: steady() + later()
 time.clock_gettime_ns = lambda which: up(which) + later()
-plain = journal.open_folder
-def open_folder(*args):
+plain = folder_session.open_store
+def open_store(*args):
     passed[0] = {opening}
     return plain(*args)
-journal.open_folder = open_folder
+folder_session.open_store = open_store
 """
 
 
@@ -214,7 +215,7 @@
 
 class KilledAt(State):
     def test_at_every_point_nothing_runs_twice_or_is_refused_once_run(self):
-        for point in POINTS:
+        for point in REQUEST_FAILPOINTS:
             with self.subTest(point):
                 kills = Kills(self.base / point, clerks=2)
                 for nth in (1, 2, 5):
@@ -239,7 +240,7 @@
         self.assertNotEqual(kills.twice, {})
 
 
-class Loss(State):
+class DataLossRecord(State):
     def lose(self):
         first = self.start()
         client = first.ajp()
@@ -268,7 +269,7 @@
         view = self.store(second)
         self.assertEqual((view["losses"], len(view["set_aside"])), (1, 1))
         self.assertTrue((self.folder / view["set_aside"][0]).exists())
-        self.assertTrue(second.said("a damaged store was set aside"))
+        self.assertTrue(second.said("damaged_store_set_aside"))
         self.kill(second)
         third = self.start()
         client = third.ajp()
@@ -283,7 +284,7 @@
         self.file(client, "k")
         second.server.next()[2](data=b"again")
         self.assertEqual(client.answer()[2], b"again")
-        self.assertEqual(second.said("what ran before is not fully known")[0]["on_loss"], "serve")
+        self.assertEqual(second.said("store_data_lost")[0]["on_loss"], "serve")
 
 
 class Unmounted(State):
@@ -390,7 +391,7 @@
         self.file(client, "k SYNC")  # it was refused, so it never began
         second.server.next()[2](data=b"now")
         self.assertEqual(client.answer()[2], b"now")
-        self.assertEqual(second.said("what ran before is not fully known"), [])
+        self.assertEqual(second.said("store_data_lost"), [])
 
 
 class Owner(State):
@@ -492,7 +493,7 @@
                 self.assertEqual(old.server.got.qsize(), 0)
 
     def test_either_may_die_at_each_moment_of_handing_the_store_over(self):
-        for point in HANDOVER:
+        for point in HANDOVER_FAILPOINTS:
             dying = "new" if point.startswith("open") else "old"
             with self.subTest(point):
                 shutil.rmtree(self.folder, ignore_errors=True)
--- a/tests/test_tenants_at_size.py
+++ b/tests/test_tenants_at_size.py
@@ -22,7 +22,8 @@
 from ochrehoist.admission.settings import ObjectiveWeights, Tenant
 from ochrehoist.core import handover
 from ochrehoist.core.keys import KeyTable
-from ochrehoist.store.ageing import Stamp, aged
+from ochrehoist.store.expiry import expire_learned_state
+from ochrehoist.store.timestamps import Timestamp
 
 BEAT = 100 * MS
 FADE = exp(-0.1 / 20)
@@ -372,15 +373,15 @@
                 self.assertGreater(fresh.probe(0)[0] / fresh.probe(0)[1], fresh.probe(30)[0] * 0.5)
 
     def test_on_record_both_forms_fade(self):
-        then, hour = Stamp(0), 3600 * S
-        later = Stamp(60 * S)
+        then, hour = Timestamp(0), 3600 * S
+        later = Timestamp(60 * S)
         for lesson in (handover.learned(self.active().c), self.older(0.5, 139)):
-            kept = aged(lesson, then, later, 60 * S, False)
+            kept = expire_learned_state(lesson, then, later, 60 * S, False)
             fresh = Module(tenants(50, 30.0))
             handover.teach(fresh.c, kept, fresh.now)
             first = fresh.c.activity(0).asked
             fresh = Module(tenants(50, 30.0))
-            handover.teach(fresh.c, aged(lesson, then, then, hour, False), fresh.now)
+            handover.teach(fresh.c, expire_learned_state(lesson, then, then, hour, False), fresh.now)
             self.assertAlmostEqual(first, fresh.c.activity(0).asked / 2, places=6)
             self.assertLess(fresh.c.activity(30).asked, 0.9)
 
