--- a/benchmarks/limit_choice.py
+++ b/benchmarks/limit_choice.py
@@ -82,7 +82,7 @@
 
             def inbound(t, plain=plain):
                 r = plain(t)
-                r.work = None
+                r.work_ns = None
                 return r
 
             w._inbound = inbound
--- a/ochrehoist/capture/taker.py
+++ b/ochrehoist/capture/taker.py
@@ -88,21 +88,21 @@
         loop.call_later(FLUSH, self._flush_again)
 
     # ---- what the core tells
-    def arrived(self, r: InboundRequest) -> None:
-        subject = r.token[2] if r.token else r.key
+    def request_arrived(self, r: InboundRequest) -> None:
+        subject = r.idempotency_key[2] if r.idempotency_key else r.routing_key
         if subject is not None and not self.sample.takes(subject.encode()):
             return
         module = self.owner.controller
         counts = (module.cores, len(module.queue)) if module is not None else (0, 0)
         self.open[r.id] = r, self.owner.now, *counts
 
-    def answered(self, r: InboundRequest, figure: str | None, backoff: int) -> None:
+    def request_answered(self, r: InboundRequest, figure: str | None, backoff: int) -> None:
         known = self.open.get(r.id)
         if known is None or known[0] is not r:  # not sampled, or one that has the id of another
             return
         _, read_at, running, held = self.open.pop(r.id)
-        now, begun = self.owner.now, r.begun_at
-        subject = r.token[2] if r.token else r.key
+        now, begun = self.owner.now, r.started_ns
+        subject = r.idempotency_key[2] if r.idempotency_key else r.routing_key
         outcome = (
             Outcome.GONE
             if figure is None
@@ -115,17 +115,17 @@
         front, address = r.responder.origin()
         self.waiting.append(
             Seen(
-                max(0, r.arrived - self.started),
-                r.cls.name,
+                max(0, r.arrived_ns - self.started),
+                r.request_class.name,
                 r.tenant,
                 front,
                 0 if subject is None else xxhash.xxh3_64_intdigest(subject.encode(), self.salt),
-                r.work or 0,
+                r.work_ns or 0,
                 r.caller,
                 address,
-                r.retry,
+                r.is_retry,
                 outcome,
-                max(0, read_at - r.arrived),
+                max(0, read_at - r.arrived_ns),
                 begun - read_at if begun else NEVER,
                 now - begun if begun else NEVER,
                 running,
--- a/ochrehoist/core/answers.py
+++ b/ochrehoist/core/answers.py
@@ -51,7 +51,7 @@
 
     def refuse(self, r: InboundRequest, backoff: int, no_retry: bool = False) -> None:
         if self.settle(r):
-            self.send(r, REFUSED, lambda: r.responder.refused(backoff, no_retry), backoff)
+            self.send(r, REFUSED, lambda: r.responder.rejected(backoff, no_retry), backoff)
 
     def turn_away(
         self, r: InboundRequest, reason: FailureReason | None, backoff: int, no_retry: bool = False
@@ -59,7 +59,7 @@
         """One that never became live: refused, or failed for a reason."""
         r.answered = True
         if reason is None:
-            self.send(r, REFUSED, lambda: r.responder.refused(backoff, no_retry), backoff)
+            self.send(r, REFUSED, lambda: r.responder.rejected(backoff, no_retry), backoff)
         else:
             self.send(r, FAILED, lambda: r.responder.failed(reason))
 
@@ -67,29 +67,29 @@
         if result.outcome is Outcome.OK:
             self.send(r, ANSWERED, lambda: r.responder.served(result))
         else:
-            self.send(r, FAILED, lambda: r.responder.failed(FailureReason.EXECUTOR, result))
+            self.send(r, FAILED, lambda: r.responder.failed(FailureReason.EXECUTOR_FAILED, result))
 
     def gone(self, r: InboundRequest) -> None:
         """Its caller has left."""
         if self.settle(r):
             for observer in self.observers:
-                observer.answered(r, None, 0)
+                observer.request_answered(r, None, 0)
 
     def send(self, r: InboundRequest, figure: str, tell: Callable[[], bool | None], backoff: int = 0) -> None:
         try:
             if tell() is False:
                 figure = FAILED
-            if not r.remote:
-                self.figures.count(figure, r.cls.name)
+            if not r.is_remote:
+                self.figures.count(figure, r.request_class.name)
             for observer in self.observers:
-                observer.answered(r, figure, backoff)
+                observer.request_answered(r, figure, backoff)
         except Exception:
             self.log.exception("an answer could not be sent", id=r.id)
 
     def execute(self, r: InboundRequest) -> bool:
         """Hands it to what runs it; whether that went well."""
-        if not r.remote:
-            self.figures.count("sends_total", r.cls.name)
+        if not r.is_remote:
+            self.figures.count("sends_total", r.request_class.name)
         try:
             r.executor.start(r)
         except Exception:
--- a/ochrehoist/core/filings.py
+++ b/ochrehoist/core/filings.py
@@ -53,38 +53,38 @@
     def turned_away(self, r: InboundRequest) -> bool:
         """Answers one that can't go on record now, unless another try of it is known."""
         owner = self.owner
-        if self.journal is None or owner.keys.original(r.token, r.arrived) is not None:
+        if self.journal is None or owner.keys.original(r.idempotency_key, r.arrived_ns) is not None:
             return False
-        refusal = self.journal.refuses(r.token)
+        refusal = self.journal.rejection_for(r.idempotency_key)
         if refusal is None:
             return False
-        if refusal.may_have_run:
-            owner.turn_away(r, FailureReason.MAY_HAVE_RUN)
+        if refusal.outcome_unknown:
+            owner.turn_away(r, FailureReason.OUTCOME_UNKNOWN)
         else:
-            owner.turn_away(r, backoff=refusal.backoff)
+            owner.turn_away(r, backoff=refusal.retry_after_ns)
         return True
 
     def begin(self, r: InboundRequest) -> None:
         """Runs it once it is on record, which a Recorded tells."""
         if self.journal is None:
             return self.owner.execute(r)
-        self.journal.begin(r, self.owner.keys.runs[r.token])
+        self.journal.begin(r, self.owner.keys.runs[r.idempotency_key])
 
     def recorded(self, m: IntentRecorded) -> None:
         owner, r = self.owner, self.owner.live.get(m.id)
-        run = owner.keys.runs.get(r.token) if r is not None else None
+        run = owner.keys.runs.get(r.idempotency_key) if r is not None else None
         if run is None or run.id != r.id or run.begun:
             return
-        if m.ok and (not r.answered or run.waiters):
+        if m.recorded and (not r.answered or run.waiters):
             run.begun = True
             return owner.execute(r)
         # Nobody waits for it any more, or it can't be put on record: it was never begun.
-        waiters = owner.keys.never_ran(r.token, r.id)
-        self.journal.never_ran(r.token)
+        waiters = owner.keys.never_ran(r.idempotency_key, r.id)
+        self.journal.never_ran(r.idempotency_key)
         for request_id in (r.id, *waiters):
             waiting = owner.live.get(request_id)
             if waiting is not None:
-                owner.answers.refuse(waiting, m.backoff)
+                owner.answers.refuse(waiting, m.retry_after_ns)
                 owner.live.pop(request_id, None)
                 owner.tell(RequestCompleted(request_id, Outcome.NOT_STARTED, 0))
 
@@ -92,29 +92,29 @@
     def ended(self, r: InboundRequest, result: RunResult) -> None:
         owner = self.owner
         if result.outcome in NEVER_RAN:
-            waiters = owner.keys.never_ran(r.token, r.id)
+            waiters = owner.keys.never_ran(r.idempotency_key, r.id)
             if self.journal is not None:
-                self.journal.never_ran(r.token)
+                self.journal.never_ran(r.idempotency_key)
         else:
             size = len(result.body) + result.detail_bytes + RESULT_OVERHEAD
-            run = owner.keys.runs.get(r.token)
-            waiters = owner.keys.ended(r.token, r.id, result, size)
+            run = owner.keys.runs.get(r.idempotency_key)
+            waiters = owner.keys.ended(r.idempotency_key, r.id, result, size)
             if self.journal is not None and run is not None and run.id == r.id:
-                self.journal.end(r.token, run, result)
+                self.journal.end(r.idempotency_key, run, result)
         for waiter in waiters:
             owner.post(DuplicateResolved(waiter, result))
 
     def join(self, r: InboundRequest) -> None:
         """Gives a repeat the result of the run it repeats, at once or when it is there."""
         owner = self.owner
-        r.joined_at = owner.now
-        run = owner.keys.runs.get(r.token) if r.token is not None else None
+        r.attached_ns = owner.now
+        run = owner.keys.runs.get(r.idempotency_key) if r.idempotency_key is not None else None
         if run is not None and run.result is None and not run.dropped:
             run.waiters += (r.id,)
         elif run is not None and run.result is not None:
             owner.post(DuplicateResolved(r.id, run.result))
         elif run is not None and run.stored and self.journal is not None:
-            self.journal.fetch(r.token, r.id)
+            self.journal.fetch(r.idempotency_key, r.id)
         else:  # a run whose result was let go, or never known, can't be served again, only failed
             owner.post(DuplicateResolved(r.id, RunResult(Outcome.FAILED)))
 
@@ -128,7 +128,7 @@
         """Takes up what was on record; what has come since goes before it."""
         m.runs.update(self.owner.keys.runs)
         self.owner.keys.runs = m.runs
-        self.lesson = m.learned
+        self.lesson = m.learned_state
         self.teach()
 
     def teach(self) -> None:
--- a/ochrehoist/core/forwarder.py
+++ b/ochrehoist/core/forwarder.py
@@ -17,6 +17,7 @@
     RunCompleted,
     StandbyChanged,
 )
+from ochrehoist.core.persisted_names import FAILURE_REASONS_BY_NAME
 from ochrehoist.core.request import InboundRequest
 from ochrehoist.core.results import FailureReason, RunResult
 
@@ -58,7 +59,7 @@
         elif isinstance(message, IntentRecorded):
             self._recorded(message)
         elif isinstance(message, StandbyChanged):
-            self._tell({"m": "standby", "on": message.on})
+            self._tell({"m": "standby", "on": message.enabled})
         # Gauges, alarms, joined repeats and the notice to leave concern the one that decides.
 
     def _tell(self, line: Line) -> None:
@@ -67,18 +68,18 @@
 
     def _arrived(self, r: InboundRequest) -> None:
         now = self.clock()
-        r.due = max(now, now - max(0, self.wall() - r.arrived) + r.cls.deadline_ns)
+        r.due_ns = max(now, now - max(0, self.wall() - r.arrived_ns) + r.request_class.deadline_ns)
         if r.id in self.pending or self.send is None:
             # Whether a filing has run is known only to the other process: no refusal can be given.
             r.answered = True
             return self.answers.send(r, FAILED, lambda: r.responder.failed(FailureReason.INTERNAL))
         self.pending[r.id] = r
-        self._tell({"m": "arrived"} | request_line(r, r.arrived))
+        self._tell({"m": "arrived"} | request_line(r, r.arrived_ns))
 
     def _recorded(self, m: IntentRecorded) -> None:
         """A filing that was on its way to the disk when the other process took over."""
         r = self.pending.get(m.id)
-        if r is not None and m.ok and not r.answered:
+        if r is not None and m.recorded and not r.answered:
             self._execute(r)
         elif r is not None:
             self.take(RunCompleted(r.id, RunResult(Outcome.NOT_STARTED), 0))
@@ -87,7 +88,9 @@
         r = self.pending.get(m.id)
         if r is None:
             return
-        self._tell({"m": "ended", "id": m.id, "result": result_line(m.result, self.codec), "took": m.took})
+        self._tell(
+            {"m": "ended", "id": m.id, "result": result_line(m.result, self.codec), "took": m.duration_ns}
+        )
         if self.send is None and not r.answered:
             self._finish(r, m.result)
         self.over[m.id] = m
@@ -104,11 +107,13 @@
             self._finish(r, result_from(line["result"], self.codec))
         elif kind == "refused":
             r.answered = True
-            self.answers.send(r, REFUSED, lambda: r.responder.refused(line["backoff"], line["no_retry"]))
+            self.answers.send(r, REFUSED, lambda: r.responder.rejected(line["backoff"], line["no_retry"]))
         elif kind == "failed":
             result = None if line["result"] is None else result_from(line["result"], self.codec)
             r.answered = True
-            self.answers.send(r, FAILED, lambda: r.responder.failed(FailureReason[line["reason"]], result))
+            self.answers.send(
+                r, FAILED, lambda: r.responder.failed(FAILURE_REASONS_BY_NAME[line["reason"]], result)
+            )
         self._let_go(r)
 
     def _start(self, request_id: str, r: InboundRequest | None) -> None:
@@ -121,7 +126,7 @@
         self._execute(r)
 
     def _execute(self, r: InboundRequest) -> None:
-        r.begun_at = self.clock()
+        r.started_ns = self.clock()
         if not self.answers.execute(r):
             self.take(RunCompleted(r.id, RunResult(Outcome.FAILED), 0))
 
@@ -141,10 +146,10 @@
     def tick(self) -> None:
         now = self.clock()
         for r in list(self.pending.values()):
-            due = r.due + LATE if self.ends_at is None else min(r.due + LATE, self.ends_at)
+            due = r.due_ns + LATE if self.ends_at is None else min(r.due_ns + LATE, self.ends_at)
             if not r.answered and due <= now:
                 self.log.warning("answered without the process that decides", id=r.id)
-                self._fail(r, FailureReason.GIVEN_UP)
+                self._fail(r, FailureReason.DEADLINE_PASSED)
                 self._tell({"m": "gone", "id": r.id, "gave_up": False})
                 self._let_go(r)
 
--- a/ochrehoist/core/handover.py
+++ b/ochrehoist/core/handover.py
@@ -14,7 +14,13 @@
 from ochrehoist.admission.controller import FADE, LEAST, LEFT, AdmissionController
 from ochrehoist.admission.settings import AdmissionSettings, RequestClass
 from ochrehoist.core.keys import KeyTable, Run
-from ochrehoist.core.persisted_names import OUTCOME_NAMES, OUTCOMES_BY_NAME, class_from_json, class_to_json
+from ochrehoist.core.persisted_names import (
+    FAILURE_REASON_NAMES,
+    OUTCOME_NAMES,
+    OUTCOMES_BY_NAME,
+    class_from_json,
+    class_to_json,
+)
 from ochrehoist.core.request import Fingerprint, IdempotencyKey, InboundRequest
 from ochrehoist.core.results import FailureReason, RunResult
 from ochrehoist.errors import OchrehoistError
@@ -83,27 +89,28 @@
     )
 
 
-AS_THEY_ARE = (
-    "id",
-    "tenant",
-    "key",
-    "work",
-    "memory_kb",
-    "rank",
-    "retry",
-    "write",
-    "caller",
-    "started",
-    "answered",
-)
+# The fields of a request that are written as they are, by their written name.
+PLAIN_REQUEST_FIELDS = {
+    "id": "id",
+    "tenant": "tenant",
+    "key": "routing_key",
+    "work": "work_ns",
+    "memory_kb": "memory_kb",
+    "rank": "rank",
+    "retry": "is_retry",
+    "write": "is_write",
+    "caller": "caller",
+    "started": "started",
+    "answered": "answered",
+}
 
 
 def request_line(r: InboundRequest, arrived: int) -> Line:
     """All but what stays with the process that read it: its payload, the way back, and what runs it."""
-    return {name: getattr(r, name) for name in AS_THEY_ARE} | {
-        "cls": class_to_json(r.cls),
+    return {written: getattr(r, field) for written, field in PLAIN_REQUEST_FIELDS.items()} | {
+        "cls": class_to_json(r.request_class),
         "arrived": arrived,
-        "token": r.token,
+        "token": r.idempotency_key,
         "fingerprint": _fingerprint(r.fingerprint),
     }
 
@@ -111,15 +118,15 @@
 def request_from(data: Line, far: "Remote", classes: dict[str, RequestClass]) -> InboundRequest:
     known = classes.get(data["cls"]["name"])
     return InboundRequest(
-        cls=known or class_from_json(data["cls"]),
-        arrived=int(data["arrived"]),
+        request_class=known or class_from_json(data["cls"]),
+        arrived_ns=int(data["arrived"]),
         payload=None,
         responder=far,
         executor=far,
-        token=_token(data["token"]),
+        idempotency_key=_token(data["token"]),
         fingerprint=_from_fingerprint(data["fingerprint"]),
-        remote=True,
-        **{name: data[name] for name in AS_THEY_ARE},
+        is_remote=True,
+        **{field: data[written] for written, field in PLAIN_REQUEST_FIELDS.items()},
     )
 
 
@@ -133,7 +140,7 @@
         self.send({"m": "served", "id": self.id, "result": result_line(result, self.codec)})
         return True
 
-    def refused(self, backoff: int, no_retry: bool) -> None:
+    def rejected(self, backoff: int, no_retry: bool) -> None:
         self.send({"m": "refused", "id": self.id, "backoff": backoff, "no_retry": no_retry})
 
     def failed(self, reason: FailureReason, result: RunResult | None = None) -> None:
@@ -141,7 +148,7 @@
             {
                 "m": "failed",
                 "id": self.id,
-                "reason": reason.name,
+                "reason": FAILURE_REASON_NAMES[reason],
                 "result": None if result is None else result_line(result, self.codec),
             }
         )
@@ -294,7 +301,7 @@
             "fingerprint": _fingerprint(known),
         }
     for r in state.requests:
-        yield {"m": "request"} | request_line(r, r.arrived - offset)
+        yield {"m": "request"} | request_line(r, r.arrived_ns - offset)
     for cls in state.classes.values():
         yield {"m": "class"} | class_to_json(cls)
     yield {"m": "end"}
@@ -356,7 +363,7 @@
         elif kind == "request":
             far = Remote(data["id"], self.send, self.codec)
             r = request_from(data, far, self.classes)
-            r.arrived += self.offset
+            r.arrived_ns += self.offset
             state.requests.append(r)
         elif kind == "class":
             state.classes[data["name"]] = class_from_json({k: v for k, v in data.items() if k != "m"})
--- a/ochrehoist/core/messages.py
+++ b/ochrehoist/core/messages.py
@@ -14,8 +14,8 @@
 class ExecutorReady:
     """The executor is up: the module can be created."""
 
-    cold: bool | None  # None: as the settings say
-    age: int
+    cold_start: bool | None  # None: as the settings say
+    age_ns: int
 
 
 @dataclass(slots=True)
@@ -33,7 +33,7 @@
 class RunCompleted:
     id: str
     result: RunResult
-    took: int
+    duration_ns: int
 
 
 @dataclass(slots=True)
@@ -51,15 +51,15 @@
 
 @dataclass(slots=True)
 class ShutdownRequested:
-    remaining: int
-    age: int = 0  # how long ago, at the most, the notice came
+    remaining_ns: int
+    age_ns: int = 0  # how long ago, at the most, the notice came
 
 
 @dataclass(slots=True)
 class StandbyChanged:
     """The operators empty the worker, or take that back: checks turn bad, and nothing else changes."""
 
-    on: bool
+    enabled: bool
 
 
 @dataclass(slots=True)
@@ -68,8 +68,8 @@
     `backoff`."""
 
     id: str
-    ok: bool
-    backoff: int = 0
+    recorded: bool
+    retry_after_ns: int = 0
 
 
 @dataclass(slots=True)
@@ -77,14 +77,14 @@
     """What was on record: runs by token, and what was learned."""
 
     runs: dict[IdempotencyKey, Any]
-    learned: dict | None
+    learned_state: dict | None
 
 
 @dataclass(slots=True)
 class KernelLinkChanged:
     """Whether what runs the requests is within reach; a short break is not told."""
 
-    up: bool
+    connected: bool
 
 
 @dataclass(slots=True)
@@ -107,9 +107,9 @@
 class ConfigurationSwitched:
     """A configuration read again comes into force between two messages: at all parts, and in the core."""
 
-    parts: Callable[[], None]
-    core: SettingsChanged | TenantsChanged | None  # None where the core is not concerned
-    done: Callable[[], None]
+    apply_parts: Callable[[], None]
+    core_change: SettingsChanged | TenantsChanged | None  # None where the core is not concerned
+    on_done: Callable[[], None]
 
 
 @dataclass(slots=True)
--- a/ochrehoist/core/owner.py
+++ b/ochrehoist/core/owner.py
@@ -169,14 +169,14 @@
 
     @property
     def started_cold(self) -> bool:
-        return self.booted is not None and bool(self.booted.cold)
+        return self.booted is not None and bool(self.booted.cold_start)
 
     @property
     def current(self) -> int:
         """Requests that this process took and has not answered."""
         if self.forwarder is not None:
-            return sum(not r.remote and not r.answered for r in self.forwarder.pending.values())
-        return self.owed - sum(r.remote and not r.answered for r in self.live.values())
+            return sum(not r.is_remote and not r.answered for r in self.forwarder.pending.values())
+        return self.owed - sum(r.is_remote and not r.answered for r in self.live.values())
 
     @property
     def state(self) -> str:
@@ -233,7 +233,7 @@
     def _booted(self, m: ExecutorReady) -> None:
         if self.controller is not None or self.booted is not None:
             return
-        self.booted, self.born = m, self.now - m.age
+        self.booted, self.born = m, self.now - m.age_ns
         if self.predecessor is not None:  # it may have keys: nothing is decided before they are here
             self.predecessor()
         else:
@@ -245,8 +245,8 @@
         self.deadlines.forget_alarms()
         self.index(settings)
         settings = replace(settings, tenants=self.told_tenants)
-        if m.cold is not None:
-            settings = replace(settings, cold_start=m.cold)
+        if m.cold_start is not None:
+            settings = replace(settings, cold_start=m.cold_start)
         self.controller = AdmissionController(settings, self.seed)
         self.tell(InstanceStarted(), at=self.born)
         if self.leave_at is not None:
@@ -289,31 +289,31 @@
     def owe(self, r: InboundRequest) -> None:
         self.answers.take(r)
         if not r.answered:
-            r.due = max(self.now, r.arrived + r.cls.deadline_ns)
+            r.due_ns = max(self.now, r.arrived_ns + r.request_class.deadline_ns)
             if self.stop_at is not None:
-                r.due = min(r.due, self.stop_at - LAST_CALL)
-            self.deadlines.answer_by(r.due, r.id)
+                r.due_ns = min(r.due_ns, self.stop_at - LAST_CALL)
+            self.deadlines.answer_by(r.due_ns, r.id)
 
     def event(self, r: InboundRequest) -> RequestReceived:
         if self.limiter is not None:
-            r.times = self.limiter.times(r, self.now)
-        original = self.keys.original(r.token, r.arrived) if r.token else None
+            r.cost_multiple = self.limiter.estimate_cost(r, self.now)
+        original = self.keys.original(r.idempotency_key, r.arrived_ns) if r.idempotency_key else None
         if original is not None:
-            self.filings.wake(r.token)
+            self.filings.wake(r.idempotency_key)
         return RequestReceived(
             id=r.id,
-            class_index=self.kinds[r.cls.name],
+            class_index=self.kinds[r.request_class.name],
             tenant_index=self.tenants.position(r.tenant),
-            routing_key=r.key,
-            work_ns=r.work,
+            routing_key=r.routing_key,
+            work_ns=r.work_ns,
             memory_kb=r.memory_kb,
             rank=r.rank,
-            is_retry=r.retry,
-            is_write=r.write,
+            is_retry=r.is_retry,
+            is_write=r.is_write,
             caller=r.caller,
-            unread_ns=max(0, self.now - r.arrived),
+            unread_ns=max(0, self.now - r.arrived_ns),
             duplicate_of=original,
-            cost_multiple=r.times,
+            cost_multiple=r.cost_multiple,
         )
 
     # ---- messages
@@ -325,17 +325,21 @@
             return self.turn_away(r, FailureReason.INTERNAL)
         # Told by the Unix clock, which may have been set since the start: only its distance from now counts.
         # A time to come would put off the due time, and the window.
-        r.arrived = self.now - max(0, self.wall() - r.arrived)
+        r.arrived_ns = self.now - max(0, self.wall() - r.arrived_ns)
         for observer in self.answers.observers:
-            observer.arrived(r)
+            observer.request_arrived(r)
         if arrivals.turned_away(self, r):
             return
         for guard in (self.gate, self.limiter):
-            if guard is None or r.token is not None and self.keys.original(r.token, r.arrived) is not None:
+            if (
+                guard is None
+                or r.idempotency_key is not None
+                and self.keys.original(r.idempotency_key, r.arrived_ns) is not None
+            ):
                 continue
-            refusal = guard.arrives(r, self.now)
+            refusal = guard.check_arrival(r, self.now)
             if refusal is not None:
-                return self.turn_away(r, backoff=refusal.backoff, no_retry=refusal.no_retry)
+                return self.turn_away(r, backoff=refusal.retry_after_ns, no_retry=refusal.no_retry)
         self.owe(r)
         self.tell(self.event(r))
 
@@ -349,21 +353,21 @@
     def _ended(self, m: RunCompleted) -> None:
         r = self.live.pop(m.id, None)
         if r is None:  # the module let it go before, or never knew that it was over
-            self.tell(RequestCompleted(m.id, m.result.outcome, m.took))
+            self.tell(RequestCompleted(m.id, m.result.outcome, m.duration_ns))
             return
-        took = m.took
-        if self.limiter is not None and r.begun_at:  # what was held back never counted as running
-            took = self.limiter.ended(r, self.now, m.took, m.result.outcome)
-        if self.gate is not None and r.begun_at:
-            self.gate.ended(r, self.now, m.took, m.result.outcome)
-        if r.token is not None:
+        took = m.duration_ns
+        if self.limiter is not None and r.started_ns:  # what was held back never counted as running
+            took = self.limiter.run_ended(r, self.now, m.duration_ns, m.result.outcome)
+        if self.gate is not None and r.started_ns:
+            self.gate.run_ended(r, self.now, m.duration_ns, m.result.outcome)
+        if r.idempotency_key is not None:
             self.filings.ended(r, m.result)
         self._finish(r, m.result, took)
 
     def _joined(self, m: DuplicateResolved) -> None:
         r = self.live.pop(m.id, None)
         if r is not None:
-            self._finish(r, m.result, self.now - r.joined_at)
+            self._finish(r, m.result, self.now - r.attached_ns)
 
     def turn_away(
         self,
@@ -386,25 +390,25 @@
     def _leaving(self, m: ShutdownRequested) -> None:
         if self.leave_at is not None:
             return
-        self.leave_at, self.stop_at = self.now - m.age, self.now + m.remaining
+        self.leave_at, self.stop_at = self.now - m.age_ns, self.now + m.remaining_ns
         for r in self.live.values():
             if not r.answered:
                 self.deadlines.answer_by(self.stop_at - LAST_CALL, r.id)
         if self.controller is not None:
-            self.tell(DrainStarted(m.remaining))
+            self.tell(DrainStarted(m.remaining_ns))
         for listener in self.listeners:
-            listener.leaving(m.remaining)
+            listener.shutdown_started(m.remaining_ns)
         self._judge()
 
     def _stood_by(self, m: StandbyChanged) -> None:
         self.inherited_standby = False
-        if m.on != self.standby:
-            self.standby = m.on
-            self.log.info("standby" if m.on else "active", in_hand=self.owed)
+        if m.enabled != self.standby:
+            self.standby = m.enabled
+            self.log.info("standby" if m.enabled else "active", in_hand=self.owed)
             self._judge()
 
     def _linked(self, m: KernelLinkChanged) -> None:
-        self.linked = m.up
+        self.linked = m.connected
         self._judge()
 
     TAKES = {
@@ -431,7 +435,7 @@
             r = self.live.get(request_id)
             if r is not None and not r.answered:  # the module should have: a fault, or a beat that came late
                 self.log.warning("answered by the backstop", id=r.id, started=r.started)
-                self.answers.fail(r, FailureReason.GIVEN_UP)
+                self.answers.fail(r, FailureReason.DEADLINE_PASSED)
                 self.tell(RequestAbandoned(r.id, False))
                 self._not_running(r)
         if self.deadlines.collect(self.now):
@@ -443,8 +447,10 @@
             self.filings.sweep()
         if self.limiter is not None and self.now - self.looked >= LOOK and self.controller is not None:
             self.looked = self.now
-            held = Counter(r.cls.name for r in self.live.values() if not r.started and not r.answered)
-            limits = self.limiter.look(self.now, held)
+            held = Counter(
+                r.request_class.name for r in self.live.values() if not r.started and not r.answered
+            )
+            limits = self.limiter.evaluate(self.now, held)
             if limits is not None and self.kinds.keys() == self.served_classes:  # positions as it knows them
                 self.tell(limits)
 
@@ -483,24 +489,28 @@
             return self.post(RunCompleted(a.id, RunResult(Outcome.NOT_STARTED), 0))
         if r.started:
             return
-        if r.token is not None:
-            if not self.keys.may_run(r.token, r.arrived):  # the module's rule; kept here a second time
+        if r.idempotency_key is not None:
+            if not self.keys.may_run(
+                r.idempotency_key, r.arrived_ns
+            ):  # the module's rule; kept here a second time
                 self.log.error("a second run of one filing was held back", id=r.id)
                 r.started = True
                 return self.post(RunCompleted(r.id, RunResult(Outcome.FAILED), 0))
-            self.keys.started(r.token, r.id, r.arrived + r.cls.idempotency_window_ns, r.fingerprint)
+            self.keys.started(
+                r.idempotency_key, r.id, r.arrived_ns + r.request_class.idempotency_window_ns, r.fingerprint
+            )
         r.started = True
-        if r.token is not None:
+        if r.idempotency_key is not None:
             return self.filings.begin(r)
         self.execute(r)
 
     def execute(self, r: InboundRequest) -> None:
         """Hands it to what runs it."""
-        r.begun_at = self.now
+        r.started_ns = self.now
         if self.limiter is not None:
-            self.limiter.begun(r, self.now)
+            self.limiter.run_started(r, self.now)
         if self.gate is not None:
-            self.gate.begun(r, self.now)
+            self.gate.run_started(r, self.now)
         if not self.answers.execute(r):
             self.post(RunCompleted(r.id, RunResult(Outcome.FAILED), 0))
 
@@ -509,18 +519,18 @@
             backoff = (
                 a.retry_after_ns
                 if self.limiter is None
-                else self.limiter.refused(r, a.retry_after_ns, self.now)
+                else self.limiter.request_rejected(r, a.retry_after_ns, self.now)
             )
             self.answers.refuse(r, backoff, a.no_retry)
 
     def _give_up(self, a: FailRequest) -> None:
         if (r := self.live.get(a.id)) is not None:
-            self.answers.fail(r, FailureReason.GIVEN_UP)
+            self.answers.fail(r, FailureReason.DEADLINE_PASSED)
 
     def _keep(self, a: RetainKey) -> None:
         r = self.live.get(a.id)
-        if r is not None and r.token is not None:
-            self.keys.keep(r.token, r.id, self.now + a.ttl_ns, r.fingerprint)
+        if r is not None and r.idempotency_key is not None:
+            self.keys.keep(r.idempotency_key, r.id, self.now + a.ttl_ns, r.fingerprint)
 
     def _forget(self, a: ReleaseKey) -> None:
         self.keys.forget(a.id)
@@ -542,7 +552,7 @@
 
     def _keep_alive(self, a: SetIdleTimeout) -> None:
         for listener in self.listeners:
-            listener.keep_alive_changed(a.idle_timeout_ns or self.settings.idle_timeout_ns)
+            listener.idle_timeout_changed(a.idle_timeout_ns or self.settings.idle_timeout_ns)
 
     def _set_alarm(self, a: SetTimer) -> None:
         self.deadlines.set_alarm(self.now + a.delay_ns, a.timer_id)
--- a/ochrehoist/core/persisted_names.py
+++ b/ochrehoist/core/persisted_names.py
@@ -1,5 +1,6 @@
-"""The names under which outcomes and request classes are written: to the store, exports and handover lines.
+"""The names under which outcomes, failure reasons and request classes are written.
 
+They stand in the store, exports and handover lines.
 They are part of stored formats and of the protocol between two releases, so they stay as they are when the
 types in the code are renamed.
 """
@@ -8,6 +9,7 @@
 
 from ochrehoist.admission.events import Outcome
 from ochrehoist.admission.settings import Idempotency, RequestClass
+from ochrehoist.core.results import FailureReason
 
 OUTCOME_NAMES = {
     Outcome.OK: "OK",
@@ -21,6 +23,15 @@
 }
 OUTCOMES_BY_NAME = {name: outcome for outcome, name in OUTCOME_NAMES.items()}
 
+FAILURE_REASON_NAMES = {
+    FailureReason.DEADLINE_PASSED: "GIVEN_UP",
+    FailureReason.EXECUTOR_FAILED: "EXECUTOR",
+    FailureReason.INTERNAL: "INTERNAL",
+    FailureReason.OUTCOME_UNKNOWN: "MAY_HAVE_RUN",
+    FailureReason.KEY_CONFLICT: "OTHER_CONTENT",
+}
+FAILURE_REASONS_BY_NAME = {name: reason for reason, name in FAILURE_REASON_NAMES.items()}
+
 IDEMPOTENCY_NAMES = {
     Idempotency.IDEMPOTENT: "SAFE",
     Idempotency.KEYED: "KEYED",
--- a/ochrehoist/core/protocols.py
+++ b/ochrehoist/core/protocols.py
@@ -22,7 +22,7 @@
         """Whether the caller was given it as served: some results another wire can't carry."""
         ...
 
-    def refused(self, backoff: int, no_retry: bool) -> None: ...
+    def rejected(self, backoff: int, no_retry: bool) -> None: ...
 
     def failed(self, reason: FailureReason, result: RunResult | None = None) -> None: ...
 
@@ -40,11 +40,11 @@
 class RequestObserver(Protocol):
     """Hears of each request that the core decides on. It never blocks, and changes nothing."""
 
-    def arrived(self, request: InboundRequest) -> None:
+    def request_arrived(self, request: InboundRequest) -> None:
         """It was read; `arrived` is by the core's clock."""
         ...
 
-    def answered(self, request: InboundRequest, figure: str | None, backoff: int) -> None:
+    def request_answered(self, request: InboundRequest, figure: str | None, backoff: int) -> None:
         """Nothing is owed for it any more: the figure that counted it, None where its caller left; `backoff`
         (ns) that a refused one was told."""
         ...
@@ -63,9 +63,9 @@
 
     def health_changed(self, good: bool) -> None: ...
 
-    def keep_alive_changed(self, hold_for: int) -> None: ...
+    def idle_timeout_changed(self, hold_for: int) -> None: ...
 
-    def leaving(self, remaining: int) -> None: ...
+    def shutdown_started(self, remaining: int) -> None: ...
 
 
 class AdmissionFilter(Protocol):
@@ -81,45 +81,45 @@
     """What a worker measures of itself, beside the core: it says what the module is to keep to. Never blocks;
     `now` is by the core's clock."""
 
-    def arrives(self, request: InboundRequest, now: int) -> Rejection | None:
+    def check_arrival(self, request: InboundRequest, now: int) -> Rejection | None:
         """One that never ran: whether it is turned away before the module hears of it."""
         ...
 
-    def times(self, request: InboundRequest, now: int) -> float: ...
+    def estimate_cost(self, request: InboundRequest, now: int) -> float: ...
 
-    def begun(self, request: InboundRequest, now: int) -> None: ...
+    def run_started(self, request: InboundRequest, now: int) -> None: ...
 
-    def ended(self, request: InboundRequest, now: int, took: int, outcome: Outcome) -> int:
+    def run_ended(self, request: InboundRequest, now: int, took: int, outcome: Outcome) -> int:
         """The time that the module is to hear."""
         ...
 
-    def refused(self, request: InboundRequest, backoff: int, now: int) -> int:
+    def request_rejected(self, request: InboundRequest, backoff: int, now: int) -> int:
         """The time to stay away that its caller is to hear."""
         ...
 
-    def look(self, now: int, held: Mapping[str, int]) -> ConcurrencyLimits | None: ...
+    def evaluate(self, now: int, held: Mapping[str, int]) -> ConcurrencyLimits | None: ...
 
 
 class FleetAdmission(Protocol):
     """Decides with the whole fleet in view which of those that never ran are let in. Never blocks; `now` is
     by the core's clock."""
 
-    def arrives(self, request: InboundRequest, now: int) -> Rejection | None:
+    def check_arrival(self, request: InboundRequest, now: int) -> Rejection | None:
         """One that never ran: whether it is turned away before the module hears of it."""
         ...
 
-    def begun(self, request: InboundRequest, now: int) -> None: ...
+    def run_started(self, request: InboundRequest, now: int) -> None: ...
 
-    def ended(self, request: InboundRequest, now: int, took: int, outcome: Outcome) -> None: ...
+    def run_ended(self, request: InboundRequest, now: int, took: int, outcome: Outcome) -> None: ...
 
 
 class IntentReplicator(Protocol):
     """Others that know which filings were begun here. It never blocks, and tells the journal what came of a
     call; keys are those on record."""
 
-    def opened(self, keys: list[bytes]) -> None: ...
+    def journal_opened(self, keys: list[bytes]) -> None: ...
 
-    def refuses(self, key: bytes) -> bool:
+    def may_have_run(self, key: bytes) -> bool:
         """Whether a filing that is not on record may have run all the same."""
         ...
 
@@ -133,7 +133,7 @@
 class IdempotencyJournal(Protocol):
     """Keeps filings beyond the process. It never blocks, and tells by messages what has come of a call."""
 
-    def refuses(self, token: IdempotencyKey) -> Rejection | None: ...
+    def rejection_for(self, token: IdempotencyKey) -> Rejection | None: ...
 
     def begin(self, request: InboundRequest, run: Any) -> None:
         """A Recorded follows, in any case and soon."""
--- a/ochrehoist/core/results.py
+++ b/ochrehoist/core/results.py
@@ -10,11 +10,11 @@
 class FailureReason(Enum):
     """Why a request failed, for fronts that tell it apart."""
 
-    GIVEN_UP = "no answer by the due time"
-    EXECUTOR = "the run failed"
+    DEADLINE_PASSED = "no answer by the due time"
+    EXECUTOR_FAILED = "the run failed"
     INTERNAL = "internal fault"
-    MAY_HAVE_RUN = "whether it ran is not known yet"
-    OTHER_CONTENT = "the key belongs to a filing with other content"
+    OUTCOME_UNKNOWN = "whether it ran is not known yet"
+    KEY_CONFLICT = "the key belongs to a filing with other content"
 
 
 @dataclass(slots=True, frozen=True)
@@ -32,6 +32,6 @@
 class Rejection:
     """Why the journal takes no filing now: for how long (ns), or because what ran is not known yet."""
 
-    backoff: int
-    may_have_run: bool = False
+    retry_after_ns: int
+    outcome_unknown: bool = False
     no_retry: bool = True  # no other worker would take it either
--- a/ochrehoist/core/retuning.py
+++ b/ochrehoist/core/retuning.py
@@ -47,10 +47,10 @@
 def switched(core: Core, m: ConfigurationSwitched) -> None:
     """What was read before it was decided by what was in force before; no request meets half of a change."""
     try:
-        m.parts()
-        if isinstance(m.core, SettingsChanged):
-            retuned(core, m.core)
-        elif m.core is not None:
-            tenants_retuned(core, m.core)
+        m.apply_parts()
+        if isinstance(m.core_change, SettingsChanged):
+            retuned(core, m.core_change)
+        elif m.core_change is not None:
+            tenants_retuned(core, m.core_change)
     finally:
-        m.done()
+        m.on_done()
--- a/ochrehoist/core/succession.py
+++ b/ochrehoist/core/succession.py
@@ -39,7 +39,7 @@
     """All that another module needs to go on from here."""
     if core.controller is None:
         return handover.State(keys=core.keys, standby=core.standby)
-    used = {r.cls.name for r in core.live.values()}
+    used = {r.request_class.name for r in core.live.values()}
     used |= {token[1] for known in (core.keys.runs, core.keys.entries) for token in known}
     classes = {c.name: c for c in core.controller.s.classes if c.name in used}
     return handover.State(
@@ -67,10 +67,10 @@
         core.tell(RunAdopted(core.event(r), r.answered, False))
     _teach(core, state.learned)
     held = [r for r in state.requests if not r.started and not r.answered]
-    for r in sorted(held, key=lambda r: r.arrived):
+    for r in sorted(held, key=lambda r: r.arrived_ns):
         core.owe(r)
         event = core.event(r)
-        event.remaining_ns = max(1, r.due - core.now)  # by its own class, whatever has become of that
+        event.remaining_ns = max(1, r.due_ns - core.now)  # by its own class, whatever has become of that
         core.tell(event)
     _teach(core, state.learned)  # what was held is no news of how long requests wait to be read
 
--- a/ochrehoist/lab/hollow.py
+++ b/ochrehoist/lab/hollow.py
@@ -260,18 +260,19 @@
             return
         s, p = self.owner.settings, self.peers
         request = SimpleNamespace(
-            cls=self.rng.choice(s.classes), tenant=self.rng.choice(s.tenants).name if s.tenants else None
+            request_class=self.rng.choice(s.classes),
+            tenant=self.rng.choice(s.tenants).name if s.tenants else None,
         )
-        p.arrived(request)
+        p.request_arrived(request)
         server = p.order({})[0]
-        ticket = p.began(server, request.cls.name)
+        ticket = p.began(server, request.request_class.name)
         self.loop.call_later(RUN_S, lambda: self._used(request, ticket))
         self.loop.call_later(each * self.rng.uniform(0.5, 1.5), lambda: self.use(each))
 
     def _used(self, request: Any, ticket: int | None) -> None:
         if ticket is not None:
             self.peers.ended(ticket, "ok")
-        self.peers.answered(request, "answered_total", 0)
+        self.peers.request_answered(request, "answered_total", 0)
 
     def alive(self) -> int:
         return sum(m.state == ALIVE for m in self.peers.group.members.members.values())
--- a/ochrehoist/lab/sitestorm.py
+++ b/ochrehoist/lab/sitestorm.py
@@ -263,11 +263,11 @@
             None,
             None,
             None,
-            subject=call.number + 1,
-            token=(None, "filing", f"k{call.number}") if call.filing else None,
-            retry=call.tries > 1,
+            subject_hash=call.number + 1,
+            idempotency_key=(None, "filing", f"k{call.number}") if call.filing else None,
+            is_retry=call.tries > 1,
         )
-        refusal = s.desk.arrives(r, now)
+        refusal = s.desk.check_arrival(r, now)
         if refusal is not None:
             call.refused_by_gate += 1
             return self._answered(call, False)
@@ -276,7 +276,7 @@
         self._tell(
             s,
             RequestReceived(
-                id=r.id, class_index=int(call.filing), is_retry=r.retry, memory_kb=24.0, rank=0.5
+                id=r.id, class_index=int(call.filing), is_retry=r.is_retry, memory_kb=24.0, rank=0.5
             ),
         )
 
@@ -290,10 +290,10 @@
             call, r = found
             if isinstance(a, StartRun):
                 s.running[r.id] = self.now
-                s.desk.begun(r, now)
+                s.desk.run_started(r, now)
                 s.cores.start(r.id, call.work)
             elif isinstance(a, RejectRequest | FailRequest):
-                s.desk.answered(r, "deferred_total", 0)
+                s.desk.request_answered(r, "deferred_total", 0)
                 if r.id not in s.running:
                     del s.live[r.id]
                 self._answered(call, False if isinstance(a, RejectRequest) else None)
@@ -316,8 +316,8 @@
                 continue
             call, r = found
             now, took = int(s.node.clock(self.now) * S), int((self.now - began) * S)
-            s.desk.ended(r, now, took, Outcome.OK)
-            s.desk.answered(r, "answered_total", 0)
+            s.desk.run_ended(r, now, took, Outcome.OK)
+            s.desk.request_answered(r, "answered_total", 0)
             if not call.ended:
                 self._answered(call, True)
             self._tell(s, RequestCompleted(rid, Outcome.OK, took))
--- a/ochrehoist/net/ajp_front.py
+++ b/ochrehoist/net/ajp_front.py
@@ -128,21 +128,21 @@
         retry = f.headers.get(self.config.retry_header, b"")
         return InboundRequest(
             id=f"ajp-{self.process}-{next(self.ids)}",
-            cls=cls,
-            arrived=arrived,
+            request_class=cls,
+            arrived_ns=arrived,
             payload=AjpPayload(f, body),
             responder=responder,
             executor=self.executor,
             tenant=tenant,
-            token=(tenant, cls.name, token) if token else None,
+            idempotency_key=(tenant, cls.name, token) if token else None,
             fingerprint=(sha256(f"{f.method} ".encode() + f.uri).digest(), sha256(body).digest())
             if token
             else None,
-            subject=crc32(f.remote, crc32(f.uri)) or 1,
+            subject_hash=crc32(f.remote, crc32(f.uri)) or 1,
             memory_kb=self.config.memory_kb + (len(f.packet) + len(body)) / 1024,
             rank=0.5,
-            retry=retry not in (b"", b"0"),
-            write=cls.idempotency is not Idempotency.IDEMPOTENT,
+            is_retry=retry not in (b"", b"0"),
+            is_write=cls.idempotency is not Idempotency.IDEMPOTENT,
         )
 
 
@@ -179,7 +179,7 @@
         self._respond(ajp.headers(200, "OK", values), result.body)
         return True
 
-    def refused(self, backoff: int, no_retry: bool) -> None:
+    def rejected(self, backoff: int, no_retry: bool) -> None:
         seconds = max(1, -(-backoff // S))
         self.plain(
             HTTPStatus.SERVICE_UNAVAILABLE, "turned away, never run", ((b"Retry-After", b"%d" % seconds),)
@@ -191,11 +191,13 @@
     def failed(self, reason: FailureReason, result: RunResult | None = None) -> None:
         if result is not None and isinstance(result.detail, ajp.Reply):
             return self._respond(result.detail.headers, result.body)  # the server's own error page
-        if reason is FailureReason.GIVEN_UP or (result is not None and result.outcome is Outcome.TIMED_OUT):
+        if reason is FailureReason.DEADLINE_PASSED or (
+            result is not None and result.outcome is Outcome.TIMED_OUT
+        ):
             self.plain(HTTPStatus.GATEWAY_TIMEOUT, reason.value)
-        elif reason in (FailureReason.EXECUTOR, FailureReason.MAY_HAVE_RUN):
+        elif reason in (FailureReason.EXECUTOR_FAILED, FailureReason.OUTCOME_UNKNOWN):
             self.plain(HTTPStatus.BAD_GATEWAY, reason.value)
-        elif reason is FailureReason.OTHER_CONTENT:
+        elif reason is FailureReason.KEY_CONFLICT:
             self.plain(HTTPStatus.UNPROCESSABLE_ENTITY, reason.value)
         else:
             self.plain(HTTPStatus.INTERNAL_SERVER_ERROR, reason.value)
@@ -437,10 +439,10 @@
     def health_changed(self, good: bool) -> None:
         pass  # CPing and the health URI are answered from the core's state
 
-    def keep_alive_changed(self, hold_for: int) -> None:
+    def idle_timeout_changed(self, hold_for: int) -> None:
         pass  # AJP has no farewell: its idle connections keep to the time configured
 
-    def leaving(self, remaining: int) -> None:
+    def shutdown_started(self, remaining: int) -> None:
         self.draining = True
 
     def retire(self) -> None:
--- a/ochrehoist/net/ajp_server.py
+++ b/ochrehoist/net/ajp_server.py
@@ -119,18 +119,18 @@
         by_name = {pool.server.name: pool for pool in self.pools}
         for name in advisor.order({p.server.name: p.busy for p in self.pools}):
             pool = by_name.get(name)
-            left = (request.due - self.owner.clock()) / 1e9
+            left = (request.due_ns - self.owner.clock()) / 1e9
             if pool is None:
                 continue
             if sent and (
-                request.write
-                or request.token is not None
+                request.is_write
+                or request.idempotency_key is not None
                 or request.answered
                 or left <= 0
                 or not advisor.may_repeat(name)
             ):
                 break
-            ticket = advisor.began(name, request.cls.name)
+            ticket = advisor.began(name, request.request_class.name)
             if ticket is None:
                 continue
             verdict = "failing"
--- a/ochrehoist/net/doubts.py
+++ b/ochrehoist/net/doubts.py
@@ -30,7 +30,7 @@
 
     @property
     def safe(self) -> bool:
-        return self.request.cls.idempotency is Idempotency.IDEMPOTENT
+        return self.request.request_class.idempotency is Idempotency.IDEMPOTENT
 
     def give(self, now: float) -> None:
         self.given, self.doubtful, self.untold = now, False, False
--- a/ochrehoist/net/link.py
+++ b/ochrehoist/net/link.py
@@ -301,7 +301,7 @@
 
     def _lost(self) -> None:
         """What it had not begun has no caller any more. What it had begun counts as run, and failed."""
-        left = [r for r in self.owner.live.values() if r.remote and r.responder.send == self._send]
+        left = [r for r in self.owner.live.values() if r.is_remote and r.responder.send == self._send]
         begun = [r.id for r in left if r.started]
         for r in left:
             if not r.started:
--- a/ochrehoist/net/members.py
+++ b/ochrehoist/net/members.py
@@ -153,8 +153,8 @@
     def health_changed(self, good: bool) -> None:
         self.changed.set()
 
-    def keep_alive_changed(self, hold_for: int) -> None:
+    def idle_timeout_changed(self, hold_for: int) -> None:
         pass
 
-    def leaving(self, remaining: int) -> None:
+    def shutdown_started(self, remaining: int) -> None:
         self.changed.set()
--- a/ochrehoist/net/peers.py
+++ b/ochrehoist/net/peers.py
@@ -233,17 +233,17 @@
             self.sock = None
 
     # ---- the core's observer
-    def arrived(self, request: InboundRequest) -> None:
+    def request_arrived(self, request: InboundRequest) -> None:
         budget = self.tenants.get(request.tenant)
         if budget is not None:
             now = time.monotonic()
             wants, _ = self.group.shares[budget].meter.wants(now)
             self.group.asked(budget, wants <= self.part(budget), now)
 
-    def answered(self, request: InboundRequest, figure: str | None, backoff: int) -> None:
+    def request_answered(self, request: InboundRequest, figure: str | None, backoff: int) -> None:
         if figure is not None:
             word = figure.removesuffix("_total")
-            self.group.ledger.add(f"class/{request.cls.name}/{word}")
+            self.group.ledger.add(f"class/{request.request_class.name}/{word}")
             if request.tenant is not None:
                 self.group.ledger.add(f"tenant/{request.tenant}/{word}")
 
@@ -251,10 +251,10 @@
     def health_changed(self, good: bool) -> None:
         pass  # members are judged by what they say to each other
 
-    def keep_alive_changed(self, hold_for: int) -> None:
+    def idle_timeout_changed(self, hold_for: int) -> None:
         pass
 
-    def leaving(self, remaining: int) -> None:
+    def shutdown_started(self, remaining: int) -> None:
         self.group.leaving = True
 
     # ---- shares of tenants
--- a/ochrehoist/net/recovery.py
+++ b/ochrehoist/net/recovery.py
@@ -68,7 +68,7 @@
         loop.call_later(LOOK_S, self._look)
 
     # ---- what the journal asks
-    def refuses(self, key: bytes) -> bool:
+    def may_have_run(self, key: bytes) -> bool:
         """Whether a filing that is not on record may have run all the same."""
         if not self.testified:
             return True
@@ -84,7 +84,7 @@
     def drop(self, key: bytes) -> None:
         self.begins.never_ran(key)
 
-    def opened(self, keys: list[bytes]) -> None:
+    def journal_opened(self, keys: list[bytes]) -> None:
         """The store is in use, and what is on record is known."""
         self.restored = keys
         if self.config.witnesses and self.asked is None:
@@ -224,15 +224,15 @@
             file.write(line)
 
     # ---- the core's observer
-    def arrived(self, request: InboundRequest) -> None:
+    def request_arrived(self, request: InboundRequest) -> None:
         pass
 
-    def answered(self, request: InboundRequest, figure: str | None, backoff: int) -> None:
+    def request_answered(self, request: InboundRequest, figure: str | None, backoff: int) -> None:
         if figure is None:
             return
         now = time.monotonic()
         if figure == "answered_total":
-            late = self.owner.now > request.arrived + request.cls.latency_objective_ns
+            late = self.owner.now > request.arrived_ns + request.request_class.latency_objective_ns
             self.service.count("late" if late else "good", now)
         else:
             self.service.count("refused" if figure == "deferred_total" else "failed", now)
--- a/ochrehoist/net/thrift_front.py
+++ b/ochrehoist/net/thrift_front.py
@@ -119,20 +119,20 @@
         est = f.number("est", 0.0, 1e9, required=False)
         return InboundRequest(
             id=rid,
-            cls=cls,
-            arrived=f.whole("t0") * MS,
+            request_class=cls,
+            arrived_ns=f.whole("t0") * MS,
             payload=Payload(method, body),
             responder=responder,
             executor=self.executor,
             tenant=acct,
-            key=f.text("obj", required=False),
-            token=(acct, method, token) if keyed else None,
+            routing_key=f.text("obj", required=False),
+            idempotency_key=(acct, method, token) if keyed else None,
             fingerprint=(None, sha256(body).digest()) if keyed else None,
-            work=int(est * MS) if est else None,
+            work_ns=int(est * MS) if est else None,
             memory_kb=f.number("mem", SMALLEST, 2000.0),
             rank=f.number("prio", 0.0, 1.0, required=False) or 0.0,
-            retry=f.text("again", required=False) == "1",
-            write=cls.idempotency is not Idempotency.IDEMPOTENT,
+            is_retry=f.text("again", required=False) == "1",
+            is_write=cls.idempotency is not Idempotency.IDEMPOTENT,
             caller=f.whole("peer", required=False) or 0,
         )
 
@@ -157,7 +157,7 @@
         self._reply(0, thrift.answer(result.body, {}, True))
         return True
 
-    def refused(self, backoff: int, no_retry: bool) -> None:
+    def rejected(self, backoff: int, no_retry: bool) -> None:
         values = {}
         if backoff >= MS:
             values[b"backoff"] = b"%d" % (backoff // MS)
@@ -458,10 +458,10 @@
     def health_changed(self, good: bool) -> None:
         pass  # checks are answered from the core's state
 
-    def keep_alive_changed(self, hold_for: int) -> None:
+    def idle_timeout_changed(self, hold_for: int) -> None:
         self.idle = hold_for / 1e9
 
-    def leaving(self, remaining: int) -> None:
+    def shutdown_started(self, remaining: int) -> None:
         self.draining = True
         for c in list(self.connections):
             if not c.open and not c.checks_only:
--- a/ochrehoist/overload/limiter.py
+++ b/ochrehoist/overload/limiter.py
@@ -59,64 +59,64 @@
         return t
 
     # ---- what the core tells
-    def arrives(self, r: InboundRequest, now: int) -> Rejection | None:
+    def check_arrival(self, r: InboundRequest, now: int) -> Rejection | None:
         """Whether one that never ran is turned away before the module hears of it."""
         t = self._pass(now)
-        if (seen := self.seen.get(r.cls.name)) is not None:
+        if (seen := self.seen.get(r.request_class.name)) is not None:
             seen.came = t
         if not self.config.retries:
             return None
         full = self.running >= self.settings.cores and any(s.held for s in self.seen.values())
-        allowed = self.storms.allows(self._caller(r), self._likeness(r), r.retry, full, t)
+        allowed = self.storms.allows(self._caller(r), self._likeness(r), r.is_retry, full, t)
         # A filing is worth more than a first try of a read; the cheap cost little more than to refuse them.
-        if not allowed and r.token is None and r.cls.name not in self.cheap:
+        if not allowed and r.idempotency_key is None and r.request_class.name not in self.cheap:
             return Rejection(self.storms.spread(STORM_BACKOFF))
         return None
 
-    def times(self, r: InboundRequest, now: int) -> float:
+    def estimate_cost(self, r: InboundRequest, now: int) -> float:
         """How many times the usual it will cost."""
         if not self.config.lane:
             return 1.0
         return self.outliers.times(r, now / S)
 
-    def begun(self, r: InboundRequest, now: int) -> None:
+    def run_started(self, r: InboundRequest, now: int) -> None:
         self._pass(now)
         self.running += 1
-        if (seen := self.seen.get(r.cls.name)) is not None:
+        if (seen := self.seen.get(r.request_class.name)) is not None:
             seen.running += 1
 
-    def ended(self, r: InboundRequest, now: int, took: int, outcome: Outcome) -> int:
+    def run_ended(self, r: InboundRequest, now: int, took: int, outcome: Outcome) -> int:
         """Learns from a run; gives the time that the module is to hear."""
         t = self._pass(now)
         crowding = max(1.0, self.running / max(1, self.settings.cores))
         self.running = max(0, self.running - 1)
-        seen = self.seen.get(r.cls.name)
+        seen = self.seen.get(r.request_class.name)
         if seen is not None:
             seen.running = max(0, seen.running - 1)
         if outcome is not Outcome.OK or took <= 0:
             return took
         times = self.outliers.ended(r, t, took / S, crowding)
-        usual = self.outliers.usual[r.cls.name]
+        usual = self.outliers.usual[r.request_class.name]
         if usual.took.count == FIRST:
-            self.units[r.cls.name] = math.exp(usual.took.value)
+            self.units[r.request_class.name] = math.exp(usual.took.value)
         if seen is not None:
             seen.cost = math.exp(usual.took.value)
-        work = r.work / S if r.work else self.units.get(r.cls.name, 1.0)
+        work = r.work_ns / S if r.work_ns else self.units.get(r.request_class.name, 1.0)
         # One that costs many times what it states would look like a machine gone slow.
-        self.windows.ended(t, work * (times if times >= HEAVY and not r.work else 1.0), took / S)
-        if self.config.lane and r.times <= 1 and times > TOLD:
+        self.windows.ended(t, work * (times if times >= HEAVY and not r.work_ns else 1.0), took / S)
+        if self.config.lane and r.cost_multiple <= 1 and times > TOLD:
             self.clipped += 1
             return int(took * TOLD / times)
         return took
 
-    def refused(self, r: InboundRequest, backoff: int, now: int) -> int:
+    def request_rejected(self, r: InboundRequest, backoff: int, now: int) -> int:
         """The time to stay away that it is told."""
         if not self.config.retries:
             return backoff
         self.storms.was_refused(self._likeness(r), now / S)
         return self.storms.spread(backoff)
 
-    def look(self, now: int, held: Mapping[str, int]) -> ConcurrencyLimits | None:
+    def evaluate(self, now: int, held: Mapping[str, int]) -> ConcurrencyLimits | None:
         """What the module is to keep to, where that has changed; `held` are requests by class."""
         t = self._pass(now)
         for name, seen in self.seen.items():
@@ -139,7 +139,12 @@
         return r.caller or r.responder.origin()[1]
 
     def _likeness(self, r: InboundRequest) -> tuple:
-        return self._caller(r), r.cls.name, r.key or r.token, r.work or r.memory_kb
+        return (
+            self._caller(r),
+            r.request_class.name,
+            r.routing_key or r.idempotency_key,
+            r.work_ns or r.memory_kb,
+        )
 
     def view(self) -> dict[str, Any]:
         """For operators, in plain values."""
--- a/ochrehoist/overload/outliers.py
+++ b/ochrehoist/overload/outliers.py
@@ -92,7 +92,7 @@
         self.missed = 0  # ran as heavy unforeseen
 
     def times(self, r: InboundRequest, now: float) -> float:
-        usual = self.usual.get(r.cls.name)
+        usual = self.usual.get(r.request_class.name)
         if usual is None or usual.took.count < FIRST:
             return 1.0
         for why, guess in (
@@ -107,12 +107,12 @@
 
     @staticmethod
     def _by_stated(usual: Usual, r: InboundRequest) -> float:
-        if not r.work or usual.agrees.share < AGREES:
+        if not r.work_ns or usual.agrees.share < AGREES:
             return 0.0
-        return math.log(r.work / 1e9) - usual.stated.value
+        return math.log(r.work_ns / 1e9) - usual.stated.value
 
     def _by_subject(self, r: InboundRequest, now: float) -> float:
-        known = self.subjects.get((r.cls.name, r.key)) if r.key else None
+        known = self.subjects.get((r.request_class.name, r.routing_key)) if r.routing_key else None
         if known is None:
             return 0.0
         value, at = known
@@ -127,21 +127,21 @@
     def ended(self, r: InboundRequest, now: float, took: float, crowding: float) -> float:
         """Learns from a run that took so long (s) where runs took `crowding` times their time alone; gives
         how many times the usual it was."""
-        usual = self.usual.setdefault(r.cls.name, Usual())
+        usual = self.usual.setdefault(r.request_class.name, Usual())
         alone = math.log(max(1e-6, took / max(1.0, crowding)))
         over = alone - usual.took.value if usual.took.count >= FIRST else 0.0
         heavy = over >= math.log(HEAVY)
         usual.took.add(alone)
-        if r.work:
-            stated = math.log(r.work / 1e9)
+        if r.work_ns:
+            stated = math.log(r.work_ns / 1e9)
             usual.stated.add(stated)
             usual.agrees.add(stated, alone)
         if r.memory_kb > 0:
             if _large(usual, r):
                 usual.large, usual.large_heavy = usual.large * 0.97 + 1, usual.large_heavy * 0.97 + heavy
             usual.size.add(math.log(r.memory_kb))
-        if r.key:
-            self._remember((r.cls.name, r.key), over, heavy, now)
+        if r.routing_key:
+            self._remember((r.request_class.name, r.routing_key), over, heavy, now)
         return math.exp(over)
 
     def _remember(self, subject: tuple[str, str], over: float, heavy: bool, now: float) -> None:
--- a/ochrehoist/plan/events.py
+++ b/ochrehoist/plan/events.py
@@ -89,7 +89,7 @@
         self.tell(Answer.SERVED)
         return True
 
-    def refused(self, backoff: int, no_retry: bool) -> None:
+    def rejected(self, backoff: int, no_retry: bool) -> None:
         self.worker.count.refused += 1
         self.tell(Answer.REFUSED, backoff / NS, no_retry)
 
@@ -163,9 +163,9 @@
     def health_changed(self, good: bool) -> None:
         self.sim.list_changed(self.number, good)
 
-    def keep_alive_changed(self, hold_for: int) -> None: ...
+    def idle_timeout_changed(self, hold_for: int) -> None: ...
 
-    def leaving(self, remaining: int) -> None: ...
+    def shutdown_started(self, remaining: int) -> None: ...
 
     # ---- what comes
     def arrives(self, t: Try) -> None:
@@ -244,19 +244,19 @@
         tenant = fleet.tenants[call.tenant].name if fleet.tenants else None
         return InboundRequest(
             id=t.id,
-            cls=cls,
-            arrived=int((EPOCH + t.came) * NS),
+            request_class=cls,
+            arrived_ns=int((EPOCH + t.came) * NS),
             payload=call.work,
             responder=t,
             executor=self,
             tenant=tenant,
-            key=None if call.keyed or not call.subject else f"{call.subject:x}",
-            token=(tenant, cls.name, str(call.number)) if call.keyed else None,
-            work=int(call.stated * NS),
+            routing_key=None if call.keyed or not call.subject else f"{call.subject:x}",
+            idempotency_key=(tenant, cls.name, str(call.number)) if call.keyed else None,
+            work_ns=int(call.stated * NS),
             memory_kb=call.memory_kb,
             rank=0.5,
-            retry=t.again,
-            write=call.keyed,
+            is_retry=t.again,
+            is_write=call.keyed,
             caller=call.router,
         )
 
--- a/ochrehoist/sites/desk.py
+++ b/ochrehoist/sites/desk.py
@@ -140,13 +140,15 @@
 
     # ---- the core's gate
     def _ident(self, r: InboundRequest) -> tuple:
-        what = r.token[2] if r.token is not None else r.subject or r.key or r.id
-        return r.tenant or "", r.cls.name, what
+        what = (
+            r.idempotency_key[2] if r.idempotency_key is not None else r.subject_hash or r.routing_key or r.id
+        )
+        return r.tenant or "", r.request_class.name, what
 
-    def arrives(self, r: InboundRequest, now: int) -> Rejection | None:
+    def check_arrival(self, r: InboundRequest, now: int) -> Rejection | None:
         """Whether one that never ran is turned away before the module hears of it."""
-        t, ident, cls = now / S, self._ident(r), r.cls.name
-        if self.order.came(ident, cls, r.tenant, r.retry, t):
+        t, ident, cls = now / S, self._ident(r), r.request_class.name
+        if self.order.came(ident, cls, r.tenant, r.is_retry, t):
             self.rate.add(t, 1.0)
             self.came += 1
             cost = self.order.cost(cls)
@@ -188,26 +190,28 @@
             return None
         return next((x for s in self.knowing.lost() if (x := self.book.of(s)) is not None), None)
 
-    def begun(self, r: InboundRequest, now: int) -> None:
+    def run_started(self, r: InboundRequest, now: int) -> None:
         self.running[r.id] = self.waiting.pop(r.id, 0.0)
 
-    def ended(self, r: InboundRequest, now: int, took: int, outcome: Outcome) -> None:
+    def run_ended(self, r: InboundRequest, now: int, took: int, outcome: Outcome) -> None:
         """A run is over; its time, less what it shared its cores, teaches what its class costs."""
         t, crowd = now / S, max(1, len(self.running))
         self.running.pop(r.id, None)
         if outcome is Outcome.OK and took > 0:
             share = min(1.0, self.settings.cores / crowd)
             learn = LEARN_COLD if self.ramp is not None else LEARN
-            self.order.ran(r.cls.name, took / S * share, learn)
-            self.level.ended(self.order.cost(r.cls.name) or 0.0, t)
+            self.order.ran(r.request_class.name, took / S * share, learn)
+            self.level.ended(self.order.cost(r.request_class.name) or 0.0, t)
         if self.ramp is not None:
-            self.ramp.ended(outcome is Outcome.OK and now <= r.arrived + r.cls.latency_objective_ns)
+            self.ramp.ended(
+                outcome is Outcome.OK and now <= r.arrived_ns + r.request_class.latency_objective_ns
+            )
 
     # ---- the core's observer
-    def arrived(self, request: InboundRequest) -> None:
+    def request_arrived(self, request: InboundRequest) -> None:
         pass
 
-    def answered(self, request: InboundRequest, figure: str | None, backoff: int) -> None:
+    def request_answered(self, request: InboundRequest, figure: str | None, backoff: int) -> None:
         self.waiting.pop(request.id, None)
 
     # ---- time
--- a/ochrehoist/store/journal.py
+++ b/ochrehoist/store/journal.py
@@ -187,7 +187,7 @@
         )
         opened.stale = []
         if self.testifier is not None:
-            self.testifier.opened([key_of(token) for token in {**restored, **before}])
+            self.testifier.journal_opened([key_of(token) for token in {**restored, **before}])
         gc.freeze()  # they stay: looking through them again and again would hold up the loop
         self.owner.post(StateRestored(restored, lesson))
         self.restored = True
@@ -197,13 +197,13 @@
         self.loop.call_later(self.config.learned_every_s, self._learn)
 
     # ---- what the core asks
-    def refuses(self, token: IdempotencyKey) -> Rejection | None:
+    def rejection_for(self, token: IdempotencyKey) -> Rejection | None:
         """Whether a filing that is not known can't be taken now, and what its caller is told."""
         if not self.restored:
-            return Rejection(0, may_have_run=True)
-        if self.testifier is not None and self.testifier.refuses(key_of(token)):
+            return Rejection(0, outcome_unknown=True)
+        if self.testifier is not None and self.testifier.may_have_run(key_of(token)):
             self.refusals += 1
-            return Rejection(0, may_have_run=True)
+            return Rejection(0, outcome_unknown=True)
         if self.backlog.refuses(time.monotonic()):
             self.refusals += 1
             return Rejection(SECOND)
@@ -218,11 +218,11 @@
         if self.backlog.refuses(time.monotonic()):
             return self._refused([r.id])
         reached("begin")
-        record = self._begun(r.token, run)
-        self._add(Begin(r.id, key_of(r.token), record))
+        record = self._begun(r.idempotency_key, run)
+        self._add(Begin(r.id, key_of(r.idempotency_key), record))
         if self.testifier is not None:
             self.unready[r.id] = 2
-            self.testifier.begin(r.id, key_of(r.token), record.left / SECOND)
+            self.testifier.begin(r.id, key_of(r.idempotency_key), record.left / SECOND)
 
     def witnessed(self, request_id: str, ok: bool) -> None:
         """Enough others know of a filing that is to begin; or they did not answer in time."""
--- a/tests/test_filings.py
+++ b/tests/test_filings.py
@@ -53,7 +53,7 @@
     def __init__(self):
         self.told, self.refusal = [], None
 
-    def refuses(self, token):
+    def rejection_for(self, token):
         return self.refusal
 
     def begin(self, r, run):
@@ -101,7 +101,7 @@
         ends = self.ends.setdefault(rid, [])
         responder = SimpleNamespace(
             served=lambda result: ends.append(("served", result.body)),
-            refused=lambda backoff, no_retry: ends.append(("refused", backoff)),
+            rejected=lambda backoff, no_retry: ends.append(("refused", backoff)),
             failed=lambda reason, result=None: ends.append(("failed", reason)),
         )
         executor = SimpleNamespace(start=lambda r: self.started.append(r.id))
@@ -116,10 +116,10 @@
                     responder,
                     executor,
                     "acme",
-                    token=token,
-                    retry=retry,
+                    idempotency_key=token,
+                    is_retry=retry,
                     fingerprint=(None, b"x") if token else None,
-                    work=10**7,
+                    work_ns=10**7,
                     memory_kb=10.0,
                 )
             )
@@ -173,7 +173,7 @@
         self.do(IntentRecorded(done, True), RunCompleted(done, RunResult(Outcome.OK, b"done"), S))
         for refusal, end in (
             (Rejection(7 * S), ("refused", 7 * S)),
-            (Rejection(0, may_have_run=True), ("failed", FailureReason.MAY_HAVE_RUN)),
+            (Rejection(0, outcome_unknown=True), ("failed", FailureReason.OUTCOME_UNKNOWN)),
         ):
             self.book.refusal = refusal
             self.assertEqual(self.ends[self.arrive("new")], [end])
@@ -195,11 +195,13 @@
         self.assertEqual(len(self.owner.controller.keys), 0)  # the module hears of none yet
         ended, begun = self.arrive("ended", retry=True), self.arrive("begun", retry=True)
         self.assertEqual(self.book.told, [("fetch", "ended", ended)])
-        self.assertEqual(self.ends[begun], [("failed", FailureReason.EXECUTOR)])
+        self.assertEqual(self.ends[begun], [("failed", FailureReason.EXECUTOR_FAILED)])
         self.do(DuplicateResolved(ended, RunResult(Outcome.OK, b"kept")))
         self.assertEqual(self.ends[ended], [("served", b"kept")])
         self.assertEqual((self.started, len(self.owner.controller.keys)), ([], 2))
-        self.assertEqual(self.ends[self.arrive("begun", retry=True)], [("failed", FailureReason.EXECUTOR)])
+        self.assertEqual(
+            self.ends[self.arrive("begun", retry=True)], [("failed", FailureReason.EXECUTOR_FAILED)]
+        )
         self.assertEqual(len(self.owner.controller.keys), 2)
 
     def test_what_came_before_the_store_was_read_goes_before_it(self):
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -50,7 +50,7 @@
         self.told.append(result)
         return True
 
-    def refused(self, backoff, no_retry):
+    def rejected(self, backoff, no_retry):
         self.told.append(backoff)
 
     def failed(self, reason, result=None):
@@ -102,7 +102,7 @@
             self.part,
             tenant,
             memory_kb=1.0,
-            token=token,
+            idempotency_key=token,
             fingerprint=(None, bytes(32)) if key else None,
         )
         self.owner.post(RequestArrived(r))
--- a/tests/test_overload_parts.py
+++ b/tests/test_overload_parts.py
@@ -73,15 +73,15 @@
 def request(cls=READ, key=None, work=None, kb=20.0, retry=False, caller=1):
     return InboundRequest(
         id=f"r{next(NUMBERS)}",
-        cls=cls,
-        arrived=0,
+        request_class=cls,
+        arrived_ns=0,
         payload=None,
         responder=Nobody(),
         executor=None,
-        key=key,
-        work=work,
+        routing_key=key,
+        work_ns=work,
         memory_kb=kb,
-        retry=retry,
+        is_retry=retry,
         caller=caller,
     )
 
@@ -410,25 +410,25 @@
         for n in range(400):
             r, took = request(), (1500 if n % 40 == 39 else 100) * MS
             now += S // 10
-            limiter.begun(r, now)
-            told.append(limiter.ended(r, now, took, Outcome.OK))
+            limiter.run_started(r, now)
+            told.append(limiter.run_ended(r, now, took, Outcome.OK))
         self.assertLess(max(told[100:]), 1500 * MS / 2)
         self.assertEqual({t for t in told[100:] if t <= 100 * MS}, {100 * MS})
         self.assertEqual(limiter.running, 0)
         foreseen = request()
-        foreseen.times = 15.0
-        limiter.begun(foreseen, now)
-        self.assertEqual(limiter.ended(foreseen, now, 1500 * MS, Outcome.OK), 1500 * MS)
+        foreseen.cost_multiple = 15.0
+        limiter.run_started(foreseen, now)
+        self.assertEqual(limiter.run_ended(foreseen, now, 1500 * MS, Outcome.OK), 1500 * MS)
 
     def test_what_is_foreseen_as_heavy_and_never_run_leaves_nothing_behind(self):
         limiter = Limiter(OverloadConfig(lane=True), SITE, 1)
         for n in range(100):
             r, took = request(work=(100 + n) * MS), (100 + n) * MS
-            limiter.begun(r, n * S)
-            limiter.ended(r, n * S, took, Outcome.OK)
+            limiter.run_started(r, n * S)
+            limiter.run_ended(r, n * S, took, Outcome.OK)
         sizes = {name: len(v) for name, v in vars(limiter).items() if hasattr(v, "__len__")}
         for _ in range(50):
-            self.assertGreater(limiter.times(request(work=5 * S), 100 * S), 1)
+            self.assertGreater(limiter.estimate_cost(request(work=5 * S), 100 * S), 1)
         self.assertEqual(sizes, {name: len(v) for name, v in vars(limiter).items() if hasattr(v, "__len__")})
 
 
@@ -467,15 +467,15 @@
         limiter = Limiter(OverloadConfig(retries=True), SITE, 1)
         limiter.running, limiter.seen["read"].held = 9, 3
         for n in range(60):
-            limiter.refused(request(), S, n * MS)
+            limiter.request_rejected(request(), S, n * MS)
             limiter.storms.allows(1, ("read", n), False, True, n / 1000)
-        reads = [limiter.arrives(request(retry=True), 100 * MS) for _ in range(40)]
+        reads = [limiter.check_arrival(request(retry=True), 100 * MS) for _ in range(40)]
         self.assertTrue(any(reads))
         filing = request(FILING, retry=True)
-        filing.token = ("a", "filing", "t")
-        self.assertEqual({limiter.arrives(filing, 100 * MS) for _ in range(40)}, {None})
+        filing.idempotency_key = ("a", "filing", "t")
+        self.assertEqual({limiter.check_arrival(filing, 100 * MS) for _ in range(40)}, {None})
         limiter.cheap = {"read"}
-        self.assertEqual({limiter.arrives(request(retry=True), 100 * MS) for _ in range(40)}, {None})
+        self.assertEqual({limiter.check_arrival(request(retry=True), 100 * MS) for _ in range(40)}, {None})
 
 
 class TheModule(unittest.TestCase):
--- a/tests/test_plan.py
+++ b/tests/test_plan.py
@@ -208,8 +208,8 @@
             plain = w.start
 
             def start(request, w=w, plain=plain):
-                if request.token:
-                    begun.append((w.number, id(w.owner), request.token))
+                if request.idempotency_key:
+                    begun.append((w.number, id(w.owner), request.idempotency_key))
                 plain(request)
 
             w.start = start
--- a/tests/test_replace.py
+++ b/tests/test_replace.py
@@ -329,10 +329,10 @@
         told = []
         responder = SimpleNamespace(failed=lambda reason, result=None: told.append(reason))
         now = [0]
-        for ends_at, want in ((None, []), (3 * S, [FailureReason.GIVEN_UP])):
+        for ends_at, want in ((None, []), (3 * S, [FailureReason.DEADLINE_PASSED])):
             with self.subTest(ends_at=ends_at):
                 told.clear()
-                r = InboundRequest("r1", read, 0, None, responder, None, due=9 * S, started=True)
+                r = InboundRequest("r1", read, 0, None, responder, None, due_ns=9 * S, started=True)
                 answers = Answers(Figures(["read"]), mock.Mock())
                 f = Forwarder({"r1": r}, lambda line: None, mock.Mock(), answers, lambda: now[0], lambda: 0)
                 f.ends_at = ends_at
