--- a/benchmarks/limit_choice.py
+++ b/benchmarks/limit_choice.py
@@ -49,15 +49,15 @@
     "heavy tail, no work stated, 105%": (1.05, {"classes": HEAVY, "unstated": True}, 1, None),
     "retry storm, 120%": (1.2, STORM, 1, None),
 }
-OFF = OverloadConfig(admission=False, pools=False, lane=False, retries=False)
+OFF = OverloadConfig(admission=False, bulkheads=False, low_priority_lane=False, retry_budget=False)
 WAYS: dict[str, OverloadConfig | None] = {
     "module alone": None,
-    **{name: dataclasses.replace(OFF, pools=True, controller=name) for name in CONTROLLERS[1:]},
-    "pools": dataclasses.replace(OFF, pools=True),
-    "pools, lane": dataclasses.replace(OFF, pools=True, lane=True),
-    "lane": dataclasses.replace(OFF, lane=True),
-    "budgets": dataclasses.replace(OFF, retries=True),
-    "all": OverloadConfig(lane=True, retries=True),
+    **{name: dataclasses.replace(OFF, bulkheads=True, controller=name) for name in CONTROLLERS[1:]},
+    "pools": dataclasses.replace(OFF, bulkheads=True),
+    "pools, lane": dataclasses.replace(OFF, bulkheads=True, low_priority_lane=True),
+    "lane": dataclasses.replace(OFF, low_priority_lane=True),
+    "budgets": dataclasses.replace(OFF, retry_budget=True),
+    "all": OverloadConfig(low_priority_lane=True, retry_budget=True),
 }
 
 
--- a/benchmarks/routes.py
+++ b/benchmarks/routes.py
@@ -26,16 +26,16 @@
 CHILD = """
 import json, sys, time, tracemalloc
 from types import SimpleNamespace as Plain
-from ochrehoist.admission import interface as i
-from ochrehoist.config.loader import AjpRule
+from ochrehoist.admission import settings as i
+from ochrehoist.config.loader import AjpRoute
 from ochrehoist.net import ajp
 from ochrehoist.net.ajp_front import AjpReader, Rejected
 task = json.load(sys.stdin)
 forms, size, calls = task["forms"], task["size"], task["calls"]
 uris = [forms[n % len(forms)].format(n) for n in range(size)]
-rules = tuple(AjpRule(uri, frozenset(), "read") for uri in uris)
-settings = Plain(classes=(i.RequestClass(name="read", aim=1, deadline=2),), tenants=())
-config = Plain(secret=None, max_body=0, packet_size=8192, servers=(Plain(secret=None),), rules=rules,
+rules = tuple(AjpRoute(uri, frozenset(), "read") for uri in uris)
+settings = Plain(classes=(i.RequestClass(name="read", latency_objective_ns=1, deadline_ns=2),), tenants=())
+config = Plain(secret=None, max_body=0, packet_size=8192, servers=(Plain(secret=None),), routes=rules,
                tenant_header=b"t", key_header=b"k", default_tenant=None)
 try:
     from ochrehoist.core.tenants import first
--- a/ochrehoist/app/worker.py
+++ b/ochrehoist/app/worker.py
@@ -56,7 +56,7 @@
             int(config.memory_mb * 1e6 * RESULT_SHARE),
             lambda: self.gauge_source.measure(),
         )
-        self.inherited = predecessors_sockets(config.link) if config.link else None
+        self.inherited = predecessors_sockets(config.handover_path) if config.handover_path else None
         self.members: Members | None = None
         self.successors: Successors | None = None
         self.predecessor: Predecessor | None = None
@@ -64,8 +64,12 @@
         self.tasks = [owner.run]
         parts: list[Part] = []  # that take a configuration read again
         # Where the system gives fewer than the settings say, it is the system's limit that binds.
-        sockets = min([n for n in (config.sockets, os.sysconf("SC_OPEN_MAX")) if n > 0])
-        room = sockets - RESERVED - SERVICE * sum(a is not None for a in (config.admin, config.agent))
+        sockets = min([n for n in (config.max_sockets, os.sysconf("SC_OPEN_MAX")) if n > 0])
+        room = (
+            sockets
+            - RESERVED
+            - SERVICE * sum(a is not None for a in (config.admin_address, config.agent_check_address))
+        )
         self.kernel: Kernel | None = None
         self.journal: Any = None
 
@@ -78,10 +82,10 @@
             self.gauge_source = servers
             # What runs is bounded by the crowd that the cores survive, whatever the module learns.
             room -= int(config.settings.cores * config.settings.collapse_multiple)
-            room -= sum(s.max_idle for s in config.ajp.servers)
+            room -= sum(s.max_idle_connections for s in config.ajp.servers)
             most = min(config.ajp.max_connections, room // 2 if config.listen else room)
             if most < 1:
-                raise InvalidInputError(f"setting limits.sockets: too few: {config.sockets}")
+                raise InvalidInputError(f"setting limits.sockets: too few: {config.max_sockets}")
             room -= most
             front = AjpFront(
                 loop, owner, servers, config.ajp, most, body_bytes, self.log, inherited(config.ajp.listen)
@@ -92,34 +96,36 @@
                 lambda new, _: front.prepare(new.ajp, new.settings),
             ]
         if config.listen:
-            kernel = Kernel(loop, owner, config.kernel, config.gauges, self.log)
+            kernel = Kernel(loop, owner, config.kernel_address, config.gauges, self.log)
             self.gauge_source = self.kernel = kernel
             self.tasks.append(kernel.run)
-            parts.append(switch_only(lambda new, _: kernel.move(new.kernel, new.gauges)))
+            parts.append(switch_only(lambda new, _: kernel.move(new.kernel_address, new.gauges)))
             passed = inherited(config.listen)
-            if config.passed is not None:
-                passed = socket.socket(fileno=config.passed)
+            if config.inherited_fd is not None:
+                passed = socket.socket(fileno=config.inherited_fd)
             unsent = int(config.memory_mb * 1e6 * UNSENT_SHARE)
             routers = ThriftFront(loop, owner, kernel, config.listen, room, unsent, self.log, passed)
             parts.append(switch_only(lambda new, _: routers.configure(new.settings)))
             self.fronts.append(routers)
         else:
             owner.post(ExecutorReady(None, 0))
-        if config.members:
-            self.members = members = Members(loop, owner, config.members, config.name, self.log)
-            parts.append(switch_only(lambda new, _: members.move(new.members)))
+        if config.membership_address:
+            self.members = members = Members(loop, owner, config.membership_address, config.name, self.log)
+            parts.append(switch_only(lambda new, _: members.move(new.membership_address)))
             owner.listeners.append(members)
         owner.listeners += self.fronts
         self.listeners: list = list(self.fronts)
-        if config.agent:
+        if config.agent_check_address:
             self.listeners.append(
-                agent.AgentCheck(loop, owner, config.agent, self.log, inherited(config.agent))
+                agent.AgentCheck(
+                    loop, owner, config.agent_check_address, self.log, inherited(config.agent_check_address)
+                )
             )
-        if config.admin:
+        if config.admin_address:
             self.listeners.append(
                 Operators(
                     loop,
-                    config.admin,
+                    config.admin_address,
                     self._with_orders(
                         {
                             "/status": {"GET": self.status},
@@ -129,7 +135,7 @@
                         }
                     ),
                     self.log,
-                    inherited(config.admin),
+                    inherited(config.admin_address),
                 )
             )
         self.handed = {
@@ -183,10 +189,10 @@
             from ochrehoist.net.recovery import Recovery
 
             self.recovery = Recovery(loop, owner, config, self, self.log)
-        self.ending = Ending(loop, owner, self.fronts, config.stop_ms, self.log)
+        self.ending = Ending(loop, owner, self.fronts, config.shutdown_timeout_ms, self.log)
         self.room = {front: front.listening.limit for front in self.fronts}
-        if config.link:
-            self._take_up(config.link)
+        if config.handover_path:
+            self._take_up(config.handover_path)
         if self.kernel:
             self.kernel.shared = lambda: bool(
                 owner.forwarder or (self.predecessor and self.predecessor.present)
--- a/ochrehoist/capture/taker.py
+++ b/ochrehoist/capture/taker.py
@@ -69,12 +69,12 @@
         config, self.name = whole.capture, whole.name
         self.loop, self.owner, self.config, self.log = loop, owner, config, log
         self.folder = Path(config.folder)
-        self.many = whole.settings.tenants, whole.ajp.rules if whole.ajp else ()
+        self.many = whole.settings.tenants, whole.ajp.routes if whole.ajp else ()
         try:
             self.folder.mkdir(mode=0o700, exist_ok=True)
         except OSError as error:
             raise InvalidInputError(f"setting capture.folder: {self.folder}: {error.strerror}") from None
-        self.sample, self.batches = Sample(config.sample), Batches()
+        self.sample, self.batches = Sample(config.sample_fraction), Batches()
         # By request: itself, when it was read, and how many others ran and were held then.
         self.open: dict[str, tuple[InboundRequest, int, int, int]] = {}
         self.waiting: list[Record] = []
@@ -140,7 +140,7 @@
     def configure(self, new: Config) -> None:
         """Begins a new file, which tells the new classes; but not where only tenants or routes have changed:
         there may be thousands, and as many changes in a day. The next file tells them."""
-        many = new.settings.tenants, new.ajp.rules if new.ajp else ()
+        many = new.settings.tenants, new.ajp.routes if new.ajp else ()
         if many == self.many or replace(new.settings, tenants=()) != self.told_of:
             self._new_file(new.settings)
         self.many = many
@@ -152,7 +152,7 @@
         head = Head(
             self.name,
             self.started,
-            self.config.sample,
+            self.config.sample_fraction,
             s.cores,
             s.memory_kb,
             tuple(
@@ -220,8 +220,8 @@
             self.file.opened,
             time.monotonic(),
             self.file.size,
-            self.config.file_s,
-            int(self.config.file_mb * 1e6),
+            self.config.max_file_age_s,
+            int(self.config.max_file_mb * 1e6),
         )
 
     def close(self) -> None:
@@ -235,7 +235,7 @@
         """For operators."""
         return {
             "folder": str(self.folder),
-            "sample": self.config.sample,
+            "sample": self.config.sample_fraction,
             "written": self.written,
             "lost": self.batches.lost_in_all,
             "file_bytes": self.bytes,
--- a/ochrehoist/cli/main.py
+++ b/ochrehoist/cli/main.py
@@ -73,7 +73,7 @@
     """Read a configuration and say what is wrong, by the name of its key."""
     config = configuration.load(file)
     fronts = [name for name, on in (("Thrift", config.listen), ("AJP", config.ajp)) if on]
-    routes = f", {len(config.ajp.rules)} routes" if config.ajp else ""
+    routes = f", {len(config.ajp.routes)} routes" if config.ajp else ""
     click.echo(
         f"{file}: good; {config.name}, {len(config.settings.classes)} classes, "
         f"fronts: {', '.join(fronts)}; version {config.version}, "
@@ -89,10 +89,10 @@
 
 def _asked(path: str | None, method: str, target: str) -> tuple[bool, str]:
     config = configuration.load(path)
-    if config.admin is None:
+    if config.admin_address is None:
         raise InvalidInputError("setting admin: missing")
     try:
-        return ask(config.admin, method, target)
+        return ask(config.admin_address, method, target)
     except OSError as error:
         click.echo(f"ochrehoist: no answer from the worker: {error}", err=True)
         raise click.exceptions.Exit(NO) from None
--- a/ochrehoist/config/fleet.py
+++ b/ochrehoist/config/fleet.py
@@ -65,14 +65,14 @@
         raise InvalidInputError(f"setting {r.path}floor: above 1: {floor!r}")
     return BudgetConfig(
         name=r.text("name"),
-        use=use,
-        of=of,
+        kind=use,
+        subject=of,
         amount=r.whole("amount", least=1),
         lease_s=r.number("lease_ms", 2000, least=200) / 1000,
-        floor=floor,
+        floor_fraction=floor,
         floor_lease_s=r.number("floor_lease_s", 30, least=0.2),
-        longest_s=longest / 1000 if use == "server" else 0.0,
-        parts=r.whole("parts", 0),
+        max_run_s=longest / 1000 if use == "server" else 0.0,
+        slot_count=r.whole("parts", 0),
     )
 
 
@@ -114,10 +114,10 @@
         budgets.append(_budget(Reader(data, f"{r.path}budgets[{at}]."), tenants, servers, voters))
         if not len(budgets) % STEP:
             yield
-    for key in ("name", "of"):
-        seen = [(b.use if key == "of" else None, getattr(b, key)) for b in budgets]
-        if len(set(seen)) < len(seen):
-            raise InvalidInputError(f"setting {r.path}budgets: two of one {key}")
+    if len({b.name for b in budgets}) < len(budgets):
+        raise InvalidInputError(f"setting {r.path}budgets: two of one name")
+    if len({(b.kind, b.subject) for b in budgets}) < len(budgets):
+        raise InvalidInputError(f"setting {r.path}budgets: two of one of")
     members: dict[str, Address] = {}
     for name in others.data:
         members[name] = required(others, name, loopback=True)
@@ -125,16 +125,18 @@
             yield
     return PeersConfig(
         listen=listen,
-        address=address(r, "address", True) or listen,
+        advertised_address=address(r, "address", True) or listen,
         group=r.text("group"),
         site=r.text("site", "") or "",
         secrets=secret,
-        probe_ms=r.whole("probe_ms", 100, least=20),
+        protocol_period_ms=r.whole("probe_ms", 100, least=20),
         members=members,
-        start=tuple(required(Reader({"start": text}, r.path), "start", loopback=True) for text in starts),
-        voters=tuple(sorted(voters)),
-        most_out=most_out,
-        most_per_s=r.number("most_per_s", 3000, least=1),
+        seed_addresses=tuple(
+            required(Reader({"start": text}, r.path), "start", loopback=True) for text in starts
+        ),
+        lease_grantors=tuple(sorted(voters)),
+        max_ejected_fraction=most_out,
+        max_requests_per_s=r.number("most_per_s", 3000, least=1),
         budgets=tuple(budgets),
     )
 
@@ -148,7 +150,7 @@
     r = only(top.part("sites"), "site", "fleet", "playbook", "pace")
     if peers is None:
         raise InvalidInputError("setting sites: needs [peers]: sites are known by their workers")
-    if r.flag("pace", True) and not peers.voters:
+    if r.flag("pace", True) and not peers.lease_grantors:
         raise InvalidInputError(
             "setting peers.voters: missing: a site that comes back steps by their permit; or set "
             "sites.pace = false"
@@ -161,11 +163,15 @@
             places = Places.load(Path(file))
         except SiteMapError as error:
             raise InvalidInputError(f"setting {r.path}fleet: {error}") from None
-    site = r.text("site", None) or (places.site_of(peers.address[0]) if places else None) or peers.site
+    site = (
+        r.text("site", None)
+        or (places.site_of(peers.advertised_address[0]) if places else None)
+        or peers.site
+    )
     if not site:
         raise InvalidInputError(
             f"setting {r.path}site: missing, and no description of the fleet tells of "
-            f"{peers.address[0]}; nor does peers.site"
+            f"{peers.advertised_address[0]}; nor does peers.site"
         )
     if places is not None and site not in places.names:
         raise InvalidInputError(
@@ -177,7 +183,7 @@
             book = parse(Path(file).read_text(encoding="utf-8"), [c.name for c in settings.classes])
         except (OSError, ValueError, PlaybookError) as error:
             raise InvalidInputError(f"setting {r.path}playbook: {file}: {error}") from None
-    return SitesConfig(site=site, places=places, playbook=book, pace=r.flag("pace", True))
+    return SitesConfig(site=site, site_map=places, playbook=book, recovery_ramp=r.flag("pace", True))
 
 
 def recovery_of(top: Reader, peers: PeersConfig | None, state: StateConfig | None) -> RecoveryConfig | None:
@@ -194,5 +200,5 @@
         raise InvalidInputError(f"setting {r.path}witnesses: not in peers.members: {unknown}")
     if top.text("name") in witnesses:
         raise InvalidInputError(f"setting {r.path}witnesses: this worker itself is none")
-    wait = r.number("wait_ms", state.stall_ms if state is not None else 250, least=1)
-    return RecoveryConfig(witnesses=witnesses, wait_ms=wait)
+    wait = r.number("wait_ms", state.max_disk_wait_ms if state is not None else 250, least=1)
+    return RecoveryConfig(witnesses=witnesses, witness_timeout_ms=wait)
--- a/ochrehoist/config/loader.py
+++ b/ochrehoist/config/loader.py
@@ -18,7 +18,7 @@
     ON_LOSS,
     Address,
     AjpConfig,
-    AjpRule,
+    AjpRoute,
     AjpServer,
     CaptureConfig,
     Config,
@@ -56,14 +56,14 @@
 class _Rules:
     """Makes the elements of `ajp.rules`; one that is as before comes back as the same object."""
 
-    def __init__(self, before: tuple[AjpRule, ...]) -> None:
+    def __init__(self, before: tuple[AjpRoute, ...]) -> None:
         self.before, self.methods = before, {}
         self.known: dict[str, int] = {}  # places; such a dict is nothing to the collector
 
     def know_in_steps(self) -> Steps:
         for at, rule in enumerate(self.before):
             some = self.methods.setdefault(rule.methods, rule.methods)  # few sets for many rules
-            self.known[self._key(rule.uri, some, rule.kind)] = at
+            self.known[self._key(rule.uri, some, rule.request_class)] = at
             if not (at + 1) % STEP:
                 yield
 
@@ -74,7 +74,7 @@
         except InvalidInputError:
             into.append(data)
 
-    def _checked(self, data: Any, path: str, kinds: Mapping[str, str] | None) -> AjpRule:
+    def _checked(self, data: Any, path: str, kinds: Mapping[str, str] | None) -> AjpRoute:
         """Raises InvalidInputError, which names the key after `path`. `kinds`: names of classes; None: any
         will do.
         """
@@ -90,7 +90,7 @@
         some = frozenset(m.upper() for m in methods)
         some = self.methods.setdefault(some, some)
         at = self.known.get(self._key(uri, some, kind))
-        return AjpRule(uri, some, kind) if at is None else self.before[at]
+        return AjpRoute(uri, some, kind) if at is None else self.before[at]
 
     @staticmethod
     def _key(uri: str, methods: frozenset[str], kind: str) -> str:
@@ -98,16 +98,16 @@
 
     def all_in_steps(
         self, r: Reader, settings: AdmissionSettings
-    ) -> Generator[None, None, tuple[AjpRule, ...]]:
+    ) -> Generator[None, None, tuple[AjpRoute, ...]]:
         """All of them. Raises InvalidInputError."""
         kinds, out = {c.name: c.name for c in settings.classes}, []
         for item in r.items("rules"):
             for rule in self.before[item.start : item.stop] if type(item) is range else (item,):
-                if type(rule) is not AjpRule:
+                if type(rule) is not AjpRoute:
                     rule = self._checked(rule, f"{r.path}rules[{len(out)}].", kinds)
-                elif rule.kind not in kinds:
+                elif rule.request_class not in kinds:
                     raise InvalidInputError(
-                        f"setting {r.path}rules[{len(out)}].class: unknown class {rule.kind!r}"
+                        f"setting {r.path}rules[{len(out)}].class: unknown class {rule.request_class!r}"
                     )
                 out.append(rule)
                 if not len(out) % STEP:
@@ -133,9 +133,9 @@
                 name=server.text("name", None) or server.text("address"),
                 address=required(server, "address", loopback=True),
                 secret=server.text("secret", None),
-                connect_ms=server.whole("connect_ms", 500, least=1),
-                reply_ms=server.whole("reply_ms", 30_000, least=1),
-                max_idle=server.whole("max_idle", 8),
+                connect_timeout_ms=server.whole("connect_ms", 500, least=1),
+                reply_timeout_ms=server.whole("reply_ms", 30_000, least=1),
+                max_idle_connections=server.whole("max_idle", 8),
             )
         )
         if not len(out) % FEW:
@@ -182,16 +182,16 @@
         max_body=r.whole("max_body", 1 << 20),
         max_response=r.whole("max_response", 1 << 20, least=1),
         max_connections=r.whole("max_connections", 256, least=1),
-        idle_s=r.number("idle_s", 60, least=0.1),
-        body_s=r.number("body_s", 10, least=0.05),
-        retry_ms=r.whole("retry_ms", 2000),
+        idle_timeout_s=r.number("idle_s", 60, least=0.1),
+        body_timeout_s=r.number("body_s", 10, least=0.05),
+        server_backoff_ms=r.whole("retry_ms", 2000),
         memory_kb=r.number("memory_kb", 24.0),
         health_uri=r.text("health_uri", "/healthz").encode(),
         tenant_header=header(headers, "tenant", "X-Tenant"),
         default_tenant=tenant,
         key_header=header(headers, "key", "Idempotency-Key"),
         retry_header=header(headers, "retry", "X-Retry"),
-        rules=(yield from rules.all_in_steps(r, settings)),
+        routes=(yield from rules.all_in_steps(r, settings)),
         servers=(yield from _servers(r)),
     )
 
@@ -254,12 +254,12 @@
         folder=r.text("folder"),
         must_exist=r.flag("must_exist", False),
         max_mb=r.number("max_mb", 256, least=1),
-        commit_ms=r.number("commit_ms", 0),
-        stall_ms=r.number("stall_ms", 250, least=1),
+        group_commit_delay_ms=r.number("commit_ms", 0),
+        max_disk_wait_ms=r.number("stall_ms", 250, least=1),
         on_loss=r.choice("on_loss", {word: word for word in ON_LOSS}, "hold"),
         max_result_kb=r.number("max_result_kb", 1024),
-        learned_every_s=r.number("learned_every_s", 5, least=0.1),
-        learned_half_life_s=r.number("learned_half_life_s", 3600, least=1),
+        snapshot_interval_s=r.number("learned_every_s", 5, least=0.1),
+        snapshot_half_life_s=r.number("learned_half_life_s", 3600, least=1),
     )
 
 
@@ -272,10 +272,10 @@
         raise InvalidInputError(f"setting {r.path}sample: not above 0 and at most 1: {sample!r}")
     return CaptureConfig(
         folder=r.text("folder"),
-        sample=sample,
+        sample_fraction=sample,
         max_mb=r.number("max_mb", 256, least=1),
-        file_mb=r.number("file_mb", 16, least=0.01),
-        file_s=r.number("file_s", 3600, least=1),
+        max_file_mb=r.number("file_mb", 16, least=0.01),
+        max_file_age_s=r.number("file_s", 3600, least=1),
     )
 
 
@@ -306,12 +306,12 @@
         raise InvalidInputError(f"setting {r.path}least_running: over the most that may run: {least}")
     return OverloadConfig(
         admission=r.flag(admission, True),
-        pools=r.flag("pools", True),
-        least=least,
-        most=most,
+        bulkheads=r.flag("pools", True),
+        min_running=least,
+        max_running=most,
         controller=r.choice("controller", {name: name for name in CONTROLLERS}, CONTROLLERS[0]),
-        lane=r.flag("lane", False),
-        retries=r.flag("retries", False),
+        low_priority_lane=r.flag("lane", False),
+        retry_budget=r.flag("retries", False),
     )
 
 
@@ -326,7 +326,7 @@
         fleet = yield from fleet_tables(top, settings, places, ajp, state)
     return {
         "ajp": ajp,
-        "agent": address(console, "agent_check", True),
+        "agent_check_address": address(console, "agent_check", True),
         "state": state,
         "capture": _capture(top),
         "overload": _overload(top, settings),
@@ -344,10 +344,10 @@
         "settings": settings,
         "gauges": tuple(gauges),
         "seed": seed,
-        "stop_ms": top.whole("stop_ms", 3000, least=1),
+        "shutdown_timeout_ms": top.whole("stop_ms", 3000, least=1),
         "memory_mb": limits.number("memory_mb", 192, least=1),
-        "sockets": limits.whole("sockets", 1024, least=64),
-        "tenants_at": places,
+        "max_sockets": limits.whole("sockets", 1024, least=64),
+        "tenant_positions": places,
     }
 
 
@@ -431,14 +431,14 @@
         top.data["admin"] = environment["EDGE_ADMIN"]
     try:
         common = yield from _common(top, secrets.randbits(64), tenants)
-        tables = yield from _operators(top, common["settings"], common["tenants_at"], rules)
+        tables = yield from _operators(top, common["settings"], common["tenant_positions"], rules)
     except InvalidInputError as error:
         raise _placed(error, read.lines) from None
-    source = read.source(digest, {TENANTS: common["settings"].tenants, RULES: tables["ajp"].rules})
+    source = read.source(digest, {TENANTS: common["settings"].tenants, RULES: tables["ajp"].routes})
     return Config(
         **common,
-        admin=address(top, "admin", True),
-        link=_link(common["name"], environment),
+        admin_address=address(top, "admin", True),
+        handover_path=_link(common["name"], environment),
         version=_version(digest),
         source=source,
         **tables,
@@ -451,8 +451,8 @@
         return Tenants(), _Rules(())
     kept = before.source.kept if before.source is not None else {}
     tenants = kept[TENANTS].elements if TENANTS in kept else before.settings.tenants
-    rules = kept[RULES].elements if RULES in kept else before.ajp.rules if before.ajp else ()
-    return Tenants(tenants, before.tenants_at), _Rules(rules)
+    rules = kept[RULES].elements if RULES in kept else before.ajp.routes if before.ajp else ()
+    return Tenants(tenants, before.tenant_positions), _Rules(rules)
 
 
 def _platform(path: str, environment: Mapping[str, str], before: Config | None) -> Steps:
@@ -475,12 +475,12 @@
     out = Config(
         **common,
         listen=listen,
-        passed=_passed(environment, listen),
-        link=_link(common["name"], environment),
-        keys=_keys(data),
-        kernel=required(top, "kernel"),
-        members=address(top, "members"),
-        admin=address(top, "admin"),
+        inherited_fd=_passed(environment, listen),
+        handover_path=_link(common["name"], environment),
+        platform_keys=_keys(data),
+        kernel_address=required(top, "kernel"),
+        membership_address=address(top, "members"),
+        admin_address=address(top, "admin"),
         version=_version(text.digest),
         source=_json_source(data, text, common["settings"]),
     )
@@ -488,7 +488,7 @@
         return out
     appliance, read, digest = yield from _toml(second, "OCHREHOIST_AJP", rules, Tenants(), None)
     try:
-        tables = yield from _operators(appliance, out.settings, out.tenants_at, rules)
+        tables = yield from _operators(appliance, out.settings, out.tenant_positions, rules)
     except InvalidInputError as error:
         raise _placed(error, read.lines) from None
     return replace(out, version=_version(text.digest, digest), **tables)
@@ -523,8 +523,33 @@
 
 # ---- a configuration read again while the worker runs
 
-LIVE = frozenset({"kernel", "members", "settings", "gauges", "overload", "peers", "sites"})
+LIVE = frozenset({"kernel_address", "membership_address", "settings", "gauges", "overload", "peers", "sites"})
 FIXED_AJP = frozenset({"listen", "packet_size", "max_response", "max_connections"})  # in use by connections
+# What the log and `ochrehoist check` call a field: by field name, where the two differ.
+WRITTEN_KEYS = {
+    "kernel_address": "kernel",
+    "membership_address": "members",
+    "admin_address": "admin",
+    "agent_check_address": "agent",
+    "shutdown_timeout_ms": "stop_ms",
+    "max_sockets": "sockets",
+}
+WRITTEN_STATE_KEYS = {
+    "group_commit_delay_ms": "commit_ms",
+    "max_disk_wait_ms": "stall_ms",
+    "snapshot_interval_s": "learned_every_s",
+    "snapshot_half_life_s": "learned_half_life_s",
+}
+WRITTEN_AJP_KEYS = {
+    "idle_timeout_s": "idle_s",
+    "body_timeout_s": "body_s",
+    "server_backoff_ms": "retry_ms",
+    "routes": "rules",
+}
+
+
+def _written(names: set[str], table: Mapping[str, str]) -> set[str]:
+    return {table.get(name, name) for name in names}
 
 
 def _differing(old: Any, new: Any) -> set[str]:
@@ -533,12 +558,18 @@
 
 def taken_over(old: Config, new: Config) -> tuple[Config, list[str]]:
     """The old configuration with what can change in a running worker, and the keys that differ but can't."""
-    for key in sorted(old.keys - new.keys):
+    for key in sorted(old.platform_keys - new.platform_keys):
         raise InvalidInputError(f"setting {key}: missing")
-    old = replace(old, keys=new.keys, version=new.version, tenants_at=new.tenants_at, source=new.source)
+    old = replace(
+        old,
+        platform_keys=new.platform_keys,
+        version=new.version,
+        tenant_positions=new.tenant_positions,
+        source=new.source,
+    )
     if None not in (old.peers, new.peers):
         # Majorities of two lists that differ by more need not share a voter.
-        if len(set(old.peers.voters) ^ set(new.peers.voters)) > 1:
+        if len(set(old.peers.lease_grantors) ^ set(new.peers.lease_grantors)) > 1:
             raise InvalidInputError(
                 "setting peers.voters: change one name at a time, and wait for the longest lease"
             )
@@ -546,19 +577,30 @@
             raise InvalidInputError("setting peers.listen, peers.group: need a restart")
     if None not in (old.sites, new.sites) and old.sites.site != new.sites.site:
         raise InvalidInputError("setting sites.site: needs a restart")
-    differing = _differing(old, new) - {"seed", "ajp", "link", "passed"}  # used up at the start
+    differing = _differing(old, new) - {
+        "seed",
+        "ajp",
+        "handover_path",
+        "inherited_fd",
+    }  # used up at the start
     for key in LIVE & differing:  # a part that was not started has nothing to hand the address to
         if None not in (getattr(old, key), getattr(new, key)):
             differing.remove(key)
             old = replace(old, **{key: getattr(new, key)})
     if "state" in differing and None not in (old.state, new.state):
         differing.remove("state")
-        differing |= {f"state.{key}" for key in _differing(old.state, new.state)}
+        state_keys = _written(_differing(old.state, new.state), WRITTEN_STATE_KEYS)
+        differing |= {f"state.{key}" for key in state_keys}
+    differing = _written(differing, WRITTEN_KEYS)
     if None in (old.ajp, new.ajp):
         return old, sorted(differing | ({"ajp"} if old.ajp is not new.ajp else set()))
     changed = _differing(old.ajp, new.ajp)
     fixed = changed & FIXED_AJP
-    if sum(s.max_idle for s in new.ajp.servers) > sum(s.max_idle for s in old.ajp.servers):
+    if sum(s.max_idle_connections for s in new.ajp.servers) > sum(
+        s.max_idle_connections for s in old.ajp.servers
+    ):
         fixed.add("servers")  # the descriptors for them were set aside at the start
     live = {key: getattr(new.ajp, key) for key in changed - fixed}
-    return replace(old, ajp=replace(old.ajp, **live)), sorted(differing | {f"ajp.{key}" for key in fixed})
+    return replace(old, ajp=replace(old.ajp, **live)), sorted(
+        differing | {f"ajp.{key}" for key in _written(fixed, WRITTEN_AJP_KEYS)}
+    )
--- a/ochrehoist/lab/hollow.py
+++ b/ochrehoist/lab/hollow.py
@@ -396,7 +396,9 @@
         config = replace(
             config,
             name=w["name"],
-            peers=replace(config.peers, listen=listen, address=listen, site=t["site"], members=members),
+            peers=replace(
+                config.peers, listen=listen, advertised_address=listen, site=t["site"], members=members
+            ),
         )
         hollow = Hollow(self.loop, self.network, config, self._path(w), self.spec["seed"], self.log)
         self.hollows[w["name"]] = hollow
--- a/ochrehoist/net/ajp_front.py
+++ b/ochrehoist/net/ajp_front.py
@@ -69,8 +69,8 @@
     ) -> Generator[None, None, Callable[[], None]]:
         """In steps that are well under 1 ms each; nothing changes before the call that it gives."""
         index = self.index
-        if self.config is None or config.rules is not self.config.rules:
-            index = yield from RouteIndex.in_steps(config.rules)
+        if self.config is None or config.routes is not self.config.routes:
+            index = yield from RouteIndex.in_steps(config.routes)
         classes = {c.name: c for c in settings.classes}
         longest_secret = max(len(s.secret.encode()) + 4 if s.secret else 0 for s in config.servers)
 
@@ -93,7 +93,7 @@
         rule = self.index.find(f.method, path)
         if rule is None:
             raise Rejected(HTTPStatus.NOT_FOUND, "no class for this request")
-        cls = self.classes[rule.kind]
+        cls = self.classes[rule.request_class]
         try:
             return cls, *self._details(f, cls)
         except Rejected as error:
@@ -221,7 +221,9 @@
                 # and the half-sent must not keep descriptors.
                 until = time.monotonic() + WHOLE
                 if not self.stream.buffer:
-                    self.stream.fill(config.idle_s if self.known else min(config.idle_s, WHOLE))
+                    self.stream.fill(
+                        config.idle_timeout_s if self.known else min(config.idle_timeout_s, WHOLE)
+                    )
                 left = time.monotonic() + WHOLE if self.known else until
                 packet = read_packet(self.stream, ajp.TO_CONTAINER, size, left - time.monotonic())
                 self.known, arrived = True, time.time_ns()  # a slow sender's time counts from its last byte
@@ -280,7 +282,10 @@
                 self.stream.close_when_sent()  # a body broken off: this connection is out of step
             elif unread:
                 read_packet(
-                    self.stream, ajp.TO_CONTAINER, self.front.config.packet_size, self.front.config.body_s
+                    self.stream,
+                    ajp.TO_CONTAINER,
+                    self.front.config.packet_size,
+                    self.front.config.body_timeout_s,
                 )
             return
         request = self.front.reader.request(f, checked, body, arrived, responder)
--- a/ochrehoist/net/ajp_server.py
+++ b/ochrehoist/net/ajp_server.py
@@ -167,7 +167,7 @@
     def _order(self) -> Iterator[Pool]:
         """The least busy first; those that could not be reached lately last."""
         now = time.monotonic()
-        retry = self.config.retry_ms / 1000
+        retry = self.config.server_backoff_ms / 1000
         return iter(sorted(self.pools, key=lambda p: (now - p.failed_at < retry, p.busy)))
 
     def _connection(self, pool: Pool) -> Stream | None:
@@ -177,13 +177,13 @@
             with suppress(ConnectionClosedError, StreamTimeoutError, ajp.MalformedPacketError):
                 stream.write(ajp.PING_PACKET)
                 answer = read_packet(
-                    stream, ajp.TO_SERVER, self.config.packet_size, pool.server.connect_ms / 1000
+                    stream, ajp.TO_SERVER, self.config.packet_size, pool.server.connect_timeout_ms / 1000
                 )
                 if answer[:1] == bytes((ajp.CPONG,)):
                     return stream
             stream.close()
         try:
-            return connect(self.loop, pool.server.address, pool.server.connect_ms / 1000)
+            return connect(self.loop, pool.server.address, pool.server.connect_timeout_ms / 1000)
         except OSError as error:
             self.log.warning("AJP server out of reach", server=pool.server.name, why=str(error))
             return None
@@ -193,7 +193,7 @@
     ) -> RunResult:
         size, room = self.config.packet_size, self.config.packet_size - ajp.HEAD - 2
         reuse, sent, found = False, 0, None
-        until = time.monotonic() + min(pool.server.reply_ms / 1000, longest or float("inf"))
+        until = time.monotonic() + min(pool.server.reply_timeout_ms / 1000, longest or float("inf"))
         secret = pool.server.secret.encode() if pool.server.secret else None
         body = bytearray()
         try:
@@ -239,7 +239,7 @@
                 reuse
                 and not stream.buffer
                 and not stream.ended
-                and len(pool.idle) < pool.server.max_idle
+                and len(pool.idle) < pool.server.max_idle_connections
                 and any(pool is known for known in self.pools)
             ):
                 pool.idle.append((stream, time.monotonic()))
@@ -247,7 +247,7 @@
                 stream.close()
 
     def _sweep(self) -> None:
-        before = time.monotonic() - self.config.idle_s
+        before = time.monotonic() - self.config.idle_timeout_s
         for pool in self.pools:
             for entry in [e for e in pool.idle if e[1] < before]:
                 pool.idle.remove(entry)
--- a/ochrehoist/net/peers.py
+++ b/ochrehoist/net/peers.py
@@ -35,13 +35,13 @@
         Budget(
             name=b.name,
             amount=b.amount,
-            voters=p.voters,
-            runs=b.use == "server",
+            voters=p.lease_grantors,
+            runs=b.kind == "server",
             lease_s=b.lease_s,
-            floor=b.floor,
+            floor=b.floor_fraction,
             floor_lease_s=b.floor_lease_s,
-            longest_s=b.longest_s,
-            parts=b.parts,
+            longest_s=b.max_run_s,
+            parts=b.slot_count,
         )
         for b in p.budgets
     )
@@ -50,19 +50,19 @@
         from ochrehoist.sites.permit import permit
 
         site = config.sites.site
-        budgets += (permit(p.voters),) if p.voters else ()
+        budgets += (permit(p.lease_grantors),) if p.lease_grantors else ()
     servers = tuple(s.name for s in config.ajp.servers) if config.ajp else ()
     return Terms(
         p.group,
-        _text(p.address),
+        _text(p.advertised_address),
         site,
         {n: _text(a) for n, a in p.members.items()},
-        tuple(_text(a) for a in p.start),
-        p.probe_ms / 1000,
+        tuple(_text(a) for a in p.seed_addresses),
+        p.protocol_period_ms / 1000,
         budgets,
         servers,
-        p.most_out,
-        p.most_per_s,
+        p.max_ejected_fraction,
+        p.max_requests_per_s,
     )
 
 
@@ -111,14 +111,14 @@
         owner.live_tenants = self.live_tenants
 
     def _budgets(self) -> None:
-        self.tenants = {b.of: b.name for b in self.config.budgets if b.use == "tenant"}
-        self.repeats = {b.of: b.name for b in self.config.budgets if b.use == "repeats"}
-        self.servers = {b.of: b.name for b in self.config.budgets if b.use == "server"}
+        self.tenants = {b.subject: b.name for b in self.config.budgets if b.kind == "tenant"}
+        self.repeats = {b.subject: b.name for b in self.config.budgets if b.kind == "repeats"}
+        self.servers = {b.subject: b.name for b in self.config.budgets if b.kind == "server"}
 
     def prepare(self, config: Config, tenants: Tenants) -> Generator[None, None, Callable[[], None]]:
         """What a configuration read again comes to; nothing changes before the call that it gives."""
         peers = config.peers or self.config
-        budgets = {b.of: b.name for b in peers.budgets if b.use == "tenant"}
+        budgets = {b.subject: b.name for b in peers.budgets if b.kind == "tenant"}
         told = tenants, self._told(tenants, budgets, config.settings.fleet_size)
         yield
         return lambda: self._configure(config, told)
--- a/ochrehoist/net/recovery.py
+++ b/ochrehoist/net/recovery.py
@@ -48,7 +48,7 @@
     def __init__(self, loop: Loop, owner: Owner, config: Config, worker: Any, log: Any) -> None:
         """`worker`: its journal, peers and sites are looked at."""
         self.loop, self.owner, self.worker, self.log = loop, owner, worker, log
-        self.config, self.patience = config.recovery, config.recovery.wait_ms / 1000
+        self.config, self.patience = config.recovery, config.recovery.witness_timeout_ms / 1000
         now = time.monotonic()
         self.memory, self.begins = Memory(now), Begins(self.config.witnesses)
         self.asked: Asked | None = None
@@ -203,7 +203,7 @@
             if w.journal.restored and not self.testified:
                 hold = max(hold, 0.1)
         peers = None
-        if self.peers is not None and (self.peers.config.members or self.peers.config.start):
+        if self.peers is not None and (self.peers.config.members or self.peers.config.seed_addresses):
             peers = self.peers.group.members.established
         answered = None
         if w.config.ajp and any(p.failed_at > self.way.began for p in w.gauge_source.pools):
--- a/ochrehoist/net/sites.py
+++ b/ochrehoist/net/sites.py
@@ -54,7 +54,7 @@
             owner.settings,
             c.playbook,
             time.monotonic(),
-            came_back and c.pace,
+            came_back and c.recovery_ramp,
             owner.tenants,
         )
         self.desk.ask_permit, self.desk.drop_permit = self._permit, self._let_go
@@ -75,7 +75,7 @@
     # ---- time
     def _look(self) -> None:
         now = time.monotonic()
-        places = self.config.places
+        places = self.config.site_map
         self.desk.look(now, heard(self.peers.group, places.site_of if places else None))
         if self.desk.ramp is None:
             self._let_go()
--- a/ochrehoist/overload/limiter.py
+++ b/ochrehoist/overload/limiter.py
@@ -41,7 +41,7 @@
             self.config,
             max(settings.cores + 1, int(settings.cores * settings.collapse_multiple * 0.8)),
         )
-        bounds = Bounds(c.least or max(1, settings.cores // 4), c.most or crowd)
+        bounds = Bounds(c.min_running or max(1, settings.cores // 4), c.max_running or crowd)
         kind = CONTROLLERS.get(c.controller, Fixed)
         if not isinstance(self.controller, kind) or kind is Fixed:
             self.controller = kind(bounds.keep(float(settings.cores)), bounds)
@@ -64,7 +64,7 @@
         t = self._pass(now)
         if (seen := self.seen.get(r.cls.name)) is not None:
             seen.came = t
-        if not self.config.retries:
+        if not self.config.retry_budget:
             return None
         full = self.running >= self.settings.cores and any(s.held for s in self.seen.values())
         allowed = self.storms.allows(self._caller(r), self._likeness(r), r.retry, full, t)
@@ -75,7 +75,7 @@
 
     def times(self, r: InboundRequest, now: int) -> float:
         """How many times the usual it will cost."""
-        if not self.config.lane:
+        if not self.config.low_priority_lane:
             return 1.0
         return self.outliers.times(r, now / S)
 
@@ -104,14 +104,14 @@
         work = r.work / S if r.work else self.units.get(r.cls.name, 1.0)
         # One that costs many times what it states would look like a machine gone slow.
         self.windows.ended(t, work * (times if times >= HEAVY and not r.work else 1.0), took / S)
-        if self.config.lane and r.times <= 1 and times > TOLD:
+        if self.config.low_priority_lane and r.times <= 1 and times > TOLD:
             self.clipped += 1
             return int(took * TOLD / times)
         return took
 
     def refused(self, r: InboundRequest, backoff: int, now: int) -> int:
         """The time to stay away that it is told."""
-        if not self.config.retries:
+        if not self.config.retry_budget:
             return backoff
         self.storms.was_refused(self._likeness(r), now / S)
         return self.storms.spread(backoff)
@@ -121,13 +121,13 @@
         t = self._pass(now)
         for name, seen in self.seen.items():
             seen.held = held.get(name, 0)
-        if not self.config.pools:
+        if not self.config.bulkheads:
             return None
         if (w := self.windows.close(t)) is not None:
             self.controller.window(w)
         self.cheap = cheap(self.seen)
         total = None if self.config.controller == "module" else self.controller.limit
-        new = limits(total, self.settings, self.seen, t, self.cheap, self.config.lane)
+        new = limits(total, self.settings, self.seen, t, self.cheap, self.config.low_priority_lane)
         if new == self.told:
             return None
         self.told = new
--- a/ochrehoist/routes.py
+++ b/ochrehoist/routes.py
@@ -12,13 +12,13 @@
 from collections.abc import Generator, Iterable
 from fnmatch import translate
 
-from ochrehoist.config.loader import AjpRule
+from ochrehoist.config.loader import AjpRoute
 
 STEP = 50  # rules placed in a step, about 0.2 ms; one that needs a regular expression ends its step
 WILD = re.compile(r"[][*?]")  # each may be a wildcard; taken for one that it isn't, it only shortens an end
 
 Middle = tuple[str, ...] | re.Pattern | None  # what is between the ends: texts between `*`; None: one `*`
-Placed = tuple[int, AjpRule, Middle]  # with its position
+Placed = tuple[int, AjpRoute, Middle]  # with its position
 Lengths = dict[int, int]  # of ends, and for each the position of the first rule that has one; these ascend
 
 
@@ -49,7 +49,7 @@
         self._closed_lengths: Lengths = {}
 
     @classmethod
-    def in_steps(cls, rules: Iterable[AjpRule]) -> Generator[None, None, "RouteIndex"]:
+    def in_steps(cls, rules: Iterable[AjpRoute]) -> Generator[None, None, "RouteIndex"]:
         """Built by a generator that returns it: each step is well under 1 ms of work."""
         index = cls()
         for rule in rules:
@@ -57,7 +57,7 @@
                 yield
         return index
 
-    def _place(self, rule: AjpRule) -> bool:
+    def _place(self, rule: AjpRoute) -> bool:
         """Adds one behind the others; whether that took a regular expression."""
         uri, position = rule.uri, self.count
         self.count += 1
@@ -81,7 +81,7 @@
             self._open.setdefault(begin, []).append((position, rule, middle))
         return isinstance(middle, re.Pattern)
 
-    def find(self, method: str, path: str) -> AjpRule | None:
+    def find(self, method: str, path: str) -> AjpRoute | None:
         """The first rule that fits; None where none does."""
         best, found, size = self.count, None, len(path)
         for position, rule, _ in self._literal.get(path, ()):
--- a/ochrehoist/store/journal.py
+++ b/ochrehoist/store/journal.py
@@ -60,7 +60,7 @@
     ) -> None:
         self.loop, self.owner, self.config, self.name = loop, owner, config, name
         self.codec, self.log, self.folder = codec, log, Path(config.folder)
-        self.backlog = Backlog(config.commit_ms / 1000, config.stall_ms / 1000)
+        self.backlog = Backlog(config.group_commit_delay_ms / 1000, config.max_disk_wait_ms / 1000)
         self.lock: Lock | None = None
         self.opened: Opened | None = None
         self.witness: Witness | None = None
@@ -167,7 +167,7 @@
                     opened.learned.values,
                     opened.learned.at,
                     stamp_now(),
-                    int(self.config.learned_half_life_s * SECOND),
+                    int(self.config.snapshot_half_life_s * SECOND),
                     self.owner.started_cold,
                 )
             except (KeyError, TypeError, ValueError) as fault:
@@ -194,7 +194,7 @@
         for call in self.when_restored:
             call()
         self._look()
-        self.loop.call_later(self.config.learned_every_s, self._learn)
+        self.loop.call_later(self.config.snapshot_interval_s, self._learn)
 
     # ---- what the core asks
     def refuses(self, token: IdempotencyKey) -> Rejection | None:
@@ -399,7 +399,7 @@
         if self.stopping or self.released:
             return
         self.save_learned()
-        self.loop.call_later(self.config.learned_every_s, self._learn)
+        self.loop.call_later(self.config.snapshot_interval_s, self._learn)
 
     def save_learned(self) -> None:
         if self.owner.controller is not None and self.restored:
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -187,7 +187,7 @@
 
     def test_one_route_changed_does_as_well_and_the_module_hears_nothing_of_it(self):
         worker = self.flat(lambda folder, count, routes: appliance(folder, range(count), routes + 1))
-        self.assertEqual(len(worker.fronts[0].config.rules), 1301)
+        self.assertEqual(len(worker.fronts[0].config.routes), 1301)
         self.assertIs(worker.owner.controller.s.tenants, worker.owner.tenants.places)
 
     def test_each_tenant_changed_and_a_class_too_is_a_fresh_module_that_looks_at_each_once(self):
--- a/tests/test_config_at_size.py
+++ b/tests/test_config_at_size.py
@@ -176,7 +176,9 @@
             self.assertEqual(now.settings, fresh.settings)
             self.assertEqual(now.ajp, fresh.ajp)
             self.assertEqual(now.version, fresh.version)
-            self.assertEqual(dict(now.tenants_at), {t.name: n for n, t in enumerate(now.settings.tenants)})
+            self.assertEqual(
+                dict(now.tenant_positions), {t.name: n for n, t in enumerate(now.settings.tenants)}
+            )
             known = {id(t) for t in before.settings.tenants}
             for t in now.settings.tenants:
                 if t in before.settings.tenants:
@@ -184,10 +186,10 @@
             if now.settings.tenants == before.settings.tenants:
                 self.assertIs(now.settings.tenants, before.settings.tenants)
             if not as_json:
-                known = {id(r) for r in before.ajp.rules}
-                self.assertTrue(all(id(r) in known for r in now.ajp.rules if r in before.ajp.rules))
-                if now.ajp.rules == before.ajp.rules:
-                    self.assertIs(now.ajp.rules, before.ajp.rules)
+                known = {id(r) for r in before.ajp.routes}
+                self.assertTrue(all(id(r) in known for r in now.ajp.routes if r in before.ajp.routes))
+                if now.ajp.routes == before.ajp.routes:
+                    self.assertIs(now.ajp.routes, before.ajp.routes)
             taken, _ = config.taken_over(before, now)
             self.assertEqual(taken.settings, now.settings)
             self.assertIs(taken.settings.tenants, now.settings.tenants)
@@ -403,8 +405,8 @@
                 figures.append(counted.parsed)
                 old, new = ({id(t) for t in c.settings.tenants} for c in (before, now))
                 self.assertEqual(len(new - old), edit != "goes")
-                self.assertEqual(list(now.tenants_at), [t.name for t in now.settings.tenants])
-                self.assertEqual(list(now.tenants_at.values()), list(range(len(now.settings.tenants))))
+                self.assertEqual(list(now.tenant_positions), [t.name for t in now.settings.tenants])
+                self.assertEqual(list(now.tenant_positions.values()), list(range(len(now.settings.tenants))))
             self.assertEqual(len(set(figures)), 1, (edit, figures))
 
     def test_the_platforms_file_is_read_element_by_element_and_makes_what_is_new(self):
@@ -452,7 +454,7 @@
         for text in forms:
             now, count = steps(config.load_in_steps(self.file(text), {}, first))
             self.assertIs(now.settings.tenants, first.settings.tenants)
-            self.assertIs(now.ajp.rules, first.ajp.rules)
+            self.assertIs(now.ajp.routes, first.ajp.routes)
             self.assertIsNone(now.source)
             self.assertGreater(count, 10)
             self.assertEqual(sys.getswitchinterval(), interval)
@@ -479,7 +481,7 @@
     def test_one_bad_among_58_000_is_told_with_key_and_line_and_two_of_one_name_with_both_places(self):
         good = large(MANY, ROUTES)
         before = self.load(good)
-        self.assertEqual((len(before.settings.tenants), len(before.ajp.rules)), (MANY, ROUTES))
+        self.assertEqual((len(before.settings.tenants), len(before.ajp.routes)), (MANY, ROUTES))
         header = "[[settings.Tenants]]"
 
         def line(at):
@@ -500,7 +502,7 @@
         self.assertIn("setting ajp.rules[3799].uri: does not start with /: 'none'", said)
         again = self.load(good, before)
         self.assertIs(again.settings.tenants, before.settings.tenants)
-        self.assertIs(again.ajp.rules, before.ajp.rules)
+        self.assertIs(again.ajp.routes, before.ajp.routes)
 
     def test_the_platforms_file_and_the_first_message_take_58_000_and_refuse_two_of_one_name(self):
         listed = [tenant(at) for at in range(MANY)]
@@ -532,8 +534,8 @@
 
     def test_the_platforms_worker_loads_nothing_for_files_that_it_has_not(self):
         code = (
-            "import sys; from ochrehoist import worker, config; config.load(sys.argv[1], {}); "
-            "print(*sys.modules)"
+            "import sys; from ochrehoist.app import worker; from ochrehoist.config import loader; "
+            "loader.load(sys.argv[1], {}); print(*sys.modules)"
         )
         file = self.file(json.dumps(platform([tenant(0)])), "a.json")
         done = subprocess.run(
@@ -545,7 +547,10 @@
         )
 
     def test_a_short_file_does_not_load_the_reader_in_parts(self):
-        code = "import sys; from ochrehoist import config; config.load(sys.argv[1], {}); print(*sys.modules)"
+        code = (
+            "import sys; from ochrehoist.config import loader; loader.load(sys.argv[1], {}); "
+            "print(*sys.modules)"
+        )
         loaded = []
         for text in (toml_file(appliance([tenant(0)], [rule(0)])), large(1_000, 65)):
             done = subprocess.run(
@@ -559,27 +564,22 @@
         self.assertEqual(loaded, [False, True])
 
     def test_no_module_of_the_configuration_needs_one_that_needs_it(self):
-        names = [
-            "config",
-            "config_fleet",
-            "config_json",
-            "config_source",
-            "config_toml",
-            "config_types",
-            "config_values",
-            "settings",
-        ]
+        folder = Path(ROOT, "ochrehoist", "config")
+        names = {path.stem for path in folder.glob("*.py")} - {"__init__"}
+        self.assertLessEqual(
+            {"fleet", "json_reader", "loader", "schema", "settings", "source", "toml_reader", "values"}, names
+        )
         needs = {
             name: set(
                 re.findall(
-                    r"^\s*(?:from ochrehoist\.(\w+) import|from ochrehoist import (\w+))",
-                    Path(ROOT, "ochrehoist", f"{name}.py").read_text(),
+                    r"^\s*(?:from ochrehoist\.config\.(\w+) import|from ochrehoist\.config import (\w+))",
+                    Path(folder, f"{name}.py").read_text(),
                     re.MULTILINE,
                 )
             )
             for name in names
         }
-        needs = {name: {a or b for a, b in found} & set(names) for name, found in needs.items()}
+        needs = {name: {a or b for a, b in found} & names for name, found in needs.items()}
         while needs:
             free = {name for name, others in needs.items() if not others & needs.keys()}
             self.assertTrue(free, needs)
--- a/tests/test_overload_parts.py
+++ b/tests/test_overload_parts.py
@@ -405,7 +405,7 @@
         self.assertEqual(outliers.times(request(work=100 * S), 500.0), 1.0)
 
     def test_the_module_does_not_learn_a_class_from_its_outliers(self):
-        limiter, now = Limiter(OverloadConfig(lane=True), SITE, 1), 0
+        limiter, now = Limiter(OverloadConfig(low_priority_lane=True), SITE, 1), 0
         told = []
         for n in range(400):
             r, took = request(), (1500 if n % 40 == 39 else 100) * MS
@@ -421,7 +421,7 @@
         self.assertEqual(limiter.ended(foreseen, now, 1500 * MS, Outcome.OK), 1500 * MS)
 
     def test_what_is_foreseen_as_heavy_and_never_run_leaves_nothing_behind(self):
-        limiter = Limiter(OverloadConfig(lane=True), SITE, 1)
+        limiter = Limiter(OverloadConfig(low_priority_lane=True), SITE, 1)
         for n in range(100):
             r, took = request(work=(100 + n) * MS), (100 + n) * MS
             limiter.begun(r, n * S)
@@ -464,7 +464,7 @@
         self.assertGreater(len(set(told)), 40)
 
     def test_filings_and_cheap_classes_are_never_denied(self):
-        limiter = Limiter(OverloadConfig(retries=True), SITE, 1)
+        limiter = Limiter(OverloadConfig(retry_budget=True), SITE, 1)
         limiter.running, limiter.seen["read"].held = 9, 3
         for n in range(60):
             limiter.refused(request(), S, n * MS)
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -9,7 +9,7 @@
 from stand_ins import ROOT, interpreter_steps
 
 from ochrehoist.admission.settings import RequestClass
-from ochrehoist.config.loader import AjpRule, load_appliance
+from ochrehoist.config.loader import AjpRoute, load_appliance
 from ochrehoist.config.settings import at_once
 from ochrehoist.net import ajp
 from ochrehoist.net.ajp_front import AjpReader, Rejected
@@ -28,7 +28,7 @@
 def rules(*uris):
     """Each a pattern, or a pattern and its methods."""
     named = [(u, ()) if isinstance(u, str) else u for u in uris]
-    return tuple(AjpRule(uri, frozenset(methods), f"{n}") for n, (uri, methods) in enumerate(named))
+    return tuple(AjpRoute(uri, frozenset(methods), f"{n}") for n, (uri, methods) in enumerate(named))
 
 
 PIECES = (
@@ -64,7 +64,7 @@
 METHODS = ("GET", "HEAD", "POST", "PUT", "get")
 patterns = st.lists(st.sampled_from(PIECES), max_size=7).map("".join)
 tables = st.lists(
-    st.builds(AjpRule, patterns, st.frozensets(st.sampled_from(METHODS), max_size=2), st.just("read")),
+    st.builds(AjpRoute, patterns, st.frozensets(st.sampled_from(METHODS), max_size=2), st.just("read")),
     max_size=14,
 )
 paths = st.lists(st.sampled_from([p for p in PIECES if p != "*"] + ["c", "/x"]), max_size=7).map("".join)
@@ -155,22 +155,24 @@
         self.assertIsNone(index.find("GET", "/aba"))
         self.assertIsNone(index.find("GET", "/ababa"))
         self.assertIsNone(index.find("GET", "/xx"))
-        self.assertEqual(index.find("GET", "/abaaba").kind, "0")
-        self.assertEqual(index.find("GET", "/xxx").kind, "1")
+        self.assertEqual(index.find("GET", "/abaaba").request_class, "0")
+        self.assertEqual(index.find("GET", "/xxx").request_class, "1")
 
     def test_a_route_shadows_those_behind_it_for_its_methods_only(self):
         for first in ("/a/*", "/*", "/a/b", "/a/*b", "/a/?"):
             table = rules((first, ("GET", "HEAD")), "/a/b", "/a/*", "/a*b")
             index = at_once(RouteIndex.in_steps(table))
-            self.assertEqual([index.find(m, "/a/b").kind for m in METHODS], ["0", "0", "1", "1", "1"], first)
-            self.assertEqual(index.find("POST", "/a/c").kind, "2")
-            self.assertEqual(index.find("POST", "/ab").kind, "3")
+            self.assertEqual(
+                [index.find(m, "/a/b").request_class for m in METHODS], ["0", "0", "1", "1", "1"], first
+            )
+            self.assertEqual(index.find("POST", "/a/c").request_class, "2")
+            self.assertEqual(index.find("POST", "/ab").request_class, "3")
 
     def test_of_many_with_the_same_uri_the_first_whose_methods_fit(self):
         for uri in ("/a", "/a*", "/*a", "/[a]"):
             table = rules((uri, ("GET",)), (uri, ("GET", "POST")), (uri, ()), (uri, ("PUT",)))
             index = at_once(RouteIndex.in_steps(table))
-            self.assertEqual([index.find(m, "/a").kind for m in METHODS], ["0", "2", "1", "2", "2"])
+            self.assertEqual([index.find(m, "/a").request_class for m in METHODS], ["0", "2", "1", "2", "2"])
 
 
 def mixed(size):
@@ -187,7 +189,7 @@
     config = load_appliance(str(ROOT / "deploy/ajp.toml"), {})
     classes = tuple(
         RequestClass(name=kind, latency_objective_ns=1, deadline_ns=2)
-        for kind in sorted({r.kind for r in table})
+        for kind in sorted({r.request_class for r in table})
     )
     return AjpReader(
         SimpleNamespace(settings=SimpleNamespace(classes=classes, tenants=()), tenants={}),
@@ -197,7 +199,7 @@
             max_body=0,
             packet_size=8192,
             servers=config.ajp.servers,
-            rules=table,
+            routes=table,
             tenant_header=b"t",
             key_header=b"k",
             default_tenant=None,
@@ -222,7 +224,7 @@
         at |= {f"end {n}": size - 1 - n for n in range(4)}
         for name, position in at.items():
             asked = ajp.Forward(b"", "GET", fits(table[position].uri).encode())
-            self.assertEqual(it.check(asked)[0].name, table[position].kind)
+            self.assertEqual(it.check(asked)[0].name, table[position].request_class)
             out[name] = lines(lambda asked=asked: it.check(asked))
 
         def none():
