--- a/ochrehoist/net/recovery.py
+++ b/ochrehoist/net/recovery.py
@@ -47,7 +47,7 @@
     def __init__(self, loop: Loop, owner: Owner, config: Config, worker: Any, log: Any) -> None:
         """`worker`: its journal, peers and sites are looked at."""
         self.loop, self.owner, self.worker, self.log = loop, owner, worker, log
-        self.config, self.patience = config.recovery, config.recovery.wait_ms / 1000
+        self.config, self.patience = config.recovery, config.recovery.witness_timeout_ms / 1000
         now = time.monotonic()
         self.memory, self.begins = Memory(now), Begins(self.config.witnesses)
         self.asked: Asked | None = None
@@ -67,7 +67,7 @@
         loop.call_later(LOOK_S, self._look)
 
     # ---- what the journal asks
-    def refuses(self, key: bytes) -> bool:
+    def may_have_run(self, key: bytes) -> bool:
         """Whether a filing that is not on record may have run all the same."""
         if not self.testified:
             return True
@@ -83,7 +83,7 @@
     def drop(self, key: bytes) -> None:
         self.begins.never_ran(key)
 
-    def opened(self, keys: list[bytes]) -> None:
+    def journal_opened(self, keys: list[bytes]) -> None:
         """The store is in use, and what is on record is known."""
         self.restored = keys
         if self.config.witnesses and self.asked is None:
@@ -201,7 +201,7 @@
             if w.journal.restored and not self.testified:
                 hold = max(hold, 0.1)
         peers = None
-        if self.peers is not None and (self.peers.config.members or self.peers.config.start):
+        if self.peers is not None and (self.peers.config.members or self.peers.config.seed_addresses):
             peers = self.peers.group.members.established
         answered = None
         if w.config.ajp and any(p.failed_at > self.way.began for p in w.gauge_source.pools):
@@ -222,15 +222,15 @@
             file.write(line)
 
     # ---- the core's observer
-    def arrived(self, request: InboundRequest) -> None:
+    def request_arrived(self, request: InboundRequest) -> None:
         pass
 
-    def answered(self, request: InboundRequest, figure: str | None, backoff: int) -> None:
+    def request_answered(self, request: InboundRequest, figure: str | None, backoff: int) -> None:
         if figure is None:
             return
         now = time.monotonic()
         if figure == "answered_total":
-            late = self.owner.now > request.arrived + request.cls.latency_objective_ns
+            late = self.owner.now > request.arrived_ns + request.request_class.latency_objective_ns
             self.service.count("late" if late else "good", now)
         else:
             self.service.count("refused" if figure == "deferred_total" else "failed", now)
--- a/ochrehoist/store/journal.py
+++ b/ochrehoist/store/journal.py
@@ -89,7 +89,7 @@
         self._confirmations = IntentConfirmations()
         self._metrics = JournalMetrics()
         self._failures = StoreFailureLog(log)
-        self._queue = WriteQueue(config.commit_ms / 1000, config.stall_ms / 1000)
+        self._queue = WriteQueue(config.group_commit_delay_ms / 1000, config.max_disk_wait_ms / 1000)
         self._session = FolderSession(config, name)
         self._prepare_folder(replacing)
         self._thread = OffLoop(loop, "journal")
@@ -152,18 +152,18 @@
 
     # The core's calls: `core.protocols.IdempotencyJournal`.
 
-    def refuses(self, token: IdempotencyKey) -> Rejection | None:
+    def rejection_for(self, token: IdempotencyKey) -> Rejection | None:
         """Why an unknown request can't be accepted now, as its caller is notified; None where it can."""
         if not self.restored:
-            return Rejection(0, may_have_run=True)
+            return Rejection(0, outcome_unknown=True)
         rejection = self._rejection(token)
         if rejection is not None:
             self._metrics.rejections += 1
         return rejection
 
     def _rejection(self, key: IdempotencyKey) -> Rejection | None:
-        if self._replicator is not None and self._replicator.refuses(encode_key(key)):
-            return Rejection(0, may_have_run=True)
+        if self._replicator is not None and self._replicator.may_have_run(encode_key(key)):
+            return Rejection(0, outcome_unknown=True)
         if self._queue.rejection_reason(time.monotonic()):
             return Rejection(REJECTION_BACKOFF_NS)
         hold_ns = self._hold_until_ns - self._owner.clock()
@@ -171,13 +171,13 @@
 
     def begin(self, request: InboundRequest, run: Run) -> None:
         """Records the intent of a run; an `IntentRecorded` follows within the setting `stall_ms`."""
-        assert request.token is not None
+        assert request.idempotency_key is not None
         if self._queue.rejection_reason(time.monotonic()):
             self.intents_rejected([request.id])
             return
         failpoints.reached(Failpoint.INTENT_QUEUED)
-        key = encode_key(request.token)
-        intent = self._recorder().record(request.token, run)
+        key = encode_key(request.idempotency_key)
+        intent = self._recorder().record(request.idempotency_key, run)
         self._scheduler.add(PutIntent(request.id, key, intent))
         if self._replicator is not None:
             self._confirmations.expect(request.id)
@@ -284,20 +284,20 @@
         self._report_condition(opened.store)
         self._learned = opened.store.learned
         learned = restorable_state(
-            self._learned, self._config.learned_half_life_s, self._owner.started_cold, self._log
+            self._learned, self._config.snapshot_half_life_s, self._owner.started_cold, self._log
         )
         self._queue.open = True
         known_runs = dict(self._owner.keys.runs)
         self._record_changes_since(opened, known_runs)
         if self._replicator is not None:
-            self._replicator.opened([encode_key(key) for key in {**opened.runs, **known_runs}])
+            self._replicator.journal_opened([encode_key(key) for key in {**opened.runs, **known_runs}])
         gc.freeze()  # collections would look through all restored runs again and again
         self._owner.post(StateRestored(opened.runs, learned))
         self.restored = True
         for listener in self._restored_listeners:
             listener()
         self._scheduler.run()
-        self._loop.call_later(self._config.learned_every_s, self._save_learned_regularly)
+        self._loop.call_later(self._config.snapshot_interval_s, self._save_learned_regularly)
 
     def _report_condition(self, store: OpenStore) -> None:
         reasons = store.loss_reasons
@@ -338,7 +338,7 @@
         if self._stopping or self._released:
             return
         self._save_learned()
-        self._loop.call_later(self._config.learned_every_s, self._save_learned_regularly)
+        self._loop.call_later(self._config.snapshot_interval_s, self._save_learned_regularly)
 
     def _save_learned(self) -> None:
         if self._owner.controller is not None and self.restored:
