--- a/benchmarks/slopes/state.py
+++ b/benchmarks/slopes/state.py
@@ -281,12 +281,13 @@
 
 def record_head(size: int, seed: int) -> Measures:
     """The head of each file of [capture]."""
-    from ochrehoist.capture.records import Head, block
+    from ochrehoist.capture.encoding import encode_block
+    from ochrehoist.capture.records import CaptureHeader
 
     s = settings(size)
 
-    def head() -> Head:
-        return Head(
+    def head() -> CaptureHeader:
+        return CaptureHeader(
             "worker",
             0,
             1.0,
@@ -300,9 +301,9 @@
         )
 
     return {
-        "bytes": len(block([head()])),
+        "bytes": len(encode_block([head()])),
         "on_loop_us": cpu_us(head),
-        "off_loop_us": cpu_us(lambda: block([head()])),
+        "off_loop_us": cpu_us(lambda: encode_block([head()])),
     }
 
 
--- a/ochrehoist/app/worker.py
+++ b/ochrehoist/app/worker.py
@@ -156,9 +156,9 @@
             )
         self.capture: Any = None
         if config.capture:
-            from ochrehoist.capture.taker import Capture
+            from ochrehoist.capture.recorder import LoadRecorder
 
-            self.capture = Capture(loop, owner, config, self.log)
+            self.capture = LoadRecorder(loop, owner, config, self.log)
             owner.answers.observers.append(self.capture)
             parts.append(switch_only(lambda new, _: self.capture.configure(new)))
         self.measures: Any = None
--- a/ochrehoist/capture/reader.py
+++ b/ochrehoist/capture/reader.py
@@ -1,97 +1,125 @@
-"""Captures as tools read them: files of one or more workers, put in order, with what is missing told."""
+"""Reading captures: files of one or more workers, in order of time, with what is missing or damaged."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from ochrehoist.capture.records import SUFFIX, Damage, Head, Lost, Outcome, Seen, Unusable, records
+from ochrehoist.capture.encoding import CaptureDamage, decode_records
+from ochrehoist.capture.records import (
+    FILE_SUFFIX,
+    KNOWN_OUTCOMES,
+    CaptureHeader,
+    DroppedRecords,
+    InvalidCaptureError,
+    RequestRecord,
+)
+
+NS_PER_S = 1e9
 
 
 @dataclass(frozen=True)
-class Entry:
-    """One request, with its times in Unix ns. `subject` tells apart only within one file."""
+class CapturedRequest:
+    """One request, with the time of its arrival in Unix ns."""
 
     worker: str
-    at: int
-    seen: Seen
-    subject: int  # unique to file and subject; 0 where the request named none
+    arrived_unix_ns: int
+    record: RequestRecord
+    subject: int  # unique to file and subject; 0 where the request has none
 
 
 @dataclass
 class Capture:
-    heads: list[Head] = field(default_factory=list)
-    entries: list[Entry] = field(default_factory=list)  # by time
-    lost: int = 0  # records that the workers could not write
-    damage: Damage = field(default_factory=Damage)
+    """What was read of some files."""
+
+    headers: list[CaptureHeader] = field(default_factory=list)
+    requests: list[CapturedRequest] = field(default_factory=list)  # by time of arrival
+    dropped: int = 0  # records that the workers could not write
+    damage: CaptureDamage = field(default_factory=CaptureDamage)
     files: int = 0
 
     @property
-    def sample(self) -> float:
-        """The smallest share of subjects that is on record anywhere."""
-        return min((h.sample for h in self.heads), default=1.0)
+    def sample_fraction(self) -> float:
+        """The smallest share of subjects that any file records."""
+        return min((header.sample_fraction for header in self.headers), default=1.0)
 
     @property
-    def seconds(self) -> float:
-        """From the first request to the last."""
-        return (self.entries[-1].at - self.entries[0].at) / 1e9 if len(self.entries) > 1 else 0.0
+    def duration_s(self) -> float:
+        """Seconds from the first request to the last."""
+        if len(self.requests) < 2:
+            return 0.0
+        return (self.requests[-1].arrived_unix_ns - self.requests[0].arrived_unix_ns) / NS_PER_S
 
     def warnings(self) -> list[str]:
-        """What a reader must know before it believes figures of this."""
-        d, out = self.damage, []
-        if self.lost:
-            out.append(f"{self.lost} records were lost while it was made")
-        if d.cut_bytes:
-            out.append(f"a file is cut off: {d.cut_bytes} bytes at its end are no whole block")
-        if d.blocks:
-            out.append(f"{d.blocks} blocks are damaged and left out")
-        if d.unknown:
-            out.append(f"{d.unknown} records of unknown kinds are passed over")
-        if self.sample < 1:
-            out.append(f"sampled: {self.sample:.0%} of the subjects; rates are scaled up")
-        return out + d.why
-
-
-def read_file(data: bytes, into: Capture, salt: int) -> None:
-    """Adds one file. Raises Unusable where it is none, or has no head."""
-    head, base, damage = None, len(into.entries), Damage()
-    for record in records(data, damage):
-        if isinstance(record, Head):
-            head = record
-            into.heads.append(head)
-        elif head is None:
-            raise Unusable("its head is damaged: nothing in it can be told")
-        elif isinstance(record, Seen):
-            if record.outcome in Outcome._value2member_map_ and record.at >= 0:
-                subject = hash((salt, record.subject)) if record.subject else 0
-                into.entries.append(Entry(head.name, head.started + record.at, record, subject))
+        """What a reader must know before it believes figures of this capture."""
+        damage = self.damage
+        warnings = []
+        if self.dropped:
+            warnings.append(f"{self.dropped} records were lost while it was made")
+        if damage.cut_bytes:
+            warnings.append(f"a file is cut off: {damage.cut_bytes} bytes at its end are no whole block")
+        if damage.corrupt_blocks:
+            warnings.append(f"{damage.corrupt_blocks} blocks are damaged and left out")
+        if damage.unknown_records:
+            warnings.append(f"{damage.unknown_records} records of unknown kinds are passed over")
+        if self.sample_fraction < 1:
+            warnings.append(f"sampled: {self.sample_fraction:.0%} of the subjects; rates are scaled up")
+        return warnings + damage.reasons
+
+    def add_file(self, data: bytes, file_number: int) -> None:
+        """Adds the content of one file. Raises InvalidCaptureError where it is none, or has no header."""
+        header = None
+        requests_before = len(self.requests)
+        damage = CaptureDamage()
+        for record in decode_records(data, damage):
+            if isinstance(record, CaptureHeader):
+                header = record
+                self.headers.append(header)
+            elif header is None:
+                raise InvalidCaptureError("its head is damaged: nothing in it can be told")
+            elif isinstance(record, DroppedRecords):
+                self.dropped += record.count
+            elif record.outcome in KNOWN_OUTCOMES and record.arrived_ns >= 0:
+                self._add_request(header, record, file_number)
             else:
-                damage.unknown += 1
-        elif isinstance(record, Lost):
-            into.lost += record.count
-    if head is None and len(into.entries) == base:
-        raise Unusable("it holds nothing that is whole")
-    into.files += 1
-    total = into.damage
-    total.cut_bytes += damage.cut_bytes
-    total.blocks += damage.blocks
-    total.unknown += damage.unknown
-    total.why += damage.why
-
-
-def read(paths: Iterable[Path]) -> Capture:
-    """Files, and folders of them. Raises Unusable, which names the file, and OSError."""
+                damage.unknown_records += 1
+        if header is None and len(self.requests) == requests_before:
+            raise InvalidCaptureError("it holds nothing that is whole")
+        self.files += 1
+        self._add_damage(damage)
+
+    def _add_request(self, header: CaptureHeader, record: RequestRecord, file_number: int) -> None:
+        subject = hash((file_number, record.subject)) if record.subject else 0
+        arrived_unix_ns = header.started_unix_ns + record.arrived_ns
+        self.requests.append(CapturedRequest(header.worker, arrived_unix_ns, record, subject))
+
+    def _add_damage(self, damage: CaptureDamage) -> None:
+        self.damage.cut_bytes += damage.cut_bytes
+        self.damage.corrupt_blocks += damage.corrupt_blocks
+        self.damage.unknown_records += damage.unknown_records
+        self.damage.reasons += damage.reasons
+
+
+def read_capture(paths: Iterable[Path]) -> Capture:
+    """All of some files, and of folders of them.
+
+    Raises InvalidCaptureError, which names the file, and OSError.
+    """
+    capture = Capture()
+    for number, path in enumerate(_files(paths), 1):
+        try:
+            capture.add_file(path.read_bytes(), number)
+        except InvalidCaptureError as error:
+            raise InvalidCaptureError(f"{path}: {error}") from None
+    # Each request is recorded when it ends: by arrival they are out of order.
+    capture.requests.sort(key=lambda request: request.arrived_unix_ns)
+    return capture
+
+
+def _files(paths: Iterable[Path]) -> list[Path]:
     files: list[Path] = []
     for path in paths:
-        found = sorted(path.glob(f"*{SUFFIX}")) if path.is_dir() else [path]
+        found = sorted(path.glob(f"*{FILE_SUFFIX}")) if path.is_dir() else [path]
         if not found:
-            raise Unusable(f"{path}: no file *{SUFFIX} in it")
+            raise InvalidCaptureError(f"{path}: no file *{FILE_SUFFIX} in it")
         files += found
-    out = Capture()
-    for number, path in enumerate(files):
-        try:
-            read_file(path.read_bytes(), out, number + 1)
-        except Unusable as error:
-            raise Unusable(f"{path}: {error}") from None
-    # Each is written when it ends: by the time that it came they are out of order.
-    out.entries.sort(key=lambda e: e.at)
-    return out
+    return files
--- /dev/null
+++ b/ochrehoist/capture/recorder.py
@@ -0,0 +1,231 @@
+"""The recorder of a worker: hears of each request from the core, and has records written off the loop."""
+
+import secrets
+from collections.abc import Callable
+from dataclasses import dataclass, replace
+from typing import Any
+
+import xxhash
+
+from ochrehoist.admission.settings import AdmissionSettings
+from ochrehoist.capture.batching import BatchWindow, SubjectSampler
+from ochrehoist.capture.records import (
+    UNKNOWN_SPAN_NS,
+    CaptureHeader,
+    DroppedRecords,
+    Record,
+    RequestOutcome,
+    RequestRecord,
+)
+from ochrehoist.capture.writer import CaptureWriter
+from ochrehoist.config.schema import Config
+from ochrehoist.core.answers import ANSWERED, REFUSED
+from ochrehoist.core.owner import Owner
+from ochrehoist.core.request import InboundRequest
+from ochrehoist.errors import InvalidInputError
+from ochrehoist.net.loop import Loop
+from ochrehoist.net.offloop import OffLoop
+
+FLUSH_INTERVAL_S = 1.0  # after which waiting records are written, whether they are a batch or not
+FINAL_FLUSH_S = 1.0  # the longest that the last writes are waited for
+FOLDER_MODE = 0o700
+SALT_BITS = 64
+
+
+@dataclass(slots=True)
+class OpenRequest:
+    """A sampled request that is not answered yet, and the load when it came."""
+
+    request: InboundRequest
+    read_at_ns: int  # by the core's clock
+    running_requests: int
+    queued_requests: int
+
+
+class LoadRecorder:
+    """Implements `core.protocols.RequestObserver`.
+
+    A disk that fails or is slow costs records, which are counted, and nothing else. Raises InvalidInputError
+    where the folder can't be made.
+    """
+
+    def __init__(self, loop: Loop, owner: Owner, config: Config, log: Any) -> None:
+        assert config.capture is not None
+        self._loop = loop
+        self._owner = owner
+        self._config = config.capture
+        self._name = config.name
+        self._log = log
+        self._tenants_and_routes = _tenants_and_routes(config)
+        self._writer = CaptureWriter(self._config, self._name)
+        self._make_folder()
+        self._sampler = SubjectSampler(self._config.sample_fraction)
+        self._batches = BatchWindow()
+        self._open_requests: dict[str, OpenRequest] = {}  # by request id
+        self._waiting: list[Record] = []
+        self._salt = 0  # of the file that records are made for
+        self._started_unix_ns = 0  # of that file
+        self._header_settings: AdmissionSettings | None = None  # of its header, without tenants
+        self._written = 0
+        self._failure = ""  # the last error, until a write goes well
+        self._thread = OffLoop(loop, "capture")
+        self._start_file(owner.settings)
+        loop.call_later(FLUSH_INTERVAL_S, self._flush_regularly)
+
+    def _make_folder(self) -> None:
+        folder = self._writer.folder
+        try:
+            folder.mkdir(mode=FOLDER_MODE, exist_ok=True)
+        except OSError as error:
+            raise InvalidInputError(f"setting capture.folder: {folder}: {error.strerror}") from None
+
+    def request_arrived(self, request: InboundRequest) -> None:
+        """Remembers the load that a sampled request found."""
+        subject = _subject(request)
+        if subject is not None and not self._sampler.includes(subject):
+            return
+        controller = self._owner.controller
+        running, queued = (0, 0) if controller is None else (controller.cores, len(controller.queue))
+        self._open_requests[request.id] = OpenRequest(request, self._owner.now, running, queued)
+
+    def request_answered(self, request: InboundRequest, metric: str | None, retry_after_ns: int) -> None:
+        """Records a sampled request."""
+        opened = self._open_requests.get(request.id)
+        if opened is None or opened.request is not request:  # not sampled, or it has the id of another
+            return
+        del self._open_requests[request.id]
+        self._waiting.append(self._record(opened, _outcome(metric), retry_after_ns))
+        if self._batches.is_full(len(self._waiting)):
+            self._flush()
+
+    def _record(self, opened: OpenRequest, outcome: RequestOutcome, retry_after_ns: int) -> RequestRecord:
+        request, now_ns = opened.request, self._owner.now
+        started_ns = request.started_ns
+        subject = _subject(request)
+        front, address = request.responder.origin()
+        return RequestRecord(
+            arrived_ns=max(0, request.arrived_ns - self._started_unix_ns),
+            class_name=request.request_class.name,
+            tenant=request.tenant,
+            front=front,
+            subject=0 if subject is None else xxhash.xxh3_64_intdigest(subject, self._salt),
+            work_ns=request.work_ns or 0,
+            caller=request.caller,
+            address=address,
+            is_retry=request.is_retry,
+            outcome=outcome,
+            read_delay_ns=max(0, opened.read_at_ns - request.arrived_ns),
+            queue_ns=started_ns - opened.read_at_ns if started_ns else UNKNOWN_SPAN_NS,
+            run_ns=now_ns - started_ns if started_ns else UNKNOWN_SPAN_NS,
+            running_requests=opened.running_requests,
+            queued_requests=opened.queued_requests,
+            retry_after_ns=retry_after_ns,
+        )
+
+    def configure(self, config: Config) -> None:
+        """Starts a new file, whose header has the new settings.
+
+        Where only tenants or routes have changed there is none: there may be thousands of them, and as many
+        changes in a day. The next file's header has them.
+        """
+        tenants_and_routes = _tenants_and_routes(config)
+        nothing_else = replace(config.settings, tenants=()) == self._header_settings
+        if tenants_and_routes == self._tenants_and_routes or not nothing_else:
+            self._start_file(config.settings)
+        self._tenants_and_routes = tenants_and_routes
+
+    def _start_file(self, settings: AdmissionSettings) -> None:
+        self._flush()  # waiting records have the salt of the present file
+        self._header_settings = replace(settings, tenants=())
+        self._salt = secrets.randbits(SALT_BITS)
+        self._started_unix_ns = self._owner.clock()
+        header = CaptureHeader(
+            worker=self._name,
+            started_unix_ns=self._started_unix_ns,
+            sample_fraction=self._config.sample_fraction,
+            cores=settings.cores,
+            memory_kb=settings.memory_kb,
+            classes=tuple(
+                (c.name, c.latency_objective_ns, c.deadline_ns, c.priority_weight, c.late_weight)
+                for c in settings.classes
+            ),
+            tenants=(),
+        )
+        self._submit(lambda: self._writer.start_file(header, settings.tenants))
+
+    def _flush_regularly(self) -> None:
+        if self._failure:
+            self._start_file(self._owner.settings)
+        self._flush()
+        self._loop.call_later(FLUSH_INTERVAL_S, self._flush_regularly)
+
+    def _flush(self) -> None:
+        records = self._waiting
+        self._waiting = []
+        if not self._batches.has_capacity():
+            self._batches.drop(len(records))
+            return
+        dropped = self._batches.take_dropped()
+        if dropped:
+            records.append(DroppedRecords(self._owner.now - self._started_unix_ns, dropped))
+        if records:
+            self._submit(lambda: self._writer.write(records), len(records))
+
+    def _submit(self, write: Callable[[], bool], record_count: int = 0) -> None:
+        """Has `write` called on the thread; it returns whether the file is complete."""
+        self._batches.in_flight += 1
+
+        def ended(complete: bool | None, error: Exception | None) -> None:
+            self._batches.in_flight -= 1
+            if error is not None:
+                self._write_failed(error, record_count)
+                return
+            self._failure = ""
+            self._written += record_count
+            if complete:
+                self._start_file(self._owner.settings)
+
+        self._thread.submit(write, ended)
+
+    def _write_failed(self, error: Exception, record_count: int) -> None:
+        self._batches.drop(record_count)
+        if str(error) != self._failure:
+            self._log.error("capture_unavailable", reason=str(error))
+        self._failure = str(error)
+
+    def close(self) -> None:
+        """At the end of the process, when the loop no longer runs: writes what waits."""
+        self._flush()
+        self._thread.submit(self._writer.close, lambda *_: None)
+        if not self._thread.close(FINAL_FLUSH_S):
+            self._log.error("capture_records_lost_at_exit")
+
+    def view(self) -> dict[str, Any]:
+        """The part `capture` of the status, by its documented names."""
+        return {
+            "folder": str(self._writer.folder),
+            "sample": self._config.sample_fraction,
+            "written": self._written,
+            "lost": self._batches.total_dropped,
+            "file_bytes": self._writer.file_size_bytes,
+            "trouble": self._failure,
+        }
+
+
+def _tenants_and_routes(config: Config) -> tuple[Any, Any]:
+    return config.settings.tenants, config.ajp.routes if config.ajp else ()
+
+
+def _subject(request: InboundRequest) -> bytes | None:
+    """What a request is about, as its caller names it."""
+    subject = request.idempotency_key[2] if request.idempotency_key else request.routing_key
+    return None if subject is None else subject.encode()
+
+
+def _outcome(metric: str | None) -> RequestOutcome:
+    """The outcome by the metric that counted the request; None: its caller disconnected."""
+    if metric is None:
+        return RequestOutcome.CALLER_GONE
+    if metric == ANSWERED:
+        return RequestOutcome.SERVED
+    return RequestOutcome.REJECTED if metric == REFUSED else RequestOutcome.FAILED
--- a/ochrehoist/cli/plan.py
+++ b/ochrehoist/cli/plan.py
@@ -23,13 +23,13 @@
         end("stopped before anything was known", NO)
     if isinstance(error, ImportError):
         end(f"{EXTRA} ({error})", WRONG)
-    from ochrehoist.capture.records import Unusable
+    from ochrehoist.capture.records import InvalidCaptureError
     from ochrehoist.plan.fleet import FleetDescriptionError
     from ochrehoist.plan.questions import UnanswerableQuestionError
 
     if isinstance(error, UnanswerableQuestionError):
         end(f"no number can be given: {error}", NO)
-    if isinstance(error, (FleetDescriptionError, Unusable, OSError, ValueError)):
+    if isinstance(error, (FleetDescriptionError, InvalidCaptureError, OSError, ValueError)):
         end(str(error), WRONG)
 
 
@@ -187,14 +187,14 @@
 @_stops
 def forecast(fleet: Path, capture: tuple[Path, ...], seeds: int, seconds: float, jobs: int) -> None:
     """Goodput by class, tenant and worker, with ranges over the seeds."""
-    from ochrehoist.capture.reader import read
+    from ochrehoist.capture.reader import read_capture
     from ochrehoist.plan.questions import forecast as asked
     from ochrehoist.plan.questions import forecast_of_capture
 
     f, numbers, notes = _load(fleet), range(1, seeds + 1), []
     with Progress() as progress:
         if capture:
-            recorded = read(capture)
+            recorded = read_capture(capture)
             notes = recorded.warnings()
             values = forecast_of_capture(f, recorded, numbers, jobs, progress)
         else:
@@ -223,10 +223,10 @@
 @_stops
 def fit(capture: tuple[Path, ...]) -> None:
     """What recorded load tells of speeds, the crowd, reading, popularity and repeats, with intervals."""
-    from ochrehoist.capture.reader import read
+    from ochrehoist.capture.reader import read_capture
     from ochrehoist.plan.fit import fitted
 
-    recorded = read(capture)
+    recorded = read_capture(capture)
     heads = ("what", "value", "low", "high", "count", "note")
     found = [e.line() for e in fitted(recorded)]
     _show(
@@ -235,7 +235,7 @@
         {"estimates": found},
         lambda v: [
             (
-                f"{len(recorded.entries)} requests in {recorded.seconds:.0f} s, {recorded.files} files",
+                f"{len(recorded.requests)} requests in {recorded.duration_s:.0f} s, {recorded.files} files",
                 heads,
                 [tuple(e[key] for key in heads) for e in v["estimates"]],
             )
@@ -508,10 +508,10 @@
 @_stops
 def compare(a: Path, b: Path, on: Path | None, seeds: int, seconds: float, jobs: int) -> None:
     """Two fleets, or two captures (files or folders), side by side, with the interval of their difference."""
-    from ochrehoist.capture.records import SUFFIX
+    from ochrehoist.capture.records import FILE_SUFFIX
     from ochrehoist.plan.questions import compare as asked
 
-    recorded = [p.is_dir() or p.suffix == SUFFIX for p in (a, b)]
+    recorded = [p.is_dir() or p.suffix == FILE_SUFFIX for p in (a, b)]
     if all(recorded):
         return _compare_captures(a, b, on, seeds, jobs)
     if any(recorded) or on is not None:
@@ -542,11 +542,11 @@
 
 
 def _compare_captures(a: Path, b: Path, on: Path | None, seeds: int, jobs: int) -> None:
-    from ochrehoist.capture.reader import read
+    from ochrehoist.capture.reader import read_capture
     from ochrehoist.plan.captures import side_by_side
     from ochrehoist.plan.questions import forecast_of_capture
 
-    both = [read([p]) for p in (a, b)]
+    both = [read_capture([p]) for p in (a, b)]
     values: dict[str, Any] = {"figures": [c.line() for c in side_by_side(*both)], "on": []}
     if on is not None:
         fleet = _load(on)
--- a/ochrehoist/net/recovery.py
+++ b/ochrehoist/net/recovery.py
@@ -75,7 +75,7 @@
         return until is not None and until > time.monotonic()
 
     def begin(self, request_id: str, key: bytes, left: float) -> None:
-        """The journal hears by `witnessed`, soon or with False once it took too long."""
+        """The journal hears by `replication_ended`, soon or with False once it took too long."""
         now = time.monotonic()
         self.begins.add(request_id, key, left + SLACK_S, self.patience, now)
         self._tell(now)
--- a/ochrehoist/plan/captures.py
+++ b/ochrehoist/plan/captures.py
@@ -11,8 +11,8 @@
 
 import numpy as np
 
-from ochrehoist.capture.reader import Capture, Entry
-from ochrehoist.capture.records import Outcome
+from ochrehoist.capture.reader import Capture, CapturedRequest
+from ochrehoist.capture.records import RequestOutcome
 
 STRETCH_S = 5  # of time that is drawn as one
 FEWEST = 8  # stretches under which no interval is told
@@ -45,11 +45,13 @@
     """One figure: the value of each request that has one, and what is made of all values of a span (s)."""
 
     def __init__(
-        self, of: Callable[[Entry], float | None], reduced: Callable[[np.ndarray, float], float] | None = None
+        self,
+        of: Callable[[CapturedRequest], float | None],
+        reduced: Callable[[np.ndarray, float], float] | None = None,
     ) -> None:
         self.of, self.reduced = of, reduced or (lambda values, _: float(values.mean()))
 
-    def values(self, entries: list[Entry]) -> np.ndarray:
+    def values(self, entries: list[CapturedRequest]) -> np.ndarray:
         return np.array([v for v in map(self.of, entries) if v is not None], dtype=float)
 
     def taken(self, parts: list[np.ndarray]) -> float:
@@ -58,58 +60,60 @@
         return self.reduced(values, len(parts) * STRETCH_S) if len(values) else math.nan
 
 
-def _quantile(q: float, of: Callable[[Entry], int]) -> Figure:
-    def value(e: Entry) -> float | None:
+def _quantile(q: float, of: Callable[[CapturedRequest], int]) -> Figure:
+    def value(e: CapturedRequest) -> float | None:
         v = of(e)
         return v / MS if v >= 0 else None
 
     return Figure(value, lambda values, _: float(np.quantile(values, q)))
 
 
-def _share(of: Callable[[Entry], bool]) -> Figure:
+def _share(of: Callable[[CapturedRequest], bool]) -> Figure:
     return Figure(lambda e: float(of(e)))
 
 
 def _of_class(name: str, figure: Figure) -> Figure:
-    return Figure(lambda e: figure.of(e) if e.seen.cls == name else None, figure.reduced)
+    return Figure(lambda e: figure.of(e) if e.record.class_name == name else None, figure.reduced)
 
 
 def _rate(sample: float) -> Figure:
-    return Figure(lambda e: None if e.seen.retry else 1.0, lambda values, span: len(values) / span / sample)
+    return Figure(
+        lambda e: None if e.record.is_retry else 1.0, lambda values, span: len(values) / span / sample
+    )
 
 
 def figures(a: Capture, b: Capture) -> dict[str, tuple[Figure, Figure]]:
     """What is compared, by name, each as it is taken of A and of B."""
-    held, repeats = Figure(lambda e: e.seen.held), _share(lambda e: e.seen.retry)
+    held, repeats = Figure(lambda e: e.record.queued_requests), _share(lambda e: e.record.is_retry)
     out = {
-        "first tries a second": (_rate(a.sample), _rate(b.sample)),
+        "first tries a second": (_rate(a.sample_fraction), _rate(b.sample_fraction)),
         "marked repeats": (repeats, repeats),
         "held before them": (held, held),
     }
     of_class = {
-        "refused": _share(lambda e: e.seen.outcome == Outcome.REFUSED),
-        "failed": _share(lambda e: e.seen.outcome == Outcome.FAILED),
-        "callers gone": _share(lambda e: e.seen.outcome == Outcome.GONE),
-        "stated work, ms": Figure(lambda e: e.seen.work / MS if e.seen.work else None),
-        "waited p50, ms": _quantile(0.5, lambda e: e.seen.waited),
-        "waited p99, ms": _quantile(0.99, lambda e: e.seen.waited),
-        "ran p50, ms": _quantile(0.5, lambda e: e.seen.ran),
-        "ran p99, ms": _quantile(0.99, lambda e: e.seen.ran),
+        "refused": _share(lambda e: e.record.outcome == RequestOutcome.REJECTED),
+        "failed": _share(lambda e: e.record.outcome == RequestOutcome.FAILED),
+        "callers gone": _share(lambda e: e.record.outcome == RequestOutcome.CALLER_GONE),
+        "stated work, ms": Figure(lambda e: e.record.work_ns / MS if e.record.work_ns else None),
+        "waited p50, ms": _quantile(0.5, lambda e: e.record.queue_ns),
+        "waited p99, ms": _quantile(0.99, lambda e: e.record.queue_ns),
+        "ran p50, ms": _quantile(0.5, lambda e: e.record.run_ns),
+        "ran p99, ms": _quantile(0.99, lambda e: e.record.run_ns),
     }
-    for name in sorted({e.seen.cls for e in (*a.entries, *b.entries)}):
+    for name in sorted({e.record.class_name for e in (*a.requests, *b.requests)}):
         for what, figure in of_class.items():
             out[f"{name}: {what}"] = (_of_class(name, figure),) * 2
     return out
 
 
-def stretches(capture: Capture) -> list[list[Entry]]:
+def stretches(capture: Capture) -> list[list[CapturedRequest]]:
     """Its requests by stretches of time; the last, which is not whole, is left out if there are others."""
-    if not capture.entries:
+    if not capture.requests:
         raise ValueError("no requests are on record")
-    begin, count = capture.entries[0].at, max(1, int(capture.seconds / STRETCH_S))
-    out: list[list[Entry]] = [[] for _ in range(count)]
-    for e in capture.entries:
-        at = int((e.at - begin) / 1e9 / STRETCH_S)
+    begin, count = capture.requests[0].arrived_unix_ns, max(1, int(capture.duration_s / STRETCH_S))
+    out: list[list[CapturedRequest]] = [[] for _ in range(count)]
+    for e in capture.requests:
+        at = int((e.arrived_unix_ns - begin) / 1e9 / STRETCH_S)
         if at < count:
             out[at].append(e)
     return out
@@ -124,7 +128,7 @@
 def _change(
     what: str,
     of: tuple[Figure, Figure],
-    parts: tuple[list[list[Entry]], list[list[Entry]]],
+    parts: tuple[list[list[CapturedRequest]], list[list[CapturedRequest]]],
     rng: np.random.Generator,
 ) -> Change:
     values = [[figure.values(part) for part in mine] for figure, mine in zip(of, parts, strict=True)]
--- a/ochrehoist/plan/demand.py
+++ b/ochrehoist/plan/demand.py
@@ -10,7 +10,7 @@
 import numpy as np
 import xxhash
 
-from ochrehoist.capture.reader import Capture, Entry
+from ochrehoist.capture.reader import Capture, CapturedRequest
 from ochrehoist.plan.fleet import Fleet
 
 STREAMS = (
@@ -127,20 +127,20 @@
     return out
 
 
-def _firsts(fleet: Fleet, capture: Capture, classes: dict[str, int]) -> list[Entry]:
+def _firsts(fleet: Fleet, capture: Capture, classes: dict[str, int]) -> list[CapturedRequest]:
     """The first that was seen of each call. Tries of one state the same work, which hardly two calls do."""
     seen: dict[tuple, int] = {}
     out = []
-    for e in capture.entries:
-        s = e.seen
-        call = s.cls, s.tenant, s.work, s.caller, s.address if not s.caller else ""
-        lasts = fleet.classes[classes[s.cls]].deadline_ms * 1e6 if s.cls in classes else 0
+    for e in capture.requests:
+        s = e.record
+        call = s.class_name, s.tenant, s.work_ns, s.caller, s.address if not s.caller else ""
+        lasts = fleet.classes[classes[s.class_name]].deadline_ms * 1e6 if s.class_name in classes else 0
         # Nothing tells tries apart where no work is stated: then the marks alone count.
-        known = not s.work or e.at - seen.get(call, -(10**18)) <= lasts
-        if not s.retry or not known:
+        known = not s.work_ns or e.arrived_unix_ns - seen.get(call, -(10**18)) <= lasts
+        if not s.is_retry or not known:
             out.append(e)
-        if not s.retry or not known or call not in seen:
-            seen[call] = e.at
+        if not s.is_retry or not known or call not in seen:
+            seen[call] = e.arrived_unix_ns
     return out
 
 
@@ -156,27 +156,27 @@
     entries = _firsts(fleet, capture, classes)
     if not entries:
         raise ValueError("no first tries are on record")
-    begin, routers, out = entries[0].at, len(fleet.placed_routers), []
+    begin, routers, out = entries[0].arrived_unix_ns, len(fleet.placed_routers), []
     for e in entries:
-        if e.seen.cls not in classes:
-            raise ValueError(f"class {e.seen.cls!r} of the capture is not in the fleet's classes")
-        if tenants and e.seen.tenant not in tenants:
-            raise ValueError(f"tenant {e.seen.tenant!r} of the capture is not in the fleet's tenants")
-        cls = classes[e.seen.cls]
-        stated = e.seen.work / 1e9 if e.seen.work else fleet.classes[cls].work_ms / 1000
-        copies = 1 / capture.sample
+        if e.record.class_name not in classes:
+            raise ValueError(f"class {e.record.class_name!r} of the capture is not in the fleet's classes")
+        if tenants and e.record.tenant not in tenants:
+            raise ValueError(f"tenant {e.record.tenant!r} of the capture is not in the fleet's tenants")
+        cls = classes[e.record.class_name]
+        stated = e.record.work_ns / 1e9 if e.record.work_ns else fleet.classes[cls].work_ms / 1000
+        copies = 1 / capture.sample_fraction
         for n in range(int(copies) + (streams["arrivals"].uniform() < copies % 1)):
-            at = (e.at - begin) / 1e9 + (streams["arrivals"].uniform() if n else 0.0)
+            at = (e.arrived_unix_ns - begin) / 1e9 + (streams["arrivals"].uniform() if n else 0.0)
             subject = e.subject + n if e.subject else 0
             out.append(
                 Wish(
                     at,
                     cls,
-                    tenants.get(e.seen.tenant, -1),
+                    tenants.get(e.record.tenant, -1),
                     subject,
                     stated,
                     stated,
-                    (e.seen.caller or xxhash.xxh32_intdigest(e.seen.address.encode())) % routers,
+                    (e.record.caller or xxhash.xxh32_intdigest(e.record.address.encode())) % routers,
                     float(streams["sizes"].uniform(*fleet.intake.held_kb)),
                 )
             )
--- a/ochrehoist/plan/fit.py
+++ b/ochrehoist/plan/fit.py
@@ -11,8 +11,8 @@
 
 import numpy as np
 
-from ochrehoist.capture.reader import Capture, Entry
-from ochrehoist.capture.records import Outcome
+from ochrehoist.capture.reader import Capture, CapturedRequest
+from ochrehoist.capture.records import RequestOutcome
 
 RESAMPLES = 300
 FEWEST = 40  # values under which nothing is said
@@ -52,52 +52,58 @@
 
 def fitted(capture: Capture, seed: int = 1) -> list[Estimate]:
     """All that can be told, workers by name. Raises ValueError where nothing is on record."""
-    if not capture.entries:
+    if not capture.requests:
         raise ValueError("no requests are on record")
     rng, out = np.random.default_rng(seed), []
     out.append(_rate(capture, rng))
-    by_class: dict[str, list[Entry]] = defaultdict(list)
-    by_worker: dict[str, list[Entry]] = defaultdict(list)
-    for e in capture.entries:
-        by_class[e.seen.cls].append(e)
+    by_class: dict[str, list[CapturedRequest]] = defaultdict(list)
+    by_worker: dict[str, list[CapturedRequest]] = defaultdict(list)
+    for e in capture.requests:
+        by_class[e.record.class_name].append(e)
         by_worker[e.worker].append(e)
     for name, entries in sorted(by_class.items()):
-        work = np.array([e.seen.work / 1e6 for e in entries if e.seen.work])
+        work = np.array([e.record.work_ns / 1e6 for e in entries if e.record.work_ns])
         note = "" if len(work) else "no request stated its work"
         out.append(estimated(f"{name}: stated work (ms)", work, lambda v: float(v.mean()), rng, note))
         out.append(estimated(f"{name}: spread of it (cv)", work, lambda v: float(v.std() / v.mean()), rng))
-    cores = {h.name: h.cores for h in capture.heads}
+    cores = {h.worker: h.cores for h in capture.headers}
     for name, entries in sorted(by_worker.items()):
-        out += _machine(name, entries, cores[name], rng, capture.sample < 1)
+        out += _machine(name, entries, cores[name], rng, capture.sample_fraction < 1)
     out += [_popularity(capture), _repeats(capture, rng)]
     return out
 
 
 def _rate(capture: Capture, rng: np.random.Generator) -> Estimate:
     """First tries a second, by whole seconds."""
-    firsts = [e.at for e in capture.entries if not e.seen.retry]
-    if capture.seconds < FEWEST:
+    firsts = [e.arrived_unix_ns for e in capture.requests if not e.record.is_retry]
+    if capture.duration_s < FEWEST:
         return Estimate(
             "first tries a second",
-            len(firsts) / max(1.0, capture.seconds) / capture.sample,
+            len(firsts) / max(1.0, capture.duration_s) / capture.sample_fraction,
             count=len(firsts),
-            note=f"{capture.seconds:.0f} s are too short for an interval",
+            note=f"{capture.duration_s:.0f} s are too short for an interval",
         )
-    counts = Counter((at - capture.entries[0].at) // 1_000_000_000 for at in firsts)
-    values = np.array([counts[s] / capture.sample for s in range(int(capture.seconds))], dtype=float)
+    counts = Counter((at - capture.requests[0].arrived_unix_ns) // 1_000_000_000 for at in firsts)
+    values = np.array(
+        [counts[s] / capture.sample_fraction for s in range(int(capture.duration_s))], dtype=float
+    )
     return estimated("first tries a second", values, lambda v: float(v.mean()), rng)
 
 
-def _ran(entries: list[Entry]) -> list[Entry]:
-    return [e for e in entries if e.seen.outcome == Outcome.SERVED and e.seen.ran > 0 and e.seen.work]
+def _ran(entries: list[CapturedRequest]) -> list[CapturedRequest]:
+    return [
+        e
+        for e in entries
+        if e.record.outcome == RequestOutcome.SERVED and e.record.run_ns > 0 and e.record.work_ns
+    ]
 
 
-def _beside(entries: list[Entry], cores: int) -> dict[int, tuple[float, float]]:
+def _beside(entries: list[CapturedRequest], cores: int) -> dict[int, tuple[float, float]]:
     """For each run, by its place in the list: the mean share of a core that it had, and the crowd a core."""
     spans = [
-        (n, e.at + e.seen.unread + e.seen.waited, e.seen.ran)
+        (n, e.arrived_unix_ns + e.record.read_delay_ns + e.record.queue_ns, e.record.run_ns)
         for n, e in enumerate(entries)
-        if e.seen.waited >= 0 and e.seen.ran > 0
+        if e.record.queue_ns >= 0 and e.record.run_ns > 0
     ]
     if not spans:
         return {}
@@ -119,7 +125,7 @@
 
 
 def _machine(
-    name: str, entries: list[Entry], cores: int, rng: np.random.Generator, sampled: bool
+    name: str, entries: list[CapturedRequest], cores: int, rng: np.random.Generator, sampled: bool
 ) -> list[Estimate]:
     """Speed, crowd and reading of one worker. What ran beside a run is told by all others' times; of a
     sampled capture only by how many ran as it came."""
@@ -127,11 +133,13 @@
     own = {id(e): beside.get(n) for n, e in enumerate(entries)}
     ran = _ran(entries)
 
-    def neighbours(e: Entry) -> tuple[float, float]:
-        n = (e.seen.running + 1) / cores
+    def neighbours(e: CapturedRequest) -> tuple[float, float]:
+        n = (e.record.running_requests + 1) / cores
         return own[id(e)] or (min(1.0, 1 / n), n)
 
-    alone = np.array([e.seen.work / e.seen.ran / neighbours(e)[0] for e in ran if neighbours(e)[1] <= 1.0])
+    alone = np.array(
+        [e.record.work_ns / e.record.run_ns / neighbours(e)[0] for e in ran if neighbours(e)[1] <= 1.0]
+    )
     note = (
         "as runs have it, less what reading takes"
         if len(alone) >= FEWEST
@@ -144,7 +152,7 @@
     by_crowd: dict[float, list[float]] = defaultdict(list)
     for e in ran:
         share, n = neighbours(e)
-        by_crowd[math.floor(2 * n) / 2].append(e.seen.work / e.seen.ran / (share * speed.value))
+        by_crowd[math.floor(2 * n) / 2].append(e.record.work_ns / e.record.run_ns / (share * speed.value))
     slow, most = None, 0.0
     for crowd, parts in sorted(by_crowd.items()):
         if len(parts) < FEWEST or crowd < 1:
@@ -163,9 +171,13 @@
     never = f"it was never seen to slow, up to {most:g} running a core"
     out.append(slow or Estimate(f"{name}: {SLOWS}", None, note=never))
     calm = np.array(
-        [e.seen.unread / 1e9 for e in entries if e.seen.running <= CALM * cores and not e.seen.held]
+        [
+            e.record.read_delay_ns / 1e9
+            for e in entries
+            if e.record.running_requests <= CALM * cores and not e.record.queued_requests
+        ]
     )
-    work = np.array([e.seen.work / 1e9 for e in entries if e.seen.work])
+    work = np.array([e.record.work_ns / 1e9 for e in entries if e.record.work_ns])
     if len(work):
         mean = float(work.mean())
         out.append(
@@ -184,9 +196,9 @@
     """The exponent of Zipf's law by likelihood, in the file with most subjects: hashes differ by file."""
     what = "popularity of subjects (zipf)"
     files: dict[tuple[str, int], Counter] = defaultdict(Counter)
-    for e in capture.entries:
-        if e.subject and not e.seen.retry:
-            files[e.worker, e.at - e.seen.at][e.subject] += 1
+    for e in capture.requests:
+        if e.subject and not e.record.is_retry:
+            files[e.worker, e.arrived_unix_ns - e.record.arrived_ns][e.subject] += 1
     counts = max(files.values(), key=len, default=Counter())
     total = sum(counts.values())
     if total < 10 * FEWEST or len(counts) < FEWEST:
@@ -202,10 +214,14 @@
     losses = np.array([loss(s) for s in grid])
     best = int(losses.argmin())
     inside = grid[losses <= losses[best] + 1.92]  # 95% by the likelihood ratio
-    note = "of the sampled subjects" if capture.sample < 1 else "subjects never asked for are not counted"
+    note = (
+        "of the sampled subjects"
+        if capture.sample_fraction < 1
+        else "subjects never asked for are not counted"
+    )
     return Estimate(what, float(grid[best]), float(inside.min()), float(inside.max()), total, note)
 
 
 def _repeats(capture: Capture, rng: np.random.Generator) -> Estimate:
-    marks = np.array([float(e.seen.retry) for e in capture.entries])
+    marks = np.array([float(e.record.is_retry) for e in capture.requests])
     return estimated("marked repeats, of all requests", marks, lambda v: float(v.mean()), rng)
--- a/tests/test_capture.py
+++ b/tests/test_capture.py
@@ -13,134 +13,144 @@
 from stand_ins import MEMORY, MS, PATIENCE, Program, hasty, run, toml_file
 from stand_ins import settings as site_settings
 
-from ochrehoist.capture.pace import Batches, Sample, file_ends, surplus
-from ochrehoist.capture.reader import Capture, read, read_file
+from ochrehoist.capture.batching import BatchWindow, SubjectSampler, file_is_complete, files_to_delete
+from ochrehoist.capture.encoding import (
+    BLOCK_HEADER_BYTES,
+    PREFIX_BYTES,
+    CaptureDamage,
+    decode_records,
+    encode_block,
+    file_prefix,
+)
+from ochrehoist.capture.reader import Capture, read_capture
 from ochrehoist.capture.records import (
-    HEADER,
-    NEVER,
-    Damage,
-    Head,
-    Lost,
-    Outcome,
-    Seen,
-    Unusable,
-    block,
-    records,
-    start,
+    UNKNOWN_SPAN_NS,
+    CaptureHeader,
+    DroppedRecords,
+    InvalidCaptureError,
+    RequestOutcome,
+    RequestRecord,
 )
 
-HEAD = Head("n1", 10**18, 1.0, 4, 1000.0, (("read", 1, 2, 1.0, 0.0),), (("acme", 10.0),))
+HEADER = CaptureHeader("n1", 10**18, 1.0, 4, 1000.0, (("read", 1, 2, 1.0, 0.0),), (("acme", 10.0),))
 
 
-def seen(n=0, **more):
+def record(n=0, **more):
     values = {
-        "at": n * MS,
-        "cls": "read",
+        "arrived_ns": n * MS,
+        "class_name": "read",
         "tenant": "acme",
         "front": "ajp",
         "subject": n % 7,
-        "work": 5 * MS,
+        "work_ns": 5 * MS,
         "caller": 1,
         "address": "127.0.0.1",
-        "retry": False,
-        "outcome": Outcome.SERVED,
-        "unread": 0,
-        "waited": MS,
-        "ran": 5 * MS,
-        "running": 1,
-        "held": 0,
+        "is_retry": False,
+        "outcome": RequestOutcome.SERVED,
+        "read_delay_ns": 0,
+        "queue_ns": MS,
+        "run_ns": 5 * MS,
+        "running_requests": 1,
+        "queued_requests": 0,
     } | more
-    return Seen(**values)
+    return RequestRecord(**values)
 
 
 def whole(blocks=3, each=4):
-    out = start() + block([HEAD])
+    out = file_prefix() + encode_block([HEADER])
     for b in range(blocks):
-        out += block([seen(b * each + n) for n in range(each)])
+        out += encode_block([record(b * each + n) for n in range(each)])
     return out
 
 
 class Format(unittest.TestCase):
     def test_what_is_written_is_read_in_order_of_time(self):
         capture = Capture()
-        data = start() + block([HEAD]) + block([seen(2), seen(1), Lost(5, 9)]) + block([seen(0)])
-        read_file(data, capture, 1)
-        capture.entries.sort(key=lambda e: e.at)
-        self.assertEqual([e.seen.at for e in capture.entries], [0, MS, 2 * MS])
-        self.assertEqual((capture.lost, capture.warnings()), (9, ["9 records were lost while it was made"]))
+        data = (
+            file_prefix()
+            + encode_block([HEADER])
+            + encode_block([record(2), record(1), DroppedRecords(5, 9)])
+            + encode_block([record(0)])
+        )
+        capture.add_file(data, 1)
+        capture.requests.sort(key=lambda request: request.arrived_unix_ns)
+        self.assertEqual([request.record.arrived_ns for request in capture.requests], [0, MS, 2 * MS])
+        self.assertEqual(
+            (capture.dropped, capture.warnings()), (9, ["9 records were lost while it was made"])
+        )
 
     @settings(max_examples=200, deadline=None)
     @given(st.integers(0, len(whole())))
     def test_a_file_cut_anywhere_gives_its_whole_blocks_and_says_so(self, at):
         capture = Capture()
         try:
-            read_file(whole()[:at], capture, 1)
-        except Unusable:
-            self.assertLess(at, HEADER + len(block([HEAD])))
+            capture.add_file(whole()[:at], 1)
+        except InvalidCaptureError:
+            self.assertLess(at, PREFIX_BYTES + len(encode_block([HEADER])))
             return
-        self.assertEqual(len(capture.entries) % 4, 0)
+        self.assertEqual(len(capture.requests) % 4, 0)
         self.assertEqual(capture.damage.cut_bytes > 0 or at in self.ends(), True)
 
     def ends(self):
-        at, out = HEADER, set()
+        at, out = PREFIX_BYTES, set()
         while at <= len(whole()):
             out.add(at)
-            at += 12 + int.from_bytes(whole()[at : at + 4] or b"\xff\xff", "big")
+            at += BLOCK_HEADER_BYTES + int.from_bytes(whole()[at : at + 4] or b"\xff\xff", "big")
         return out
 
     @settings(max_examples=300, deadline=None)
-    @given(st.integers(HEADER, len(whole()) - 1), st.integers(1, 255))
+    @given(st.integers(PREFIX_BYTES, len(whole()) - 1), st.integers(1, 255))
     def test_a_changed_byte_costs_its_block_and_invents_nothing(self, at, flip):
-        data, damage = bytearray(whole()), Damage()
+        data, damage = bytearray(whole()), CaptureDamage()
         data[at] ^= flip
-        got = [r for r in records(bytes(data), damage) if isinstance(r, Seen)]
-        self.assertLessEqual({r.at for r in got}, {n * MS for n in range(12)})
-        self.assertTrue(damage.blocks or damage.cut_bytes)
+        got = [r for r in decode_records(bytes(data), damage) if isinstance(r, RequestRecord)]
+        self.assertLessEqual({r.arrived_ns for r in got}, {n * MS for n in range(12)})
+        self.assertTrue(damage.corrupt_blocks or damage.cut_bytes)
 
     def test_older_records_lack_fields_newer_have_more_and_unknown_kinds_are_passed_over(self):
-        plain = ["req", *msgspec.to_builtins(seen(1))[1:]]
+        plain = ["req", *msgspec.to_builtins(record(1))[1:]]
         older, newer, other = plain[:-1], [*plain, "more"], ["decision", 1, 2]
-        damage = Damage()
-        got = list(records(start() + block([HEAD, older, newer, other]), damage))
-        self.assertEqual(got[1:], [seen(1), seen(1)])
-        self.assertEqual(damage.unknown, 1)
+        damage = CaptureDamage()
+        got = list(decode_records(file_prefix() + encode_block([HEADER, older, newer, other]), damage))
+        self.assertEqual(got[1:], [record(1), record(1)])
+        self.assertEqual(damage.unknown_records, 1)
 
     def test_what_is_no_capture_is_named(self):
         for data, why in (
             (b"", "not a capture"),
             (b"PNG" * 9, "not a capture"),
-            (start()[:-1] + b"\x09", "version 9"),
-            (start(), "nothing that is whole"),
-            (start() + block([seen()]), "head is damaged"),
+            (file_prefix()[:-1] + b"\x09", "version 9"),
+            (file_prefix(), "nothing that is whole"),
+            (file_prefix() + encode_block([record()]), "head is damaged"),
         ):
-            with self.assertRaises(Unusable) as raised:
-                read_file(data, Capture(), 1)
+            with self.assertRaises(InvalidCaptureError) as raised:
+                Capture().add_file(data, 1)
             self.assertIn(why, str(raised.exception))
 
 
-class Pace(unittest.TestCase):
+class Batching(unittest.TestCase):
     def test_a_sample_takes_all_of_a_subject_or_none_the_same_everywhere(self):
         subjects = [b"%d" % n for n in range(20_000)]
-        taken = {s for s in subjects if Sample(0.2).takes(s)}
-        self.assertEqual(taken, {s for s in subjects if Sample(0.2).takes(s)})
+        taken = {s for s in subjects if SubjectSampler(0.2).includes(s)}
+        self.assertEqual(taken, {s for s in subjects if SubjectSampler(0.2).includes(s)})
         self.assertAlmostEqual(len(taken) / len(subjects), 0.2, delta=0.02)
-        self.assertLess(taken, {s for s in subjects if Sample(0.5).takes(s)})
-        self.assertTrue(all(Sample(1.0).takes(s) for s in subjects))
+        self.assertLess(taken, {s for s in subjects if SubjectSampler(0.5).includes(s)})
+        self.assertTrue(all(SubjectSampler(1.0).includes(s) for s in subjects))
 
     def test_past_the_batches_under_way_records_are_lost_and_told_once(self):
-        b = Batches(size=4, most=2)
-        b.under_way = 2
-        self.assertFalse(b.may_go())
+        b = BatchWindow(batch_records=4, max_in_flight=2)
+        b.in_flight = 2
+        self.assertFalse(b.has_capacity())
         b.drop(4)
-        self.assertEqual((b.told(), b.told(), b.lost_in_all), (4, 0, 4))
+        self.assertEqual((b.take_dropped(), b.take_dropped(), b.total_dropped), (4, 0, 4))
 
     def test_the_oldest_files_go_and_the_newest_stays(self):
         files = [("3", 50), ("1", 40), ("2", 40)]
-        self.assertEqual(surplus(files, 1000), [])
-        self.assertEqual(surplus(files, 100), ["1"])
-        self.assertEqual(surplus(files, 10), ["1", "2"])
-        self.assertTrue(file_ends(0, 5, 10, 60, 10) and file_ends(0, 60, 1, 60, 10))
-        self.assertFalse(file_ends(0, 59, 9, 60, 10))
+        self.assertEqual(files_to_delete(files, 1000), [])
+        self.assertEqual(files_to_delete(files, 100), ["1"])
+        self.assertEqual(files_to_delete(files, 10), ["1", "2"])
+        self.assertTrue(file_is_complete(0, 5, 10, 60, 10) and file_is_complete(0, 60, 1, 60, 10))
+        self.assertFalse(file_is_complete(0, 59, 9, 60, 10))
 
 
 class Recorded(unittest.TestCase):
@@ -157,7 +167,7 @@
     def ended(self, program):
         program.process.terminate()
         self.assertEqual(program.ended(), 0)
-        return read([self.folder / "load"])
+        return read_capture([self.folder / "load"])
 
     def test_each_request_is_on_record_with_how_it_ended_and_no_name_in_clear(self):
         program = self.program({}, site=hasty())
@@ -174,17 +184,20 @@
         ends = [each.answer()[0] for each in crowd]
         capture = self.ended(program)
         reads, (ran, joined) = (
-            [e.seen for e in capture.entries if e.seen.cls == name] for name in ("read", "filing")
+            [request.record for request in capture.requests if request.record.class_name == name]
+            for name in ("read", "filing")
         )
         self.assertEqual((ran.outcome, joined.outcome, ran.tenant, ran.front), (0, 0, "acme", "ajp"))
         self.assertEqual(ran.subject, joined.subject)
-        self.assertGreater(ran.ran, 0)
-        self.assertEqual((joined.waited, joined.ran), (NEVER, NEVER))
-        refused = [s for s in reads if s.outcome == Outcome.REFUSED]
+        self.assertGreater(ran.run_ns, 0)
+        self.assertEqual((joined.queue_ns, joined.run_ns), (UNKNOWN_SPAN_NS, UNKNOWN_SPAN_NS))
+        refused = [s for s in reads if s.outcome == RequestOutcome.REJECTED]
         self.assertEqual(len(refused), ends.count(503))
-        self.assertTrue(all(s.waited == NEVER and s.retry and s.address == "127.0.0.1" for s in refused))
-        self.assertEqual(len(capture.entries), 22)
-        self.assertEqual((capture.warnings(), capture.heads[0].name), ([], "n1"))
+        self.assertTrue(
+            all(s.queue_ns == UNKNOWN_SPAN_NS and s.is_retry and s.address == "127.0.0.1" for s in refused)
+        )
+        self.assertEqual(len(capture.requests), 22)
+        self.assertEqual((capture.warnings(), capture.headers[0].worker), ([], "n1"))
         for path in (self.folder / "load").iterdir():
             self.assertNotIn(b"secret-key", path.read_bytes())
 
@@ -207,8 +220,8 @@
         program.server.next()[2](data=b"page")
         self.assertEqual(web.answer()[2], b"page")
         capture = self.ended(program)
-        self.assertGreaterEqual(len(capture.entries), 1)
-        self.assertTrue(program.said("load can't be recorded; all else goes on"))
+        self.assertGreaterEqual(len(capture.requests), 1)
+        self.assertTrue(program.said("capture_unavailable"))
 
     def trouble(self, program, wanted):
         until = time.monotonic() + PATIENCE
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -16,7 +16,14 @@
 
 from ochrehoist.admission.settings import RequestClass, Tenant
 from ochrehoist.app.worker import Worker
-from ochrehoist.capture.records import Damage, Head, head_block, records, start, told
+from ochrehoist.capture.encoding import (
+    CaptureDamage,
+    decode_records,
+    encode_header,
+    encode_tenants,
+    file_prefix,
+)
+from ochrehoist.capture.records import CaptureHeader
 from ochrehoist.config.loader import load
 from ochrehoist.config.settings import at_once
 from ochrehoist.core.tenants import SPARE, changed, compact, first
@@ -276,10 +283,10 @@
     def test_a_head_of_thousands_of_tenants_in_pieces_reads_as_one_that_is_written_whole(self):
         for count in (0, 3, 70_000):
             of = tuple((f"t{n}", float(n)) for n in range(count))
-            head = Head("n1", 5, 1.0, 4, 1000.0, (("read", 1, 2, 1.0, 0.0),), of)
-            pieces = [told(of[n : n + 500]) for n in range(0, count, 500)]
-            data = start() + head_block(msgspec.structs.replace(head, tenants=()), count, pieces)
-            self.assertEqual(list(records(data, Damage())), [head])
+            header = CaptureHeader("n1", 5, 1.0, 4, 1000.0, (("read", 1, 2, 1.0, 0.0),), of)
+            parts = [encode_tenants(of[n : n + 500]) for n in range(0, count, 500)]
+            data = file_prefix() + encode_header(msgspec.structs.replace(header, tenants=()), count, parts)
+            self.assertEqual(list(decode_records(data, CaptureDamage())), [header])
 
 
 class Appliance(ProgramCase):
--- a/tests/test_plan.py
+++ b/tests/test_plan.py
@@ -12,8 +12,8 @@
 from hypothesis import strategies as st
 from stand_ins import ROOT, run
 
-from ochrehoist.capture.reader import Capture, Entry
-from ochrehoist.capture.records import Head, Seen
+from ochrehoist.capture.reader import Capture, CapturedRequest
+from ochrehoist.capture.records import CaptureHeader, RequestRecord
 from ochrehoist.config.settings import settings_from
 from ochrehoist.plan import analytic
 from ochrehoist.plan.cores import Cores, Machine
@@ -279,9 +279,9 @@
         self.assertEqual(json.dumps(here), json.dumps(there))
 
     def test_a_sampled_capture_is_made_whole_and_a_foreign_class_is_named(self):
-        f, head = fleet(), Head("n1", 0, 0.5, 4, 1.0, (), ())
+        f, head = fleet(), CaptureHeader("n1", 0, 0.5, 4, 1.0, (), ())
         seen = [
-            Seen(
+            RequestRecord(
                 0,
                 "company-read",
                 "startdesk",
@@ -300,11 +300,15 @@
             )
             for n in range(400)
         ]
-        entries = [Entry("n1", n * 10**7, s, s.subject) for n, s in enumerate(seen)]
+        entries = [CapturedRequest("n1", n * 10**7, s, s.subject) for n, s in enumerate(seen)]
         wishes, span = captured(f, Capture([head], entries), Streams(1))
         self.assertEqual(len(wishes), 600)  # 300 first tries, of every second subject
         self.assertAlmostEqual(span, 4.5, delta=0.6)
-        foreign = [Entry("n1", 0, Seen(0, "other", None, "", 0, 0, 0, "", False, 0, 0, 0, 0, 0, 0), 0)]
+        foreign = [
+            CapturedRequest(
+                "n1", 0, RequestRecord(0, "other", None, "", 0, 0, 0, "", False, 0, 0, 0, 0, 0, 0), 0
+            )
+        ]
         with self.assertRaises(ValueError) as raised:
             captured(f, Capture([head], foreign), Streams(1))
         self.assertIn("'other'", str(raised.exception))
@@ -338,7 +342,7 @@
             for number in there.advance(now):
                 began, work, running = begun.pop(number)
                 subject, stated = int(rng.zipf(1.9)), int(work * 1e9 * rng.lognormal(0, 0.1))
-                seen = Seen(
+                seen = RequestRecord(
                     int(began * 1e9),
                     "read",
                     None,
@@ -355,8 +359,10 @@
                     running,
                     0,
                 )
-                out.append(Entry("n1", int(began * 1e9), seen, subject))
-        return Capture([Head("n1", 0, 1.0, cores, 1.0, (), ())], sorted(out, key=lambda e: e.at))
+                out.append(CapturedRequest("n1", int(began * 1e9), seen, subject))
+        return Capture(
+            [CaptureHeader("n1", 0, 1.0, cores, 1.0, (), ())], sorted(out, key=lambda e: e.arrived_unix_ns)
+        )
 
     def told(self, capture):
         return {e.what: e for e in fitted(capture)}
@@ -369,9 +375,9 @@
         repeats = found["marked repeats, of all requests"]
         self.assertTrue(repeats.low <= 0.1 <= repeats.high)
         capture = self.entries()
-        firsts = sum(not e.seen.retry for e in capture.entries)
+        firsts = sum(not e.record.is_retry for e in capture.requests)
         rate = found["first tries a second"]
-        self.assertTrue(rate.low <= firsts / capture.seconds <= rate.high, rate)
+        self.assertTrue(rate.low <= firsts / capture.duration_s <= rate.high, rate)
 
     def test_what_a_capture_cannot_tell_gets_no_number(self):
         found = self.told(self.entries(crowd=4))  # never more than the cores
--- a/tests/test_plan_answers.py
+++ b/tests/test_plan_answers.py
@@ -10,8 +10,8 @@
 from stand_ins import run
 from test_plan import fleet, quiet
 
-from ochrehoist.capture.reader import Capture, Entry, read
-from ochrehoist.capture.records import NEVER, Head, Outcome, Seen
+from ochrehoist.capture.reader import Capture, CapturedRequest, read_capture
+from ochrehoist.capture.records import UNKNOWN_SPAN_NS, CaptureHeader, RequestOutcome, RequestRecord
 from ochrehoist.lab import scale_report
 from ochrehoist.plan import pictures, report
 from ochrehoist.plan.captures import side_by_side
@@ -40,7 +40,7 @@
     rng, at, entries = Streams(seed)["arrivals"], 0.0, []
     while (at := at + float(rng.exponential(1 / rate))) < seconds:
         ran = rng.uniform() >= refused
-        seen = Seen(
+        seen = RequestRecord(
             int(at * 1e9),
             cls,
             None,
@@ -50,15 +50,15 @@
             1,
             "",
             False,
-            Outcome.SERVED if ran else Outcome.REFUSED,
+            RequestOutcome.SERVED if ran else RequestOutcome.REJECTED,
             MS,
-            int(rng.exponential(waited_ms) * MS) if ran else NEVER,
-            int(rng.exponential(work_ms) * MS) if ran else NEVER,
+            int(rng.exponential(waited_ms) * MS) if ran else UNKNOWN_SPAN_NS,
+            int(rng.exponential(work_ms) * MS) if ran else UNKNOWN_SPAN_NS,
             2,
             0,
         )
-        entries.append(Entry("n1", int(at * 1e9), seen, seen.subject))
-    return Capture([Head("n1", 0, 1.0, 4, 1.0, (), ())], entries)
+        entries.append(CapturedRequest("n1", int(at * 1e9), seen, seen.subject))
+    return Capture([CaptureHeader("n1", 0, 1.0, 4, 1.0, (), ())], entries)
 
 
 class Pages(unittest.TestCase):
@@ -209,10 +209,10 @@
 class Recorded(unittest.TestCase):
     def test_a_repeat_whose_first_try_no_worker_saw_is_a_call_and_any_other_is_none(self):
         def tried(at, work, retry, caller=1):
-            seen = Seen(
+            seen = RequestRecord(
                 0, "company-read", "startdesk", "thrift", 7, work, caller, "", retry, 1, 0, 0, 0, 0, 0
             )
-            return Entry("n1", at * MS, seen, 7)
+            return CapturedRequest("n1", at * MS, seen, 7)
 
         entries = [
             tried(0, 10, False),
@@ -223,7 +223,9 @@
             tried(9000, 10, True),
             tried(9001, 0, True),
         ]
-        wishes, _ = captured(fleet(), Capture([Head("n1", 0, 1.0, 4, 1.0, (), ())], entries), Streams(1))
+        wishes, _ = captured(
+            fleet(), Capture([CaptureHeader("n1", 0, 1.0, 4, 1.0, (), ())], entries), Streams(1)
+        )
         self.assertEqual([round(w.at * 1000) for w in wishes], [0, 60, 95, 9000])
 
     def test_what_real_workers_saw_is_each_try_that_reached_them(self):
@@ -231,14 +233,16 @@
             f = fleet().at(0.6)
             play = Play(f, 1, 4.0, settle=0.0, operators=f"[capture]\nfolder = {json.dumps(folder)}\n")
             tally = play.run()
-            recorded = read([Path(folder)])
-            self.assertEqual((recorded.lost, recorded.damage.blocks, recorded.damage.cut_bytes), (0, 0, 0))
-            self.assertEqual({h.name for h in recorded.heads}, {"n0", "n1", "n2"})
+            recorded = read_capture([Path(folder)])
+            self.assertEqual(
+                (recorded.dropped, recorded.damage.corrupt_blocks, recorded.damage.cut_bytes), (0, 0, 0)
+            )
+            self.assertEqual({h.worker for h in recorded.headers}, {"n0", "n1", "n2"})
             reached = sum(w.served + w.refused + w.failed for w in tally.workers)
-            self.assertGreaterEqual(len(recorded.entries), reached)
-            self.assertLessEqual(len(recorded.entries), sum(w.tries for w in tally.workers))
+            self.assertGreaterEqual(len(recorded.requests), reached)
+            self.assertLessEqual(len(recorded.requests), sum(w.tries for w in tally.workers))
             self.assertEqual(
-                sum(e.seen.outcome == Outcome.SERVED for e in recorded.entries),
+                sum(e.record.outcome == RequestOutcome.SERVED for e in recorded.requests),
                 sum(w.served for w in tally.workers),
             )
             values = forecast(f, (1,), 12.0, 1, quiet)
