--- a/ochrehoist/capture/recorder.py
+++ b/ochrehoist/capture/recorder.py
@@ -2,9 +2,10 @@
 
 import secrets
 from collections.abc import Callable
-from dataclasses import dataclass, replace
+from dataclasses import replace
 from typing import Any
 
+import msgspec
 import xxhash
 
 from ochrehoist.admission.settings import AdmissionSettings
@@ -32,8 +33,7 @@
 SALT_BITS = 64
 
 
-@dataclass(slots=True)
-class OpenRequest:
+class OpenRequest(msgspec.Struct, gc=False):
     """A sampled request that is not answered yet, and the load when it came."""
 
     request: InboundRequest
@@ -103,23 +103,23 @@
         started_ns = request.started_ns
         subject = _subject(request)
         front, address = request.responder.origin()
-        return RequestRecord(
-            arrived_ns=max(0, request.arrived_ns - self._started_unix_ns),
-            class_name=request.request_class.name,
-            tenant=request.tenant,
-            front=front,
-            subject=0 if subject is None else xxhash.xxh3_64_intdigest(subject, self._salt),
-            work_ns=request.work_ns or 0,
-            caller=request.caller,
-            address=address,
-            is_retry=request.is_retry,
-            outcome=outcome,
-            read_delay_ns=max(0, opened.read_at_ns - request.arrived_ns),
-            queue_ns=started_ns - opened.read_at_ns if started_ns else UNKNOWN_SPAN_NS,
-            run_ns=now_ns - started_ns if started_ns else UNKNOWN_SPAN_NS,
-            running_requests=opened.running_requests,
-            queued_requests=opened.queued_requests,
-            retry_after_ns=retry_after_ns,
+        return RequestRecord(  # by position, which costs less for each request
+            max(0, request.arrived_ns - self._started_unix_ns),
+            request.request_class.name,
+            request.tenant,
+            front,
+            0 if subject is None else xxhash.xxh3_64_intdigest(subject, self._salt),
+            request.work_ns or 0,
+            request.caller,
+            address,
+            request.is_retry,
+            outcome,
+            max(0, opened.read_at_ns - request.arrived_ns),  # read_delay_ns
+            started_ns - opened.read_at_ns if started_ns else UNKNOWN_SPAN_NS,  # queue_ns
+            now_ns - started_ns if started_ns else UNKNOWN_SPAN_NS,  # run_ns
+            opened.running_requests,
+            opened.queued_requests,
+            retry_after_ns,
         )
 
     def configure(self, config: Config) -> None:
--- a/ochrehoist/store/records.py
+++ b/ochrehoist/store/records.py
@@ -133,20 +133,20 @@
     if not isinstance(data, bytes) or len(data) <= HEADER_BYTES:
         raise CorruptRecordError("too short")
     version, content = data[0], data[HEADER_BYTES:]
-    if checksum(key, data[:1] + content) != stored_checksum(data):
+    if checksum(key, data[:1] + content) != int.from_bytes(data[1:HEADER_BYTES], "big"):
         raise CorruptRecordError("the checksum does not fit")
     if version > FORMAT_VERSION:
         raise UnsupportedFormatError(f"version {version}")
     try:
-        return _decode_content(version, content, record_type)
+        if version == FORMAT_VERSION:
+            current: Record = _decoders[record_type].decode(content)
+            return current
+        return _migrate(version, content, record_type)
     except (msgspec.MsgspecError, ValueError, TypeError, IndexError, KeyError) as error:
         raise CorruptRecordError(f"not of its schema: {error}") from None
 
 
-def _decode_content(version: int, content: bytes, record_type: type[Record]) -> Record:
-    if version == FORMAT_VERSION:
-        current: Record = _decoders[record_type].decode(content)
-        return current
+def _migrate(version: int, content: bytes, record_type: type[Record]) -> Record:
     value = msgspec.msgpack.decode(content)
     for older_version in range(version, FORMAT_VERSION):
         migrate = _MIGRATIONS.get((record_type, older_version))
--- a/ochrehoist/store/store_repair.py
+++ b/ochrehoist/store/store_repair.py
@@ -11,6 +11,7 @@
 from pathlib import Path
 
 import apsw
+import msgspec
 
 from ochrehoist.store import files
 from ochrehoist.store.damage import DamageAssessment, FolderInspection, StoreCondition, assess_damage
@@ -38,9 +39,8 @@
 HOLD_MARGIN_NS = NS_PER_S  # that a hold exceeds the longest window, for requests that were on their way
 
 
-@dataclass(slots=True)
-class LiveIntent:
-    """An intent whose window is not over."""
+class LiveIntent(msgspec.Struct, gc=False):
+    """An intent whose window is not over. At a start there may be very many."""
 
     record: IntentRecord
     remaining_ns: int
--- a/ochrehoist/store/write_queue.py
+++ b/ochrehoist/store/write_queue.py
@@ -49,10 +49,11 @@
     def add(self, now: float, operation: Operation) -> bool:
         """Queues an operation; False where it is a result and too many bytes of them wait already."""
         if isinstance(operation, PutResult):
-            if self.result_bytes + operation.size_bytes > MAX_QUEUED_RESULT_BYTES:
+            result_bytes = self.result_bytes + operation.size_bytes
+            if result_bytes > MAX_QUEUED_RESULT_BYTES:
                 self.results_not_stored += 1
                 return False
-            self.result_bytes += operation.size_bytes
+            self.result_bytes = result_bytes
         elif isinstance(operation, PutIntent) and operation.request_id:
             self.attempts[operation.request_id] = now
         elif isinstance(operation, DeleteIntent) and self.key_counts[operation.key]:
@@ -75,7 +76,7 @@
         """The next group to commit, if it is due; it is empty where the disk is only to be probed."""
         if not self.open or self.committing is not None or self.rebuild_needed or now < self.retry_at:
             return None
-        if not self._group_is_due(now):
+        if self.failure is None and not self._group_is_due(now):
             return None
         count = min(MAX_GROUP_OPERATIONS, len(self.waiting))
         group = [self._dequeue() for _ in range(count)]
@@ -85,7 +86,8 @@
 
     def next_event_at(self, now: float) -> float | None:
         """When the queue has to be looked at next; None: not before an operation is added."""
-        return max(now, min(times)) if (times := list(self._event_times())) else None
+        times = list(self._event_times())
+        return max(now, min(times)) if times else None
 
     def committed(self) -> list[str]:
         """Call when the group is durable; returns the ids of the attempts that may run now."""
@@ -93,9 +95,15 @@
         self.failure = None
         self.retry_delay_s = FIRST_RETRY_DELAY_S
         self.retry_at = 0.0
-        self.result_bytes -= sum(op.size_bytes for op in group if isinstance(op, PutResult))
-        intents = [op.request_id for op in group if isinstance(op, PutIntent)]
-        return [request_id for request_id in intents if self.attempts.pop(request_id, None) is not None]
+        ready = []
+        for operation in group:
+            if isinstance(operation, PutResult):
+                self.result_bytes -= operation.size_bytes
+            elif isinstance(operation, PutIntent):
+                waited = self.attempts.pop(operation.request_id, None) is not None
+                if waited:
+                    ready.append(operation.request_id)
+        return ready
 
     def failed(self, now: float, failure: FailureKind) -> list[str]:
         """Call when nothing of the group was stored; returns the ids of all attempts, none of which runs.
@@ -195,11 +203,8 @@
         return group
 
     def _group_is_due(self, now: float) -> bool:
-        if self.failure is not None:
-            return True
-        if not self.waiting:
-            return False
-        return len(self.waiting) >= MAX_GROUP_OPERATIONS or now >= self._group_due_at()
+        waiting = len(self.waiting)
+        return waiting > 0 and (waiting >= MAX_GROUP_OPERATIONS or now >= self._group_due_at())
 
     def _group_due_at(self) -> float:
         """When the next group is committed, unless it is full before."""
