--- a/benchmarks/limit_choice.py
+++ b/benchmarks/limit_choice.py
@@ -76,7 +76,7 @@
             w.machine = dataclasses.replace(w.machine, cores=real.cores)
             w.cores = Cores(w.machine, 0.0, False)
         if WAYS[way] is not None:
-            w.owner.limiter = Limiter(WAYS[way], w.owner.settings, seed)
+            w.owner.register_limiter(Limiter(WAYS[way], w.owner.settings, seed))
         if unstated:
             plain = w._inbound
 
--- a/benchmarks/slopes/state.py
+++ b/benchmarks/slopes/state.py
@@ -15,9 +15,9 @@
 
 
 def figures_by_classes(size: int, seed: int) -> Measures:
-    from ochrehoist.core.figures import Figures
+    from ochrehoist.core.metrics import Metrics
 
-    figures = Figures(f"class-{n}" for n in range(size))
+    figures = Metrics(f"class-{n}" for n in range(size))
     return {"text_bytes": len(figures.text(0)), "text_us": cpu_us(lambda: figures.text(0))}
 
 
@@ -100,32 +100,33 @@
 
 def _keys(size: int) -> Any:
     from ochrehoist.admission.events import Outcome
-    from ochrehoist.core.keys import KeyTable
+    from ochrehoist.core.idempotency_table import IdempotencyTable
     from ochrehoist.core.results import RunResult
 
-    table = KeyTable(2 * S, 1 << 40)
+    table = IdempotencyTable(2 * S, 1 << 40)
     for n in range(size):
         token = f"tenant-{n % 1000:06}", "class-1", f"key {n:032}"
-        table.keep(token, f"r{n}", 900 * S, (None, bytes(32)))
-        table.started(token, f"r{n}", 900 * S, (None, bytes(32)))
-        table.ended(token, f"r{n}", RunResult(Outcome.OK, b"done" * 75), 900)
+        table.retain(token, f"r{n}", 900 * S, (None, bytes(32)))
+        table.run_started(token, f"r{n}", 900 * S, (None, bytes(32)))
+        table.run_ended(token, f"r{n}", RunResult(Outcome.OK, b"done" * 75), 900)
     return table
 
 
 def keys(size: int, seed: int) -> Measures:
     """Filings within their window: the sweep is made each second, on the loop."""
     table, of_keys = grown(lambda: _keys(size))
-    out = {"bytes": of_keys, "sweep_us": cpu_us(lambda: table.sweep(10 * S))}
+    out = {"bytes": of_keys, "sweep_us": cpu_us(lambda: table.expire(10 * S))}
     assert len(table.runs) == size
     began = time.thread_time()
-    table.sweep(1000 * S)
+    table.expire(1000 * S)
     return out | {"last_sweep_us": (time.thread_time() - began) * 1e6}
 
 
 def handover_by_keys(size: int, seed: int) -> Measures:
-    from ochrehoist.core import handover
+    from ochrehoist.core.handover_snapshot import snapshot_lines
+    from ochrehoist.core.snapshot import CoreSnapshot
 
-    state = handover.State(keys=_keys(size))
+    state = CoreSnapshot(idempotency=_keys(size))
 
     class Plain:
         def to_json(self, detail: Any) -> Any:
@@ -133,7 +134,7 @@
 
     def lines() -> int:
         return sum(
-            len(json.dumps(line, separators=(",", ":"))) + 1 for line in handover.lines(state, 0, Plain())
+            len(json.dumps(line, separators=(",", ":"))) + 1 for line in snapshot_lines(state, 0, Plain())
         )
 
     return {"state_bytes": lines(), "state_us": cpu_us(lines)}
@@ -148,8 +149,8 @@
 
     def one() -> None:
         heap.answer_by(next(at) * MS, "request")
-        heap.next()
-        for _ in heap.past_due(heap.backstops[0][0]):
+        heap.next_due_ns()
+        for _ in heap.take_overdue_requests(heap.next_due_ns()):
             break
 
     return {"bytes": of_heap, "request_us": each_us(one, 1000)}
--- a/ochrehoist/app/reload.py
+++ b/ochrehoist/app/reload.py
@@ -11,11 +11,11 @@
 
 from ochrehoist.config import loader as configuration
 from ochrehoist.config.loader import Config
-from ochrehoist.core.figures import counted
-from ochrehoist.core.linkwatch import LinkWatch
+from ochrehoist.core.actor import CoreActor
+from ochrehoist.core.kernel_link_monitor import KernelLinkMonitor
 from ochrehoist.core.messages import ConfigurationSwitched, KernelLinkChanged, SettingsChanged, TenantsChanged
-from ochrehoist.core.owner import Owner
-from ochrehoist.core.tenants import STEP, Tenants, changed, compact
+from ochrehoist.core.metrics import ReloadCounter, RequestCounter, format_samples
+from ochrehoist.core.tenants import NAMES_PER_STEP, TenantTable, compacted_table, updated_table
 from ochrehoist.errors import InvalidInputError
 from ochrehoist.net.kernel import Kernel
 from ochrehoist.net.loop import Loop, Signal
@@ -26,17 +26,23 @@
 PAUSE = 1.0  # of the time that a turn's steps took, which all else has at least before the next
 LET_GO = 0.005  # s after a switch, and between two parts of what was in force before
 STAND = 0.01  # s between looks at a core that stands still while its state is handed over
-COUNTED = {"served": "answered_total", "refused": "deferred_total", "failed": "errored_total"}
+COUNTED = {
+    "served": RequestCounter.ANSWERED,
+    "refused": RequestCounter.REJECTED,
+    "failed": RequestCounter.FAILED,
+}
 
 Commit = Callable[[], None]
 Steps = Generator[None, None, Commit]
-Part = Callable[[Config, Tenants], Steps]  # what takes settings: builds what it needs, and gives the switch
+Part = Callable[
+    [Config, TenantTable], Steps
+]  # what takes settings: builds what it needs, and gives the switch
 
 
-def switch_only(configure: Callable[[Config, Tenants], None]) -> Part:
+def switch_only(configure: Callable[[Config, TenantTable], None]) -> Part:
     """A part that has nothing to prepare."""
 
-    def prepare(new: Config, tenants: Tenants) -> Steps:
+    def prepare(new: Config, tenants: TenantTable) -> Steps:
         return lambda: configure(new, tenants)
         yield
 
@@ -64,7 +70,7 @@
     def __init__(
         self,
         loop: Loop,
-        owner: Owner,
+        owner: CoreActor,
         config: Config,
         path: str | None,
         parts: Sequence[Part],
@@ -72,7 +78,7 @@
         log: Any,
     ) -> None:
         self.loop, self.owner, self.path, self.parts, self.log = loop, owner, path, parts, log
-        self.config, self.kernel, self.watch = config, kernel, LinkWatch()
+        self.config, self.kernel, self.watch = config, kernel, KernelLinkMonitor()
         self.good = True  # the kernel is within reach, or was a moment ago
         self.last, self.why, self.at = "start", "", time.monotonic()
         self.version, self.since = config.version, time.time()  # in force, and since when (Unix s)
@@ -113,7 +119,7 @@
 
     def figures(self) -> str:
         """Lines beside the fixed names: which version is in force, since when, and what reading has cost."""
-        return counted(
+        return format_samples(
             {
                 "app_conf_info": [(f'{{version="{self.version}"}}', 1)],
                 "app_conf_in_force_since_seconds": [("", round(self.since, 3))],
@@ -141,22 +147,22 @@
                 self._begin()
 
     def _obey(self) -> None:
-        figures = self.owner.figures.single
+        metrics = self.owner.metrics
         try:
             change = self._change()
         except InvalidInputError as error:
-            figures["conf_invalid_total"] += 1
+            metrics.count_reload(ReloadCounter.INVALID)
             self._turned_down(str(error))
             self.log.error(
                 "configuration can't be used, the old one stays", why=str(error), version=self.version
             )
             return
         except Exception:  # a fault of ours: the old one stays, and who looks is told so
-            figures["conf_invalid_total"] += 1
+            metrics.count_reload(ReloadCounter.INVALID)
             self._turned_down("internal fault, see the log")
             raise
         if change is not None:
-            figures["conf_loaded_total"] += 1
+            metrics.count_reload(ReloadCounter.LOADED)
             self._tell_taken(change)
 
     def _tell_taken(self, change: Change) -> None:
@@ -216,13 +222,13 @@
         if only_new and new == old:
             return None
         yield
-        tenants = yield from changed(self.owner.tenants, new.settings.tenants)
+        tenants = yield from updated_table(self.owner.tenants, new.settings.tenants)
         yield
         other = replace(new.settings, tenants=()) != replace(old.settings, tenants=())
         told = tenants is not self.owner.tenants or _budgets(new) != _budgets(old)
         message = None
-        if other or tenants.crowded:
-            if tenants.crowded:
+        if other or tenants.needs_compaction:
+            if tenants.needs_compaction:
                 tenants = yield from self._compacted(tenants)
             message = SettingsChanged(new.settings, tenants)
         elif told:
@@ -232,17 +238,17 @@
             commits.append((yield from prepare(new, tenants)))
         return Change(new, loaded.version, fixed, message, commits)
 
-    def _compacted(self, tenants: Tenants) -> Generator[None, None, Tenants]:
+    def _compacted(self, tenants: TenantTable) -> Generator[None, None, TenantTable]:
         """Without those that are gone, but for whom a request is open or a filing known."""
-        used = {r.tenant for r in self.owner.live.values()}
-        for known in (self.owner.keys.runs, self.owner.keys.entries):
+        used = {r.tenant for r in self.owner.open_requests.values()}
+        for known in (self.owner.idempotency.runs, self.owner.idempotency.records):
             for n, token in enumerate(list(known)):
                 used.add(token[0])
-                if n % STEP == 0:
+                if n % NAMES_PER_STEP == 0:
                     yield
         # Those that this change takes away may have one more request read before it.
-        used |= tenants.gone.keys() - self.owner.tenants.gone.keys()
-        return (yield from compact(tenants, used))
+        used |= tenants.retired.keys() - self.owner.tenants.retired.keys()
+        return (yield from compacted_table(tenants, used))
 
     # ---- into force
     def _commit(self, change: Change) -> None:
@@ -272,15 +278,15 @@
 
     # ---- the kernel's link
     def _look(self) -> None:
-        verdict = self.watch.look(time.monotonic(), self.kernel.stream is not None, self.kernel.address)
-        if verdict.good is not self.good:
-            self.good = verdict.good
-            self.owner.post(KernelLinkChanged(verdict.good))
-            if verdict.good:
+        verdict = self.watch.evaluate(time.monotonic(), self.kernel.stream is not None, self.kernel.address)
+        if verdict.healthy is not self.good:
+            self.good = verdict.healthy
+            self.owner.post(KernelLinkChanged(verdict.healthy))
+            if verdict.healthy:
                 self.log.info("the kernel is within reach again", kernel=self.kernel.view())
             else:
                 self.log.error("cut off from the kernel: health turns bad", kernel=self.kernel.view())
-        if verdict.read_again and not self.reading:  # what is being read now may be the way out
+        if verdict.reload_due and not self.reading:  # what is being read now may be the way out
             self.reading = True
             self.loop.spawn(self._heal)
 
@@ -323,7 +329,7 @@
             )
 
     def _counts(self) -> dict[str, int]:
-        return {word: self.owner.figures.total(name) for word, name in COUNTED.items()}
+        return {word: self.owner.metrics.total(name) for word, name in COUNTED.items()}
 
     def _since(self) -> dict[str, int]:
         return {word: n - self.before[word] for word, n in self._counts().items()}
--- a/ochrehoist/app/worker.py
+++ b/ochrehoist/app/worker.py
@@ -13,9 +13,9 @@
 from ochrehoist.app.reload import Part, Reloading, switch_only
 from ochrehoist.config import loader as configuration
 from ochrehoist.config.loader import Config
-from ochrehoist.core.figures import CONTENT_TYPE
+from ochrehoist.core.actor import CoreActor
 from ochrehoist.core.messages import ExecutorReady, StandbyChanged
-from ochrehoist.core.owner import Owner
+from ochrehoist.core.metrics import METRICS_CONTENT_TYPE, RequestCounter
 from ochrehoist.errors import InvalidInputError
 from ochrehoist.net import agent
 from ochrehoist.net.ajp import ReplyCodec
@@ -46,7 +46,7 @@
         self.config, self.sink = config, LogSink(sys.stderr.fileno())
         self.log = start_log(self.sink).bind(name=config.name)
         self.loop = loop = Loop(self.log)
-        self.owner = owner = Owner(
+        self.owner = owner = CoreActor(
             config.settings,
             config.seed,
             Signal(loop),
@@ -108,8 +108,9 @@
         if config.members:
             self.members = members = Members(loop, owner, config.members, config.name, self.log)
             parts.append(switch_only(lambda new, _: members.move(new.members)))
-            owner.listeners.append(members)
-        owner.listeners += self.fronts
+            owner.register_listener(members)
+        for listener in self.fronts:
+            owner.register_listener(listener)
         self.listeners: list = list(self.fronts)
         if config.agent:
             self.listeners.append(
@@ -145,15 +146,16 @@
             # Its libraries are for those who want it: the platform's worker stays without them.
             from ochrehoist.store.journal import Journal
 
-            self.journal = owner.filings.journal = Journal(
+            self.journal = Journal(
                 loop, owner, config.state, config.name, ReplyCodec(), self.log, self.inherited is not None
             )
+            owner.register_journal(self.journal)
         self.capture: Any = None
         if config.capture:
             from ochrehoist.capture.taker import Capture
 
             self.capture = Capture(loop, owner, config, self.log)
-            owner.answers.observers.append(self.capture)
+            owner.register_observer(self.capture)
             parts.append(switch_only(lambda new, _: self.capture.configure(new)))
         self.measures: Any = None
         if config.overload:
@@ -168,7 +170,7 @@
             from ochrehoist.net.peers import Peers
 
             self.peers = Peers(loop, owner, config, self.log)
-            owner.listeners.append(self.peers)
+            owner.register_listener(self.peers)
             parts.append(self.peers.prepare)
             if config.ajp:
                 servers.advisor = self.peers
@@ -224,29 +226,29 @@
             self.capture.close()
         if self.measures:
             self.measures.close()
-        f = self.owner.figures
+        f = self.owner.metrics
         self.log.info(
             "ended",
-            served=f.total("answered_total"),
-            refused=f.total("deferred_total"),
-            failed=f.total("errored_total"),
+            served=f.total(RequestCounter.ANSWERED),
+            refused=f.total(RequestCounter.REJECTED),
+            failed=f.total(RequestCounter.FAILED),
         )
         return 0
 
     # ---- what operators call
     def status(self) -> Answer:
-        o, f = self.owner, self.owner.figures
+        o, f = self.owner, self.owner.metrics
         values = {
             "name": self.config.name,
             "state": o.state,
             "up_s": round(time.monotonic() - self.started, 1),
-            "in_hand": o.owed,
-            "running": sum(r.started for r in o.live.values()),
-            "served": f.total("answered_total"),
-            "refused": f.total("deferred_total"),
-            "failed": f.total("errored_total"),
-            "keys": len(o.keys.runs),
-            "result_bytes": o.keys.bytes,
+            "in_hand": o.unanswered,
+            "running": sum(r.started for r in o.open_requests.values()),
+            "served": f.total(RequestCounter.ANSWERED),
+            "refused": f.total(RequestCounter.REJECTED),
+            "failed": f.total(RequestCounter.FAILED),
+            "keys": len(o.idempotency.runs),
+            "result_bytes": o.idempotency.bytes,
             "log_dropped": self.sink.dropped,
             "connections": {type(f).__name__: len(f.connections) for f in self.fronts},
             "configuration": self.reloading.view(),
@@ -269,14 +271,14 @@
         return said(values, HTTPStatus.OK if ready else HTTPStatus.SERVICE_UNAVAILABLE)
 
     def metrics(self) -> Answer:
-        text = self.owner.figures.text(self.owner.current)
+        text = self.owner.metrics.text(self.owner.own_unanswered)
         conf = self.config.ajp and self.reloading  # the platform's worker keeps to the fixed names
         text += "".join(
             part.figures()
             for part in (conf, self.journal, self.measures, self.peers, self.sites, self.recovery)
             if part
         )
-        return Answer(HTTPStatus.OK, text.encode(), CONTENT_TYPE)
+        return Answer(HTTPStatus.OK, text.encode(), METRICS_CONTENT_TYPE)
 
     def _with_orders(self, calls: dict[str, Any]) -> dict[str, Any]:
         """With what operators may say of sites, where these are on."""
--- a/ochrehoist/capture/taker.py
+++ b/ochrehoist/capture/taker.py
@@ -27,8 +27,8 @@
     told,
 )
 from ochrehoist.config.loader import Config
-from ochrehoist.core.answers import ANSWERED, REFUSED
-from ochrehoist.core.owner import Owner
+from ochrehoist.core.actor import CoreActor
+from ochrehoist.core.metrics import RequestCounter
 from ochrehoist.core.request import InboundRequest
 from ochrehoist.errors import InvalidInputError
 from ochrehoist.net.loop import Loop
@@ -65,7 +65,7 @@
 class Capture:
     """An Observer of the core. A disk that fails or is slow costs records, which are counted, and no more."""
 
-    def __init__(self, loop: Loop, owner: Owner, whole: Config, log: Any) -> None:
+    def __init__(self, loop: Loop, owner: CoreActor, whole: Config, log: Any) -> None:
         config, self.name = whole.capture, whole.name
         self.loop, self.owner, self.config, self.log = loop, owner, config, log
         self.folder = Path(config.folder)
@@ -94,22 +94,22 @@
             return
         module = self.owner.controller
         counts = (module.cores, len(module.queue)) if module is not None else (0, 0)
-        self.open[r.id] = r, self.owner.now, *counts
+        self.open[r.id] = r, self.owner.now_ns, *counts
 
     def request_answered(self, r: InboundRequest, figure: str | None, backoff: int) -> None:
         known = self.open.get(r.id)
         if known is None or known[0] is not r:  # not sampled, or one that has the id of another
             return
         _, read_at, running, held = self.open.pop(r.id)
-        now, begun = self.owner.now, r.started_ns
+        now, begun = self.owner.now_ns, r.started_ns
         subject = r.idempotency_key[2] if r.idempotency_key else r.routing_key
         outcome = (
             Outcome.GONE
             if figure is None
             else Outcome.SERVED
-            if figure == ANSWERED
+            if figure == RequestCounter.ANSWERED
             else Outcome.REFUSED
-            if figure == REFUSED
+            if figure == RequestCounter.REJECTED
             else Outcome.FAILED
         )
         front, address = r.responder.origin()
@@ -175,7 +175,7 @@
             return self.batches.drop(len(records))
         lost = self.batches.told()
         if lost:
-            records.append(Lost(self.owner.now - self.started, lost))
+            records.append(Lost(self.owner.now_ns - self.started, lost))
         if records:
             self._submit(lambda: self._write(records), len(records))
 
--- /dev/null
+++ b/ochrehoist/core/actor.py
@@ -0,0 +1,225 @@
+"""The one task that owns the admission controller: it alone hands events in and carries actions out.
+
+All other tasks post messages to its inbox. It knows no wire and no scheduler: it sleeps on a Waker.
+"""
+
+from collections import Counter
+from collections.abc import Callable
+from dataclasses import replace
+from typing import Any
+
+from ochrehoist.admission.controller import AdmissionController
+from ochrehoist.admission.events import (
+    DrainStarted,
+    Event,
+    InstanceStarted,
+    Outcome,
+    RequestReceived,
+)
+from ochrehoist.admission.settings import AdmissionSettings
+from ochrehoist.core import message_handlers, state_transfer
+from ochrehoist.core.action_handlers import ACTION_HANDLERS
+from ochrehoist.core.context import CoreContext
+from ochrehoist.core.forwarder import Forwarder
+from ochrehoist.core.handover_lines import Send
+from ochrehoist.core.idempotency_table import IdempotencyTable
+from ochrehoist.core.message_handlers import MESSAGE_HANDLERS
+from ochrehoist.core.messages import RunCompleted
+from ochrehoist.core.protocols import DetailCodec, Waker
+from ochrehoist.core.request import InboundRequest
+from ochrehoist.core.results import FailureReason, RunResult
+from ochrehoist.core.snapshot import CoreSnapshot
+from ochrehoist.core.units import NS_PER_MS, NS_PER_S
+
+LIMITS_PERIOD_NS = 100 * NS_PER_MS  # between two evaluations of the limits, where there are any
+EXPIRY_PERIOD_NS = NS_PER_S  # between two searches for idempotent runs that have expired
+STANDING_STILL_PERIOD_S = 0.01  # between two looks at what is due while another process decides
+
+Step = Callable[[], None]
+
+
+class CoreActor(CoreContext):
+    """The core. All its methods but `post` are called by the one task that runs it."""
+
+    def __init__(
+        self,
+        settings: AdmissionSettings,
+        seed: int,
+        waker: Waker,
+        clock: Callable[[], int],
+        wall_clock: Callable[[], int],
+        log: Any,
+        max_result_bytes: int,
+        request_gauges: Callable[[], None],
+    ) -> None:
+        super().__init__(settings, seed, waker, clock, wall_clock, log, max_result_bytes, request_gauges)
+        self._instrumented_step: Step = self.step
+        self.last_expiry_ns = self._last_limits_ns = 0
+
+    def instrument_step(self, wrap: Callable[[Step], Step]) -> None:
+        """Puts a wrapper, such as a timer, around each step of `run`."""
+        self._instrumented_step = wrap(self._instrumented_step)
+
+    # The loop.
+
+    def run(self) -> None:
+        """Runs for ever."""
+        while True:
+            self._instrumented_step()
+            self.waker.wait(self._timeout_s())
+
+    def step(self) -> None:
+        """Takes all that waits in the inbox, and does all that is due."""
+        while self.inbox and not self.frozen:
+            self._update_now()
+            message = self.inbox.popleft()
+            try:
+                if self.forwarder is not None:
+                    self.forwarder.take(message)
+                else:
+                    MESSAGE_HANDLERS[type(message)](self, message)
+            except Exception:  # a fault of ours must not end the process: what is open fails when overdue
+                self.log.exception("core_fault", message=type(message).__name__)
+        self._update_now()
+        if self.forwarder is not None:
+            self.forwarder.tick()
+        elif not self.frozen:
+            self._do_what_is_due()
+
+    def _update_now(self) -> None:
+        self.now_ns = max(self.now_ns, self.clock())
+
+    def _timeout_s(self) -> float | None:
+        """How long the core may sleep; None: until it is woken."""
+        if self.frozen or self.forwarder is not None:
+            return 0.0 if self.inbox and not self.frozen else STANDING_STILL_PERIOD_S
+        if self.inbox:
+            return 0.0
+        due_ns = self.deadlines.next_due_ns()
+        return None if due_ns is None else max(0, due_ns - self.clock()) / NS_PER_S
+
+    def _do_what_is_due(self) -> None:
+        for request_id in self.deadlines.take_overdue_requests(self.now_ns):
+            message_handlers.answer_overdue_request(self, request_id)
+        if self.deadlines.collect_due_timers(self.now_ns):
+            self.request_gauges()
+        if self.deadlines.gauges_overdue(self.now_ns):
+            message_handlers.fire_due_timers(self)
+        if self.now_ns - self.last_expiry_ns >= EXPIRY_PERIOD_NS:
+            self.last_expiry_ns = self.now_ns
+            self.idempotent_runs.expire()
+        self._evaluate_limits()
+
+    def _evaluate_limits(self) -> None:
+        """Tells the controller of new limits, now and then."""
+        if self.limiter is None or self.controller is None:
+            return
+        if self.now_ns - self._last_limits_ns < LIMITS_PERIOD_NS:
+            return
+        self._last_limits_ns = self.now_ns
+        waiting = Counter(
+            r.request_class.name for r in self.open_requests.values() if not r.started and not r.answered
+        )
+        limits = self.limiter.evaluate(self.now_ns, waiting)
+        # Limits are by position: the controller must know the same classes.
+        if limits is not None and self.class_indices.keys() == self.served_classes:
+            self.dispatch(limits)
+
+    # The controller.
+
+    def boot(self, settings: AdmissionSettings) -> None:
+        """Creates a fresh controller for these settings; the executor must be up."""
+        ready = self.executor_ready
+        self.deadlines.clear_timers()
+        self.index_classes(settings)
+        settings = replace(settings, tenants=self.controller_tenants)
+        if ready is not None and ready.cold_start is not None:
+            settings = replace(settings, cold_start=ready.cold_start)
+        self.controller = AdmissionController(settings, self.seed)
+        self.dispatch(InstanceStarted(), at_ns=self.instance_started_ns)
+        if self.drain_started_ns is not None and self.stop_ns is not None:
+            self.dispatch(DrainStarted(self.stop_ns - self.drain_started_ns), at_ns=self.drain_started_ns)
+        self.idempotent_runs.restore_learned_state()
+
+    def dispatch(self, event: Event, at_ns: int | None = None) -> bool:
+        """Gives the controller an event and carries out its actions; False after a fault of the controller.
+
+        `at_ns` is the time of the event where that is not now.
+        """
+        try:
+            actions = self.controller.handle(self.now_ns if at_ns is None else at_ns, event)  # type: ignore[union-attr]
+        except Exception:
+            self.log.exception("controller_fault", event_type=type(event).__name__)
+            self._fail_after_fault(event)
+            return False
+        for action in actions:
+            try:
+                ACTION_HANDLERS[type(action)](self, action)
+            except Exception:
+                self.log.exception("action_fault", action=type(action).__name__)
+        return True
+
+    def _fail_after_fault(self, event: Event) -> None:
+        """Answers the request that the controller failed to decide on, unless it runs."""
+        request = self.open_requests.get(getattr(event, "id", ""))
+        if request is not None and not request.answered and not request.started:
+            self.responses.fail(request, FailureReason.INTERNAL)
+            message_handlers.release_slot(self, request)
+
+    def received_event(self, request: InboundRequest) -> RequestReceived:
+        """The event that tells the controller of the request."""
+        if self.limiter is not None:
+            request.cost_multiple = self.limiter.estimate_cost(request, self.now_ns)
+        key, original = request.idempotency_key, None
+        if key is not None:
+            original = self.idempotency.original(key, request.arrived_ns)
+            if original is not None:
+                self.idempotent_runs.adopt_if_restored(key)
+        return RequestReceived(
+            id=request.id,
+            class_index=self.class_indices[request.request_class.name],
+            tenant_index=self.tenants.position(request.tenant),
+            routing_key=request.routing_key,
+            work_ns=request.work_ns,
+            memory_kb=request.memory_kb,
+            rank=request.rank,
+            is_retry=request.is_retry,
+            is_write=request.is_write,
+            caller=request.caller,
+            unread_ns=max(0, self.now_ns - request.arrived_ns),
+            duplicate_of=original,
+            cost_multiple=request.cost_multiple,
+        )
+
+    def execute(self, request: InboundRequest) -> None:
+        """Gives the request to its executor."""
+        request.started_ns = self.now_ns
+        if self.limiter is not None:
+            self.limiter.run_started(request, self.now_ns)
+        if self.fleet_admission is not None:
+            self.fleet_admission.run_started(request, self.now_ns)
+        if not self.responses.execute(request):
+            self.post(RunCompleted(request.id, RunResult(Outcome.FAILED), 0))
+
+    # Replacing the process: the old one's side.
+
+    def freeze(self) -> CoreSnapshot:
+        """Stands still, so that what is handed over is what the other process goes on from."""
+        self.frozen = True
+        return state_transfer.take_snapshot(self)
+
+    def thaw(self) -> None:
+        """Goes on from where it stood: the other process did not agree."""
+        self.frozen = False
+        self.waker.set()
+
+    def hand_over(self, send: Send, codec: DetailCodec) -> Forwarder:
+        """Lets the other process decide from now on."""
+        self.forwarder = Forwarder(
+            dict(self.open_requests), send, codec, self.responses, self.clock, self.wall_clock
+        )
+        self.controller = None
+        self.responses.clear()
+        self.idempotency = IdempotencyTable(0, 0)  # its memory is the other's to use
+        self.thaw()
+        return self.forwarder
--- a/ochrehoist/core/forwarder.py
+++ b/ochrehoist/core/forwarder.py
@@ -1,14 +1,20 @@
-"""What is left of a core whose state another process has taken over: it passes on what it is posted.
+"""What is left of a core whose state another process has taken over: it forwards what it is posted.
 
-The requests it read stay here, with their payloads and ways back. The other process decides; this one runs
-what it is told to run, answers as it is told, and tells how runs end.
+The requests it read stay here, with their payloads and responders. The other process decides; this one runs
+what it is told to run, answers as it is told, and reports how runs end.
 """
 
 from collections.abc import Callable
 
 from ochrehoist.admission.events import Outcome
-from ochrehoist.core.answers import FAILED, REFUSED, Answers
-from ochrehoist.core.handover import DetailCodec, Line, Send, request_line, result_from, result_line
+from ochrehoist.core import handover_lines
+from ochrehoist.core.handover_lines import (
+    FailureDecided,
+    Line,
+    RejectionDecided,
+    ResultDecided,
+    Send,
+)
 from ochrehoist.core.messages import (
     CallerDisconnected,
     IntentRecorded,
@@ -17,153 +23,177 @@
     RunCompleted,
     StandbyChanged,
 )
-from ochrehoist.core.persisted_names import FAILURE_REASONS_BY_NAME
+from ochrehoist.core.protocols import DetailCodec
 from ochrehoist.core.request import InboundRequest
+from ochrehoist.core.response_tracker import ResponseTracker
 from ochrehoist.core.results import FailureReason, RunResult
+from ochrehoist.core.units import NS_PER_MS
 
-LATE = 25_000_000  # ns past its due time after which a request is answered here, whatever the other does
+# So long past its due time a request is answered here, whatever the other process does.
+ANSWER_GRACE_NS = 25 * NS_PER_MS
 
 
 class Forwarder:
+    """Forwards messages to the process that decides, and carries its decisions out.
+
+    Attributes:
+        pending: Requests by id that are not answered, or still run here.
+    """
+
     def __init__(
         self,
         pending: dict[str, InboundRequest],
         send: Send,
         codec: DetailCodec,
-        answers: Answers,
+        responses: ResponseTracker,
         clock: Callable[[], int],
-        wall: Callable[[], int],
+        wall_clock: Callable[[], int],
     ) -> None:
-        self.pending, self.codec, self.answers, self.log = pending, codec, answers, answers.log
-        self.clock, self.wall = clock, wall
-        self.send: Send | None = send  # None: the other process is gone
-        self.ends_at: int | None = None  # by the clock: what is open then is failed, for this process ends
-        self.over: dict[str, RunCompleted] = {}  # runs that have ended, whose answer is still to be told
+        self.pending = pending
+        self._codec, self._responses, self._log = codec, responses, responses.log
+        self._clock, self._wall_clock = clock, wall_clock
+        self._send: Send | None = send  # None: the other process is gone
+        self._ends_ns: int | None = None
+        # Runs that have ended, whose answer is still to be decided.
+        self._completed: dict[str, RunCompleted] = {}
 
-    @property
-    def owed(self) -> int:
-        return sum(not r.answered for r in self.pending.values())
+    def answer_all_by(self, ends_ns: int) -> None:
+        """Lets what is open then (by the core's clock) be failed, for this process ends."""
+        self._ends_ns = ends_ns
+
+    # What this process's own parts post.
 
-    # ---- what this process's own parts post
     def take(self, message: Message) -> None:
+        """Forwards a message of this process.
+
+        Gauges, resolved duplicates and the order to shut down concern the process that decides.
+        """
         if isinstance(message, RequestArrived):
-            self._arrived(message.request)
+            self._request_arrived(message.request)
         elif isinstance(message, CallerDisconnected):
-            r = self.pending.get(message.id)
-            if r is not None:
-                r.answered = True
-                self._tell({"m": "gone", "id": r.id, "gave_up": message.gave_up})
-                self._let_go(r)
+            self._caller_disconnected(message)
         elif isinstance(message, RunCompleted):
-            self._ended(message)
+            self._run_completed(message)
         elif isinstance(message, IntentRecorded):
-            self._recorded(message)
+            self._intent_recorded(message)
         elif isinstance(message, StandbyChanged):
-            self._tell({"m": "standby", "on": message.enabled})
-        # Gauges, alarms, joined repeats and the notice to leave concern the one that decides.
-
-    def _tell(self, line: Line) -> None:
-        if self.send is not None:
-            self.send(line)
-
-    def _arrived(self, r: InboundRequest) -> None:
-        now = self.clock()
-        r.due_ns = max(now, now - max(0, self.wall() - r.arrived_ns) + r.request_class.deadline_ns)
-        if r.id in self.pending or self.send is None:
-            # Whether a filing has run is known only to the other process: no refusal can be given.
-            r.answered = True
-            return self.answers.send(r, FAILED, lambda: r.responder.failed(FailureReason.INTERNAL))
-        self.pending[r.id] = r
-        self._tell({"m": "arrived"} | request_line(r, r.arrived_ns))
-
-    def _recorded(self, m: IntentRecorded) -> None:
+            self._forward(handover_lines.standby_line(message.enabled))
+
+    def _forward(self, line: Line) -> None:
+        if self._send is not None:
+            self._send(line)
+
+    def _request_arrived(self, request: InboundRequest) -> None:
+        now_ns = self._clock()
+        age_ns = max(0, self._wall_clock() - request.arrived_ns)
+        request.due_ns = max(now_ns, now_ns - age_ns + request.request_class.deadline_ns)
+        if request.id in self.pending or self._send is None:
+            # Whether a filing has run is known only to the other process: no rejection can be given.
+            self._fail(request, FailureReason.INTERNAL)
+            return
+        self.pending[request.id] = request
+        self._forward(handover_lines.arrived_line(request))
+
+    def _caller_disconnected(self, message: CallerDisconnected) -> None:
+        request = self.pending.get(message.id)
+        if request is not None:
+            request.answered = True
+            self._forward(handover_lines.caller_gone_line(request.id, message.gave_up))
+            self._drop_if_over(request)
+
+    def _intent_recorded(self, message: IntentRecorded) -> None:
         """A filing that was on its way to the disk when the other process took over."""
-        r = self.pending.get(m.id)
-        if r is not None and m.recorded and not r.answered:
-            self._execute(r)
-        elif r is not None:
-            self.take(RunCompleted(r.id, RunResult(Outcome.NOT_STARTED), 0))
-
-    def _ended(self, m: RunCompleted) -> None:
-        r = self.pending.get(m.id)
-        if r is None:
+        request = self.pending.get(message.id)
+        if request is None:
+            return
+        if message.recorded and not request.answered:
+            self._execute(request)
+        else:
+            self._run_completed(RunCompleted(request.id, RunResult(Outcome.NOT_STARTED), 0))
+
+    def _run_completed(self, message: RunCompleted) -> None:
+        request = self.pending.get(message.id)
+        if request is None:
             return
-        self._tell(
-            {"m": "ended", "id": m.id, "result": result_line(m.result, self.codec), "took": m.duration_ns}
+        self._forward(
+            handover_lines.run_ended_line(message.id, message.result, message.duration_ns, self._codec)
         )
-        if self.send is None and not r.answered:
-            self._finish(r, m.result)
-        self.over[m.id] = m
-        self._let_go(r)
-
-    # ---- what the other process decides
-    def hear(self, line: Line) -> None:
-        kind, r = line["m"], self.pending.get(line.get("id"))
-        if kind == "start":
-            return self._start(line["id"], r)
-        if r is None or r.answered:
+        if self._send is None and not request.answered:
+            self._complete(request, message.result)
+        self._completed[message.id] = message
+        self._drop_if_over(request)
+
+    # What the other process decides.
+
+    def receive(self, line: Line) -> None:
+        """Carries a decision of the other process out.
+
+        Raises KeyError, TypeError or ValueError where the line is damaged.
+        """
+        request = self.pending.get(line.get("id", ""))
+        if line["m"] == "start":
+            self._start(line["id"], request)
             return
-        if kind == "served":
-            self._finish(r, result_from(line["result"], self.codec))
-        elif kind == "refused":
-            r.answered = True
-            self.answers.send(r, REFUSED, lambda: r.responder.rejected(line["backoff"], line["no_retry"]))
-        elif kind == "failed":
-            result = None if line["result"] is None else result_from(line["result"], self.codec)
-            r.answered = True
-            self.answers.send(
-                r, FAILED, lambda: r.responder.failed(FAILURE_REASONS_BY_NAME[line["reason"]], result)
-            )
-        self._let_go(r)
-
-    def _start(self, request_id: str, r: InboundRequest | None) -> None:
-        if r is None or r.started:  # its caller has left: nothing is begun
-            if r is None:
-                moot = result_line(RunResult(Outcome.NOT_STARTED), self.codec)
-                self._tell({"m": "ended", "id": request_id, "result": moot, "took": 0})
+        if request is None or request.answered:
             return
-        r.started = True
-        self._execute(r)
-
-    def _execute(self, r: InboundRequest) -> None:
-        r.started_ns = self.clock()
-        if not self.answers.execute(r):
-            self.take(RunCompleted(r.id, RunResult(Outcome.FAILED), 0))
-
-    def lost(self) -> None:
-        """The other process is gone. What runs here is answered when it ends; nothing else will be begun."""
-        self.send = None
-        for r in list(self.pending.values()):
-            if r.answered:
+        decision = handover_lines.decision_from_json(line, self._codec)
+        if isinstance(decision, ResultDecided):
+            self._complete(request, decision.result)
+        elif isinstance(decision, RejectionDecided):
+            self._responses.relay_rejection(request, decision.retry_after_ns, decision.no_retry)
+        elif isinstance(decision, FailureDecided):
+            self._responses.fail_untracked(request, decision.reason, decision.result)
+        self._drop_if_over(request)
+
+    def _start(self, request_id: str, request: InboundRequest | None) -> None:
+        if request is None:  # its caller has left: nothing is begun
+            self._forward(handover_lines.not_started_line(request_id, self._codec))
+        elif not request.started:
+            request.started = True
+            self._execute(request)
+
+    def _execute(self, request: InboundRequest) -> None:
+        request.started_ns = self._clock()
+        if not self._responses.execute(request):
+            self._run_completed(RunCompleted(request.id, RunResult(Outcome.FAILED), 0))
+
+    def connection_lost(self) -> None:
+        """The other process is gone. What runs here is answered when it ends; nothing else is begun."""
+        self._send = None
+        for request in list(self.pending.values()):
+            if request.answered:
                 continue
-            ended = self.over.get(r.id)
-            if ended is not None:
-                self._finish(r, ended.result)
-            elif not r.started:
-                self._fail(r, FailureReason.INTERNAL)
-            self._let_go(r)
+            completed = self._completed.get(request.id)
+            if completed is not None:
+                self._complete(request, completed.result)
+            elif not request.started:
+                self._fail(request, FailureReason.INTERNAL)
+            self._drop_if_over(request)
 
     def tick(self) -> None:
-        now = self.clock()
-        for r in list(self.pending.values()):
-            due = r.due_ns + LATE if self.ends_at is None else min(r.due_ns + LATE, self.ends_at)
-            if not r.answered and due <= now:
-                self.log.warning("answered without the process that decides", id=r.id)
-                self._fail(r, FailureReason.DEADLINE_PASSED)
-                self._tell({"m": "gone", "id": r.id, "gave_up": False})
-                self._let_go(r)
-
-    # ---- answers
-    def _finish(self, r: InboundRequest, result: RunResult) -> None:
-        r.answered = True
-        self.answers.tell_result(r, result)
-
-    def _fail(self, r: InboundRequest, reason: FailureReason) -> None:
-        r.answered = True
-        self.answers.send(r, FAILED, lambda: r.responder.failed(reason))
-
-    def _let_go(self, r: InboundRequest) -> None:
-        """What is answered and does not run is of no more concern here."""
-        if r.answered and (not r.started or r.id in self.over):
-            self.pending.pop(r.id, None)
-            self.over.pop(r.id, None)
+        """Fails what is overdue."""
+        now_ns = self._clock()
+        for request in list(self.pending.values()):
+            due_ns = request.due_ns + ANSWER_GRACE_NS
+            if self._ends_ns is not None:
+                due_ns = min(due_ns, self._ends_ns)
+            if not request.answered and due_ns <= now_ns:
+                self._log.warning("forwarded_request_overdue", id=request.id)
+                self._fail(request, FailureReason.DEADLINE_PASSED)
+                self._forward(handover_lines.caller_gone_line(request.id, gave_up=False))
+                self._drop_if_over(request)
+
+    # Answers.
+
+    def _complete(self, request: InboundRequest, result: RunResult) -> None:
+        request.answered = True
+        self._responses.send_result(request, result)
+
+    def _fail(self, request: InboundRequest, reason: FailureReason) -> None:
+        self._responses.fail_untracked(request, reason)
+
+    def _drop_if_over(self, request: InboundRequest) -> None:
+        """Forgets a request that is answered and does not run."""
+        if request.answered and (not request.started or request.id in self._completed):
+            self.pending.pop(request.id, None)
+            self._completed.pop(request.id, None)
--- /dev/null
+++ b/ochrehoist/core/handover_snapshot.py
@@ -0,0 +1,170 @@
+"""A core's snapshot as lines: one JSON object each, to the process that replaces this one.
+
+Two releases talk to each other by these lines: their field names stay as they are.
+"""
+
+from collections.abc import Callable, Iterator
+
+from ochrehoist.admission.settings import RequestClass
+from ochrehoist.core.errors import (
+    DamagedLineError,
+    InvalidLearnedStateError,
+    InvalidStateError,
+    UnknownLineError,
+    UnsupportedVersionError,
+)
+from ochrehoist.core.handover_lines import (
+    Line,
+    RemoteRequestOwner,
+    Send,
+    fingerprint_from_json,
+    fingerprint_to_json,
+    key_from_json,
+    optional_result_to_json,
+    request_from_json,
+    request_to_json,
+    result_from_json,
+)
+from ochrehoist.core.idempotency_table import IdempotencyRecord, IdempotencyTable, IdempotentRun
+from ochrehoist.core.persisted_names import class_from_json, class_to_json
+from ochrehoist.core.protocols import DetailCodec
+from ochrehoist.core.request import IdempotencyKey
+from ochrehoist.core.snapshot import CoreSnapshot
+
+LAYOUT_VERSION = 1  # of these lines
+
+
+def snapshot_lines(snapshot: CoreSnapshot, clock_offset_ns: int, codec: DetailCodec) -> Iterator[Line]:
+    """The snapshot as lines.
+
+    `clock_offset_ns` is what the core's clock has over the one that all processes share.
+    """
+    yield {
+        "m": "state",
+        "version": LAYOUT_VERSION,
+        "learned": snapshot.learned_state,
+        "standby": snapshot.standby,
+    }
+    for key, run in snapshot.idempotency.runs.items():
+        yield _run_line(key, run, clock_offset_ns, codec)
+    for key, record in snapshot.idempotency.records.items():
+        yield _record_line(key, record, clock_offset_ns)
+    for request in snapshot.requests:
+        yield {"m": "request"} | request_to_json(request, request.arrived_ns - clock_offset_ns)
+    for request_class in snapshot.classes.values():
+        yield {"m": "class"} | class_to_json(request_class)
+    yield {"m": "end"}
+
+
+def _run_line(key: IdempotencyKey, run: IdempotentRun, clock_offset_ns: int, codec: DetailCodec) -> Line:
+    return {
+        "m": "run",
+        "token": key,
+        "id": run.id,
+        "window_end": run.window_end_ns - clock_offset_ns,
+        "fingerprint": fingerprint_to_json(run.fingerprint),
+        "dropped": run.result_evicted,
+        "stored": run.result_stored,
+        "begun": run.begun,
+        "asleep": run.restored,
+        "result": optional_result_to_json(run.result, codec),
+    }
+
+
+def _record_line(key: IdempotencyKey, record: IdempotencyRecord, clock_offset_ns: int) -> Line:
+    return {
+        "m": "entry",
+        "token": key,
+        "holder": record.request_id,
+        "until": record.expires_ns - clock_offset_ns,
+        "fingerprint": fingerprint_to_json(record.fingerprint),
+    }
+
+
+class SnapshotReader:
+    """Builds a snapshot of lines, and checks each; it is complete once `done`."""
+
+    def __init__(
+        self,
+        clock_offset_ns: int,
+        classes: dict[str, RequestClass],
+        max_result_bytes: int,
+        result_overhead_bytes: int,
+        send: Send,
+        codec: DetailCodec,
+    ) -> None:
+        self._clock_offset_ns, self._classes = clock_offset_ns, classes
+        self._send, self._codec = send, codec
+        self._result_overhead_bytes = result_overhead_bytes
+        self._readers: dict[str, Callable[[Line], None]] = {
+            "state": self._read_state,
+            "run": self._read_run,
+            "entry": self._read_record,
+            "request": self._read_request,
+            "class": self._read_class,
+            "end": self._read_end,
+        }
+        self.done = False
+        self.snapshot = CoreSnapshot(idempotency=IdempotencyTable(0, max_result_bytes))
+
+    def read(self, line: Line) -> None:
+        """Takes one line in; raises InvalidStateError where it is damaged or of another layout."""
+        try:
+            self._reader(line["m"])(line)
+        except InvalidStateError:
+            raise
+        except Exception as error:
+            raise DamagedLineError(error) from error
+
+    def _reader(self, kind: str) -> Callable[[Line], None]:
+        reader = self._readers.get(kind)
+        if reader is None:
+            raise UnknownLineError(kind)
+        return reader
+
+    def _read_state(self, line: Line) -> None:
+        if line["version"] != LAYOUT_VERSION:
+            raise UnsupportedVersionError(line["version"])
+        self.snapshot.learned_state, self.snapshot.standby = line["learned"], bool(line["standby"])
+
+    def _read_run(self, line: Line) -> None:
+        key = key_from_json(line["token"])
+        run = IdempotentRun(
+            line["id"],
+            int(line["window_end"]) + self._clock_offset_ns,
+            fingerprint_from_json(line["fingerprint"]),
+            result_evicted=bool(line["dropped"]),
+            result_stored=bool(line.get("stored")),
+            begun=bool(line.get("begun")),
+            restored=bool(line.get("asleep")),
+        )
+        table = self.snapshot.idempotency
+        table.runs[key] = run
+        if line["result"] is not None:
+            result = result_from_json(line["result"], self._codec)
+            size_bytes = len(result.body) + result.detail_bytes + self._result_overhead_bytes
+            table.run_ended(key, run.id, result, size_bytes)
+
+    def _read_record(self, line: Line) -> None:
+        self.snapshot.idempotency.retain(
+            key_from_json(line["token"]),
+            line["holder"],
+            int(line["until"]) + self._clock_offset_ns,
+            fingerprint_from_json(line["fingerprint"]),
+        )
+
+    def _read_request(self, line: Line) -> None:
+        remote = RemoteRequestOwner(line["id"], self._send, self._codec)
+        request = request_from_json(line, remote, self._classes)
+        request.arrived_ns += self._clock_offset_ns
+        self.snapshot.requests.append(request)
+
+    def _read_class(self, line: Line) -> None:
+        data = {name: value for name, value in line.items() if name != "m"}
+        self.snapshot.classes[line["name"]] = class_from_json(data)
+
+    def _read_end(self, _line: Line) -> None:
+        learned_state = self.snapshot.learned_state
+        if learned_state is not None and not isinstance(learned_state, dict):
+            raise InvalidLearnedStateError(learned_state)
+        self.done = True
--- /dev/null
+++ b/ochrehoist/core/idempotent_runs.py
@@ -0,0 +1,196 @@
+"""Idempotent runs through the journal: none begins before it is on record, and what was is known again."""
+
+from typing import Any, Protocol
+
+from ochrehoist.admission.controller import AdmissionController
+from ochrehoist.admission.events import (
+    NEVER_RAN,
+    Event,
+    Outcome,
+    RequestCompleted,
+    RequestReceived,
+    RunAdopted,
+)
+from ochrehoist.core import handover
+from ochrehoist.core.idempotency_table import IdempotencyTable, IdempotentRun
+from ochrehoist.core.messages import DuplicateResolved, IntentRecorded, Message, StateRestored
+from ochrehoist.core.protocols import IdempotencyJournal
+from ochrehoist.core.request import IdempotencyKey, InboundRequest
+from ochrehoist.core.response_tracker import ResponseTracker
+from ochrehoist.core.results import FailureReason, RunResult
+from ochrehoist.core.snapshot import LearnedState
+from ochrehoist.core.tenants import TenantTable
+from ochrehoist.core.units import NS_PER_S
+
+RESULT_OVERHEAD_BYTES = 600  # that one remembered run takes beyond its result
+
+
+class Core(Protocol):
+    """What idempotent runs need of the core that they belong to."""
+
+    idempotency: IdempotencyTable
+    open_requests: dict[str, InboundRequest]
+    responses: ResponseTracker
+    controller: AdmissionController | None
+    class_indices: dict[str, int]
+    tenants: TenantTable
+    now_ns: int
+    log: Any
+
+    def dispatch(self, event: Event, at_ns: int | None = None) -> bool:
+        """Gives the controller an event and carries out its actions."""
+        ...
+
+    def post(self, message: Message) -> None:
+        """Takes a message for later."""
+        ...
+
+    def execute(self, request: InboundRequest) -> None:
+        """Gives the request to its executor."""
+        ...
+
+    def reject(self, request: InboundRequest, retry_after_ns: int = NS_PER_S, no_retry: bool = False) -> None:
+        """Rejects a request that the controller never sees."""
+        ...
+
+    def fail(self, request: InboundRequest, reason: FailureReason) -> None:
+        """Fails a request that the controller never sees."""
+        ...
+
+
+class IdempotentRuns:
+    """The core's dealings with its journal; without one, idempotent runs are as safe as the process."""
+
+    def __init__(self, core: Core) -> None:
+        self._core = core
+        self._journal: IdempotencyJournal | None = None
+        # What was learned before, for a controller that is not up yet.
+        self._learned_state: LearnedState | None = None
+
+    def register_journal(self, journal: IdempotencyJournal) -> None:
+        """Lets runs go on record from now on."""
+        self._journal = journal
+
+    def answered_on_arrival(self, request: InboundRequest) -> bool:
+        """Answers a filing that can't go on record now, unless another attempt is known; whether it did."""
+        core, key = self._core, request.idempotency_key
+        if self._journal is None or key is None:
+            return False
+        if core.idempotency.original(key, request.arrived_ns) is not None:
+            return False
+        rejection = self._journal.rejection_for(key)
+        if rejection is None:
+            return False
+        if rejection.outcome_unknown:
+            core.fail(request, FailureReason.OUTCOME_UNKNOWN)
+        else:
+            core.reject(request, rejection.retry_after_ns)
+        return True
+
+    def begin(self, request: InboundRequest) -> None:
+        """Runs it once it is on record, which an IntentRecorded reports."""
+        if self._journal is None or request.idempotency_key is None:
+            self._core.execute(request)
+        else:
+            self._journal.begin(request, self._core.idempotency.runs[request.idempotency_key])
+
+    def intent_recorded(self, message: IntentRecorded) -> None:
+        """Begins a run that is on record, or takes it back."""
+        core, request = self._core, self._core.open_requests.get(message.id)
+        if request is None or request.idempotency_key is None:
+            return
+        run = core.idempotency.runs.get(request.idempotency_key)
+        if run is None or run.id != request.id or run.begun:
+            return
+        if message.recorded and (not request.answered or run.waiters):
+            run.begun = True
+            core.execute(request)
+        else:  # nobody waits for it any more, or it can't be put on record: it was never begun
+            self._take_back(request, request.idempotency_key, message.retry_after_ns)
+
+    def _take_back(self, request: InboundRequest, key: IdempotencyKey, retry_after_ns: int) -> None:
+        """Rejects a run that was never begun, and the duplicates that wait for it."""
+        core = self._core
+        waiters = core.idempotency.run_never_began(key, request.id)
+        if self._journal is not None:
+            self._journal.never_ran(key)
+        for request_id in (request.id, *waiters):
+            waiting = core.open_requests.get(request_id)
+            if waiting is not None:
+                core.responses.reject(waiting, retry_after_ns)
+                core.open_requests.pop(request_id, None)
+                core.dispatch(RequestCompleted(request_id, Outcome.NOT_STARTED, 0))
+
+    def run_ended(self, request: InboundRequest, key: IdempotencyKey, result: RunResult) -> None:
+        """Keeps the result of a run, and gives it to the duplicates that wait for it."""
+        core = self._core
+        if result.outcome in NEVER_RAN:
+            waiters = core.idempotency.run_never_began(key, request.id)
+            if self._journal is not None:
+                self._journal.never_ran(key)
+        else:
+            size_bytes = len(result.body) + result.detail_bytes + RESULT_OVERHEAD_BYTES
+            run = core.idempotency.runs.get(key)
+            waiters = core.idempotency.run_ended(key, request.id, result, size_bytes)
+            if self._journal is not None and run is not None and run.id == request.id:
+                self._journal.end(key, run, result)
+        for waiter in waiters:
+            core.post(DuplicateResolved(waiter, result))
+
+    def attach(self, request: InboundRequest) -> None:
+        """Gives a duplicate the result of the run that it duplicates, at once or when it is there."""
+        core, key = self._core, request.idempotency_key
+        request.attached_ns = core.now_ns
+        run = core.idempotency.runs.get(key) if key is not None else None
+        if run is not None and not run.is_over:
+            run.waiters += (request.id,)
+        elif run is not None and run.result is not None:
+            core.post(DuplicateResolved(request.id, run.result))
+        elif run is not None and run.result_stored and self._journal is not None and key is not None:
+            self._journal.fetch(key, request.id)
+        else:  # a run whose result was evicted, or never known, can't be served again, only failed
+            core.post(DuplicateResolved(request.id, RunResult(Outcome.FAILED)))
+
+    def expire(self) -> None:
+        """Forgets runs whose window is over, here and on record."""
+        for key in self._core.idempotency.expire(self._core.now_ns):
+            if self._journal is not None:
+                self._journal.drop(key)
+
+    def restore(self, message: StateRestored) -> None:
+        """Adopts what was on record; what has come since takes precedence."""
+        message.runs.update(self._core.idempotency.runs)
+        self._core.idempotency.runs = message.runs
+        self._learned_state = message.learned_state
+        self.restore_learned_state()
+
+    def restore_learned_state(self) -> None:
+        """Gives the controller what was learned before, as soon as there is one."""
+        controller = self._core.controller
+        if self._learned_state is None or controller is None:
+            return
+        learned_state, self._learned_state = self._learned_state, None
+        try:
+            handover.teach(controller, learned_state, self._core.now_ns, self._core.tenants.positions)
+        except Exception:  # it learns anew
+            self._core.log.exception("learned_state_not_restored", source="store")
+
+    def adopt_if_restored(self, key: IdempotencyKey) -> None:
+        """Tells the controller of a run of before a restart, now that it is asked for.
+
+        All of them at once would take too long.
+        """
+        run = self._core.idempotency.runs.get(key)
+        if run is not None and run.restored:
+            run.restored = False
+            self.adopt(key, run)
+
+    def adopt(self, key: IdempotencyKey, run: IdempotentRun) -> None:
+        """Tells the controller of a run that it did not start."""
+        core = self._core
+        if core.controller is None:
+            return
+        class_index = core.class_indices[key[1]]
+        window_ns = core.controller.s.classes[class_index].idempotency_window_ns
+        age_ns = max(0, core.now_ns - (run.window_end_ns - window_ns))
+        core.dispatch(RunAdopted(RequestReceived(run.id, class_index, unread_ns=age_ns), True, True))
--- /dev/null
+++ b/ochrehoist/core/message_handlers.py
@@ -0,0 +1,204 @@
+"""How the core takes in each message that other tasks post to it."""
+
+from collections.abc import Callable
+from typing import Any
+
+from ochrehoist.admission.events import DrainStarted, Outcome, RequestAbandoned, RequestCompleted, TimerFired
+from ochrehoist.core import arrival_checks, reconfiguration, state_transfer
+from ochrehoist.core.context import SHUTDOWN_ANSWER_MARGIN_NS, CoreContext
+from ochrehoist.core.deadlines import REARM_DELAY_NS
+from ochrehoist.core.messages import (
+    CallerDisconnected,
+    ConfigurationSwitched,
+    DuplicateResolved,
+    ExecutorReady,
+    GaugesMeasured,
+    IntentRecorded,
+    KernelLinkChanged,
+    Message,
+    RequestArrived,
+    RunCompleted,
+    SettingsChanged,
+    ShutdownRequested,
+    StandbyChanged,
+    StateRestored,
+    StateTransferred,
+    TenantsChanged,
+)
+from ochrehoist.core.request import InboundRequest
+from ochrehoist.core.results import FailureReason, RunResult
+
+
+def executor_ready(core: CoreContext, message: ExecutorReady) -> None:
+    """Creates the controller, or asks the process before this one for its state first."""
+    if core.controller is not None or core.executor_ready is not None:
+        return
+    core.executor_ready, core.instance_started_ns = message, core.now_ns - message.age_ns
+    if core.request_predecessor_state is not None:  # it may have keys: nothing is decided without them
+        core.request_predecessor_state()
+    else:
+        core.boot(core.settings)
+
+
+def request_arrived(core: CoreContext, message: RequestArrived) -> None:
+    """Accepts a request and lets the controller decide on it, or answers it at once."""
+    request = message.request
+    if core.controller is None:  # nothing ran: the controller is not up
+        core.reject(request)
+        return
+    if request.id in core.open_requests:  # an id that comes twice while the first is open
+        core.fail(request, FailureReason.INTERNAL)
+        return
+    # Told by the Unix clock, which may have been set since the start: only its distance from now counts.
+    # A time to come would put off the due time, and the window.
+    request.arrived_ns = core.now_ns - max(0, core.wall_clock() - request.arrived_ns)
+    for observer in core.responses.observers:
+        observer.request_arrived(request)
+    if arrival_checks.answered_on_arrival(core, request):
+        return
+    core.track(request)
+    core.dispatch(core.received_event(request))
+
+
+def caller_disconnected(core: CoreContext, message: CallerDisconnected) -> None:
+    """Tells the controller that nobody waits for the request any more."""
+    request = core.open_requests.get(message.id)
+    if request is None:
+        return
+    core.responses.caller_disconnected(request)
+    core.dispatch(RequestAbandoned(request.id, message.gave_up))
+
+
+def run_completed(core: CoreContext, message: RunCompleted) -> None:
+    """Answers the request, and the duplicates that wait for the same result."""
+    request, outcome = core.open_requests.pop(message.id, None), message.result.outcome
+    if request is None:  # the controller let it go before, or never knew that it was over
+        core.dispatch(RequestCompleted(message.id, outcome, message.duration_ns))
+        return
+    duration_ns = message.duration_ns
+    if request.started_ns:  # what was held back never counted as running
+        if core.limiter is not None:
+            duration_ns = core.limiter.run_ended(request, core.now_ns, message.duration_ns, outcome)
+        if core.fleet_admission is not None:
+            core.fleet_admission.run_ended(request, core.now_ns, message.duration_ns, outcome)
+    if request.idempotency_key is not None:
+        core.idempotent_runs.run_ended(request, request.idempotency_key, message.result)
+    _complete(core, request, message.result, duration_ns)
+
+
+def duplicate_resolved(core: CoreContext, message: DuplicateResolved) -> None:
+    """Answers a duplicate with the result of the run that it duplicates."""
+    request = core.open_requests.pop(message.id, None)
+    if request is not None:
+        _complete(core, request, message.result, core.now_ns - request.attached_ns)
+
+
+def _complete(core: CoreContext, request: InboundRequest, result: RunResult, duration_ns: int) -> None:
+    core.responses.complete(request, result)
+    core.dispatch(RequestCompleted(request.id, result.outcome, duration_ns))
+
+
+def gauges_measured(core: CoreContext, message: GaugesMeasured) -> None:
+    """Fires the timers that waited for the gauges."""
+    core.gauges = message.values
+    fire_due_timers(core)
+
+
+def fire_due_timers(core: CoreContext) -> None:
+    """Fires all due timers of the controller; a timer that met a fault is set again."""
+    for timer_id in core.deadlines.take_due_timers():
+        if not core.dispatch(TimerFired(timer_id, dict(core.gauges))):
+            core.deadlines.set_timer(core.now_ns + REARM_DELAY_NS, timer_id)
+
+
+def shutdown_requested(core: CoreContext, message: ShutdownRequested) -> None:
+    """Starts to drain: what is open must be answered before the process is stopped."""
+    if core.drain_started_ns is not None:
+        return
+    core.drain_started_ns = core.now_ns - message.age_ns
+    core.stop_ns = core.now_ns + message.remaining_ns
+    for request in core.open_requests.values():
+        if not request.answered:
+            core.deadlines.answer_by(core.stop_ns - SHUTDOWN_ANSWER_MARGIN_NS, request.id)
+    if core.controller is not None:
+        core.dispatch(DrainStarted(message.remaining_ns))
+    for listener in core.listeners:
+        listener.shutdown_started(message.remaining_ns)
+    core.update_health()
+
+
+def standby_changed(core: CoreContext, message: StandbyChanged) -> None:
+    """Reports the worker as unhealthy while the operators want it empty."""
+    core.inherited_standby = False
+    if message.enabled != core.standby:
+        core.standby = message.enabled
+        core.log.info("standby_changed", enabled=message.enabled, unanswered=core.unanswered)
+        core.update_health()
+
+
+def kernel_link_changed(core: CoreContext, message: KernelLinkChanged) -> None:
+    """Reports the worker as unhealthy while it cannot run anything."""
+    core.kernel_connected = message.connected
+    core.update_health()
+
+
+def state_transferred(core: CoreContext, message: StateTransferred) -> None:
+    """Goes on from the state of the process before this one, or from nothing."""
+    core.request_predecessor_state = None
+    if core.controller is not None:
+        return
+    if message.state is None:
+        core.boot(core.settings)
+        return
+    core.standby = core.inherited_standby = message.state.standby
+    state_transfer.adopt_snapshot(core, message.state)
+    core.update_health()
+
+
+def intent_recorded(core: CoreContext, message: IntentRecorded) -> None:
+    """Begins a filing that is on record."""
+    core.idempotent_runs.intent_recorded(message)
+
+
+def state_restored(core: CoreContext, message: StateRestored) -> None:
+    """Adopts what was on record before a restart."""
+    core.idempotent_runs.restore(message)
+
+
+def answer_overdue_request(core: CoreContext, request_id: str) -> None:
+    """Fails a request whose last moment has come, if it is still owed an answer.
+
+    The controller should have: there was a fault, or its timer came late.
+    """
+    request = core.open_requests.get(request_id)
+    if request is None or request.answered:
+        return
+    core.log.warning("overdue_request_failed", id=request.id, started=request.started)
+    core.responses.fail(request, FailureReason.DEADLINE_PASSED)
+    core.dispatch(RequestAbandoned(request.id, False))
+    release_slot(core, request)
+
+
+def release_slot(core: CoreContext, request: InboundRequest) -> None:
+    """After a fault the controller may count as running what was never started: its slot is given back."""
+    if not request.started:
+        core.post(RunCompleted(request.id, RunResult(Outcome.NOT_STARTED), 0))
+
+
+MESSAGE_HANDLERS: dict[type[Message], Callable[[Any, Any], None]] = {
+    ExecutorReady: executor_ready,
+    RequestArrived: request_arrived,
+    CallerDisconnected: caller_disconnected,
+    RunCompleted: run_completed,
+    DuplicateResolved: duplicate_resolved,
+    GaugesMeasured: gauges_measured,
+    ShutdownRequested: shutdown_requested,
+    StandbyChanged: standby_changed,
+    KernelLinkChanged: kernel_link_changed,
+    SettingsChanged: reconfiguration.change_settings,
+    TenantsChanged: reconfiguration.change_tenants,
+    ConfigurationSwitched: reconfiguration.switch_configuration,
+    StateTransferred: state_transferred,
+    IntentRecorded: intent_recorded,
+    StateRestored: state_restored,
+}
--- a/ochrehoist/core/messages.py
+++ b/ochrehoist/core/messages.py
@@ -2,35 +2,42 @@
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
-from typing import Any
 
 from ochrehoist.admission.settings import AdmissionSettings
+from ochrehoist.core.idempotency_table import IdempotentRun
 from ochrehoist.core.request import IdempotencyKey, InboundRequest
 from ochrehoist.core.results import RunResult
-from ochrehoist.core.tenants import Tenants
+from ochrehoist.core.snapshot import CoreSnapshot, LearnedState
+from ochrehoist.core.tenants import TenantTable
 
 
 @dataclass(slots=True)
 class ExecutorReady:
-    """The executor is up: the module can be created."""
+    """The executor is up: the controller can be created."""
 
     cold_start: bool | None  # None: as the settings say
-    age_ns: int
+    age_ns: int  # how long ago it came up
 
 
 @dataclass(slots=True)
 class RequestArrived:
+    """A front has read a request."""
+
     request: InboundRequest
 
 
 @dataclass(slots=True)
 class CallerDisconnected:
+    """The caller of a request waits no longer."""
+
     id: str
     gave_up: bool = True  # False where its connection was lost
 
 
 @dataclass(slots=True)
 class RunCompleted:
+    """The executor's run of a request ended."""
+
     id: str
     result: RunResult
     duration_ns: int
@@ -38,7 +45,7 @@
 
 @dataclass(slots=True)
 class DuplicateResolved:
-    """A repeat that waited for, or found, the result of the run it repeats."""
+    """A duplicate that waited for, or found, the result of the run that it duplicates."""
 
     id: str
     result: RunResult
@@ -46,13 +53,17 @@
 
 @dataclass(slots=True)
 class GaugesMeasured:
+    """Gauges of the executor, as they were asked for."""
+
     values: dict[str, float] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
 class ShutdownRequested:
+    """The process is to end."""
+
     remaining_ns: int
-    age_ns: int = 0  # how long ago, at the most, the notice came
+    age_ns: int = 0  # how long ago, at the most, the order came
 
 
 @dataclass(slots=True)
@@ -64,8 +75,10 @@
 
 @dataclass(slots=True)
 class IntentRecorded:
-    """Whether a filing that was to begin is on record; if not, it is refused and may come again after
-    `backoff`."""
+    """Whether a filing that was to begin is on record.
+
+    If not, it is rejected and may come again after `retry_after_ns`.
+    """
 
     id: str
     recorded: bool
@@ -74,25 +87,25 @@
 
 @dataclass(slots=True)
 class StateRestored:
-    """What was on record: runs by token, and what was learned."""
+    """What was on record: runs by idempotency key, and the learned state."""
 
-    runs: dict[IdempotencyKey, Any]
-    learned_state: dict | None
+    runs: dict[IdempotencyKey, IdempotentRun]
+    learned_state: LearnedState | None
 
 
 @dataclass(slots=True)
 class KernelLinkChanged:
-    """Whether what runs the requests is within reach; a short break is not told."""
+    """Whether what runs the requests is within reach; a short break is not reported."""
 
     connected: bool
 
 
 @dataclass(slots=True)
 class SettingsChanged:
-    """New settings, read while the worker runs; `tenants`: their table, where it was made beforehand."""
+    """New settings, read while the worker runs."""
 
     settings: AdmissionSettings
-    tenants: Tenants | None = None
+    tenants: TenantTable | None = None  # where their table was made beforehand
 
 
 @dataclass(slots=True)
@@ -100,7 +113,7 @@
     """New settings that differ in nothing but tenants."""
 
     settings: AdmissionSettings
-    tenants: Tenants
+    tenants: TenantTable
 
 
 @dataclass(slots=True)
@@ -114,9 +127,9 @@
 
 @dataclass(slots=True)
 class StateTransferred:
-    """How asking the process before this one ended: its state, or None where there is none to take."""
+    """How asking the process before this one ended."""
 
-    state: Any
+    state: CoreSnapshot | None  # None: there is nothing to adopt
 
 
 Message = (
--- /dev/null
+++ b/ochrehoist/core/metrics.py
@@ -0,0 +1,109 @@
+"""Counters of this process by request class, and their text for scrapers.
+
+The text is the exposition format 0.0.4 of Prometheus.
+"""
+
+from collections.abc import Iterable, Mapping
+from enum import StrEnum
+
+METRICS_CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
+PREFIX, CLASS_LABEL = "app_", "group"
+
+
+class RequestCounter(StrEnum):
+    """Counters by request class; the values are the exported names without their prefix."""
+
+    ANSWERED = "answered_total"
+    REJECTED = "deferred_total"
+    FAILED = "errored_total"
+    RUNS_STARTED = "sends_total"
+
+
+REQUEST_COUNTER_HELP = {
+    RequestCounter.ANSWERED: "Requests served.",
+    RequestCounter.REJECTED: "Requests refused, which never ran.",
+    RequestCounter.FAILED: "Requests failed.",
+    RequestCounter.RUNS_STARTED: "Runs handed to the kernel.",
+}
+
+
+class ReloadCounter(StrEnum):
+    """Counters of configuration reloads; the values are the exported names without their prefix."""
+
+    LOADED = "conf_loaded_total"
+    INVALID = "conf_invalid_total"
+
+
+RELOAD_COUNTER_HELP = {
+    ReloadCounter.LOADED: "Configurations taken at SIGHUP.",
+    ReloadCounter.INVALID: "Configurations turned down at SIGHUP.",
+}
+
+
+def _escaped(label_value: str) -> str:
+    return label_value.replace("\\", r"\\").replace('"', r"\"").replace("\n", r"\n")
+
+
+def format_samples(values: Mapping[str, Iterable[tuple[str, float]]]) -> str:
+    """Lines of further metrics: samples by metric name, each with its labels.
+
+    Names that end in `_total` are exported as counters, all others as gauges.
+    """
+    lines = []
+    for name, samples in values.items():
+        lines.append(f"# TYPE {name} {'counter' if name.endswith('_total') else 'gauge'}")
+        lines.extend(f"{name}{label} {value}" for label, value in samples)
+    return "\n".join(lines) + "\n"
+
+
+def _family(name: str, kind: str, help_text: str, samples: Iterable[tuple[str, int]]) -> list[str]:
+    """The lines of one metric family."""
+    full_name = PREFIX + name
+    lines = [f"# HELP {full_name} {help_text}", f"# TYPE {full_name} {kind}"]
+    lines.extend(f"{full_name}{label} {value}" for label, value in samples)
+    return lines
+
+
+class Metrics:
+    """Counters that start at 0 with the process. A class that was known stays listed: no counter goes."""
+
+    def __init__(self, class_names: Iterable[str]) -> None:
+        self._by_class: dict[RequestCounter, dict[str, int]] = {name: {} for name in RequestCounter}
+        self._reloads = dict.fromkeys(ReloadCounter, 0)
+        self.add_classes(class_names)
+
+    def add_classes(self, class_names: Iterable[str]) -> None:
+        """Starts the counters of classes that were not known before, at 0."""
+        for name in class_names:
+            for counts in self._by_class.values():
+                counts.setdefault(name, 0)
+
+    def count(self, counter: RequestCounter, class_name: str) -> None:
+        """Adds one request of the class."""
+        self._by_class[counter][class_name] += 1
+
+    def count_reload(self, counter: ReloadCounter) -> None:
+        """Adds one reload."""
+        self._reloads[counter] += 1
+
+    def total(self, counter: RequestCounter) -> int:
+        """The count over all classes."""
+        return sum(self._by_class[counter].values())
+
+    def by_class(self, counter: RequestCounter) -> Mapping[str, int]:
+        """The count of each class."""
+        return self._by_class[counter]
+
+    def text(self, open_requests: int) -> str:
+        """All counters, and the gauge of open requests, in the exposition format."""
+        lines: list[str] = []
+        for counter, help_text in REQUEST_COUNTER_HELP.items():
+            samples = (
+                (f'{{{CLASS_LABEL}="{_escaped(class_name)}"}}', count)
+                for class_name, count in self._by_class[counter].items()
+            )
+            lines += _family(counter, "counter", help_text, samples)
+        lines += _family("current", "gauge", "Requests taken and not yet ended.", [("", open_requests)])
+        for reload_counter, help_text in RELOAD_COUNTER_HELP.items():
+            lines += _family(reload_counter, "counter", help_text, [("", self._reloads[reload_counter])])
+        return "\n".join(lines) + "\n"
--- /dev/null
+++ b/ochrehoist/core/reconfiguration.py
@@ -0,0 +1,47 @@
+"""How the core takes new settings, between two events: only what differs."""
+
+from ochrehoist.admission.events import TenantsReplaced
+from ochrehoist.core import state_transfer
+from ochrehoist.core.context import CoreContext
+from ochrehoist.core.messages import ConfigurationSwitched, SettingsChanged, TenantsChanged
+from ochrehoist.core.tenants import updated_table_at_once
+
+
+def change_settings(core: CoreContext, message: SettingsChanged) -> None:
+    """Boots a fresh controller that is told of all that is open: the cost grows with that."""
+    tenants = message.tenants
+    if tenants is None:
+        tenants = updated_table_at_once(core.tenants, message.settings.tenants)
+    core.settings, core.tenants = message.settings, tenants
+    core.metrics.add_classes(c.name for c in message.settings.classes)
+    if core.controller is None:
+        core.index_classes(message.settings)
+        return
+    state_transfer.adopt_snapshot(core, state_transfer.take_snapshot(core))
+    core.log.info(
+        "settings_changed",
+        classes=sorted(core.served_classes),
+        removed_classes=sorted(core.class_indices.keys() - core.served_classes),
+    )
+
+
+def change_tenants(core: CoreContext, message: TenantsChanged) -> None:
+    """Tells the present controller: positions stay, so nothing that is open need be told again."""
+    core.settings, core.tenants = message.settings, message.tenants
+    if core.controller is not None:
+        core.dispatch(TenantsReplaced(core.controller_tenants))
+
+
+def switch_configuration(core: CoreContext, message: ConfigurationSwitched) -> None:
+    """Brings a whole configuration into force between two messages.
+
+    What was read before it was decided by what was in force before; no request meets half of a change.
+    """
+    try:
+        message.apply_parts()
+        if isinstance(message.core_change, SettingsChanged):
+            change_settings(core, message.core_change)
+        elif message.core_change is not None:
+            change_tenants(core, message.core_change)
+    finally:
+        message.on_done()
--- a/ochrehoist/core/results.py
+++ b/ochrehoist/core/results.py
@@ -8,7 +8,7 @@
 
 
 class FailureReason(Enum):
-    """Why a request failed, for fronts that tell it apart."""
+    """Why a request failed. The values are the texts that fronts give to callers."""
 
     DEADLINE_PASSED = "no answer by the due time"
     EXECUTOR_FAILED = "the run failed"
@@ -19,19 +19,33 @@
 
 @dataclass(slots=True, frozen=True)
 class RunResult:
-    """How a run ended. `detail` belongs to the executor that made it; the core passes it on unread."""
+    """How a run ended.
+
+    Attributes:
+        outcome: Whether it ran, and how it ended.
+        body: The answer for the caller.
+        detail: Belongs to the executor that made it; the core passes it on unread.
+        detail_bytes: Memory that `detail` takes.
+        success: Whether the caller is told of success: a run may complete with an application error.
+    """
 
     outcome: Outcome
     body: bytes = b""
     detail: Any = None
-    detail_bytes: int = 0  # what it takes in memory
-    success: bool = True  # to the caller, on any wire: a run may end well with an error
+    detail_bytes: int = 0
+    success: bool = True
 
 
 @dataclass(slots=True, frozen=True)
 class Rejection:
-    """Why the journal takes no filing now: for how long (ns), or because what ran is not known yet."""
+    """Why a request is not accepted now.
+
+    Attributes:
+        retry_after_ns: How long the caller should wait before its next attempt.
+        outcome_unknown: Whether an earlier attempt ran is not known yet: it fails and is not rejected.
+        no_retry: No other worker would accept it either.
+    """
 
     retry_after_ns: int
     outcome_unknown: bool = False
-    no_retry: bool = True  # no other worker would take it either
+    no_retry: bool = True
--- a/ochrehoist/core/tenants.py
+++ b/ochrehoist/core/tenants.py
@@ -1,4 +1,4 @@
-"""Tenants by name, and the position at which the decision module knows each.
+"""Tenants by name, and the position at which the controller knows each.
 
 A table is never changed: the next one is built beside it, in steps that take well under a millisecond each,
 and takes its place in one assignment. Whoever needs a tenant asks the table in force.
@@ -9,76 +9,88 @@
 
 from ochrehoist.admission.settings import Tenant
 
-STEP = 400  # names looked at in a step
-ALIKE = 8192  # that are compared in a step where nothing has changed: by identity, in C
-SPARE = 1024  # places of tenants that are gone, which are kept in any case,
-PART = 10  # and more of them up to one in so many
+NAMES_PER_STEP = 400  # names looked at in a step
+COMPARED_PER_STEP = 8192  # unchanged tenants compared in a step: by identity, in C
+MIN_RETIRED_PLACES = 1024  # positions of removed tenants that are kept in any case,
+PLACES_PER_RETIRED = 10  # and more of them up to one in so many
 
+Tenants = tuple[Tenant, ...]
 
-@dataclass(slots=True, frozen=True, eq=False)
-class Tenants:
-    """`places` is what the module is told: who stays keeps its position, who is new comes behind, and who is
-    gone keeps its own, to which it comes back."""
 
-    listed: tuple[Tenant, ...] = ()  # in the order of the settings
-    places: tuple[Tenant, ...] = ()
-    at: dict[str, int] = field(default_factory=dict)  # positions of those in force
-    gone: dict[str, int] = field(default_factory=dict)
+@dataclass(slots=True, frozen=True, eq=False)
+class TenantTable:
+    """Tenants in force, and those that were.
+
+    Attributes:
+        listed: Those in force, in the order of the settings.
+        by_position: What the controller is told: a tenant that stays keeps its position, a new one comes
+            behind, and one that is removed keeps its own, to which it comes back.
+        positions: Positions of those in force, by name.
+        retired: Positions of those that were removed, by name.
+    """
+
+    listed: Tenants = ()
+    by_position: Tenants = ()
+    positions: dict[str, int] = field(default_factory=dict)
+    retired: dict[str, int] = field(default_factory=dict)
 
     def __len__(self) -> int:
-        return len(self.at)
+        return len(self.positions)
 
     def __contains__(self, name: object) -> bool:
         """Whether it is in force."""
-        return name in self.at
+        return name in self.positions
 
     def __getitem__(self, name: str) -> int:
         """The position of one that is in force."""
-        return self.at[name]
+        return self.positions[name]
 
-    def of(self, name: str | None) -> Tenant | None:
+    def get(self, name: str | None) -> Tenant | None:
         """One that is in force, by its name."""
-        position = self.at.get(name)
-        return None if position is None else self.places[position]
+        position = None if name is None else self.positions.get(name)
+        return None if position is None else self.by_position[position]
 
     def position(self, name: str | None) -> int | None:
-        """Of one that is in force or was."""
-        position = self.at.get(name)
-        return self.gone.get(name) if position is None else position
+        """The position of one that is in force or was."""
+        if name is None:
+            return None
+        position = self.positions.get(name)
+        return self.retired.get(name) if position is None else position
 
-    def known(self, name: str) -> bool:
-        return name in self.at or name in self.gone
+    def is_known(self, name: str) -> bool:
+        """Whether it is in force or was."""
+        return name in self.positions or name in self.retired
 
     @property
-    def crowded(self) -> bool:
-        """Whether those that are gone take too many places: a fresh module is due."""
-        return len(self.gone) > max(SPARE, len(self.places) // PART)
+    def needs_compaction(self) -> bool:
+        """Whether removed tenants take too many positions: a fresh controller is due."""
+        return len(self.retired) > max(MIN_RETIRED_PLACES, len(self.by_position) // PLACES_PER_RETIRED)
 
 
-def first(listed: tuple[Tenant, ...]) -> Tenants:
-    """At the start of a process, at once."""
-    return Tenants(listed, listed, {t.name: n for n, t in enumerate(listed)})
+def initial_table(listed: Tenants) -> TenantTable:
+    """The table at the start of a process, at once."""
+    return TenantTable(listed, listed, {t.name: n for n, t in enumerate(listed)})
 
 
-def _alike(old: tuple, new: tuple) -> Generator[None, None, int]:
-    """How many are the same at the beginning of both."""
-    at, most = 0, min(len(old), len(new))
-    while at < most:
-        size = min(ALIKE, most - at)
+def _common_prefix(old: Tenants, new: Tenants) -> Generator[None, None, int]:
+    """How many tenants are the same at the beginning of both."""
+    at, limit = 0, min(len(old), len(new))
+    while at < limit:
+        size = min(COMPARED_PER_STEP, limit - at)
         while old[at : at + size] != new[at : at + size]:
             if size == 1:
                 return at
             size = max(1, size // 8)
         at += size
         yield
-    return most
+    return limit
 
 
-def _alike_behind(old: tuple, new: tuple, most: int) -> Generator[None, None, int]:
-    """How many are the same at the end of both, of `most`."""
+def _common_suffix(old: Tenants, new: Tenants, limit: int) -> Generator[None, None, int]:
+    """How many tenants are the same at the end of both, of `limit`."""
     count = 0
-    while count < most:
-        size = min(ALIKE, most - count)
+    while count < limit:
+        size = min(COMPARED_PER_STEP, limit - count)
         while (
             old[len(old) - count - size : len(old) - count] != new[len(new) - count - size : len(new) - count]
         ):
@@ -90,79 +102,103 @@
     return count
 
 
-def changed(before: Tenants, listed: tuple[Tenant, ...]) -> Generator[None, None, Tenants]:
+def updated_table(before: TenantTable, listed: Tenants) -> Generator[None, None, TenantTable]:
     """The table for other settings; `before` itself where nothing differs."""
     old = before.listed
     if listed is old:
         return before
-    start = yield from _alike(old, listed)
-    if start == len(old) == len(listed):
+    prefix = yield from _common_prefix(old, listed)
+    if prefix == len(old) == len(listed):
         return before
-    end = yield from _alike_behind(old, listed, min(len(old), len(listed)) - start)
-    if len(old) == len(listed) and (yield from _same_names(old, listed, start, len(old) - end)):
-        places = listed if before.places is old else (yield from _replaced(before, listed, start, end))
-        return Tenants(listed, places, before.at, before.gone)
-    at, gone = before.at.copy(), before.gone.copy()
+    suffix = yield from _common_suffix(old, listed, min(len(old), len(listed)) - prefix)
+    if len(old) == len(listed) and (yield from _same_names(old, listed, prefix, len(old) - suffix)):
+        by_position = (
+            listed if before.by_position is old else (yield from _replaced(before, listed, prefix, suffix))
+        )
+        return TenantTable(listed, by_position, before.positions, before.retired)
+    return (yield from _repositioned(before, listed, prefix, suffix))
+
+
+def _repositioned(
+    before: TenantTable, listed: Tenants, prefix: int, suffix: int
+) -> Generator[None, None, TenantTable]:
+    """The table where tenants were added or removed between the common prefix and suffix."""
+    old = before.listed
+    positions, retired = before.positions.copy(), before.retired.copy()
     yield
-    places = list(before.places)
+    by_position = list(before.by_position)
     yield
-    for n in range(start, len(old) - end):
+    for n in range(prefix, len(old) - suffix):
         name = old[n].name
-        position = at.pop(name, None)
+        position = positions.pop(name, None)
         if position is not None:
-            gone[name] = position
-        if n % STEP == 0:
+            retired[name] = position
+        if n % NAMES_PER_STEP == 0:
             yield
-    for n in range(start, len(listed) - end):
+    for n in range(prefix, len(listed) - suffix):
         tenant = listed[n]
-        position = gone.pop(tenant.name, None)
+        position = retired.pop(tenant.name, None)
         if position is None:
-            position = len(places)
-            places.append(tenant)
+            position = len(by_position)
+            by_position.append(tenant)
         else:
-            places[position] = tenant
-        at[tenant.name] = position
-        if n % STEP == 0:
+            by_position[position] = tenant
+        positions[tenant.name] = position
+        if n % NAMES_PER_STEP == 0:
             yield
     yield
-    if start == len(old) and before.places is old:  # all that is new stands behind in both
-        return Tenants(listed, listed, at, gone)
-    return Tenants(listed, tuple(places), at, gone)
+    if prefix == len(old) and before.by_position is old:  # all that is new stands behind in both
+        return TenantTable(listed, listed, positions, retired)
+    return TenantTable(listed, tuple(by_position), positions, retired)
 
 
-def _same_names(old: tuple, new: tuple, start: int, stop: int) -> Generator[None, None, bool]:
+def _same_names(old: Tenants, new: Tenants, start: int, stop: int) -> Generator[None, None, bool]:
+    """Whether both have the same names in the range."""
     for n in range(start, stop):
         if old[n].name != new[n].name:
             return False
-        if n % STEP == 0:
+        if n % NAMES_PER_STEP == 0:
             yield
     return True
 
 
-def _replaced(before: Tenants, listed: tuple, start: int, end: int) -> Generator[None, None, tuple]:
-    """The places, where only what is told of tenants differs."""
-    places = list(before.places)
+def _replaced(
+    before: TenantTable, listed: Tenants, prefix: int, suffix: int
+) -> Generator[None, None, Tenants]:
+    """The tenants by position, where only what is told of tenants differs."""
+    by_position = list(before.by_position)
     yield
-    for n in range(start, len(listed) - end):
-        places[before.at[listed[n].name]] = listed[n]
-        if n % STEP == 0:
+    for n in range(prefix, len(listed) - suffix):
+        by_position[before.positions[listed[n].name]] = listed[n]
+        if n % NAMES_PER_STEP == 0:
             yield
-    return tuple(places)
+    return tuple(by_position)
 
 
-def compact(table: Tenants, used: Collection[str]) -> Generator[None, None, Tenants]:
-    """The same tenants for a fresh module, without those that are gone and not `used`."""
-    at: dict[str, int] = {}
+def compacted_table(table: TenantTable, used: Collection[str]) -> Generator[None, None, TenantTable]:
+    """The same tenants for a fresh controller, without those that were removed and are not `used`."""
+    positions: dict[str, int] = {}
     for n, tenant in enumerate(table.listed):
-        at[tenant.name] = n
-        if n % STEP == 0:
+        positions[tenant.name] = n
+        if n % NAMES_PER_STEP == 0:
             yield
-    places, gone = list(table.listed), {}
+    by_position, retired = list(table.listed), {}
     yield
-    for n, (name, position) in enumerate(table.gone.items()):
+    for n, (name, position) in enumerate(table.retired.items()):
         if name in used:
-            gone[name] = len(places)
-            places.append(table.places[position])
-        if n % STEP == 0:
+            retired[name] = len(by_position)
+            by_position.append(table.by_position[position])
+        if n % NAMES_PER_STEP == 0:
             yield
-    return Tenants(table.listed, tuple(places), at, gone)
+    return TenantTable(table.listed, tuple(by_position), positions, retired)
+
+
+def updated_table_at_once(before: TenantTable, listed: Tenants) -> TenantTable:
+    """The table for other settings, without a pause."""
+    steps = updated_table(before, listed)
+    while True:
+        try:
+            next(steps)
+        except StopIteration as end:
+            table: TenantTable = end.value
+            return table
--- a/ochrehoist/lab/hollow.py
+++ b/ochrehoist/lab/hollow.py
@@ -29,8 +29,8 @@
 from ochrehoist.app.worker import BODY_SHARE, RESULT_SHARE
 from ochrehoist.config import loader as configuration
 from ochrehoist.config.loader import Config
+from ochrehoist.core.actor import CoreActor
 from ochrehoist.core.messages import ExecutorReady
-from ochrehoist.core.owner import Owner
 from ochrehoist.lab.toml import toml
 from ochrehoist.net.ajp_front import AjpReader
 from ochrehoist.net.ajp_server import AjpServers
@@ -178,18 +178,18 @@
         return getattr(self.sock, "received", 0)
 
 
-class MeteredOwner(Owner):
+class MeteredOwner(CoreActor):
     """Tells what each beat of the module cost, in s of this thread."""
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
         self.beats: deque[float] = deque(maxlen=BEATS)
 
-    def tell(self, event: Event, at: int | None = None) -> bool:
+    def dispatch(self, event: Event, at_ns: int | None = None) -> bool:
         if type(event) is not TimerFired:
-            return super().tell(event, at)
+            return super().dispatch(event, at_ns)
         began = time.thread_time()
-        done = super().tell(event, at)
+        done = super().dispatch(event, at_ns)
         self.beats.append(time.thread_time() - began)
         return done
 
@@ -221,7 +221,7 @@
             Random(self.rng.random()),
             Random(self.rng.random()),
         )
-        self.owner.listeners.append(self.peers)
+        self.owner.register_listener(self.peers)
         self.servers.advisor = self.peers
         self.reloading = Reloading(loop, self.owner, config, str(path), self._parts(), None, log)
         self.ended = False
--- a/ochrehoist/net/ajp_front.py
+++ b/ochrehoist/net/ajp_front.py
@@ -15,8 +15,9 @@
 from ochrehoist.admission.settings import AdmissionSettings, Idempotency, RequestClass
 from ochrehoist.config.loader import AjpConfig
 from ochrehoist.config.settings import at_once
+from ochrehoist.core.actor import CoreActor
 from ochrehoist.core.messages import CallerDisconnected, RequestArrived
-from ochrehoist.core.owner import Owner
+from ochrehoist.core.metrics import RequestCounter
 from ochrehoist.core.protocols import AdmissionFilter, Executor
 from ochrehoist.core.request import InboundRequest
 from ochrehoist.core.results import FailureReason, RunResult
@@ -56,7 +57,7 @@
 class AjpReader:
     """Reads a Forward Request into a core request, by the rules of the configuration."""
 
-    def __init__(self, owner: Owner, executor: Executor, config: AjpConfig) -> None:
+    def __init__(self, owner: CoreActor, executor: Executor, config: AjpConfig) -> None:
         self.owner, self.executor = owner, executor
         self.config: AjpConfig | None = None
         self.index = RouteIndex()
@@ -119,7 +120,9 @@
     def _repeats(self, cls: RequestClass, tenant: str, token: str) -> bool:
         """Whether a filing that ran, or will, is asked for again: its tenant may have gone meanwhile."""
         owner = self.owner
-        return bool(token) and owner.keys.original((tenant, cls.name, token), owner.clock()) is not None
+        return (
+            bool(token) and owner.idempotency.original((tenant, cls.name, token), owner.clock()) is not None
+        )
 
     def request(
         self, f: ajp.Forward, checked: tuple, body: bytes, arrived: int, responder: "AjpResponder"
@@ -277,7 +280,9 @@
             responder.plain(error.status, str(error), again)
             group = checked[0].name if checked else error.group
             if group is not None:
-                self.front.owner.figures.count("deferred_total" if again else "errored_total", group)
+                self.front.owner.metrics.count(
+                    RequestCounter.REJECTED if again else RequestCounter.FAILED, group
+                )
             if f.chunked and self.body_bytes:
                 self.stream.close_when_sent()  # a body broken off: this connection is out of step
             elif unread:
@@ -364,7 +369,7 @@
     def __init__(
         self,
         loop: Loop,
-        owner: Owner,
+        owner: CoreActor,
         executor: Executor,
         config: AjpConfig,
         max_connections: int,
--- a/ochrehoist/net/ajp_server.py
+++ b/ochrehoist/net/ajp_server.py
@@ -11,8 +11,8 @@
 
 from ochrehoist.admission.events import Outcome
 from ochrehoist.config.loader import AjpConfig, AjpServer
+from ochrehoist.core.actor import CoreActor
 from ochrehoist.core.messages import GaugesMeasured, RunCompleted
-from ochrehoist.core.owner import Owner
 from ochrehoist.core.request import InboundRequest
 from ochrehoist.core.results import RunResult
 from ochrehoist.net import ajp
@@ -68,7 +68,7 @@
 
 
 class AjpServers:
-    def __init__(self, loop: Loop, owner: Owner, config: AjpConfig, max_bytes: int, log: Any) -> None:
+    def __init__(self, loop: Loop, owner: CoreActor, config: AjpConfig, max_bytes: int, log: Any) -> None:
         self.loop, self.owner, self.config, self.log = loop, owner, config, log
         self.pools = [Pool(server) for server in config.servers]
         self.running = 0
@@ -91,14 +91,16 @@
     def measure(self) -> None:
         """The gauges where no kernel tells them: what runs here stands for what is on the cores."""
         s = self.owner.settings
-        held = sum(r.memory_kb * (s.run_memory_factor if r.started else 1) for r in self.owner.live.values())
+        held = sum(
+            r.memory_kb * (s.run_memory_factor if r.started else 1) for r in self.owner.open_requests.values()
+        )
         self.owner.post(
             GaugesMeasured(
                 {
                     "cpu_busy": min(1.0, self.running / s.cores),
                     "runnable": float(self.running),
                     "mem_used": held / max(1.0, s.memory_kb),
-                    "sockets": float(len(self.owner.live)),
+                    "sockets": float(len(self.owner.open_requests)),
                 }
             )
         )
--- a/ochrehoist/net/ending.py
+++ b/ochrehoist/net/ending.py
@@ -4,8 +4,8 @@
 from collections.abc import Callable, Sequence
 from typing import Any, Protocol
 
+from ochrehoist.core.actor import CoreActor
 from ochrehoist.core.messages import ShutdownRequested
-from ochrehoist.core.owner import Owner
 from ochrehoist.net.loop import Loop
 
 MS = 1_000_000
@@ -28,7 +28,7 @@
 
 
 class Ending:
-    def __init__(self, loop: Loop, owner: Owner, fronts: Sequence[Front], stop_ms: int, log: Any) -> None:
+    def __init__(self, loop: Loop, owner: CoreActor, fronts: Sequence[Front], stop_ms: int, log: Any) -> None:
         self.loop, self.owner, self.fronts, self.stop_ms, self.log = loop, owner, fronts, stop_ms, log
         self.since: float | None = None
 
@@ -38,7 +38,7 @@
             # The end counts from the notice, which came after the loop last looked for one.
             self.since = self.loop.looked
             age = int((time.monotonic() - self.since) * 1e9)
-            self.log.info("leaving", stop_ms=self.stop_ms, in_hand=self.owner.owed, age_ms=age // MS)
+            self.log.info("leaving", stop_ms=self.stop_ms, in_hand=self.owner.unanswered, age_ms=age // MS)
             self.owner.post(ShutdownRequested(max(0, self.stop_ms * MS - age), age))
             self.loop.spawn(self._drain)
 
@@ -53,7 +53,7 @@
             for front in self.fronts:
                 front.listening.stop()
                 front.retire()
-            self._until_quiet(stop, lambda: self.owner.owed or self.owner.inbox)
+            self._until_quiet(stop, lambda: self.owner.unanswered or self.owner.inbox)
             if self.owner.forwarder is None:
                 self._close_all()
 
@@ -77,7 +77,7 @@
 
         span = min(longest, LONGEST) + AFTER
         # What has no answer by then would end with this process, and its caller hear nothing.
-        self.owner.forwarder.ends_at = self.owner.clock() + int((span - LAST) * 1e9)
+        self.owner.forwarder.answer_all_by(self.owner.clock() + int((span - LAST) * 1e9))
         self._until_quiet(time.monotonic() + span, busy)
         self._close_all()
 
--- a/ochrehoist/net/kernel.py
+++ b/ochrehoist/net/kernel.py
@@ -11,8 +11,8 @@
 from typing import Any
 
 from ochrehoist.admission.events import Outcome
+from ochrehoist.core.actor import CoreActor
 from ochrehoist.core.messages import ExecutorReady, GaugesMeasured, RunCompleted
-from ochrehoist.core.owner import Owner
 from ochrehoist.core.request import InboundRequest
 from ochrehoist.core.results import RunResult
 from ochrehoist.errors import OchrehoistError
@@ -49,7 +49,7 @@
     """An Executor, and the source of the gauges."""
 
     def __init__(
-        self, loop: Loop, owner: Owner, address: tuple[str, int], gauges: tuple[str, ...], log: Any
+        self, loop: Loop, owner: CoreActor, address: tuple[str, int], gauges: tuple[str, ...], log: Any
     ) -> None:
         self.loop, self.owner, self.address, self.gauges, self.log = loop, owner, address, gauges, log
         self.stream: Stream | None = None  # once the kernel is up
--- a/ochrehoist/net/link.py
+++ b/ochrehoist/net/link.py
@@ -17,9 +17,12 @@
 from typing import Any
 
 from ochrehoist.admission.events import Outcome
-from ochrehoist.core import handover
-from ochrehoist.core.filings import RESULT_OVERHEAD
+from ochrehoist.core.actor import CoreActor
+from ochrehoist.core.errors import InvalidStateError
 from ochrehoist.core.forwarder import Forwarder
+from ochrehoist.core.handover_lines import RemoteRequestOwner, request_from_json, result_from_json
+from ochrehoist.core.handover_snapshot import SnapshotReader, snapshot_lines
+from ochrehoist.core.idempotent_runs import RESULT_OVERHEAD_BYTES
 from ochrehoist.core.messages import (
     CallerDisconnected,
     RequestArrived,
@@ -27,8 +30,9 @@
     StandbyChanged,
     StateTransferred,
 )
-from ochrehoist.core.owner import Owner
+from ochrehoist.core.protocols import DetailCodec
 from ochrehoist.core.results import RunResult
+from ochrehoist.core.snapshot import CoreSnapshot
 from ochrehoist.net.loop import Loop, Signal
 from ochrehoist.net.stream import ConnectionClosedError, Stream, StreamTimeoutError
 
@@ -55,7 +59,7 @@
     return line
 
 
-def _offset(owner: Owner) -> int:
+def _offset(owner: CoreActor) -> int:
     """What the core's clock has over the monotonic one, which all processes of the machine share."""
     return owner.clock() - time.monotonic_ns()
 
@@ -66,9 +70,9 @@
     def __init__(
         self,
         loop: Loop,
-        owner: Owner,
+        owner: CoreActor,
         path: str,
-        codec: handover.DetailCodec,
+        codec: DetailCodec,
         listening: Callable[[], dict[str, socket.socket]],
         replaced: Callable[[list], None],
         log: Any,
@@ -142,7 +146,7 @@
     def _hand_over(self, stream: Stream) -> None:
         state, agreed = self.owner.freeze(), False
         try:
-            for line in handover.lines(state, _offset(self.owner), self.codec):
+            for line in snapshot_lines(state, _offset(self.owner), self.codec):
                 stream.write(_line(line))
                 until = time.monotonic() + STILL
                 while len(stream.unsent) > AHEAD:
@@ -164,9 +168,9 @@
         self.replaced(yes.get("at", []))
         try:
             while True:
-                self.forwarder.hear(_read(stream, None))
+                self.forwarder.receive(_read(stream, None))
         finally:
-            self.forwarder.lost()
+            self.forwarder.connection_lost()
 
     def holds(self, connections: Mapping[str, int]) -> None:
         """Tells the other process how many connections are still open here."""
@@ -180,9 +184,9 @@
     def __init__(
         self,
         loop: Loop,
-        owner: Owner,
+        owner: CoreActor,
         path: str,
-        codec: handover.DetailCodec,
+        codec: DetailCodec,
         at: Callable[[], list],
         taken: Callable[[], None],
         holds: Callable[[Mapping[str, int]], None],
@@ -193,8 +197,8 @@
         self.wanted = Signal(loop)
         self.stream: Stream | None = None
         self.present = True  # it may run something that this one does not see
-        self.received: handover.State | None = None  # whole, and not yet left to this process
-        owner.predecessor = self.wanted.set
+        self.received: CoreSnapshot | None = None  # whole, and not yet left to this process
+        owner.register_predecessor(self.wanted.set)
 
     def run(self) -> None:
         self.wanted.wait()
@@ -225,7 +229,7 @@
                 ValueError,
                 KeyError,
                 TypeError,
-                handover.Unusable,
+                InvalidStateError,
             ) as error:
                 # It goes on as it was: no yes is given without its keys.
                 self.log.warning("the state could not be taken over", why=repr(error))
@@ -236,24 +240,24 @@
             self._go_on(state)
             return self._hear(stream)
 
-    def _take(self, stream: Stream) -> handover.State:
+    def _take(self, stream: Stream) -> CoreSnapshot:
         stream.write(_line({"m": "take"}))
         s = self.owner.settings
-        receiver = handover.Receiver(
+        receiver = SnapshotReader(
             _offset(self.owner),
             {c.name: c for c in s.classes},
-            self.owner.result_bytes,
-            RESULT_OVERHEAD,
+            self.owner.max_result_bytes,
+            RESULT_OVERHEAD_BYTES,
             self._send,
             self.codec,
         )
         while not receiver.done:
-            receiver.line(_read(stream, ANSWER))
-        self.received = receiver.state
+            receiver.read(_read(stream, ANSWER))
+        self.received = receiver.snapshot
         stream.write(_line({"m": "yes", "at": self.at()}))
         if _read(stream, ANSWER)["m"] != "go":
             raise ValueError("no go")
-        return receiver.state
+        return receiver.snapshot
 
     def _send(self, values: Mapping[str, Any]) -> bool:
         if self.stream is None or self.stream.closed:
@@ -261,12 +265,12 @@
         self.stream.write(_line(values))
         return not self.stream.closed
 
-    def _go_on(self, state: handover.State | None) -> None:
+    def _go_on(self, state: CoreSnapshot | None) -> None:
         self.owner.post(StateTransferred(state))
         self.log.info(
             "took over" if state else "nothing to take over",
             requests=len(state.requests) if state else 0,
-            runs=len(state.keys.runs) if state else 0,
+            runs=len(state.idempotency.runs) if state else 0,
         )
         self.taken()
 
@@ -285,14 +289,14 @@
     def _heard(self, line: dict) -> None:
         kind, owner = line["m"], self.owner
         if kind == "arrived":
-            far = handover.Remote(line["id"], self._send, self.codec)
+            far = RemoteRequestOwner(line["id"], self._send, self.codec)
             classes = {c.name: c for c in owner.settings.classes}
-            owner.post(RequestArrived(handover.request_from(line, far, classes)))
+            owner.post(RequestArrived(request_from_json(line, far, classes)))
         elif kind == "gone":
             owner.post(CallerDisconnected(line["id"], bool(line["gave_up"])))
         elif kind == "ended":
             owner.post(
-                RunCompleted(line["id"], handover.result_from(line["result"], self.codec), int(line["took"]))
+                RunCompleted(line["id"], result_from_json(line["result"], self.codec), int(line["took"]))
             )
         elif kind == "standby":
             owner.post(StandbyChanged(bool(line["on"])))
@@ -301,7 +305,9 @@
 
     def _lost(self) -> None:
         """What it had not begun has no caller any more. What it had begun counts as run, and failed."""
-        left = [r for r in self.owner.live.values() if r.is_remote and r.responder.send == self._send]
+        left = [
+            r for r in self.owner.open_requests.values() if r.is_remote and r.responder.send == self._send
+        ]
         begun = [r.id for r in left if r.started]
         for r in left:
             if not r.started:
--- a/ochrehoist/net/members.py
+++ b/ochrehoist/net/members.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from ochrehoist.core.owner import Owner
+from ochrehoist.core.actor import CoreActor
 from ochrehoist.net.loop import Loop, Signal
 from ochrehoist.net.stream import ConnectionClosedError, Stream, connect
 
@@ -25,7 +25,7 @@
 class Members:
     """A Listener of the core: a change of health is reported at once."""
 
-    def __init__(self, loop: Loop, owner: Owner, address: tuple[str, int], name: str, log: Any) -> None:
+    def __init__(self, loop: Loop, owner: CoreActor, address: tuple[str, int], name: str, log: Any) -> None:
         self.loop, self.owner, self.address, self.name, self.log = loop, owner, address, name, log
         self.changed = Signal(loop)  # of health or address, and whenever an answer comes
         self.stream: Stream | None = None
--- a/ochrehoist/net/peers.py
+++ b/ochrehoist/net/peers.py
@@ -12,10 +12,10 @@
 
 from ochrehoist.admission.settings import Tenant
 from ochrehoist.config.loader import Config
-from ochrehoist.core.figures import counted
-from ochrehoist.core.owner import Owner
+from ochrehoist.core.actor import CoreActor
+from ochrehoist.core.metrics import format_samples
 from ochrehoist.core.request import InboundRequest
-from ochrehoist.core.tenants import Tenants
+from ochrehoist.core.tenants import TenantTable
 from ochrehoist.net.loop import Loop
 from ochrehoist.peers import wire
 from ochrehoist.peers.group import Group, Send, Terms
@@ -91,7 +91,7 @@
 class Peers:
     """This worker in its fleet. It observes the core's requests and advises the AJP servers' executor."""
 
-    def __init__(self, loop: Loop, owner: Owner, config: Config, log: Any) -> None:
+    def __init__(self, loop: Loop, owner: CoreActor, config: Config, log: Any) -> None:
         self.loop, self.owner, self.log, self.config = loop, owner, log, config.peers
         life = Life(config.name, time.time_ns() // 1_000_000, secrets.randbits(62))
         self.group = Group(terms_of(config), life, time.monotonic(), secrets.randbits(62))
@@ -101,21 +101,21 @@
         self.bytes_out = self.bytes_in = self.sent = 0
         self.spent = 0.0
         self.secrets = tuple(s.encode() for s in self.config.secrets)
-        self.told: tuple[Tenants, tuple] | None = None  # a table, and what the module is told of it
+        self.told: tuple[TenantTable, tuple] | None = None  # a table, and what the module is told of it
         self.stopped, self.said = False, {}
         self.open: dict[
             int, tuple[str, str | None, int | None]
         ] = {}  # runs: server, its budget and ticket there
         self._budgets()
-        owner.answers.observers.append(self)
-        owner.live_tenants = self.live_tenants
+        owner.register_observer(self)
+        owner.register_tenant_quotas(self.live_tenants)
 
     def _budgets(self) -> None:
         self.tenants = {b.of: b.name for b in self.config.budgets if b.use == "tenant"}
         self.repeats = {b.of: b.name for b in self.config.budgets if b.use == "repeats"}
         self.servers = {b.of: b.name for b in self.config.budgets if b.use == "server"}
 
-    def prepare(self, config: Config, tenants: Tenants) -> Generator[None, None, Callable[[], None]]:
+    def prepare(self, config: Config, tenants: TenantTable) -> Generator[None, None, Callable[[], None]]:
         """What a configuration read again comes to; nothing changes before the call that it gives."""
         peers = config.peers or self.config
         budgets = {b.of: b.name for b in peers.budgets if b.use == "tenant"}
@@ -123,7 +123,7 @@
         yield
         return lambda: self._configure(config, told)
 
-    def _configure(self, config: Config, told: tuple[Tenants, tuple]) -> None:
+    def _configure(self, config: Config, told: tuple[TenantTable, tuple]) -> None:
         self.told = told
         if config.peers is None:
             return
@@ -261,18 +261,18 @@
     def part(self, budget: str) -> int:
         return (self.group.part(budget, time.monotonic()) or 0) if not self.group.yielded else 0
 
-    def live_tenants(self, tenants: Tenants, fleet_size: int) -> tuple:
+    def live_tenants(self, tenants: TenantTable, fleet_size: int) -> tuple:
         """Tenants by position, for the module: those that have a budget with their part of it."""
         table, told = self.told or (None, ())
         return told if table is tenants else self._told(tenants, self.tenants, fleet_size)
 
-    def _told(self, tenants: Tenants, budgets: Mapping[str, str], fleet_size: int) -> tuple:
-        out = list(tenants.places)
+    def _told(self, tenants: TenantTable, budgets: Mapping[str, str], fleet_size: int) -> tuple:
+        out = list(tenants.by_position)
         for name, budget in budgets.items():
-            position = tenants.at.get(name)
+            position = tenants.positions.get(name)
             if position is not None:
                 out[position] = FleetTenant(out[position], self, budget, fleet_size)
-        return tuple(out) if budgets else tenants.places
+        return tuple(out) if budgets else tenants.by_position
 
     # ---- what the AJP servers' executor asks
     def order(self, busy: Mapping[str, int]) -> list[str]:
@@ -336,4 +336,4 @@
         values["app_server_left_out"] = [
             (f'{{server="{n}"}}', int(s.standing in ("out", "trial"))) for n, s in g.judge.services.items()
         ]
-        return counted(values)
+        return format_samples(values)
--- a/ochrehoist/net/recovery.py
+++ b/ochrehoist/net/recovery.py
@@ -7,8 +7,8 @@
 from typing import Any
 
 from ochrehoist.config.loader import Config
-from ochrehoist.core.figures import counted
-from ochrehoist.core.owner import Owner
+from ochrehoist.core.actor import CoreActor
+from ochrehoist.core.metrics import RequestCounter, format_samples
 from ochrehoist.core.request import InboundRequest
 from ochrehoist.net.loop import Loop
 from ochrehoist.net.offloop import OffLoop
@@ -45,7 +45,7 @@
 class Recovery:
     """The journal's Testifier, the peers' Extension and the core's Observer."""
 
-    def __init__(self, loop: Loop, owner: Owner, config: Config, worker: Any, log: Any) -> None:
+    def __init__(self, loop: Loop, owner: CoreActor, config: Config, worker: Any, log: Any) -> None:
         """`worker`: its journal, peers and sites are looked at."""
         self.loop, self.owner, self.worker, self.log = loop, owner, worker, log
         self.config, self.patience = config.recovery, config.recovery.wait_ms / 1000
@@ -62,7 +62,7 @@
             self.peers.group.extensions[TOPIC] = self
         if worker.journal is not None and self.config.witnesses:
             worker.journal.testifier = self
-        owner.answers.observers.append(self)
+        owner.register_observer(self)
         self.writer = OffLoop(loop, "restarts") if config.state else None
         self.folder = Path(config.state.folder) if config.state else None
         loop.call_later(LOOK_S, self._look)
@@ -209,7 +209,7 @@
         if w.config.ajp and any(p.failed_at > self.way.began for p in w.gauge_source.pools):
             answered = self.service.share() not in (None, 0.0)
         return Facts(
-            None if w.journal is None else w.journal.restored, hold, peers, answered, self.owner.part
+            None if w.journal is None else w.journal.restored, hold, peers, answered, self.owner.load_fraction
         )
 
     def _record(self, now: float) -> None:
@@ -231,11 +231,11 @@
         if figure is None:
             return
         now = time.monotonic()
-        if figure == "answered_total":
-            late = self.owner.now > request.arrived_ns + request.request_class.latency_objective_ns
+        if figure == RequestCounter.ANSWERED:
+            late = self.owner.now_ns > request.arrived_ns + request.request_class.latency_objective_ns
             self.service.count("late" if late else "good", now)
         else:
-            self.service.count("refused" if figure == "deferred_total" else "failed", now)
+            self.service.count("refused" if figure == RequestCounter.REJECTED else "failed", now)
 
     # ---- operators
     def skip(self, stage: str) -> str:
@@ -281,7 +281,7 @@
         spans = {s: 0.0 for s in STAGES}
         for s in self.way.stages:
             spans[s.name] += (s.ended or now) - s.began
-        return counted(
+        return format_samples(
             {
                 "app_recovery_stage": [(f'{{stage="{s}"}}', int(s == self.way.now_in.name)) for s in STAGES],
                 "app_recovery_seconds": [
--- a/ochrehoist/net/selfmeasure.py
+++ b/ochrehoist/net/selfmeasure.py
@@ -6,15 +6,16 @@
 import os
 import time
 from fcntl import ioctl
+from functools import partial
 from struct import unpack
 from termios import FIONREAD
 from typing import Any
 
 from ochrehoist.admission.settings import AdmissionSettings
 from ochrehoist.config.loader import OverloadConfig
-from ochrehoist.core.figures import counted
-from ochrehoist.core.owner import Owner
-from ochrehoist.core.tenants import Tenants
+from ochrehoist.core.actor import CoreActor
+from ochrehoist.core.metrics import RequestCounter, format_samples
+from ochrehoist.core.tenants import TenantTable
 from ochrehoist.net.loop import Loop
 from ochrehoist.overload.admission import Admission
 from ochrehoist.overload.limiter import Limiter
@@ -29,17 +30,18 @@
     """Binds the loop's meter, the watch, admission and the limiter of one worker together."""
 
     def __init__(
-        self, loop: Loop, owner: Owner, config: OverloadConfig, memory_mb: float, fronts: list, log: Any
+        self, loop: Loop, owner: CoreActor, config: OverloadConfig, memory_mb: float, fronts: list, log: Any
     ) -> None:
         self.loop, self.owner, self.log, self.fronts = loop, owner, log, fronts
         self.watch = Watch(int(memory_mb * 1e6))
         self.admission = (
             Admission(self.watch, owner.settings, owner.seed, owner.tenants) if config.admission else None
         )
-        self.limiter = owner.limiter = Limiter(config, owner.settings, owner.seed)
+        self.limiter = Limiter(config, owner.settings, owner.seed)
+        owner.register_limiter(self.limiter)
         self.parts = Parts()
-        owner.step = self.parts.timed("deciding", owner.step)
-        owner.answers.send = self.parts.timed("answering", owner.answers.send)
+        owner.instrument_step(partial(self.parts.timed, "deciding"))
+        owner.responses.instrument_send(partial(self.parts.timed, "answering"))
         for front in fronts:
             front.admission = self.admission
             front.reader.request = self.parts.timed("reading", front.reader.request)
@@ -51,7 +53,9 @@
         loop.meter = self._round
         loop.call_later(LOOK_S, self._look)
 
-    def configure(self, settings: AdmissionSettings, config: OverloadConfig | None, tenants: Tenants) -> None:
+    def configure(
+        self, settings: AdmissionSettings, config: OverloadConfig | None, tenants: TenantTable
+    ) -> None:
         """Settings read again. What was off at the start stays off, and the other way round."""
         if config is not None:
             self.limiter.config = config
@@ -76,7 +80,7 @@
             let_in, shed = self.admission.look(LOOK_S)
         # A look that comes late is itself what waited.
         late = max(self.late, span - LOOK_S)
-        sends = self.owner.figures.total("sends_total")
+        sends = self.owner.metrics.total(RequestCounter.RUNS_STARTED)
         self.watch.look(
             Sample(
                 now,
@@ -139,12 +143,12 @@
         """By owner, as far as each knows its own."""
         streams = [c.stream for f in self.fronts for c in f.connections]
         return {
-            "results": self.owner.keys.bytes,
+            "results": self.owner.idempotency.bytes,
             "unsent": sum(len(s.unsent) for s in streams),
             "half_read": sum(len(s.buffer) for s in streams),
             "bodies": sum(getattr(c, "body_bytes", 0) for f in self.fronts for c in f.connections),
-            "live_requests": len(self.owner.live),
-            "keys": len(self.owner.keys.runs),
+            "live_requests": len(self.owner.open_requests),
+            "keys": len(self.owner.idempotency.runs),
             "resident": self.watch.rss,
         }
 
@@ -163,7 +167,7 @@
                 for (cls, why), n in sorted(self.admission.counts.shed.items())
             ]
         values["app_repeats_denied_total"] = [("", self.limiter.storms.denied)]
-        return counted(values)
+        return format_samples(values)
 
     def close(self) -> None:
         os.close(self.statm)
--- a/ochrehoist/net/sites.py
+++ b/ochrehoist/net/sites.py
@@ -8,10 +8,10 @@
 from typing import Any
 
 from ochrehoist.config.loader import Config
-from ochrehoist.core.figures import counted
+from ochrehoist.core.actor import CoreActor
 from ochrehoist.core.messages import StandbyChanged
-from ochrehoist.core.owner import Owner
-from ochrehoist.core.tenants import Tenants
+from ochrehoist.core.metrics import format_samples
+from ochrehoist.core.tenants import TenantTable
 from ochrehoist.net.loop import Loop
 from ochrehoist.net.operators import Answer, said
 from ochrehoist.net.peers import Peers
@@ -42,7 +42,7 @@
 
 class Sites:
     def __init__(
-        self, loop: Loop, owner: Owner, config: Config, peers: Peers, came_back: bool, log: Any
+        self, loop: Loop, owner: CoreActor, config: Config, peers: Peers, came_back: bool, log: Any
     ) -> None:
         """`came_back`: this process replaces none, so it starts with nothing in hand."""
         self.loop, self.owner, self.peers, self.log = loop, owner, peers, log
@@ -62,12 +62,12 @@
         self.asked_at, self.granted_until = 0.0, 0.0
         self.emptied = False
         peers.group.extensions[TOPIC] = self.desk
-        owner.gate = self.desk
-        owner.answers.observers.append(self.desk)
-        owner.part = self.desk.part
+        owner.register_fleet_admission(self.desk)
+        owner.register_observer(self.desk)
+        owner.set_load_fraction(self.desk.part)
         loop.call_later(LOOK_S, self._look)
 
-    def configure(self, config: Config, tenants: Tenants) -> None:
+    def configure(self, config: Config, tenants: TenantTable) -> None:
         if config.sites is not None:
             self.config = config.sites
             self.desk.configure(config.settings, config.sites.playbook, time.monotonic(), tenants)
@@ -79,7 +79,7 @@
         self.desk.look(now, heard(self.peers.group, places.site_of if places else None))
         if self.desk.ramp is None:
             self._let_go()
-        self.owner.part = self.desk.part
+        self.owner.set_load_fraction(self.desk.part)
         if self.desk.empty != self.emptied:
             self.emptied = self.desk.empty
             self.owner.post(StandbyChanged(self.emptied))
@@ -119,7 +119,7 @@
     def figures(self) -> str:
         d, now = self.desk, time.monotonic()
         states = Counter(s.state for s in d.knowing.sites.values())
-        return counted(
+        return format_samples(
             {
                 "app_sites": [(f'{{state="{s}"}}', n) for s, n in sorted(states.items())],
                 "app_gate_level": [("", round(d.level.value, 4))],
--- a/ochrehoist/net/thrift_front.py
+++ b/ochrehoist/net/thrift_front.py
@@ -9,8 +9,9 @@
 from typing import Any
 
 from ochrehoist.admission.settings import AdmissionSettings, Idempotency, RequestClass
+from ochrehoist.core.actor import CoreActor
 from ochrehoist.core.messages import CallerDisconnected, RequestArrived
-from ochrehoist.core.owner import Owner
+from ochrehoist.core.metrics import RequestCounter
 from ochrehoist.core.protocols import AdmissionFilter, Executor
 from ochrehoist.core.request import InboundRequest
 from ochrehoist.core.results import FailureReason, RunResult
@@ -88,7 +89,7 @@
 class ThriftReader:
     """Reads the arguments of an invoke call into a core request."""
 
-    def __init__(self, owner: Owner, executor: Executor) -> None:
+    def __init__(self, owner: CoreActor, executor: Executor) -> None:
         self.owner, self.executor = owner, executor
         self.classes: dict[str, RequestClass] = {}  # also those that are gone: the core answers them
         self.configure(owner.settings)
@@ -107,8 +108,8 @@
         if len(rid) != 16 or not HEX.issuperset(rid):
             raise thrift.InvalidArgumentsError("field rid: not 16 hex digits")
         tenants = self.owner.tenants
-        acct = f.text("acct", required=bool(tenants.places))
-        if acct is not None and not tenants.known(acct):  # one that is gone may repeat a filing that ran
+        acct = f.text("acct", required=bool(tenants.by_position))
+        if acct is not None and not tenants.is_known(acct):  # one that is gone may repeat a filing that ran
             raise thrift.InvalidArgumentsError("field acct: unknown tenant")
         keyed = cls.idempotency is Idempotency.KEYED
         token = f.text("token", required=keyed)
@@ -297,7 +298,7 @@
             self._write(thrift.application_exception(INVOKE, m.seqid, thrift.PROTOCOL_ERROR, str(error)))
             method = (values or {}).get(b"method", b"").decode("latin-1")
             if method in self.front.reader.classes:
-                self.front.owner.figures.count("errored_total", method)
+                self.front.owner.metrics.count(RequestCounter.FAILED, method)
             return
         self.checks_only = False
         self.calls += 1
@@ -324,7 +325,7 @@
         self.checks_only = False
         told = thrift.problem({b"backoff": b"%d" % (backoff // MS)})
         self.turned_away += thrift.reply(INVOKE, seqid, 1, told)
-        front.owner.figures.count("deferred_total", cls)
+        front.owner.metrics.count(RequestCounter.REJECTED, cls)
         return True
 
     def _write(self, data: bytes) -> None:
@@ -354,7 +355,7 @@
     def __init__(
         self,
         loop: Loop,
-        owner: Owner,
+        owner: CoreActor,
         executor: Executor,
         address: tuple[str, int],
         max_connections: int,
--- a/ochrehoist/overload/admission.py
+++ b/ochrehoist/overload/admission.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from ochrehoist.admission.settings import AdmissionSettings, Idempotency
-from ochrehoist.core.tenants import Tenants, first
+from ochrehoist.core.tenants import TenantTable, initial_table
 from ochrehoist.overload.allot import Ask, allot
 from ochrehoist.overload.watch import Watch
 
@@ -37,7 +37,7 @@
     """`admits` for each request that may be run again; `look` ten times a second."""
 
     def __init__(
-        self, watch: Watch, settings: AdmissionSettings, seed: int, tenants: Tenants | None = None
+        self, watch: Watch, settings: AdmissionSettings, seed: int, tenants: TenantTable | None = None
     ) -> None:
         self.watch, self.rng = watch, Random(seed)
         self.asked: Counter[Group] = Counter()  # in this look
@@ -48,13 +48,13 @@
         self.since_look = Counts()
         self.configure(settings, tenants)
 
-    def configure(self, settings: AdmissionSettings, tenants: Tenants | None = None) -> None:
+    def configure(self, settings: AdmissionSettings, tenants: TenantTable | None = None) -> None:
         """Takes new classes and tenants; what is open keeps what it was told."""
         worths = sorted({c.priority_weight for c in settings.classes}, reverse=True)
         self.ranks = {c.name: worths.index(c.priority_weight) for c in settings.classes}
         self.safe = {c.name: c.idempotency is Idempotency.IDEMPOTENT for c in settings.classes}
         self.aims = {c.name: c.latency_objective_ns for c in settings.classes}
-        self.tenants = tenants if tenants is not None else first(settings.tenants)
+        self.tenants = tenants if tenants is not None else initial_table(settings.tenants)
 
     def may_shed(self, cls: str) -> bool:
         """Whether it has a say: filings and what may run once only are the core's alone."""
@@ -123,7 +123,7 @@
         tenants = Counter(cls for cls, _ in sizes)
         asks = []
         for cls, tenant, caller in groups:
-            known = self.tenants.of(tenant)
+            known = self.tenants.get(tenant)
             of_tenant = max(1e-3, known.share) if known is not None else 1.0
             part = 1 / sizes[cls, tenant]
             asks.append(
--- a/ochrehoist/plan/events.py
+++ b/ochrehoist/plan/events.py
@@ -11,6 +11,7 @@
 from typing import Any
 
 from ochrehoist.admission.events import Outcome
+from ochrehoist.core.actor import CoreActor
 from ochrehoist.core.messages import (
     CallerDisconnected,
     ExecutorReady,
@@ -18,7 +19,6 @@
     RequestArrived,
     RunCompleted,
 )
-from ochrehoist.core.owner import Owner
 from ochrehoist.core.request import InboundRequest
 from ochrehoist.core.results import FailureReason, RunResult
 from ochrehoist.plan.cores import Cores, Machine
@@ -121,7 +121,7 @@
         self.reading, self.running = 0, 0
         self.tries: dict[str, Try] = {}  # that came and are not answered
         self.callers: dict[int, float] = {}  # connections, and when each was last used
-        self.owner = Owner(
+        self.owner = CoreActor(
             sim.fleet.settings(self.kind, cold),
             sim.seed * 1000 + self.number,
             Waker(),
@@ -131,7 +131,7 @@
             RESULT_BYTES,
             self._measure,
         )
-        self.owner.listeners.append(self)
+        self.owner.register_listener(self)
         self.owner.post(ExecutorReady(cold, 0))
         self.settle()
 
@@ -224,7 +224,7 @@
         owner.step()
         while owner.inbox:
             owner.step()
-        due = owner.deadlines.next()
+        due = owner.deadlines.next_due_ns()
         moments = self.cores.next_end(), None if due is None else due / NS - EPOCH
         times = [t for t in moments if t is not None]
         if times:
@@ -233,7 +233,7 @@
                 self.planned = at
                 self.sim.at(at, partial(self._look, at, owner))
 
-    def _look(self, at: float, owner: Owner) -> None:
+    def _look(self, at: float, owner: CoreActor) -> None:
         if owner is self.owner and at == self.planned:
             self.planned = -math.inf
             self.settle()
--- a/ochrehoist/sites/desk.py
+++ b/ochrehoist/sites/desk.py
@@ -15,7 +15,7 @@
 from ochrehoist.admission.settings import AdmissionSettings
 from ochrehoist.core.request import InboundRequest
 from ochrehoist.core.results import Rejection
-from ochrehoist.core.tenants import Tenants, first
+from ochrehoist.core.tenants import TenantTable, initial_table
 from ochrehoist.peers.wire import Life
 from ochrehoist.sites import orders as words_of_operators
 from ochrehoist.sites.knowing import LOST, RETURNING, Knowing, Load, Seen
@@ -84,10 +84,10 @@
         book: Playbook | None,
         now: float,
         came_back: bool,
-        tenants: Tenants | None = None,
+        tenants: TenantTable | None = None,
     ) -> None:
         self.name, self.site, self.now = name, site, now
-        table = tenants if tenants is not None else first(settings.tenants)
+        table = tenants if tenants is not None else initial_table(settings.tenants)
         self.order = Order(settings.classes, table, settings.over_quota_weight)
         self.level = Level(settings.cores, self._aim(settings))
         self.knowing, self.orders, self.lean = Knowing(), Orders(), Lean(now)
@@ -121,11 +121,15 @@
         return Ramp(now, why, loss.steps, loss.longest_s) if loss is not None else Ramp(now, why, STEPS)
 
     def configure(
-        self, settings: AdmissionSettings, book: Playbook | None, now: float, tenants: Tenants | None = None
+        self,
+        settings: AdmissionSettings,
+        book: Playbook | None,
+        now: float,
+        tenants: TenantTable | None = None,
     ) -> None:
         """New settings while it runs; a playbook of another file only where it is the younger."""
         self.settings = settings
-        table = tenants if tenants is not None else first(settings.tenants)
+        table = tenants if tenants is not None else initial_table(settings.tenants)
         self.order.configure(settings.classes, table, settings.over_quota_weight)
         self.level.configure(settings.cores, self._aim(settings))
         if book is not None and (self.file_book is None or book.digest != self.file_book.digest):
--- a/ochrehoist/sites/order.py
+++ b/ochrehoist/sites/order.py
@@ -14,7 +14,7 @@
 import xxhash
 
 from ochrehoist.admission.settings import Idempotency, RequestClass
-from ochrehoist.core.tenants import Tenants
+from ochrehoist.core.tenants import TenantTable
 
 MEMORY_S = 6.0  # after which what came counts for 1/e
 LEARN, LEARN_COLD = 0.08, 0.25  # of a run's time, in the mean of its class; while the machine warms
@@ -60,7 +60,7 @@
 
 
 class Order:
-    def __init__(self, classes: Iterable[RequestClass], tenants: Tenants, beyond_worth: float) -> None:
+    def __init__(self, classes: Iterable[RequestClass], tenants: TenantTable, beyond_worth: float) -> None:
         self.costs: dict[str, float] = {}  # s of one core for one request
         self.shares: dict[Group, Rate] = {}
         self.rates: dict[str, Rate] = {}
@@ -69,7 +69,7 @@
         self.starts: dict[Group, tuple[float, float]] = {}  # where each group begins, and how wide it is
         self.configure(classes, tenants, beyond_worth)
 
-    def configure(self, classes: Iterable[RequestClass], tenants: Tenants, beyond_worth: float) -> None:
+    def configure(self, classes: Iterable[RequestClass], tenants: TenantTable, beyond_worth: float) -> None:
         self.classes = {c.name: c for c in classes}
         self.tenants = tenants
         self.beyond_worth = beyond_worth
@@ -110,7 +110,7 @@
     # ---- places
     def beyond(self, ident: tuple, tenant: str | None, now: float) -> bool:
         """Whether it is of the part that its tenant sends beyond its share of the fleet."""
-        known = self.tenants.of(tenant)
+        known = self.tenants.get(tenant)
         if known is None:
             return False
         quota = known.quota_per_s
@@ -163,7 +163,7 @@
         """Of those nearest to their share, or furthest beyond it: only there do all have to agree."""
 
         def part(item: tuple[str, float]) -> float:
-            known = self.tenants.of(item[0])
+            known = self.tenants.get(item[0])
             return item[1] / max(1e-9, known.quota_per_s) if known is not None else 0.0
 
         return dict(nlargest(MOST_TOLD, self.tenant_rates(now).items(), key=part))
--- a/ochrehoist/store/journal.py
+++ b/ochrehoist/store/journal.py
@@ -17,11 +17,11 @@
 from ochrehoist.admission.events import Outcome
 from ochrehoist.config.loader import StateConfig
 from ochrehoist.core import handover
-from ochrehoist.core.keys import Run
+from ochrehoist.core.actor import CoreActor
+from ochrehoist.core.idempotency_table import IdempotentRun
 from ochrehoist.core.messages import DuplicateResolved, IntentRecorded, StateRestored
-from ochrehoist.core.owner import Owner
 from ochrehoist.core.persisted_names import OUTCOME_NAMES, OUTCOMES_BY_NAME
-from ochrehoist.core.protocols import IntentReplicator
+from ochrehoist.core.protocols import DetailCodec, IntentReplicator
 from ochrehoist.core.request import IdempotencyKey, InboundRequest
 from ochrehoist.core.results import Rejection, RunResult
 from ochrehoist.errors import InvalidInputError
@@ -51,10 +51,10 @@
     def __init__(
         self,
         loop: Loop,
-        owner: Owner,
+        owner: CoreActor,
         config: StateConfig,
         name: str,
-        codec: handover.DetailCodec,
+        codec: DetailCodec,
         log: Any,
         replacing: bool,
     ) -> None:
@@ -112,7 +112,7 @@
         gc.disable()  # what is taken up stays: looking through it meanwhile takes as long again
         self.thread.submit(lambda: self._open(longest), self._was_opened)
 
-    def _open(self, longest: int) -> tuple[Opened, dict[IdempotencyKey, Run]]:
+    def _open(self, longest: int) -> tuple[Opened, dict[IdempotencyKey, IdempotentRun]]:
         reached("open")
         if self.lock is None:
             self._folder_there()
@@ -129,11 +129,11 @@
             tenant, kind, key = record.token
             token = names.setdefault(tenant, tenant), names.setdefault(kind, kind), key
             known = None if record.body is None else (record.target, record.body)
-            runs[token] = Run(record.id, now + left, known, None, True, stored, False, True)
+            runs[token] = IdempotentRun(record.id, now + left, known, None, True, stored, False, True)
         return opened, runs
 
     def _was_opened(
-        self, found: tuple[Opened, dict[IdempotencyKey, Run]] | None, error: Exception | None
+        self, found: tuple[Opened, dict[IdempotencyKey, IdempotentRun]] | None, error: Exception | None
     ) -> None:
         gc.enable()
         if error is not None:
@@ -172,7 +172,7 @@
                 )
             except (KeyError, TypeError, ValueError) as fault:
                 self.log.warning("what was learned can't be read", why=repr(fault))
-        before = dict(self.owner.keys.runs)
+        before = dict(self.owner.idempotency.runs)
         self.backlog.open = True
         for record in opened.stale:
             self._add(Drop(key_of(record.token)))
@@ -180,7 +180,7 @@
             on_record = restored.get(token)
             if on_record is None or on_record.id != run.id:
                 self._add(Begin("", key_of(token), self._begun(token, run)))
-            if run.result is not None and not (on_record and on_record.stored):
+            if run.result is not None and not (on_record and on_record.result_stored):
                 self.end(token, run, run.result)
         self.log.info(
             "the store is open", case=opened.case.value, filings=len(restored), stale=len(opened.stale)
@@ -213,7 +213,7 @@
             return Rejection(left)
         return None
 
-    def begin(self, r: InboundRequest, run: Run) -> None:
+    def begin(self, r: InboundRequest, run: IdempotentRun) -> None:
         """Told to the core by a Recorded, by the time that `stall_ms` is over."""
         if self.backlog.refuses(time.monotonic()):
             return self._refused([r.id])
@@ -242,18 +242,18 @@
         del self.unready[request_id]
         self.owner.post(IntentRecorded(request_id, True))
 
-    def _begun(self, token: IdempotencyKey, run: Run) -> Begun:
+    def _begun(self, token: IdempotencyKey, run: IdempotentRun) -> Begun:
         windows = {c.name: c.idempotency_window_ns for c in self.owner.settings.classes}
         return self._record(token, run, windows, self.owner.clock(), stamp_now())
 
     def _record(
-        self, token: IdempotencyKey, run: Run, windows: dict[str, int], now: int, stamp: Stamp
+        self, token: IdempotencyKey, run: IdempotentRun, windows: dict[str, int], now: int, stamp: Stamp
     ) -> Begun:
-        left = max(0, run.window_end - now)
+        left = max(0, run.window_end_ns - now)
         target, body = run.fingerprint or (None, None)
         return Begun(token, run.id, max(left, windows.get(token[1], 0)), left, stamp, target, body, self.name)
 
-    def end(self, token: IdempotencyKey, run: Run, result: RunResult) -> None:
+    def end(self, token: IdempotencyKey, run: IdempotentRun, result: RunResult) -> None:
         reached("end")
         line = json.dumps(self.codec.to_json(result.detail)).encode()
         record = Finished(
@@ -262,7 +262,7 @@
         if len(result.body) + len(line) > self.config.max_result_kb * 1024:
             self.backlog.not_recorded += 1
             return
-        run.stored = self._add(End(key_of(token), record))
+        run.result_stored = self._add(End(key_of(token), record))
 
     def drop(self, token: IdempotencyKey) -> None:
         self._add(Drop(key_of(token)))
@@ -361,7 +361,7 @@
 
     def _rebuild(self, now: float) -> None:
         """From what the core knows: what the disk still shows may not be there after the next power cut."""
-        runs, live = list(self.owner.keys.runs.items()), frozenset(self.owner.live)
+        runs, live = list(self.owner.idempotency.runs.items()), frozenset(self.owner.open_requests)
         windows = {c.name: c.idempotency_window_ns for c in self.owner.settings.classes}
         loss, learned = self.opened.loss, self.learned
         clock, stamp = self.owner.clock(), stamp_now()
@@ -371,7 +371,7 @@
             begun = [
                 self._record(token, run, windows, clock, stamp)
                 for token, run in runs
-                if run.result is not None or run.dropped or run.id in live
+                if run.result is not None or run.result_evicted or run.id in live
             ]
             return rewrite(self.opened, self.config.max_mb, begun, loss, learned)
 
--- a/tests/test_bad_clients.py
+++ b/tests/test_bad_clients.py
@@ -129,7 +129,7 @@
         for fields in ({"mem": "0"}, {"mem": "2000"}, {"mem": "-1"}, {"est": "inf"}, {"body": b"x" * 2049}):
             self.assertEqual(bad.call(**fields)[0], "Exception")
         self.assertEqual(bad.call(t0="1")[0], "Broken")  # its caller gave up long ago
-        self.assertEqual(self.program.said("answered by the backstop"), [])  # the module never heard of it
+        self.assertEqual(self.program.said("overdue_request_failed"), [])  # the module never heard of it
         self.program.served(router)
 
 
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -19,7 +19,7 @@
 from ochrehoist.capture.records import Damage, Head, head_block, records, start, told
 from ochrehoist.config.loader import load
 from ochrehoist.config.settings import at_once
-from ochrehoist.core.tenants import SPARE, changed, compact, first
+from ochrehoist.core.tenants import MIN_RETIRED_PLACES, compacted_table, initial_table, updated_table
 from ochrehoist.net.peers import FleetTenant
 from ochrehoist.peers import wire
 from ochrehoist.peers.counts import Ledger
@@ -58,43 +58,43 @@
 class Table(unittest.TestCase):
     @given(st.lists(st.tuples(NAMES, st.sampled_from([1.0, 2.0])), max_size=8))
     def test_over_any_history_who_stays_keeps_its_position_and_who_comes_back_finds_it(self, history):
-        table, positions = first(()), {}
+        table, positions = initial_table(()), {}
         for numbers, quota in history:
             known = {t.name: t for t in table.listed}
             listed = tuple(t if known.get(t.name) == t else t for t in tenants(numbers, quota))
-            before, table = table, at_once(changed(table, listed))
+            before, table = table, at_once(updated_table(table, listed))
             self.assertEqual(table.listed, listed)
-            self.assertEqual(set(table.at), {t.name for t in listed})
+            self.assertEqual(set(table.positions), {t.name for t in listed})
             for t in listed:
-                self.assertIs(table.of(t.name), table.places[table[t.name]])
-                self.assertEqual(table.of(t.name), t)
+                self.assertIs(table.get(t.name), table.by_position[table[t.name]])
+                self.assertEqual(table.get(t.name), t)
                 self.assertEqual(positions.setdefault(t.name, table[t.name]), table[t.name])
             for name, position in positions.items():
                 self.assertEqual(table.position(name), position)
-                self.assertEqual(table.places[position].name, name)
-            self.assertEqual(len(table.places), len(positions))
+                self.assertEqual(table.by_position[position].name, name)
+            self.assertEqual(len(table.by_position), len(positions))
             if listed == before.listed:
                 self.assertIs(table, before)
 
     @given(NAMES, NAMES, NAMES)
     def test_a_compact_table_has_those_in_force_first_and_of_the_gone_only_those_used(self, old, new, used):
-        table = at_once(changed(first(tenants(old)), tenants(new)))
+        table = at_once(updated_table(initial_table(tenants(old)), tenants(new)))
         names = {f"t{n}" for n in used}
-        got = at_once(compact(table, names))
-        self.assertEqual(got.places[: len(new)], tenants(new))
-        self.assertEqual(set(got.gone), {f"t{n}" for n in set(old) - set(new)} & names)
-        for name, position in (got.at | got.gone).items():
-            self.assertEqual(got.places[position].name, name)
+        got = at_once(compacted_table(table, names))
+        self.assertEqual(got.by_position[: len(new)], tenants(new))
+        self.assertEqual(set(got.retired), {f"t{n}" for n in set(old) - set(new)} & names)
+        for name, position in (got.positions | got.retired).items():
+            self.assertEqual(got.by_position[position].name, name)
 
     def test_it_is_crowded_once_more_than_the_spare_places_and_a_tenth_are_of_the_gone(self):
         for stay, gone, crowded in (
-            (0, SPARE, False),
-            (0, SPARE + 1, True),
-            (20 * SPARE, 2 * SPARE, False),
-            (20 * SPARE, 3 * SPARE, True),
+            (0, MIN_RETIRED_PLACES, False),
+            (0, MIN_RETIRED_PLACES + 1, True),
+            (20 * MIN_RETIRED_PLACES, 2 * MIN_RETIRED_PLACES, False),
+            (20 * MIN_RETIRED_PLACES, 3 * MIN_RETIRED_PLACES, True),
         ):
-            table = at_once(changed(first(tenants(range(stay + gone))), tenants(range(stay))))
-            self.assertEqual(table.crowded, crowded, (stay, gone))
+            table = at_once(updated_table(initial_table(tenants(range(stay + gone))), tenants(range(stay))))
+            self.assertEqual(table.needs_compaction, crowded, (stay, gone))
 
 
 def appliance(folder, numbers, routes, quota=1.0, peers=None, **changes):
@@ -182,13 +182,13 @@
             lambda folder, count, routes: appliance(folder, [n for n in range(count + 1) if n != 1], routes)
         )
         table = worker.owner.tenants
-        self.assertEqual((table.position("t20000"), table.gone), (20_000, {"t1": 1}))
+        self.assertEqual((table.position("t20000"), table.retired), (20_000, {"t1": 1}))
         self.assertEqual(len(worker.owner.controller.s.tenants), 20_001)
 
     def test_one_route_changed_does_as_well_and_the_module_hears_nothing_of_it(self):
         worker = self.flat(lambda folder, count, routes: appliance(folder, range(count), routes + 1))
         self.assertEqual(len(worker.fronts[0].config.rules), 1301)
-        self.assertIs(worker.owner.controller.s.tenants, worker.owner.tenants.places)
+        self.assertIs(worker.owner.controller.s.tenants, worker.owner.tenants.by_position)
 
     def test_each_tenant_changed_and_a_class_too_is_a_fresh_module_that_looks_at_each_once(self):
         def change(folder, count, routes):
@@ -197,7 +197,7 @@
 
         worker = self.flat(change, for_each=1)  # its quota, as it was at first
         self.assertEqual(worker.owner.controller.s.tenants[7].quota_per_s, 2.0)
-        self.assertIn("more", worker.owner.kinds)
+        self.assertIn("more", worker.owner.class_indices)
 
 
 class Fleet(unittest.TestCase):
@@ -263,7 +263,9 @@
 
     def test_of_tenants_rates_the_nearest_to_their_share_are_told_and_the_quiet_forgotten(self):
         many = tuple(Tenant(f"t{n}", 1.0 if n == 900 else 1000.0, 0.1) for n in range(1000))
-        order = Order((RequestClass(name="read", latency_objective_ns=1, deadline_ns=2),), first(many), 0.1)
+        order = Order(
+            (RequestClass(name="read", latency_objective_ns=1, deadline_ns=2),), initial_table(many), 0.1
+        )
         for n in range(1000):
             order.came(("", "read", n), "read", f"t{n}", False, 1.0)
         told = order.told_rates(1.0)
@@ -326,7 +328,7 @@
         program.server.next()[2](data=b"new")
         self.assertEqual(later.answer()[2], b"new")
         self.assertTrue(program.server.got.empty())
-        self.assertEqual(program.said("settings changed"), [])  # nothing open was told anew
+        self.assertEqual(program.said("settings_changed"), [])  # nothing open was told anew
 
     def test_a_route_that_shadows_another_and_a_class_and_a_tenant_in_one_change(self):
         program = self.begin()
@@ -480,7 +482,7 @@
         program.served(router, acct="other")
         program.kernel.reap(rid, body=b"filed")
         self.assertEqual([router.answer(n)[2] for n in (filing, again)], [b"filed", b"filed"])
-        self.assertEqual(program.said("settings changed"), [])
+        self.assertEqual(program.said("settings_changed"), [])
 
     def test_an_order_is_for_the_process_that_decides(self):
         old = self.start()
@@ -500,21 +502,21 @@
     def test_places_of_the_gone_are_given_up_but_for_those_with_a_filing_known(self):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
-        path = appliance(folder.name, range(SPARE + 50), 1)
+        path = appliance(folder.name, range(MIN_RETIRED_PLACES + 50), 1)
         worker = Worker(load(path), path)
         self.addCleanup(Growth.close, self, worker)
         owner, reloading = worker.owner, worker.reloading
         owner.step()
-        owner.keys.started(("t40", "filing", "key"), "first", owner.clock() + 60 * 10**9, None)
+        owner.idempotency.run_started(("t40", "filing", "key"), "first", owner.clock() + 60 * 10**9, None)
         module = owner.controller
 
         def change(numbers):
             appliance(folder.name, numbers, 1)
             brought_into_force(worker, at_once(reloading._steps(False)))
-            return sorted(owner.tenants.gone)
+            return sorted(owner.tenants.retired)
 
         # Of those that go in one change, one more request may have been read: they stay until the next.
-        self.assertEqual(len(change(range(3))), SPARE + 47)
+        self.assertEqual(len(change(range(3))), MIN_RETIRED_PLACES + 47)
         self.assertIsNot(owner.controller, module)
         self.assertEqual(change(range(3)), ["t40"])
         self.assertEqual([t.name for t in owner.controller.s.tenants], ["t0", "t1", "t2", "t40"])
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -19,15 +19,15 @@
 LASTS = 2.5  # s for a frame that was begun
 BUSY = """
 import time
-from ochrehoist.core.owner import Owner
+from ochrehoist.core.message_handlers import MESSAGE_HANDLERS
 from ochrehoist.core.messages import RequestArrived
-plain = Owner.TAKES[RequestArrived]
-def arrived(owner, m):
+plain = MESSAGE_HANDLERS[RequestArrived]
+def arrived(core, m):
     if m.request.payload.body == b"long":
         open({flag!r}, "w").close()
         time.sleep(0.8)
-    plain(owner, m)
-Owner.TAKES[RequestArrived] = arrived
+    plain(core, m)
+MESSAGE_HANDLERS[RequestArrived] = arrived
 """  # the core is busy with one request for longer than a connection lingers
 
 
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -42,7 +42,7 @@
         self.assertEqual(router.answer(late)[0], "Broken")  # alarms rang on after the three that failed
         self.assertLess(time.time() - began, DUE)
         self.assertEqual(router.ping()[0], "Answer")
-        faults = program.said("fault in the decision module")
+        faults = program.said("controller_fault")
         self.assertEqual(len(faults), 4)
         self.assertTrue(all("Traceback" in fault["exception"] for fault in faults))
 
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -12,10 +12,10 @@
 
 from ochrehoist.admission.events import Outcome
 from ochrehoist.config.settings import settings_from
-from ochrehoist.core import handover
-from ochrehoist.core.figures import Figures
+from ochrehoist.core.actor import CoreActor
+from ochrehoist.core.handover_snapshot import snapshot_lines
 from ochrehoist.core.messages import ExecutorReady, RequestArrived, RunCompleted
-from ochrehoist.core.owner import Owner
+from ochrehoist.core.metrics import Metrics
 from ochrehoist.core.request import InboundRequest
 from ochrehoist.core.results import RunResult
 from ochrehoist.net.members import Members
@@ -76,7 +76,7 @@
             {"Name": f"tenant-{n:06}", "QuotaPerS": 100.0, "Fraction": 1 / tenants} for n in range(tenants)
         ]
         self.now, self.part, self.sent = 10**18, Runs(), 0
-        self.owner = Owner(
+        self.owner = CoreActor(
             settings_from(site),
             7,
             self.part,
@@ -124,10 +124,10 @@
 
 def one_request(core):
     """Its way through the core, whole; nothing else falls due meanwhile."""
-    core.owner.swept = core.now
+    core.owner.last_expiry_ns = core.now
     for _ in range(3):
         core.goes_through()
-    core.owner.swept = core.now
+    core.owner.last_expiry_ns = core.now
     return interpreter_steps(core.goes_through)
 
 
@@ -144,7 +144,7 @@
             core = Core()
             for n in range(size):
                 core.goes_through(1, f"key {n}")
-            self.assertEqual(len(core.owner.keys.runs), size)
+            self.assertEqual(len(core.owner.idempotency.runs), size)
             counts[size] = one_request(core)
         # Branches of the clock differ by a few; a loop over them would add one for each at least.
         self.assertLess(max(counts.values()) - min(counts.values()), 600 - 100, counts)
@@ -156,7 +156,7 @@
             core = Core()
             for _ in range(size):
                 core.comes()
-            self.assertEqual(len(core.owner.live), size)
+            self.assertEqual(len(core.owner.open_requests), size)
             counts[size] = one_request(core)
         self.assertEqual(len(set(counts.values())), 1, counts)
 
@@ -165,12 +165,12 @@
     """What is told to whoever asks: figures, and the report to the membership service."""
 
     def test_figures_do_not_grow_with_tenants(self):
-        texts = {Core(tenants=n).owner.figures.text(0) for n in SIZES}
+        texts = {Core(tenants=n).owner.metrics.text(0) for n in SIZES}
         self.assertEqual(len(texts), 1)
 
     def test_figures_grow_by_the_same_for_each_class(self):
         def length(count):
-            return len(Figures(f"class-{n:04}" for n in range(count)).text(0))
+            return len(Metrics(f"class-{n:04}" for n in range(count)).text(0))
 
         a, b, c = (length(n) for n in (10, 110, 210))
         self.assertEqual(b - a, c - b)
@@ -192,7 +192,7 @@
 
 
 def handed(core):
-    return [len(json.dumps(line)) for line in handover.lines(core.owner.freeze(), 0, Plain())]
+    return [len(json.dumps(line)) for line in snapshot_lines(core.owner.freeze(), 0, Plain())]
 
 
 class HandedOver(unittest.TestCase):
--- a/tests/test_filings.py
+++ b/tests/test_idempotent_runs.py
@@ -5,8 +5,9 @@
 
 from ochrehoist.admission.events import Outcome
 from ochrehoist.admission.settings import AdmissionSettings, Idempotency, RequestClass, Tenant
+from ochrehoist.core.actor import CoreActor
 from ochrehoist.core.handover import learned
-from ochrehoist.core.keys import Run
+from ochrehoist.core.idempotency_table import IdempotentRun
 from ochrehoist.core.messages import (
     CallerDisconnected,
     DuplicateResolved,
@@ -17,7 +18,6 @@
     SettingsChanged,
     StateRestored,
 )
-from ochrehoist.core.owner import Owner
 from ochrehoist.core.request import InboundRequest
 from ochrehoist.core.results import FailureReason, Rejection, RunResult
 
@@ -60,7 +60,7 @@
         self.told.append(("begin", r.id))
 
     def end(self, token, run, result):
-        run.stored = True
+        run.result_stored = True
         self.told.append(("end", token[2], result.body))
 
     def drop(self, token):
@@ -78,10 +78,11 @@
         self.now, self.ends, self.started, self.n = 1000 * S, {}, [], 0
         quiet = SimpleNamespace(info=self.said, warning=self.said, error=self.said, exception=self.fault)
         waker = SimpleNamespace(set=lambda: None)
-        self.owner = Owner(
+        self.owner = CoreActor(
             settings(), 1, waker, lambda: self.now, lambda: self.now, quiet, 10**6, lambda: None
         )
-        self.book = self.owner.filings.journal = Book()
+        self.book = Book()
+        self.owner.register_journal(self.book)
         self.do(ExecutorReady(None, 0))
 
     def said(self, *args, **more):
@@ -145,7 +146,7 @@
         self.assertEqual(self.running(), 1)
         self.do(IntentRecorded(first, False, S))
         self.assertEqual((self.ends[first], self.ends[repeat]), ([("refused", S)], [("refused", S)]))
-        self.assertEqual((self.running(), self.owner.live, self.started), (0, {}, []))
+        self.assertEqual((self.running(), self.owner.open_requests, self.started), (0, {}, []))
         self.assertEqual(self.book.told, [("begin", first), ("drop", "k")])
         again = self.arrive()
         self.do(IntentRecorded(again, True))
@@ -183,15 +184,15 @@
 
     def restore(self, **more):
         runs = {
-            ("acme", "filing", key): Run(
-                f"old {key}", self.now + 9 * S, (None, b"x"), dropped=True, asleep=True, **values
+            ("acme", "filing", key): IdempotentRun(
+                f"old {key}", self.now + 9 * S, (None, b"x"), result_evicted=True, restored=True, **values
             )
             for key, values in more.items()
         }
         self.do(StateRestored(runs, None))
 
     def test_after_a_restart_results_are_fetched_and_what_may_have_run_fails(self):
-        self.restore(ended={"stored": True}, begun={})
+        self.restore(ended={"result_stored": True}, begun={})
         self.assertEqual(len(self.owner.controller.keys), 0)  # the module hears of none yet
         ended, begun = self.arrive("ended", retry=True), self.arrive("begun", retry=True)
         self.assertEqual(self.book.told, [("fetch", "ended", ended)])
@@ -207,12 +208,12 @@
     def test_what_came_before_the_store_was_read_goes_before_it(self):
         mine = self.arrive("k")
         self.do(IntentRecorded(mine, True))
-        self.restore(k={"stored": True})
+        self.restore(k={"result_stored": True})
         self.do(RunCompleted(mine, RunResult(Outcome.OK, b"mine"), S))
         self.assertEqual(self.ends[mine], [("served", b"mine")])
 
     def test_restored_filings_outlive_new_settings_without_their_class_and_expire(self):
-        self.restore(k={"stored": True})
+        self.restore(k={"result_stored": True})
         self.do(SettingsChanged(settings(READ)))
         self.do(SettingsChanged(settings()))
         self.arrive("k", retry=True)
@@ -221,7 +222,7 @@
         self.now += 60 * S
         self.do()
         self.assertIn(("drop", "late"), self.book.told)
-        self.assertNotIn(("acme", "filing", "late"), self.owner.keys.runs)
+        self.assertNotIn(("acme", "filing", "late"), self.owner.idempotency.runs)
 
     def test_what_was_learned_is_taught_at_once_or_when_the_module_comes_up(self):
         for n in range(6):
@@ -236,7 +237,7 @@
             fresh = self.owner.controller.took[0].value
             self.assertNotEqual(fresh, taught)
             if late:
-                self.owner.controller, self.owner.booted = None, None
+                self.owner.controller, self.owner.executor_ready = None, None
             self.do(StateRestored({}, lesson))
             if late:
                 self.do(ExecutorReady(None, 0))
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -98,7 +98,8 @@
         self.program.members.wait_for("UP")
         check.ping()
         self.assertTrue(check.good)
-        self.assertEqual(len(self.program.said("standby")) + len(self.program.said("active")), 2)
+        changes = self.program.said("standby_changed")
+        self.assertEqual([line["enabled"] for line in changes], [True, False])
 
     def test_a_worker_on_standby_drains_and_ends_on_the_notice_and_active_does_not_undo_it(self):
         self.program.operator("POST", "/standby")
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -180,7 +180,7 @@
             timeout=PATIENCE,
         )
         loaded = done.stdout.split()
-        self.assertIn("ochrehoist.core.owner", loaded)
+        self.assertIn("ochrehoist.core.actor", loaded)
         self.assertEqual([m for m in loaded if m.startswith(("ochrehoist.overload", "hdrh"))], [])
         program = Program(site=settings(), kernel=InstantKernel())
         self.addCleanup(program.close)
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -66,7 +66,7 @@
         self.addCleanup(self.program.close)
         self.kernel = self.program.kernel
 
-    def reload(self, site, event="settings changed"):
+    def reload(self, site, event="settings_changed"):
         return self.program.reload("config.json", json.dumps(self.program.config | {"settings": site}), event)
 
     def test_classes_come_and_go_while_open_requests_and_keys_stay(self):
@@ -166,7 +166,7 @@
         new.took_over()
         old.process.send_signal(signal.SIGTERM)
         without = json.dumps(new.config | {"settings": site(("read", 1700, {}))})
-        new.reload("config.json", without, "settings changed")
+        new.reload("config.json", without, "settings_changed")
         late = router.invoke("filing", b"doc", token="t", again="1")  # to the old one; its class is gone
         other = router.invoke("filing", b"other", token="u")
         self.assertEqual(router.answer(other)[0], "Throttled")
--- a/tests/test_replace.py
+++ b/tests/test_replace.py
@@ -12,10 +12,10 @@
 from stand_ins import PATIENCE, ProgramCase, Thrift, run, toml_file
 
 from ochrehoist.admission.settings import RequestClass
-from ochrehoist.core.answers import Answers
-from ochrehoist.core.figures import Figures
 from ochrehoist.core.forwarder import Forwarder
+from ochrehoist.core.metrics import Metrics
 from ochrehoist.core.request import InboundRequest
+from ochrehoist.core.response_tracker import ResponseTracker
 from ochrehoist.core.results import FailureReason
 
 S = 1_000_000_000
@@ -333,9 +333,10 @@
             with self.subTest(ends_at=ends_at):
                 told.clear()
                 r = InboundRequest("r1", read, 0, None, responder, None, due_ns=9 * S, started=True)
-                answers = Answers(Figures(["read"]), mock.Mock())
+                answers = ResponseTracker(Metrics(["read"]), mock.Mock())
                 f = Forwarder({"r1": r}, lambda line: None, mock.Mock(), answers, lambda: now[0], lambda: 0)
-                f.ends_at = ends_at
+                if ends_at is not None:
+                    f.answer_all_by(ends_at)
                 for at in (1, 2, 3):
                     now[0] = at * S
                     f.tick()
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from ochrehoist.admission.settings import AdmissionSettings, Idempotency, RequestClass, Tenant
-from ochrehoist.core.tenants import first
+from ochrehoist.core.tenants import initial_table
 from ochrehoist.lab import sitestorm
 from ochrehoist.plan import playbook as plan_playbook
 from ochrehoist.plan.fleet import load as load_fleet
@@ -44,7 +44,7 @@
 
 def an_order(costs=(0.1, 0.1, 0.1), quota=None, rate=0.0):
     tenants = (Tenant("acme", quota, 1.0),) if quota is not None else ()
-    o = Order((READ, REFRESH, FILING), first(tenants), 0.1)
+    o = Order((READ, REFRESH, FILING), initial_table(tenants), 0.1)
     for c, cost in zip((READ, REFRESH, FILING), costs, strict=True):
         o.ran(c.name, cost)
     o.fleetwide = Fleetwide({}, {"acme": rate})
@@ -281,7 +281,7 @@
 
 class OperatorsOrders(unittest.TestCase):
     @given(st.permutations(range(4)), st.lists(st.integers(0, 3), max_size=8))
-    def test_whatever_comes_in_whatever_order_the_last_given_counts(self, first, again):
+    def test_whatever_comes_in_whatever_order_the_last_given_counts(self, initial_table, again):
         given_by = [Orders() for _ in range(4)]
         told = []
         for n, word in enumerate((orders.EVACUATE, orders.HOLD, orders.RETURN, orders.EVACUATE)):
@@ -290,7 +290,7 @@
             given_by[n].give("a", word, f"w{n}", float(n))
             told.append(given_by[n].to_tell(float(n)))
         late = Orders()
-        for n in [*again, *first]:
+        for n in [*again, *initial_table]:
             late.heard(told[n], 1.0, 4.0)
         self.assertEqual(late.now_for("a", 4.0).word, orders.EVACUATE)
         self.assertEqual(late.now_for("a", 4.0).number, 4)
--- a/tests/test_tenants_at_size.py
+++ b/tests/test_tenants_at_size.py
@@ -21,7 +21,9 @@
 )
 from ochrehoist.admission.settings import ObjectiveWeights, Tenant
 from ochrehoist.core import handover
-from ochrehoist.core.keys import KeyTable
+from ochrehoist.core.handover_snapshot import snapshot_lines
+from ochrehoist.core.idempotency_table import IdempotencyTable
+from ochrehoist.core.snapshot import CoreSnapshot
 from ochrehoist.store.ageing import Stamp, aged
 
 BEAT = 100 * MS
@@ -257,8 +259,8 @@
         for size in SIZES:
             m = self.quiet(size)
             m.serve(0)
-            state = handover.State(handover.learned(m.c), keys=KeyTable(0, 0))
-            sizes.append(sum(len(json.dumps(line)) for line in handover.lines(state, 0, None)))
+            state = CoreSnapshot(handover.learned(m.c), idempotency=IdempotencyTable(0, 0))
+            sizes.append(sum(len(json.dumps(line)) for line in snapshot_lines(state, 0, None)))
         self.assertEqual(sizes, [sizes[0]] * len(SIZES))
 
 
