--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -79,7 +79,9 @@
         joined = router.invoke("filing", b"doc", token="t1", again="1")
         held = router.invoke("filing", b"held", token="t2")  # two cores, both taken
         router.ping()
-        self.assertEqual(self.reload(site(("new", 1500, KEYED), ("read", 1700, {})))["gone"], ["filing"])
+        self.assertEqual(
+            self.reload(site(("new", 1500, KEYED), ("read", 1700, {})))["removed_classes"], ["filing"]
+        )
         # Of a class that is gone, what ran is answered for its whole window, and nothing else is begun.
         self.assertEqual(router.call("filing", b"done", token="t0", again="1"), ("Answer", {}, b"before"))
         self.assertEqual(router.call("filing", b"other", token="t0", again="1")[0], "Broken")
