--- a/ochrehoist/core/__init__.py
+++ b/ochrehoist/core/__init__.py
@@ -1,1 +1,4 @@
-"""The core: requests, keys, results and the task that owns the decision module. It knows no wire."""
+"""The core: requests, idempotent runs, results and the task that owns the admission controller.
+
+It knows no wire and does no I/O.
+"""
--- a/ochrehoist/core/actor.py
+++ b/ochrehoist/core/actor.py
@@ -170,7 +170,8 @@
         """The event that tells the controller of the request."""
         if self.limiter is not None:
             request.cost_multiple = self.limiter.estimate_cost(request, self.now_ns)
-        key, original = request.idempotency_key, None
+        key = request.idempotency_key
+        original: str | None = None
         if key is not None:
             original = self.idempotency.original(key, request.arrived_ns)
             if original is not None:
--- a/ochrehoist/core/context.py
+++ b/ochrehoist/core/context.py
@@ -53,8 +53,12 @@
         max_result_bytes: int,
         request_gauges: Callable[[], None],
     ) -> None:
-        self.settings, self.seed, self.waker, self.log = settings, seed, waker, log
-        self.clock, self.wall_clock = clock, wall_clock
+        self.settings = settings
+        self.seed = seed
+        self.waker = waker
+        self.log = log
+        self.clock = clock
+        self.wall_clock = wall_clock
         self.request_gauges = request_gauges
         self.inbox: deque[Message] = deque()
         self.now_ns = 0
@@ -242,7 +246,7 @@
 
     @property
     def state(self) -> str:
-        """In a word, for operators: a value of `state` in /status."""
+        """The value of `state` in /status."""
         if self.forwarder is not None:
             return "replaced"
         if self.drain_started_ns is not None:
--- a/ochrehoist/core/deadlines.py
+++ b/ochrehoist/core/deadlines.py
@@ -29,7 +29,8 @@
 
     def clear_timers(self) -> None:
         """Forgets the timers of a controller that is gone."""
-        self._timers, self._due_timers = [], None
+        self._timers = []
+        self._due_timers = None
 
     def set_timer(self, due_ns: int, timer_id: int) -> None:
         """Lets a timer of the controller become due then."""
@@ -70,5 +71,6 @@
 
     def take_due_timers(self) -> list[int]:
         """The ids of the timers that are due; they are forgotten here."""
-        due, self._due_timers = self._due_timers, None
+        due = self._due_timers
+        self._due_timers = None
         return due.timer_ids if due is not None else []
--- a/ochrehoist/core/errors.py
+++ b/ochrehoist/core/errors.py
@@ -47,7 +47,7 @@
         self.found = found
 
 
-class RequestOwnerGoneError(OchrehoistError):
+class RequestOwnerDisconnectedError(OchrehoistError):
     """The process that read a request is gone, so the request cannot be run."""
 
     def __init__(self, request_id: str) -> None:
--- a/ochrehoist/core/forwarder.py
+++ b/ochrehoist/core/forwarder.py
@@ -50,8 +50,11 @@
         wall_clock: Callable[[], int],
     ) -> None:
         self.pending = pending
-        self._codec, self._responses, self._log = codec, responses, responses.log
-        self._clock, self._wall_clock = clock, wall_clock
+        self._codec = codec
+        self._responses = responses
+        self._log = responses.log
+        self._clock = clock
+        self._wall_clock = wall_clock
         self._send: Send | None = send  # None: the other process is gone
         self._ends_ns: int | None = None
         # Runs that have ended, whose answer is still to be decided.
@@ -98,7 +101,7 @@
         request = self.pending.get(message.id)
         if request is not None:
             request.answered = True
-            self._forward(handover_lines.caller_gone_line(request.id, message.gave_up))
+            self._forward(handover_lines.caller_disconnected_line(request.id, message.gave_up))
             self._drop_if_over(request)
 
     def _intent_recorded(self, message: IntentRecorded) -> None:
@@ -180,7 +183,7 @@
             if not request.answered and due_ns <= now_ns:
                 self._log.warning("forwarded_request_overdue", id=request.id)
                 self._fail(request, FailureReason.DEADLINE_PASSED)
-                self._forward(handover_lines.caller_gone_line(request.id, gave_up=False))
+                self._forward(handover_lines.caller_disconnected_line(request.id, gave_up=False))
                 self._drop_if_over(request)
 
     # Answers.
--- a/ochrehoist/core/handover_lines.py
+++ b/ochrehoist/core/handover_lines.py
@@ -12,7 +12,7 @@
 
 from ochrehoist.admission.events import Outcome
 from ochrehoist.admission.settings import RequestClass
-from ochrehoist.core.errors import RequestOwnerGoneError
+from ochrehoist.core.errors import RequestOwnerDisconnectedError
 from ochrehoist.core.persisted_names import (
     FAILURE_REASON_NAMES,
     FAILURE_REASONS_BY_NAME,
@@ -142,7 +142,7 @@
     )
 
 
-# What the process that decides tells the one that read the requests.
+# From the process that decides to the one that read the requests.
 
 
 @dataclass(slots=True, frozen=True)
@@ -221,35 +221,40 @@
     """Responder and Executor of a request that another process read: that one answers it, and runs it."""
 
     def __init__(self, request_id: str, send: Send, codec: DetailCodec) -> None:
-        self.id, self.send, self._codec = request_id, send, codec
+        self.id = request_id
+        self.send = send
+        self._codec = codec
 
-    def _tell(self, decision: Decision) -> bool | None:
+    def _send_decision(self, decision: Decision) -> bool | None:
         return self.send(decision_to_json(decision, self._codec))
 
     def served(self, result: RunResult) -> bool:
         """Lets the other process answer with the result."""
-        self._tell(ResultDecided(self.id, result))
+        self._send_decision(ResultDecided(self.id, result))
         return True
 
     def rejected(self, retry_after_ns: int, no_retry: bool) -> None:
         """Lets the other process reject the request."""
-        self._tell(RejectionDecided(self.id, retry_after_ns, no_retry))
+        self._send_decision(RejectionDecided(self.id, retry_after_ns, no_retry))
 
     def failed(self, reason: FailureReason, result: RunResult | None = None) -> None:
         """Lets the other process fail the request."""
-        self._tell(FailureDecided(self.id, reason, result))
+        self._send_decision(FailureDecided(self.id, reason, result))
 
     def origin(self) -> tuple[str, str]:
         """Not known here."""
         return "", ""
 
     def start(self, request: InboundRequest) -> None:
-        """Lets the other process run the request; raises RequestOwnerGoneError where that one is gone."""
-        if self._tell(StartDecided(self.id)) is False:
-            raise RequestOwnerGoneError(request.id)
+        """Lets the other process run the request.
 
+        Raises RequestOwnerDisconnectedError where that process is gone.
+        """
+        if self._send_decision(StartDecided(self.id)) is False:
+            raise RequestOwnerDisconnectedError(request.id)
 
-# What the process that read the requests tells the one that decides.
+
+# From the process that read the requests to the one that decides.
 
 
 def arrived_line(request: InboundRequest) -> Line:
@@ -257,7 +262,7 @@
     return {"m": "arrived"} | request_to_json(request, request.arrived_ns)
 
 
-def caller_gone_line(request_id: str, gave_up: bool) -> Line:
+def caller_disconnected_line(request_id: str, gave_up: bool) -> Line:
     """Nobody waits for the request any more."""
     return {"m": "gone", "id": request_id, "gave_up": gave_up}
 
--- a/ochrehoist/core/handover_snapshot.py
+++ b/ochrehoist/core/handover_snapshot.py
@@ -93,8 +93,10 @@
         send: Send,
         codec: DetailCodec,
     ) -> None:
-        self._clock_offset_ns, self._classes = clock_offset_ns, classes
-        self._send, self._codec = send, codec
+        self._clock_offset_ns = clock_offset_ns
+        self._classes = classes
+        self._send = send
+        self._codec = codec
         self._result_overhead_bytes = result_overhead_bytes
         self._readers: dict[str, Callable[[Line], None]] = {
             "state": self._read_state,
@@ -125,7 +127,8 @@
     def _read_state(self, line: Line) -> None:
         if line["version"] != LAYOUT_VERSION:
             raise UnsupportedVersionError(line["version"])
-        self.snapshot.learned_state, self.snapshot.standby = line["learned"], bool(line["standby"])
+        self.snapshot.learned_state = line["learned"]
+        self.snapshot.standby = bool(line["standby"])
 
     def _read_run(self, line: Line) -> None:
         key = key_from_json(line["token"])
--- a/ochrehoist/core/idempotency_table.py
+++ b/ochrehoist/core/idempotency_table.py
@@ -10,7 +10,7 @@
 from ochrehoist.core.results import RunResult
 
 # A run stays known for so long beyond its window: times come in whole ms, and two clocks are read for each,
-# one after the other, by a process that may be stopped in between. A result told too long harms nobody.
+# one after the other, by a process that may be stopped in between. A result given too long harms nobody.
 WINDOW_MARGIN_NS = 100_000_000
 
 
@@ -67,7 +67,9 @@
     """
 
     def __init__(self, read_delay_ns: int, max_bytes: int) -> None:
-        self.read_delay_ns, self.max_bytes, self.bytes = read_delay_ns, max_bytes, 0
+        self.read_delay_ns = read_delay_ns
+        self.max_bytes = max_bytes
+        self.bytes = 0
         self.records: dict[IdempotencyKey, IdempotencyRecord] = {}
         self.runs: dict[IdempotencyKey, IdempotentRun] = {}
         self._keys_by_holder: dict[str, IdempotencyKey] = {}
@@ -91,7 +93,8 @@
         expires_ns, known = (0, None) if record is None else (record.expires_ns, record.fingerprint)
         run = self.runs.get(key)
         if run is not None and arrived_ns <= run.window_end_ns:
-            expires_ns, known = run.window_end_ns, known or run.fingerprint
+            expires_ns = run.window_end_ns
+            known = known or run.fingerprint
         if arrived_ns > expires_ns or known is None or fingerprint is None:
             return True
         # Only one wire tells a target: there it counts, the body counts everywhere.
@@ -144,7 +147,8 @@
         run = self.runs.get(key)
         if run is None or run.id != request_id:
             return []
-        waiters, run.waiters = list(run.waiters), ()
+        waiters = list(run.waiters)
+        run.waiters = ()
         run.result = result
         self._result_sizes[key] = size_bytes
         self.bytes += size_bytes
--- a/ochrehoist/core/idempotent_runs.py
+++ b/ochrehoist/core/idempotent_runs.py
@@ -73,7 +73,8 @@
 
     def answered_on_arrival(self, request: InboundRequest) -> bool:
         """Answers a filing that can't go on record now, unless another attempt is known; whether it did."""
-        core, key = self._core, request.idempotency_key
+        core = self._core
+        key = request.idempotency_key
         if self._journal is None or key is None:
             return False
         if core.idempotency.original(key, request.arrived_ns) is not None:
@@ -96,7 +97,8 @@
 
     def intent_recorded(self, message: IntentRecorded) -> None:
         """Begins a run that is on record, or takes it back."""
-        core, request = self._core, self._core.open_requests.get(message.id)
+        core = self._core
+        request = self._core.open_requests.get(message.id)
         if request is None or request.idempotency_key is None:
             return
         run = core.idempotency.runs.get(request.idempotency_key)
@@ -139,7 +141,8 @@
 
     def attach(self, request: InboundRequest) -> None:
         """Gives a duplicate the result of the run that it duplicates, at once or when it is there."""
-        core, key = self._core, request.idempotency_key
+        core = self._core
+        key = request.idempotency_key
         request.attached_ns = core.now_ns
         run = core.idempotency.runs.get(key) if key is not None else None
         if run is not None and not run.is_over:
@@ -169,7 +172,8 @@
         controller = self._core.controller
         if self._learned_state is None or controller is None:
             return
-        learned_state, self._learned_state = self._learned_state, None
+        learned_state = self._learned_state
+        self._learned_state = None
         try:
             handover.teach(controller, learned_state, self._core.now_ns, self._core.tenants.positions)
         except Exception:  # it learns anew
--- a/ochrehoist/core/kernel_link_monitor.py
+++ b/ochrehoist/core/kernel_link_monitor.py
@@ -9,7 +9,8 @@
 
 CUT_OFF_AFTER_S = 2.0  # without a link: a move to another address and a broken link take far less
 # Between two reads of the configuration: doubled each time up to the longest.
-FIRST_RETRY_S, MAX_RETRY_S = 1.0, 10.0
+FIRST_RETRY_S = 1.0
+MAX_RETRY_S = 10.0
 
 
 @dataclass(slots=True, frozen=True)
@@ -43,11 +44,14 @@
             self._down_since_s = None
             return KernelLinkStatus(healthy=True)
         if self._down_since_s is None:
-            self._down_since_s, self._retry_s, self._address = now_s, FIRST_RETRY_S, address
+            self._down_since_s = now_s
+            self._retry_s = FIRST_RETRY_S
+            self._address = address
             self._reload_at_s = now_s + self._cut_off_after_s
         healthy = now_s - self._down_since_s < self._cut_off_after_s
         if address != self._address:
-            self._address, self._retry_s = address, FIRST_RETRY_S
+            self._address = address
+            self._retry_s = FIRST_RETRY_S
             self._reload_at_s = now_s + FIRST_RETRY_S
         if healthy or now_s < self._reload_at_s:
             return KernelLinkStatus(healthy)
--- a/ochrehoist/core/message_handlers.py
+++ b/ochrehoist/core/message_handlers.py
@@ -33,7 +33,8 @@
     """Creates the controller, or asks the process before this one for its state first."""
     if core.controller is not None or core.executor_ready is not None:
         return
-    core.executor_ready, core.instance_started_ns = message, core.now_ns - message.age_ns
+    core.executor_ready = message
+    core.instance_started_ns = core.now_ns - message.age_ns
     if core.request_predecessor_state is not None:  # it may have keys: nothing is decided without them
         core.request_predecessor_state()
     else:
@@ -71,7 +72,8 @@
 
 def run_completed(core: CoreContext, message: RunCompleted) -> None:
     """Answers the request, and the duplicates that wait for the same result."""
-    request, outcome = core.open_requests.pop(message.id, None), message.result.outcome
+    request = core.open_requests.pop(message.id, None)
+    outcome = message.result.outcome
     if request is None:  # the controller let it go before, or never knew that it was over
         core.dispatch(RequestCompleted(message.id, outcome, message.duration_ns))
         return
--- a/ochrehoist/core/metrics.py
+++ b/ochrehoist/core/metrics.py
@@ -7,7 +7,8 @@
 from enum import StrEnum
 
 METRICS_CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
-PREFIX, CLASS_LABEL = "app_", "group"
+PREFIX = "app_"
+CLASS_LABEL = "group"
 
 
 class RequestCounter(StrEnum):
--- a/ochrehoist/core/protocols.py
+++ b/ochrehoist/core/protocols.py
@@ -59,7 +59,7 @@
         """No answer is owed any more.
 
         `counter` is the one that counted it, None where its caller left; `retry_after_ns` is what a rejected
-        caller was told.
+        caller received.
         """
         ...
 
--- a/ochrehoist/core/reconfiguration.py
+++ b/ochrehoist/core/reconfiguration.py
@@ -8,11 +8,12 @@
 
 
 def change_settings(core: CoreContext, message: SettingsChanged) -> None:
-    """Boots a fresh controller that is told of all that is open: the cost grows with that."""
+    """Boots a fresh controller and replays all that is open to it: the cost grows with that."""
     tenants = message.tenants
     if tenants is None:
         tenants = updated_table_at_once(core.tenants, message.settings.tenants)
-    core.settings, core.tenants = message.settings, tenants
+    core.settings = message.settings
+    core.tenants = tenants
     core.metrics.add_classes(c.name for c in message.settings.classes)
     if core.controller is None:
         core.index_classes(message.settings)
@@ -26,8 +27,11 @@
 
 
 def change_tenants(core: CoreContext, message: TenantsChanged) -> None:
-    """Tells the present controller: positions stay, so nothing that is open need be told again."""
-    core.settings, core.tenants = message.settings, message.tenants
+    """Replaces the tenants in the present controller.
+
+    Positions stay, so nothing that is open need be replayed."""
+    core.settings = message.settings
+    core.tenants = message.tenants
     if core.controller is not None:
         core.dispatch(TenantsReplaced(core.controller_tenants))
 
--- a/ochrehoist/core/response_tracker.py
+++ b/ochrehoist/core/response_tracker.py
@@ -1,4 +1,4 @@
-"""The one final answer of each request: sent once, and counted as what its caller was told."""
+"""The one final answer of each request: sent once, and counted as what its caller received."""
 
 from collections.abc import Callable
 from typing import Any
@@ -23,7 +23,8 @@
     """
 
     def __init__(self, metrics: Metrics, log: Any) -> None:
-        self.metrics, self.log = metrics, log
+        self.metrics = metrics
+        self.log = log
         self.observers: list[RequestObserver] = []
         self.open_requests: dict[str, InboundRequest] = {}
         self.unanswered = 0
--- a/ochrehoist/core/tenants.py
+++ b/ochrehoist/core/tenants.py
@@ -74,7 +74,8 @@
 
 def _common_prefix(old: Tenants, new: Tenants) -> Generator[None, None, int]:
     """How many tenants are the same at the beginning of both."""
-    at, limit = 0, min(len(old), len(new))
+    at = 0
+    limit = min(len(old), len(new))
     while at < limit:
         size = min(COMPARED_PER_STEP, limit - at)
         while old[at : at + size] != new[at : at + size]:
@@ -124,7 +125,8 @@
 ) -> Generator[None, None, TenantTable]:
     """The table where tenants were added or removed between the common prefix and suffix."""
     old = before.listed
-    positions, retired = before.positions.copy(), before.retired.copy()
+    positions = before.positions.copy()
+    retired = before.retired.copy()
     yield
     by_position = list(before.by_position)
     yield
@@ -182,7 +184,8 @@
         positions[tenant.name] = n
         if n % NAMES_PER_STEP == 0:
             yield
-    by_position, retired = list(table.listed), {}
+    by_position = list(table.listed)
+    retired = {}
     yield
     for n, (name, position) in enumerate(table.retired.items()):
         if name in used:
--- a/tests/test_idempotent_runs.py
+++ b/tests/test_idempotent_runs.py
@@ -1,4 +1,4 @@
-"""The core between its module and a journal: what begins, what is refused, what a restart gives back."""
+"""The core between its controller and a journal: what begins, what is rejected, what a restart restores."""
 
 import unittest
 from types import SimpleNamespace
@@ -47,7 +47,7 @@
     )
 
 
-class Book:
+class RecordingJournal:
     """A journal that writes down what it is told."""
 
     def __init__(self):
@@ -73,7 +73,7 @@
         self.told.append(("fetch", token[2], request_id))
 
 
-class Filed(unittest.TestCase):
+class IdempotentRunsTest(unittest.TestCase):
     def setUp(self):
         self.now, self.ends, self.started, self.n = 1000 * S, {}, [], 0
         quiet = SimpleNamespace(info=self.said, warning=self.said, error=self.said, exception=self.fault)
@@ -81,8 +81,8 @@
         self.owner = CoreActor(
             settings(), 1, waker, lambda: self.now, lambda: self.now, quiet, 10**6, lambda: None
         )
-        self.book = Book()
-        self.owner.register_journal(self.book)
+        self.journal = RecordingJournal()
+        self.owner.register_journal(self.journal)
         self.do(ExecutorReady(None, 0))
 
     def said(self, *args, **more):
@@ -132,12 +132,12 @@
 
     def test_a_filing_begins_once_it_is_on_record_and_a_read_at_once(self):
         filing, read = self.arrive(), self.arrive(cls=READ)
-        self.assertEqual((self.started, self.book.told), ([read], [("begin", filing)]))
+        self.assertEqual((self.started, self.journal.told), ([read], [("begin", filing)]))
         self.do(IntentRecorded(filing, True))
         self.do(IntentRecorded(filing, True))
         self.assertEqual(self.started, [read, filing])
         self.do(RunCompleted(filing, RunResult(Outcome.OK, b"done"), S))
-        self.assertEqual(self.book.told[1:], [("end", "k", b"done")])
+        self.assertEqual(self.journal.told[1:], [("end", "k", b"done")])
         self.assertEqual(self.ends[filing], [("served", b"done")])
 
     def test_one_that_can_not_be_recorded_is_refused_with_its_repeats_and_its_slot_is_free(self):
@@ -147,7 +147,7 @@
         self.do(IntentRecorded(first, False, S))
         self.assertEqual((self.ends[first], self.ends[repeat]), ([("refused", S)], [("refused", S)]))
         self.assertEqual((self.running(), self.owner.open_requests, self.started), (0, {}, []))
-        self.assertEqual(self.book.told, [("begin", first), ("drop", "k")])
+        self.assertEqual(self.journal.told, [("begin", first), ("drop", "k")])
         again = self.arrive()
         self.do(IntentRecorded(again, True))
         self.assertEqual(self.started, [again])
@@ -156,7 +156,7 @@
         left = self.arrive()
         self.do(CallerDisconnected(left), IntentRecorded(left, True))
         self.assertEqual((self.started, self.running()), ([], 0))
-        self.assertEqual(self.book.told[-1], ("drop", "k"))
+        self.assertEqual(self.journal.told[-1], ("drop", "k"))
         left = self.arrive("other")
         repeat = self.arrive("other", retry=True)
         self.do(CallerDisconnected(left), IntentRecorded(left, True))
@@ -167,7 +167,7 @@
     def test_what_never_ran_is_taken_out_again(self):
         filing = self.arrive()
         self.do(IntentRecorded(filing, True), RunCompleted(filing, RunResult(Outcome.UNREACHABLE), 0))
-        self.assertEqual(self.book.told[-1], ("drop", "k"))
+        self.assertEqual(self.journal.told[-1], ("drop", "k"))
 
     def test_while_the_journal_refuses_only_what_is_not_known_is_turned_away(self):
         done = self.arrive("done")
@@ -176,7 +176,7 @@
             (Rejection(7 * S), ("refused", 7 * S)),
             (Rejection(0, outcome_unknown=True), ("failed", FailureReason.OUTCOME_UNKNOWN)),
         ):
-            self.book.refusal = refusal
+            self.journal.refusal = refusal
             self.assertEqual(self.ends[self.arrive("new")], [end])
             self.assertEqual(self.ends[self.arrive("done", retry=True)], [("served", b"done")])
             read = self.arrive(cls=READ)
@@ -195,7 +195,7 @@
         self.restore(ended={"result_stored": True}, begun={})
         self.assertEqual(len(self.owner.controller.keys), 0)  # the module hears of none yet
         ended, begun = self.arrive("ended", retry=True), self.arrive("begun", retry=True)
-        self.assertEqual(self.book.told, [("fetch", "ended", ended)])
+        self.assertEqual(self.journal.told, [("fetch", "ended", ended)])
         self.assertEqual(self.ends[begun], [("failed", FailureReason.EXECUTOR_FAILED)])
         self.do(DuplicateResolved(ended, RunResult(Outcome.OK, b"kept")))
         self.assertEqual(self.ends[ended], [("served", b"kept")])
@@ -217,11 +217,11 @@
         self.do(SettingsChanged(settings(READ)))
         self.do(SettingsChanged(settings()))
         self.arrive("k", retry=True)
-        self.assertEqual(self.book.told[-1][:2], ("fetch", "k"))
+        self.assertEqual(self.journal.told[-1][:2], ("fetch", "k"))
         self.restore(late={})
         self.now += 60 * S
         self.do()
-        self.assertIn(("drop", "late"), self.book.told)
+        self.assertIn(("drop", "late"), self.journal.told)
         self.assertNotIn(("acme", "filing", "late"), self.owner.idempotency.runs)
 
     def test_what_was_learned_is_taught_at_once_or_when_the_module_comes_up(self):
