--- a/benchmarks/decision_api.py
+++ b/benchmarks/decision_api.py
@@ -77,6 +77,12 @@
                 for name in ("settings", "events", "actions", "controller")
             )
         self.controller: Any = controller.AdmissionController
+        if old:
+            handover = importlib.import_module("ochrehoist.core.handover")
+            self.snapshot, self.restore = handover.learned, handover.teach
+        else:
+            learned_state = importlib.import_module("ochrehoist.admission.learned_state")
+            self.snapshot, self.restore = learned_state.snapshot, learned_state.restore
         self.outcomes: Any = tuple(events.Outcome)
         self.event_types = _named(EVENTS, get_args(events.Event))
         self.action_types = _named(ACTIONS, get_args(actions.Action))
--- a/benchmarks/decision_histories.py
+++ b/benchmarks/decision_histories.py
@@ -186,6 +186,7 @@
         self.live = tuple(Live(t.name, t.quota_per_s, t.share) for t in settings.tenants)
         self.settings, self.seconds = Known(api, settings), seconds
         given = settings if self.told else dataclasses.replace(settings, tenants=self.live)
+        self.given, self.seed = given, seed
         self.module = api.controller(given, seed)
         self.now, self.due, self.number = 1000 * S, [], 0
         self.open: dict[str, Any] = {}
@@ -238,6 +239,17 @@
                 break
             self.now = max(self.now, at)
             getattr(self, "on_" + what)(*rest)
+        self.hand_on()
+
+    def hand_on(self) -> None:
+        """What was learned as it is stored, and what another module makes of it once a tick has passed."""
+        stored = json.dumps(self.api.snapshot(self.module))
+        self.lines.append(f"learned: {stored}")
+        other = self.api.controller(self.given, self.seed)
+        other.handle(self.now, self.api.event("InstanceStarted"))
+        self.api.restore(other, json.loads(stored), self.now)
+        other.handle(self.now + 100 * MS, self.api.event("TimerFired", 1, {"cpu_busy": 0.5}))
+        self.lines.append(f"restored: {json.dumps(self.api.snapshot(other))}")
 
     def any_tenant(self) -> int | None:
         if not self.tenants or self.rng.random() < 0.03:
--- a/benchmarks/slopes/module.py
+++ b/benchmarks/slopes/module.py
@@ -163,25 +163,18 @@
             name = driver.request(caller=caller)
             driver.tell(RequestCompleted(name, Outcome.OK, 4 * MS))
             for _ in range(12):
-                driver.module._on_left(_Left(caller, driver.now))
+                driver.module.callers.observe_cancellation(caller, driver.now - 450 * MS, driver.now)
 
     _, of_callers = grown(heard)
-    assert len(driver.module.heard) == size, len(driver.module.heard)
+    assert len(driver.module.callers.last_seen_ns) == size, len(driver.module.callers.last_seen_ns)
     out = driver.measured() | {"bytes": of_callers}
-    assert len(driver.module.heard) >= size, len(driver.module.heard)
+    assert len(driver.module.callers.last_seen_ns) >= size, len(driver.module.callers.last_seen_ns)
     driver.now += 11 * S  # all of them are forgotten in one beat
     out["forgetting_beat_us"] = cpu_once(driver.beat)
-    assert not driver.module.heard
+    assert not driver.module.callers.last_seen_ns
     return out
 
 
-class _Left:
-    """As much of a job as `_on_left` looks at."""
-
-    def __init__(self, caller: int, now: int) -> None:
-        self.r, self.caller, self.arrived = self, caller, now - 450 * MS
-
-
 def by_keys(size: int, seed: int) -> Measures:
     """Filings that ran within their window."""
     driver = Driver(settings(), seed)
@@ -193,7 +186,7 @@
 
     _, of_keys = grown(ran)
     out = driver.measured() | {"bytes": of_keys, "filing_us": each_us(lambda: driver.through(kind=1), 50)}
-    assert len(driver.module.past) >= size
+    assert len(driver.module.idempotency.ended) >= size
     driver.now += 3000 * S  # they run out together: the worst beat there is
     return out | {"forgetting_beat_us": cpu_once(driver.beat)}
 
@@ -201,10 +194,10 @@
 def _held(size: int, seed: int, tenants: int) -> Measures:
     """All that wait do so behind runs that do not end; they would end in time if those did."""
     driver = Driver(settings(tenants, cores=2, aim=60 * S), seed)
-    for mean in driver.module.took:
+    for mean in driver.module.run_times.mean_run_ns:
         mean.value = 4.0 * MS
-    driver.module.curve.base = 500.0
-    driver.module._rebuild()
+    driver.module.curve.peak_rate_per_s = 500.0
+    driver.module.policy.rebuild(driver.now)
     at = count()
 
     def comes() -> str:
@@ -215,14 +208,14 @@
         driver.now += 60_000
         driver.tell(RequestAbandoned(name))
 
-    queue = driver.module.held if hasattr(driver.module, "held") else driver.module.queue  # as it was named
+    queue = driver.module.queue.jobs
     for _ in range(3 * size + 200):
         if len(queue) >= size:
             break
         comes()
     assert len(queue) >= size, len(queue)
     return {
-        "groups": len(driver.module.groups),
+        "groups": len(driver.module.queue.groups),
         "decision_us": each_us(comes_and_leaves, 200),
         "beat_us": cpu_us(driver.beat),
     }
--- a/benchmarks/slopes/state.py
+++ b/benchmarks/slopes/state.py
@@ -31,35 +31,35 @@
 
 def learned_by_tenants(size: int, seed: int) -> Measures:
     """As each handover, each new setting and, with [state], each 5 s have it."""
-    from ochrehoist.core import handover
+    from ochrehoist.admission import learned_state
 
     module = _taught(size, seed).module
-    known = handover.learned(module)
+    known = learned_state.snapshot(module)
     text = json.dumps(known, separators=(",", ":"))
     return {
         "line_bytes": len(text),
-        "learned_us": cpu_us(lambda: handover.learned(module)),
+        "learned_us": cpu_us(lambda: learned_state.snapshot(module)),
         "line_us": cpu_us(lambda: json.dumps(known, separators=(",", ":"))),
-        "taught_us": cpu_us(lambda: handover.teach(module, known, module.now)),
+        "taught_us": cpu_us(lambda: learned_state.restore(module, known, module.now_ns)),
         "read_us": cpu_us(lambda: json.loads(text)),
     }
 
 
 def learned_by_active(size: int, seed: int) -> Measures:
     """The same where of 58,000 tenants so many were heard in the last moments."""
-    from ochrehoist.core import handover
+    from ochrehoist.admission import learned_state
 
     driver = Driver(settings(58000), seed)
     for tenant in driver.rng.sample(range(58000), size):
         name = driver.request(tenant=tenant)
         driver.tell(RequestCompleted(name, Outcome.OK, 4 * MS))
     driver.beat()
-    known = handover.learned(driver.module)
+    known = learned_state.snapshot(driver.module)
     return {
         "line_bytes": len(json.dumps(known, separators=(",", ":"))),
-        "learned_us": cpu_us(lambda: handover.learned(driver.module)),
+        "learned_us": cpu_us(lambda: learned_state.snapshot(driver.module)),
         "line_us": cpu_us(lambda: json.dumps(known, separators=(",", ":"))),
-        "taught_us": cpu_us(lambda: handover.teach(driver.module, known, driver.module.now)),
+        "taught_us": cpu_us(lambda: learned_state.restore(driver.module, known, driver.module.now_ns)),
     }
 
 
@@ -84,17 +84,18 @@
 
 
 def learned_by_callers(size: int, seed: int) -> Measures:
-    from ochrehoist.core import handover
+    from ochrehoist.admission import learned_state
+    from ochrehoist.admission.caller_activity import TimeoutEstimate
 
     driver = Driver(settings(), seed)
     for caller in range(size):
-        driver.module.heard[caller] = driver.now
-        driver.module.left[caller] = [450 * MS] * 12
-        driver.module.patience[caller] = 450 * MS, driver.now + 10 * S
-    known = handover.learned(driver.module)
+        driver.module.callers.last_seen_ns[caller] = driver.now
+        driver.module.callers.cancellation_ages_ns[caller] = [450 * MS] * 12
+        driver.module.callers.timeouts[caller] = TimeoutEstimate(450 * MS, driver.now + 10 * S)
+    known = learned_state.snapshot(driver.module)
     return {
         "line_bytes": len(json.dumps(known, separators=(",", ":"))),
-        "learned_us": cpu_us(lambda: handover.learned(driver.module)),
+        "learned_us": cpu_us(lambda: learned_state.snapshot(driver.module)),
     }
 
 
--- /dev/null
+++ b/ochrehoist/admission/arrivals.py
@@ -0,0 +1,40 @@
+"""The rate of arrivals, the share of retries, and how long requests wait to be read."""
+
+from math import exp
+
+from ochrehoist.admission.decaying_mean import DecayingMean
+from ochrehoist.admission.events import RequestReceived
+from ochrehoist.admission.timing import NS_PER_S, TICK_INTERVAL_NS
+
+RATE_MEMORY_S = 5.0
+DECAY_PER_TICK = exp(-TICK_INTERVAL_NS / NS_PER_S / RATE_MEMORY_S)
+RETRY_MEMORY_S, RETRY_FIRST_WEIGHT = 2.0, 10.0
+UNREAD_MEMORY_S = 0.7
+
+
+class ArrivalMonitor:
+    """Means over the requests that were received lately."""
+
+    def __init__(self) -> None:
+        """Nothing was received."""
+        self.rate_per_s = 0.0
+        self.retry_share = DecayingMean(RETRY_MEMORY_S, 0.0, RETRY_FIRST_WEIGHT)
+        self.unread_ns = DecayingMean(UNREAD_MEMORY_S)  # that requests waited to be read
+
+    def observe(self, request: RequestReceived, now_ns: int) -> None:
+        """A request was received."""
+        self.rate_per_s = self.rate_per_s + 1 / RATE_MEMORY_S
+        self.retry_share.add(now_ns, request.is_retry)
+        self.unread_ns.add(now_ns, request.unread_ns)
+
+    def unread_requests(self) -> int:
+        """How many requests wait to be read now, by Little's law."""
+        return int(self.rate_per_s * self.unread_ns.value / NS_PER_S)
+
+    def tick(self) -> None:
+        """Decays the rate by one tick."""
+        self.rate_per_s *= DECAY_PER_TICK
+
+    def restore_rate(self, rate_per_s: float) -> None:
+        """Continues from a rate that was learned elsewhere."""
+        self.rate_per_s = rate_per_s
--- /dev/null
+++ b/ochrehoist/admission/downstream_calls.py
@@ -0,0 +1,137 @@
+"""When a running request makes its downstream call, and when it goes on without it.
+
+Where all instances share the dependency, each call reserves its longest time of this instance's share, and
+gets half of what is left of that share over its window: no window holds more than the share, whatever ends
+the calls. That guards against a dependency that slows down, callers that leave, and a cold fleet that calls
+more. The cost: a long call is cut off although other instances leave room.
+"""
+
+from collections import deque
+from random import Random
+from typing import NamedTuple
+
+from ochrehoist.admission.actions import Action, SkipDownstreamCall, StartDownstreamCall
+from ochrehoist.admission.concurrency import ConcurrencyTracker
+from ochrehoist.admission.decaying_mean import DecayingMean
+from ochrehoist.admission.events import NEVER_RAN, DownstreamCallEnded, Outcome
+from ochrehoist.admission.job import Job, JobState
+from ochrehoist.admission.settings import AdmissionSettings, DownstreamScope, Idempotency
+from ochrehoist.admission.timing import TICK_INTERVAL_NS
+
+USABLE_SHARE = 0.9  # of the calls that this instance is entitled to
+CALL_MEMORY_S = 1.5
+FAILURE_FIRST_WEIGHT = 10.0
+FAILING_SHARE = 0.5  # of the calls that fail: above it the dependency counts as unhealthy
+PROBE_SHARE = 0.1  # of the requests that call an unhealthy dependency all the same
+BACKOFF_NS = TICK_INTERVAL_NS // 4  # before the first retry; doubled with each
+MAX_BACKOFF_DOUBLINGS = 5
+MAX_CALLS = 2  # made of one request, unless the calls never took place
+
+
+class _EndedCall(NamedTuple):
+    released_at_ns: int  # when its time leaves the window
+    used_ns: int
+
+
+class DownstreamCalls:
+    """The downstream calls of this instance, and what was learned of the dependency."""
+
+    def __init__(self, settings: AdmissionSettings, concurrency: ConcurrencyTracker, rng: Random) -> None:
+        """No calls were made."""
+        self.latency_ns = DecayingMean(CALL_MEMORY_S)
+        self.failure_share = DecayingMean(CALL_MEMORY_S, 0.0, FAILURE_FIRST_WEIGHT)
+        self._settings = settings
+        self._shared = settings.downstream is DownstreamScope.SHARED
+        self._concurrency = concurrency
+        self._rng = rng
+        self._used_ns = 0  # of the share: used within the window, and reserved
+        self._ended: deque[_EndedCall] = deque()
+
+    def expire(self, now_ns: int) -> None:
+        """Gives back the time of calls that have left the window."""
+        while self._ended and self._ended[0].released_at_ns <= now_ns:
+            self._used_ns -= self._ended.popleft().used_ns
+
+    def require(self, job: Job, now_ns: int) -> None:
+        """A running request has come to its call."""
+        self._concurrency.move(job, JobState.AWAITING_CALL)
+        job.call_retry_at_ns = now_ns
+        job.calls_made = 0
+
+    def place(self, now_ns: int) -> list[Action]:
+        """Starts or skips the calls that are due, as far as there is room for them."""
+        actions: list[Action] = []
+        for job in [job for job in self._concurrency.awaiting_call.values() if not job.answered]:
+            spare_ns = self._spare_ns()
+            room = self._has_room(spare_ns, now_ns)
+            if self._goes_without(job, room, now_ns):
+                actions.append(SkipDownstreamCall(job.request.id))
+                self._concurrency.move(job, JobState.RUNNING)
+            elif room and now_ns >= job.call_retry_at_ns:
+                actions.append(self._start(job, spare_ns, now_ns))
+        return actions
+
+    def _spare_ns(self) -> float:
+        settings = self._settings
+        share_ns = USABLE_SHARE * settings.downstream_share * settings.downstream_window_ns
+        return (share_ns - self._used_ns - settings.abandoned_call_ns) / 2
+
+    def _has_room(self, spare_ns: float, now_ns: int) -> bool:
+        if self._shared:
+            fits = spare_ns > self.latency_ns.value or not self._used_ns
+            return spare_ns > self._settings.clock_step_ns and fits
+        concurrency = self._concurrency
+        return concurrency.calling + concurrency.running < concurrency.ceiling(now_ns)
+
+    def _goes_without(self, job: Job, room: bool, now_ns: int) -> bool:
+        """Whether the answer will be the fallback: there is no room, a call failed, or it would be late."""
+        if not job.request_class.fallback_weight:
+            return False
+        if not room or job.calls_made:
+            return True
+        failing = self.failure_share.value > FAILING_SHARE
+        unhealthy = failing or now_ns + self.latency_ns.value > job.objective_at_ns
+        return unhealthy and self._rng.random() > PROBE_SHARE
+
+    def _start(self, job: Job, spare_ns: float, now_ns: int) -> StartDownstreamCall:
+        settings = self._settings
+        too_late = not job.request_class.fallback_weight or now_ns >= job.objective_at_ns
+        stop_at_ns = job.deadline_ns if too_late else job.objective_at_ns
+        if self._shared:
+            stop_at_ns = min(stop_at_ns, now_ns + int(spare_ns))
+            longest_ns = stop_at_ns + settings.clock_step_ns + settings.abandoned_call_ns - now_ns
+            job.call_started_at_ns = now_ns
+            job.call_reserved_ns = longest_ns
+            self._used_ns += longest_ns
+        self._concurrency.move(job, JobState.CALLING)
+        job.calls_made += 1
+        return StartDownstreamCall(job.request.id, stop_at_ns)
+
+    def end(self, job: Job, event: DownstreamCallEnded, now_ns: int) -> bool:
+        """A call has ended; whether that leaves the request without hope of an answer."""
+        succeeded = event.outcome is Outcome.OK
+        never_ran = event.outcome in NEVER_RAN
+        self.release(job, now_ns, abandoned=not succeeded and not never_ran)
+        self.failure_share.add(now_ns, not succeeded)
+        if succeeded:
+            self.latency_ns.add(now_ns, event.duration_ns)
+            self._concurrency.move(job, JobState.RUNNING)
+            return False
+        self._concurrency.move(job, JobState.AWAITING_CALL)
+        job.call_retry_at_ns = now_ns + BACKOFF_NS * 2 ** min(job.calls_made, MAX_BACKOFF_DOUBLINGS)
+        idempotent = job.request_class.idempotency is Idempotency.IDEMPOTENT
+        final = not never_ran and (not idempotent or job.calls_made >= MAX_CALLS)
+        return final and not job.answered and not job.request_class.fallback_weight
+
+    def release(self, job: Job, now_ns: int, abandoned: bool) -> None:
+        """Gives back what a call holds of the share, one window after its end.
+
+        An abandoned call goes on for a while.
+        """
+        if not self._shared:
+            return
+        settings = self._settings
+        ended_at_ns = now_ns + (settings.abandoned_call_ns if abandoned else 0)
+        used_ns = ended_at_ns - job.call_started_at_ns
+        self._used_ns += used_ns - job.call_reserved_ns
+        self._ended.append(_EndedCall(ended_at_ns + settings.downstream_window_ns, used_ns))
--- /dev/null
+++ b/ochrehoist/admission/idempotency.py
@@ -0,0 +1,54 @@
+"""Which idempotency keys are retained, and which requests may have had an effect."""
+
+from heapq import heappop, heappush
+from typing import NamedTuple
+
+from ochrehoist.admission.job import Job
+from ochrehoist.admission.settings import AdmissionSettings, Idempotency
+
+
+class _Expiry(NamedTuple):
+    at_ns: int
+    job_id: str
+    of_key: bool  # the key's retention ends; otherwise all memory of the request
+
+
+class IdempotencyIndex:
+    """The requests whose keys are retained, and those that ended and may be repeated."""
+
+    def __init__(self, settings: AdmissionSettings) -> None:
+        """No keys are retained."""
+        self.retained: dict[str, Job] = {}
+        self.ended: dict[str, Job] = {}
+        self._clock_step_ns = settings.clock_step_ns
+        self._expiries: list[_Expiry] = []
+
+    def retain(self, job: Job, now_ns: int) -> int:
+        """Retains the key of a request until its window ends; for how long that is, in ns."""
+        step_ns = self._clock_step_ns
+        window_ends_ns = job.arrived_at_ns + job.request_class.idempotency_window_ns + step_ns
+        ttl_ns = max(step_ns, window_ends_ns - now_ns)
+        job.key_retained = True
+        self.retained[job.request.id] = job
+        heappush(self._expiries, _Expiry(now_ns + ttl_ns, job.request.id, True))
+        return ttl_ns
+
+    def release(self, job: Job) -> None:
+        """Forgets the key of a request that never ran."""
+        self.retained.pop(job.request.id, None)
+        job.key_retained = False
+
+    def remember_ended(self, job: Job, now_ns: int) -> None:
+        """Keeps a request that has ended, if a duplicate of it may still come."""
+        ran_with_key = job.started and job.request_class.idempotency is Idempotency.KEYED
+        if not ran_with_key and not job.key_retained:
+            return
+        self.ended[job.request.id] = job
+        memory_ns = 2 * job.request_class.idempotency_window_ns + job.request_class.deadline_ns
+        heappush(self._expiries, _Expiry(now_ns + memory_ns, job.request.id, False))
+
+    def expire(self, now_ns: int) -> None:
+        """Forgets what is over."""
+        while self._expiries and self._expiries[0].at_ns <= now_ns:
+            expiry = heappop(self._expiries)
+            (self.retained if expiry.of_key else self.ended).pop(expiry.job_id, None)
--- /dev/null
+++ b/ochrehoist/admission/job.py
@@ -0,0 +1,92 @@
+"""A request while the decisions deal with it."""
+
+from enum import Enum
+
+from ochrehoist.admission.events import RequestReceived
+from ochrehoist.admission.settings import RequestClass
+
+
+class JobState(Enum):
+    """Where a request is."""
+
+    QUEUED = "queued"
+    RUNNING = "running"
+    AWAITING_CALL = "awaiting call"  # it runs, and waits for room to make its downstream call
+    CALLING = "calling"  # it runs, and its downstream call is in progress
+    ATTACHED = "attached"  # a duplicate that is answered with the result of another run
+    FOLLOWING = "following"  # a duplicate of a queued request, which waits for it to start
+    ENDED = "ended"
+
+
+class Job:
+    """A request with its deadlines and its state; times are in ns of the clock of the events."""
+
+    __slots__ = (
+        "answered",
+        "arrived_at_ns",
+        "call_reserved_ns",
+        "call_retry_at_ns",
+        "call_started_at_ns",
+        "calls_made",
+        "deadline_ns",
+        "expensive",
+        "followers",
+        "key_retained",
+        "leader",
+        "memory_kb",
+        "objective_at_ns",
+        "request",
+        "request_class",
+        "size",
+        "started",
+        "state",
+        "tenant",
+    )
+
+    def __init__(self, request: RequestReceived, request_class: RequestClass, now_ns: int) -> None:
+        """A request that was read by now; it counts as queued."""
+        self.request = request
+        self.request_class = request_class
+        self.state = JobState.QUEUED
+        self.memory_kb = request.memory_kb
+        self.started = False  # by this instance or the one before it
+        self.answered = False
+        self.key_retained = False
+        self.expensive = request.cost_multiple > 1
+        self.size = request.cost_multiple  # how many times the usual cost of its class
+        self.calls_made = 0
+        self.call_retry_at_ns = 0
+        self.call_started_at_ns = 0
+        self.call_reserved_ns = 0
+        self.leader: Job | None = None  # the queued request that it follows
+        self.followers: list[Job] = []
+        arrived_at_ns = now_ns - request.unread_ns
+        self.arrived_at_ns = arrived_at_ns
+        remaining_ns = request.remaining_ns
+        self.deadline_ns = (
+            now_ns + remaining_ns if remaining_ns else arrived_at_ns + request_class.deadline_ns
+        )
+        self.objective_at_ns = arrived_at_ns + request_class.latency_objective_ns
+        self.tenant: int | None = None  # the one in whose activity it counts
+
+    def waits(self) -> bool:
+        """Whether it has no run: it can be dropped without cancelling anything."""
+        return self.state in _WITHOUT_RUN
+
+    def waiting_followers(self) -> list["Job"]:
+        """The duplicates that still wait for it to start."""
+        return [follower for follower in self.followers if follower.state is JobState.FOLLOWING]
+
+    def hand_over_followers(self) -> "Job | None":
+        """Makes the first of the waiting duplicates the one that the others follow; that one."""
+        waiting = self.waiting_followers()
+        if not waiting:
+            return None
+        leader, *followers = waiting
+        leader.followers = followers
+        for follower in followers:
+            follower.leader = leader
+        return leader
+
+
+_WITHOUT_RUN = (JobState.QUEUED, JobState.ATTACHED, JobState.FOLLOWING)
--- /dev/null
+++ b/ochrehoist/admission/load_shedding.py
@@ -0,0 +1,144 @@
+"""Which queued requests cannot meet their objective, and how requests are rejected."""
+
+from random import Random
+
+from ochrehoist.admission.actions import RejectRequest
+from ochrehoist.admission.arrivals import ArrivalMonitor
+from ochrehoist.admission.caller_activity import CallerTracker
+from ochrehoist.admission.concurrency import ConcurrencyTracker
+from ochrehoist.admission.decaying_mean import DecayingMean
+from ochrehoist.admission.job import Job
+from ochrehoist.admission.mpl_policy import MplPolicy
+from ochrehoist.admission.run_time import RunTimeModel, contention
+from ochrehoist.admission.settings import AdmissionSettings
+from ochrehoist.admission.tenant_activity import ActivityTracker
+from ochrehoist.admission.timing import NS_PER_S
+
+SAFETY_FACTOR = 1.4  # mean run times left before the objective of what is started: three in four end in time
+RETRY_AFTER_SHARE = 0.25  # of its objective that a rejected request waits at most: later retries end too late
+REJECTION_MEMORY_S, REJECTION_FIRST_WEIGHT = 2.0, 10.0
+
+
+class CompletionForecast:
+    """When queued requests would complete, as of one moment."""
+
+    __slots__ = (
+        "_callers",
+        "_completion_interval_ns",
+        "_cores",
+        "_floor",
+        "_idle_instance",
+        "_now_ns",
+        "_policy",
+        "_run_times",
+        "_running",
+        "_speed",
+        "_starts",
+    )
+
+    def __init__(
+        self,
+        now_ns: int,
+        starts: int,
+        cores: int,
+        concurrency: ConcurrencyTracker,
+        policy: MplPolicy,
+        run_times: RunTimeModel,
+        callers: CallerTracker,
+    ) -> None:
+        """`starts`: how many of the queue start now."""
+        self._now_ns = now_ns
+        self._starts = starts
+        self._cores = cores
+        self._running = concurrency.running
+        self._idle_instance = not (concurrency.running + concurrency.calling)
+        self._speed = concurrency.speed(now_ns)
+        self._floor = policy.floor
+        self._policy = policy
+        self._completion_interval_ns: float | None = None  # computed where something has to wait
+        self._run_times = run_times
+        self._callers = callers
+
+    def safe_run_ns(self, class_index: int) -> float:
+        """The run time that three in four of a class stay below, on idle cores."""
+        return SAFETY_FACTOR * self._run_times.mean_run_ns[class_index].value / self._speed
+
+    def misses_objective(self, job: Job, position: int, safe_run_ns: float) -> bool:
+        """Whether the request at this position would complete after its objective or its caller's timeout.
+
+        An idle instance always tries one: a mean run time that was learned in trouble could keep work away.
+        What an idle core takes at once waits for nothing, and needs no margin.
+        """
+        need_ns = 0.0
+        if position > 1 or not self._idle_instance:
+            crowd = contention(self._running + position, self._floor, self._cores)
+            need_ns = safe_run_ns * self._run_times.size(job) * crowd
+        if position <= self._starts and self._running < self._cores:
+            need_ns = need_ns / SAFETY_FACTOR
+        elif position > self._starts:
+            need_ns = need_ns + (position - self._starts) * self._interval_ns()
+        latest_ns = job.objective_at_ns
+        if self._callers.timeouts:
+            timeout_ns = self._callers.timeout_ns(job, self._now_ns)
+            latest_ns = min(latest_ns, job.arrived_at_ns + timeout_ns)
+        return self._now_ns + need_ns > latest_ns
+
+    def _interval_ns(self) -> float:
+        """The expected time between two completions."""
+        if self._completion_interval_ns is None:
+            self._completion_interval_ns = NS_PER_S / self._policy.full_rate_per_s(self._running)
+        return self._completion_interval_ns
+
+
+class LoadShedder:
+    """Rejects requests: with the wait before a retry, and whether other instances should be spared it."""
+
+    def __init__(
+        self,
+        settings: AdmissionSettings,
+        arrivals: ArrivalMonitor,
+        activity: ActivityTracker,
+        policy: MplPolicy,
+        concurrency: ConcurrencyTracker,
+        rng: Random,
+    ) -> None:
+        """Nothing was rejected."""
+        self.rejection_share = DecayingMean(REJECTION_MEMORY_S, 0.0, REJECTION_FIRST_WEIGHT)
+        self._settings = settings
+        self._arrivals = arrivals
+        self._activity = activity
+        self._policy = policy
+        self._concurrency = concurrency
+        self._rng = rng
+
+    def observe_start(self, now_ns: int) -> None:
+        """A request was started."""
+        self.rejection_share.add(now_ns, False)
+
+    def reject(self, job: Job, now_ns: int, queued: int, unavailable: bool) -> RejectRequest:
+        """The rejection of a request.
+
+        `queued` requests wait, and it may be one of them; `unavailable`: the instance takes no request at
+        all.
+        """
+        self.rejection_share.add(now_ns, not unavailable)
+        over_quota = self._activity.over_half_beyond_quota(job.request.tenant_index)
+        limit_ns = self._settings.max_retry_after_ns
+        if unavailable:
+            return RejectRequest(job.request.id, int(limit_ns), False)
+        rate_per_s = self._policy.full_rate_per_s(self._concurrency.running)
+        expected_ns = self._arrivals.unread_ns.value + (queued + 1) / rate_per_s * NS_PER_S
+        objective_ns = job.request_class.latency_objective_ns
+        retry_after_ns = min(expected_ns, objective_ns * RETRY_AFTER_SHARE, limit_ns)
+        no_retry = job.request.is_retry or over_quota or self._spares_others()
+        return RejectRequest(job.request.id, int(retry_after_ns), no_retry)
+
+    def _spares_others(self) -> bool:
+        """Whether this time other instances should not be tried either.
+
+        In a retry storm what others would reject too is not sent around; where retries are not marked the
+        share that is rejected here has to tell. What is over its tenant's quota has little weight anywhere.
+        The cost: where this instance alone is full or slow, what others had capacity for is lost.
+        """
+        storm = self._arrivals.retry_share if self._settings.marks_retries else self.rejection_share
+        return self._rng.random() < 2 * storm.value
--- /dev/null
+++ b/ochrehoist/admission/mpl_policy.py
@@ -0,0 +1,113 @@
+"""How many queued requests to start: the multiprogramming limit (MPL) by the LIGHT-APPROX policy.
+
+LIGHT-APPROX ("Self-adaptive admission control policies for resource-sharing systems") tabulates the cheapest
+choice for each length of the queue and each concurrency. The paper's symbols and the names here:
+
+    Q       queued: requests that wait
+    K       running: requests that run
+    mu(n)   rates[n]: completions per second with n running
+    p       zero_size_share: share of zero-size work of the size distribution H*(p)
+    pi(Q,K) table[queued][running]: what to start
+"""
+
+from ochrehoist.admission.service_rate import ServiceRateCurve
+from ochrehoist.admission.timing import NS_PER_S
+
+START_NONE, START_ONE, START_TWO = -1, 0, 1  # entries of the table: starts beyond what keeps K
+REBUILD_INTERVAL_NS = 5 * NS_PER_S
+ZERO_SIZE_SHARE = 0.25  # the paper's default
+MAX_TABLE_QUEUE = 32  # rows of the table; longer queues read the last one, where K is pinned
+CLIMB_SHARE = 4  # the floor climbs by at most 1/CLIMB_SHARE of the cores from tick to tick
+
+Table = list[list[int]]
+
+
+def light_approx_table(
+    rates: list[float], max_queued: int, max_running: int, zero_size_share: float
+) -> Table:
+    """The policy by queue length and concurrency: START_NONE, START_ONE or START_TWO.
+
+    `rates[n]` is the service rate with n running, for n up to `max_running` + 1.
+    """
+    share = zero_size_share
+    no_queue = _costs_without_queue(rates, max_running)
+    costs, table = [no_queue], [[START_NONE] * (max_running + 1)]
+    for queued in range(1, max_queued + 1):
+        after_one, after_two = costs[-1], costs[queued - 2]
+        row_costs, row = [0.0] * (max_running + 1), [START_ONE] * (max_running + 1)
+        for running in range(1, max_running + 1):
+            jobs = queued + running - 1
+            choices = [(jobs / rates[running] * (1 - share) + after_one[running], START_ONE)]
+            if running > 1:
+                choices.append((jobs / rates[running - 1] + row_costs[running - 1], START_NONE))
+            if queued > 1 and running < max_running:
+                remaining = (1 - share * share) * after_two[running + 1] + share * share * after_two[running]
+                choices.append(((1 - share) ** 2 * jobs / rates[running + 1] + remaining, START_TWO))
+            row_costs[running], row[running] = min(choices)
+        costs.append(row_costs)
+        table.append(row)
+    return table
+
+
+def _costs_without_queue(rates: list[float], max_running: int) -> list[float]:
+    costs = [0.0, 0.0]
+    for running in range(2, max_running + 1):
+        costs.append(costs[-1] + (running - 1) / rates[running - 1])
+    return costs
+
+
+class MplPolicy:
+    """The table, rebuilt from the service rates every few seconds, and a floor of the concurrency.
+
+    The floor starts at the number of cores and climbs by one with each completion while cores idle and
+    requests wait; otherwise each completion lowers it again.
+    """
+
+    def __init__(self, cores: int, curve: ServiceRateCurve) -> None:
+        """The table is empty until the first `rebuild`."""
+        self.curve = curve
+        self.floor = cores
+        self._cores = cores
+        self._climbs_left = 0
+        self._table: Table = []
+        self._rebuilt_at_ns = 0
+        self.allow_climb()
+
+    def begin(self, now_ns: int) -> None:
+        """Builds the first table."""
+        self._rebuilt_at_ns = now_ns
+        self.rebuild(now_ns)
+
+    def rebuild(self, now_ns: int) -> None:
+        """Builds the table from what was observed until now."""
+        curve = self.curve
+        curve.decay((now_ns - self._rebuilt_at_ns) / NS_PER_S)
+        self._rebuilt_at_ns = now_ns
+        rates = [curve.rate_per_s(n) for n in range(curve.max_concurrency + 2)]
+        self._table = light_approx_table(rates, MAX_TABLE_QUEUE, curve.max_concurrency, ZERO_SIZE_SHARE)
+
+    def starts(self, now_ns: int, queued: int, running: int) -> int:
+        """How many of so many queued requests to start beside so many running ones, by the table alone."""
+        if now_ns - self._rebuilt_at_ns >= REBUILD_INTERVAL_NS:
+            self.rebuild(now_ns)
+        row = self._table[min(queued, MAX_TABLE_QUEUE)]
+        return row[min(running + 1, len(row) - 1)] + 1
+
+    def full_rate_per_s(self, running: int) -> float:
+        """Completions per second with the cores full."""
+        curve = self.curve
+        return curve.rate_per_s(max(self.floor, min(running, curve.max_concurrency)))
+
+    def allow_climb(self) -> None:
+        """Lets the floor climb again: a new gauge tells whether cores idle."""
+        self._climbs_left = 1 + self._cores // CLIMB_SHARE
+
+    def adjust_floor(self, cores_idle: bool) -> None:
+        """At a completion: up while cores idle, as far as one gauge allows, down otherwise."""
+        change = (self._climbs_left > 0) if cores_idle else -1
+        self._climbs_left -= max(0, change)
+        self.restore_floor(self.floor + change)
+
+    def restore_floor(self, floor: int) -> None:
+        """Sets the floor, within what the instance can bear."""
+        self.floor = max(self._cores, min(self.curve.max_concurrency, floor))
--- /dev/null
+++ b/ochrehoist/admission/priority.py
@@ -0,0 +1,54 @@
+"""The priority of requests: what the objective gains by each unit of expected work."""
+
+from ochrehoist.admission.job import Job
+from ochrehoist.admission.run_time import RunTimeModel
+from ochrehoist.admission.settings import AdmissionSettings
+from ochrehoist.admission.tenant_activity import ActivityTracker
+
+MIN_OFFERED_WEIGHT = 1e-9
+
+
+class PriorityModel:
+    """Values requests by their class, their tenant and the work that they are expected to take."""
+
+    def __init__(
+        self, settings: AdmissionSettings, activity: ActivityTracker, run_times: RunTimeModel
+    ) -> None:
+        """The values of classes follow from the first `refresh`."""
+        self._settings = settings
+        self._worst_tenant_weight = settings.objective.worst_tenant
+        self._activity = activity
+        self._run_times = run_times
+        self._class_gains: list[float] = []
+
+    def refresh(self) -> None:
+        """Computes what one more answer of each class is worth, from the counts as of this tick."""
+        classes, by_class = self._settings.classes, self._activity.by_class
+        objective = self._settings.objective
+        shortfall = sum(counts.shortfall for counts in by_class)
+        offered = sum(
+            of.priority_weight * counts.expected_demand for of, counts in zip(classes, by_class, strict=True)
+        )
+        offered = max(MIN_OFFERED_WEIGHT, offered)
+        self._class_gains = [
+            (objective.overall + objective.worst_window) * of.priority_weight / offered
+            + objective.worst_class * (counts.shortfall / shortfall / counts.expected_demand)
+            for of, counts in zip(classes, by_class, strict=True)
+        ]
+
+    def value(self, job: Job) -> float:
+        """What the objective gains by each unit of the request's expected work."""
+        request, settings, activity = job.request, self._settings, self._activity
+        gain, quota_factor = self._class_gains[request.class_index], 1.0
+        tenant = request.tenant_index
+        if tenant is not None:
+            counts = activity.of_tenant(tenant)
+            within = activity.share_within_quota(tenant, counts.starts_per_s)
+            lack = counts.shortfall / activity.total_shortfall / counts.expected_demand
+            gain = gain + self._worst_tenant_weight * lack
+            if within != 1:
+                quota_factor = within**2 + (1 - within**2) * settings.over_quota_weight
+        work = 1.0
+        if not settings.weighs_work:
+            work = request.work_ns or self._run_times.mean_run_ns[request.class_index].value
+        return gain * quota_factor / work
--- /dev/null
+++ b/ochrehoist/admission/start_selection.py
@@ -0,0 +1,108 @@
+"""Which of the queued requests start now, and which are rejected because they would be late."""
+
+from collections.abc import Callable
+
+from ochrehoist.admission.arrivals import ArrivalMonitor
+from ochrehoist.admission.caller_activity import CallerTracker
+from ochrehoist.admission.concurrency import ConcurrencyTracker, CoreGauges
+from ochrehoist.admission.health import HealthMonitor
+from ochrehoist.admission.job import Job
+from ochrehoist.admission.load_shedding import CompletionForecast
+from ochrehoist.admission.mpl_policy import MplPolicy
+from ochrehoist.admission.request_queue import RequestQueue
+from ochrehoist.admission.run_time import RunTimeModel
+
+BUSY_CORES_SHARE = 0.9  # of the cores' time; below it they count as idle
+
+
+class StartSelector:
+    """Combines the policy, the limits and the queue; it changes none of them."""
+
+    def __init__(
+        self,
+        cores: int,
+        health: HealthMonitor,
+        concurrency: ConcurrencyTracker,
+        queue: RequestQueue,
+        policy: MplPolicy,
+        arrivals: ArrivalMonitor,
+        run_times: RunTimeModel,
+        callers: CallerTracker,
+    ) -> None:
+        """Nothing was measured yet."""
+        self._cores = cores
+        self._health = health
+        self._concurrency = concurrency
+        self._queue = queue
+        self._policy = policy
+        self._arrivals = arrivals
+        self._run_times = run_times
+        self._callers = callers
+        self._gauges = CoreGauges()
+
+    def read_gauges(self, gauges: dict[str, float], now_ns: int) -> None:
+        """Takes what was measured at a tick: `cpu_busy` (share) and `runnable` (threads)."""
+        runnable = gauges.get("runnable", 0)
+        others = int(max(0, runnable - self._concurrency.running))
+        self._gauges = CoreGauges(gauges.get("cpu_busy", 1.0), runnable, others, now_ns)
+
+    def cores_idle(self) -> bool:
+        """Whether cores were idle at the last tick.
+
+        The share of time lags, so that the threads that want a core have to say so too.
+        """
+        return self._gauges.busy_share < BUSY_CORES_SHARE and self._gauges.runnable < self._cores
+
+    def free_starts(self, now_ns: int) -> int:
+        """How many requests may start now."""
+        concurrency, policy = self._concurrency, self._policy
+        running = concurrency.running
+        ceiling = concurrency.ceiling(now_ns)
+        unread = self._arrivals.unread_requests()  # they wait too, and take cores while they are read
+        occupied = running
+        if unread and self._gauges_are_fresh(now_ns):
+            occupied += min(self._gauges.other_runnable, unread)
+        by_policy = policy.starts(now_ns, len(self._queue.jobs) + unread, occupied)
+        wanted = max(by_policy, min(policy.floor, ceiling) - occupied, 1 - running)
+        survivable = ceiling - concurrency.calling - len(concurrency.awaiting_call)
+        allowed = min(survivable, concurrency.limits.total) - running
+        return max(0, min(wanted, allowed))
+
+    def _gauges_are_fresh(self, now_ns: int) -> bool:
+        """Whether the gauges are younger than a run; older ones would keep work from cores that are idle."""
+        return now_ns - self._gauges.measured_at_ns < self._run_times.shortest_mean_ns()
+
+    def startable(self, now_ns: int, starts: int, reject: Callable[[Job], None]) -> list[Job]:
+        """The queue by priority, without what cannot meet its objective: that is handed to `reject`.
+
+        It is rejected now, while its client can go elsewhere. Of a long queue only what has just come and
+        what starts now is evaluated, but for a few times each second.
+        """
+        queue = self._queue
+        whole = queue.evaluate_whole(now_ns)
+        limit = len(queue.jobs) if whole else starts
+        forecast = self._forecast(now_ns, starts)
+        startable: list[Job] = []
+        position = 0
+        for group in queue.by_priority():
+            run_ns = forecast.safe_run_ns(group[0].request.class_index)
+            position += len(group)
+            just_came = not whole and group[-1] is queue.newest
+            if just_came and self._is_hopeless(group[-1], position, forecast, run_ns):
+                reject(group.pop())
+            for job in group:
+                if len(startable) >= limit:
+                    break
+                if self._is_hopeless(job, len(startable) + 1, forecast, run_ns):
+                    reject(job)
+                else:
+                    startable.append(job)
+        return startable
+
+    def _forecast(self, now_ns: int, starts: int) -> CompletionForecast:
+        return CompletionForecast(
+            now_ns, starts, self._cores, self._concurrency, self._policy, self._run_times, self._callers
+        )
+
+    def _is_hopeless(self, job: Job, position: int, forecast: CompletionForecast, run_ns: float) -> bool:
+        return self._health.stalled or forecast.misses_objective(job, position, run_ns)
--- /dev/null
+++ b/ochrehoist/admission/timing.py
@@ -0,0 +1,5 @@
+"""The units and periods that all parts of the decisions share."""
+
+NS_PER_S = 1_000_000_000
+TICK_INTERVAL_NS = NS_PER_S // 10  # between two checks of deadlines, backpressure and health
+MEMORY_S = 20.0  # after which an observation counts for 1/e
--- a/ochrehoist/core/filings.py
+++ b/ochrehoist/core/filings.py
@@ -4,6 +4,7 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
+from ochrehoist.admission import learned_state
 from ochrehoist.admission.events import (
     NEVER_RAN,
     Event,
@@ -12,7 +13,6 @@
     RequestReceived,
     RunAdopted,
 )
-from ochrehoist.core import handover
 from ochrehoist.core.answers import Answers
 from ochrehoist.core.keys import KeyTable, Run
 from ochrehoist.core.messages import DuplicateResolved, IntentRecorded, StateRestored
@@ -137,7 +137,7 @@
             return
         lesson, self.lesson = self.lesson, None
         try:
-            handover.teach(self.owner.controller, lesson, self.owner.now, self.owner.tenants)
+            learned_state.restore(self.owner.controller, lesson, self.owner.now, self.owner.tenants)
         except Exception:  # it learns anew
             self.owner.log.exception("what was learned before can't be taken up")
 
@@ -152,5 +152,7 @@
     def adopt(self, token: IdempotencyKey, run: Run) -> None:
         owner = self.owner
         kind = owner.kinds[token[1]]
-        since = max(0, owner.now - (run.window_end - owner.controller.s.classes[kind].idempotency_window_ns))
+        since = max(
+            0, owner.now - (run.window_end - owner.controller.settings.classes[kind].idempotency_window_ns)
+        )
         owner.tell(RunAdopted(RequestReceived(run.id, kind, unread_ns=since), True, True))
--- a/ochrehoist/core/succession.py
+++ b/ochrehoist/core/succession.py
@@ -3,6 +3,7 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
+from ochrehoist.admission import learned_state
 from ochrehoist.admission.events import RequestReceived, RunAdopted
 from ochrehoist.admission.settings import AdmissionSettings
 from ochrehoist.core import handover
@@ -41,9 +42,9 @@
         return handover.State(keys=core.keys, standby=core.standby)
     used = {r.cls.name for r in core.live.values()}
     used |= {token[1] for known in (core.keys.runs, core.keys.entries) for token in known}
-    classes = {c.name: c for c in core.controller.s.classes if c.name in used}
+    classes = {c.name: c for c in core.controller.settings.classes if c.name in used}
     return handover.State(
-        handover.learned(core.controller), core.standby, list(core.live.values()), core.keys, classes
+        learned_state.snapshot(core.controller), core.standby, list(core.live.values()), core.keys, classes
     )
 
 
@@ -78,6 +79,6 @@
 def _teach(core: Core, learned: dict | None) -> None:
     try:
         if learned is not None:
-            handover.teach(core.controller, learned, core.now, core.tenants)
+            learned_state.restore(core.controller, learned, core.now, core.tenants)
     except Exception:  # it learns anew
         core.log.exception("what was learned can't be taken up")
--- a/ochrehoist/store/ageing.py
+++ b/ochrehoist/store/ageing.py
@@ -5,8 +5,8 @@
 
 import msgspec
 
-from ochrehoist.admission.controller import FADE, LEAST
-from ochrehoist.core.handover import BY_CLASS
+from ochrehoist.admission.learned_state import CLASS_MEAN_KEYS
+from ochrehoist.admission.tenant_activity import MIN_COUNT, TICK_DECAY
 
 SECOND = 1_000_000_000
 # What times and rates of before a restart weigh at the most: cores may be cold now, and what a warm machine
@@ -41,7 +41,7 @@
 
 
 def aged(learned: dict[str, Any], since: Stamp, now: Stamp, half_life: int, cold: bool) -> dict[str, Any]:
-    """What was learned (as `core.handover.learned` tells it), as far as it still counts.
+    """What was learned (as `learned_state.snapshot` tells it), as far as it still counts.
 
     Weights and rates are halved for each half-life (ns) away, what was known of callers expires, and cores
     that start cold are not taught the rates of warm ones. A clock that was set back counts as one half-life.
@@ -50,7 +50,7 @@
     fade = 0.5 ** ((half_life if away is None else away) / half_life)
     gone = PATIENCE_LASTS if away is None else away
     out = dict(learned)
-    for which in BY_CLASS:  # what an older program kept lacks some
+    for which in CLASS_MEAN_KEYS:  # what an older program kept lacks some
         if which in learned:
             most = FEW if which == "took" else float("inf")
             out[which] = {
@@ -61,11 +61,11 @@
     }
     out["ran"] = {name: rate * fade for name, rate in learned["ran"].items()}
     for which in ("asked", "served"):
-        out[which] = [[name, max(LEAST, count * fade)] for name, count in learned[which]]
+        out[which] = [[name, max(MIN_COUNT, count * fade)] for name, count in learned[which]]
     if "beats" in learned:  # else of an older program, with all tenants among the others
-        out["beats"] = learned["beats"] + round(math.log(max(fade, FORGOTTEN)) / math.log(FADE))
+        out["beats"] = learned["beats"] + round(math.log(max(fade, FORGOTTEN)) / math.log(TICK_DECAY))
         out["tenants"] = [
-            [name, max(LEAST, asked * fade), max(LEAST, served * fade)]
+            [name, max(MIN_COUNT, asked * fade), max(MIN_COUNT, served * fade)]
             for name, asked, served in learned["tenants"]
         ]
     out["heard"] = [[caller, age + gone] for caller, age in learned["heard"] if age + gone < PATIENCE_LASTS]
--- a/ochrehoist/store/journal.py
+++ b/ochrehoist/store/journal.py
@@ -14,6 +14,7 @@
 
 from hdrh.histogram import HdrHistogram
 
+from ochrehoist.admission import learned_state
 from ochrehoist.admission.events import Outcome
 from ochrehoist.config.loader import StateConfig
 from ochrehoist.core import handover
@@ -161,7 +162,7 @@
             left = (self.hold_until - now) // SECOND + 1
             self.log.warning("filings that are not known are refused", for_s=left)
         self.learned, lesson = opened.learned, None
-        if opened.learned is not None and opened.learned.layout == handover.LEARNED:
+        if opened.learned is not None and opened.learned.layout == learned_state.LAYOUT:
             try:
                 lesson = aged(
                     opened.learned.values,
@@ -403,7 +404,9 @@
 
     def save_learned(self) -> None:
         if self.owner.controller is not None and self.restored:
-            self.learned = Learned(stamp_now(), handover.learned(self.owner.controller), handover.LEARNED)
+            self.learned = Learned(
+                stamp_now(), learned_state.snapshot(self.owner.controller), learned_state.LAYOUT
+            )
             self._add(Save(disk.LEARNED, self.learned))
 
     # ---- the end
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -29,6 +29,7 @@
     RequestReceived,
     TimerFired,
 )
+from ochrehoist.admission.job import JobState
 from ochrehoist.admission.settings import (
     AdmissionSettings,
     BackpressureSignal,
@@ -119,7 +120,7 @@
     d = Driver(**changes)
     for _ in range(9):
         d.request(class_index=WRITE)
-    return d, next(x for x in d.controller.queue)
+    return d, next(x for x in d.controller.queue.jobs)
 
 
 def test_a_repeat_of_a_held_request_waits_and_joins_it_when_it_starts():
@@ -143,7 +144,7 @@
     kept = [a.id for a in d.said(RetainKey)]
     assert kept.index(again) > kept.index(held) and held in d.ids(ReleaseKey)
     d.run_for(4 * S)
-    assert not d.controller.queue
+    assert not d.controller.queue.jobs
 
 
 def test_repeats_that_wait_for_a_held_one_are_answered_at_once_when_it_is_given_up():
@@ -268,7 +269,7 @@
     for n in range(30):
         d.request(class_index=n % 3, memory_kb=45.0, remaining_ns=2 * S)
         c = d.controller
-        assert c.used + 40.0 * len(c.keys) <= 700.0
+        assert c.memory.used_kb + 40.0 * len(c.idempotency.retained) <= 700.0
     assert d.ids(StartRun)
 
 
@@ -326,12 +327,12 @@
         if n % 5 == 0:
             d.request(class_index=n // 5 % 4, remaining_ns=None)
         for started in [x for x in d.ids(StartRun) if x in d.controller.jobs]:
-            if d.controller.jobs[started].state == 1:
+            if d.controller.jobs[started].state is JobState.RUNNING:
                 d.send(DownstreamCallNeeded(started))
         below.look()
         for out, spans in list(below.spans.items()):
             below.look()
-            if out not in d.controller.jobs or d.controller.jobs[out].state != 3:
+            if out not in d.controller.jobs or d.controller.jobs[out].state is not JobState.CALLING:
                 continue
             if ending in ("gone", "answered") and d.now - spans[-1][0] > 30 * MS * (n % 9):
                 below.cut(out)
@@ -403,12 +404,12 @@
 
 def test_a_stall_and_quick_failures_do_not_move_the_service_rate_curve():
     d = Driver()
-    before = [d.controller.curve.mu(n) for n in range(1, 10)]
+    before = [d.controller.curve.rate_per_s(n) for n in range(1, 10)]
     for _ in range(20):
         job_id, _ = d.request()
         d.now += 2 * MS
         d.done(job_id, Outcome.FAILED, took=2 * MS)
-    after = [d.controller.curve.mu(n) for n in range(1, 10)]
+    after = [d.controller.curve.rate_per_s(n) for n in range(1, 10)]
     assert after == pytest.approx(before, rel=0.02)
 
 
@@ -445,7 +446,7 @@
             d.done(d.request(unread_ns=unread)[0])
         for _ in range(3):
             d.request(unread_ns=unread)
-        assert d.controller.cores == running
+        assert d.controller.concurrency.running == running
 
 
 def test_a_request_turned_away_is_told_to_wait_a_part_of_its_aim_at_most():
@@ -474,7 +475,7 @@
     for n in range(3000):
         d.request(caller=n, remaining_ns=20 * MS)
         d.run_for(25 * MS)
-    assert len(d.controller.heard) < 500 and not d.controller.jobs
+    assert len(d.controller.callers.last_seen_ns) < 500 and not d.controller.jobs
 
 
 def test_turning_away_alone_never_reports_bad_health():
@@ -555,7 +556,7 @@
         d.run_for(200 * MS)
     d.request(tenant_index=0, id="a"), d.request(tenant_index=1, id="b")
     jobs = dict(c.jobs)
-    assert c._value(jobs["a"]) > c._value(jobs["b"]) > 0  # the one turned away lacks more
+    assert c.priority.value(jobs["a"]) > c.priority.value(jobs["b"]) > 0  # the one turned away lacks more
 
 
 @pytest.mark.parametrize(
@@ -603,9 +604,9 @@
 
 def test_the_first_values_of_the_means_count_whatever_the_clock_shows():
     d = Driver()
-    before = d.controller.took[0].value
+    before = d.controller.run_times.mean_run_ns[0].value
     d.done(d.request()[0], took=1 * MS)
-    assert d.controller.took[0].value > before / 2
+    assert d.controller.run_times.mean_run_ns[0].value > before / 2
 
 
 def test_a_pause_of_the_process_is_neither_time_at_work_nor_a_stall():
@@ -613,9 +614,10 @@
     for _ in range(4):
         d.request(remaining_ns=20 * S)
     d.run_for(500 * MS, every=100 * MS)
-    before, d.now = sum(d.controller.curve.time), d.now + 30 * S
+    before, d.now = sum(d.controller.curve.observed_s), d.now + 30 * S
     d.send(TimerFired(1, {"cpu_busy": 1.0}))
-    assert sum(d.controller.curve.time) - before <= 0.11 and SetHealth(False, True) not in d.said(SetHealth)
+    assert sum(d.controller.curve.observed_s) - before <= 0.11
+    assert SetHealth(False, True) not in d.said(SetHealth)
 
 
 # ---- settings at their edges
@@ -693,5 +695,5 @@
         for _ in range(3):
             d.request(remaining_ns=60 * S)
         d.run_for(25 * MS, gauges={"cpu_busy": 0.1})
-        assert d.controller.used <= 700.0
+        assert d.controller.memory.used_kb <= 700.0
         d.done([x for x in d.ids(StartRun) if x in d.controller.jobs][0])
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -183,12 +183,12 @@
         )
         table = worker.owner.tenants
         self.assertEqual((table.position("t20000"), table.gone), (20_000, {"t1": 1}))
-        self.assertEqual(len(worker.owner.controller.s.tenants), 20_001)
+        self.assertEqual(len(worker.owner.controller.settings.tenants), 20_001)
 
     def test_one_route_changed_does_as_well_and_the_module_hears_nothing_of_it(self):
         worker = self.flat(lambda folder, count, routes: appliance(folder, range(count), routes + 1))
         self.assertEqual(len(worker.fronts[0].config.rules), 1301)
-        self.assertIs(worker.owner.controller.s.tenants, worker.owner.tenants.places)
+        self.assertIs(worker.owner.controller.settings.tenants, worker.owner.tenants.places)
 
     def test_each_tenant_changed_and_a_class_too_is_a_fresh_module_that_looks_at_each_once(self):
         def change(folder, count, routes):
@@ -196,7 +196,7 @@
             appliance(folder, range(count), routes, 2.0, Classes=[*base, base[0] | {"Name": "more"}])
 
         worker = self.flat(change, for_each=1)  # its quota, as it was at first
-        self.assertEqual(worker.owner.controller.s.tenants[7].quota_per_s, 2.0)
+        self.assertEqual(worker.owner.controller.settings.tenants[7].quota_per_s, 2.0)
         self.assertIn("more", worker.owner.kinds)
 
 
@@ -223,7 +223,7 @@
         worker.owner.step()
 
         def follow():
-            told = worker.owner.controller.s.tenants
+            told = worker.owner.controller.settings.tenants
             return {t.name: t._budget for t in told if isinstance(t, FleetTenant)}
 
         module = worker.owner.controller
@@ -236,11 +236,11 @@
             written(numbers, budgets)
             brought_into_force(worker, at_once(worker.reloading._steps(False)))
             self.assertEqual(follow(), expected)
-            self.assertEqual([t.name for t in module.s.tenants][:5], [f"t{n}" for n in range(5)])
+            self.assertEqual([t.name for t in module.settings.tenants][:5], [f"t{n}" for n in range(5)])
             self.assertEqual(worker.owner.tenants["t0"], 0)
         self.assertIs(worker.owner.controller, module)
         self.assertEqual(worker.owner.tenants["t5"], 5)
-        for tenant in module.s.tenants:  # each can be asked: no budget that is gone is meant
+        for tenant in module.settings.tenants:  # each can be asked: no budget that is gone is meant
             self.assertGreaterEqual(tenant.quota_per_s, 0.0)
 
     def test_a_message_of_counts_fits_a_datagram_however_many_tenants_were_answered(self):
@@ -517,7 +517,7 @@
         self.assertEqual(len(change(range(3))), SPARE + 47)
         self.assertIsNot(owner.controller, module)
         self.assertEqual(change(range(3)), ["t40"])
-        self.assertEqual([t.name for t in owner.controller.s.tenants], ["t0", "t1", "t2", "t40"])
+        self.assertEqual([t.name for t in owner.controller.settings.tenants], ["t0", "t1", "t2", "t40"])
         module = owner.controller
         self.assertEqual(change([0, 40]), ["t1", "t2"])  # few are gone: the module stays
         self.assertIs(owner.controller, module)
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -10,11 +10,11 @@
     for _ in range(12):  # beside twice as many as the cores run, each takes twice as long as it would alone
         job_id, said = d.request()
         assert StartRun(job_id) in said
-        d.controller.floor = d.controller.cores = 8
+        d.controller.policy.floor = d.controller.concurrency.running = 8
         d.done(job_id, took=1600 * MS)
-        d.controller.cores = 0
+        d.controller.concurrency.running = 0
         d.now += 1000 * MS
-    d.controller.floor = 4
+    d.controller.policy.floor = 4
     d.request()
     fresh, said = d.request()  # beside one that runs; alone on its core it ends within its aim
     assert StartRun(fresh) in said
--- a/tests/test_filings.py
+++ b/tests/test_filings.py
@@ -4,8 +4,8 @@
 from types import SimpleNamespace
 
 from ochrehoist.admission.events import Outcome
+from ochrehoist.admission.learned_state import snapshot
 from ochrehoist.admission.settings import AdmissionSettings, Idempotency, RequestClass, Tenant
-from ochrehoist.core.handover import learned
 from ochrehoist.core.keys import Run
 from ochrehoist.core.messages import (
     CallerDisconnected,
@@ -127,7 +127,7 @@
         return rid
 
     def running(self):
-        return self.owner.controller.cores
+        return self.owner.controller.concurrency.running
 
     def test_a_filing_begins_once_it_is_on_record_and_a_read_at_once(self):
         filing, read = self.arrive(), self.arrive(cls=READ)
@@ -192,15 +192,15 @@
 
     def test_after_a_restart_results_are_fetched_and_what_may_have_run_fails(self):
         self.restore(ended={"stored": True}, begun={})
-        self.assertEqual(len(self.owner.controller.keys), 0)  # the module hears of none yet
+        self.assertEqual(len(self.owner.controller.idempotency.retained), 0)  # the module hears of none yet
         ended, begun = self.arrive("ended", retry=True), self.arrive("begun", retry=True)
         self.assertEqual(self.book.told, [("fetch", "ended", ended)])
         self.assertEqual(self.ends[begun], [("failed", FailureReason.EXECUTOR)])
         self.do(DuplicateResolved(ended, RunResult(Outcome.OK, b"kept")))
         self.assertEqual(self.ends[ended], [("served", b"kept")])
-        self.assertEqual((self.started, len(self.owner.controller.keys)), ([], 2))
+        self.assertEqual((self.started, len(self.owner.controller.idempotency.retained)), ([], 2))
         self.assertEqual(self.ends[self.arrive("begun", retry=True)], [("failed", FailureReason.EXECUTOR)])
-        self.assertEqual(len(self.owner.controller.keys), 2)
+        self.assertEqual(len(self.owner.controller.idempotency.retained), 2)
 
     def test_what_came_before_the_store_was_read_goes_before_it(self):
         mine = self.arrive("k")
@@ -227,18 +227,18 @@
             self.do(IntentRecorded(rid, True))
             self.now += 300_000_000
             self.do(RunCompleted(rid, RunResult(Outcome.OK), 300_000_000))
-        lesson = learned(self.owner.controller)
-        taught = self.owner.controller.took[0].value
+        lesson = snapshot(self.owner.controller)
+        taught = self.owner.controller.run_times.mean_run_ns[0].value
         for late in (False, True):
             self.setUp()
-            fresh = self.owner.controller.took[0].value
+            fresh = self.owner.controller.run_times.mean_run_ns[0].value
             self.assertNotEqual(fresh, taught)
             if late:
                 self.owner.controller, self.owner.booted = None, None
             self.do(StateRestored({}, lesson))
             if late:
                 self.do(ExecutorReady(None, 0))
-            self.assertEqual(self.owner.controller.took[0].value, taught)
+            self.assertEqual(self.owner.controller.run_times.mean_run_ns[0].value, taught)
 
 
 if __name__ == "__main__":
--- a/tests/test_overload_parts.py
+++ b/tests/test_overload_parts.py
@@ -520,13 +520,13 @@
 
     def test_heavy_ones_keep_to_the_lane_and_teach_the_class_their_usual_part(self):
         d = self.driver(total=4, expensive=1)
-        usual = d.controller.took[0].value
+        usual = d.controller.run_times.mean_run_ns[0].value
         heavy = self.fill(d, 0, 0, times=10.0)
         light = self.fill(d, 0, 0)
         self.assertEqual(d.ids(StartRun), [heavy[0], *light])
         d.now += S
         d.done(heavy[0], took=10 * usual)
-        self.assertAlmostEqual(d.controller.took[0].value / usual, 1.0, delta=0.05)
+        self.assertAlmostEqual(d.controller.run_times.mean_run_ns[0].value / usual, 1.0, delta=0.05)
         self.assertIn(heavy[1], d.ids(StartRun) + d.ids(RejectRequest))
 
     @settings(max_examples=60, deadline=None)
--- a/tests/test_patience.py
+++ b/tests/test_patience.py
@@ -46,13 +46,13 @@
     ids = [d.request()[0] for _ in range(12)]
     for job_id in ids[:4]:
         d.done(job_id, took=50 * MS)
-    assert d.controller.floor == d.settings.cores
+    assert d.controller.policy.floor == d.settings.cores
 
 
 def test_times_to_run_are_learned_free_of_a_cold_start():
     d = Driver(cold_start=True, warmup_speed=0.25)
-    before = d.controller.took[0].value
+    before = d.controller.run_times.mean_run_ns[0].value
     job_id, _ = d.request()
     d.now += 100 * MS
     d.done(job_id, took=before * 4)  # a quarter of the speed
-    assert d.controller.took[0].value < before * 1.1
+    assert d.controller.run_times.mean_run_ns[0].value < before * 1.1
--- a/tests/test_random.py
+++ b/tests/test_random.py
@@ -97,8 +97,11 @@
                 (self.out if isinstance(a, StartDownstreamCall) else self.running).append(job)
         self.seen = len(self.d.log)
         c = self.d.controller
-        assert len(self.running) == c.cores and c.used + 50.0 * len(c.keys) <= self.d.settings.memory_kb
-        assert c.cores <= self.d.settings.cores * self.d.settings.collapse_multiple
+        assert (
+            len(self.running) == c.concurrency.running
+            and c.memory.used_kb + 50.0 * len(c.idempotency.retained) <= self.d.settings.memory_kb
+        )
+        assert c.concurrency.running <= self.d.settings.cores * self.d.settings.collapse_multiple
 
     def end(self, job, outcome=Outcome.CANCELLED):
         for place in (self.running, self.at_call, self.out):
--- a/tests/test_rush.py
+++ b/tests/test_rush.py
@@ -25,14 +25,14 @@
         d = learned()
         for _ in range(50):
             d.request(remaining_ns=None, unread_ns=50 * MS)
-        d.controller.sent = 500.0  # a second: two dozen of them wait to be read
+        d.controller.arrivals.rate_per_s = 500.0  # a second: two dozen of them wait to be read
         running = [x for x in d.ids(StartRun) if x in d.controller.jobs]
         d.send(TimerFired(1, {"cpu_busy": 0.9, "runnable": 40.0}))
         for job in running:  # they end within the time of a run or two, long before the next gauge
             d.now += 10 * MS
             d.done(job, took=5 * MS)
-        self.assertEqual(d.controller.cores, 4)
-        self.assertTrue(d.controller.queue)
+        self.assertEqual(d.controller.concurrency.running, 4)
+        self.assertTrue(d.controller.queue.jobs)
 
     def test_one_gauge_lets_the_running_floor_climb_a_little_only(self):
         d = learned(cores=8)
@@ -40,10 +40,10 @@
         for _ in range(60):
             d.request(remaining_ns=None)
         top, finishes = 0, 0
-        while job := next((x for x, j in d.controller.jobs.items() if j.ran), None):
+        while job := next((x for x, j in d.controller.jobs.items() if j.started), None):
             d.now += MS // 2
             d.done(job, took=5 * MS)
-            top, finishes = max(top, d.controller.floor), finishes + 1
+            top, finishes = max(top, d.controller.policy.floor), finishes + 1
         self.assertGreater(finishes, 20)
         self.assertLessEqual(top, 8 + 3)
 
@@ -54,20 +54,21 @@
         for _ in range(3):
             d.now += 50 * MS
             d.send(TimerFired(1, {"cpu_busy": 1.0, "runnable": 4.0}))
-            self.assertFalse(d.controller.stalled)
+            self.assertFalse(d.controller.health.stalled)
         for _ in range(2):
             d.now += 50 * MS
             d.send(TimerFired(1, {"cpu_busy": 1.0, "runnable": 4.0}))
-        self.assertTrue(d.controller.stalled)
+        self.assertTrue(d.controller.health.stalled)
 
     def test_arrivals_behind_a_long_hold_do_not_rank_it_anew_each(self):
         d = Driver(classes=CLASSES[:1], memory_kb=2_000_000.0, cores=40, collapse_multiple=2.0)
         asked = []
-        plain = d.controller._hopeless
-        d.controller._hopeless = lambda *args: asked.append(1) or plain(*args)
+        selector = d.controller._selector
+        plain = selector._is_hopeless
+        selector._is_hopeless = lambda *args: asked.append(1) or plain(*args)
         for _ in range(100):
             d.request()
-        held, before = len(d.controller.queue), len(asked)
+        held, before = len(d.controller.queue.jobs), len(asked)
         self.assertGreater(held, 20)
         for _ in range(100):
             d.request()
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -5,8 +5,8 @@
 
 from helpers import MS, Driver, S
 
+from ochrehoist.admission import learned_state
 from ochrehoist.admission.actions import RejectRequest, StartRun
-from ochrehoist.core import handover
 from ochrehoist.store.ageing import Stamp, aged
 
 
@@ -37,14 +37,16 @@
 
     def test_where_statements_mean_nothing_all_of_a_class_are_alike(self):
         d = self.taught(tells=False)
-        self.assertLess(d.controller.tells[0].value, 0)
+        self.assertLess(d.controller.run_times.stated_work_gain_ns[0].value, 0)
         large, small = self.held(d, 1800 * MS, 20 * MS)
         self.assertNotIn(large, d.ids(RejectRequest))
         self.assertNotIn(small, d.ids(RejectRequest))
 
     def test_an_idle_core_takes_what_can_just_end_in_time(self):
         d = self.taught()
-        usual = d.controller.took[0].value / d.controller.stated[0].value
+        usual = (
+            d.controller.run_times.mean_run_ns[0].value / d.controller.run_times.mean_stated_work_ns[0].value
+        )
         just, over = int(1600 * MS / usual), int(4000 * MS / usual)
         d.request(remaining_ns=None, work_ns=100 * MS)  # an empty server tries anything
         self.assertIn(d.request(remaining_ns=None, work_ns=just)[0], d.ids(StartRun))
@@ -52,25 +54,31 @@
 
     def test_large_ones_do_not_teach_the_class_a_wrong_time(self):
         d = self.taught()
-        before = d.controller.took[0].value
+        before = d.controller.run_times.mean_run_ns[0].value
         for _ in range(5):
             rid, _ = d.request(remaining_ns=None, work_ns=1500 * MS)
             d.now += 1600 * MS
             d.done(rid, took=1500 * MS)
-        self.assertLess(d.controller.took[0].value, 1.5 * before)
+        self.assertLess(d.controller.run_times.mean_run_ns[0].value, 1.5 * before)
 
     def test_it_is_handed_on_and_what_an_older_program_kept_is_taken_too(self):
         d = self.taught()
-        learned = handover.learned(d.controller)
+        learned = learned_state.snapshot(d.controller)
         now = Stamp(d.now, 0, "b")
         kept = aged(learned, now, now, 3600 * S, False)
         for told in (learned, kept):
             fresh = Driver(marks_retries=False)
-            handover.teach(fresh.controller, told, fresh.now)
-            self.assertAlmostEqual(fresh.controller.stated[0].value, d.controller.stated[0].value)
-            self.assertAlmostEqual(fresh.controller.tells[0].value, d.controller.tells[0].value)
+            learned_state.restore(fresh.controller, told, fresh.now)
+            self.assertAlmostEqual(
+                fresh.controller.run_times.mean_stated_work_ns[0].value,
+                d.controller.run_times.mean_stated_work_ns[0].value,
+            )
+            self.assertAlmostEqual(
+                fresh.controller.run_times.stated_work_gain_ns[0].value,
+                d.controller.run_times.stated_work_gain_ns[0].value,
+            )
         older = {name: value for name, value in learned.items() if name not in ("stated", "tells")}
-        handover.teach(Driver(marks_retries=False).controller, older, d.now)
+        learned_state.restore(Driver(marks_retries=False).controller, older, d.now)
         self.assertNotIn("stated", aged(older, now, now, 3600 * S, False))
 
 
--- a/tests/test_tenants_at_size.py
+++ b/tests/test_tenants_at_size.py
@@ -9,8 +9,9 @@
 from helpers import CLASSES, MS, S, settings
 from stand_ins import interpreter_steps
 
+from ochrehoist.admission import learned_state
 from ochrehoist.admission.actions import FailRequest, RejectRequest, StartRun
-from ochrehoist.admission.controller import AdmissionController, Job
+from ochrehoist.admission.controller import AdmissionController
 from ochrehoist.admission.events import (
     InstanceStarted,
     Outcome,
@@ -19,6 +20,7 @@
     TenantsReplaced,
     TimerFired,
 )
+from ochrehoist.admission.job import Job
 from ochrehoist.admission.settings import ObjectiveWeights, Tenant
 from ochrehoist.core import handover
 from ochrehoist.core.keys import KeyTable
@@ -75,7 +77,9 @@
     def probe(self, tenant):
         """What the goal gains by an answer to it, and the part of what it starts that is within its share."""
         job = Job(RequestReceived("probe", 0, tenant, work_ns=S), self.settings.classes[0], self.now)
-        return self.c._value(job), self.c._inside(tenant, self.c.activity(tenant).ran)
+        return self.c.priority.value(job), self.c.activity.share_within_quota(
+            tenant, self.c.activity.of_tenant(tenant).starts_per_s
+        )
 
 
 class Dense:
@@ -236,7 +240,7 @@
         self.assertLess(again[0] - quiet[0], 50)
         self.assertEqual(again[1], 0)
         m.beats(6000)
-        self.assertEqual(len(m.c.known), 0)
+        self.assertEqual(len(m.c.activity.by_tenant), 0)
 
     def test_what_was_learned_is_told_and_taken_up_by_those_active(self):
         told, taught = [], []
@@ -245,9 +249,9 @@
             for tenant in (0, 2):
                 m.serve(tenant)
             lesson = {}
-            told.append(self.cost(m, lambda m=m, lesson=lesson: lesson.update(handover.learned(m.c))))
+            told.append(self.cost(m, lambda m=m, lesson=lesson: lesson.update(learned_state.snapshot(m.c))))
             fresh = Module(Looked(tenants(size)))
-            teach = partial(handover.teach, fresh.c, lesson, fresh.now, positions)
+            teach = partial(learned_state.restore, fresh.c, lesson, fresh.now, positions)
             taught.append(self.cost(fresh, teach))
         self.assertEqual(told, [told[0]] * len(SIZES))
         self.assertEqual(taught, [taught[0]] * len(SIZES))
@@ -257,7 +261,7 @@
         for size in SIZES:
             m = self.quiet(size)
             m.serve(0)
-            state = handover.State(handover.learned(m.c), keys=KeyTable(0, 0))
+            state = handover.State(learned_state.snapshot(m.c), keys=KeyTable(0, 0))
             sizes.append(sum(len(json.dumps(line)) for line in handover.lines(state, 0, None)))
         self.assertEqual(sizes, [sizes[0]] * len(SIZES))
 
@@ -324,30 +328,32 @@
 
     def test_a_fresh_module_values_all_as_the_one_that_taught_it(self):
         m, fresh = self.active(), Module(tenants(50, 30.0))
-        handover.teach(fresh.c, json.loads(json.dumps(handover.learned(m.c))), fresh.now)
+        learned_state.restore(fresh.c, json.loads(json.dumps(learned_state.snapshot(m.c))), fresh.now)
         for tenant in (0, 1, 6, 7, 49):  # a beat lies between them
             self.alike(fresh, m, tenant)
 
     def test_one_that_moved_is_known_by_its_name_and_one_that_is_gone_is_left_out(self):
         m = self.active()
         fresh = Module(tuple(reversed(tenants(50, 30.0)))[:-1])
-        handover.teach(fresh.c, handover.learned(m.c), fresh.now, {f"tenant{49 - n}": n for n in range(49)})
-        self.assertEqual(fresh.c.activity(48).asked > 1, True)  # tenant1
-        self.assertEqual(len(fresh.c.known), 6)
+        learned_state.restore(
+            fresh.c, learned_state.snapshot(m.c), fresh.now, {f"tenant{49 - n}": n for n in range(49)}
+        )
+        self.assertEqual(fresh.c.activity.of_tenant(48).asked > 1, True)  # tenant1
+        self.assertEqual(len(fresh.c.activity.by_tenant), 6)
 
     def test_a_class_and_a_tenant_of_one_name_keep_their_own_counts(self):
         named = (Tenant("read", 30.0, 0.5), *tenants(1, 30.0))
         m, fresh = Module(named), Module(named)
         for _ in range(9):
             m.serve(1)
-        handover.teach(fresh.c, handover.learned(m.c), fresh.now)
-        self.assertLess(fresh.c.activity(0).asked, 1.1)
-        self.assertGreater(fresh.c.kinds[0].asked, 4)
+        learned_state.restore(fresh.c, learned_state.snapshot(m.c), fresh.now)
+        self.assertLess(fresh.c.activity.of_tenant(0).asked, 1.1)
+        self.assertGreater(fresh.c.activity.by_class[0].asked, 4)
 
     def older(self, level, beats):
         """What a program before this told: all tenants, those behind the classes in one list."""
         m = self.active()
-        lesson = handover.learned(m.c)
+        lesson = learned_state.snapshot(m.c)
         del lesson["beats"], lesson["tenants"]
         quiet = [[f"tenant{n}", level] for n in range(2, 50)]
         lesson["asked"] += [["tenant0", 8.0], ["tenant1", 4.0], *quiet]
@@ -361,9 +367,9 @@
             with self.subTest(beats=beats):
                 level = max(0.1, FADE**beats)
                 fresh = Module(tenants(50, 30.0))
-                handover.teach(fresh.c, self.older(level, beats), fresh.now)
-                self.assertLessEqual(fresh.c.known.keys(), {0, 1})
-                first, second, quiet = (fresh.c.activity(n) for n in (0, 1, 30))
+                learned_state.restore(fresh.c, self.older(level, beats), fresh.now)
+                self.assertLessEqual(fresh.c.activity.by_tenant.keys(), {0, 1})
+                first, second, quiet = (fresh.c.activity.of_tenant(n) for n in (0, 1, 30))
                 self.assertAlmostEqual(first.asked, 8.0 * FADE)
                 self.assertAlmostEqual(second.served, 4.0 * FADE)
                 self.assertAlmostEqual(quiet.asked, level, delta=0.011 * level)
@@ -374,15 +380,15 @@
     def test_on_record_both_forms_fade(self):
         then, hour = Stamp(0), 3600 * S
         later = Stamp(60 * S)
-        for lesson in (handover.learned(self.active().c), self.older(0.5, 139)):
+        for lesson in (learned_state.snapshot(self.active().c), self.older(0.5, 139)):
             kept = aged(lesson, then, later, 60 * S, False)
             fresh = Module(tenants(50, 30.0))
-            handover.teach(fresh.c, kept, fresh.now)
-            first = fresh.c.activity(0).asked
+            learned_state.restore(fresh.c, kept, fresh.now)
+            first = fresh.c.activity.of_tenant(0).asked
             fresh = Module(tenants(50, 30.0))
-            handover.teach(fresh.c, aged(lesson, then, then, hour, False), fresh.now)
-            self.assertAlmostEqual(first, fresh.c.activity(0).asked / 2, places=6)
-            self.assertLess(fresh.c.activity(30).asked, 0.9)
+            learned_state.restore(fresh.c, aged(lesson, then, then, hour, False), fresh.now)
+            self.assertAlmostEqual(first, fresh.c.activity.of_tenant(0).asked / 2, places=6)
+            self.assertLess(fresh.c.activity.of_tenant(30).asked, 0.9)
 
 
 if __name__ == "__main__":
