--- a/ochrehoist/admission/actions.py
+++ b/ochrehoist/admission/actions.py
@@ -1,4 +1,4 @@
-"""What the decision module wants done, as answers to its events.
+"""The actions that the admission controller answers its events with.
 
 Times are in ns of the clock of the events.
 """
--- a/ochrehoist/admission/backpressure.py
+++ b/ochrehoist/admission/backpressure.py
@@ -1,4 +1,4 @@
-"""What callers are told of the load: the backpressure value, and when idle connections are closed."""
+"""What is signalled to callers: the backpressure value, and when idle connections are closed."""
 
 from math import exp
 
--- a/ochrehoist/admission/controller.py
+++ b/ochrehoist/admission/controller.py
@@ -1,6 +1,6 @@
 """The admission controller: which requests run, wait, or are rejected.
 
-The controller is told events and answers each with actions; it does no I/O, reads no clock and starts no
+The controller handles events, and answers each with actions; it does no I/O, reads no clock and starts no
 threads. It owns the open requests and dispatches the events. What it decides by is in the parts that it is
 made of: `mpl_policy` and `start_selection` (how many to start), `request_queue` and `priority` (which
 first), `load_shedding` (what cannot meet its objective), `memory_budget`, `concurrency`, `idempotency`,
--- a/ochrehoist/admission/downstream_calls.py
+++ b/ochrehoist/admission/downstream_calls.py
@@ -3,7 +3,7 @@
 Where all instances share the dependency, each call reserves its longest time of this instance's share, and
 gets half of what is left of that share over its window: no window holds more than the share, whatever ends
 the calls. That guards against a dependency that slows down, callers that leave, and a cold fleet that calls
-more. The cost: a long call is cut off although other instances leave room.
+more. The cost: a long call is cut off although other instances leave capacity unused.
 """
 
 from collections import deque
@@ -59,15 +59,15 @@
         job.calls_made = 0
 
     def place(self, now_ns: int) -> list[Action]:
-        """Starts or skips the calls that are due, as far as there is room for them."""
+        """Starts or skips the calls that are due, as far as capacity allows."""
         actions: list[Action] = []
         for job in [job for job in self._concurrency.awaiting_call.values() if not job.answered]:
             spare_ns = self._spare_ns()
-            room = self._has_room(spare_ns, now_ns)
-            if self._goes_without(job, room, now_ns):
+            has_capacity = self._has_capacity(spare_ns, now_ns)
+            if self._uses_fallback(job, has_capacity, now_ns):
                 actions.append(SkipDownstreamCall(job.request.id))
                 self._concurrency.move(job, JobState.RUNNING)
-            elif room and now_ns >= job.call_retry_at_ns:
+            elif has_capacity and now_ns >= job.call_retry_at_ns:
                 actions.append(self._start(job, spare_ns, now_ns))
         return actions
 
@@ -76,18 +76,18 @@
         share_ns = USABLE_SHARE * settings.downstream_share * settings.downstream_window_ns
         return (share_ns - self._used_ns - settings.abandoned_call_ns) / 2
 
-    def _has_room(self, spare_ns: float, now_ns: int) -> bool:
+    def _has_capacity(self, spare_ns: float, now_ns: int) -> bool:
         if self._shared:
             fits = spare_ns > self.latency_ns.value or not self._used_ns
             return spare_ns > self._settings.clock_step_ns and fits
         concurrency = self._concurrency
         return concurrency.calling + concurrency.running < concurrency.ceiling(now_ns)
 
-    def _goes_without(self, job: Job, room: bool, now_ns: int) -> bool:
-        """Whether the answer will be the fallback: there is no room, a call failed, or it would be late."""
+    def _uses_fallback(self, job: Job, has_capacity: bool, now_ns: int) -> bool:
+        """Whether the answer will be the fallback: no capacity, a failed call, or one that would be late."""
         if not job.request_class.fallback_weight:
             return False
-        if not room or job.calls_made:
+        if not has_capacity or job.calls_made:
             return True
         failing = self.failure_share.value > FAILING_SHARE
         unhealthy = failing or now_ns + self.latency_ns.value > job.objective_at_ns
--- a/ochrehoist/admission/events.py
+++ b/ochrehoist/admission/events.py
@@ -1,4 +1,4 @@
-"""What the decision module is told while it runs. Each event is handed to it with the time it is told at.
+"""The events that the admission controller handles; each is handed to it with the time of handling.
 
 Times and spans are whole nanoseconds (`_ns`); positions refer to the tuples of `AdmissionSettings`.
 """
@@ -97,7 +97,7 @@
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer that the module set has expired; `gauges` are measured at that time."""
+    """A timer that the controller set has expired; `gauges` are measured at that time."""
 
     timer_id: int
     gauges: dict[str, float]
@@ -112,7 +112,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ConcurrencyLimits:
-    """How many requests may run, until told anew, as measured from outside the module.
+    """How many requests may run, until the next event of this type, as measured from outside the module.
 
     Up to its floor a class is started first, past its cap it waits; without them all classes are alike.
     """
--- a/ochrehoist/admission/job.py
+++ b/ochrehoist/admission/job.py
@@ -11,7 +11,7 @@
 
     QUEUED = "queued"
     RUNNING = "running"
-    AWAITING_CALL = "awaiting call"  # it runs, and waits for room to make its downstream call
+    AWAITING_CALL = "awaiting call"  # it runs, and waits for capacity to make its downstream call
     CALLING = "calling"  # it runs, and its downstream call is in progress
     ATTACHED = "attached"  # a duplicate that is answered with the result of another run
     FOLLOWING = "following"  # a duplicate of a queued request, which waits for it to start
@@ -19,7 +19,13 @@
 
 
 class Job:
-    """A request with its deadlines and its state; times are in ns of the clock of the events."""
+    """A request with its deadlines and its state; times are in ns of the clock of the events.
+
+    A record that the parts of one controller share. Each field has one writer: `state` of a run is set by
+    ConcurrencyTracker, `memory_kb` by MemoryBudget, `key_retained` by IdempotencyIndex, `size` by
+    RunTimeModel, the `call_...` fields by DownstreamCalls, `deadline_ns` by GracefulShutdown, all others by
+    the controller.
+    """
 
     __slots__ = (
         "answered",
--- a/ochrehoist/admission/learned_state.py
+++ b/ochrehoist/admission/learned_state.py
@@ -15,7 +15,7 @@
 from ochrehoist.errors import OchrehoistError
 
 LAYOUT = 1  # of the values of a snapshot
-MIN_TOLD_STARTS_PER_S = 1e-6  # lower rates of tenants are left out
+MIN_STORED_STARTS_PER_S = 1e-6  # lower rates of tenants are left out
 CLASS_MEAN_KEYS = "took", "stated", "tells"  # means that are kept for each class
 
 Snapshot = dict[str, Any]
@@ -83,7 +83,7 @@
     }
     by_class = list(zip(settings.classes, activity.by_class, strict=True))
     return {
-        "ran": {name: starts for name, (_, _, starts) in active.items() if starts > MIN_TOLD_STARTS_PER_S},
+        "ran": {name: starts for name, (_, _, starts) in active.items() if starts > MIN_STORED_STARTS_PER_S},
         "beats": activity.tick,
         "tenants": [
             [name, asked, served]
@@ -180,7 +180,7 @@
             self._read_all_tenants(controller, positions)
 
     def _read_all_tenants(self, controller: AdmissionController, positions: Mapping[str, int]) -> None:
-        """From an older release, which told the counts of all tenants: most were idle, and alike."""
+        """From an older release, which stored the counts of all tenants: most were idle, and alike."""
         counts: dict[int, Counts] = {
             positions[name]: (asked, self._served[name])
             for name, asked in self._asked.items()
--- a/ochrehoist/admission/load_shedding.py
+++ b/ochrehoist/admission/load_shedding.py
@@ -137,8 +137,8 @@
         """Whether this time other instances should not be tried either.
 
         In a retry storm what others would reject too is not sent around; where retries are not marked the
-        share that is rejected here has to tell. What is over its tenant's quota has little weight anywhere.
-        The cost: where this instance alone is full or slow, what others had capacity for is lost.
+        share that is rejected here is the evidence. What is over its tenant's quota has little weight
+        anywhere. The cost: where this instance alone is full or slow, what others had capacity for is lost.
         """
         storm = self._arrivals.retry_share if self._settings.marks_retries else self.rejection_share
         return self._rng.random() < 2 * storm.value
--- a/ochrehoist/admission/memory_budget.py
+++ b/ochrehoist/admission/memory_budget.py
@@ -5,7 +5,7 @@
 from ochrehoist.admission.job import Job
 from ochrehoist.admission.settings import AdmissionSettings, Idempotency
 
-USABLE_SHARE = 0.97  # sizes are told exactly; the rest is for what is read at the same moment
+USABLE_SHARE = 0.97  # sizes are known exactly; the rest is for what is read at the same moment
 
 
 class MemoryBudget:
@@ -37,7 +37,7 @@
         job.memory_kb = 0.0
 
     def can_queue(self, job: Job) -> bool:
-        """Whether a request can be kept, with its key and with room for runs on all idle cores."""
+        """Whether a request can be kept, with its key and with memory for runs on all idle cores."""
         settings, concurrency = self._settings, self._concurrency
         keys = len(self._index.retained) + (job.request_class.idempotency is Idempotency.KEYED)
         open_runs = concurrency.running + concurrency.calling + len(concurrency.awaiting_call)
--- a/ochrehoist/admission/priority.py
+++ b/ochrehoist/admission/priority.py
@@ -22,7 +22,7 @@
         self._class_gains: list[float] = []
 
     def refresh(self) -> None:
-        """Computes what one more answer of each class is worth, from the counts as of this tick."""
+        """Computes what one more answer of each class adds to the objective, as of this tick."""
         classes, by_class = self._settings.classes, self._activity.by_class
         objective = self._settings.objective
         shortfall = sum(counts.shortfall for counts in by_class)
--- a/ochrehoist/admission/request_queue.py
+++ b/ochrehoist/admission/request_queue.py
@@ -56,7 +56,7 @@
         """Whether each queued request is to be looked at now; notes that it is.
 
         A long queue is evaluated as a whole only now and then, which bounds the cost of an event; its other
-        requests are told that much later that they are rejected.
+        requests are rejected that much later.
         """
         whole = len(self.jobs) <= SHORT_QUEUE or now_ns - self._evaluated_at_ns >= EVALUATION_INTERVAL_NS
         if whole:
--- a/ochrehoist/admission/settings.py
+++ b/ochrehoist/admission/settings.py
@@ -1,4 +1,4 @@
-"""What the decision module is told once, at its start: classes, tenants, capacity and the rules of a site.
+"""The settings of an admission controller: classes, tenants, capacity and the rules of a site.
 
 Times and spans are whole nanoseconds (`_ns`), memory is in kilobytes (`_kb`), work is time on a standard
 core.
@@ -80,7 +80,7 @@
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class AdmissionSettings:
-    """All that the decision module knows of its site."""
+    """All that the admission controller knows of its site."""
 
     classes: tuple[RequestClass, ...]
     cores: int
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -4,7 +4,9 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
-MAX_LINES, MAX_COLUMNS = 1000, 110
+MAX_LINES, MAX_COLUMNS = 400, 110
+# What of the package decides nothing: the types of its border, and what was learned as it is stored.
+NO_DECISIONS = {"__init__.py", "actions.py", "events.py", "learned_state.py", "settings.py"}
 
 
 def test_each_policy_file_is_short_and_narrow():
@@ -14,3 +16,10 @@
         lines = (ROOT / name).read_text(encoding="utf-8").splitlines()
         assert len(lines) <= MAX_LINES, name
         assert max(map(len, lines)) <= MAX_COLUMNS, name
+
+
+def test_the_deploy_file_names_all_files_of_the_decisions():
+    deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text(encoding="utf-8"))
+    package = ROOT / "ochrehoist" / "admission"
+    decisions = {path for path in package.glob("*.py") if path.name not in NO_DECISIONS}
+    assert {ROOT / name for name in deploy["policy"]} == decisions
