--- a/ochrehoist/capture/taker.py
+++ b/ochrehoist/capture/taker.py
@@ -93,7 +93,7 @@
         if subject is not None and not self.sample.takes(subject.encode()):
             return
         module = self.owner.controller
-        counts = (module.cores, len(module.queue)) if module is not None else (0, 0)
+        counts = (module.concurrency.running, len(module.queue.jobs)) if module is not None else (0, 0)
         self.open[r.id] = r, self.owner.now_ns, *counts
 
     def request_answered(self, r: InboundRequest, figure: str | None, backoff: int) -> None:
--- a/ochrehoist/core/errors.py
+++ b/ochrehoist/core/errors.py
@@ -7,14 +7,6 @@
     """A state that was handed over or stored cannot be restored; the text says what is wrong with it."""
 
 
-class NotANumberError(InvalidStateError):
-    """A learned value is not a finite number."""
-
-    def __init__(self, value: object) -> None:
-        super().__init__(f"not a number: {value!r}")
-        self.value = value
-
-
 class UnknownLineError(InvalidStateError):
     """A line of a snapshot is of an unknown kind."""
 
@@ -39,7 +31,7 @@
         self.version = version
 
 
-class InvalidLearnedStateError(InvalidStateError):
+class LearnedStateTypeError(InvalidStateError):
     """The learned state of a snapshot is not an object."""
 
     def __init__(self, found: object) -> None:
--- a/ochrehoist/core/handover_snapshot.py
+++ b/ochrehoist/core/handover_snapshot.py
@@ -8,8 +8,8 @@
 from ochrehoist.admission.settings import RequestClass
 from ochrehoist.core.errors import (
     DamagedLineError,
-    InvalidLearnedStateError,
     InvalidStateError,
+    LearnedStateTypeError,
     UnknownLineError,
     UnsupportedVersionError,
 )
@@ -169,5 +169,5 @@
     def _read_end(self, _line: Line) -> None:
         learned_state = self.snapshot.learned_state
         if learned_state is not None and not isinstance(learned_state, dict):
-            raise InvalidLearnedStateError(learned_state)
+            raise LearnedStateTypeError(learned_state)
         self.done = True
--- a/ochrehoist/core/idempotent_runs.py
+++ b/ochrehoist/core/idempotent_runs.py
@@ -2,6 +2,7 @@
 
 from typing import Any, Protocol
 
+from ochrehoist.admission import learned_state
 from ochrehoist.admission.controller import AdmissionController
 from ochrehoist.admission.events import (
     NEVER_RAN,
@@ -11,7 +12,6 @@
     RequestReceived,
     RunAdopted,
 )
-from ochrehoist.core import handover
 from ochrehoist.core.idempotency_table import IdempotencyTable, IdempotentRun
 from ochrehoist.core.messages import DuplicateResolved, IntentRecorded, Message, StateRestored
 from ochrehoist.core.protocols import IdempotencyJournal
@@ -172,10 +172,10 @@
         controller = self._core.controller
         if self._learned_state is None or controller is None:
             return
-        learned_state = self._learned_state
+        learned = self._learned_state
         self._learned_state = None
         try:
-            handover.teach(controller, learned_state, self._core.now_ns, self._core.tenants.positions)
+            learned_state.restore(controller, learned, self._core.now_ns, self._core.tenants.positions)
         except Exception:  # it learns anew
             self._core.log.exception("learned_state_not_restored", source="store")
 
@@ -195,6 +195,6 @@
         if core.controller is None:
             return
         class_index = core.class_indices[key[1]]
-        window_ns = core.controller.s.classes[class_index].idempotency_window_ns
+        window_ns = core.controller.settings.classes[class_index].idempotency_window_ns
         age_ns = max(0, core.now_ns - (run.window_end_ns - window_ns))
         core.dispatch(RunAdopted(RequestReceived(run.id, class_index, unread_ns=age_ns), True, True))
--- a/ochrehoist/core/snapshot.py
+++ b/ochrehoist/core/snapshot.py
@@ -1,14 +1,13 @@
 """A core's state as another core can adopt it: in the process that follows, or after new settings."""
 
 from dataclasses import dataclass, field, replace
-from typing import Any
 
+from ochrehoist.admission import learned_state
 from ochrehoist.admission.settings import AdmissionSettings, RequestClass
 from ochrehoist.core.idempotency_table import IdempotencyTable
 from ochrehoist.core.request import InboundRequest
 
-# What a controller learned, as JSON values.
-LearnedState = dict[str, Any]
+LearnedState = learned_state.Snapshot
 
 
 def _no_keys() -> IdempotencyTable:
--- a/ochrehoist/core/state_transfer.py
+++ b/ochrehoist/core/state_transfer.py
@@ -1,7 +1,7 @@
 """How a core's state leaves for another controller or process, and how a fresh controller adopts it."""
 
+from ochrehoist.admission import learned_state
 from ochrehoist.admission.events import RunAdopted
-from ochrehoist.core import handover
 from ochrehoist.core.context import CoreContext
 from ochrehoist.core.request import InboundRequest
 from ochrehoist.core.snapshot import CoreSnapshot, LearnedState
@@ -15,11 +15,11 @@
     used = {r.request_class.name for r in core.open_requests.values()}
     used |= {key[1] for known in (core.idempotency.runs, core.idempotency.records) for key in known}
     return CoreSnapshot(
-        learned_state=handover.learned(core.controller),
+        learned_state=learned_state.snapshot(core.controller),
         standby=core.standby,
         requests=list(core.open_requests.values()),
         idempotency=core.idempotency,
-        classes={c.name: c for c in core.controller.s.classes if c.name in used},
+        classes={c.name: c for c in core.controller.settings.classes if c.name in used},
     )
 
 
@@ -63,10 +63,10 @@
         core.dispatch(event)
 
 
-def _restore_learned_state(core: CoreContext, learned_state: LearnedState | None) -> None:
-    if learned_state is None or core.controller is None:
+def _restore_learned_state(core: CoreContext, learned: LearnedState | None) -> None:
+    if learned is None or core.controller is None:
         return
     try:
-        handover.teach(core.controller, learned_state, core.now_ns, core.tenants.positions)
+        learned_state.restore(core.controller, learned, core.now_ns, core.tenants.positions)
     except Exception:  # it learns anew
         core.log.exception("learned_state_not_restored", source="handover")
