--- a/ochrehoist/admission/arrivals.py
+++ b/ochrehoist/admission/arrivals.py
@@ -8,7 +8,8 @@
 
 RATE_MEMORY_S = 5.0
 DECAY_PER_TICK = exp(-TICK_INTERVAL_NS / NS_PER_S / RATE_MEMORY_S)
-RETRY_MEMORY_S, RETRY_FIRST_WEIGHT = 2.0, 10.0
+RETRY_MEMORY_S = 2.0
+RETRY_FIRST_WEIGHT = 10.0  # samples that the first value counts as
 UNREAD_MEMORY_S = 0.7
 
 
--- a/ochrehoist/admission/controller.py
+++ b/ochrehoist/admission/controller.py
@@ -80,7 +80,8 @@
 
     def __init__(self, settings: AdmissionSettings, seed: int) -> None:
         """`seed`: of the random numbers that decide between alternatives."""
-        classes, cores = settings.classes, settings.cores
+        cores = settings.cores
+        classes = settings.classes
         mean_objective_ns = sum(of.latency_objective_ns for of in classes) / len(classes)
         rng = random.Random(seed)
         self.settings = settings
--- a/ochrehoist/admission/learned_state.py
+++ b/ochrehoist/admission/learned_state.py
@@ -11,7 +11,7 @@
 from ochrehoist.admission.caller_activity import TimeoutEstimate
 from ochrehoist.admission.controller import AdmissionController
 from ochrehoist.admission.decaying_mean import DecayingMean
-from ochrehoist.admission.tenant_activity import MIN_COUNT, TICK_DECAY
+from ochrehoist.admission.tenant_activity import MIN_COUNT, TICK_DECAY, RequestCounts
 from ochrehoist.errors import OchrehoistError
 
 LAYOUT = 1  # of the values of a snapshot
@@ -19,7 +19,6 @@
 CLASS_MEAN_KEYS = "took", "stated", "tells"  # means that are kept for each class
 
 Snapshot = dict[str, Any]
-Counts = tuple[float, float]  # asked and served
 
 
 class InvalidLearnedStateError(OchrehoistError):
@@ -50,7 +49,8 @@
 
 def snapshot(controller: AdmissionController) -> Snapshot:
     """All that was learned; of tenants only those active lately, as all others have decayed alike."""
-    callers, now_ns = controller.callers, controller.now_ns
+    callers = controller.callers
+    now_ns = controller.now_ns
     return {
         **_class_mean_values(controller),
         **_activity_values(controller),
@@ -76,7 +76,8 @@
 
 
 def _activity_values(controller: AdmissionController) -> Snapshot:
-    activity, settings = controller.activity, controller.settings
+    activity = controller.activity
+    settings = controller.settings
     active = {
         settings.tenants[at].name: counts.decayed(activity.tick - counts.tick)
         for at, counts in activity.by_tenant.items()
@@ -172,7 +173,7 @@
         if "beats" in data:
             self._tick = int(data["beats"])
             self._tenants = {
-                positions[name]: (_number(asked), _number(served))
+                positions[name]: RequestCounts(_number(asked), _number(served))
                 for name, asked, served in data["tenants"]
                 if name in positions
             }
@@ -181,8 +182,8 @@
 
     def _read_all_tenants(self, controller: AdmissionController, positions: Mapping[str, int]) -> None:
         """From an older release, which stored the counts of all tenants: most were idle, and alike."""
-        counts: dict[int, Counts] = {
-            positions[name]: (asked, self._served[name])
+        counts: dict[int, RequestCounts] = {
+            positions[name]: RequestCounts(asked, self._served[name])
             for name, asked in self._asked.items()
             if name in positions
         }
@@ -198,7 +199,7 @@
     def apply(self, controller: AdmissionController) -> None:
         """Sets the counts, and what follows from them."""
         classes = [
-            (self._asked.get(of.name, counts.asked), self._served.get(of.name, counts.served))
+            RequestCounts(self._asked.get(of.name, counts.asked), self._served.get(of.name, counts.served))
             for of, counts in zip(controller.settings.classes, controller.activity.by_class, strict=True)
         ]
         controller.activity.restore(max(1, self._tick), classes, self._tenants, self._starts_per_s)
--- a/ochrehoist/admission/load_shedding.py
+++ b/ochrehoist/admission/load_shedding.py
@@ -16,7 +16,8 @@
 
 SAFETY_FACTOR = 1.4  # mean run times left before the objective of what is started: three in four end in time
 RETRY_AFTER_SHARE = 0.25  # of its objective that a rejected request waits at most: later retries end too late
-REJECTION_MEMORY_S, REJECTION_FIRST_WEIGHT = 2.0, 10.0
+REJECTION_MEMORY_S = 2.0
+REJECTION_FIRST_WEIGHT = 10.0  # samples that the first value counts as
 
 
 class CompletionForecast:
--- a/ochrehoist/admission/memory_budget.py
+++ b/ochrehoist/admission/memory_budget.py
@@ -38,7 +38,8 @@
 
     def can_queue(self, job: Job) -> bool:
         """Whether a request can be kept, with its key and with memory for runs on all idle cores."""
-        settings, concurrency = self._settings, self._concurrency
+        settings = self._settings
+        concurrency = self._concurrency
         keys = len(self._index.retained) + (job.request_class.idempotency is Idempotency.KEYED)
         open_runs = concurrency.running + concurrency.calling + len(concurrency.awaiting_call)
         idle_cores = max(0, settings.cores - open_runs)
--- a/ochrehoist/admission/mpl_policy.py
+++ b/ochrehoist/admission/mpl_policy.py
@@ -13,7 +13,10 @@
 from ochrehoist.admission.service_rate import ServiceRateCurve
 from ochrehoist.admission.timing import NS_PER_S
 
-START_NONE, START_ONE, START_TWO = -1, 0, 1  # entries of the table: starts beyond what keeps K
+# Entries of the table: starts beyond the one that keeps K.
+START_NONE = -1
+START_ONE = 0
+START_TWO = 1
 REBUILD_INTERVAL_NS = 5 * NS_PER_S
 ZERO_SIZE_SHARE = 0.25  # the paper's default
 MAX_TABLE_QUEUE = 32  # rows of the table; longer queues read the last one, where K is pinned
@@ -30,11 +33,13 @@
     `rates[n]` is the service rate with n running, for n up to `max_running` + 1.
     """
     share = zero_size_share
-    no_queue = _costs_without_queue(rates, max_running)
-    costs, table = [no_queue], [[START_NONE] * (max_running + 1)]
+    costs = [_costs_without_queue(rates, max_running)]
+    table = [[START_NONE] * (max_running + 1)]
     for queued in range(1, max_queued + 1):
-        after_one, after_two = costs[-1], costs[queued - 2]
-        row_costs, row = [0.0] * (max_running + 1), [START_ONE] * (max_running + 1)
+        after_one = costs[-1]
+        after_two = costs[queued - 2]  # read from two queued on
+        row_costs = [0.0] * (max_running + 1)
+        row = [START_ONE] * (max_running + 1)
         for running in range(1, max_running + 1):
             jobs = queued + running - 1
             choices = [(jobs / rates[running] * (1 - share) + after_one[running], START_ONE)]
--- a/ochrehoist/admission/priority.py
+++ b/ochrehoist/admission/priority.py
@@ -23,7 +23,8 @@
 
     def refresh(self) -> None:
         """Computes what one more answer of each class adds to the objective, as of this tick."""
-        classes, by_class = self._settings.classes, self._activity.by_class
+        classes = self._settings.classes
+        by_class = self._activity.by_class
         objective = self._settings.objective
         shortfall = sum(counts.shortfall for counts in by_class)
         offered = sum(
@@ -38,8 +39,11 @@
 
     def value(self, job: Job) -> float:
         """What the objective gains by each unit of the request's expected work."""
-        request, settings, activity = job.request, self._settings, self._activity
-        gain, quota_factor = self._class_gains[request.class_index], 1.0
+        request = job.request
+        settings = self._settings
+        activity = self._activity
+        gain = self._class_gains[request.class_index]
+        quota_factor = 1.0
         tenant = request.tenant_index
         if tenant is not None:
             counts = activity.of_tenant(tenant)
--- a/ochrehoist/admission/request_queue.py
+++ b/ochrehoist/admission/request_queue.py
@@ -52,16 +52,17 @@
         stated_work = self._weighs_work or request.work_ns
         return request.class_index, request.tenant_index, job.expensive, stated_work
 
-    def evaluate_whole(self, now_ns: int) -> bool:
+    def evaluates_all(self, now_ns: int) -> bool:
         """Whether each queued request is to be looked at now; notes that it is.
 
         A long queue is evaluated as a whole only now and then, which bounds the cost of an event; its other
         requests are rejected that much later.
         """
-        whole = len(self.jobs) <= SHORT_QUEUE or now_ns - self._evaluated_at_ns >= EVALUATION_INTERVAL_NS
-        if whole:
+        age_ns = now_ns - self._evaluated_at_ns
+        due = len(self.jobs) <= SHORT_QUEUE or age_ns >= EVALUATION_INTERVAL_NS
+        if due:
             self._evaluated_at_ns = now_ns
-        return whole
+        return due
 
     def by_priority(self) -> list[list[Job]]:
         """The groups, highest priority first."""
@@ -71,7 +72,8 @@
         return groups
 
     def _group_order(self) -> Callable[[list[Job]], tuple[int, float]]:
-        bulkhead, value = self._concurrency.bulkhead, self._priority.value
+        bulkhead = self._concurrency.bulkhead
+        value = self._priority.value
 
         def order(group: list[Job]) -> tuple[int, float]:
             return bulkhead(group[0]), -value(group[0])
--- a/ochrehoist/admission/run_time.py
+++ b/ochrehoist/admission/run_time.py
@@ -5,7 +5,8 @@
 from ochrehoist.admission.settings import AdmissionSettings
 from ochrehoist.admission.timing import MEMORY_S
 
-MIN_SIZE, MAX_SIZE = 0.05, 30.0  # of the usual cost of a class: what a request may be expected to cost
+MIN_SIZE = 0.05  # of the usual cost of its class: the least that a request is expected to cost
+MAX_SIZE = 30.0
 RUN_TIME_MEMORY_S = 10.0
 FIRST_OBJECTIVE_SHARE = 4  # a run is expected to take 1/4 of the mean objective until one was seen
 FIRST_WEIGHT = 3.0
--- a/ochrehoist/admission/service_rate.py
+++ b/ochrehoist/admission/service_rate.py
@@ -50,9 +50,9 @@
 
     def rate_per_s(self, running: int) -> float:
         """The expected completions per second with so many running; always above 0."""
-        n = min(running, self.max_concurrency + 1)
-        expected = PRIOR_S * self.peak_rate_per_s * self.seed_share(n)
-        return max(MIN_RATE_PER_S, (self.completions[n] + expected) / (self.observed_s[n] + PRIOR_S))
+        at = min(running, self.max_concurrency + 1)
+        expected = PRIOR_S * self.peak_rate_per_s * self.seed_share(at)
+        return max(MIN_RATE_PER_S, (self.completions[at] + expected) / (self.observed_s[at] + PRIOR_S))
 
     def restore(self, peak_rate_per_s: float, observed_s: list[float], completions: list[float]) -> None:
         """Continues from a curve of the same cores and maximum that was learned elsewhere."""
--- a/ochrehoist/admission/start_selection.py
+++ b/ochrehoist/admission/start_selection.py
@@ -55,7 +55,8 @@
 
     def free_starts(self, now_ns: int) -> int:
         """How many requests may start now."""
-        concurrency, policy = self._concurrency, self._policy
+        concurrency = self._concurrency
+        policy = self._policy
         running = concurrency.running
         ceiling = concurrency.ceiling(now_ns)
         unread = self._arrivals.unread_requests()  # they wait too, and take cores while they are read
@@ -79,15 +80,15 @@
         what starts now is evaluated, but for a few times each second.
         """
         queue = self._queue
-        whole = queue.evaluate_whole(now_ns)
-        limit = len(queue.jobs) if whole else starts
+        evaluates_all = queue.evaluates_all(now_ns)
+        limit = len(queue.jobs) if evaluates_all else starts
         forecast = self._forecast(now_ns, starts)
         startable: list[Job] = []
         position = 0
         for group in queue.by_priority():
             run_ns = forecast.safe_run_ns(group[0].request.class_index)
             position += len(group)
-            just_came = not whole and group[-1] is queue.newest
+            just_came = not evaluates_all and group[-1] is queue.newest
             if just_came and self._is_hopeless(group[-1], position, forecast, run_ns):
                 reject(group.pop())
             for job in group:
--- a/ochrehoist/admission/tenant_activity.py
+++ b/ochrehoist/admission/tenant_activity.py
@@ -6,6 +6,7 @@
 """
 
 from math import exp, inf
+from typing import NamedTuple
 
 from ochrehoist.admission.settings import AdmissionSettings, Tenant
 from ochrehoist.admission.timing import MEMORY_S, NS_PER_S, TICK_INTERVAL_NS
@@ -17,6 +18,13 @@
 MIN_STARTS_PER_S = 1e-9
 
 
+class RequestCounts(NamedTuple):
+    """What was asked and what was served of it, each decaying."""
+
+    asked: float
+    served: float
+
+
 class ActivityCounts:
     """Decaying counts of one class or tenant, and what followed from them at the last tick."""
 
@@ -48,7 +56,8 @@
         last = tick - 1
         if last < self.tick:
             return
-        asked, served = self.asked, self.served
+        asked = self.asked
+        served = self.served
         if last > self.tick:
             asked, served, _ = self.decayed(last - self.tick)
         demand = max_demand if max_demand > MIN_COUNT else MIN_COUNT
@@ -166,11 +175,11 @@
     def restore(
         self,
         tick: int,
-        classes: list[tuple[float, float]],
-        tenants: dict[int, tuple[float, float]],
+        classes: list[RequestCounts],
+        tenants: dict[int, RequestCounts],
         starts_per_s: dict[int, float],
     ) -> None:
-        """Continues from counts that were learned elsewhere: asked and served, by position.
+        """Continues from counts that were learned elsewhere, by position.
 
         They are taken as of the tick before, so that all of them decide at once.
         """
@@ -180,7 +189,7 @@
             counts.restore(asked, served, counts.starts_per_s, tick - 1)
         for tenant in tenants.keys() | starts_per_s.keys():
             counts = self.of_tenant(tenant)
-            asked, served = tenants.get(tenant, (counts.asked, counts.served))
+            asked, served = tenants.get(tenant, RequestCounts(counts.asked, counts.served))
             counts.restore(asked, served, starts_per_s.get(tenant, counts.starts_per_s), tick - 1)
         self._underserved = set(tenants)
         self.refresh()
