--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -46,7 +46,7 @@
 # ---- no request lost
 
 
-def test_held_and_running_are_answered_by_the_due_time_while_runs_hang():
+def test_queued_and_running_are_answered_by_their_deadline_while_runs_hang():
     d = Driver()
     ids = [d.request(class_index=k % 3)[0] for k in range(12)]
     d.run_for(3 * S + 100 * MS)
@@ -56,7 +56,7 @@
         assert answers[0] <= 1000 * S + 3 * S + 100 * MS
 
 
-def test_without_a_passed_deadline_it_falls_due_by_its_class_from_its_arrival():
+def test_without_a_propagated_deadline_that_of_its_class_counts_from_its_arrival():
     d = Driver(propagates_deadline=False)
     job_id, actions = d.request(remaining_ns=None, unread_ns=1 * S)
     assert StartRun(job_id) in actions
@@ -64,7 +64,7 @@
     assert d.at(FailRequest, job_id)[0] <= 1000 * S + 4 * S + 100 * MS
 
 
-def test_work_still_running_is_stopped_where_the_site_allows_it():
+def test_overdue_runs_are_cancelled_where_the_site_allows_it():
     d = Driver(preemption=Preemption.DROP)
     job_id, _ = d.request()
     d.run_for(3 * S)
@@ -83,7 +83,7 @@
     assert not d.ids(FailRequest) and not d.ids(RejectRequest)
 
 
-def test_caller_gone_frees_the_hold_and_nothing_is_owed():
+def test_an_abandoned_request_leaves_the_queue_and_is_not_answered():
     d = Driver()
     ids = [d.request()[0] for _ in range(12)]
     held = [x for x in ids if x not in d.ids(StartRun) + d.ids(RejectRequest)]
@@ -96,7 +96,7 @@
 # ---- no effect twice
 
 
-def test_a_keyed_request_is_kept_no_later_than_its_start_for_what_is_left_of_its_window():
+def test_a_key_is_retained_no_later_than_the_start_for_the_rest_of_its_window():
     d = Driver()
     job_id, actions = d.request(class_index=WRITE, unread_ns=400 * MS)
     keep = next(a for a in actions if isinstance(a, RetainKey))
@@ -104,7 +104,7 @@
     assert 9600 * MS <= keep.ttl_ns <= 9700 * MS
 
 
-def test_a_repeat_joins_the_first_held_running_done_or_failed():
+def test_a_duplicate_is_attached_to_the_original_queued_running_done_or_failed():
     for ending in (None, Outcome.OK, Outcome.FAILED):
         d = Driver()
         first, _ = d.request(class_index=WRITE)
@@ -123,7 +123,7 @@
     return d, next(x for x in d.controller.queue.jobs)
 
 
-def test_a_repeat_of_a_held_request_waits_and_joins_it_when_it_starts():
+def test_a_duplicate_of_a_queued_request_waits_and_is_attached_when_it_starts():
     d, held = held_write()
     again, actions = d.request(class_index=WRITE, duplicate_of=held, is_retry=True)
     assert not actions
@@ -132,7 +132,7 @@
     assert held in d.ids(StartRun) and again in d.ids(AttachDuplicate) and again not in d.ids(StartRun)
 
 
-def test_a_repeat_of_a_held_request_outlives_it_when_the_first_caller_left():
+def test_a_duplicate_of_a_queued_request_outlives_it_when_the_first_caller_left():
     # Joined to what was still held, it failed with it, though its own caller went on waiting.
     d, held = held_write()
     again, _ = d.request(class_index=WRITE, duplicate_of=held, is_retry=True)
@@ -147,7 +147,7 @@
     assert not d.controller.queue.jobs
 
 
-def test_repeats_that_wait_for_a_held_one_are_answered_at_once_when_it_is_given_up():
+def test_duplicates_of_a_queued_request_are_answered_at_once_when_it_is_dropped():
     d, held = held_write()
     again, _ = d.request(class_index=WRITE, duplicate_of=held, is_retry=True)
     d.run_for(2 * S)
@@ -155,7 +155,7 @@
     assert len(told) == 2 and told[1] - told[0] <= 25 * MS
 
 
-def test_a_repeat_near_the_end_of_the_window_and_read_after_it_is_not_run():
+def test_a_duplicate_near_the_end_of_the_window_and_read_after_it_is_not_run():
     d = Driver()
     first, _ = d.request(class_index=WRITE)
     d.done(first)
@@ -164,14 +164,14 @@
     assert again in d.ids(AttachDuplicate) and again not in d.ids(StartRun)
 
 
-def test_two_tries_in_one_batch_that_name_each_other_run_once():
+def test_two_attempts_in_one_batch_that_name_each_other_run_once():
     d = Driver()
     d.request(class_index=WRITE, id="a", duplicate_of="b")
     d.request(class_index=WRITE, id="b", duplicate_of="a", is_retry=True)
     assert d.ids(StartRun) == ["a"] and d.ids(AttachDuplicate) == ["b"]
 
 
-def test_a_repeat_of_one_turned_away_unrun_may_run():
+def test_a_duplicate_of_a_rejected_request_may_run():
     d = Driver()
     first, actions = d.request(class_index=WRITE, unread_ns=1990 * MS, remaining_ns=5 * MS)
     if first in d.ids(StartRun):
@@ -180,13 +180,13 @@
     assert again in d.ids(StartRun)
 
 
-def test_with_no_room_to_keep_it_a_keyed_request_is_not_run():
+def test_without_memory_for_its_key_a_keyed_request_is_not_run():
     d = Driver(memory_kb=1000.0, key_kb=990.0)
     job_id, actions = d.request(class_index=WRITE)
     assert job_id in d.ids(RejectRequest) and not d.ids(StartRun) and not d.ids(RetainKey)
 
 
-def test_a_call_is_repeated_only_after_proof_that_it_never_ran():
+def test_a_call_is_retried_only_after_proof_that_it_never_ran():
     for outcome in Outcome:
         if outcome is Outcome.OK:
             continue
@@ -203,7 +203,7 @@
 # ---- drains are safe
 
 
-def test_nothing_that_arrives_after_the_grace_is_run_and_all_is_answered_before_the_stop():
+def test_nothing_that_arrives_after_the_drain_grace_is_run_and_all_is_answered_before_the_end():
     d = Driver()
     early = [d.request()[0] for _ in range(8)]
     d.send(DrainStarted(4 * S))
@@ -217,7 +217,7 @@
     assert SetHealth(False, True) in d.said(SetHealth)
 
 
-def test_what_may_wait_longer_than_the_process_lives_is_answered_before_the_stop():
+def test_what_may_wait_longer_than_the_process_lives_is_answered_before_its_end():
     d = Driver()
     job_id, _ = d.request(remaining_ns=30 * S)
     d.send(DrainStarted(3 * S))
@@ -225,7 +225,7 @@
     assert d.ids(FailRequest) == [job_id]
 
 
-def test_an_idle_server_runs_what_arrived_within_the_grace_and_nothing_later():
+def test_an_idle_instance_runs_what_arrived_within_the_drain_grace_and_nothing_later():
     d = Driver()
     d.send(DrainStarted(5 * S))
     d.run_for(2100 * MS)
@@ -239,7 +239,7 @@
 
 
 @pytest.mark.parametrize("cold", [False, True])
-def test_running_stays_under_the_crowd_a_server_survives(cold):
+def test_running_stays_under_the_survivable_concurrency(cold):
     d = Driver(cold_start=cold, memory_kb=1e9)
     for _ in range(200):
         d.request(remaining_ns=60 * S)
@@ -351,7 +351,7 @@
     assert len(below.spans) > 3 and below.worst() <= fair
 
 
-def test_full_below_is_left_out_where_the_class_earns_without_it_and_waits_where_it_does_not():
+def test_a_full_dependency_is_skipped_where_there_is_a_fallback_and_waited_for_where_there_is_none():
     d = shared(downstream_share=0.3, classes=CLASSES[:1] + (CLASSES[3],) * 3)
     rich, read = d.request(class_index=RICH)[0], d.request(class_index=READ)[0]
     for _ in range(6):
@@ -365,7 +365,7 @@
     assert read in d.ids(StartDownstreamCall) and rich not in d.ids(StartDownstreamCall)
 
 
-def test_calls_without_proof_are_not_repeated_but_left_out_or_failed():
+def test_calls_that_may_have_run_are_not_retried_but_skipped_or_failed():
     d = shared()
     job_id, _ = d.request(class_index=RICH)
     d.send(DownstreamCallNeeded(job_id))
@@ -389,7 +389,7 @@
     assert play() == play()
 
 
-def test_a_stall_turns_arrivals_away_reports_bad_health_and_ends_with_the_first_finish():
+def test_a_stall_rejects_arrivals_reports_bad_health_and_ends_with_the_first_completion():
     d = Driver()
     ids = [d.request(remaining_ns=20 * S)[0] for _ in range(4)]
     d.run_for(3 * S)
@@ -414,7 +414,7 @@
 
 
 @pytest.mark.parametrize("advice", list(BackpressureSignal))
-def test_each_kind_of_advice_tells_callers_to_send_less_in_overload(advice):
+def test_each_backpressure_signal_makes_callers_send_less_in_overload(advice):
     d = Driver(backpressure=advice)
     d.run_for(S)
     calm = d.said(SendBackpressure)[-1].value if d.said(SendBackpressure) else None
@@ -428,7 +428,7 @@
     assert busy > (calm or 0) if advice is BackpressureSignal.THRESHOLD else busy < calm
 
 
-def test_what_cannot_end_in_time_behind_the_hold_is_told_at_once():
+def test_what_cannot_meet_its_objective_behind_the_queue_is_rejected_at_once():
     # Held until it was hopeless, a client had no time left to go elsewhere (bc-coast-later overload).
     d = Driver(classes=(CLASSES[0],) * 4)
     ids = [d.request()[0] for _ in range(60)]
@@ -449,7 +449,7 @@
         assert d.controller.concurrency.running == running
 
 
-def test_a_request_turned_away_is_told_to_wait_a_part_of_its_aim_at_most():
+def test_retry_after_of_a_rejected_request_is_a_part_of_its_objective_at_most():
     # A back-off of a second leaves a client with an aim of a second nothing (bc-coast-later overload).
     d = Driver(classes=(CLASSES[0],) * 4, max_retry_after_ns=10 * S)
     for _ in range(60):
@@ -459,7 +459,7 @@
 
 
 @pytest.mark.parametrize("marked", [False, True])
-def test_in_a_retry_storm_what_is_turned_away_is_not_sent_around(marked):
+def test_in_a_retry_storm_what_is_rejected_is_not_sent_around(marked):
     # Unmarked retries of a full fleet came back as 4.7 attempts a request (incident i7f0c19).
     d = Driver(marks_retries=marked, classes=(CLASSES[0],) * 4)
     for n in range(200):
@@ -470,7 +470,7 @@
     assert sum(said[-50:]) > 35
 
 
-def test_callers_are_forgotten_and_a_beat_costs_the_same_with_many():
+def test_callers_are_forgotten_and_a_tick_costs_the_same_with_many():
     d = Driver(backpressure=BackpressureSignal.WINDOW)
     for n in range(3000):
         d.request(caller=n, remaining_ns=20 * MS)
@@ -478,7 +478,7 @@
     assert len(d.controller.callers.last_seen_ns) < 500 and not d.controller.jobs
 
 
-def test_turning_away_alone_never_reports_bad_health():
+def test_rejections_alone_never_report_bad_health():
     # Swamped servers that left the list took the whole fleet with them in overload (incident i50d041).
     d = Driver(marks_retries=False)
     d.request(remaining_ns=60 * S)  # one runs, so that what cannot meet its aim is not tried
@@ -489,7 +489,7 @@
     assert len(d.ids(RejectRequest)) == 180 and d.said(SetHealth) == [SetHealth(True, True)]
 
 
-def test_a_repeat_with_no_memory_to_wait_in_gets_an_error_and_is_not_run_or_refused():
+def test_a_duplicate_with_no_memory_to_wait_in_fails_and_is_not_run_or_rejected():
     d = Driver(memory_kb=1100.0)
     first, _ = d.request(class_index=WRITE, memory_kb=60.0)
     assert d.ids(StartRun) == [first]
@@ -499,7 +499,7 @@
     )
 
 
-def test_starts_leave_room_for_the_calls_that_may_all_come_back_at_once():
+def test_starts_leave_capacity_for_the_calls_that_may_all_come_back_at_once():
     d = Driver(
         downstream=DownstreamScope.TIER, memory_kb=1e9, collapse_multiple=3.0, classes=(CLASSES[0],) * 4
     )
@@ -533,7 +533,7 @@
     )
 
 
-def test_a_tenant_past_its_share_yields_to_one_within_it():
+def test_a_tenant_over_its_quota_yields_to_one_within_it():
     # All traffic of a tenant that sends three times its share was weighed like that within a share, and as it
     # was turned away most, it looked worst served (dar-recordings big-2).
     d = tenants_driver(marks_retries=False)
@@ -547,7 +547,7 @@
     assert len(started & small) / len(small) > 0.8 > 0.5 > len(started & large) / len(large) > 0.1
 
 
-def test_within_its_share_a_tenant_is_weighed_alike_however_often_it_is_asked_again():
+def test_within_its_quota_a_tenant_is_weighed_alike_however_often_it_is_retried():
     d = tenants_driver()
     c = d.controller
     for _ in range(10):
@@ -562,13 +562,13 @@
 @pytest.mark.parametrize(
     "advice", [BackpressureSignal.THRESHOLD, BackpressureSignal.WEIGHT, BackpressureSignal.WINDOW]
 )
-def test_the_same_advice_is_not_repeated(advice):
+def test_the_same_backpressure_is_not_sent_again(advice):
     d = Driver(backpressure=advice)
     d.run_for(5 * S, every=100 * MS)
     assert len(d.said(SendBackpressure)) == 1
 
 
-def test_one_that_cannot_be_called_for_again_is_answered_in_the_same_reply():
+def test_one_whose_call_cannot_be_retried_is_answered_at_the_same_event():
     for ending in (Outcome.TIMED_OUT, Outcome.CONNECTION_RESET, Outcome.FAILED):
         d = shared()
         job_id, _ = d.request(class_index=WRITE)
@@ -576,7 +576,7 @@
         assert FailRequest(job_id) in d.send(DownstreamCallEnded(job_id, ending, 10 * MS))
 
 
-def test_after_slow_calls_one_is_let_out_again_when_the_period_is_over():
+def test_after_slow_calls_one_is_started_again_when_the_window_is_over():
     d = shared(downstream_share=0.5, classes=(CLASSES[0],) * 4)
     for _ in range(3):
         job_id, _ = d.request(class_index=READ)
@@ -591,7 +591,7 @@
     assert len(d.ids(StartDownstreamCall)) > calls
 
 
-def test_what_is_worth_little_anywhere_is_not_sent_around():
+def test_what_has_little_weight_anywhere_is_not_sent_around():
     d = tenants_driver(marks_retries=True, fleet_size=40)
     for n in range(60):
         d.request(tenant_index=0)
@@ -675,7 +675,7 @@
     assert StartRun("a") in c.handle(0, RequestReceived("a", 0))
 
 
-def test_what_falls_due_before_the_next_beat_is_answered_when_it_is_read():
+def test_what_is_due_before_the_next_tick_is_answered_when_it_is_read():
     d = Driver()
     first, _ = d.request(class_index=WRITE)
     d.request(remaining_ns=60 * S)  # the server is not empty
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -5,7 +5,7 @@
 from ochrehoist.admission.actions import StartRun
 
 
-def test_times_learned_in_a_crowd_do_not_shut_out_work_once_cores_are_idle():
+def test_times_learned_under_contention_do_not_keep_out_work_once_cores_are_idle():
     d = Driver()
     for _ in range(12):  # beside twice as many as the cores run, each takes twice as long as it would alone
         job_id, said = d.request()
--- a/tests/test_patience.py
+++ b/tests/test_patience.py
@@ -19,7 +19,7 @@
     return d
 
 
-def test_what_ends_after_its_caller_gives_up_is_turned_away_at_once_and_other_callers_wait():
+def test_what_ends_after_its_caller_gives_up_is_rejected_at_once_and_other_callers_wait():
     d = driver(400 * MS)
     hasty, _ = d.request()
     patient, _ = d.request(caller=2)
@@ -27,14 +27,14 @@
     assert patient not in d.ids(RejectRequest)
 
 
-def test_impatience_is_forgotten_when_nothing_is_taken_back_any_more():
+def test_a_timeout_is_forgotten_when_nothing_is_cancelled_any_more():
     d = driver(400 * MS)
     d.now += 11 * S
     again, _ = d.request()
     assert again not in d.ids(RejectRequest)
 
 
-def test_lost_connections_and_what_is_taken_back_at_once_say_nothing_of_patience():
+def test_lost_connections_and_early_cancellations_say_nothing_of_the_timeout():
     for d in (driver(400 * MS, gave_up=False), driver(20 * MS)):
         other, _ = d.request()
         assert other not in d.ids(RejectRequest)
@@ -49,7 +49,7 @@
     assert d.controller.policy.floor == d.settings.cores
 
 
-def test_times_to_run_are_learned_free_of_a_cold_start():
+def test_run_times_are_learned_free_of_a_cold_start():
     d = Driver(cold_start=True, warmup_speed=0.25)
     before = d.controller.run_times.mean_run_ns[0].value
     job_id, _ = d.request()
--- a/tests/test_rush.py
+++ b/tests/test_rush.py
@@ -60,7 +60,7 @@
             d.send(TimerFired(1, {"cpu_busy": 1.0, "runnable": 4.0}))
         self.assertTrue(d.controller.health.stalled)
 
-    def test_arrivals_behind_a_long_hold_do_not_rank_it_anew_each(self):
+    def test_arrivals_behind_a_long_queue_do_not_rank_it_anew_each(self):
         d = Driver(classes=CLASSES[:1], memory_kb=2_000_000.0, cores=40, collapse_multiple=2.0)
         asked = []
         selector = d.controller._selector
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -29,13 +29,13 @@
             d.request(remaining_ns=None, work_ns=100 * MS)
         return [d.request(remaining_ns=None, work_ns=w)[0] for w in works]
 
-    def test_a_large_one_that_would_end_too_late_is_told_so_and_a_small_one_waits(self):
+    def test_a_large_one_that_would_end_too_late_is_rejected_and_a_small_one_waits(self):
         d = self.taught()
         large, small = self.held(d, 1800 * MS, 20 * MS)
         self.assertIn(large, d.ids(RejectRequest))
         self.assertNotIn(small, d.ids(RejectRequest))
 
-    def test_where_statements_mean_nothing_all_of_a_class_are_alike(self):
+    def test_where_stated_work_means_nothing_all_of_a_class_are_alike(self):
         d = self.taught(tells=False)
         self.assertLess(d.controller.run_times.stated_work_gain_ns[0].value, 0)
         large, small = self.held(d, 1800 * MS, 20 * MS)
@@ -61,7 +61,7 @@
             d.done(rid, took=1500 * MS)
         self.assertLess(d.controller.run_times.mean_run_ns[0].value, 1.5 * before)
 
-    def test_it_is_handed_on_and_what_an_older_program_kept_is_taken_too(self):
+    def test_it_is_in_the_snapshot_and_one_of_an_older_program_is_restored_too(self):
         d = self.taught()
         learned = learned_state.snapshot(d.controller)
         now = Stamp(d.now, 0, "b")
--- a/tests/test_table.py
+++ b/tests/test_table.py
@@ -35,7 +35,7 @@
     return max(k for k in range(1, len(policy[q]) - 1) if policy[q][k] >= 0)
 
 
-def test_long_holds_pin_the_limit_at_the_peak_and_short_ones_climb_past():
+def test_long_queues_pin_the_limit_at_the_peak_and_short_ones_climb_past():
     policy = light_approx_table(peaked(5, 15), 60, 15, 0.25)
     assert highest(policy, 60) == 5
     assert highest(policy, 1) > 5
@@ -50,7 +50,7 @@
     assert highest(light_approx_table(flat(1.0, 4), 8, 4, 0.25), 8) <= 4
 
 
-def test_the_seed_curve_peaks_at_the_cores_and_falls_to_next_to_nothing_at_the_crowd():
+def test_the_seed_curve_peaks_at_the_cores_and_falls_to_next_to_nothing_at_the_maximum():
     curve = ServiceRateCurve(6, 36, 10.0)
     rates = [curve.rate_per_s(n) for n in range(1, 37)]
     assert rates.index(max(rates)) == 5 and rates == sorted(rates[:6]) + sorted(rates[6:], reverse=True)
--- a/tests/test_tenants_at_size.py
+++ b/tests/test_tenants_at_size.py
@@ -148,7 +148,7 @@
                 m.beats()
                 dense.beat()
 
-    def test_a_few_tenants_are_worth_what_they_are_when_all_are_gone_through(self):
+    def test_a_few_tenants_are_valued_as_when_all_are_gone_through(self):
         for seed in range(40):
             with self.subTest(seed=seed):
                 self.play(seed, 1 + seed % 6, 60, 6, 40.0, (1, 1, 1, 3, 30))
@@ -204,7 +204,7 @@
         costs = [self.cost(m, lambda m=m: call(m)) for m in map(self.quiet, SIZES)]
         self.assertEqual(costs, [costs[0]] * len(SIZES))
 
-    def test_a_beat_costs_the_same_however_many_are_quiet(self):
+    def test_a_tick_costs_the_same_however_many_are_quiet(self):
         self.same(lambda m: m.beats())
 
     def test_a_request_costs_the_same_however_many_there_are(self):
@@ -217,7 +217,7 @@
         }
         self.same(lambda m: m.send(TenantsReplaced(changed[len(m.settings.tenants)])))
 
-    def test_a_beat_grows_with_those_that_lack_answers_alone(self):
+    def test_a_tick_grows_with_the_underserved_alone(self):
         m = self.quiet(58_000)
         quiet, _ = self.cost(m, m.beats)
         for tenant in range(2000):
@@ -242,7 +242,7 @@
         m.beats(6000)
         self.assertEqual(len(m.c.activity.by_tenant), 0)
 
-    def test_what_was_learned_is_told_and_taken_up_by_those_active(self):
+    def test_a_snapshot_is_taken_and_restored_by_those_active(self):
         told, taught = [], []
         for size in SIZES:
             m, positions = self.quiet(size), {t.name: at for at, t in enumerate(tenants(size))}
@@ -326,7 +326,7 @@
         for a, b in zip(ours.probe(tenant), theirs.probe(tenant), strict=True):
             self.assertAlmostEqual(a, b, delta=rel * abs(b))
 
-    def test_a_fresh_module_values_all_as_the_one_that_taught_it(self):
+    def test_a_fresh_module_values_all_as_the_one_whose_snapshot_it_restored(self):
         m, fresh = self.active(), Module(tenants(50, 30.0))
         learned_state.restore(fresh.c, json.loads(json.dumps(learned_state.snapshot(m.c))), fresh.now)
         for tenant in (0, 1, 6, 7, 49):  # a beat lies between them
@@ -362,7 +362,7 @@
         lesson["ran"] |= {"tenant0": 9.0, "tenant1": 1.0}
         return lesson
 
-    def test_the_form_of_an_older_program_is_taken_up(self):
+    def test_the_form_of_an_older_program_is_restored(self):
         for beats in (0, 100, 2000):
             with self.subTest(beats=beats):
                 level = max(0.1, FADE**beats)
