--- a/benchmarks/decision_histories.py
+++ b/benchmarks/decision_histories.py
@@ -211,13 +211,17 @@
             if action == "SetTimer":
                 self.at(rest[0] + self.rng.choice((0, 0, 0, 3 * MS, 400 * MS)), "beat", rest[1])
             elif action == "StartRun":
-                self.at(self.rng.expovariate(1 / self.takes) * S, "end", rest[0])
+                slow = 100 if self.rng.random() < self.hangs else 1
+                self.at(slow * self.rng.expovariate(1 / self.takes) * S, "end", rest[0])
+            elif action == "AttachDuplicate":
+                self.at(self.rng.expovariate(1 / self.takes) * S, "resolved", rest[0])
             elif action == "StartDownstreamCall":
                 self.at(self.rng.expovariate(20) * S, "called", rest[0])
 
     def run(self) -> None:
         rng, s = self.rng, self.settings
         self.takes = rng.choice((0.02, 0.1, 0.4))
+        self.hangs = rng.choice((0.0, 0.0, 0.0, 0.05))  # share of the runs that take a hundred times as long
         rate = s.cores / self.takes * rng.choice((0.3, 0.8, 1.1, 2.0))
         self.mean = S / min(rate, 40.0 if self.seconds > 60 else 150.0)
         self.skew = rng.choice((0.5, 1.0, 3.0))
@@ -232,6 +236,8 @@
         if self.changes != "none":
             self.at(rng.expovariate(0.3) * S, "change")
         self.change_due = False
+        if rng.random() < 0.3:
+            self.at(rng.random() * self.seconds * S, "drain")
         end = self.now + self.seconds * S
         while self.due:
             at, _, what, rest = heappop(self.due)
@@ -311,6 +317,12 @@
         spent = int(self.rng.expovariate(20) * S)
         self.tell("DownstreamCallEnded", job, self.api.outcomes[outcome], spent)
 
+    def on_resolved(self, job: str) -> None:
+        self.tell("RequestCompleted", job, self.api.outcomes[self.rng.choice((OK, OK, OK, FAILED))], 0)
+
+    def on_drain(self) -> None:
+        self.tell("DrainStarted", self.rng.randrange(5000) * MS)
+
     def on_gone(self, job: str) -> None:
         self.tell("RequestAbandoned", job, self.rng.random() < 0.8)
 
