--- a/benchmarks/slopes/state.py
+++ b/benchmarks/slopes/state.py
@@ -15,9 +15,9 @@
 
 
 def figures_by_classes(size: int, seed: int) -> Measures:
-    from ochrehoist.core.figures import Figures
+    from ochrehoist.core.metrics import Metrics
 
-    figures = Figures(f"class-{n}" for n in range(size))
+    figures = Metrics(f"class-{n}" for n in range(size))
     return {"text_bytes": len(figures.text(0)), "text_us": cpu_us(lambda: figures.text(0))}
 
 
@@ -31,35 +31,35 @@
 
 def learned_by_tenants(size: int, seed: int) -> Measures:
     """As each handover, each new setting and, with [state], each 5 s have it."""
-    from ochrehoist.core import handover
+    from ochrehoist.admission import learned_state
 
     module = _taught(size, seed).module
-    known = handover.learned(module)
+    known = learned_state.snapshot(module)
     text = json.dumps(known, separators=(",", ":"))
     return {
         "line_bytes": len(text),
-        "learned_us": cpu_us(lambda: handover.learned(module)),
+        "learned_us": cpu_us(lambda: learned_state.snapshot(module)),
         "line_us": cpu_us(lambda: json.dumps(known, separators=(",", ":"))),
-        "taught_us": cpu_us(lambda: handover.teach(module, known, module.now)),
+        "taught_us": cpu_us(lambda: learned_state.restore(module, known, module.now_ns)),
         "read_us": cpu_us(lambda: json.loads(text)),
     }
 
 
 def learned_by_active(size: int, seed: int) -> Measures:
     """The same where of 58,000 tenants so many were heard in the last moments."""
-    from ochrehoist.core import handover
+    from ochrehoist.admission import learned_state
 
     driver = Driver(settings(58000), seed)
     for tenant in driver.rng.sample(range(58000), size):
         name = driver.request(tenant=tenant)
         driver.tell(RequestCompleted(name, Outcome.OK, 4 * MS))
     driver.beat()
-    known = handover.learned(driver.module)
+    known = learned_state.snapshot(driver.module)
     return {
         "line_bytes": len(json.dumps(known, separators=(",", ":"))),
-        "learned_us": cpu_us(lambda: handover.learned(driver.module)),
+        "learned_us": cpu_us(lambda: learned_state.snapshot(driver.module)),
         "line_us": cpu_us(lambda: json.dumps(known, separators=(",", ":"))),
-        "taught_us": cpu_us(lambda: handover.teach(driver.module, known, driver.module.now)),
+        "taught_us": cpu_us(lambda: learned_state.restore(driver.module, known, driver.module.now_ns)),
     }
 
 
@@ -84,48 +84,50 @@
 
 
 def learned_by_callers(size: int, seed: int) -> Measures:
-    from ochrehoist.core import handover
+    from ochrehoist.admission import learned_state
+    from ochrehoist.admission.caller_activity import TimeoutEstimate
 
     driver = Driver(settings(), seed)
     for caller in range(size):
-        driver.module.heard[caller] = driver.now
-        driver.module.left[caller] = [450 * MS] * 12
-        driver.module.patience[caller] = 450 * MS, driver.now + 10 * S
-    known = handover.learned(driver.module)
+        driver.module.callers.last_seen_ns[caller] = driver.now
+        driver.module.callers.cancellation_ages_ns[caller] = [450 * MS] * 12
+        driver.module.callers.timeouts[caller] = TimeoutEstimate(450 * MS, driver.now + 10 * S)
+    known = learned_state.snapshot(driver.module)
     return {
         "line_bytes": len(json.dumps(known, separators=(",", ":"))),
-        "learned_us": cpu_us(lambda: handover.learned(driver.module)),
+        "learned_us": cpu_us(lambda: learned_state.snapshot(driver.module)),
     }
 
 
 def _keys(size: int) -> Any:
     from ochrehoist.admission.events import Outcome
-    from ochrehoist.core.keys import KeyTable
+    from ochrehoist.core.idempotency_table import IdempotencyTable
     from ochrehoist.core.results import RunResult
 
-    table = KeyTable(2 * S, 1 << 40)
+    table = IdempotencyTable(2 * S, 1 << 40)
     for n in range(size):
         token = f"tenant-{n % 1000:06}", "class-1", f"key {n:032}"
-        table.keep(token, f"r{n}", 900 * S, (None, bytes(32)))
-        table.started(token, f"r{n}", 900 * S, (None, bytes(32)))
-        table.ended(token, f"r{n}", RunResult(Outcome.OK, b"done" * 75), 900)
+        table.retain(token, f"r{n}", 900 * S, (None, bytes(32)))
+        table.run_started(token, f"r{n}", 900 * S, (None, bytes(32)))
+        table.run_ended(token, f"r{n}", RunResult(Outcome.OK, b"done" * 75), 900)
     return table
 
 
 def keys(size: int, seed: int) -> Measures:
     """Filings within their window: the sweep is made each second, on the loop."""
     table, of_keys = grown(lambda: _keys(size))
-    out = {"bytes": of_keys, "sweep_us": cpu_us(lambda: table.sweep(10 * S))}
+    out = {"bytes": of_keys, "sweep_us": cpu_us(lambda: table.expire(10 * S))}
     assert len(table.runs) == size
     began = time.thread_time()
-    table.sweep(1000 * S)
+    table.expire(1000 * S)
     return out | {"last_sweep_us": (time.thread_time() - began) * 1e6}
 
 
 def handover_by_keys(size: int, seed: int) -> Measures:
-    from ochrehoist.core import handover
+    from ochrehoist.core.handover_snapshot import snapshot_lines
+    from ochrehoist.core.snapshot import CoreSnapshot
 
-    state = handover.State(keys=_keys(size))
+    state = CoreSnapshot(idempotency=_keys(size))
 
     class Plain:
         def to_json(self, detail: Any) -> Any:
@@ -133,7 +135,7 @@
 
     def lines() -> int:
         return sum(
-            len(json.dumps(line, separators=(",", ":"))) + 1 for line in handover.lines(state, 0, Plain())
+            len(json.dumps(line, separators=(",", ":"))) + 1 for line in snapshot_lines(state, 0, Plain())
         )
 
     return {"state_bytes": lines(), "state_us": cpu_us(lines)}
@@ -148,8 +150,8 @@
 
     def one() -> None:
         heap.answer_by(next(at) * MS, "request")
-        heap.next()
-        for _ in heap.past_due(heap.backstops[0][0]):
+        heap.next_due_ns()
+        for _ in heap.take_overdue_requests(heap.next_due_ns()):
             break
 
     return {"bytes": of_heap, "request_us": each_us(one, 1000)}
--- a/ochrehoist/capture/recorder.py
+++ b/ochrehoist/capture/recorder.py
@@ -20,8 +20,8 @@
 )
 from ochrehoist.capture.writer import CaptureWriter
 from ochrehoist.config.schema import Config
-from ochrehoist.core.answers import ANSWERED, REFUSED
-from ochrehoist.core.owner import Owner
+from ochrehoist.core.actor import CoreActor
+from ochrehoist.core.metrics import RequestCounter
 from ochrehoist.core.request import InboundRequest
 from ochrehoist.errors import InvalidInputError
 from ochrehoist.net.loop import Loop
@@ -49,7 +49,7 @@
     where the folder can't be made.
     """
 
-    def __init__(self, loop: Loop, owner: Owner, config: Config, log: Any) -> None:
+    def __init__(self, loop: Loop, owner: CoreActor, config: Config, log: Any) -> None:
         assert config.capture is not None
         self._loop = loop
         self._owner = owner
@@ -85,21 +85,25 @@
         if subject is not None and not self._sampler.includes(subject):
             return
         controller = self._owner.controller
-        running, queued = (0, 0) if controller is None else (controller.cores, len(controller.queue))
-        self._open_requests[request.id] = OpenRequest(request, self._owner.now, running, queued)
+        running, queued = (
+            (0, 0) if controller is None else (controller.concurrency.running, len(controller.queue.jobs))
+        )
+        self._open_requests[request.id] = OpenRequest(request, self._owner.now_ns, running, queued)
 
-    def request_answered(self, request: InboundRequest, metric: str | None, retry_after_ns: int) -> None:
+    def request_answered(
+        self, request: InboundRequest, counter: RequestCounter | None, retry_after_ns: int
+    ) -> None:
         """Records a sampled request."""
         opened = self._open_requests.get(request.id)
         if opened is None or opened.request is not request:  # not sampled, or it has the id of another
             return
         del self._open_requests[request.id]
-        self._waiting.append(self._record(opened, _outcome(metric), retry_after_ns))
+        self._waiting.append(self._record(opened, _outcome(counter), retry_after_ns))
         if self._batches.is_full(len(self._waiting)):
             self._flush()
 
     def _record(self, opened: OpenRequest, outcome: RequestOutcome, retry_after_ns: int) -> RequestRecord:
-        request, now_ns = opened.request, self._owner.now
+        request, now_ns = opened.request, self._owner.now_ns
         started_ns = request.started_ns
         subject = _subject(request)
         front, address = request.responder.origin()
@@ -167,7 +171,7 @@
             return
         dropped = self._batches.take_dropped()
         if dropped:
-            records.append(DroppedRecords(self._owner.now - self._started_unix_ns, dropped))
+            records.append(DroppedRecords(self._owner.now_ns - self._started_unix_ns, dropped))
         if records:
             self._submit(lambda: self._writer.write(records), len(records))
 
@@ -222,10 +226,10 @@
     return None if subject is None else subject.encode()
 
 
-def _outcome(metric: str | None) -> RequestOutcome:
-    """The outcome by the metric that counted the request; None: its caller disconnected."""
-    if metric is None:
+def _outcome(counter: RequestCounter | None) -> RequestOutcome:
+    """The outcome by the counter of the request; None: its caller disconnected."""
+    if counter is None:
         return RequestOutcome.CALLER_GONE
-    if metric == ANSWERED:
+    if counter == RequestCounter.ANSWERED:
         return RequestOutcome.SERVED
-    return RequestOutcome.REJECTED if metric == REFUSED else RequestOutcome.FAILED
+    return RequestOutcome.REJECTED if counter == RequestCounter.REJECTED else RequestOutcome.FAILED
--- a/ochrehoist/store/expiry.py
+++ b/ochrehoist/store/expiry.py
@@ -3,8 +3,8 @@
 import math
 from typing import Any
 
-from ochrehoist.admission.controller import FADE, LEAST
-from ochrehoist.core.handover import BY_CLASS
+from ochrehoist.admission.learned_state import CLASS_MEAN_KEYS
+from ochrehoist.admission.tenant_activity import MIN_COUNT, TICK_DECAY
 from ochrehoist.store.timestamps import NS_PER_S, Timestamp, elapsed_ns
 
 # Upper limits on the weight of times and rates from before a restart: caches may be cold now, and what was
@@ -14,7 +14,7 @@
 NEGLIGIBLE_WEIGHT = 1e-6  # a weight below it counts as this one
 CALLER_STATE_LIFETIME_NS = 10 * NS_PER_S  # for which the controller keeps what it learned of a caller
 
-LearnedState = dict[str, Any]  # by the names of the stored layout, see `core.handover.learned`
+LearnedState = dict[str, Any]  # by the names of the stored layout, see `admission.learned_state.snapshot`
 
 
 def expire_learned_state(
@@ -41,7 +41,7 @@
 def _decayed_estimates(learned: LearnedState, decay: float) -> LearnedState:
     """Averages with a weight each. A snapshot of an older release lacks some of them."""
     estimates: LearnedState = {}
-    for name in BY_CLASS:
+    for name in CLASS_MEAN_KEYS:
         if name in learned:
             max_weight = MAX_RESTORED_RESULTS if name == "took" else float("inf")
             estimates[name] = _decayed_averages(learned[name], decay, max_weight)
@@ -57,16 +57,16 @@
 
 
 def _decayed_activity(learned: LearnedState, decay: float) -> LearnedState:
-    """Requests received and served, by class and by tenant; a tenant's counts decay with the beats."""
+    """Requests received and served, by class and by tenant; a tenant's counts decay with the ticks."""
     activity: LearnedState = {
-        counts: [[name, max(LEAST, count * decay)] for name, count in learned[counts]]
+        counts: [[name, max(MIN_COUNT, count * decay)] for name, count in learned[counts]]
         for counts in ("asked", "served")
     }
     if "beats" in learned:  # an older release counted all tenants together
-        decay_beats = round(math.log(max(decay, NEGLIGIBLE_WEIGHT)) / math.log(FADE))
-        activity["beats"] = learned["beats"] + decay_beats
+        decay_ticks = round(math.log(max(decay, NEGLIGIBLE_WEIGHT)) / math.log(TICK_DECAY))
+        activity["beats"] = learned["beats"] + decay_ticks
         activity["tenants"] = [
-            [name, max(LEAST, asked * decay), max(LEAST, served * decay)]
+            [name, max(MIN_COUNT, asked * decay), max(MIN_COUNT, served * decay)]
             for name, asked, served in learned["tenants"]
         ]
     return activity
--- a/ochrehoist/store/journal.py
+++ b/ochrehoist/store/journal.py
@@ -11,11 +11,10 @@
 
 from ochrehoist.admission.events import Outcome
 from ochrehoist.config.schema import StateConfig
-from ochrehoist.core.handover import DetailCodec
-from ochrehoist.core.keys import Run
+from ochrehoist.core.actor import CoreActor
+from ochrehoist.core.idempotency_table import IdempotentRun
 from ochrehoist.core.messages import DuplicateResolved, IntentRecorded, StateRestored
-from ochrehoist.core.owner import Owner
-from ochrehoist.core.protocols import IntentReplicator
+from ochrehoist.core.protocols import DetailCodec, IntentReplicator
 from ochrehoist.core.request import IdempotencyKey, InboundRequest
 from ochrehoist.core.results import Rejection, RunResult
 from ochrehoist.errors import InvalidInputError
@@ -37,7 +36,7 @@
     result_record,
     stored_result,
 )
-from ochrehoist.store.learned_state import learned_state_record, restorable_state
+from ochrehoist.store.learned_state_records import learned_state_record, restorable_state
 from ochrehoist.store.operations import DeleteIntent, PutIntent, PutNamed, PutResult
 from ochrehoist.store.records import IntentRecord, LearnedStateRecord, ResultRecord, encode_key
 from ochrehoist.store.store_repair import OpenStore
@@ -66,7 +65,7 @@
     def __init__(
         self,
         loop: Loop,
-        owner: Owner,
+        owner: CoreActor,
         config: StateConfig,
         name: str,
         codec: DetailCodec,
@@ -169,7 +168,7 @@
         hold_ns = self._hold_until_ns - self._owner.clock()
         return Rejection(hold_ns) if hold_ns > 0 else None
 
-    def begin(self, request: InboundRequest, run: Run) -> None:
+    def begin(self, request: InboundRequest, run: IdempotentRun) -> None:
         """Records the intent of a run; an `IntentRecorded` follows within the setting `stall_ms`."""
         assert request.idempotency_key is not None
         if self._queue.rejection_reason(time.monotonic()):
@@ -183,14 +182,14 @@
             self._confirmations.expect(request.id)
             self._replicator.begin(request.id, key, intent.remaining_ns / NS_PER_S)
 
-    def end(self, token: IdempotencyKey, run: Run, result: RunResult) -> None:
+    def end(self, token: IdempotencyKey, run: IdempotentRun, result: RunResult) -> None:
         """Records the result of a run, unless it is too large."""
         failpoints.reached(Failpoint.RESULT_QUEUED)
         record = result_record(result, self._codec)
         if len(record.body) + len(record.detail) > self._config.max_result_kb * 1024:
             self._queue.discard_result()
             return
-        run.stored = self._scheduler.add(PutResult(encode_key(token), record))
+        run.result_stored = self._scheduler.add(PutResult(encode_key(token), record))
 
     def drop(self, token: IdempotencyKey) -> None:
         """Deletes a request whose window is over."""
@@ -244,8 +243,8 @@
 
     def rebuild_contents(self) -> RebuildContents:
         """All runs that the core knows and that may have ended, or are running."""
-        runs = list(self._owner.keys.runs.items())
-        live_ids = frozenset(self._owner.live)
+        runs = list(self._owner.idempotency.runs.items())
+        live_ids = frozenset(self._owner.open_requests)
         recorder = self._recorder()
 
         def intents() -> list[IntentRecord]:
@@ -253,7 +252,7 @@
             return [
                 recorder.record(key, run)
                 for key, run in runs
-                if run.result is not None or run.dropped or run.id in live_ids
+                if run.result is not None or run.result_evicted or run.id in live_ids
             ]
 
         return RebuildContents(intents, self._store_in_use().loss, self._learned)
@@ -287,7 +286,7 @@
             self._learned, self._config.snapshot_half_life_s, self._owner.started_cold, self._log
         )
         self._queue.open = True
-        known_runs = dict(self._owner.keys.runs)
+        known_runs = dict(self._owner.idempotency.runs)
         self._record_changes_since(opened, known_runs)
         if self._replicator is not None:
             self._replicator.journal_opened([encode_key(key) for key in {**opened.runs, **known_runs}])
@@ -322,7 +321,7 @@
             stored_run = opened.runs.get(key)
             if stored_run is None or stored_run.id != run.id:
                 self._scheduler.add(PutIntent("", encode_key(key), recorder.record(key, run)))
-            if run.result is not None and not (stored_run and stored_run.stored):
+            if run.result is not None and not (stored_run and stored_run.result_stored):
                 self.end(key, run, run.result)
         self._log.info(
             "store_opened",
--- a/ochrehoist/store/journal_records.py
+++ b/ochrehoist/store/journal_records.py
@@ -5,16 +5,16 @@
 from contextlib import suppress
 from dataclasses import dataclass
 
-from ochrehoist.core.handover import DetailCodec
-from ochrehoist.core.keys import Run
+from ochrehoist.core.idempotency_table import IdempotentRun
 from ochrehoist.core.persisted_names import OUTCOME_NAMES, OUTCOMES_BY_NAME
+from ochrehoist.core.protocols import DetailCodec
 from ochrehoist.core.request import IdempotencyKey
 from ochrehoist.core.results import RunResult
 from ochrehoist.store.records import IntentRecord, ResultRecord
 from ochrehoist.store.store_repair import LiveIntent
 from ochrehoist.store.timestamps import Timestamp
 
-RunsByKey = dict[IdempotencyKey, Run]
+RunsByKey = dict[IdempotencyKey, IdempotentRun]
 
 
 @dataclass(slots=True)
@@ -29,9 +29,9 @@
     clock_ns: int
     now: Timestamp
 
-    def record(self, key: IdempotencyKey, run: Run) -> IntentRecord:
+    def record(self, key: IdempotencyKey, run: IdempotentRun) -> IntentRecord:
         """The intent of a run."""
-        remaining_ns = max(0, run.window_end - self.clock_ns)
+        remaining_ns = max(0, run.window_end_ns - self.clock_ns)
         window_ns = max(remaining_ns, self.windows_ns.get(key[1], 0))
         target, body = run.fingerprint or (None, None)
         return IntentRecord(key, run.id, window_ns, remaining_ns, self.now, target, body, self.worker_name)
@@ -55,14 +55,14 @@
             caller_key,
         )
         fingerprint = None if record.body is None else (record.target, record.body)
-        runs[key] = Run(
+        runs[key] = IdempotentRun(
             id=record.request_id,
-            window_end=clock_ns + intent.remaining_ns,
+            window_end_ns=clock_ns + intent.remaining_ns,
             fingerprint=fingerprint,
-            dropped=True,
-            stored=intent.has_result,
+            result_evicted=True,
+            result_stored=intent.has_result,
             begun=False,
-            asleep=True,
+            restored=True,
         )
     return runs
 
