--- a/tests/test_tenants_at_size.py
+++ b/tests/test_tenants_at_size.py
@@ -22,8 +22,9 @@
 )
 from ochrehoist.admission.job import Job
 from ochrehoist.admission.settings import ObjectiveWeights, Tenant
-from ochrehoist.core import handover
-from ochrehoist.core.keys import KeyTable
+from ochrehoist.core.handover_snapshot import snapshot_lines
+from ochrehoist.core.idempotency_table import IdempotencyTable
+from ochrehoist.core.snapshot import CoreSnapshot
 from ochrehoist.store.ageing import Stamp, aged
 
 BEAT = 100 * MS
@@ -261,8 +262,8 @@
         for size in SIZES:
             m = self.quiet(size)
             m.serve(0)
-            state = handover.State(learned_state.snapshot(m.c), keys=KeyTable(0, 0))
-            sizes.append(sum(len(json.dumps(line)) for line in handover.lines(state, 0, None)))
+            state = CoreSnapshot(learned_state.snapshot(m.c), idempotency=IdempotencyTable(0, 0))
+            sizes.append(sum(len(json.dumps(line)) for line in snapshot_lines(state, 0, None)))
         self.assertEqual(sizes, [sizes[0]] * len(SIZES))
 
 
