--- a/benchmarks/limit_choice.py
+++ b/benchmarks/limit_choice.py
@@ -14,7 +14,7 @@
 
 import joblib
 
-from ochrehoist.config.loader import CONTROLLERS, OverloadConfig
+from ochrehoist.config.schema import LimitController, OverloadConfig
 from ochrehoist.overload.limiter import Limiter
 from ochrehoist.plan.cores import Cores
 from ochrehoist.plan.events import Simulation
@@ -52,7 +52,11 @@
 OFF = OverloadConfig(admission=False, bulkheads=False, low_priority_lane=False, retry_budget=False)
 WAYS: dict[str, OverloadConfig | None] = {
     "module alone": None,
-    **{name: dataclasses.replace(OFF, bulkheads=True, controller=name) for name in CONTROLLERS[1:]},
+    **{
+        name: dataclasses.replace(OFF, bulkheads=True, controller=name)
+        for name in LimitController
+        if name is not LimitController.MODULE
+    },
     "pools": dataclasses.replace(OFF, bulkheads=True),
     "pools, lane": dataclasses.replace(OFF, bulkheads=True, low_priority_lane=True),
     "lane": dataclasses.replace(OFF, low_priority_lane=True),
--- a/benchmarks/routes.py
+++ b/benchmarks/routes.py
@@ -27,7 +27,7 @@
 import json, sys, time, tracemalloc
 from types import SimpleNamespace as Plain
 from ochrehoist.admission import settings as i
-from ochrehoist.config.loader import AjpRoute
+from ochrehoist.config.schema import AjpRoute
 from ochrehoist.net import ajp
 from ochrehoist.net.ajp_front import AjpReader, Rejected
 task = json.load(sys.stdin)
@@ -74,8 +74,8 @@
             steps.append((time.perf_counter_ns() - began) / 1e6)
     building = None
     tracemalloc.start()
-    from ochrehoist.config.settings import at_once
-    index = at_once(RouteIndex.in_steps(rules))
+    from ochrehoist.steps import run_to_completion
+    index = run_to_completion(RouteIndex.in_steps(rules))
     out |= {"built_ms": sum(steps), "longest_step_ms": max(steps),
             "bytes_a_route": tracemalloc.get_traced_memory()[0] / size}
 json.dump(out, sys.stdout)
--- a/ochrehoist/__main__.py
+++ b/ochrehoist/__main__.py
@@ -1,24 +1,27 @@
-"""Where the program starts. The command line and its library are loaded only for what is not a plain
-`run`."""
+"""The program's entry point; the command line is loaded only for what is not a plain `run`."""
 
 import sys
 
 from ochrehoist.errors import InvalidInputError
 
+EXIT_INVALID_INPUT = 2
 
-def plain_run() -> int:
+
+def run_worker() -> int:
+    """Serves with the configuration that the environment names. Returns the exit code."""
     from ochrehoist.app.worker import serve
 
     try:
         return serve(None)
     except InvalidInputError as error:
         print(f"ochrehoist: {error}", file=sys.stderr)
-        return 2
+        return EXIT_INVALID_INPUT
 
 
 def command_line() -> None:
+    """The command `ochrehoist`; ends the process."""
     if sys.argv[1:] in ([], ["run"]):
-        sys.exit(plain_run())
+        sys.exit(run_worker())
     from ochrehoist.cli.main import main
 
     main(prog_name="ochrehoist")
--- a/ochrehoist/app/reload.py
+++ b/ochrehoist/app/reload.py
@@ -9,8 +9,9 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
+from ochrehoist.config import comparison
 from ochrehoist.config import loader as configuration
-from ochrehoist.config.loader import Config
+from ochrehoist.config.schema import Config
 from ochrehoist.core.figures import counted
 from ochrehoist.core.linkwatch import LinkWatch
 from ochrehoist.core.messages import ConfigurationSwitched, KernelLinkChanged, SettingsChanged, TenantsChanged
@@ -212,7 +213,8 @@
     def _steps(self, only_new: bool) -> Generator[None, None, Change | None]:
         old = self.config
         loaded = yield from configuration.load_in_steps(self.path, before=old)
-        new, fixed = configuration.taken_over(old, loaded)
+        merged = comparison.merged(old, loaded)
+        new, fixed = merged.config, merged.restart_keys
         if only_new and new == old:
             return None
         yield
--- a/ochrehoist/app/worker.py
+++ b/ochrehoist/app/worker.py
@@ -12,7 +12,7 @@
 from ochrehoist.app.logs import LogSink, start_log
 from ochrehoist.app.reload import Part, Reloading, switch_only
 from ochrehoist.config import loader as configuration
-from ochrehoist.config.loader import Config
+from ochrehoist.config.schema import Config
 from ochrehoist.core.figures import CONTENT_TYPE
 from ochrehoist.core.messages import ExecutorReady, StandbyChanged
 from ochrehoist.core.owner import Owner
--- a/ochrehoist/capture/taker.py
+++ b/ochrehoist/capture/taker.py
@@ -26,7 +26,7 @@
     start,
     told,
 )
-from ochrehoist.config.loader import Config
+from ochrehoist.config.schema import Config
 from ochrehoist.core.answers import ANSWERED, REFUSED
 from ochrehoist.core.owner import Owner
 from ochrehoist.core.request import InboundRequest
--- a/ochrehoist/cli/main.py
+++ b/ochrehoist/cli/main.py
@@ -13,7 +13,7 @@
 from ochrehoist.cli.plan import plan
 from ochrehoist.cli.state import state
 from ochrehoist.config import loader as configuration
-from ochrehoist.config.json_reader import WHOLE
+from ochrehoist.config.json_reader import MAX_SINGLE_STEP_CHARS
 from ochrehoist.errors import InvalidInputError
 from ochrehoist.net.operators import ask
 
@@ -79,7 +79,7 @@
         f"fronts: {', '.join(fronts)}; version {config.version}, "
         f"{len(config.settings.tenants)} tenants{routes}"
     )
-    if config.source is None and Path(file).stat().st_size > WHOLE:
+    if config.source is None and Path(file).stat().st_size > MAX_SINGLE_STEP_CHARS:
         click.echo(
             "note: a change of this file is read as a whole, which takes a running worker seconds: "
             "write each tenant and route as a table, [[settings.Tenants]] and [[ajp.rules]], and use "
--- /dev/null
+++ b/ochrehoist/config/appliance_file.py
@@ -0,0 +1,160 @@
+"""The TOML file of an appliance, or of the second front of a platform's worker."""
+
+import re
+import secrets
+from collections.abc import Generator
+from dataclasses import dataclass, replace
+
+from ochrehoist.config import json_reader
+from ochrehoist.config.common import (
+    ROUTES_PATH,
+    TENANTS_PATH,
+    ElementReaders,
+    read_common_in_steps,
+    version_of,
+)
+from ochrehoist.config.environment import AJP_FILE, Environment, apply_overrides, handover_path
+from ochrehoist.config.json_reader import ArrayPath, TakeElement
+from ochrehoist.config.object_reader import ObjectReader
+from ochrehoist.config.operator_tables import OperatorTables, read_operator_tables_in_steps
+from ochrehoist.config.routes import RouteReader
+from ochrehoist.config.schema import Config
+from ochrehoist.config.source import ConfigSource, FileText, ParsedFile, read_text_in_steps
+from ochrehoist.config.tenants import TenantReader
+from ochrehoist.config.values import optional_address
+from ochrehoist.errors import InvalidInputError
+
+SEED_BITS = 64
+
+_TABLES = (
+    "name",
+    "stop_ms",
+    "limits",
+    "admin",
+    "ajp",
+    "console",
+    "state",
+    "capture",
+    "overload",
+    "peers",
+    "sites",
+    "recovery",
+    "settings",
+)
+_LARGE_ARRAY_ELEMENT = re.compile(r"(?:(ajp\.rules)|Tenants)\[(\d+)\]")
+
+
+@dataclass(slots=True, frozen=True)
+class ApplianceFile:
+    """A file that was parsed, its values not yet checked."""
+
+    top: ObjectReader
+    parsed: ParsedFile
+    digest: bytes
+
+    def located(self, error: InvalidInputError) -> InvalidInputError:
+        """The error with the lines of the elements that it names, where these are known."""
+        named = _LARGE_ARRAY_ELEMENT.match(error.key)
+        if named is None:
+            return error
+        lines = self.parsed.lines.get(ROUTES_PATH if named[1] else TENANTS_PATH)
+        if lines is None:
+            return error
+        place = f"in the table of line {lines[int(named[2])]}"
+        if error.conflicting_index is not None:
+            place += f", and in line {lines[error.conflicting_index]}"
+        return InvalidInputError(f"{error} ({place})", key=error.key)
+
+
+def read_appliance_in_steps(
+    path: str, environment: Environment, current: Config | None
+) -> Generator[None, None, Config]:
+    """An appliance of its own: AJP in front, AJP servers behind. Raises InvalidInputError."""
+    readers = ElementReaders.knowing(current)
+    file = yield from read_file_in_steps(path, readers, current.source if current is not None else None)
+    file.top.section("ajp")  # its only front
+    apply_overrides(file.top, environment, "EDGE_ADMIN")
+    try:
+        common = yield from read_common_in_steps(file.top, secrets.randbits(SEED_BITS), readers.tenants)
+        tables = yield from read_operator_tables_in_steps(
+            file.top, common.settings, common.tenant_positions, readers.routes
+        )
+    except InvalidInputError as error:
+        raise file.located(error) from None
+    return replace(
+        with_tables(common, tables),
+        admin_address=optional_address(file.top, "admin", loopback=True),
+        handover_path=handover_path(common.name, environment),
+        version=version_of(file.digest),
+        source=_source(file, common, tables),
+    )
+
+
+def read_second_front_in_steps(
+    path: str, config: Config, digest: bytes, routes: RouteReader
+) -> Generator[None, None, Config]:
+    """`config`, read from a file of `digest`, with the tables of an appliance's file."""
+    file = yield from read_file_in_steps(path, ElementReaders(TenantReader(), routes), None)
+    try:
+        tables = yield from read_operator_tables_in_steps(
+            file.top, config.settings, config.tenant_positions, routes
+        )
+    except InvalidInputError as error:
+        raise file.located(error) from None
+    return replace(with_tables(config, tables), version=version_of(digest, file.digest))
+
+
+def read_file_in_steps(
+    path: str, readers: ElementReaders, current: ConfigSource | None
+) -> Generator[None, None, ApplianceFile]:
+    """The file, parsed, its tables known ones. `current`: of the configuration in force.
+
+    Raises InvalidInputError.
+    """
+    yield from readers.routes.index_current_in_steps()
+    try:
+        text = yield from read_text_in_steps(path)
+        parsed = yield from _parsed_in_steps(text, readers, current)
+    except RecursionError:
+        raise InvalidInputError.in_setting(AJP_FILE, f"{path}: nested too deeply") from None
+    except (OSError, ValueError) as error:
+        raise InvalidInputError.in_setting(AJP_FILE, f"{path}: {error}") from None
+    top = ObjectReader(parsed.data, "").allow_only(*_TABLES)
+    top.section("limits", {}).allow_only("memory_mb", "sockets")
+    return ApplianceFile(top, parsed, text.digest)
+
+
+def with_tables(config: Config, tables: OperatorTables) -> Config:
+    """`config` with what the tables of operators switch on."""
+    return replace(
+        config,
+        ajp=tables.ajp,
+        agent_check_address=tables.agent_check_address,
+        state=tables.state,
+        capture=tables.capture,
+        overload=tables.overload,
+        peers=tables.peers,
+        sites=tables.sites,
+        recovery=tables.recovery,
+    )
+
+
+def _parsed_in_steps(
+    text: FileText, readers: ElementReaders, current: ConfigSource | None
+) -> Generator[None, None, ParsedFile]:
+    if text.size_bytes <= json_reader.MAX_SINGLE_STEP_CHARS:
+        import tomli  # only for those who have such a file
+
+        return ParsedFile(tomli.loads(text.joined()))
+    from ochrehoist.config import toml_reader  # only for those who have a large one
+
+    takers: dict[ArrayPath, TakeElement] = {
+        TENANTS_PATH: readers.tenants.take,
+        ROUTES_PATH: readers.routes.take,
+    }
+    return (yield from toml_reader.read_in_steps(text, takers, current))
+
+
+def _source(file: ApplianceFile, common: Config, tables: OperatorTables) -> ConfigSource | None:
+    routes = tables.ajp.routes if tables.ajp is not None else ()
+    return file.parsed.source(file.digest, {TENANTS_PATH: common.settings.tenants, ROUTES_PATH: routes})
--- /dev/null
+++ b/ochrehoist/config/common.py
@@ -0,0 +1,61 @@
+"""What the platform's file and an appliance's have in common."""
+
+from collections.abc import Generator
+from dataclasses import dataclass
+from hashlib import sha256
+
+from ochrehoist.config.object_reader import ObjectReader
+from ochrehoist.config.routes import RouteReader
+from ochrehoist.config.schema import Config
+from ochrehoist.config.settings import settings_in_steps
+from ochrehoist.config.tenants import TenantReader
+
+TENANTS_PATH = ("settings", "Tenants")
+ROUTES_PATH = ("ajp", "rules")
+VERSION_CHARS = 12
+
+
+@dataclass(slots=True, frozen=True)
+class ElementReaders:
+    """The readers of the large arrays, which know the elements in force."""
+
+    tenants: TenantReader
+    routes: RouteReader
+
+    @classmethod
+    def knowing(cls, current: Config | None) -> "ElementReaders":
+        """Readers that give the elements of `current` again where they did not change."""
+        if current is None:
+            return cls(TenantReader(), RouteReader())
+        arrays = current.source.arrays if current.source is not None else {}
+        tenants = arrays[TENANTS_PATH].elements if TENANTS_PATH in arrays else current.settings.tenants
+        current_routes = current.ajp.routes if current.ajp is not None else ()
+        routes = arrays[ROUTES_PATH].elements if ROUTES_PATH in arrays else current_routes
+        return cls(TenantReader(tuple(tenants), current.tenant_positions), RouteReader(tuple(routes)))
+
+
+def read_common_in_steps(
+    top: ObjectReader, seed: int, tenants: TenantReader
+) -> Generator[None, None, Config]:
+    """A Config that has only what each file must have. Raises InvalidInputError."""
+    limits, settings_table = top.section("limits", {}), top.section("settings")
+    loaded = yield from settings_in_steps(settings_table.data, tenants)
+    family = settings_table.section("FamilyInfo")
+    gauges = family.items("OwnStats", [])
+    if not all(isinstance(gauge, str) for gauge in gauges):
+        raise family.unusable("OwnStats", gauges)
+    return Config(
+        name=top.text("name"),
+        settings=loaded.settings,
+        gauges=tuple(gauges),
+        seed=seed,
+        shutdown_timeout_ms=top.integer("stop_ms", 3000, least=1),
+        memory_mb=limits.number("memory_mb", 192, least=1),
+        max_sockets=limits.integer("sockets", 1024, least=64),
+        tenant_positions=loaded.tenant_positions,
+    )
+
+
+def version_of(*digests: bytes) -> str:
+    """The short hash by which operators tell versions of a configuration apart."""
+    return sha256(b"".join(digests)).hexdigest()[:VERSION_CHARS]
--- /dev/null
+++ b/ochrehoist/config/comparison.py
@@ -0,0 +1,143 @@
+"""A configuration read again, compared with the one in force: what can change while the worker runs."""
+
+from collections.abc import Iterable, Mapping
+from dataclasses import dataclass, fields, replace
+from typing import Any
+
+from ochrehoist.config.schema import AjpConfig, Config, PeersConfig
+from ochrehoist.errors import InvalidInputError
+
+CHANGEABLE = frozenset(
+    {"kernel_address", "membership_address", "settings", "gauges", "overload", "peers", "sites"}
+)
+ONLY_AT_START = frozenset({"seed", "handover_path", "inherited_fd"})
+FIXED_AJP = frozenset({"listen", "packet_size", "max_response", "max_connections"})  # in use by connections
+MAX_GRANTORS_CHANGED = 1  # majorities of two lists that differ by more need not have a grantor in common
+
+# The keys of the files, by field, where they differ: what needs a restart is reported by its key.
+CONFIG_KEYS = {
+    "kernel_address": "kernel",
+    "membership_address": "members",
+    "admin_address": "admin",
+    "agent_check_address": "agent",
+    "shutdown_timeout_ms": "stop_ms",
+    "max_sockets": "sockets",
+}
+STATE_KEYS = {
+    "group_commit_delay_ms": "commit_ms",
+    "max_disk_wait_ms": "stall_ms",
+    "snapshot_interval_s": "learned_every_s",
+    "snapshot_half_life_s": "learned_half_life_s",
+}
+AJP_KEYS = {
+    "idle_timeout_s": "idle_s",
+    "body_timeout_s": "body_s",
+    "server_backoff_ms": "retry_ms",
+    "routes": "rules",
+}
+LISTEN_AND_GROUP = "peers.listen, peers.group"
+
+
+@dataclass(slots=True, frozen=True)
+class MergedConfig:
+    """What can be brought into force, and the keys that differ but need a restart, in order."""
+
+    config: Config
+    restart_keys: list[str]
+
+
+def merged(current: Config, loaded: Config) -> MergedConfig:
+    """The configuration in force with all that can change while the worker runs.
+
+    Raises InvalidInputError for a change that must not be made, or lacks a key of the platform's file.
+    """
+    _require_keys(current, loaded)
+    _require_same_group(current.peers, loaded.peers)
+    _require_same_site(current, loaded)
+    differing = _differing_fields(current, loaded) - ONLY_AT_START - {"platform_keys", "ajp"}
+    # A part that was not started has nothing to hand a new configuration to.
+    changeable = {
+        name for name in differing & CHANGEABLE if _both(getattr(current, name), getattr(loaded, name))
+    }
+    ajp = _merged_ajp(current.ajp, loaded.ajp)
+    config = replace(
+        current,
+        platform_keys=loaded.platform_keys,
+        version=loaded.version,
+        tenant_positions=loaded.tenant_positions,
+        source=loaded.source,
+        ajp=ajp.config,
+        **{name: getattr(loaded, name) for name in changeable},
+    )
+    restart_keys = ajp.restart_keys | _restart_keys(current, loaded, differing - changeable)
+    return MergedConfig(config, sorted(restart_keys))
+
+
+@dataclass(slots=True, frozen=True)
+class _MergedAjp:
+    config: AjpConfig | None
+    restart_keys: set[str]
+
+
+def _merged_ajp(current: AjpConfig | None, loaded: AjpConfig | None) -> _MergedAjp:
+    if current is None or loaded is None:
+        return _MergedAjp(current, {"ajp"} if current is not loaded else set())
+    fixed = _fixed_ajp_fields(current, loaded)
+    changeable = _differing_fields(current, loaded) - fixed
+    config = replace(current, **{name: getattr(loaded, name) for name in changeable})
+    return _MergedAjp(config, {f"ajp.{key}" for key in _written(fixed, AJP_KEYS)})
+
+
+def _restart_keys(current: Config, loaded: Config, fixed: set[str]) -> set[str]:
+    """The keys of the fields that differ and cannot change; those of [state] one by one."""
+    if "state" not in fixed or current.state is None or loaded.state is None:
+        return _written(fixed, CONFIG_KEYS)
+    state = _differing_fields(current.state, loaded.state)
+    return _written(fixed - {"state"}, CONFIG_KEYS) | {f"state.{key}" for key in _written(state, STATE_KEYS)}
+
+
+def _both(first: object, second: object) -> bool:
+    return first is not None and second is not None
+
+
+def _differing_fields(first: Any, second: Any) -> set[str]:
+    """The names of the compared fields in which two objects of one type differ."""
+    return {f.name for f in fields(first) if f.compare and getattr(first, f.name) != getattr(second, f.name)}
+
+
+def _written(names: Iterable[str], keys: Mapping[str, str]) -> set[str]:
+    return {keys.get(name, name) for name in names}
+
+
+def _require_keys(current: Config, loaded: Config) -> None:
+    for key in sorted(current.platform_keys - loaded.platform_keys):
+        raise InvalidInputError.in_setting(key, "missing")
+
+
+def _require_same_group(current: PeersConfig | None, loaded: PeersConfig | None) -> None:
+    if current is None or loaded is None:
+        return
+    if len(set(current.lease_grantors) ^ set(loaded.lease_grantors)) > MAX_GRANTORS_CHANGED:
+        raise InvalidInputError.in_setting(
+            "peers.voters", "change one name at a time, and wait for the longest lease"
+        )
+    if (current.listen, current.group) != (loaded.listen, loaded.group):
+        raise InvalidInputError.in_setting(LISTEN_AND_GROUP, "need a restart")
+
+
+def _require_same_site(current: Config, loaded: Config) -> None:
+    if current.sites is not None and loaded.sites is not None and current.sites.site != loaded.sites.site:
+        raise InvalidInputError.in_setting("sites.site", "needs a restart")
+
+
+def _fixed_ajp_fields(current: AjpConfig, loaded: AjpConfig) -> set[str]:
+    """The fields that differ and cannot change while connections are open."""
+    fixed = _differing_fields(current, loaded) & FIXED_AJP
+    # The descriptors of idle connections were set aside at the start.
+    if _idle_connections(loaded) > _idle_connections(current):
+        fixed.add("servers")
+    return fixed
+
+
+def _idle_connections(ajp: AjpConfig) -> int:
+    return sum(server.max_idle_connections for server in ajp.servers)
--- a/ochrehoist/config/fleet.py
+++ b/ochrehoist/config/fleet.py
@@ -1,204 +1,242 @@
-"""The tables of a fleet: [peers], [sites] and [recovery], read and checked. Loaded only where one is."""
+"""The tables of a fleet: [peers], [sites] and [recovery]. Loaded only where there is one of them."""
 
 from collections.abc import Container, Generator
 from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING
 
 from ochrehoist.admission.settings import AdmissionSettings
+from ochrehoist.config.object_reader import REQUIRED, ObjectReader
 from ochrehoist.config.schema import (
-    USES,
     Address,
     AjpConfig,
     BudgetConfig,
+    BudgetKind,
     PeersConfig,
     RecoveryConfig,
+    SiteMap,
     SitesConfig,
     StateConfig,
 )
-from ochrehoist.config.settings import REQUIRED, Reader
-from ochrehoist.config.values import address, only, required
+from ochrehoist.config.values import address, optional_address, parsed_address
 from ochrehoist.errors import InvalidInputError
 
-STEP = 50  # budgets or members made in one step
-
-
-def fleet_tables(
-    top: Reader,
-    settings: AdmissionSettings,
-    tenants: Container[str],
-    ajp: AjpConfig | None,
-    state: StateConfig | None,
-) -> Generator[None, None, dict[str, Any]]:
-    """In steps. `tenants`: their names. Raises InvalidInputError, which names the key."""
-    peers = yield from peers_of(top, tenants, ajp)
-    return {
-        "peers": peers,
-        "sites": sites_of(top, settings, peers),
-        "recovery": recovery_of(top, peers, state),
-    }
-
-
-def _texts(r: Reader, key: str, default: Any) -> tuple[str, ...]:
-    values = r.items(key, default)
-    if not all(isinstance(v, str) and v for v in values):
-        raise InvalidInputError(f"setting {r.path}{key}: unusable value {values!r}")
-    if len(set(values)) < len(values):
-        raise InvalidInputError(f"setting {r.path}{key}: a value comes twice")
-    return tuple(values)
-
-
-def _budget(r: Reader, tenants: Container[str], servers: set[str], voters: tuple[str, ...]) -> BudgetConfig:
-    only(r, "name", "use", "of", "amount", "lease_ms", "floor", "floor_lease_s", "longest_ms", "parts")
-    use, of = r.choice("use", {word: word for word in USES}), r.text("of", None)
-    known = tenants if use == "tenant" else servers
-    if (of is None and use != "repeats") or (of is not None and of not in known):
-        raise InvalidInputError(
-            f"setting {r.path}of: no such {'tenant' if use == 'tenant' else 'server'}: {of!r}"
-        )
-    longest = r.number("longest_ms", 0.0)
-    if use == "server" and not longest:
-        raise InvalidInputError(f"setting {r.path}longest_ms: missing: how long one run may take")
-    if not voters:
-        raise InvalidInputError("setting peers.voters: missing: budgets need them")
-    floor = r.number("floor", 0.1)
-    if floor > 1:
-        raise InvalidInputError(f"setting {r.path}floor: above 1: {floor!r}")
-    return BudgetConfig(
-        name=r.text("name"),
-        kind=use,
-        subject=of,
-        amount=r.whole("amount", least=1),
-        lease_s=r.number("lease_ms", 2000, least=200) / 1000,
-        floor_fraction=floor,
-        floor_lease_s=r.number("floor_lease_s", 30, least=0.2),
-        max_run_s=longest / 1000 if use == "server" else 0.0,
-        slot_count=r.whole("parts", 0),
-    )
+if TYPE_CHECKING:
+    from ochrehoist.sites.playbook import Playbook
+
+ELEMENTS_PER_STEP = 50
+MIN_SECRET_CHARS = 16
+DEFAULT_WITNESS_TIMEOUT_MS = 250
+
+_PEERS_KEYS = (
+    "listen",
+    "address",
+    "group",
+    "site",
+    "secrets",
+    "probe_ms",
+    "members",
+    "start",
+    "voters",
+    "most_out",
+    "most_per_s",
+    "budgets",
+)
+_BUDGET_KEYS = (
+    "name",
+    "use",
+    "of",
+    "amount",
+    "lease_ms",
+    "floor",
+    "floor_lease_s",
+    "longest_ms",
+    "parts",
+)
 
 
-def peers_of(
-    top: Reader, tenants: Container[str], ajp: AjpConfig | None
+def read_peers_in_steps(
+    top: ObjectReader, tenants: Container[str], ajp: AjpConfig | None
 ) -> Generator[None, None, PeersConfig | None]:
+    """The table [peers]. `tenants`: their names. Raises InvalidInputError."""
     if "peers" not in top.data:
         return None
-    r = only(
-        top.part("peers"),
-        "listen",
-        "address",
-        "group",
-        "site",
-        "secrets",
-        "probe_ms",
-        "members",
-        "start",
-        "voters",
-        "most_out",
-        "most_per_s",
-        "budgets",
-    )
-    listen, others = required(r, "listen", loopback=True), r.part("members", {})
-    secret = _texts(r, "secrets", REQUIRED)
-    if not secret or min(map(len, secret)) < 16:
-        raise InvalidInputError(f"setting {r.path}secrets: one at least, each of 16 characters or more")
-    voters, most_out = _texts(r, "voters", []), r.number("most_out", 0.5)
-    if most_out >= 1:
-        raise InvalidInputError(f"setting {r.path}most_out: not below 1: {most_out!r}")
-    starts, known = _texts(r, "start", []), {top.text("name"), *others.data}
-    if set(voters) - known:  # on one address for each rests that each has one vote
-        raise InvalidInputError(
-            f"setting {r.path}voters: not in {r.path}members: {sorted(set(voters) - known)}"
-        )
-    servers = {s.name for s in ajp.servers} if ajp else set()
-    budgets: list[BudgetConfig] = []
-    for at, data in enumerate(r.items("budgets", [])):
-        budgets.append(_budget(Reader(data, f"{r.path}budgets[{at}]."), tenants, servers, voters))
-        if not len(budgets) % STEP:
-            yield
-    if len({b.name for b in budgets}) < len(budgets):
-        raise InvalidInputError(f"setting {r.path}budgets: two of one name")
-    if len({(b.kind, b.subject) for b in budgets}) < len(budgets):
-        raise InvalidInputError(f"setting {r.path}budgets: two of one of")
-    members: dict[str, Address] = {}
-    for name in others.data:
-        members[name] = required(others, name, loopback=True)
-        if not len(members) % STEP:
-            yield
+    table = top.section("peers").allow_only(*_PEERS_KEYS)
+    listen, members_table = address(table, "listen", loopback=True), table.section("members", {})
+    secrets = _secrets(table)
+    lease_grantors = table.texts("voters", [])
+    max_ejected_fraction = table.number("most_out", 0.5)
+    if max_ejected_fraction >= 1:
+        raise table.error("most_out", f"not below 1: {max_ejected_fraction!r}")
+    seed_addresses = table.texts("start", [])
+    # That each grantor has a single vote rests on one address for each.
+    unknown = set(lease_grantors) - {top.text("name"), *members_table.data}
+    if unknown:
+        raise table.error("voters", f"not in {table.path}members: {sorted(unknown)}")
+    budgets = yield from _read_budgets_in_steps(table, tenants, ajp, lease_grantors)
+    members = yield from _read_members_in_steps(members_table)
     return PeersConfig(
         listen=listen,
-        advertised_address=address(r, "address", True) or listen,
-        group=r.text("group"),
-        site=r.text("site", "") or "",
-        secrets=secret,
-        protocol_period_ms=r.whole("probe_ms", 100, least=20),
+        advertised_address=optional_address(table, "address", loopback=True) or listen,
+        group=table.text("group"),
+        site=table.text("site", "") or "",
+        secrets=secrets,
+        protocol_period_ms=table.integer("probe_ms", 100, least=20),
         members=members,
-        seed_addresses=tuple(
-            required(Reader({"start": text}, r.path), "start", loopback=True) for text in starts
-        ),
-        lease_grantors=tuple(sorted(voters)),
-        max_ejected_fraction=most_out,
-        max_requests_per_s=r.number("most_per_s", 3000, least=1),
-        budgets=tuple(budgets),
+        seed_addresses=tuple(parsed_address(table, "start", text, loopback=True) for text in seed_addresses),
+        lease_grantors=tuple(sorted(lease_grantors)),
+        max_ejected_fraction=max_ejected_fraction,
+        max_requests_per_s=table.number("most_per_s", 3000, least=1),
+        budgets=budgets,
     )
 
 
-def sites_of(top: Reader, settings: AdmissionSettings, peers: PeersConfig | None) -> SitesConfig | None:
+def read_sites(
+    top: ObjectReader, settings: AdmissionSettings, peers: PeersConfig | None
+) -> SitesConfig | None:
+    """The table [sites], and the files that it names. Raises InvalidInputError."""
     if "sites" not in top.data:
         return None
-    # Their libraries are for those who want them.
-    from ochrehoist.sites.playbook import PlaybookError, parse
-
-    r = only(top.part("sites"), "site", "fleet", "playbook", "pace")
+    table = top.section("sites").allow_only("site", "fleet", "playbook", "pace")
     if peers is None:
-        raise InvalidInputError("setting sites: needs [peers]: sites are known by their workers")
-    if r.flag("pace", True) and not peers.lease_grantors:
-        raise InvalidInputError(
-            "setting peers.voters: missing: a site that comes back steps by their permit; or set "
-            "sites.pace = false"
-        )
-    places, file = None, r.text("fleet", None)
-    if file is not None:
-        from ochrehoist.sites.places import Places, SiteMapError
-
-        try:
-            places = Places.load(Path(file))
-        except SiteMapError as error:
-            raise InvalidInputError(f"setting {r.path}fleet: {error}") from None
-    site = (
-        r.text("site", None)
-        or (places.site_of(peers.advertised_address[0]) if places else None)
-        or peers.site
-    )
-    if not site:
-        raise InvalidInputError(
-            f"setting {r.path}site: missing, and no description of the fleet tells of "
-            f"{peers.advertised_address[0]}; nor does peers.site"
-        )
-    if places is not None and site not in places.names:
-        raise InvalidInputError(
-            f"setting {r.path}site: no such site in {file}: {site!r}; there are {places.names}"
+        raise InvalidInputError.in_setting("sites", "needs [peers]: sites are known by their workers")
+    recovery_ramp = table.flag("pace", True)
+    if recovery_ramp and not peers.lease_grantors:
+        raise InvalidInputError.in_setting(
+            "peers.voters",
+            "missing: a site that comes back steps by their permit; or set sites.pace = false",
         )
-    book, file = None, r.text("playbook", None)
-    if file is not None:
-        try:
-            book = parse(Path(file).read_text(encoding="utf-8"), [c.name for c in settings.classes])
-        except (OSError, ValueError, PlaybookError) as error:
-            raise InvalidInputError(f"setting {r.path}playbook: {file}: {error}") from None
-    return SitesConfig(site=site, site_map=places, playbook=book, recovery_ramp=r.flag("pace", True))
+    site_map = _load_site_map(table)
+    site = _own_site(table, site_map, peers)
+    playbook = _load_playbook(table, settings)
+    return SitesConfig(site=site, site_map=site_map, playbook=playbook, recovery_ramp=recovery_ramp)
 
 
-def recovery_of(top: Reader, peers: PeersConfig | None, state: StateConfig | None) -> RecoveryConfig | None:
+def read_recovery(
+    top: ObjectReader, peers: PeersConfig | None, state: StateConfig | None
+) -> RecoveryConfig | None:
+    """The table [recovery]. Raises InvalidInputError."""
     if "recovery" not in top.data:
         return None
-    r = only(top.part("recovery"), "witnesses", "wait_ms")
-    witnesses = _texts(r, "witnesses", [])
+    table = top.section("recovery").allow_only("witnesses", "wait_ms")
+    witnesses = table.texts("witnesses", [])
     if witnesses and (peers is None or state is None):
-        raise InvalidInputError(
-            f"setting {r.path}witnesses: need [peers], by which they are told, and [state]"
-        )
+        raise table.error("witnesses", "need [peers], by which they are told, and [state]")
     unknown = sorted(set(witnesses) - set(peers.members)) if peers is not None else []
     if unknown:
-        raise InvalidInputError(f"setting {r.path}witnesses: not in peers.members: {unknown}")
+        raise table.error("witnesses", f"not in peers.members: {unknown}")
     if top.text("name") in witnesses:
-        raise InvalidInputError(f"setting {r.path}witnesses: this worker itself is none")
-    wait = r.number("wait_ms", state.max_disk_wait_ms if state is not None else 250, least=1)
-    return RecoveryConfig(witnesses=witnesses, witness_timeout_ms=wait)
+        raise table.error("witnesses", "this worker itself is none")
+    default_timeout = state.max_disk_wait_ms if state is not None else DEFAULT_WITNESS_TIMEOUT_MS
+    timeout = table.number("wait_ms", default_timeout, least=1)
+    return RecoveryConfig(witnesses=witnesses, witness_timeout_ms=timeout)
+
+
+def _secrets(table: ObjectReader) -> tuple[str, ...]:
+    secrets = table.texts("secrets", REQUIRED)
+    if not secrets or min(map(len, secrets)) < MIN_SECRET_CHARS:
+        raise table.error("secrets", f"one at least, each of {MIN_SECRET_CHARS} characters or more")
+    return secrets
+
+
+def _read_members_in_steps(table: ObjectReader) -> Generator[None, None, dict[str, Address]]:
+    members: dict[str, Address] = {}
+    for name in table.data:
+        members[name] = address(table, name, loopback=True)
+        if len(members) % ELEMENTS_PER_STEP == 0:
+            yield
+    return members
+
+
+def _read_budgets_in_steps(
+    peers: ObjectReader, tenants: Container[str], ajp: AjpConfig | None, lease_grantors: tuple[str, ...]
+) -> Generator[None, None, tuple[BudgetConfig, ...]]:
+    servers = {server.name for server in ajp.servers} if ajp is not None else set()
+    budgets: list[BudgetConfig] = []
+    for index, data in enumerate(peers.items("budgets", [])):
+        table = peers.element("budgets", index, data).allow_only(*_BUDGET_KEYS)
+        budgets.append(_budget(table, tenants, servers, lease_grantors))
+        if len(budgets) % ELEMENTS_PER_STEP == 0:
+            yield
+    if len({budget.name for budget in budgets}) < len(budgets):
+        raise peers.error("budgets", "two of one name")
+    if len({(budget.kind, budget.subject) for budget in budgets}) < len(budgets):
+        raise peers.error("budgets", "two of one of")
+    return tuple(budgets)
+
+
+def _budget(
+    table: ObjectReader, tenants: Container[str], servers: set[str], lease_grantors: tuple[str, ...]
+) -> BudgetConfig:
+    kind = table.member("use", BudgetKind)
+    subject = _budget_subject(table, kind, tenants, servers)
+    max_run_ms = table.number("longest_ms", 0.0)
+    if kind is BudgetKind.SERVER and not max_run_ms:
+        raise table.error("longest_ms", "missing: how long one run may take")
+    if not lease_grantors:
+        raise InvalidInputError.in_setting("peers.voters", "missing: budgets need them")
+    floor_fraction = table.number("floor", 0.1)
+    if floor_fraction > 1:
+        raise table.error("floor", f"above 1: {floor_fraction!r}")
+    return BudgetConfig(
+        name=table.text("name"),
+        kind=kind,
+        subject=subject,
+        amount=table.integer("amount", least=1),
+        lease_s=table.number("lease_ms", 2000, least=200) / 1000,
+        floor_fraction=floor_fraction,
+        floor_lease_s=table.number("floor_lease_s", 30, least=0.2),
+        max_run_s=max_run_ms / 1000 if kind is BudgetKind.SERVER else 0.0,
+        slot_count=table.integer("parts", 0),
+    )
+
+
+def _budget_subject(
+    table: ObjectReader, kind: BudgetKind, tenants: Container[str], servers: set[str]
+) -> str | None:
+    subject = table.text("of", None)
+    if subject is None and kind is BudgetKind.RETRIES:
+        return None
+    known = tenants if kind is BudgetKind.TENANT else servers
+    if subject is None or subject not in known:
+        noun = "tenant" if kind is BudgetKind.TENANT else "server"
+        raise table.error("of", f"no such {noun}: {subject!r}")
+    return subject
+
+
+def _load_site_map(table: ObjectReader) -> SiteMap | None:
+    file = table.text("fleet", None)
+    if file is None:
+        return None
+    from ochrehoist.sites.places import Places, SiteMapError  # its libraries are for those who want them
+
+    try:
+        return Places.load(Path(file))
+    except SiteMapError as error:
+        raise table.error("fleet", str(error)) from None
+
+
+def _own_site(table: ObjectReader, site_map: SiteMap | None, peers: PeersConfig) -> str:
+    """The site of this worker: as written, else by its address, else as its peers are told."""
+    host = peers.advertised_address[0]
+    mapped = site_map.site_of(host) if site_map is not None else None
+    site = table.text("site", None) or mapped or peers.site
+    if not site:
+        raise table.error(
+            "site", f"missing, and no description of the fleet tells of {host}; nor does peers.site"
+        )
+    if site_map is not None and site not in site_map.names:
+        file = table.text("fleet")
+        raise table.error("site", f"no such site in {file}: {site!r}; there are {site_map.names}")
+    return site
+
+
+def _load_playbook(table: ObjectReader, settings: AdmissionSettings) -> "Playbook | None":
+    file = table.text("playbook", None)
+    if file is None:
+        return None
+    from ochrehoist.sites.playbook import PlaybookError, parse  # for those who have one
+
+    try:
+        return parse(Path(file).read_text(encoding="utf-8"), [c.name for c in settings.classes])
+    except (OSError, ValueError, PlaybookError) as error:
+        raise table.error("playbook", f"{file}: {error}") from None
--- a/ochrehoist/config/json_reader.py
+++ b/ochrehoist/config/json_reader.py
@@ -1,4 +1,4 @@
-"""JSON read in steps: what stands in a large array is read element by element. Equal to json.loads()."""
+"""JSON parsed in steps: the elements of large arrays one by one. The result equals that of json.loads()."""
 
 import json
 import re
@@ -6,97 +6,125 @@
 from json import JSONDecodeError
 from typing import Any
 
-WHOLE = 32768  # characters of a text that one step may read
-TAKEN = 8192  # of a larger one, in one step
-DEPTH = 2  # objects in objects whose members are read one by one
+from ochrehoist.errors import OchrehoistError
 
-Path = tuple[str, ...]  # of an array: its keys from the top
-Taker = Callable[[Any, list[Any]], None]
+MAX_SINGLE_STEP_CHARS = 32768  # of a text that is parsed by one step
+CHARS_PER_STEP = 8192  # of a longer one
+MAX_STEPPED_DEPTH = 2  # of objects whose members are parsed one by one
 
-_SPACE = re.compile(r"[ \t\n\r]*")
-_read = json.JSONDecoder().raw_decode
+ArrayPath = tuple[str, ...]  # the keys of an array, from the top
+TakeElement = Callable[[Any, list[Any]], None]
 
+# What json says of the same faults.
+EXTRA_DATA = "Extra data"
+KEY_EXPECTED = "Expecting property name enclosed in double quotes"
+COLON_EXPECTED = "Expecting ':' delimiter"
+COMMA_EXPECTED = "Expecting ',' delimiter"
 
-def read_in_steps(text: str, takers: Mapping[Path, Taker]) -> Generator[None, None, Any]:
-    """A taker adds what is kept of an element's data to the list that stands for the array at its path.
+_WHITESPACE = re.compile(r"[ \t\n\r]*")
+_decode_value = json.JSONDecoder().raw_decode
 
-    A short text is read by json alone. Raises ValueError as json.loads(), and for what is nested too deeply.
+
+class NestingError(OchrehoistError, ValueError):
+    """A text whose values are nested deeper than the parser can follow."""
+
+    def __init__(self) -> None:
+        super().__init__("nested too deeply")
+
+
+def read_in_steps(text: str, takers: Mapping[ArrayPath, TakeElement]) -> Generator[None, None, Any]:
+    """The value of `text`. A taker adds an element's data to the list that stands for the array at its path.
+
+    A short text is parsed at once, without takers. Raises ValueError as json.loads() does, and for what is
+    nested too deeply.
     """
     try:
-        if len(text) <= WHOLE or text.startswith("\ufeff"):
+        if len(text) <= MAX_SINGLE_STEP_CHARS or text.startswith("\ufeff"):
             return json.loads(text)
-        value, at = yield from _Walk(text, takers).value(_after_space(text, 0), ())
+        value, end = yield from _SteppedDecoder(text, takers).value(_skip_whitespace(text, 0), ())
     except RecursionError:
-        raise ValueError("nested too deeply") from None
-    at = _after_space(text, at)
-    if at != len(text):
-        raise JSONDecodeError("Extra data", text, at)
+        raise NestingError from None
+    end = _skip_whitespace(text, end)
+    if end != len(text):
+        raise JSONDecodeError(EXTRA_DATA, text, end)
     return value
 
 
-def _after_space(text: str, at: int) -> int:
-    return _SPACE.match(text, at).end()
+def _skip_whitespace(text: str, start: int) -> int:
+    match = _WHITESPACE.match(text, start)
+    return start if match is None else match.end()
+
 
+class _SteppedDecoder:
+    """Decodes the upper objects and their arrays itself, all other values by json."""
 
-class _Walk:
-    def __init__(self, text: str, takers: Mapping[Path, Taker]) -> None:
-        self.text, self.takers, self.told = text, takers, 0
+    def __init__(self, text: str, takers: Mapping[ArrayPath, TakeElement]) -> None:
+        self._text = text
+        self._takers = takers
+        self._last_yield = 0  # position in the text
 
-    def value(self, at: int, path: Path) -> Generator[None, None, tuple[Any, int]]:
-        first = self.text[at : at + 1]
-        if first == "{" and len(path) < DEPTH:
-            return (yield from self._object(at + 1, path))
+    def value(self, start: int, path: ArrayPath) -> Generator[None, None, tuple[Any, int]]:
+        """The value that begins at `start`, and where it ends."""
+        first = self._text[start : start + 1]
+        if first == "{" and len(path) < MAX_STEPPED_DEPTH:
+            return (yield from self._object(start + 1, path))
         if first == "[" and path:
-            return (yield from self._array(at + 1, path))
-        return _read(self.text, at)
+            return (yield from self._array(start + 1, path))
+        return _decode_value(self._text, start)
 
-    def _turn(self, at: int) -> bool:
-        """Whether enough was read for one step."""
-        if at - self.told < TAKEN:
+    def _is_step_over(self, position: int) -> bool:
+        if position - self._last_yield < CHARS_PER_STEP:
             return False
-        self.told = at
+        self._last_yield = position
         return True
 
-    def _object(self, at: int, path: Path) -> Generator[None, None, tuple[dict[str, Any], int]]:
-        out: dict[str, Any] = {}
-        at = _after_space(self.text, at)
-        if self.text[at : at + 1] == "}":
-            return out, at + 1
+    def _object(self, position: int, path: ArrayPath) -> Generator[None, None, tuple[dict[str, Any], int]]:
+        members: dict[str, Any] = {}
+        text = self._text
+        position = _skip_whitespace(text, position)
+        if text[position : position + 1] == "}":
+            return members, position + 1
         while True:
-            if self.text[at : at + 1] != '"':
-                raise JSONDecodeError("Expecting property name enclosed in double quotes", self.text, at)
-            key, at = _read(self.text, at)
-            at = _after_space(self.text, at)
-            if self.text[at : at + 1] != ":":
-                raise JSONDecodeError("Expecting ':' delimiter", self.text, at)
-            out[key], at = yield from self.value(_after_space(self.text, at + 1), (*path, key))
-            at = _after_space(self.text, at)
-            if self.text[at : at + 1] == "}":
-                return out, at + 1
-            if self.text[at : at + 1] != ",":
-                raise JSONDecodeError("Expecting ',' delimiter", self.text, at)
-            at = _after_space(self.text, at + 1)
-            if self._turn(at):
+            key, position = self._key(position)
+            members[key], position = yield from self.value(position, (*path, key))
+            position = _skip_whitespace(text, position)
+            if text[position : position + 1] == "}":
+                return members, position + 1
+            if text[position : position + 1] != ",":
+                raise JSONDecodeError(COMMA_EXPECTED, text, position)
+            position = _skip_whitespace(text, position + 1)
+            if self._is_step_over(position):
                 yield
 
-    def _array(self, at: int, path: Path) -> Generator[None, None, tuple[list[Any], int]]:
-        out: list[Any] = []
-        text, take, after_space = self.text, self.takers.get(path), _after_space
-        at = after_space(text, at)
-        if text[at : at + 1] == "]":
-            return out, at + 1
+    def _key(self, position: int) -> tuple[str, int]:
+        """The key of a member, and where its value begins."""
+        text = self._text
+        if text[position : position + 1] != '"':
+            raise JSONDecodeError(KEY_EXPECTED, text, position)
+        key, position = _decode_value(text, position)
+        position = _skip_whitespace(text, position)
+        if text[position : position + 1] != ":":
+            raise JSONDecodeError(COLON_EXPECTED, text, position)
+        return key, _skip_whitespace(text, position + 1)
+
+    def _array(self, position: int, path: ArrayPath) -> Generator[None, None, tuple[list[Any], int]]:
+        elements: list[Any] = []
+        text, take = self._text, self._takers.get(path)
+        position = _skip_whitespace(text, position)
+        if text[position : position + 1] == "]":
+            return elements, position + 1
         while True:
-            value, at = _read(text, at)
+            value, position = _decode_value(text, position)
             if take is None:
-                out.append(value)
+                elements.append(value)
             else:
-                take(value, out)
-            at = after_space(text, at)
-            mark = text[at : at + 1]
-            if mark == "]":
-                return out, at + 1
-            if mark != ",":
-                raise JSONDecodeError("Expecting ',' delimiter", text, at)
-            at = after_space(text, at + 1)
-            if self._turn(at):
+                take(value, elements)
+            position = _skip_whitespace(text, position)
+            delimiter = text[position : position + 1]
+            if delimiter == "]":
+                return elements, position + 1
+            if delimiter != ",":
+                raise JSONDecodeError(COMMA_EXPECTED, text, position)
+            position = _skip_whitespace(text, position + 1)
+            if self._is_step_over(position):
                 yield
--- /dev/null
+++ b/ochrehoist/config/platform_file.py
@@ -0,0 +1,99 @@
+"""The platform's JSON file, and the second front that an operator may add to its worker."""
+
+from collections.abc import Generator, Mapping
+from dataclasses import replace
+from typing import Any
+
+from ochrehoist.config import json_reader
+from ochrehoist.config.common import TENANTS_PATH, ElementReaders, read_common_in_steps, version_of
+from ochrehoist.config.environment import (
+    AJP_FILE,
+    CONFIG_FILE,
+    OVERRIDES,
+    Environment,
+    apply_overrides,
+    handover_path,
+    inherited_socket,
+)
+from ochrehoist.config.object_reader import ObjectReader
+from ochrehoist.config.schema import Config
+from ochrehoist.config.source import CachedArray, ConfigSource, FileText, read_text_in_steps, with_arrays
+from ochrehoist.config.tenants import TenantReader
+from ochrehoist.config.values import address, optional_address
+from ochrehoist.errors import InvalidInputError
+
+
+def read_platform_in_steps(
+    path: str, environment: Environment, current: Config | None
+) -> Generator[None, None, Config]:
+    """The configuration of a platform's worker; AJP is on only where the environment names a file of it.
+
+    EDGE_NAME, EDGE_LISTEN and EDGE_ADMIN go before the file. Raises InvalidInputError.
+    """
+    readers = ElementReaders.knowing(current)
+    try:
+        text = yield from read_text_in_steps(path)
+        data = yield from _parsed_in_steps(
+            text, readers.tenants, current.source if current is not None else None
+        )
+    except (OSError, ValueError) as error:
+        raise InvalidInputError.in_setting(CONFIG_FILE, str(error)) from None
+    top = ObjectReader(dict(data) if isinstance(data, dict) else data, "")
+    apply_overrides(top, environment, *OVERRIDES)
+    common = yield from read_common_in_steps(top, _seed(top), readers.tenants)
+    listen = address(top, "listen")
+    config = replace(
+        common,
+        listen=listen,
+        inherited_fd=inherited_socket(environment, listen),
+        handover_path=handover_path(common.name, environment),
+        platform_keys=_keys(data),
+        kernel_address=address(top, "kernel"),
+        membership_address=optional_address(top, "members"),
+        admin_address=optional_address(top, "admin"),
+        version=version_of(text.digest),
+        source=_source(data, text, common),
+    )
+    second_front = environment.get(AJP_FILE)
+    if not second_front:
+        return config
+    from ochrehoist.config import appliance_file  # only for those who have a second front
+
+    return (
+        yield from appliance_file.read_second_front_in_steps(
+            second_front, config, text.digest, readers.routes
+        )
+    )
+
+
+def _parsed_in_steps(
+    text: FileText, tenants: TenantReader, current: ConfigSource | None
+) -> Generator[None, None, Any]:
+    if current is not None and current.digest == text.digest:
+        unchanged = range(len(current.arrays[TENANTS_PATH].elements))
+        return with_arrays(current.remainder, {TENANTS_PATH: [unchanged]})
+    joined = text.joined()
+    if text.size_bytes > json_reader.MAX_SINGLE_STEP_CHARS:
+        yield
+    text.parts.clear()
+    return (yield from json_reader.read_in_steps(joined, {TENANTS_PATH: tenants.take}))
+
+
+def _source(data: dict[str, Any], text: FileText, common: Config) -> ConfigSource | None:
+    if text.size_bytes <= json_reader.MAX_SINGLE_STEP_CHARS or "Tenants" not in data["settings"]:
+        return None
+    remainder = with_arrays(data, {TENANTS_PATH: []})
+    return ConfigSource(text.digest, remainder, b"", {TENANTS_PATH: CachedArray(common.settings.tenants)})
+
+
+def _seed(top: ObjectReader) -> int:
+    text = top.text("seed")
+    try:
+        return int(text, 16)
+    except ValueError:
+        raise top.error("seed", f"not hexadecimal: {text!r}") from None
+
+
+def _keys(data: Mapping[str, Any]) -> frozenset[str]:
+    """The keys of the file and of its settings. Deeper ones are checked one by one, where they are read."""
+    return frozenset(data) | {f"settings.{key}" for key in data["settings"]}
--- /dev/null
+++ b/ochrehoist/config/routes.py
@@ -0,0 +1,82 @@
+"""The elements of `ajp.rules`: checked once, and kept as the same objects while they do not change."""
+
+from collections.abc import Collection, Generator
+from operator import is_
+from typing import Any
+
+from ochrehoist.config.object_reader import ObjectReader
+from ochrehoist.config.schema import AjpRoute
+from ochrehoist.errors import InvalidInputError
+from ochrehoist.steps import concatenated_in_steps
+
+ROUTES_PER_STEP = 500
+
+
+class RouteReader:
+    """Makes routes; one that did not change comes back as the same object."""
+
+    def __init__(self, current: tuple[AjpRoute, ...] = ()) -> None:
+        self._current = current
+        self._method_sets: dict[frozenset[str], frozenset[str]] = {}  # few sets for many routes
+        # By a text, since the collector does not track a dictionary of texts and numbers.
+        self._positions: dict[str, int] = {}
+
+    def index_current_in_steps(self) -> Generator[None, None, None]:
+        """Makes the routes in force known; to be run before the first element is taken."""
+        for position, route in enumerate(self._current):
+            methods = self._method_sets.setdefault(route.methods, route.methods)
+            self._positions[_route_key(route.uri, methods, route.request_class)] = position
+            if (position + 1) % ROUTES_PER_STEP == 0:
+                yield
+
+    def take(self, data: Any, elements: list[Any]) -> None:
+        """Adds a route, its class not yet looked up, or the data where it is unusable.
+
+        read_in_steps() reports what is unusable, with the position that the element then has.
+        """
+        try:
+            elements.append(self._checked(ObjectReader(data, ""), None))
+        except InvalidInputError:
+            elements.append(data)
+
+    def read_in_steps(
+        self, ajp: ObjectReader, classes: Collection[str]
+    ) -> Generator[None, None, tuple[AjpRoute, ...]]:
+        """All routes of the table. `classes`: the names of the request classes. Raises InvalidInputError."""
+        routes: list[AjpRoute] = []
+        for item in ajp.items("rules"):
+            for element in self._current[item.start : item.stop] if isinstance(item, range) else (item,):
+                routes.append(self._route(ajp, len(routes), element, classes))
+                if len(routes) % ROUTES_PER_STEP == 0:
+                    yield
+        if len(routes) == len(self._current) and all(map(is_, routes, self._current)):
+            return self._current
+        return (yield from concatenated_in_steps([routes], ()))
+
+    def _route(self, ajp: ObjectReader, index: int, element: Any, classes: Collection[str]) -> AjpRoute:
+        if not isinstance(element, AjpRoute):
+            return self._checked(ajp.element("rules", index, element), classes)
+        if element.request_class not in classes:
+            raise ajp.error(f"rules[{index}].class", f"unknown class {element.request_class!r}")
+        return element
+
+    def _checked(self, table: ObjectReader, classes: Collection[str] | None) -> AjpRoute:
+        """The route of a table. `classes`: None: any will do. Raises InvalidInputError."""
+        table.allow_only("uri", "methods", "class")
+        request_class, written_methods = table.text("class"), table.items("methods", [])
+        if classes is not None and request_class not in classes:
+            raise table.error("class", f"unknown class {request_class!r}")
+        if not all(isinstance(method, str) and method for method in written_methods):
+            raise table.unusable("methods", written_methods)
+        uri = table.text("uri")
+        if not uri.startswith("/"):
+            raise table.error("uri", f"does not start with /: {uri!r}")
+        methods = frozenset(method.upper() for method in written_methods)
+        methods = self._method_sets.setdefault(methods, methods)
+        position = self._positions.get(_route_key(uri, methods, request_class))
+        return AjpRoute(uri, methods, request_class) if position is None else self._current[position]
+
+
+def _route_key(uri: str, methods: frozenset[str], request_class: str) -> str:
+    """Tells routes apart whose sets of methods are shared objects."""
+    return f"{id(methods)} {len(uri)} {uri}{request_class}"
--- a/ochrehoist/config/schema.py
+++ b/ochrehoist/config/schema.py
@@ -1,21 +1,61 @@
-"""What a configuration consists of, once it is read and checked."""
+"""The types of a configuration that was read and checked."""
 
-from collections.abc import Mapping
+from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
-from typing import Any
+from enum import StrEnum
+from typing import TYPE_CHECKING, Protocol
 
 from ochrehoist.admission.settings import AdmissionSettings
-from ochrehoist.config.source import Source
+from ochrehoist.config.source import ConfigSource
 
-Address = tuple[str, int]
-ON_LOSS = ("hold", "serve")  # refuse filings until no window of before can be open, or take the risk
-# By which the running limit is found; `module`: by the decision module alone.
-CONTROLLERS = ("module", "seek", "steps", "gradient", "vegas", "aimd", "fixed")
-USES = ("repeats", "tenant", "server")  # what a budget of the fleet is for
+if TYPE_CHECKING:  # loaded only by workers that have a playbook
+    from ochrehoist.sites.playbook import Playbook
+
+Address = tuple[str, int]  # IPv4 address and port
+
+
+class LossPolicy(StrEnum):
+    """What a worker does about idempotent requests after its store lost records."""
+
+    HOLD = "hold"  # rejects them until no earlier idempotency window can be open
+    SERVE = "serve"  # takes the risk of running one twice
+
+
+class LimitController(StrEnum):
+    """How the concurrency limit is found."""
+
+    MODULE = "module"  # by the decision module alone
+    SEEK = "seek"
+    STEPS = "steps"
+    GRADIENT = "gradient"
+    VEGAS = "vegas"
+    AIMD = "aimd"
+    FIXED = "fixed"
+
+
+class BudgetKind(StrEnum):
+    """What a budget of the fleet limits."""
+
+    RETRIES = "repeats"
+    TENANT = "tenant"
+    SERVER = "server"  # runs at once there
+
+
+class SiteMap(Protocol):
+    """Which site an address lies in, by the fleet's description."""
+
+    @property
+    def names(self) -> Sequence[str]:
+        """The names of all sites."""
+
+    def site_of(self, host: str) -> str | None:
+        """The site of an IPv4 address, None where the description does not know it."""
 
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class AjpServer:
+    """A server behind, and how long it is waited for."""
+
     name: str
     address: Address
     secret: str | None
@@ -26,6 +66,8 @@
 
 @dataclass(slots=True, frozen=True)
 class AjpRoute:
+    """The request class of all requests whose path and method match; no methods: any."""
+
     uri: str
     methods: frozenset[str]
     request_class: str
@@ -33,16 +75,18 @@
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class AjpConfig:
+    """The AJP front, and the servers behind it."""
+
     listen: Address
     secret: str | None
-    packet_size: int
-    max_body: int
-    max_response: int
+    packet_size: int  # bytes
+    max_body: int  # bytes
+    max_response: int  # bytes
     max_connections: int
     idle_timeout_s: float
     body_timeout_s: float
-    server_backoff_ms: int
-    memory_kb: float
+    server_backoff_ms: int  # for which a server that is out of reach is tried last
+    memory_kb: float  # of one request beside its packet and body
     health_uri: bytes
     tenant_header: bytes
     default_tenant: str | None
@@ -59,12 +103,12 @@
     folder: str
     must_exist: bool  # a folder without a store is one that is not mounted, not a first start
     max_mb: float
-    group_commit_delay_ms: float  # that the first filing of a group waits for more
-    max_disk_wait_ms: float  # that a filing waits for the disk
-    on_loss: str
+    group_commit_delay_ms: float  # for which a commit waits for further requests
+    max_disk_wait_ms: float  # for which an idempotent request waits for the disk
+    on_loss: LossPolicy
     max_result_kb: float
-    snapshot_interval_s: float
-    snapshot_half_life_s: float
+    snapshot_interval_s: float  # between two snapshots of the learned state
+    snapshot_half_life_s: float  # by which the weight of a restored snapshot halves
 
 
 @dataclass(slots=True, frozen=True, kw_only=True)
@@ -72,37 +116,37 @@
     """What is recorded of the load, and where."""
 
     folder: str
-    sample_fraction: float  # share of subjects
-    max_mb: float  # of all files; the oldest go
-    max_file_mb: float  # a new file after so much
-    max_file_age_s: float  # or so long
+    sample_fraction: float  # of the subjects
+    max_mb: float  # of all files; the oldest are deleted
+    max_file_mb: float
+    max_file_age_s: float
 
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class OverloadConfig:
     """What a worker does with what it measures of itself; each part can be switched off by itself."""
 
-    admission: bool = True  # turns away early what it is too far behind to decide on
-    bulkheads: bool = True  # limits what runs, by what completes, and keeps floors for classes
-    controller: str = "module"  # how the limit is found; one of CONTROLLERS
-    min_running: int | None = None  # running at once; by default a quarter of the cores
+    admission: bool = True  # sheds load early while it is too far behind to decide on it
+    bulkheads: bool = True  # limits concurrency by completions, and keeps floors for classes
+    controller: LimitController = LimitController.MODULE
+    min_running: int | None = None  # concurrent runs; by default a quarter of the cores
     max_running: int | None = None  # by default what the cores are said to survive
-    low_priority_lane: bool = False  # keeps what costs many times the usual to a narrow lane
-    retry_budget: bool = False  # keeps callers to a budget of repeats while requests are turned away
+    low_priority_lane: bool = False  # keeps requests of many times the usual cost to a narrow lane
+    retry_budget: bool = False  # keeps callers to a budget of retries while load is shed
 
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class BudgetConfig:
-    """What all workers of a fleet together may use. `of`: a tenant or a server; None: all servers alike."""
+    """What all workers of a fleet together may use."""
 
     name: str
-    kind: str  # one of USES
-    subject: str | None
-    amount: int  # in a second; of "server": at once
+    kind: BudgetKind
+    subject: str | None  # the tenant or server; None: all servers alike
+    amount: int  # in a second; of a server: at once
     lease_s: float
-    floor_fraction: float  # share of its own rights that a worker which is cut off keeps, for
+    floor_fraction: float  # of its own leases that a worker which is cut off keeps for floor_lease_s
     floor_lease_s: float
-    max_run_s: float  # of one run, where what runs at once is counted
+    max_run_s: float  # of one run, where concurrent runs are counted; else 0
     slot_count: int
 
 
@@ -111,16 +155,16 @@
     """The other workers, and what is shared with them."""
 
     listen: Address
-    advertised_address: Address  # by which others reach it
+    advertised_address: Address  # by which others reach this worker
     group: str
     site: str
-    secrets: tuple[str, ...]  # the first signs; any of them is believed
+    secrets: tuple[str, ...]  # the first signs; each of them is accepted
     protocol_period_ms: int
     members: Mapping[str, Address]
     seed_addresses: tuple[Address, ...]
     lease_grantors: tuple[str, ...]
-    max_ejected_fraction: float
-    max_requests_per_s: float
+    max_ejected_fraction: float  # of the services
+    max_requests_per_s: float  # that one worker can do
     budgets: tuple[BudgetConfig, ...]
 
 
@@ -129,21 +173,23 @@
     """The sites that the fleet's workers lie in."""
 
     site: str  # this worker's
-    site_map: Any  # site by address, of the fleet's description (sites.places.Places); None: as members say
-    playbook: Any  # sites.playbook.Playbook, or None
-    recovery_ramp: bool  # whether a worker that comes back takes its load by steps
+    site_map: SiteMap | None  # None: members say themselves where they are
+    playbook: "Playbook | None"
+    recovery_ramp: bool  # whether a worker that comes back takes its load by stages
 
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class RecoveryConfig:
-    """What others know of the filings begun here, and how a start is measured."""
+    """What others know of the idempotent requests begun here, and how a start is measured."""
 
     witnesses: tuple[str, ...]
-    witness_timeout_ms: float  # that a filing waits for them
+    witness_timeout_ms: float  # for which such a request waits for them
 
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class Config:
+    """All of a worker's configuration. A part that is None is switched off."""
+
     name: str
     settings: AdmissionSettings
     gauges: tuple[str, ...]
@@ -155,7 +201,7 @@
     kernel_address: Address | None = None
     membership_address: Address | None = None
     ajp: AjpConfig | None = None
-    admin_address: Address | None = None  # where operators call
+    admin_address: Address | None = None  # for operators
     agent_check_address: Address | None = None
     state: StateConfig | None = None
     capture: CaptureConfig | None = None
@@ -163,13 +209,9 @@
     peers: PeersConfig | None = None
     sites: SitesConfig | None = None
     recovery: RecoveryConfig | None = None
-    inherited_fd: int | None = None  # a descriptor that listens at `listen`, kept by the platform
-    handover_path: str | None = None  # where the process that replaces this one finds it
-    platform_keys: frozenset[str] = (
-        frozenset()
-    )  # of the platform's file: one that is read again must have them all
+    inherited_fd: int | None = None  # a socket that listens at `listen`, passed by the platform
+    handover_path: str | None = None  # of the socket by which a successor process finds this one
+    platform_keys: frozenset[str] = frozenset()  # of the platform's file; a later version must have them all
     version: str = field(default="", compare=False)  # short hash of the content read
-    tenant_positions: Mapping[str, int] = field(
-        default_factory=dict, compare=False, repr=False
-    )  # places by name
-    source: Source | None = field(default=None, compare=False, repr=False)  # None: of a short text
+    tenant_positions: Mapping[str, int] = field(default_factory=dict, compare=False, repr=False)  # by name
+    source: ConfigSource | None = field(default=None, compare=False, repr=False)  # None: of a short text
--- a/ochrehoist/config/source.py
+++ b/ochrehoist/config/source.py
@@ -1,4 +1,4 @@
-"""The text of a configuration file, taken in steps, and what is kept of it to find what did not change."""
+"""The text of a configuration file, read in steps, and what is kept of it to find what did not change."""
 
 import codecs
 import io
@@ -7,120 +7,137 @@
 from collections.abc import Generator, Mapping, Sequence
 from dataclasses import dataclass, field
 from hashlib import sha256
+from pathlib import Path
 from typing import Any
 
-from ochrehoist.config.json_reader import WHOLE, Path
+from ochrehoist.config.json_reader import MAX_SINGLE_STEP_CHARS, ArrayPath
+from ochrehoist.errors import OchrehoistError
 
-PART = 16384  # bytes taken in one step
-TRIES = 5  # at a file that changes while it is read
+READ_BYTES = 16384  # in one step
+MAX_READ_ATTEMPTS = 5  # at a file that changes while it is read
 
+# Positions of elements by the digest of the chunk of text that they came from. Ranges and digests are not
+# tracked by the collector, so that many of them cost it nothing.
+ChunkPositions = dict[bytes, range]
 
-Stretches = dict[bytes, range]  # which elements a piece of text gave; ranges are nothing to the collector
+
+class FileChangingError(OchrehoistError, ValueError):
+    """A file that was written to at each attempt to read it."""
+
+    def __init__(self) -> None:
+        super().__init__("changes while it is read")
+
+
+class FileEncodingError(OchrehoistError, ValueError):
+    """A file that is not UTF-8; the text says where."""
 
 
 @dataclass(slots=True, frozen=True)
-class Kept:
-    """The elements of one array, and what parts of its text gave them."""
+class CachedArray:
+    """The elements of one array, and which chunks of its text gave them."""
 
     elements: Sequence[Any]
-    stretches: Stretches = field(default_factory=dict)
+    chunks: ChunkPositions = field(default_factory=dict)
 
 
 @dataclass(slots=True, frozen=True)
-class Source:
+class ConfigSource:
     """What a Config was read from. The text itself is not kept."""
 
     digest: bytes
-    rest: Mapping[str, Any]  # all but the arrays in `kept`
-    rest_digest: bytes  # of its text; of JSON there is none
-    kept: Mapping[Path, Kept]
+    remainder: Mapping[str, Any]  # all but the arrays in `arrays`
+    remainder_digest: bytes  # of its text; empty for JSON
+    arrays: Mapping[ArrayPath, CachedArray]
 
 
 @dataclass(slots=True)
-class Reading:
-    """A file read."""
-
-    data: dict[str, Any]  # as a plain reading gives it, but a range stands for elements of before
-    rest: Mapping[str, Any] | None = None  # without those arrays; None: all was read as a whole
-    rest_digest: bytes = b""
-    stretches: Mapping[Path, Stretches] = field(default_factory=dict)
-    lines: Mapping[Path, Sequence[int]] = field(default_factory=dict)  # of the elements
-
-    def source(self, digest: bytes, elements: Mapping[Path, Sequence[Any]]) -> Source | None:
-        """What the next reading may know. `elements`: the arrays as they were taken."""
-        if self.rest is None:
+class ParsedFile:
+    """The data of a file. A range among the elements of an array stands for elements in force."""
+
+    data: dict[str, Any]
+    remainder: Mapping[str, Any] | None = None  # without those arrays; None: the file was parsed as a whole
+    remainder_digest: bytes = b""
+    chunks: Mapping[ArrayPath, ChunkPositions] = field(default_factory=dict)
+    lines: Mapping[ArrayPath, Sequence[int]] = field(default_factory=dict)  # first line of each element
+
+    def source(self, digest: bytes, elements: Mapping[ArrayPath, Sequence[Any]]) -> ConfigSource | None:
+        """What the next reading needs. `elements`: the arrays as they were finally taken."""
+        if self.remainder is None:
             return None
-        return Source(
-            digest,
-            self.rest,
-            self.rest_digest,
-            {path: Kept(elements[path], stretches) for path, stretches in self.stretches.items()},
-        )
+        arrays = {path: CachedArray(elements[path], chunks) for path, chunks in self.chunks.items()}
+        return ConfigSource(digest, self.remainder, self.remainder_digest, arrays)
 
 
-class Text:
-    """A file's text in parts, its newlines all as \\n, with the digest of its bytes."""
+class FileText:
+    """A file's text in parts, with the digest of its bytes. Each newline is a single line feed."""
 
     def __init__(self) -> None:
         self.parts: list[str] = []
         self.digest = b""
-        self.size = 0
+        self.size_bytes = 0
 
-    def whole(self) -> str:
+    def joined(self) -> str:
+        """The whole text."""
         return "".join(self.parts)
 
 
-def joined(rest: Mapping[str, Any], arrays: Mapping[Path, list[Any]]) -> dict[str, Any]:
-    """`rest` with the arrays in their places; itself it stays as it is."""
-    out = dict(rest)
+def with_arrays(remainder: Mapping[str, Any], arrays: Mapping[ArrayPath, list[Any]]) -> dict[str, Any]:
+    """A copy of `remainder` that has the arrays at their paths; `remainder` itself stays as it is."""
+    data = dict(remainder)
     for path, elements in arrays.items():
-        table = out
+        table = data
         for key in path[:-1]:
             table[key] = dict(table[key])
             table = table[key]
         table[path[-1]] = elements
-    return out
-
+    return data
 
-def _mark(at: os.stat_result) -> tuple[int, ...]:
-    return at.st_dev, at.st_ino, at.st_size, at.st_mtime_ns, at.st_ctime_ns
 
-
-def text_in_steps(path: str) -> Generator[None, None, Text]:
+def read_text_in_steps(path: str) -> Generator[None, None, FileText]:
     """The file as it was at one moment: one that changes meanwhile, or is replaced, is read anew.
 
-    Raises OSError, and ValueError for what is no UTF-8 or never comes to rest.
+    Raises OSError, and ValueError for what is not UTF-8 or keeps changing.
     """
-    for _ in range(TRIES):
-        with open(path, "rb", buffering=0) as file:
+    for _ in range(MAX_READ_ATTEMPTS):
+        with Path(path).open("rb", buffering=0) as file:
             before = os.fstat(file.fileno())
             regular = stat.S_ISREG(before.st_mode)
-            text = yield from _parts(file, before.st_size if regular else None)
+            text = yield from _decoded_in_steps(file, before.st_size if regular else None)
             after = os.fstat(file.fileno())
-        if not regular or _mark(before) == _mark(after) == _mark(os.stat(path)):
-            if isinstance(text, ValueError):  # only now: it may have been half of a change
+        if not regular or _identity(before) == _identity(after) == _identity(Path(path).stat()):
+            if isinstance(text, FileEncodingError):  # only now: it may have been half of a change
                 raise text
             return text
-    raise ValueError("changes while it is read")
+    raise FileChangingError
+
+
+def _identity(status: os.stat_result) -> tuple[int, ...]:
+    return status.st_dev, status.st_ino, status.st_size, status.st_mtime_ns, status.st_ctime_ns
 
 
-def _parts(file: io.FileIO, size: int | None) -> Generator[None, None, Text | ValueError]:
-    """Of one that grows beyond its size no more is read."""
-    text, digest, lines = Text(), sha256(), 1
+def _decoded_in_steps(
+    file: io.FileIO, max_bytes: int | None
+) -> Generator[None, None, FileText | FileEncodingError]:
+    """The text, or what is wrong with it. Of a file that grows beyond `max_bytes` no more is read."""
+    text, digest, line = FileText(), sha256(), 1
     decoder = io.IncrementalNewlineDecoder(codecs.getincrementaldecoder("utf-8")(), translate=True)
     while True:
-        data = file.read(PART)
+        data = file.read(READ_BYTES)
         digest.update(data)
         try:
             part = decoder.decode(data, final=not data)
         except UnicodeDecodeError as error:
-            good = error.object[: error.start].decode()
-            return ValueError(f"not UTF-8: {error.reason} (at line {lines + good.count(chr(10))})")
-        lines += part.count("\n")
+            return _undecodable(error, line)
+        line += part.count("\n")
         text.parts.append(part)
-        text.size += len(data)
-        if not data or size is not None and text.size > size:
+        text.size_bytes += len(data)
+        if not data or (max_bytes is not None and text.size_bytes > max_bytes):
             text.digest = digest.digest()
             return text
-        if text.size > WHOLE:
+        if text.size_bytes > MAX_SINGLE_STEP_CHARS:
             yield
+
+
+def _undecodable(error: UnicodeDecodeError, line: int) -> FileEncodingError:
+    line += error.object[: error.start].decode().count("\n")
+    return FileEncodingError(f"not UTF-8: {error.reason} (at line {line})")
--- /dev/null
+++ b/ochrehoist/config/tenants.py
@@ -0,0 +1,161 @@
+"""The elements of `Tenants`: checked once, and kept as the same objects while they do not change."""
+
+import gc
+from collections.abc import Generator, Mapping, Sequence
+from dataclasses import dataclass
+from typing import Any
+
+from ochrehoist.admission.settings import Tenant
+from ochrehoist.config.object_reader import ObjectReader
+from ochrehoist.errors import InvalidInputError
+from ochrehoist.steps import concatenated_in_steps
+
+TENANTS_PER_STEP = 1000
+NEW_TENANTS_PER_FREEZE = 4000
+
+
+@dataclass(slots=True, frozen=True)
+class TenantTable:
+    """All tenants, and their positions by name."""
+
+    tenants: tuple[Tenant, ...]
+    positions: Mapping[str, int]
+
+
+class TenantReader:
+    """Makes the elements of `Tenants`; one that did not change comes back as the same object."""
+
+    _created_since_freeze = 0  # by all readers of this process
+
+    def __init__(self, current: tuple[Tenant, ...] = (), positions: Mapping[str, int] | None = None) -> None:
+        self._current = current
+        self._positions: Mapping[str, int] = positions or {}
+
+    def take(self, data: Any, elements: list[Any]) -> None:
+        """Adds a tenant to `elements`: a range for such as did not change, the data where it is unusable.
+
+        read_in_steps() reports what is unusable, with the position that the element then has.
+        """
+        position = self._unchanged_position(data)
+        if position is None:
+            try:
+                elements.append(self._checked(data, ""))
+            except InvalidInputError:
+                elements.append(data)
+            return
+        last = elements[-1] if elements else None
+        if isinstance(last, range) and last.stop == position:
+            elements[-1] = range(last.start, position + 1)
+        else:
+            elements.append(range(position, position + 1))
+
+    def read_in_steps(self, listed: Sequence[Any]) -> Generator[None, None, TenantTable]:
+        """All tenants. `listed`: data, tenants, and ranges of those in force.
+
+        Where all are as before, the tuple in force comes back. Raises InvalidInputError, also where two
+        tenants have one name.
+        """
+        merge = _Merge(self._current, self._positions)
+        for number, item in enumerate(listed, start=1):
+            if isinstance(item, range):
+                merge.add_unchanged(item)
+            else:
+                merge.add(item if isinstance(item, Tenant) else self._tenant(item, merge.count))
+            if number % TENANTS_PER_STEP == 0:
+                yield
+        tenants = self._current
+        if not merge.unchanged:
+            tenants = yield from concatenated_in_steps(merge.parts, self._current)
+        if merge.positions_unchanged:
+            return TenantTable(tenants, self._positions)
+        return TenantTable(tenants, (yield from _positions_in_steps(tenants)))
+
+    def _tenant(self, data: Any, index: int) -> Tenant:
+        position = self._unchanged_position(data)
+        return self._checked(data, f"Tenants[{index}].") if position is None else self._current[position]
+
+    def _unchanged_position(self, data: Any) -> int | None:
+        """The position of the tenant in force that has the same values."""
+        if type(data) is not dict or type(name := data.get("Name")) is not str:
+            return None
+        position = self._positions.get(name)
+        if position is None:
+            return None
+        quota, share = data.get("QuotaPerS"), data.get("Fraction", 0.0)
+        if type(quota) is bool or type(share) is bool:  # true equals 1, but is no number
+            return None
+        tenant = self._current[position]
+        return position if tenant.quota_per_s == quota and tenant.share == share else None
+
+    def _checked(self, data: Any, path: str) -> Tenant:
+        """A new tenant. Raises InvalidInputError, which names the key after `path`."""
+        reader = ObjectReader(data, path)
+        tenant = Tenant(reader.text("Name"), reader.number("QuotaPerS"), reader.number("Fraction", 0.0))
+        self._count_created()
+        return tenant
+
+    @staticmethod
+    def _count_created() -> None:
+        """Has the collector skip tenants from now on, once there are thousands of new ones.
+
+        Traversing tens of thousands of them again and again would hold up the event loop. It is not done more
+        often, because garbage that is in reference cycles at that moment is never freed.
+        """
+        TenantReader._created_since_freeze += 1
+        if TenantReader._created_since_freeze == NEW_TENANTS_PER_FREEZE:
+            TenantReader._created_since_freeze = 0
+            gc.freeze()
+
+
+class _Merge:
+    """Collects the new list of tenants, and finds out what of the one in force still holds."""
+
+    def __init__(self, current: tuple[Tenant, ...], positions: Mapping[str, int]) -> None:
+        self._current = current
+        self._same_elements = True
+        self._same_names = len(positions) == len(current)
+        self.count = 0
+        self.parts: list[range | list[Tenant]] = []
+
+    def add_unchanged(self, positions: range) -> None:
+        """Adds tenants in force by their positions."""
+        self._same_names &= positions.start == self.count
+        self.count += len(positions)
+        self.parts.append(positions)
+
+    def add(self, tenant: Tenant) -> None:
+        """Adds one tenant."""
+        replaced = self._current[self.count] if self.count < len(self._current) else None
+        self._same_elements &= tenant is replaced
+        self._same_names &= replaced is not None and tenant.name == replaced.name
+        self.count += 1
+        last = self.parts[-1] if self.parts else None
+        if isinstance(last, list):
+            last.append(tenant)
+        else:
+            self.parts.append([tenant])
+
+    @property
+    def positions_unchanged(self) -> bool:
+        """Whether each name has the position that it had."""
+        return self._same_names and self.count == len(self._current)
+
+    @property
+    def unchanged(self) -> bool:
+        """Whether all tenants are those in force, in the same order."""
+        return self._same_elements and self.positions_unchanged
+
+
+def _positions_in_steps(tenants: Sequence[Tenant]) -> Generator[None, None, Mapping[str, int]]:
+    positions: dict[str, int] = {}
+    for position, tenant in enumerate(tenants):
+        first = positions.setdefault(tenant.name, position)
+        if first != position:
+            raise InvalidInputError.in_setting(
+                f"Tenants[{position}].Name",
+                f"{tenant.name!r} is the name of Tenants[{first}] too",
+                conflicting_index=first,
+            )
+        if (position + 1) % TENANTS_PER_STEP == 0:
+            yield
+    return positions
--- a/ochrehoist/config/toml_reader.py
+++ b/ochrehoist/config/toml_reader.py
@@ -1,342 +1,343 @@
-"""TOML read in steps: arrays of tables by stretches of some dozens of elements, the rest as a whole.
+"""Large TOML files read in steps: only the chunks of elements that changed are parsed.
 
-What says what the text means is tomli alone, which is tomllib compiled: a stretch of elements is a document
-of its own, and in the rest an empty element stands for each run of them, so that what may follow is judged
-there. A text whose form is unusual is read as a whole, by a thread that lets others go on.
+Lines that begin an element of an array of tables split the text. Elements form chunks, whose boundaries
+depend on their own content, so that an element that comes or goes moves no other boundary. A chunk is a
+document of its own, found again by the digest of its text. All other lines form the remainder, a document in
+which an empty element stands for each run of elements, so that the parser judges what may follow them. A text
+of unusual form is parsed as a whole, by a thread.
 """
 
 import re
-import sys
-import threading
-import tomllib
 from array import array
 from bisect import bisect_right
-from collections.abc import Generator, Mapping
+from collections.abc import Generator, Iterator, Mapping
 from hashlib import blake2b
 from typing import Any
 from zlib import crc32
 
-import tomli
-
-from ochrehoist.config.json_reader import Path, Taker
-from ochrehoist.config.source import Reading, Source, Stretches, Text, joined
+from ochrehoist.config.json_reader import ArrayPath, TakeElement
+from ochrehoist.config.source import ChunkPositions, ConfigSource, FileText, ParsedFile, with_arrays
+from ochrehoist.config.toml_parser import SyntaxFault, parse, parse_in_steps, parse_in_thread
 from ochrehoist.errors import OchrehoistError
 
-ELEMENTS = 64  # of a stretch, at the most,
-STRETCH = 4096  # or so many characters, unless one element has more
-BORDER = 24  # one element in so many begins a stretch, by its own text: what comes before it moves no border
-TRIES = 32  # at finding what is good before a fault
-SHORT = 8192  # characters of the rest that are read by one step; more by a thread
-MOST_REST = 262144  # and more than this is not parted
-SWITCH = 0.0005  # s that a thread holds the interpreter while others want it
-LONGEST = 65536  # characters of one element, or one line
+MAX_CHUNK_ELEMENTS = 64
+MAX_CHUNK_CHARS = 4096  # unless a single element has more
+BOUNDARY_MODULUS = 24  # one element in so many begins a chunk, by the checksum of its own text
+MAX_PREFIX_ATTEMPTS = 32  # at finding what can be parsed before a fault
+MAX_REMAINDER_CHARS = 262144
+MAX_ELEMENT_CHARS = 65536  # or of one line
+MAX_KNOWN_HEADERS = 256
+DIGEST_BYTES = 16
 
-_LINE = re.compile(r"\n[ \t]*\[[^\n]*")  # what may be a header
+_HEADER_LINE = re.compile(r"\n[ \t]*\[[^\n]*")  # what may be a header
 _KEY = r"[A-Za-z_][A-Za-z0-9_-]*"
-_HEADER = re.compile(rf"\n[ \t]*(?:\[({_KEY}(?:\.{_KEY})*)\]|\[\[({_KEY}(?:\.{_KEY})*)\]\])[ \t]*(?:#.*)?")
-_PLACE = re.compile(r"(.*) \(at line (\d+), column (\d+)\)", re.DOTALL)
-_VALUES = {"true", "false", "inf", "nan"}  # [true] may be a line of an array
-_TABLE: Path = ()
+_USUAL_HEADER = re.compile(
+    rf"\n[ \t]*(?:\[({_KEY}(?:\.{_KEY})*)\]|\[\[({_KEY}(?:\.{_KEY})*)\]\])[ \t]*(?:#.*)?"
+)
+_VALUE_WORDS = {"true", "false", "inf", "nan"}  # [true] may be a line of an array
+_NO_ARRAY: ArrayPath = ()  # the path of lines that belong to no array of tables
 
 
-class _Unusual(OchrehoistError):
-    """The text can't be parted."""
+class UnusualFormError(OchrehoistError):
+    """The text is of a form that cannot be split; it may be valid."""
 
 
-class _Faulty(OchrehoistError):
-    """The text is no TOML."""
+class TomlSyntaxError(OchrehoistError, ValueError):
+    """The text is not TOML; the message names the line of the file."""
 
 
 def read_in_steps(
-    text: Text, takers: Mapping[Path, Taker], before: Source | None
-) -> Generator[None, None, Reading]:
-    """A taker adds what is kept of an element's data to the list that stands for the array at its path.
+    text: FileText, takers: Mapping[ArrayPath, TakeElement], current: ConfigSource | None
+) -> Generator[None, None, ParsedFile]:
+    """The data of a file. `current`: of the configuration in force.
 
-    Raises ValueError, with the line at fault.
+    A taker adds an element's data to the list that stands for the array at its path. Raises ValueError, with
+    the line at fault.
     """
-    if before is not None and before.digest == text.digest:
-        all_of = {path: [range(len(kept.elements))] for path, kept in before.kept.items()}
-        return Reading(
-            joined(before.rest, all_of),
-            before.rest,
-            before.rest_digest,
-            {path: kept.stretches for path, kept in before.kept.items()},
-        )
+    if current is not None and current.digest == text.digest:
+        return _unchanged(current)
     try:
-        return (yield from _Parting(takers, before).read(text))
-    except _Unusual:
-        return Reading((yield from _aside(text.whole())))
-    except _Faulty as error:
-        raise ValueError(str(error)) from None
-
-
-def _loads_in_steps(text: str) -> Generator[None, None, dict[str, Any]]:
-    if len(text) <= SHORT:
-        return _loads(text)
-    return (yield from _aside(text))
-
+        return (yield from _Splitter(takers, current).read(text))
+    except UnusualFormError:
+        return ParsedFile((yield from parse_in_thread(text.joined())))
 
-def _aside(text: str) -> Generator[None, None, dict[str, Any]]:
-    """By tomllib, which gives the interpreter back when asked: tomli is compiled, and holds it to its end."""
-    done: list[dict[str, Any] | Exception] = []
 
-    def read() -> None:
-        try:
-            done.append(tomllib.loads(text))
-        except Exception as error:
-            done.append(error)
-
-    interval, thread = sys.getswitchinterval(), threading.Thread(target=read, daemon=True)
-    try:
-        sys.setswitchinterval(SWITCH)
-        thread.start()
-        while thread.is_alive():
-            thread.join(SWITCH)
-            yield
-    finally:
-        sys.setswitchinterval(interval)
-    if isinstance(done[0], RecursionError):
-        raise ValueError("nested too deeply")
-    if isinstance(done[0], Exception):
-        raise done[0]
-    return done[0]
+def _unchanged(current: ConfigSource) -> ParsedFile:
+    arrays: dict[ArrayPath, list[Any]] = {
+        path: [range(len(cached.elements))] for path, cached in current.arrays.items()
+    }
+    return ParsedFile(
+        with_arrays(current.remainder, arrays),
+        current.remainder,
+        current.remainder_digest,
+        {path: cached.chunks for path, cached in current.arrays.items()},
+    )
 
 
-def _loads(text: str) -> dict[str, Any]:
-    try:
-        return tomli.loads(text)
-    except RecursionError:
-        raise ValueError("nested too deeply") from None
+def _digest(text: str) -> bytes:
+    return blake2b(text.encode(), digest_size=DIGEST_BYTES).digest()
 
 
-class _Parting:
-    """One text, parted: elements go into stretches, all other lines into the rest."""
+class _Splitter:
+    """Splits one text: elements go into chunks, all other lines into the remainder."""
 
-    def __init__(self, takers: Mapping[Path, Taker], before: Source | None) -> None:
-        self.takers, self.before = takers, before
-        self.known: dict[Path, Stretches] = {
-            path: before.kept[path].stretches if before is not None and path in before.kept else {}
+    def __init__(self, takers: Mapping[ArrayPath, TakeElement], current: ConfigSource | None) -> None:
+        self._takers = takers
+        self._current = current
+        self._known_chunks: dict[ArrayPath, ChunkPositions] = {
+            path: current.arrays[path].chunks if current is not None and path in current.arrays else {}
             for path in takers
         }
-        self.headers: dict[str, Path | None] = {}  # path by line; None: of no usual form
-        self.path = _TABLE  # of what the line in hand belongs to
-        self.rest: list[tuple[str, int]] = []  # text and its first line
-        self.run: set[Path] = set()  # arrays that stand in the rest since its last own line
-        self.runs: dict[Path, int] = {}
-        self.arrays: dict[Path, list[Any]] = {}  # a range stands for elements of before
-        self.lines: dict[Path, array] = {}
-        self.stretches: dict[Path, Stretches] = {}
-        self.stretch: list[str] = []  # elements not yet read, all of `self.path`
-        self.length = self.first = 0
-        self.due = False  # for others to get a turn
-
-    def read(self, text: Text) -> Generator[None, None, Reading]:
+        self._known_headers: dict[str, ArrayPath | None] = {}
+        self._remainder = _Remainder()
+        self._arrays: dict[ArrayPath, list[Any]] = {}  # a range stands for elements in force
+        self._lines: dict[ArrayPath, array[int]] = {}
+        self._chunks: dict[ArrayPath, ChunkPositions] = {}
+        self._path = _NO_ARRAY  # of the array that the current line belongs to
+        self._chunk: list[str] = []  # elements not yet parsed, all of `_path`
+        self._chunk_chars = 0
+        self._chunk_line = 0
+        self._parsed_since_yield = False
+
+    def read(self, text: FileText) -> Generator[None, None, ParsedFile]:
+        """All of the text. Raises UnusualFormError and TomlSyntaxError."""
         try:
-            yield from self._part(text)
-        except _Faulty:
-            yield from self._rest()  # what is wrong before goes first
+            yield from self._split(text)
+        except TomlSyntaxError:
+            yield from self._remainder.parsed_in_steps(self._current)  # an earlier fault is reported first
             raise
-        data, digest = yield from self._rest()
-        others = {path: elements for path, elements in self.arrays.items() if path not in self.takers}
-        arrays = {path: elements for path, elements in self.arrays.items() if path in self.takers}
-        rest = joined(data, others)
-        stretches = {path: self.stretches[path] for path in arrays}
-        return Reading(joined(rest, arrays), rest, digest, stretches, self.lines)
-
-    def _part(self, text: Text) -> Generator[None, None, None]:
-        buffer, line = "\n", 0  # lines before the buffer's first character, which is a newline
+        data, digest = yield from self._remainder.parsed_in_steps(self._current)
+        others = {path: elements for path, elements in self._arrays.items() if path not in self._takers}
+        taken = {path: elements for path, elements in self._arrays.items() if path in self._takers}
+        remainder = with_arrays(data, others)
+        chunks = {path: self._chunks[path] for path in taken}
+        return ParsedFile(with_arrays(remainder, taken), remainder, digest, chunks, self._lines)
+
+    def _split(self, text: FileText) -> Generator[None, None, None]:
+        buffer = "\n"  # begins with a newline always
+        line = 0  # number of lines before the buffer
         for part in text.parts:
             buffer += part
             if '"""' in buffer or "'''" in buffer:
-                raise _Unusual  # lines within a string
-            done = yield from self._take(buffer, line, last=False)
-            line += buffer.count("\n", 0, done)
-            buffer = buffer[done:]
-            if len(buffer) > LONGEST:
-                raise _Unusual
+                raise UnusualFormError  # what looks like a header may be within a string
+            consumed = yield from self._consume(buffer, line, last=False)
+            line += buffer.count("\n", 0, consumed)
+            buffer = buffer[consumed:]
+            if len(buffer) > MAX_ELEMENT_CHARS:
+                raise UnusualFormError
             yield
-        yield from self._take(buffer, line, last=True)
-        self._close("")
+        yield from self._consume(buffer, line, last=True)
+        self._finish_chunk("")
         yield
 
-    def _take(self, buffer: str, line: int, last: bool) -> Generator[None, None, int]:
+    def _consume(self, buffer: str, line: int, *, last: bool) -> Generator[None, None, int]:
         """How much of the buffer was taken: up to the last header, or line, that may yet go on."""
-        at = 0
-        for match in _LINE.finditer(buffer):
-            if match.end() == len(buffer) and not last:
-                break  # the line may go on
-            start = match.start()
-            if not start and self.path:
-                continue  # the element in hand
-            header = match.group()
-            path = self._header(header)
-            if path is None:
-                if self.path:
-                    raise _Unusual
-                continue  # of the rest, whatever it is
-            if self.path:
-                line = self._element(buffer[at:start], line, header)
-                if self.due:
-                    self.due = False
+        consumed = 0
+        for start, header, path in self._headers(buffer, last=last):
+            if self._path:
+                line = self._add_element(buffer[consumed:start], line, header)
+                if self._parsed_since_yield:
+                    self._parsed_since_yield = False
                     yield
-            elif start > at:
-                line = self._own(buffer[at:start], line)
-            at, self.path = start, path
-        end = len(buffer) if last else at if self.path else max(at, buffer.rfind("\n"))
-        if end > at:
-            if self.path:
-                self._element(buffer[at:end], line, "")
+            elif start > consumed:
+                line = self._remainder.add(buffer[consumed:start], line)
+            consumed, self._path = start, path
+        end = self._consumable_end(buffer, consumed, last=last)
+        if end > consumed:
+            if self._path:
+                self._add_element(buffer[consumed:end], line, "")
             else:
-                self._own(buffer[at:end], line)
+                self._remainder.add(buffer[consumed:end], line)
         return end
 
-    def _header(self, text: str) -> Path | None:
-        """The array whose element begins here, _TABLE for any other header; None if it may be none."""
+    def _headers(self, buffer: str, *, last: bool) -> Iterator[tuple[int, str, ArrayPath]]:
+        """The headers of the buffer: where each begins, its line, and its path.
+
+        The header of the current element is not among them. Raises UnusualFormError.
+        """
+        for match in _HEADER_LINE.finditer(buffer):
+            if match.end() == len(buffer) and not last:
+                return  # the line may go on
+            start, header = match.start(), match.group()
+            if start == 0 and self._path:
+                continue
+            path = self._header_path(header)
+            if path is not None:
+                yield start, header, path
+            elif self._path:
+                raise UnusualFormError
+
+    def _consumable_end(self, buffer: str, consumed: int, *, last: bool) -> int:
+        if last:
+            return len(buffer)
+        if self._path:
+            return consumed
+        return max(consumed, buffer.rfind("\n"))
+
+    def _header_path(self, header: str) -> ArrayPath | None:
+        """The array whose element begins here, _NO_ARRAY for a table, None for what may be no header."""
         try:
-            return self.headers[text]
+            return self._known_headers[header]
         except KeyError:
-            pass
-        match, path = _HEADER.fullmatch(text), None
-        if match is not None:
-            table, array_ = match.groups()
-            keys = tuple((table or array_).split("."))
-            if keys[0] not in _VALUES:
-                path = keys if array_ else _TABLE
-        if len(self.headers) < 256:
-            self.headers[text] = path
+            path = _parsed_header(header)
+        if len(self._known_headers) < MAX_KNOWN_HEADERS:
+            self._known_headers[header] = path
         return path
 
-    def _own(self, text: str, line: int) -> int:
-        """Lines of the rest. The number of lines before what follows."""
-        self.rest.append((text, line + 1))
-        self.run.clear()
-        return line + text.count("\n")
-
-    def _element(self, text: str, line: int, follows: str) -> int:
-        """An element, and the header that follows. The number of lines before that."""
-        path = self.path
-        if path not in self.run:
+    def _add_element(self, text: str, line: int, next_header: str) -> int:
+        """Adds an element of `_path`. Returns the number of lines before what follows it."""
+        path = self._path
+        if path not in self._remainder.current_runs:
             self._begin_run(path, text, line)
-        stretch = self.stretch
-        if stretch and (
-            len(stretch) == ELEMENTS or self.length + len(text) > STRETCH or not crc32(text.encode()) % BORDER
+        chunk = self._chunk
+        # Not a function of its own: this is done for each element of each reading.
+        if chunk and (
+            len(chunk) == MAX_CHUNK_ELEMENTS
+            or self._chunk_chars + len(text) > MAX_CHUNK_CHARS
+            or not crc32(text.encode()) % BOUNDARY_MODULUS
         ):
-            self._close(text)
-            stretch = self.stretch
-        if not stretch:
-            self.first = line + 1
-        stretch.append(text)
-        self.lines[path].append(line + 1)
-        self.length += len(text)
-        if follows and self._header(follows) != path:
-            self._close(follows)
+            self._finish_chunk(text)
+            chunk = self._chunk
+        if not chunk:
+            self._chunk_line = line + 1
+        chunk.append(text)
+        self._chunk_chars += len(text)
+        self._lines[path].append(line + 1)
+        if next_header and self._header_path(next_header) != path:
+            self._finish_chunk(next_header)
         return line + text.count("\n")
 
-    def _begin_run(self, path: Path, text: str, line: int) -> None:
-        self.run.add(path)
-        self.runs[path] = self.runs.get(path, 0) + 1
-        end = text.find("\n", 1)
-        self.rest.append((text if end < 0 else text[:end], line + 1))
-        if path not in self.arrays:
-            self.arrays[path], self.lines[path], self.stretches[path] = [], array("L"), {}
-
-    def _close(self, follows: str) -> None:
-        """The stretch is read, unless it is known from before."""
-        if not self.stretch:
+    def _begin_run(self, path: ArrayPath, element: str, line: int) -> None:
+        self._remainder.begin_run(path, element, line)
+        if path not in self._arrays:
+            self._arrays[path], self._lines[path], self._chunks[path] = [], array("L"), {}
+
+    def _finish_chunk(self, next_text: str) -> None:
+        """Parses the chunk, unless it is known. `next_text`: what follows it."""
+        if not self._chunk:
             return
-        text, path, elements = "".join(self.stretch), self.path, self.arrays[self.path]
-        number, self.stretch, self.length = len(self.stretch), [], 0
-        take = self.takers.get(path)
+        text, size, path = "".join(self._chunk), len(self._chunk), self._path
+        self._chunk, self._chunk_chars = [], 0
+        elements, take = self._arrays[path], self._takers.get(path)
         if take is None:
-            elements += self._parse(text, follows)
+            elements += self._parsed_chunk(text, next_text)
             return
-        digest = blake2b(text.encode(), digest_size=16).digest()
-        end = len(self.lines[path])
-        self.stretches[path][digest] = range(end - number, end)
-        known = self.known[path].get(digest)
+        digest, end = _digest(text), len(self._lines[path])
+        self._chunks[path][digest] = range(end - size, end)
+        known = self._known_chunks[path].get(digest)
         if known is None:
-            for data in self._parse(text, follows):
+            for data in self._parsed_chunk(text, next_text):
                 take(data, elements)
             return
         if elements and type(elements[-1]) is range and elements[-1].stop == known.start:
             known = range(elements.pop().start, known.stop)
         elements.append(known)
 
-    def _parse(self, text: str, follows: str) -> list[Any]:
+    def _parsed_chunk(self, text: str, next_text: str) -> list[Any]:
         try:
-            data: Any = _loads(text)
+            data: Any = parse(text)
         except ValueError as error:
-            raise _faulty(self._exact(error, text, follows), self.first - 2) from None
-        for key in self.path:
+            fault = SyntaxFault.of(_fault_in_context(error, text, next_text))
+            raise TomlSyntaxError(fault.text(self._chunk_line - 2)) from None
+        for key in self._path:
             data = data[key]
-        self.due = True
-        return data
+        self._parsed_since_yield = True
+        elements: list[Any] = data
+        return elements
 
-    @staticmethod
-    def _exact(error: ValueError, text: str, follows: str) -> ValueError:
-        """How far what was left open goes is told by the line that follows."""
-        try:
-            _loads(text + "\n".join(follows.split("\n")[:2]))
-        except ValueError as exact:
-            return exact
-        return error
-
-    def _rest(self) -> Generator[None, None, tuple[Mapping[str, Any], bytes]]:
-        """The rest, with an empty element for each run of them, and the digest of its text."""
-        text = "".join(piece for piece, _ in self.rest)
-        if len(text) > MOST_REST:
-            raise _Unusual
-        digest = blake2b(text.encode(), digest_size=16).digest()
-        if self.before is not None and self.before.rest_digest == digest:
-            return self.before.rest, digest
+
+class _Remainder:
+    """All lines outside of chunks, with an empty element for each run of elements."""
+
+    def __init__(self) -> None:
+        self._pieces: list[tuple[str, int]] = []  # each begins with the newline before its first line, given
+        self.current_runs: set[ArrayPath] = set()  # arrays that have an element here since the last own line
+        self._run_counts: dict[ArrayPath, int] = {}
+
+    def add(self, text: str, line: int) -> int:
+        """Adds lines that follow `line` others. Returns the number of lines before what follows."""
+        self._pieces.append((text, line + 1))
+        self.current_runs.clear()
+        return line + text.count("\n")
+
+    def begin_run(self, path: ArrayPath, element: str, line: int) -> None:
+        """Adds the header of an element that begins a run of them."""
+        self.current_runs.add(path)
+        self._run_counts[path] = self._run_counts.get(path, 0) + 1
+        end = element.find("\n", 1)
+        self._pieces.append((element if end < 0 else element[:end], line + 1))
+
+    def parsed_in_steps(
+        self, current: ConfigSource | None
+    ) -> Generator[None, None, tuple[Mapping[str, Any], bytes]]:
+        """The data and the digest of the text. Raises UnusualFormError and TomlSyntaxError."""
+        text = "".join(piece for piece, _ in self._pieces)
+        if len(text) > MAX_REMAINDER_CHARS:
+            raise UnusualFormError
+        digest = _digest(text)
+        if current is not None and current.remainder_digest == digest:
+            return current.remainder, digest
         try:
-            data = yield from _loads_in_steps(text)
+            data = yield from parse_in_steps(text)
         except ValueError as error:
-            line = _place(error)[1]
-            self._unmixed((yield from _good_part(text, line)), part=True)
-            raise _faulty(error, self._offset(line)) from None
-        self._unmixed(data)
+            fault = SyntaxFault.of(error)
+            self._require_empty_elements((yield from _parsable_prefix(text, fault.line)), partial=True)
+            raise TomlSyntaxError(fault.text(self._line_offset(fault.line))) from None
+        self._require_empty_elements(data)
         return data, digest
 
-    def _unmixed(self, data: Any, part: bool = False) -> None:
-        """Nothing in the rest goes on within an element. `part`: `data` is of the beginning only."""
-        for path, runs in self.runs.items():
+    def _require_empty_elements(self, data: Any, *, partial: bool = False) -> None:
+        """Raises UnusualFormError where something of the remainder goes on within an element.
+
+        `partial`: `data` is of the beginning of the text only.
+        """
+        for path, count in self._run_counts.items():
             table = data
             for key in path:
                 table = table.get(key) if isinstance(table, dict) else None
-            if part and (table is None or isinstance(table, list) and not any(table)):
+            if partial and (table is None or (isinstance(table, list) and not any(table))):
                 continue
-            if table != [{}] * runs:
-                raise _Unusual
+            if table != [{}] * count:
+                raise UnusualFormError
 
-    def _offset(self, line: int) -> int:
-        """What a line of the rest has less than that of the file."""
+    def _line_offset(self, line: int) -> int:
+        """The line of the file less that of the remainder."""
         starts, lines = [], 0
-        for piece, _ in self.rest:
-            starts.append(lines + 2)  # a piece begins with the newline before its first line
+        for piece, _ in self._pieces:
+            starts.append(lines + 2)
             lines += piece.count("\n")
-        at = max(0, bisect_right(starts, line) - 1)
-        return self.rest[at][1] - starts[at]
+        index = max(0, bisect_right(starts, line) - 1)
+        return self._pieces[index][1] - starts[index]
 
 
-def _good_part(text: str, line: int) -> Generator[None, None, dict[str, Any]]:
-    """What can be read of the text before the line at fault, which is 0 if it is the end."""
-    ends = [match.end() for match in _LINE.finditer(text)]
-    end = len("\n".join(text.split("\n")[: line - 1])) if line else len(text)
-    for at in [end, *(header for header in reversed(ends) if header < end)][:TRIES]:
-        try:
-            return (yield from _loads_in_steps(text[:at]))
-        except ValueError:
-            continue
-    raise _Unusual
+def _parsed_header(header: str) -> ArrayPath | None:
+    match = _USUAL_HEADER.fullmatch(header)
+    if match is None:
+        return None
+    table, array_of_tables = match.groups()
+    keys = tuple((table or array_of_tables).split("."))
+    if keys[0] in _VALUE_WORDS:
+        return None
+    return keys if array_of_tables else _NO_ARRAY
 
 
-def _place(error: ValueError) -> tuple[str, int, int]:
-    """What it says, the line, and the column; a line of 0 stands for the end, or for no place."""
-    found = _PLACE.fullmatch(str(error))
-    return (found[1], int(found[2]), int(found[3])) if found else (str(error), 0, 0)
+def _fault_in_context(error: ValueError, text: str, next_text: str) -> ValueError:
+    """The error with the line that follows: it decides how far something left open goes."""
+    try:
+        parse(text + "\n".join(next_text.split("\n")[:2]))
+    except ValueError as error_in_context:
+        return error_in_context
+    return error
 
 
-def _faulty(error: ValueError, offset: int) -> _Faulty:
-    message, line, column = _place(error)
-    return _Faulty(f"{message} (at line {line + offset}, column {column})" if line else message)
+def _parsable_prefix(text: str, line: int) -> Generator[None, None, dict[str, Any]]:
+    """What can be parsed before the line at fault, which is 0 for the end. Raises UnusualFormError."""
+    end = len("\n".join(text.split("\n")[: line - 1])) if line else len(text)
+    headers = [match.end() for match in _HEADER_LINE.finditer(text)]
+    candidates = [end, *(header for header in reversed(headers) if header < end)]
+    for candidate in candidates[:MAX_PREFIX_ATTEMPTS]:
+        try:
+            return (yield from parse_in_steps(text[:candidate]))
+        except ValueError:
+            continue
+    raise UnusualFormError
--- a/ochrehoist/core/retuning.py
+++ b/ochrehoist/core/retuning.py
@@ -4,11 +4,11 @@
 
 from ochrehoist.admission.events import TenantsReplaced
 from ochrehoist.admission.settings import AdmissionSettings, Tenant
-from ochrehoist.config.settings import at_once
 from ochrehoist.core import succession
 from ochrehoist.core.figures import Figures
 from ochrehoist.core.messages import ConfigurationSwitched, SettingsChanged, TenantsChanged
 from ochrehoist.core.tenants import Tenants, changed
+from ochrehoist.steps import run_to_completion
 
 
 class Core(succession.Core, Protocol):
@@ -24,7 +24,9 @@
 
 def retuned(core: Core, m: SettingsChanged) -> None:
     """By a fresh module, that is told of all that is open: its cost grows with that."""
-    tenants = m.tenants if m.tenants is not None else at_once(changed(core.tenants, m.settings.tenants))
+    tenants = (
+        m.tenants if m.tenants is not None else run_to_completion(changed(core.tenants, m.settings.tenants))
+    )
     core.settings, core.tenants = m.settings, tenants
     core.figures.know(c.name for c in m.settings.classes)
     if core.controller is None:
--- a/ochrehoist/lab/hollow.py
+++ b/ochrehoist/lab/hollow.py
@@ -28,7 +28,7 @@
 from ochrehoist.app.reload import Reloading
 from ochrehoist.app.worker import BODY_SHARE, RESULT_SHARE
 from ochrehoist.config import loader as configuration
-from ochrehoist.config.loader import Config
+from ochrehoist.config.schema import Config
 from ochrehoist.core.messages import ExecutorReady
 from ochrehoist.core.owner import Owner
 from ochrehoist.lab.toml import toml
--- a/ochrehoist/net/ajp_front.py
+++ b/ochrehoist/net/ajp_front.py
@@ -13,8 +13,7 @@
 
 from ochrehoist.admission.events import Outcome
 from ochrehoist.admission.settings import AdmissionSettings, Idempotency, RequestClass
-from ochrehoist.config.loader import AjpConfig
-from ochrehoist.config.settings import at_once
+from ochrehoist.config.schema import AjpConfig
 from ochrehoist.core.messages import CallerDisconnected, RequestArrived
 from ochrehoist.core.owner import Owner
 from ochrehoist.core.protocols import AdmissionFilter, Executor
@@ -27,6 +26,7 @@
 from ochrehoist.net.loop import Loop
 from ochrehoist.net.stream import ConnectionClosedError, Stream, StreamTimeoutError
 from ochrehoist.routes import RouteIndex
+from ochrehoist.steps import run_to_completion
 
 S = 1_000_000_000
 STUCK = 1.0  # s without a byte after which a packet that was begun is taken for one that won't come
@@ -82,7 +82,7 @@
 
     def configure(self, config: AjpConfig, settings: AdmissionSettings) -> None:
         """At once, as at the start."""
-        at_once(self.prepare(config, settings))()
+        run_to_completion(self.prepare(config, settings))()
 
     def check(self, f: ajp.Forward) -> tuple[RequestClass, str | None, str | None]:
         """Class, tenant and filing key, before any of the body is read."""
--- a/ochrehoist/net/peers.py
+++ b/ochrehoist/net/peers.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from ochrehoist.admission.settings import Tenant
-from ochrehoist.config.loader import Config
+from ochrehoist.config.schema import BudgetKind, Config
 from ochrehoist.core.figures import counted
 from ochrehoist.core.owner import Owner
 from ochrehoist.core.request import InboundRequest
@@ -36,7 +36,7 @@
             name=b.name,
             amount=b.amount,
             voters=p.lease_grantors,
-            runs=b.kind == "server",
+            runs=b.kind is BudgetKind.SERVER,
             lease_s=b.lease_s,
             floor=b.floor_fraction,
             floor_lease_s=b.floor_lease_s,
@@ -111,14 +111,14 @@
         owner.live_tenants = self.live_tenants
 
     def _budgets(self) -> None:
-        self.tenants = {b.subject: b.name for b in self.config.budgets if b.kind == "tenant"}
-        self.repeats = {b.subject: b.name for b in self.config.budgets if b.kind == "repeats"}
-        self.servers = {b.subject: b.name for b in self.config.budgets if b.kind == "server"}
+        self.tenants = {b.subject: b.name for b in self.config.budgets if b.kind is BudgetKind.TENANT}
+        self.repeats = {b.subject: b.name for b in self.config.budgets if b.kind is BudgetKind.RETRIES}
+        self.servers = {b.subject: b.name for b in self.config.budgets if b.kind is BudgetKind.SERVER}
 
     def prepare(self, config: Config, tenants: Tenants) -> Generator[None, None, Callable[[], None]]:
         """What a configuration read again comes to; nothing changes before the call that it gives."""
         peers = config.peers or self.config
-        budgets = {b.subject: b.name for b in peers.budgets if b.kind == "tenant"}
+        budgets = {b.subject: b.name for b in peers.budgets if b.kind is BudgetKind.TENANT}
         told = tenants, self._told(tenants, budgets, config.settings.fleet_size)
         yield
         return lambda: self._configure(config, told)
--- a/ochrehoist/net/recovery.py
+++ b/ochrehoist/net/recovery.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 from typing import Any
 
-from ochrehoist.config.loader import Config
+from ochrehoist.config.schema import Config
 from ochrehoist.core.figures import counted
 from ochrehoist.core.owner import Owner
 from ochrehoist.core.request import InboundRequest
--- a/ochrehoist/net/selfmeasure.py
+++ b/ochrehoist/net/selfmeasure.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from ochrehoist.admission.settings import AdmissionSettings
-from ochrehoist.config.loader import OverloadConfig
+from ochrehoist.config.schema import OverloadConfig
 from ochrehoist.core.figures import counted
 from ochrehoist.core.owner import Owner
 from ochrehoist.core.tenants import Tenants
--- a/ochrehoist/net/sites.py
+++ b/ochrehoist/net/sites.py
@@ -7,7 +7,7 @@
 from http import HTTPStatus
 from typing import Any
 
-from ochrehoist.config.loader import Config
+from ochrehoist.config.schema import Config
 from ochrehoist.core.figures import counted
 from ochrehoist.core.messages import StandbyChanged
 from ochrehoist.core.owner import Owner
--- a/ochrehoist/overload/limiter.py
+++ b/ochrehoist/overload/limiter.py
@@ -8,7 +8,7 @@
 
 from ochrehoist.admission.events import ConcurrencyLimits, Outcome
 from ochrehoist.admission.settings import AdmissionSettings
-from ochrehoist.config.loader import OverloadConfig
+from ochrehoist.config.schema import OverloadConfig
 from ochrehoist.core.request import InboundRequest
 from ochrehoist.core.results import Rejection
 from ochrehoist.overload.controllers import CONTROLLERS, Bounds, Fixed, Windows
--- a/ochrehoist/plan/fleet.py
+++ b/ochrehoist/plan/fleet.py
@@ -14,7 +14,7 @@
 
 from ochrehoist.admission import settings as admission_settings
 from ochrehoist.admission.settings import AdmissionSettings, ObjectiveWeights, RequestClass
-from ochrehoist.config.settings import REPEATS
+from ochrehoist.config.settings import IDEMPOTENCY_WORDS
 from ochrehoist.errors import OchrehoistError
 
 Share = Annotated[float, Field(ge=0, le=1)]
@@ -282,7 +282,7 @@
                     deadline_ns=int(c.deadline_ms * MS),
                     priority_weight=c.worth,
                     late_weight=c.late_worth,
-                    idempotency=REPEATS[c.repeat],
+                    idempotency=IDEMPOTENCY_WORDS[c.repeat],
                     idempotency_window_ns=int(c.window_ms * MS),
                 )
                 for c in self.classes
@@ -316,7 +316,7 @@
     def told(self, kind: Kind) -> dict[str, Any]:
         """The same as the platform's settings object, for a real worker."""
         ns = 1_000_000_000
-        names = {repeat: name for name, repeat in REPEATS.items()}
+        names = {repeat: name for name, repeat in IDEMPOTENCY_WORDS.items()}
         s = self.settings(kind, cold=False)
         return {
             "Classes": [
--- a/ochrehoist/routes.py
+++ b/ochrehoist/routes.py
@@ -12,7 +12,7 @@
 from collections.abc import Generator, Iterable
 from fnmatch import translate
 
-from ochrehoist.config.loader import AjpRoute
+from ochrehoist.config.schema import AjpRoute
 
 STEP = 50  # rules placed in a step, about 0.2 ms; one that needs a regular expression ends its step
 WILD = re.compile(r"[][*?]")  # each may be a wildcard; taken for one that it isn't, it only shortens an end
--- a/ochrehoist/store/journal.py
+++ b/ochrehoist/store/journal.py
@@ -15,7 +15,7 @@
 from hdrh.histogram import HdrHistogram
 
 from ochrehoist.admission.events import Outcome
-from ochrehoist.config.loader import StateConfig
+from ochrehoist.config.schema import StateConfig
 from ochrehoist.core import handover
 from ochrehoist.core.keys import Run
 from ochrehoist.core.messages import DuplicateResolved, IntentRecorded, StateRestored
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -18,13 +18,13 @@
 from ochrehoist.app.worker import Worker
 from ochrehoist.capture.records import Damage, Head, head_block, records, start, told
 from ochrehoist.config.loader import load
-from ochrehoist.config.settings import at_once
 from ochrehoist.core.tenants import SPARE, changed, compact, first
 from ochrehoist.net.peers import FleetTenant
 from ochrehoist.peers import wire
 from ochrehoist.peers.counts import Ledger
 from ochrehoist.peers.wire import Life, Message
 from ochrehoist.sites.order import MOST_TOLD, Order
+from ochrehoist.steps import run_to_completion
 
 OPENS_ONCE = """
 import os, time
@@ -62,7 +62,7 @@
         for numbers, quota in history:
             known = {t.name: t for t in table.listed}
             listed = tuple(t if known.get(t.name) == t else t for t in tenants(numbers, quota))
-            before, table = table, at_once(changed(table, listed))
+            before, table = table, run_to_completion(changed(table, listed))
             self.assertEqual(table.listed, listed)
             self.assertEqual(set(table.at), {t.name for t in listed})
             for t in listed:
@@ -78,9 +78,9 @@
 
     @given(NAMES, NAMES, NAMES)
     def test_a_compact_table_has_those_in_force_first_and_of_the_gone_only_those_used(self, old, new, used):
-        table = at_once(changed(first(tenants(old)), tenants(new)))
+        table = run_to_completion(changed(first(tenants(old)), tenants(new)))
         names = {f"t{n}" for n in used}
-        got = at_once(compact(table, names))
+        got = run_to_completion(compact(table, names))
         self.assertEqual(got.places[: len(new)], tenants(new))
         self.assertEqual(set(got.gone), {f"t{n}" for n in set(old) - set(new)} & names)
         for name, position in (got.at | got.gone).items():
@@ -93,7 +93,7 @@
             (20 * SPARE, 2 * SPARE, False),
             (20 * SPARE, 3 * SPARE, True),
         ):
-            table = at_once(changed(first(tenants(range(stay + gone))), tenants(range(stay))))
+            table = run_to_completion(changed(first(tenants(range(stay + gone))), tenants(range(stay))))
             self.assertEqual(table.crowded, crowded, (stay, gone))
 
 
@@ -234,7 +234,7 @@
             (range(6), {"b4": "t1", "b3": "t5"}, {"t1": "b4", "t5": "b3"}),
         ):  # budgets alone
             written(numbers, budgets)
-            brought_into_force(worker, at_once(worker.reloading._steps(False)))
+            brought_into_force(worker, run_to_completion(worker.reloading._steps(False)))
             self.assertEqual(follow(), expected)
             self.assertEqual([t.name for t in module.s.tenants][:5], [f"t{n}" for n in range(5)])
             self.assertEqual(worker.owner.tenants["t0"], 0)
@@ -510,7 +510,7 @@
 
         def change(numbers):
             appliance(folder.name, numbers, 1)
-            brought_into_force(worker, at_once(reloading._steps(False)))
+            brought_into_force(worker, run_to_completion(reloading._steps(False)))
             return sorted(owner.tenants.gone)
 
         # Of those that go in one change, one more request may have been read: they stay until the next.
--- a/tests/test_config_at_size.py
+++ b/tests/test_config_at_size.py
@@ -19,13 +19,14 @@
 from stand_ins import settings as site
 
 from ochrehoist.app import simulator_adapter
-from ochrehoist.config import json_reader, toml_reader
+from ochrehoist.config import comparison, json_reader, toml_reader
 from ochrehoist.config import loader as config
-from ochrehoist.config import settings as settings_module
 from ochrehoist.config import source as config_source
-from ochrehoist.config.settings import Tenants, at_once
+from ochrehoist.config import tenants as tenants_module
+from ochrehoist.config.tenants import TenantReader
 from ochrehoist.errors import InvalidInputError
 from ochrehoist.lab.toml import toml
+from ochrehoist.steps import run_to_completion
 
 
 def tenant(at, **changes):
@@ -73,7 +74,7 @@
         return str(path)
 
     def load(self, text, before=None, name="a.toml"):
-        return at_once(config.load_in_steps(self.file(text, name), {}, before))
+        return run_to_completion(config.load_in_steps(self.file(text, name), {}, before))
 
     def refused(self, text, before=None, name="a.toml"):
         with self.assertRaises(InvalidInputError) as raised:
@@ -90,9 +91,9 @@
     def setUp(self):
         super().setUp()
         for module, values in (
-            (toml_reader, {"ELEMENTS": 4, "BORDER": 2}),
-            (json_reader, {"WHOLE": -1, "TAKEN": 50}),
-            (config_source, {"PART": 300}),
+            (toml_reader, {"MAX_CHUNK_ELEMENTS": 4, "BOUNDARY_MODULUS": 2}),
+            (json_reader, {"MAX_SINGLE_STEP_CHARS": -1, "CHARS_PER_STEP": 50}),
+            (config_source, {"READ_BYTES": 300}),
         ):
             patch = mock.patch.multiple(module, **values)
             patch.start()
@@ -190,7 +191,7 @@
                 self.assertTrue(all(id(r) in known for r in now.ajp.routes if r in before.ajp.routes))
                 if now.ajp.routes == before.ajp.routes:
                     self.assertIs(now.ajp.routes, before.ajp.routes)
-            taken, _ = config.taken_over(before, now)
+            taken = comparison.merged(before, now).config
             self.assertEqual(taken.settings, now.settings)
             self.assertIs(taken.settings.tenants, now.settings.tenants)
             self.assertEqual(taken.version, now.version)
@@ -249,7 +250,7 @@
 
     def setUp(self):
         super().setUp()
-        patch = mock.patch.multiple(config_source, PART=100, WHOLE=0)
+        patch = mock.patch.multiple(config_source, READ_BYTES=100, MAX_SINGLE_STEP_CHARS=0)
         patch.start()
         self.addCleanup(patch.stop)
         self.texts = [
@@ -261,10 +262,10 @@
         """The names read, where `by` is called when most of the file is."""
         path = path or self.file(self.texts[0])
         reading = config.load_in_steps(path, {}, None)
-        for _ in range(len(self.texts[0]) * 8 // 10 // config_source.PART):
+        for _ in range(len(self.texts[0]) * 8 // 10 // config_source.READ_BYTES):
             next(reading)
         by(path)
-        return {t.name[:3] for t in at_once(reading).settings.tenants}
+        return {t.name[:3] for t in run_to_completion(reading).settings.tenants}
 
     def test_one_that_is_written_anew_in_its_place_is_read_anew(self):
         self.assertEqual(self.interrupted(lambda path: Path(path).write_text(self.texts[1])), {"new"})
@@ -307,7 +308,7 @@
                 with open(path, "a") as file:
                     file.write("#\n")
         self.assertIn("changes while it is read", str(raised.exception))
-        self.assertLess(count, 2 * config_source.TRIES * len(self.texts[0]) // 100)
+        self.assertLess(count, 2 * config_source.MAX_READ_ATTEMPTS * len(self.texts[0]) // 100)
 
     def test_what_is_no_utf_8_is_told_with_its_line(self):
         text = self.texts[0].encode().replace(b"old7", b"old\xff")
@@ -345,14 +346,14 @@
 
         generator = config.load_in_steps(path, {}, before)
         with mock.patch.object(tomli, "loads", loads):
-            checked = Tenants._checked
+            checked = TenantReader._checked
 
             def counting(one, data, where):
                 self.made += 1
                 self.step += 1
                 return checked(one, data, where)
 
-            with mock.patch.object(Tenants, "_checked", counting):
+            with mock.patch.object(TenantReader, "_checked", counting):
                 while True:
                     self.step = 0
                     try:
@@ -376,10 +377,10 @@
                 self.assertEqual(first.made, tenants)
                 again = Counted()
                 now = again.read(self.file(large(tenants, routes, **changes)), before)
-                self.assertLessEqual(again.made, 2 * toml_reader.ELEMENTS)
-                self.assertLessEqual(again.longest, 2 * toml_reader.STRETCH)
-                self.assertLessEqual(first.longest, 2 * toml_reader.STRETCH)
-                self.assertLessEqual(max(first.most, again.most), settings_module.STEP)
+                self.assertLessEqual(again.made, 2 * toml_reader.MAX_CHUNK_ELEMENTS)
+                self.assertLessEqual(again.longest, 2 * toml_reader.MAX_CHUNK_CHARS)
+                self.assertLessEqual(first.longest, 2 * toml_reader.MAX_CHUNK_CHARS)
+                self.assertLessEqual(max(first.most, again.most), tenants_module.TENANTS_PER_STEP)
                 figures.append((again.parsed, again.calls))
                 old, new = before.settings.tenants, now.settings.tenants
                 self.assertEqual(sum(a is not b for a, b in zip(old, new, strict=True)), "t700" in changes)
@@ -412,7 +413,7 @@
     def test_the_platforms_file_is_read_element_by_element_and_makes_what_is_new(self):
         listed = [tenant(at) for at in range(4_000)]
         before, count = steps(config.load_in_steps(self.file(json.dumps(platform(listed)), "a.json"), {}))
-        longest, real = [0], json_reader._read
+        longest, real = [0], json_reader._decode_value
 
         def read(text, at):
             value, end = real(text, at)
@@ -421,11 +422,11 @@
 
         listed[3_000] = tenant(3_000, QuotaPerS=1)
         counted = Counted()
-        with mock.patch.object(json_reader, "_read", read):
+        with mock.patch.object(json_reader, "_decode_value", read):
             now = counted.read(self.file(json.dumps(platform(listed)), "a.json"), before)
         self.assertEqual(counted.made, 1)
         self.assertLess(longest[0], 1_000)
-        self.assertGreater(count, len(json.dumps(platform(listed))) // (2 * json_reader.TAKEN))
+        self.assertGreater(count, len(json.dumps(platform(listed))) // (2 * json_reader.CHARS_PER_STEP))
         pairs = zip(now.settings.tenants, before.settings.tenants, strict=True)
         self.assertEqual(sum(a is not b for a, b in pairs), 1)
 
--- a/tests/test_config_text.py
+++ b/tests/test_config_text.py
@@ -11,9 +11,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ochrehoist.config import json_reader, toml_reader
+from ochrehoist.config import json_reader, toml_parser, toml_reader
 from ochrehoist.config import source as config_source
-from ochrehoist.config.settings import at_once
+from ochrehoist.steps import run_to_completion
 
 TENANTS = ("settings", "Tenants")
 ARRAY = ("c", "d")
@@ -132,12 +132,13 @@
         except ValueError as error:
             fault = error
         with (
-            mock.patch.multiple(toml_reader, SHORT=short, ELEMENTS=elements, BORDER=border),
-            mock.patch.object(config_source, "PART", part),
+            mock.patch.multiple(toml_reader, MAX_CHUNK_ELEMENTS=elements, BOUNDARY_MODULUS=border),
+            mock.patch.object(toml_parser, "MAX_SINGLE_STEP_CHARS", short),
+            mock.patch.object(config_source, "READ_BYTES", part),
         ):
             try:
-                text = at_once(config_source.text_in_steps(path))
-                got = at_once(toml_reader.read_in_steps(text, {ARRAY: take}, None))
+                text = run_to_completion(config_source.read_text_in_steps(path))
+                got = run_to_completion(toml_reader.read_in_steps(text, {ARRAY: take}, None))
             except ValueError as error:
                 self.assertIsNotNone(fault, (text, error))
                 if line_of(fault):  # tomllib itself tells no line of a number that is too long
@@ -151,17 +152,17 @@
     def test_what_is_known_from_another_text_changes_nothing(self, first, second, elements):
         def read(text, before):
             path = self.file(text)
-            text = at_once(config_source.text_in_steps(path))
-            reading = at_once(toml_reader.read_in_steps(text, {ARRAY: take}, before))
-            if reading.rest is None:
+            text = run_to_completion(config_source.read_text_in_steps(path))
+            reading = run_to_completion(toml_reader.read_in_steps(text, {ARRAY: take}, before))
+            if reading.remainder is None:
                 return reading.data, None
-            listed = reading.data["c"]["d"] if ARRAY in reading.stretches else []
-            known = before.kept[ARRAY].elements if before and ARRAY in before.kept else ()
+            listed = reading.data["c"]["d"] if ARRAY in reading.chunks else []
+            known = before.arrays[ARRAY].elements if before and ARRAY in before.arrays else ()
             whole = [e for x in listed for e in (known[x.start : x.stop] if type(x) is range else (x,))]
-            data = config_source.joined(reading.data, {ARRAY: whole}) if listed else reading.data
+            data = config_source.with_arrays(reading.data, {ARRAY: whole}) if listed else reading.data
             return data, reading.source(text.digest, {ARRAY: whole})
 
-        with mock.patch.multiple(toml_reader, ELEMENTS=elements, BORDER=2):
+        with mock.patch.multiple(toml_reader, MAX_CHUNK_ELEMENTS=elements, BOUNDARY_MODULUS=2):
             source = None
             for text in (first, second + first, first + second, second):
                 try:
@@ -205,15 +206,15 @@
     @settings(max_examples=1500, deadline=None)
     @given(json_texts())
     def test_any_text_gives_the_same_data_or_a_fault_at_the_same_place(self, text):
-        with mock.patch.multiple(json_reader, WHOLE=-1, TAKEN=3):
+        with mock.patch.multiple(json_reader, MAX_SINGLE_STEP_CHARS=-1, CHARS_PER_STEP=3):
             try:
                 plain = json.loads(text)
             except json.JSONDecodeError as fault:
                 with self.assertRaises(json.JSONDecodeError) as raised:
-                    at_once(json_reader.read_in_steps(text, {TENANTS: take}))
+                    run_to_completion(json_reader.read_in_steps(text, {TENANTS: take}))
                 self.assertEqual((raised.exception.pos, raised.exception.msg), (fault.pos, fault.msg))
                 return
-            got = at_once(json_reader.read_in_steps(text, {TENANTS: take}))
+            got = run_to_completion(json_reader.read_in_steps(text, {TENANTS: take}))
         self.assertEqual(repr(got), repr(plain))  # a NaN is like no other
 
 
--- a/tests/test_overload_parts.py
+++ b/tests/test_overload_parts.py
@@ -12,7 +12,7 @@
 from ochrehoist.admission.actions import FailRequest, RejectRequest, StartRun
 from ochrehoist.admission.events import UNLIMITED, ConcurrencyLimits, Outcome
 from ochrehoist.admission.settings import AdmissionSettings, Idempotency, RequestClass, Tenant
-from ochrehoist.config.loader import OverloadConfig
+from ochrehoist.config.schema import OverloadConfig
 from ochrehoist.core.request import InboundRequest
 from ochrehoist.overload.admission import FLOOR, Admission
 from ochrehoist.overload.allot import Ask, allot
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -9,11 +9,12 @@
 from stand_ins import ROOT, interpreter_steps
 
 from ochrehoist.admission.settings import RequestClass
-from ochrehoist.config.loader import AjpRoute, load_appliance
-from ochrehoist.config.settings import at_once
+from ochrehoist.config.loader import load_appliance
+from ochrehoist.config.schema import AjpRoute
 from ochrehoist.net import ajp
 from ochrehoist.net.ajp_front import AjpReader, Rejected
 from ochrehoist.routes import RouteIndex
+from ochrehoist.steps import run_to_completion
 
 SIZES = (38, 380, 3800)
 
@@ -82,7 +83,7 @@
     @given(st.data())
     def test_as_the_plain_search_over_random_tables_and_paths(self, data):
         table = tuple(data.draw(tables))
-        index = at_once(RouteIndex.in_steps(table))
+        index = run_to_completion(RouteIndex.in_steps(table))
         asked = data.draw(st.lists(paths, max_size=3))
         if table:
             asked.append(data.draw(st.sampled_from(table).flatmap(lambda r: fitting(r.uri))))
@@ -146,12 +147,12 @@
         )
         for n in range(len(forms)):
             for table in (forms[n : n + 1], forms[n:], forms[: n + 1][::-1]):
-                index = at_once(RouteIndex.in_steps(table))
+                index = run_to_completion(RouteIndex.in_steps(table))
                 for path in asked:
                     self.assertIs(index.find("GET", path), plain(table, "GET", path), (table, path))
 
     def test_the_ends_of_a_pattern_never_share_a_part_of_the_path(self):
-        index = at_once(RouteIndex.in_steps(rules("/aba*aba", "/x*x*x")))
+        index = run_to_completion(RouteIndex.in_steps(rules("/aba*aba", "/x*x*x")))
         self.assertIsNone(index.find("GET", "/aba"))
         self.assertIsNone(index.find("GET", "/ababa"))
         self.assertIsNone(index.find("GET", "/xx"))
@@ -161,7 +162,7 @@
     def test_a_route_shadows_those_behind_it_for_its_methods_only(self):
         for first in ("/a/*", "/*", "/a/b", "/a/*b", "/a/?"):
             table = rules((first, ("GET", "HEAD")), "/a/b", "/a/*", "/a*b")
-            index = at_once(RouteIndex.in_steps(table))
+            index = run_to_completion(RouteIndex.in_steps(table))
             self.assertEqual(
                 [index.find(m, "/a/b").request_class for m in METHODS], ["0", "0", "1", "1", "1"], first
             )
@@ -171,7 +172,7 @@
     def test_of_many_with_the_same_uri_the_first_whose_methods_fit(self):
         for uri in ("/a", "/a*", "/*a", "/[a]"):
             table = rules((uri, ("GET",)), (uri, ("GET", "POST")), (uri, ()), (uri, ("PUT",)))
-            index = at_once(RouteIndex.in_steps(table))
+            index = run_to_completion(RouteIndex.in_steps(table))
             self.assertEqual([index.find(m, "/a").request_class for m in METHODS], ["0", "2", "1", "2", "2"])
 
 
