--- a/ochrehoist/store/journal.py
+++ b/ochrehoist/store/journal.py
@@ -14,6 +14,7 @@
 
 from hdrh.histogram import HdrHistogram
 
+from ochrehoist.admission import learned_state
 from ochrehoist.admission.events import Outcome
 from ochrehoist.config.schema import StateConfig
 from ochrehoist.core import handover
@@ -161,7 +162,7 @@
             left = (self.hold_until - now) // SECOND + 1
             self.log.warning("filings that are not known are refused", for_s=left)
         self.learned, lesson = opened.learned, None
-        if opened.learned is not None and opened.learned.layout == handover.LEARNED:
+        if opened.learned is not None and opened.learned.layout == learned_state.LAYOUT:
             try:
                 lesson = aged(
                     opened.learned.values,
@@ -187,7 +188,7 @@
         )
         opened.stale = []
         if self.testifier is not None:
-            self.testifier.opened([key_of(token) for token in {**restored, **before}])
+            self.testifier.journal_opened([key_of(token) for token in {**restored, **before}])
         gc.freeze()  # they stay: looking through them again and again would hold up the loop
         self.owner.post(StateRestored(restored, lesson))
         self.restored = True
@@ -197,13 +198,13 @@
         self.loop.call_later(self.config.snapshot_interval_s, self._learn)
 
     # ---- what the core asks
-    def refuses(self, token: IdempotencyKey) -> Rejection | None:
+    def rejection_for(self, token: IdempotencyKey) -> Rejection | None:
         """Whether a filing that is not known can't be taken now, and what its caller is told."""
         if not self.restored:
-            return Rejection(0, may_have_run=True)
-        if self.testifier is not None and self.testifier.refuses(key_of(token)):
+            return Rejection(0, outcome_unknown=True)
+        if self.testifier is not None and self.testifier.may_have_run(key_of(token)):
             self.refusals += 1
-            return Rejection(0, may_have_run=True)
+            return Rejection(0, outcome_unknown=True)
         if self.backlog.refuses(time.monotonic()):
             self.refusals += 1
             return Rejection(SECOND)
@@ -218,11 +219,11 @@
         if self.backlog.refuses(time.monotonic()):
             return self._refused([r.id])
         reached("begin")
-        record = self._begun(r.token, run)
-        self._add(Begin(r.id, key_of(r.token), record))
+        record = self._begun(r.idempotency_key, run)
+        self._add(Begin(r.id, key_of(r.idempotency_key), record))
         if self.testifier is not None:
             self.unready[r.id] = 2
-            self.testifier.begin(r.id, key_of(r.token), record.left / SECOND)
+            self.testifier.begin(r.id, key_of(r.idempotency_key), record.left / SECOND)
 
     def witnessed(self, request_id: str, ok: bool) -> None:
         """Enough others know of a filing that is to begin; or they did not answer in time."""
@@ -403,7 +404,9 @@
 
     def save_learned(self) -> None:
         if self.owner.controller is not None and self.restored:
-            self.learned = Learned(stamp_now(), handover.learned(self.owner.controller), handover.LEARNED)
+            self.learned = Learned(
+                stamp_now(), learned_state.snapshot(self.owner.controller), learned_state.LAYOUT
+            )
             self._add(Save(disk.LEARNED, self.learned))
 
     # ---- the end
