--- a/ochrehoist/app/simulator_adapter.py
+++ b/ochrehoist/app/simulator_adapter.py
@@ -1,292 +1,191 @@
-"""The adapter: reads batches of events from standard input, hands each to its controller, writes the actions.
+"""The adapter to the simulator: batches of events from standard input, actions to standard output.
 
-Translation only; what is decided, is decided in ochrehoist.admission.controller.
+It translates only: all decisions are those of ochrehoist.admission.controller.
 """
 
-import math
+import io
 import sys
 import traceback
+from collections.abc import Callable, Iterable
+from dataclasses import dataclass, field
+from typing import TextIO
 
-from ochrehoist.admission.actions import (
-    AttachDuplicate,
-    CancelRun,
-    FailRequest,
-    LogMessage,
-    RejectRequest,
-    ReleaseKey,
-    RetainKey,
-    SendBackpressure,
-    SetHealth,
-    SetIdleTimeout,
-    SetTimer,
-    SkipDownstreamCall,
-    StartDownstreamCall,
-    StartRun,
-)
+from ochrehoist.admission.actions import Action
 from ochrehoist.admission.controller import AdmissionController
-from ochrehoist.admission.events import (
-    DownstreamCallEnded,
-    DownstreamCallNeeded,
-    DrainStarted,
-    InstanceStarted,
-    Outcome,
-    RequestAbandoned,
-    RequestCompleted,
-    RequestReceived,
-    TimerFired,
+from ochrehoist.admission.events import Event, InstanceStarted
+from ochrehoist.admission.settings import AdmissionSettings
+from ochrehoist.app.simulator_lines import (
+    EVENT_PARSERS,
+    InstanceIndex,
+    LineFields,
+    format_action,
+    parse_request,
+    single_line,
 )
 from ochrehoist.config.settings import read_settings
 from ochrehoist.errors import InvalidInputError
 
-OUTCOMES = {
-    "Ok": Outcome.OK,
-    "Failed": Outcome.FAILED,
-    "QueueFull": Outcome.QUEUE_FULL,
-    "TimedOut": Outcome.TIMED_OUT,
-    "ConnectError": Outcome.UNREACHABLE,
-    "ResetByPeer": Outcome.CONNECTION_RESET,
-    "Canceled": Outcome.CANCELLED,
-    "Ignored": Outcome.NOT_STARTED,
-}
-
-# ---- events
-
-
-class _Fields:
-    """The values of one line, taken in order; a wrong one is named with its message."""
-
-    def __init__(self, name, rest):
-        self.name, self.parts, self.at = name, rest.split(" ") if rest else [], 0
-
-    def bad(self, field, why):
-        return InvalidInputError(f"message {self.name} field {field}: {why}")
-
-    def text(self, field, absent=False):
-        if self.at >= len(self.parts):
-            raise self.bad(field, "missing")
-        value = self.parts[self.at]
-        self.at += 1
-        if value == "-" and absent:
-            return None
-        if value in ("", "-"):
-            raise self.bad(field, "missing")
-        return value
-
-    def whole(self, field, absent=False):
-        value = self.text(field, absent)
-        if value is None:
-            return None
-        if not (value.isascii() and value.isdigit()):
-            raise self.bad(field, f"not a whole number: {value!r}")
-        return int(value)
-
-    def number(self, field, absent=False):
-        value = self.text(field, absent)
-        if value is None:
-            return None
-        try:
-            number = float(value)
-        except ValueError:
-            number = math.nan
-        if not math.isfinite(number) or number < 0:
-            raise self.bad(field, f"not a number from 0 up: {value!r}")
-        return number
-
-    def outcome(self, field):
-        value = self.text(field)
-        if value not in OUTCOMES:
-            raise self.bad(field, f"unknown outcome {value!r}")
-        return OUTCOMES[value]
-
-    def end(self, event):
-        if self.at != len(self.parts):
-            raise self.bad("(end of line)", "more parts than fields")
-        return event
-
-
-def _request(f, kinds, tenants):
-    job, kind = f.text("Job"), f.text("Type")
-    if kind not in kinds:
-        raise f.bad("Type", f"unknown class {kind!r}")
-    tenant = f.text("Realm", absent=True)
-    if tenant not in (None, "0") and tenant not in tenants:
-        raise f.bad("Realm", f"unknown tenant {tenant!r}")
-    key, remaining, work = f.text("RouteKey", True), f.whole("Remaining", True), f.whole("Work", True)
-    size, rank, bits = f.number("SizeKb"), f.number("Place", True) or 0.0, f.whole("Bitmap", True) or 0
-    caller, unread = f.whole("SrcPeer", True) or 0, f.whole("UnreadFor", True) or 0
-    original = f.text("Original", absent=True)
-    return f.end(
-        RequestReceived(
-            id=job,
-            class_index=kinds[kind],
-            tenant_index=tenants.get(tenant),
-            routing_key=key,
-            remaining_ns=remaining or None,
-            work_ns=work if bits & 1 and work else None,
-            memory_kb=size,
-            rank=rank,
-            is_retry=bool(bits & 2),
-            is_write=bool(bits & 4),
-            caller=caller,
-            unread_ns=unread,
-            duplicate_of=None if original == "0" else original,
-        )
-    )
-
-
-def _ended(f, event):
-    return f.end(event(f.text("Job"), f.outcome("Verdict"), f.whole("Took", True) or 0))
-
-
-def _alarm(f):
-    token, pairs, gauges = f.whole("Ref"), f.text("Gauge", absent=True), {}
-    for pair in pairs.split(",") if pairs else ():
-        name, colon, value = pair.partition(":")
-        try:
-            gauges[name] = float(value)
-        except ValueError:
-            colon = ""
-        if not colon or not name:
-            raise f.bad("Gauge", f"not name:value: {pair!r}")
-    return f.end(TimerFired(token, gauges))
-
-
-EVENTS = {
-    "COMPLETED": lambda f: _ended(f, RequestCompleted),
-    "READY_TO_CALL": lambda f: f.end(DownstreamCallNeeded(f.text("Job"))),
-    "DOWNSTREAM": lambda f: _ended(f, DownstreamCallEnded),
-    "EXPIRED": lambda f: f.end(RequestAbandoned(f.text("Job"))),
-    "RETIRE_SOON": lambda f: f.end(DrainStarted(f.whole("Remaining"))),
-    "BELL": _alarm,
-}
-
-
-# ---- actions
-
+EXIT_OK, EXIT_BROKEN_PIPE, EXIT_INVALID_INPUT = 0, 1, 2
 
-def _number(value):
-    return f"{value:.9f}".rstrip("0").rstrip(".")
 
+class SimulatedInstance:
+    """One server of the simulation."""
 
-ACTIONS = {
-    StartRun: lambda a: f"PROCESS {a.id}",
-    RejectRequest: lambda a: f"PUSH_BACK {a.id} {a.retry_after_ns} {int(a.no_retry)}",
-    FailRequest: lambda a: f"LOSE {a.id}",
-    CancelRun: lambda a: f"ABORT_WORK {a.id}",
-    StartDownstreamCall: lambda a: f"ASK_BELOW {a.id} {a.stop_at_ns}",
-    SkipDownstreamCall: lambda a: f"OMIT {a.id}",
-    RetainKey: lambda a: f"RETAIN {a.id} {a.ttl_ns}",
-    ReleaseKey: lambda a: f"EVICT {a.id}",
-    AttachDuplicate: lambda a: f"ATTACH {a.id}",
-    SetHealth: lambda a: f"MARK_HEALTH {int(a.cached)} {int(a.healthy)}",
-    SendBackpressure: lambda a: f"HINT_OUT {_number(a.value)}",
-    SetIdleTimeout: lambda a: f"KEEPALIVE {a.idle_timeout_ns}",
-    SetTimer: lambda a: f"WAKE_AT {a.delay_ns} {a.timer_id}",
-    LogMessage: lambda a: "PRINT " + " ".join(a.text.split()),
-}
-
-
-# ---- the wire
-
-
-class _Instance:
-    def __init__(self, settings, seed):
+    def __init__(self, settings: AdmissionSettings, seed: int) -> None:
         self.controller = AdmissionController(settings, seed)
-        self.kinds = {c.name: at for at, c in enumerate(settings.classes)}
-        self.tenants = {t.name: at for at, t in enumerate(settings.tenants)}
-
-
-class Host:
-    """All instances of one process, and the batch in hand."""
-
-    def __init__(self, out, err):
-        self.out, self.err, self.instances = out, err, {}
-        self.batch, self.now, self.current, self.replies = None, 0, None, []
-
-    def line(self, line):
-        name, _, rest = line.partition(" ")
-        if name == "BATCH":
-            f = _Fields(name, rest)
-            if self.batch is not None:
-                raise f.bad("(start)", "inside another batch")
-            self.now, self.batch = f.whole("clock"), f.end(f.whole("number"))
-            self.current, self.replies = None, []
-        elif self.batch is None:
-            raise InvalidInputError(f"message {name}: outside a batch")
-        elif name == "EOF_BATCH":
-            _Fields(name, rest).end(None)
-            self._reply()
-        elif name == "TARGET_INSTANCE":
-            f = _Fields(name, rest)
-            self.current = f.end(f.whole("Instance"))
-        elif name == "CREATE":
-            seed, _, settings = rest.partition(" ")
-            f = _Fields(name, seed)
-            self._create(f.end(f.whole("InitSeed")), settings)
-        elif name == "DETACH":
-            _Fields(name, rest).end(None)
-            self.instances.pop(self._target(name), None)
-            self.replies = [r for r in self.replies if r[0] != self.current]
-        elif name == "INCOMING" or name in EVENTS:
-            self._event(name, _Fields(name, rest))
+        self.index = InstanceIndex.of(settings)
+
+
+@dataclass(slots=True, frozen=True)
+class Reply:
+    """A line for the instance that it concerns."""
+
+    instance_id: int
+    line: str
+
+
+@dataclass(slots=True)
+class Batch:
+    """The batch that is being read: all of it happens at one time."""
+
+    now_ns: int
+    number: int
+    target: int | None = None  # the instance that the following messages are for
+    replies: list[Reply] = field(default_factory=list)
+
+
+class SimulatorHost:
+    """All instances of one process, and the current batch."""
+
+    def __init__(self, out: TextIO, err: TextIO) -> None:
+        self._out = out
+        self._err = err
+        self._instances: dict[int, SimulatedInstance] = {}
+        self._batch: Batch | None = None
+        self._handlers: dict[str, Callable[[Batch, str], None]] = {
+            "EOF_BATCH": self._end_batch,
+            "TARGET_INSTANCE": self._select_target,
+            "CREATE": self._create,
+            "DETACH": self._detach,
+            "INCOMING": self._receive_request,
+        }
+
+    def take_line(self, line: str) -> None:
+        """Takes a line. An unknown message is skipped. Raises InvalidInputError."""
+        message, _, rest = line.partition(" ")
+        batch = self._batch
+        if message == "BATCH":
+            self._begin_batch(LineFields(message, rest))
+        elif batch is None:
+            raise InvalidInputError.in_message(message, "outside a batch")
+        elif message in self._handlers:
+            self._handlers[message](batch, rest)
+        elif message in EVENT_PARSERS:
+            self._receive_event(batch, message, rest)
         else:
-            print(f"unknown message {name!r} skipped", file=self.err)
-
-    def _target(self, name):
-        if self.current is None:
-            raise InvalidInputError(f"message {name} field (instance): no TARGET_INSTANCE before it")
-        return self.current
-
-    def _create(self, seed, text):
-        at, settings = self._target("CREATE"), read_settings(text)
-        self._decide(at, lambda: self.instances.update({at: _Instance(settings, seed)}) or [])
-        if at in self.instances:
-            self._decide(at, lambda: self.instances[at].controller.handle(self.now, InstanceStarted()))
-
-    def _event(self, name, f):
-        instance = self.instances.get(self._target(name))
-        if instance is None:
-            raise InvalidInputError(f"message {name} field (instance): {self.current} was never created")
-        event = _request(f, instance.kinds, instance.tenants) if name == "INCOMING" else EVENTS[name](f)
-        self._decide(self.current, lambda: instance.controller.handle(self.now, event))
-
-    def _decide(self, at, decide):
+            print(f"unknown message {message!r} skipped", file=self._err)
+
+    def _begin_batch(self, fields: LineFields) -> None:
+        if self._batch is not None:
+            raise fields.error("(start)", "inside another batch")
+        now_ns, number = fields.integer("clock"), fields.integer("number")
+        self._batch = fields.finish(Batch(now_ns, number))
+
+    def _end_batch(self, batch: Batch, rest: str) -> None:
+        LineFields("EOF_BATCH", rest).finish(None)
+        lines: list[str] = []
+        last_instance: int | None = None
+        for reply in batch.replies:
+            if reply.instance_id != last_instance:
+                lines.append(f"INSTANCE {reply.instance_id}")
+                last_instance = reply.instance_id
+            lines.append(reply.line)
+        lines.append(f"OK {batch.number}\n")
+        self._out.write("\n".join(lines))
+        self._out.flush()
+        self._batch = None
+
+    def _select_target(self, batch: Batch, rest: str) -> None:
+        fields = LineFields("TARGET_INSTANCE", rest)
+        batch.target = fields.finish(fields.integer("Instance"))
+
+    def _create(self, batch: Batch, rest: str) -> None:
+        seed_text, _, settings_text = rest.partition(" ")
+        fields = LineFields("CREATE", seed_text)
+        seed = fields.finish(fields.integer("InitSeed"))
+        instance_id = _target(batch, "CREATE")
+        settings = read_settings(settings_text)
+
+        def create() -> list[Action]:
+            self._instances[instance_id] = SimulatedInstance(settings, seed)
+            return []
+
+        self._run(batch, instance_id, create)
+        if instance_id in self._instances:
+            self._handle(batch, instance_id, InstanceStarted())
+
+    def _detach(self, batch: Batch, rest: str) -> None:
+        LineFields("DETACH", rest).finish(None)
+        instance_id = _target(batch, "DETACH")
+        self._instances.pop(instance_id, None)
+        batch.replies = [reply for reply in batch.replies if reply.instance_id != instance_id]
+
+    def _receive_request(self, batch: Batch, rest: str) -> None:
+        instance_id = self._existing_target(batch, "INCOMING")
+        event = parse_request(LineFields("INCOMING", rest), self._instances[instance_id].index)
+        self._handle(batch, instance_id, event)
+
+    def _receive_event(self, batch: Batch, message: str, rest: str) -> None:
+        instance_id = self._existing_target(batch, message)
+        self._handle(batch, instance_id, EVENT_PARSERS[message](LineFields(message, rest)))
+
+    def _existing_target(self, batch: Batch, message: str) -> int:
+        instance_id = _target(batch, message)
+        if instance_id not in self._instances:
+            raise InvalidInputError.in_message(
+                message, f"{instance_id} was never created", field="(instance)"
+            )
+        return instance_id
+
+    def _handle(self, batch: Batch, instance_id: int, event: Event) -> None:
+        controller = self._instances[instance_id].controller
+        self._run(batch, instance_id, lambda: controller.handle(batch.now_ns, event))
+
+    def _run(self, batch: Batch, instance_id: int, decide: Callable[[], Iterable[Action]]) -> None:
+        """Adds the actions to the replies; a fault of the controller is a reply too."""
         try:
-            self.replies += [(at, ACTIONS[type(a)](a)) for a in decide()]
+            batch.replies += [Reply(instance_id, format_action(action)) for action in decide()]
         except Exception as error:
-            traceback.print_exc(file=self.err)
-            self.replies.append((at, f"EXCEPTION {type(error).__name__}: " + " ".join(str(error).split())))
-
-    def _reply(self):
-        lines, last = [], None
-        for at, text in self.replies:
-            if at != last:
-                lines.append(f"INSTANCE {at}")
-                last = at
-            lines.append(text)
-        lines.append(f"OK {self.batch}\n")
-        self.out.write("\n".join(lines))
-        self.out.flush()
-        self.batch = None
-
-
-def main(source=None, out=None, err=None):
+            traceback.print_exc(file=self._err)
+            text = single_line(str(error))
+            batch.replies.append(Reply(instance_id, f"EXCEPTION {type(error).__name__}: {text}"))
+
+
+def _target(batch: Batch, message: str) -> int:
+    if batch.target is None:
+        raise InvalidInputError.in_message(message, "no TARGET_INSTANCE before it", field="(instance)")
+    return batch.target
+
+
+def main(source: Iterable[str] | None = None, out: TextIO | None = None, err: TextIO | None = None) -> int:
+    """Takes all lines of `source`, by default of standard input. Returns the exit code."""
     source, out, err = source or sys.stdin, out or sys.stdout, err or sys.stderr
-    host = Host(out, err)
+    host = SimulatorHost(out, err)
     try:
         for line in source:
-            line = line.rstrip("\r\n")
-            if line:
-                host.line(line)
+            text = line.rstrip("\r\n")
+            if text:
+                host.take_line(text)
     except InvalidInputError as error:
         print(f"ochrehoist: {error}", file=err)
-        return 2
+        return EXIT_INVALID_INPUT
     except BrokenPipeError:
-        return 1
-    return 0
+        return EXIT_BROKEN_PIPE
+    return EXIT_OK
 
 
 if __name__ == "__main__":
     for stream in (sys.stdin, sys.stdout):
-        stream.reconfigure(encoding="utf-8")
+        if isinstance(stream, io.TextIOWrapper):
+            stream.reconfigure(encoding="utf-8")
     sys.exit(main())
--- a/ochrehoist/app/worker.py
+++ b/ochrehoist/app/worker.py
@@ -253,7 +253,7 @@
             "failed": f.total("errored_total"),
             "keys": len(o.keys.runs),
             "result_bytes": o.keys.bytes,
-            "log_dropped": self.sink.dropped,
+            "log_dropped": self.sink.dropped_lines,
             "connections": {type(f).__name__: len(f.connections) for f in self.fronts},
             "configuration": self.reloading.view(),
         }
