--- /dev/null
+++ b/ochrehoist/app/kernel_link_supervisor.py
@@ -0,0 +1,49 @@
+"""Watches the link to the kernel: health turns bad without it, and the configuration is reloaded."""
+
+import time
+from typing import Any
+
+from ochrehoist.app.reload import ConfigReloader
+from ochrehoist.core.linkwatch import LinkWatch
+from ochrehoist.core.messages import KernelLinkChanged
+from ochrehoist.core.owner import Owner
+from ochrehoist.net.kernel import Kernel
+from ochrehoist.net.loop import Loop
+
+LINK_CHECK_INTERVAL_S = 0.25
+
+
+class KernelLinkSupervisor:
+    """Tells the core whether the kernel is within reach, and has a worker that is cut off look for it."""
+
+    def __init__(self, loop: Loop, core: Owner, kernel: Kernel, reloader: ConfigReloader, log: Any) -> None:
+        self._loop = loop
+        self._core = core
+        self._kernel = kernel
+        self._reloader = reloader
+        self._log = log
+        self._monitor = LinkWatch()
+        self._healthy = True
+
+    def run(self) -> None:
+        """A task: checks the link until another process decides. A kernel that was never up is waited for."""
+        while self._core.forwarder is None:
+            if self._kernel.booted:
+                self._check()
+            self._loop.sleep(LINK_CHECK_INTERVAL_S)
+
+    def _check(self) -> None:
+        connected = self._kernel.stream is not None
+        status = self._monitor.look(time.monotonic(), connected, self._kernel.address)
+        if status.good is not self._healthy:
+            self._healthy = status.good
+            self._report_change()
+        if status.read_again:
+            self._reloader.reload_while_cut_off()
+
+    def _report_change(self) -> None:
+        self._core.post(KernelLinkChanged(self._healthy))
+        if self._healthy:
+            self._log.info("kernel_reachable", kernel=self._kernel.view())
+        else:
+            self._log.error("kernel_unreachable", kernel=self._kernel.view())
--- a/ochrehoist/app/reload.py
+++ b/ochrehoist/app/reload.py
@@ -1,336 +1,229 @@
-"""The configuration read again while the worker runs: by order, or because the worker is cut off.
+"""The configuration reloaded while the worker runs: on SIGHUP, or because it is cut off from its kernel.
 
-It is read, compared and prepared in steps, between which all else has its turn, and comes into force in one:
-what was read under the old one is decided by the old one, and no request ever meets half of a change.
+A reload has three phases. The file is read and compared, and all participants prepare, in steps between
+which everything else has its turn. Then the change is committed in one turn of the core: what was read under
+the old configuration is decided by the old one, and no request meets half of a change. Last, what the old
+configuration alone held is released.
 """
 
 import time
-from collections.abc import Callable, Generator, Sequence
-from dataclasses import dataclass, replace
+from collections.abc import Generator, Sequence
 from typing import Any
 
-from ochrehoist.config import comparison
-from ochrehoist.config import loader as configuration
+from ochrehoist.app.reload_change import ConfigChange, Participant, prepare_in_steps
+from ochrehoist.app.reload_status import ReloadStatus
 from ochrehoist.config.schema import Config
-from ochrehoist.core.figures import counted
-from ochrehoist.core.linkwatch import LinkWatch
-from ochrehoist.core.messages import ConfigurationSwitched, KernelLinkChanged, SettingsChanged, TenantsChanged
+from ochrehoist.core.messages import ConfigurationSwitched
 from ochrehoist.core.owner import Owner
-from ochrehoist.core.tenants import STEP, Tenants, changed, compact
 from ochrehoist.errors import InvalidInputError
 from ochrehoist.net.kernel import Kernel
 from ochrehoist.net.loop import Loop, Signal
 
-LOOK = 0.25  # s from one look at the kernel's link to the next
-AFTER = 3.0  # s after a change of configuration at which the log tells what has come of it
-SLICE = 0.001  # s that steps take of a turn of the loop, and what the last of them takes more
-PAUSE = 1.0  # of the time that a turn's steps took, which all else has at least before the next
-LET_GO = 0.005  # s after a switch, and between two parts of what was in force before
-STAND = 0.01  # s between looks at a core that stands still while its state is handed over
-COUNTED = {"served": "answered_total", "refused": "deferred_total", "failed": "errored_total"}
+OUTCOME_LOG_DELAY_S = 3.0  # after a change, at which the log says what has come of it
+STEPS_PER_TURN_S = 0.001  # for which steps are taken in a turn of the loop; the last may take longer
+PAUSE_FACTOR = 1.0  # the least pause between two turns, by the time that the steps of the first took
+RELEASE_INTERVAL_S = 0.005  # between two releases of what was in force before
+FROZEN_CHECK_INTERVAL_S = 0.01  # while the core is frozen for a state transfer
 
-Commit = Callable[[], None]
-Steps = Generator[None, None, Commit]
-Part = Callable[[Config, Tenants], Steps]  # what takes settings: builds what it needs, and gives the switch
 
+class ConfigReloader:
+    """Reloads the configuration and hands what can change to the participants.
 
-def switch_only(configure: Callable[[Config, Tenants], None]) -> Part:
-    """A part that has nothing to prepare."""
-
-    def prepare(new: Config, tenants: Tenants) -> Steps:
-        return lambda: configure(new, tenants)
-        yield
-
-    return prepare
-
-
-@dataclass(slots=True)
-class Change:
-    """One that is ready to come into force."""
-
-    config: Config
-    version: str
-    fixed: list[str]  # keys that differ and need a restart
-    message: SettingsChanged | TenantsChanged | None  # for the core; None where it is not concerned
-    commits: list[Commit]
-    in_force: bool = False
-
-
-class Reloading:
-    """Reads the configuration whole and hands what can change to `parts`.
-
-    Nothing is lost by it: runs, keys, notices and open connections go on. A bad file changes nothing.
+    Runs, idempotency keys, notices and open connections are kept. A file that cannot be used changes nothing.
+    `participants` may grow until the first reload. `kernel`: None for a worker without a link to one.
     """
 
     def __init__(
         self,
         loop: Loop,
-        owner: Owner,
+        core: Owner,
         config: Config,
         path: str | None,
-        parts: Sequence[Part],
+        participants: Sequence[Participant],
         kernel: Kernel | None,
         log: Any,
     ) -> None:
-        self.loop, self.owner, self.path, self.parts, self.log = loop, owner, path, parts, log
-        self.config, self.kernel, self.watch = config, kernel, LinkWatch()
-        self.good = True  # the kernel is within reach, or was a moment ago
-        self.last, self.why, self.at = "start", "", time.monotonic()
-        self.version, self.since = config.version, time.time()  # in force, and since when (Unix s)
-        self.reading = False  # a task is at it
-        self.switched = Signal(loop)
-        self.ordered = False  # and one more reading is due after it: the file may have changed since
-        self.held = self.longest = 0.0  # s that the last reading, and any, held up the loop at most
-        self.read_s = self.switch_s = 0.0  # of the last change: from its reading until in force; its switch
-        self.before = self._counts()
-
-    def order(self) -> None:
-        """SIGHUP. However many come while a file is read, it is read once more after the last of them."""
-        if self.owner.forwarder is not None:
+        self._loop = loop
+        self._core = core
+        self._config = config
+        self._path = path
+        self._participants = participants
+        self._kernel = kernel
+        self._log = log
+        self._switched = Signal(loop)
+        self._requested = False  # a reload is due: the file may have changed since the one that is running
+        self.reading = False  # a task is reloading
+        self.status = ReloadStatus(config.version, core.figures)
+
+    def request_reload(self) -> None:
+        """Takes a SIGHUP. However many come during a reload, one more follows it."""
+        if self._core.forwarder is not None:
             return  # the file is for the process that decides now
-        self.ordered = True
-        self._begin()
+        self._requested = True
+        self._start_task()
 
-    def watch_link(self) -> None:
-        """A task: the kernel's link is looked at for good."""
-        while self.owner.forwarder is None:
-            if self.kernel.booted:  # a kernel that was never up is waited for
-                self._look()
-            self.loop.sleep(LOOK)
+    def reload_while_cut_off(self) -> None:
+        """Looks for a configuration with another way to the kernel, unless a reload is running.
+
+        It is not counted as loaded or invalid, since nobody requested it.
+        """
+        if not self.reading:
+            self.reading = True
+            self._loop.spawn(self._reload_once_if_new)
 
     def view(self) -> dict[str, Any]:
-        """For operators: what is in force and how it came about, and what has come of it since."""
-        values = {"last": self.last, "age_s": round(time.monotonic() - self.at, 1)}
-        values |= {"why": self.why} if self.why else {}
-        return values | {
-            "since": self._since(),
-            "version": self.version,
-            "in_force_since": round(self.since, 3),
-            "reading": self.reading,
-            "took_s": round(self.read_s, 3),
-            "switch_ms": round(1000 * self.switch_s, 3),
-            "held_ms": round(1000 * self.held, 3),
-        }
+        """The part `configuration` of /status."""
+        return self.status.view(reading=self.reading)
 
     def figures(self) -> str:
-        """Lines beside the fixed names: which version is in force, since when, and what reading has cost."""
-        return counted(
-            {
-                "app_conf_info": [(f'{{version="{self.version}"}}', 1)],
-                "app_conf_in_force_since_seconds": [("", round(self.since, 3))],
-                "app_conf_took_seconds": [("", round(self.read_s, 6))],
-                "app_conf_held_seconds": [("", round(self.held, 6))],
-                "app_conf_held_longest_seconds": [("", round(self.longest, 6))],
-            }
-        )
+        """Metrics beside those with fixed names."""
+        return self.status.figures()
 
-    # ---- reading
-    def _begin(self) -> None:
-        if not self.reading and self.owner.forwarder is None:
+    def _start_task(self) -> None:
+        if not self.reading and self._core.forwarder is None:
             self.reading = True
-            self.loop.spawn(self._work)
+            self._loop.spawn(self._reload_while_requested)
 
-    def _work(self) -> None:
-        """A task: reads until no order is left."""
+    def _reload_while_requested(self) -> None:
+        """A task."""
         try:
-            while self.ordered and self.owner.forwarder is None:
-                self.ordered = False
-                self._obey()
+            while self._requested and self._core.forwarder is None:
+                self._requested = False
+                self._reload_as_requested()
         finally:
             self.reading = False
-            if self.ordered:  # a fault ended this task
-                self._begin()
+            if self._requested:  # this task ended by a fault
+                self._start_task()
 
-    def _obey(self) -> None:
-        figures = self.owner.figures.single
+    def _reload_as_requested(self) -> None:
+        figures = self._core.figures.single
         try:
-            change = self._change()
+            change = self._reload()
         except InvalidInputError as error:
             figures["conf_invalid_total"] += 1
-            self._turned_down(str(error))
-            self.log.error(
-                "configuration can't be used, the old one stays", why=str(error), version=self.version
-            )
+            self.status.reject(str(error))
+            self._log.error("config_invalid", reason=str(error), version=self.status.version)
             return
-        except Exception:  # a fault of ours: the old one stays, and who looks is told so
+        except Exception:
             figures["conf_invalid_total"] += 1
-            self._turned_down("internal fault, see the log")
+            self.status.reject("internal fault, see the log")
             raise
+        if change is None:
+            return
+        figures["conf_loaded_total"] += 1
+        self._log.info(
+            "config_reloaded",
+            restart_keys=change.restart_keys,
+            version=self.status.version,
+            took_ms=round(1000 * self.status.reload_s, 1),
+            held_ms=round(1000 * self.status.longest_hold_s, 2),
+        )
+
+    def _reload_once_if_new(self) -> None:
+        """A task."""
+        try:
+            self._reload_if_new()
+        finally:
+            self.reading = False
+            if self._requested:
+                self._start_task()
+
+    def _reload_if_new(self) -> None:
+        try:
+            change = self._reload(only_new=True)
+        except InvalidInputError as error:
+            self.status.reject(str(error))
+            self._log.error("config_invalid_while_cut_off", reason=str(error))
+            return
         if change is not None:
-            figures["conf_loaded_total"] += 1
-            self._tell_taken(change)
+            self._log.warning(
+                "config_reloaded_while_cut_off",
+                restart_keys=change.restart_keys,
+                version=self.status.version,
+            )
+        elif self._core.forwarder is None:
+            self._log.warning("config_unchanged_while_cut_off", **self._kernel_view())
 
-    def _tell_taken(self, change: Change) -> None:
-        self.log.info(
-            "configuration read again",
-            needs_a_restart=change.fixed,
-            version=self.version,
-            took_ms=round(1000 * self.read_s, 1),
-            held_ms=round(1000 * self.held, 2),
-        )
+    def _reload(self, *, only_new: bool = False) -> ConfigChange | None:
+        """All three phases. Raises InvalidInputError.
 
-    def _change(self, only_new: bool = False) -> Change | None:
-        """Reads the file and brings it into force. Raises InvalidInputError. None where another process
-        decides now,
-        or, with `only_new`, where nothing differs."""
-        began, self.held = time.monotonic(), 0.0
-        change = self._paced(self._steps(only_new))
+        Gives None where another process has come to decide, or where `only_new` is set and nothing differs.
+        """
+        began_at = time.monotonic()
+        self.status.begin()
+        change = self._take_steps(self.prepare_in_steps(only_new=only_new))
         if change is None:
             return None
-        before = [self.config, self.owner.tenants]
-        self._commit(change)
-        # The core may stand still, its state on the way to another process, which may still say no.
+        replaced: list[object] = [self._config, self._core.tenants]
+        self.commit(change)
+        # A frozen core takes no messages: its state is on the way to another process, which may still refuse.
         while not change.in_force:
-            if self.owner.forwarder is not None:
+            if self._core.forwarder is not None:
                 return None
-            self.switched.wait(STAND)
-        self.read_s = time.monotonic() - began
-        # What they alone held is let go of in turns of its own: thousands of tenants take a while.
-        for n in range(len(before)):
-            self.loop.call_later((n + 1) * LET_GO, before.pop)
+            self._switched.wait(FROZEN_CHECK_INTERVAL_S)
+        self.status.reload_s = time.monotonic() - began_at
+        self._release(replaced)
         return change
 
-    def _paced(self, steps: Generator[None, None, Change | None]) -> Change | None:
+    def prepare_in_steps(self, *, only_new: bool) -> Generator[None, None, ConfigChange | None]:
+        """The first phase: nothing changes yet. Raises InvalidInputError."""
+        return prepare_in_steps(self._core, self._config, self._path, self._participants, only_new=only_new)
+
+    def _take_steps(self, steps: Generator[None, None, ConfigChange | None]) -> ConfigChange | None:
         """Takes the steps, some in each turn of the loop."""
         while True:
-            began = time.monotonic()
+            began_at = time.monotonic()
             try:
                 while True:
                     next(steps)
-                    if time.monotonic() - began >= SLICE:
+                    if time.monotonic() - began_at >= STEPS_PER_TURN_S:
                         break
             except StopIteration as end:
-                return end.value
+                change: ConfigChange | None = end.value
+                return change
             finally:
-                took = time.monotonic() - began
-                self._held(took)
-            self.loop.sleep(PAUSE * took)
-
-    def _held(self, took: float) -> None:
-        self.held = max(self.held, took)
-        self.longest = max(self.longest, took)
-
-    def _steps(self, only_new: bool) -> Generator[None, None, Change | None]:
-        old = self.config
-        loaded = yield from configuration.load_in_steps(self.path, before=old)
-        merged = comparison.merged(old, loaded)
-        new, fixed = merged.config, merged.restart_keys
-        if only_new and new == old:
-            return None
-        yield
-        tenants = yield from changed(self.owner.tenants, new.settings.tenants)
-        yield
-        other = replace(new.settings, tenants=()) != replace(old.settings, tenants=())
-        told = tenants is not self.owner.tenants or _budgets(new) != _budgets(old)
-        message = None
-        if other or tenants.crowded:
-            if tenants.crowded:
-                tenants = yield from self._compacted(tenants)
-            message = SettingsChanged(new.settings, tenants)
-        elif told:
-            message = TenantsChanged(new.settings, tenants)
-        commits = []
-        for prepare in self.parts:
-            commits.append((yield from prepare(new, tenants)))
-        return Change(new, loaded.version, fixed, message, commits)
-
-    def _compacted(self, tenants: Tenants) -> Generator[None, None, Tenants]:
-        """Without those that are gone, but for whom a request is open or a filing known."""
-        used = {r.tenant for r in self.owner.live.values()}
-        for known in (self.owner.keys.runs, self.owner.keys.entries):
-            for n, token in enumerate(list(known)):
-                used.add(token[0])
-                if n % STEP == 0:
-                    yield
-        # Those that this change takes away may have one more request read before it.
-        used |= tenants.gone.keys() - self.owner.tenants.gone.keys()
-        return (yield from compact(tenants, used))
+                took_s = time.monotonic() - began_at
+                self.status.record_hold(took_s)
+            self._loop.sleep(PAUSE_FACTOR * took_s)
 
-    # ---- into force
-    def _commit(self, change: Change) -> None:
-        """By the core's own queue, in one turn between two events."""
-        began = 0.0
+    def commit(self, change: ConfigChange) -> None:
+        """The second phase, by the core's own queue: in one turn, between two events."""
+        switch_began_at = 0.0
 
-        def parts() -> None:
-            nonlocal began
-            began = time.monotonic()
+        def commit_participants() -> None:
+            nonlocal switch_began_at
+            switch_began_at = time.monotonic()
             for commit in change.commits:
                 try:
                     commit()
-                except Exception:  # a fault of one part of ours must not leave the others behind
-                    self.log.exception("fault in taking a new configuration")
+                except Exception:  # the other participants must not be left behind
+                    self._log.exception("config_commit_failed")
 
-        def done() -> None:
+        def finish() -> None:
             change.in_force = True
-            self.config, self.version = change.config, change.version
-            self.last, self.why, self.at, self.before = "taken", "", time.monotonic(), self._counts()
-            self.since = time.time()
-            self.switch_s = self.at - began
-            self._held(self.switch_s)
-            self.loop.call_later(AFTER, lambda at=self.at: self._tell(at))
-            self.switched.set()
+            self._config = change.config
+            self.status.switch(change.version, switch_began_at)
+            ended_at = self.status.ended_at
+            self._loop.call_later(OUTCOME_LOG_DELAY_S, lambda: self._log_outcome(ended_at))
+            self._switched.set()
 
-        self.owner.post(ConfigurationSwitched(parts, change.message, done))
+        self._core.post(ConfigurationSwitched(commit_participants, change.core_change, finish))
 
-    # ---- the kernel's link
-    def _look(self) -> None:
-        verdict = self.watch.look(time.monotonic(), self.kernel.stream is not None, self.kernel.address)
-        if verdict.good is not self.good:
-            self.good = verdict.good
-            self.owner.post(KernelLinkChanged(verdict.good))
-            if verdict.good:
-                self.log.info("the kernel is within reach again", kernel=self.kernel.view())
-            else:
-                self.log.error("cut off from the kernel: health turns bad", kernel=self.kernel.view())
-        if verdict.read_again and not self.reading:  # what is being read now may be the way out
-            self.reading = True
-            self.loop.spawn(self._heal)
+    def _release(self, replaced: list[object]) -> None:
+        """Drops the references one by one, in turns of their own: freeing thousands of tenants takes long."""
 
-    def _heal(self) -> None:
-        """A task. Not counted as taken or turned down: nobody ordered it."""
-        try:
-            self._look_for_another()
-        finally:
-            self.reading = False
-            if self.ordered:
-                self._begin()
+        def release_one() -> None:
+            replaced.pop()
 
-    def _look_for_another(self) -> None:
-        try:
-            change = self._change(only_new=True)
-        except InvalidInputError as error:
-            self._turned_down(str(error))
-            self.log.error("cut off, and the configuration can't be used: mend the file", why=str(error))
-            return
-        if change is None and self.owner.forwarder is None:
-            self.log.warning(
-                "cut off, and the configuration is as before: is the kernel up?", kernel=self.kernel.view()
-            )
-        elif change is not None:
-            self.log.warning(
-                "cut off: a new configuration was found and taken",
-                needs_a_restart=change.fixed,
-                version=self.version,
-            )
-
-    def _turned_down(self, why: str) -> None:
-        self.last, self.why, self.at = "turned down", why, time.monotonic()
-
-    def _tell(self, at: float) -> None:
-        """Only of the newest: several within a moment are told of once."""
-        if at == self.at:
-            kernel = {"kernel": self.kernel.view()} if self.kernel else {}
-            self.log.info(
-                "since the configuration was read again", state=self.owner.state, **self._since(), **kernel
-            )
-
-    def _counts(self) -> dict[str, int]:
-        return {word: self.owner.figures.total(name) for word, name in COUNTED.items()}
-
-    def _since(self) -> dict[str, int]:
-        return {word: n - self.before[word] for word, n in self._counts().items()}
+        for number in range(len(replaced)):
+            self._loop.call_later((number + 1) * RELEASE_INTERVAL_S, release_one)
 
+    def _log_outcome(self, ended_at: float) -> None:
+        """Says what came of the reload that ended at `ended_at`, unless another one ended since."""
+        if ended_at != self.status.ended_at:
+            return
+        counts = self.status.counts_since_switch()
+        self._log.info("config_outcome", state=self._core.state, **counts, **self._kernel_view())
 
-def _budgets(config: Config) -> object:
-    """What the quotas of tenants here are made of beside the settings."""
-    return config.peers and config.peers.budgets
+    def _kernel_view(self) -> dict[str, Any]:
+        return {} if self._kernel is None else {"kernel": self._kernel.view()}
--- a/ochrehoist/app/worker.py
+++ b/ochrehoist/app/worker.py
@@ -9,8 +9,10 @@
 from http import HTTPStatus
 from typing import Any
 
+from ochrehoist.app.kernel_link_supervisor import KernelLinkSupervisor
 from ochrehoist.app.logs import LogSink, start_log
-from ochrehoist.app.reload import Part, Reloading, switch_only
+from ochrehoist.app.reload import ConfigReloader
+from ochrehoist.app.reload_change import Participant, commit_only
 from ochrehoist.config import loader as configuration
 from ochrehoist.config.schema import Config
 from ochrehoist.core.figures import CONTENT_TYPE
@@ -62,7 +64,7 @@
         self.predecessor: Predecessor | None = None
         self.fronts: list[ThriftFront | AjpFront] = []
         self.tasks = [owner.run]
-        parts: list[Part] = []  # that take a configuration read again
+        parts: list[Participant] = []  # of a reload of the configuration
         # Where the system gives fewer than the settings say, it is the system's limit that binds.
         sockets = min([n for n in (config.max_sockets, os.sysconf("SC_OPEN_MAX")) if n > 0])
         room = (
@@ -92,26 +94,26 @@
             )
             self.fronts.append(front)
             parts += [
-                switch_only(lambda new, _: servers.configure(new.ajp)),
+                commit_only(lambda new, _: servers.configure(new.ajp)),
                 lambda new, _: front.prepare(new.ajp, new.settings),
             ]
         if config.listen:
             kernel = Kernel(loop, owner, config.kernel_address, config.gauges, self.log)
             self.gauge_source = self.kernel = kernel
             self.tasks.append(kernel.run)
-            parts.append(switch_only(lambda new, _: kernel.move(new.kernel_address, new.gauges)))
+            parts.append(commit_only(lambda new, _: kernel.move(new.kernel_address, new.gauges)))
             passed = inherited(config.listen)
             if config.inherited_fd is not None:
                 passed = socket.socket(fileno=config.inherited_fd)
             unsent = int(config.memory_mb * 1e6 * UNSENT_SHARE)
             routers = ThriftFront(loop, owner, kernel, config.listen, room, unsent, self.log, passed)
-            parts.append(switch_only(lambda new, _: routers.configure(new.settings)))
+            parts.append(commit_only(lambda new, _: routers.configure(new.settings)))
             self.fronts.append(routers)
         else:
             owner.post(ExecutorReady(None, 0))
         if config.membership_address:
             self.members = members = Members(loop, owner, config.membership_address, config.name, self.log)
-            parts.append(switch_only(lambda new, _: members.move(new.membership_address)))
+            parts.append(commit_only(lambda new, _: members.move(new.membership_address)))
             owner.listeners.append(members)
         owner.listeners += self.fronts
         self.listeners: list = list(self.fronts)
@@ -144,9 +146,10 @@
         for address, sock in (self.inherited or {}).items():
             if address not in self.handed:
                 sock.close()  # of no use here: what waits in its queue is for the process that listens there
-        self.reloading = Reloading(loop, owner, config, path, parts, self.kernel, self.log)
+        self.reloading = ConfigReloader(loop, owner, config, path, parts, self.kernel, self.log)
         if self.kernel:
-            self.tasks.append(self.reloading.watch_link)
+            supervisor = KernelLinkSupervisor(loop, owner, self.kernel, self.reloading, self.log)
+            self.tasks.append(supervisor.run)
         if config.state:
             # Its libraries are for those who want it: the platform's worker stays without them.
             from ochrehoist.store.journal import Journal
@@ -160,14 +163,14 @@
 
             self.capture = Capture(loop, owner, config, self.log)
             owner.answers.observers.append(self.capture)
-            parts.append(switch_only(lambda new, _: self.capture.configure(new)))
+            parts.append(commit_only(lambda new, _: self.capture.configure(new)))
         self.measures: Any = None
         if config.overload:
             from ochrehoist.net.selfmeasure import SelfMeasure
 
             self.measures = SelfMeasure(loop, owner, config.overload, config.memory_mb, self.fronts, self.log)
             parts.append(
-                switch_only(lambda new, tenants: self.measures.configure(new.settings, new.overload, tenants))
+                commit_only(lambda new, tenants: self.measures.configure(new.settings, new.overload, tenants))
             )
         self.peers: Any = None
         if config.peers:
@@ -183,7 +186,7 @@
             from ochrehoist.net.sites import Sites
 
             self.sites = Sites(loop, owner, config, self.peers, self.inherited is None, self.log)
-            parts.append(switch_only(self.sites.configure))
+            parts.append(commit_only(self.sites.configure))
         self.recovery: Any = None
         if config.recovery:
             from ochrehoist.net.recovery import Recovery
@@ -204,7 +207,7 @@
         # SIGTERM and SIGHUP are orders to this program, whatever whoever started it does with them: nohup and
         # some supervisors leave SIGHUP ignored, and a worker deaf to it would serve an old configuration.
         self.loop.on_signal(signal.SIGTERM, self.ending.leave)
-        self.loop.on_signal(signal.SIGHUP, self.reloading.order)
+        self.loop.on_signal(signal.SIGHUP, self.reloading.request_reload)
         if signal.getsignal(signal.SIGINT) is not signal.SIG_IGN:  # ignored by a shell for background jobs
             self.loop.on_signal(signal.SIGINT, self.ending.leave)
         for task in self.tasks:
--- a/ochrehoist/lab/hollow.py
+++ b/ochrehoist/lab/hollow.py
@@ -25,7 +25,7 @@
 from greenlet import GreenletExit
 
 from ochrehoist.admission.events import Event, TimerFired
-from ochrehoist.app.reload import Reloading
+from ochrehoist.app.reload import ConfigReloader
 from ochrehoist.app.worker import BODY_SHARE, RESULT_SHARE
 from ochrehoist.config import loader as configuration
 from ochrehoist.config.schema import Config
@@ -40,9 +40,9 @@
 from ochrehoist.peers.wire import Entry, Life, Tally
 
 try:
-    from ochrehoist.app.reload import switch_only
+    from ochrehoist.app.reload_change import commit_only
 except ImportError:  # a tree of before the reading in steps: its parts take a configuration whole
-    switch_only = None
+    commit_only = None
 
 PAGE_KB = os.sysconf("SC_PAGE_SIZE") // 1024
 BEATS = 256  # of the module, whose cost is kept
@@ -223,19 +223,19 @@
         )
         self.owner.listeners.append(self.peers)
         self.servers.advisor = self.peers
-        self.reloading = Reloading(loop, self.owner, config, str(path), self._parts(), None, log)
+        self.reloading = ConfigReloader(loop, self.owner, config, str(path), self._parts(), None, log)
         self.ended = False
 
     def _parts(self) -> list[Callable[..., Any]]:
         servers, reader, peers = self.servers, self.reader, self.peers
-        if switch_only is None:
+        if commit_only is None:
             return [
                 lambda new: servers.configure(new.ajp),
                 lambda new: reader.configure(new.ajp, new.settings),
                 peers.configure,
             ]
         return [
-            switch_only(lambda new, _: servers.configure(new.ajp)),
+            commit_only(lambda new, _: servers.configure(new.ajp)),
             lambda new, _: reader.prepare(new.ajp, new.settings),
             peers.prepare,
         ]
@@ -518,7 +518,7 @@
             w = waiting.pop()
             hollow, path = self.hollows[w["name"]], self._file(w)
             at, cpu = time.monotonic(), time.thread_time()
-            hollow.reloading.order()
+            hollow.reloading.request_reload()
             held = time.monotonic() - at
             look(hollow, at, cpu, held, path)
 
@@ -529,7 +529,7 @@
                 return
             if in_force:
                 taken["in_force_s"].append(time.monotonic() - at)
-                taken["held_s"].append(max(held, getattr(hollow.reloading, "held", 0.0)))
+                taken["held_s"].append(max(held, hollow.reloading.status.longest_hold_s))
                 taken["cpu_s"].append(time.thread_time() - cpu)  # with that of others meanwhile
             path.unlink(missing_ok=True)
             self.loop.call_later(0.0, order)
--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -697,7 +697,7 @@
                 if self.stall_log:
                     return
 
-    def reload(self, name, content, event="configuration read again"):
+    def reload(self, name, content, event="config_reloaded"):
         """Replaces a configuration file, as the platform does, sends SIGHUP, and gives what the log says."""
         known = len(self.said(event))
         os.replace(self.file("new", content), Path(self.folder.name, name))
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -119,7 +119,7 @@
 
 
 def brought_into_force(worker, change):
-    worker.reloading._commit(change)
+    worker.reloading.commit(change)
     worker.owner.step()
 
 
@@ -134,7 +134,7 @@
         self.addCleanup(self.close, worker)
         worker.owner.step()
         change(folder.name, count, routes)
-        steps, longest, lines = worker.reloading._steps(False), 0, 0
+        steps, longest, lines = worker.reloading.prepare_in_steps(only_new=False), 0, 0
 
         def count_lines(frame, event, argument):
             nonlocal lines
@@ -234,7 +234,7 @@
             (range(6), {"b4": "t1", "b3": "t5"}, {"t1": "b4", "t5": "b3"}),
         ):  # budgets alone
             written(numbers, budgets)
-            brought_into_force(worker, run_to_completion(worker.reloading._steps(False)))
+            brought_into_force(worker, run_to_completion(worker.reloading.prepare_in_steps(only_new=False)))
             self.assertEqual(follow(), expected)
             self.assertEqual([t.name for t in module.settings.tenants][:5], [f"t{n}" for n in range(5)])
             self.assertEqual(worker.owner.tenants["t0"], 0)
@@ -510,7 +510,7 @@
 
         def change(numbers):
             appliance(folder.name, numbers, 1)
-            brought_into_force(worker, run_to_completion(reloading._steps(False)))
+            brought_into_force(worker, run_to_completion(reloading.prepare_in_steps(only_new=False)))
             return sorted(owner.tenants.gone)
 
         # Of those that go in one change, one more request may have been read: they stay until the next.
@@ -537,7 +537,7 @@
         self.worker.owner.freeze()
         self.worker.loop.spawn(self.worker.owner.run)
         appliance(folder.name, range(4), 1)
-        self.worker.reloading.order()
+        self.worker.reloading.request_reload()
 
     def run_until(self, done):
         """The loop; whether it was done in time."""
@@ -565,12 +565,12 @@
         self.prepared()
         self.worker.owner.thaw()
         self.assertTrue(self.run_until(lambda: not self.worker.reloading.reading))
-        self.assertEqual((len(self.worker.owner.tenants), self.worker.reloading.last), (4, "taken"))
+        self.assertEqual((len(self.worker.owner.tenants), self.worker.reloading.status.outcome), (4, "taken"))
 
     def test_once_the_other_process_decides_nothing_is_taken_and_no_order_kept(self):
         self.prepared()
         reloading, rounds = self.worker.reloading, []
-        reloading.order()  # one more, which came before
+        reloading.request_reload()  # one more, which came before
         self.worker.owner.hand_over(lambda line: True, None)
         self.assertTrue(self.run_until(lambda: not reloading.reading))
         self.worker.loop.meter = lambda took, late: rounds.append(took)
@@ -578,7 +578,7 @@
         self.assertTrue(self.run_until(lambda: time.monotonic() > until))
         self.assertLess(len(rounds), 100)  # it has nothing to do but what is looked at now and then
         self.assertFalse(reloading.reading)
-        self.assertEqual((len(self.worker.owner.tenants), reloading.last), (3, "start"))
+        self.assertEqual((len(self.worker.owner.tenants), reloading.status.outcome), (3, "start"))
 
 
 if __name__ == "__main__":
--- a/tests/test_changes_processes.py
+++ b/tests/test_changes_processes.py
@@ -21,8 +21,8 @@
 
 TENANTS = 3000
 OPEN = 300
-BAD = "configuration can't be used, the old one stays"
-TAKEN = "configuration read again"
+BAD = "config_invalid"
+TAKEN = "config_reloaded"
 SEED = int(os.environ.get("SEED", "1"))
 
 
@@ -334,7 +334,7 @@
 class Bad(Changes):
     def turned_down(self, program, content):
         """What the log and `/status` say why."""
-        why = program.reload("ajp.toml", content, BAD)["why"]
+        why = program.reload("ajp.toml", content, BAD)["reason"]
         told = self.configuration(program)
         self.assertEqual((told["last"], told["why"]), ("turned down", why))
         return why
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -243,16 +243,14 @@
     def test_a_secret_is_changed_by_two_steps_and_voters_one_at_a_time(self):
         p = self.worker(self.table(members={"n2": "127.0.0.1:9", "n3": "127.0.0.1:8"}, voters=["n1"]))
 
-        def reloaded(event="configuration read again", **changes):
+        def reloaded(event="config_reloaded", **changes):
             whole = p.appliance | {"peers": p.appliance["peers"] | changes}
             return p.reload("ajp.toml", toml_file(whole), event)
 
-        self.assertEqual(
-            reloaded(secrets=["sixteen characters", "the secret to come"])["needs_a_restart"], []
-        )
-        self.assertEqual(reloaded(voters=["n1", "n2"])["needs_a_restart"], [])
-        said = reloaded("configuration can't be used, the old one stays", voters=["n3"])
-        self.assertIn("peers.voters", said["why"])
+        self.assertEqual(reloaded(secrets=["sixteen characters", "the secret to come"])["restart_keys"], [])
+        self.assertEqual(reloaded(voters=["n1", "n2"])["restart_keys"], [])
+        said = reloaded("config_invalid", voters=["n3"])
+        self.assertIn("peers.voters", said["reason"])
 
     def test_a_process_that_replaces_another_is_the_same_member(self):
         first = self.worker(self.table(), stop_ms=8000)
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -152,7 +152,7 @@
         program.reload(
             "operators.toml",
             toml_file({"overload": {"controller": "best"}}),
-            event="configuration can't be used, the old one stays",
+            event="config_invalid",
         )
         self.assertEqual(self.status(program)["overload"]["running"]["controller"], "seek")
         self.assertEqual(program.thrift().call()[0], "Answer")
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -6,7 +6,7 @@
 
 from stand_ins import MS, PATIENCE, AjpServer, Kernel, Members, Program, settings, toml_file
 
-BAD = "configuration can't be used, the old one stays"
+BAD = "config_invalid"
 
 
 class Platform(unittest.TestCase):
@@ -35,10 +35,10 @@
         runs = {body: rid for rid, _, body in (first.next(), first.next())}
         second, _ = self.move(first)
         for bad in ("{", "[]", json.dumps(self.program.config | {"kernel": "nowhere"})):
-            self.assertIn("setting", self.program.reload("config.json", bad, BAD)["why"])
+            self.assertIn("setting", self.program.reload("config.json", bad, BAD)["reason"])
         second.reap(runs[b"doc"], body=b"filed", say=False)  # told on the next link
         third, said = self.move(second, name="n2", stop_ms=9)
-        self.assertEqual(said["needs_a_restart"], ["name", "stop_ms"])
+        self.assertEqual(said["restart_keys"], ["name", "stop_ms"])
         self.assertEqual(router.answer(filing), ("Answer", {}, b"filed"))
         self.assertEqual(router.call("filing", b"done", token="t0", again="1"), ("Answer", {}, b"before"))
         third.reap(runs[b"read"], body=b"served")
@@ -129,7 +129,7 @@
         bad.append(json.dumps(whole | {"settings": site(("new", 1500, {}), ("new", 1500, {}))}))
         for content in bad:
             with self.subTest(content[:60]):
-                self.assertIn("setting", self.program.reload("config.json", content, BAD)["why"])
+                self.assertIn("setting", self.program.reload("config.json", content, BAD)["reason"])
         self.assertEqual(self.program.figure("conf_invalid_total"), len(bad))
         self.assertEqual(self.program.figure("conf_loaded_total"), 0)
         router = self.program.thrift()
@@ -217,7 +217,7 @@
             "rules": [{"uri": "/new/*", "class": "read"}],
         }
         self.assertEqual(
-            program.reload("ajp.toml", toml_file(whole | {"ajp": front}))["needs_a_restart"], ["ajp.listen"]
+            program.reload("ajp.toml", toml_file(whole | {"ajp": front}))["restart_keys"], ["ajp.listen"]
         )
         late.request(uri="/new/1")
         other.next()[2](data=b"by the new server")
--- a/tests/test_reload_stress.py
+++ b/tests/test_reload_stress.py
@@ -175,7 +175,7 @@
     def test_health_turns_bad_and_a_mended_file_is_found_without_a_signal(self):
         program, router = self.program, self.program.thrift()
         self.assertEqual(router.call("read", b"before")[0], "Answer")
-        program.reload("config.json", "{", "configuration can't be used, the old one stays")
+        program.reload("config.json", "{", "config_invalid")
         address = self.machine.move(0.0)
         program.wait_for(lambda status: status["state"] == "cut off")
         self.assertEqual(program.operator()[0], 503)
@@ -193,7 +193,7 @@
         self.assertEqual(program.figure("conf_loaded_total"), 0)  # nobody ordered it
         status = json.loads(program.operator()[1])
         self.assertEqual((status["kernel"]["address"], status["configuration"]["last"]), (address, "taken"))
-        self.assertTrue(program.said("cut off: a new configuration was found and taken"))
+        self.assertTrue(program.said("config_reloaded_while_cut_off"))
 
     def test_what_has_come_of_a_reload_is_shown_and_logged(self):
         program, router = self.program, self.program.thrift()
@@ -205,7 +205,7 @@
         self.assertEqual(view["configuration"]["since"], {"served": 1, "refused": 0, "failed": 0})
         program.wait_for(lambda status: "'gauges_age_s': 0.0" in status["kernel"])
         until = time.monotonic() + PATIENCE
-        while not (said := program.said("since the configuration was read again")):
+        while not (said := program.said("config_outcome")):
             self.assertLess(time.monotonic(), until)
         self.assertEqual((said[0]["served"], said[0]["kernel"]["link"]), (1, "up"))
 
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -432,7 +432,7 @@
         program = self.start()
         whole = program.appliance | {"state": {"folder": str(self.base / "other"), "commit_ms": 3}}
         said = program.reload("ajp.toml", toml_file(whole))
-        self.assertEqual(said["needs_a_restart"], ["state.commit_ms", "state.folder"])
+        self.assertEqual(said["restart_keys"], ["state.commit_ms", "state.folder"])
 
 
 class Replaced(State):
