--- a/ochrehoist/app/kernel_link_supervisor.py
+++ b/ochrehoist/app/kernel_link_supervisor.py
@@ -4,9 +4,9 @@
 from typing import Any
 
 from ochrehoist.app.reload import ConfigReloader
-from ochrehoist.core.linkwatch import LinkWatch
+from ochrehoist.core.actor import CoreActor
+from ochrehoist.core.kernel_link_monitor import KernelLinkMonitor
 from ochrehoist.core.messages import KernelLinkChanged
-from ochrehoist.core.owner import Owner
 from ochrehoist.net.kernel import Kernel
 from ochrehoist.net.loop import Loop
 
@@ -16,13 +16,15 @@
 class KernelLinkSupervisor:
     """Tells the core whether the kernel is within reach, and has a worker that is cut off look for it."""
 
-    def __init__(self, loop: Loop, core: Owner, kernel: Kernel, reloader: ConfigReloader, log: Any) -> None:
+    def __init__(
+        self, loop: Loop, core: CoreActor, kernel: Kernel, reloader: ConfigReloader, log: Any
+    ) -> None:
         self._loop = loop
         self._core = core
         self._kernel = kernel
         self._reloader = reloader
         self._log = log
-        self._monitor = LinkWatch()
+        self._monitor = KernelLinkMonitor()
         self._healthy = True
 
     def run(self) -> None:
@@ -34,11 +36,11 @@
 
     def _check(self) -> None:
         connected = self._kernel.stream is not None
-        status = self._monitor.look(time.monotonic(), connected, self._kernel.address)
-        if status.good is not self._healthy:
-            self._healthy = status.good
+        status = self._monitor.evaluate(time.monotonic(), connected, self._kernel.address)
+        if status.healthy is not self._healthy:
+            self._healthy = status.healthy
             self._report_change()
-        if status.read_again:
+        if status.reload_due:
             self._reloader.reload_while_cut_off()
 
     def _report_change(self) -> None:
--- a/ochrehoist/app/reload.py
+++ b/ochrehoist/app/reload.py
@@ -8,13 +8,15 @@
 
 import time
 from collections.abc import Generator, Sequence
+from functools import partial
 from typing import Any
 
 from ochrehoist.app.reload_change import ConfigChange, Participant, prepare_in_steps
 from ochrehoist.app.reload_status import ReloadStatus
 from ochrehoist.config.schema import Config
+from ochrehoist.core.actor import CoreActor
 from ochrehoist.core.messages import ConfigurationSwitched
-from ochrehoist.core.owner import Owner
+from ochrehoist.core.metrics import ReloadCounter
 from ochrehoist.errors import InvalidInputError
 from ochrehoist.net.kernel import Kernel
 from ochrehoist.net.loop import Loop, Signal
@@ -36,7 +38,7 @@
     def __init__(
         self,
         loop: Loop,
-        core: Owner,
+        core: CoreActor,
         config: Config,
         path: str | None,
         participants: Sequence[Participant],
@@ -53,7 +55,7 @@
         self._switched = Signal(loop)
         self._requested = False  # a reload is due: the file may have changed since the one that is running
         self.reading = False  # a task is reloading
-        self.status = ReloadStatus(config.version, core.figures)
+        self.status = ReloadStatus(config.version, core.metrics)
 
     def request_reload(self) -> None:
         """Takes a SIGHUP. However many come during a reload, one more follows it."""
@@ -96,21 +98,21 @@
                 self._start_task()
 
     def _reload_as_requested(self) -> None:
-        figures = self._core.figures.single
+        metrics = self._core.metrics
         try:
             change = self._reload()
         except InvalidInputError as error:
-            figures["conf_invalid_total"] += 1
+            metrics.count_reload(ReloadCounter.INVALID)
             self.status.reject(str(error))
             self._log.error("config_invalid", reason=str(error), version=self.status.version)
             return
         except Exception:
-            figures["conf_invalid_total"] += 1
+            metrics.count_reload(ReloadCounter.INVALID)
             self.status.reject("internal fault, see the log")
             raise
         if change is None:
             return
-        figures["conf_loaded_total"] += 1
+        metrics.count_reload(ReloadCounter.LOADED)
         self._log.info(
             "config_reloaded",
             restart_keys=change.restart_keys,
@@ -157,7 +159,7 @@
         replaced: list[object] = [self._config, self._core.tenants]
         self.commit(change)
         # A frozen core takes no messages: its state is on the way to another process, which may still refuse.
-        while not change.in_force:
+        while self._config is not change.config:
             if self._core.forwarder is not None:
                 return None
             self._switched.wait(FROZEN_CHECK_INTERVAL_S)
@@ -200,11 +202,9 @@
                     self._log.exception("config_commit_failed")
 
         def finish() -> None:
-            change.in_force = True
             self._config = change.config
             self.status.switch(change.version, switch_began_at)
-            ended_at = self.status.ended_at
-            self._loop.call_later(OUTCOME_LOG_DELAY_S, lambda: self._log_outcome(ended_at))
+            self._loop.call_later(OUTCOME_LOG_DELAY_S, partial(self._log_outcome, self.status.ended_at))
             self._switched.set()
 
         self._core.post(ConfigurationSwitched(commit_participants, change.core_change, finish))
--- a/ochrehoist/app/reload_change.py
+++ b/ochrehoist/app/reload_change.py
@@ -10,26 +10,26 @@
 from ochrehoist.admission.settings import AdmissionSettings
 from ochrehoist.config import comparison, loader
 from ochrehoist.config.schema import BudgetConfig, Config
+from ochrehoist.core.actor import CoreActor
 from ochrehoist.core.messages import SettingsChanged, TenantsChanged
-from ochrehoist.core.owner import Owner
-from ochrehoist.core.tenants import STEP, Tenants, changed, compact
+from ochrehoist.core.tenants import NAMES_PER_STEP, TenantTable, compacted_table, updated_table
 
 Commit = Callable[[], None]
-Participant = Callable[[Config, Tenants], Generator[None, None, Commit]]
+Participant = Callable[[Config, TenantTable], Generator[None, None, Commit]]
 CoreChange = SettingsChanged | TenantsChanged
 
 
-def commit_only(configure: Callable[[Config, Tenants], None]) -> Participant:
+def commit_only(configure: Callable[[Config, TenantTable], None]) -> Participant:
     """A participant that has nothing to prepare: all of `configure` is its commit."""
 
-    def prepare(config: Config, tenants: Tenants) -> Generator[None, None, Commit]:
+    def prepare(config: Config, tenants: TenantTable) -> Generator[None, None, Commit]:
         yield from ()
         return lambda: configure(config, tenants)
 
     return prepare
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, frozen=True)
 class ConfigChange:
     """A change that is ready to come into force."""
 
@@ -38,11 +38,10 @@
     restart_keys: list[str]  # keys that differ and need a restart
     core_change: CoreChange | None  # None where the core is not concerned
     commits: list[Commit]
-    in_force: bool = False
 
 
 def prepare_in_steps(
-    core: Owner, current: Config, path: str | None, participants: Sequence[Participant], *, only_new: bool
+    core: CoreActor, current: Config, path: str | None, participants: Sequence[Participant], *, only_new: bool
 ) -> Generator[None, None, ConfigChange | None]:
     """Reads the file, compares it with `current`, and prepares all participants. Nothing changes yet.
 
@@ -53,11 +52,11 @@
     if only_new and merged.config == current:
         return None
     yield
-    tenants = yield from changed(core.tenants, merged.config.settings.tenants)
+    tenants = yield from updated_table(core.tenants, merged.config.settings.tenants)
     yield
     # A crowded table is compacted, which moves tenants to other positions: the decisions start afresh.
-    starts_afresh = tenants.crowded or _without_tenants(merged.config) != _without_tenants(current)
-    if tenants.crowded:
+    starts_afresh = tenants.needs_compaction or _without_tenants(merged.config) != _without_tenants(current)
+    if tenants.needs_compaction:
         tenants = yield from _compacted_in_steps(core, tenants)
     core_change: CoreChange | None = None
     if starts_afresh:
@@ -80,14 +79,14 @@
     return None if config.peers is None else config.peers.budgets
 
 
-def _compacted_in_steps(core: Owner, tenants: Tenants) -> Generator[None, None, Tenants]:
+def _compacted_in_steps(core: CoreActor, tenants: TenantTable) -> Generator[None, None, TenantTable]:
     """Without tenants that are gone, unless a request of theirs is open or an idempotency key known."""
-    used = {request.tenant for request in core.live.values()}
-    for known in (core.keys.runs, core.keys.entries):
+    used = {request.tenant for request in core.open_requests.values()}
+    for known in (core.idempotency.runs, core.idempotency.records):
         for number, key in enumerate(list(known)):
             used.add(key[0])
-            if number % STEP == 0:
+            if number % NAMES_PER_STEP == 0:
                 yield
     # Of those that this change takes away, a request may be read before it is in force.
-    used |= tenants.gone.keys() - core.tenants.gone.keys()
-    return (yield from compact(tenants, used))
+    used |= tenants.retired.keys() - core.tenants.retired.keys()
+    return (yield from compacted_table(tenants, used))
--- a/ochrehoist/app/reload_status.py
+++ b/ochrehoist/app/reload_status.py
@@ -4,10 +4,14 @@
 from enum import StrEnum
 from typing import Any
 
-from ochrehoist.core.figures import Figures, counted
+from ochrehoist.core.metrics import Metrics, RequestCounter, format_samples
 
 # The keys of /status, by counter.
-COUNTERS = {"served": "answered_total", "refused": "deferred_total", "failed": "errored_total"}
+COUNTERS = {
+    "served": RequestCounter.ANSWERED,
+    "refused": RequestCounter.REJECTED,
+    "failed": RequestCounter.FAILED,
+}
 
 
 class ReloadOutcome(StrEnum):
@@ -21,7 +25,7 @@
 class ReloadStatus:
     """The state of reloads. Times are in s: of the monotonic clock, `in_force_since_unix` of Unix time."""
 
-    def __init__(self, version: str, metrics: Figures) -> None:
+    def __init__(self, version: str, metrics: Metrics) -> None:
         self._metrics = metrics
         self._reason = ""  # why the last reload was rejected
         self._counts_at_switch = self._counts()
@@ -78,7 +82,7 @@
 
     def figures(self) -> str:
         """Metrics of the version in force, and of what reading it has cost."""
-        return counted(
+        return format_samples(
             {
                 "app_conf_info": [(f'{{version="{self.version}"}}', 1)],
                 "app_conf_in_force_since_seconds": [("", round(self.in_force_since_unix, 3))],
