--- a/ochrehoist/net/recovery.py
+++ b/ochrehoist/net/recovery.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 from typing import Any
 
-from ochrehoist.config.loader import Config
+from ochrehoist.config.schema import Config
 from ochrehoist.core.actor import CoreActor
 from ochrehoist.core.metrics import RequestCounter, format_samples
 from ochrehoist.core.request import InboundRequest
