--- a/ochrehoist/capture/encoding.py
+++ b/ochrehoist/capture/encoding.py
@@ -14,7 +14,13 @@
 import xxhash
 import zstandard
 
-from ochrehoist.capture.records import CaptureHeader, InvalidCaptureError, Record
+from ochrehoist.capture.records import (
+    CaptureHeader,
+    CaptureProblem,
+    CaptureVersionError,
+    InvalidCaptureError,
+    Record,
+)
 
 MAGIC = b"ochrecap"
 FORMAT_VERSION = 1
@@ -110,9 +116,7 @@
 
 def _check_prefix(data: bytes) -> None:
     if data[: len(MAGIC)] != MAGIC or len(data) < PREFIX_BYTES:
-        raise InvalidCaptureError("not a capture")
+        raise InvalidCaptureError(CaptureProblem.NOT_A_CAPTURE)
     version = data[len(MAGIC)]
     if version != FORMAT_VERSION:
-        raise InvalidCaptureError(
-            f"a capture of version {version}; this program reads version {FORMAT_VERSION}"
-        )
+        raise CaptureVersionError(version, FORMAT_VERSION)
--- a/ochrehoist/capture/reader.py
+++ b/ochrehoist/capture/reader.py
@@ -9,6 +9,7 @@
     FILE_SUFFIX,
     KNOWN_OUTCOMES,
     CaptureHeader,
+    CaptureProblem,
     DroppedRecords,
     InvalidCaptureError,
     RequestRecord,
@@ -75,7 +76,7 @@
                 header = record
                 self.headers.append(header)
             elif header is None:
-                raise InvalidCaptureError("its head is damaged: nothing in it can be told")
+                raise InvalidCaptureError(CaptureProblem.NO_HEADER)
             elif isinstance(record, DroppedRecords):
                 self.dropped += record.count
             elif record.outcome in KNOWN_OUTCOMES and record.arrived_ns >= 0:
@@ -83,7 +84,7 @@
             else:
                 damage.unknown_records += 1
         if header is None and len(self.requests) == requests_before:
-            raise InvalidCaptureError("it holds nothing that is whole")
+            raise InvalidCaptureError(CaptureProblem.NOTHING_SOUND)
         self.files += 1
         self._add_damage(damage)
 
@@ -109,7 +110,7 @@
         try:
             capture.add_file(path.read_bytes(), number)
         except InvalidCaptureError as error:
-            raise InvalidCaptureError(f"{path}: {error}") from None
+            raise InvalidCaptureError(str(error), path) from None
     # Each request is recorded when it ends: by arrival they are out of order.
     capture.requests.sort(key=lambda request: request.arrived_unix_ns)
     return capture
@@ -120,6 +121,6 @@
     for path in paths:
         found = sorted(path.glob(f"*{FILE_SUFFIX}")) if path.is_dir() else [path]
         if not found:
-            raise InvalidCaptureError(f"{path}: no file *{FILE_SUFFIX} in it")
+            raise InvalidCaptureError(CaptureProblem.NO_FILES, path)
         files += found
     return files
--- a/ochrehoist/capture/recorder.py
+++ b/ochrehoist/capture/recorder.py
@@ -77,7 +77,7 @@
         try:
             folder.mkdir(mode=FOLDER_MODE, exist_ok=True)
         except OSError as error:
-            raise InvalidInputError(f"setting capture.folder: {folder}: {error.strerror}") from None
+            raise InvalidInputError.in_setting("capture.folder", f"{folder}: {error.strerror}") from None
 
     def request_arrived(self, request: InboundRequest) -> None:
         """Remembers the load that a sampled request found."""
--- a/ochrehoist/capture/records.py
+++ b/ochrehoist/capture/records.py
@@ -1,8 +1,11 @@
-"""The records of a capture. Structs are encoded as arrays whose first element is the tag: the order of fields
-is part of the format, their names are not. Fields may be added at the end.
+"""The records of a capture.
+
+Structs are encoded as arrays whose first element is the tag: the order of fields is part of the format, their
+names are not. Fields may be added at the end.
 """
 
-from enum import IntEnum
+from enum import Enum, IntEnum
+from pathlib import Path
 
 import msgspec
 
@@ -12,8 +15,37 @@
 UNKNOWN_SPAN_NS = -1  # the request was not started, or its end is not known
 
 
+class CaptureProblem(Enum):
+    """Why something is not read as a capture."""
+
+    NOT_A_CAPTURE = "not a capture"
+    NO_HEADER = "its head is damaged: nothing in it can be told"
+    NOTHING_SOUND = "it holds nothing that is whole"
+    NO_FILES = f"no file *{FILE_SUFFIX} in it"
+
+
 class InvalidCaptureError(OchrehoistError):
-    """No capture, or one that this release can't read; the text says which."""
+    """No capture, or one that this release can't read; names the file where it is known."""
+
+    def __init__(self, problem: CaptureProblem | str, path: Path | None = None) -> None:
+        text = problem.value if isinstance(problem, CaptureProblem) else problem
+        super().__init__(text if path is None else f"{path}: {text}")
+        self.path = path
+
+
+class CaptureVersionError(InvalidCaptureError):
+    """A capture of another format version than this release reads."""
+
+    def __init__(self, version: int, supported_version: int) -> None:
+        super().__init__(f"a capture of version {version}; this program reads version {supported_version}")
+        self.version = version
+
+
+class NoCaptureFileError(OchrehoistError):
+    """The last attempt to start a file failed, so that nothing can be written."""
+
+    def __init__(self) -> None:
+        super().__init__("no file could be opened")
 
 
 class RequestOutcome(IntEnum):
--- a/ochrehoist/capture/writer.py
+++ b/ochrehoist/capture/writer.py
@@ -8,7 +8,7 @@
 from ochrehoist.admission.settings import Tenant
 from ochrehoist.capture.batching import file_is_complete, files_to_delete
 from ochrehoist.capture.encoding import encode_block, encode_header, encode_tenants, file_prefix
-from ochrehoist.capture.records import FILE_SUFFIX, CaptureHeader, Record
+from ochrehoist.capture.records import FILE_SUFFIX, CaptureHeader, NoCaptureFileError, Record
 from ochrehoist.config.schema import CaptureConfig
 
 FILE_MODE = 0o600
@@ -67,9 +67,12 @@
         return False
 
     def write(self, records: list[Record]) -> bool:
-        """Writes a block; whether the file is complete with it. Raises OSError, and nothing is written."""
+        """Writes a block, and returns whether the file is complete with it.
+
+        Raises OSError or NoCaptureFileError, after which a new file has to be started.
+        """
         if self._file is None:
-            raise OSError("no file could be opened")
+            raise NoCaptureFileError
         try:
             self._file.write(encode_block(records))
         except OSError:  # a part of the block may be there, after which no other can follow
--- a/ochrehoist/core/context.py
+++ b/ochrehoist/core/context.py
@@ -190,8 +190,9 @@
         self._tenant_quotas = quotas
 
     def register_predecessor(self, request_state: Callable[[], None]) -> None:
-        """Waits for the state of the process before this one: `request_state` is called once the executor
-        is up, and a StateTransferred must follow.
+        """Waits for the state of the process before this one.
+
+        `request_state` is called once the executor is up, and a StateTransferred must follow.
         """
         self.request_predecessor_state = request_state
 
@@ -222,8 +223,9 @@
 
     @property
     def decides(self) -> bool:
-        """Whether requests are decided on here and now, not at another process or once the controller is
-        up.
+        """Whether requests are decided on here and now.
+
+        They are not while another process decides, and before the controller is up.
         """
         return self.controller is not None and not self.frozen and self.drain_started_ns is None
 
--- a/ochrehoist/net/selfmeasure.py
+++ b/ochrehoist/net/selfmeasure.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from ochrehoist.admission.settings import AdmissionSettings
-from ochrehoist.config.loader import OverloadConfig
+from ochrehoist.config.schema import OverloadConfig
 from ochrehoist.core.actor import CoreActor
 from ochrehoist.core.metrics import RequestCounter, format_samples
 from ochrehoist.core.tenants import TenantTable
--- a/ochrehoist/store/damage.py
+++ b/ochrehoist/store/damage.py
@@ -3,11 +3,10 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
+from ochrehoist.config.schema import LossPolicy
 from ochrehoist.store.records import CommitSummary, DataLossRecord
 from ochrehoist.store.timestamps import Timestamp, remaining_window_ns
 
-HOLD_POLICY = "hold"  # of the setting `state.on_loss`: unknown requests are rejected after a loss
-
 
 class StoreCondition(Enum):
     """The condition in which a state folder was found."""
@@ -73,8 +72,8 @@
     return damage
 
 
-def remaining_hold_ns(loss: DataLossRecord | None, on_loss: str, now: Timestamp) -> int:
+def remaining_hold_ns(loss: DataLossRecord | None, on_loss: LossPolicy, now: Timestamp) -> int:
     """Time in ns for which unknown requests still have to be rejected."""
-    if loss is None or on_loss != HOLD_POLICY:
+    if loss is None or on_loss is not LossPolicy.HOLD:
         return 0
     return remaining_window_ns(loss.detected_at, loss.hold_ns, loss.hold_ns, now)
--- a/ochrehoist/store/errors.py
+++ b/ochrehoist/store/errors.py
@@ -2,6 +2,7 @@
 
 import errno
 from enum import Enum
+from pathlib import Path
 
 import apsw
 
@@ -39,12 +40,29 @@
     """Another process has locked the state folder; the text names that process."""
 
 
+class StoreNotOpenError(OchrehoistError):
+    """No store is in use: it is not open yet, or released."""
+
+    def __init__(self) -> None:
+        super().__init__("the store is not open")
+
+
 class StoreMissingError(OchrehoistError):
-    """The folder holds no store that this command can use; the text says what is there."""
+    """The folder holds no store that this command can use; `problem` says what is there."""
+
+    def __init__(self, path: Path, problem: str) -> None:
+        super().__init__(f"{path}: {problem}")
+        self.path = path
+        self.problem = problem
 
 
 class InvalidExportError(OchrehoistError):
-    """An export that can't be imported; the text names the line and what is wrong with it."""
+    """An export that can't be imported: in which line, counted from 1, and what is wrong with it."""
+
+    def __init__(self, line_number: int, problem: str) -> None:
+        super().__init__(f"line {line_number}: {problem}")
+        self.line_number = line_number
+        self.problem = problem
 
 
 def store_failure(error: Exception) -> StoreFailedError:
--- a/ochrehoist/store/export.py
+++ b/ochrehoist/store/export.py
@@ -152,7 +152,7 @@
         try:
             line = _decoder.decode(text)
             if isinstance(line, _HeaderLine) != (number == 1):
-                raise InvalidExportError(f"line {number}: not where it belongs")
+                raise InvalidExportError(number, "not where it belongs")
             if isinstance(line, _HeaderLine):
                 snapshot = _snapshot_of_header(line)
             elif isinstance(line, _FinalLine):
@@ -162,13 +162,13 @@
                 assert snapshot is not None
                 _add_line(snapshot, line)
         except (msgspec.MsgspecError, ValueError) as error:
-            raise InvalidExportError(f"line {number}: {error}") from None
-    raise InvalidExportError(f"line {number + 1}: missing: the export was cut short")
+            raise InvalidExportError(number, str(error)) from None
+    raise InvalidExportError(number + 1, "missing: the export was cut short")
 
 
 def _snapshot_of_header(header: _HeaderLine) -> StoreSnapshot:
     if header.version != EXPORT_VERSION:
-        raise InvalidExportError(f"line 1: version {header.version}; this program reads {EXPORT_VERSION}")
+        raise InvalidExportError(1, f"version {header.version}; this program reads {EXPORT_VERSION}")
     return StoreSnapshot(header.at, [], None, header.loss)
 
 
@@ -184,7 +184,7 @@
 def _completed(snapshot: StoreSnapshot, final: _FinalLine, number: int) -> StoreSnapshot:
     read = len(snapshot.requests)
     if final.filings != read:
-        raise InvalidExportError(f"line {number}: {final.filings} filings were exported, {read} are here")
+        raise InvalidExportError(number, f"{final.filings} filings were exported, {read} are here")
     return snapshot
 
 
--- a/ochrehoist/store/failpoints.py
+++ b/ochrehoist/store/failpoints.py
@@ -32,5 +32,5 @@
 )
 
 
-def reached(failpoint: Failpoint) -> None:  # noqa: ARG001  # tests put their own in its place
+def reached(failpoint: Failpoint) -> None:  # tests put their own in its place
     """Called by the store at each of its failpoints."""
--- a/ochrehoist/store/folder_session.py
+++ b/ochrehoist/store/folder_session.py
@@ -10,6 +10,7 @@
 
 from ochrehoist.config.schema import StateConfig
 from ochrehoist.store import failpoints, files
+from ochrehoist.store.errors import StoreNotOpenError
 from ochrehoist.store.failpoints import Failpoint
 from ochrehoist.store.files import CommitWatermark
 from ochrehoist.store.journal_records import RunsByKey, restored_runs
@@ -121,7 +122,7 @@
 
     def _store_in_use(self) -> OpenStore:
         if self.store is None:
-            raise RuntimeError("the state folder is not open")
+            raise StoreNotOpenError
         return self.store
 
     def _write_watermark(self, commit_number: int) -> None:
--- a/ochrehoist/store/journal.py
+++ b/ochrehoist/store/journal.py
@@ -24,7 +24,7 @@
 from ochrehoist.store.commit_scheduler import CommitScheduler, RebuildContents, StoreFailureLog
 from ochrehoist.store.damage import StoreCondition, remaining_hold_ns
 from ochrehoist.store.database import LEARNED_STATE_NAME
-from ochrehoist.store.errors import StoreFailedError, StoreLockedError, store_failure
+from ochrehoist.store.errors import StoreFailedError, StoreLockedError, StoreNotOpenError, store_failure
 from ochrehoist.store.failpoints import Failpoint
 from ochrehoist.store.folder_opener import FolderOpener
 from ochrehoist.store.folder_session import FolderSession, OpenedFolder
@@ -43,6 +43,7 @@
 from ochrehoist.store.timestamps import NS_PER_S, current_timestamp
 from ochrehoist.store.write_queue import WriteQueue
 
+FOLDER_SETTING = "state.folder"
 FINAL_FLUSH_S = 1.0  # the longest that queued operations are waited for at the end of the process
 REJECTION_BACKOFF_NS = NS_PER_S
 
@@ -107,17 +108,16 @@
 
     def _prepare_folder(self, replacing: bool) -> None:
         """What can be mended meanwhile is no error: opening tries again."""
-        setting = f"setting state.folder: {self._session.folder}"
+        folder = self._session.folder
         try:
             self._session.prepare()
             if not replacing:
                 self._session.lock()
         except StoreLockedError as error:
-            raise InvalidInputError(
-                f"{setting}: in use by {error}; stop that one first, or replace it: the same name and TMPDIR"
-            ) from None
+            problem = f"in use by {error}; stop that one first, or replace it: the same name and TMPDIR"
+            raise InvalidInputError.in_setting(FOLDER_SETTING, f"{folder}: {problem}") from None
         except FileNotFoundError as error:
-            raise InvalidInputError(f"{setting}: {error.strerror}") from None
+            raise InvalidInputError.in_setting(FOLDER_SETTING, f"{folder}: {error.strerror}") from None
         except StoreFailedError as error:
             self._failures.failed(error)
         except OSError as error:
@@ -263,7 +263,7 @@
 
     def _store_in_use(self) -> OpenStore:
         if self._session.store is None:
-            raise RuntimeError("the store is not open")
+            raise StoreNotOpenError
         return self._session.store
 
     # Opening the folder.
@@ -355,7 +355,7 @@
 
     def _release_folder(self) -> None:
         self._queue.open = False
-        self._thread.submit(self._session.release, lambda _, error: self._log.info("store_released"))
+        self._thread.submit(self._session.release, lambda *_: self._log.info("store_released"))
 
     def close(self) -> None:
         """At the end of the process, when the loop no longer runs: writes what is queued, and closes."""
--- a/ochrehoist/store/maintenance.py
+++ b/ochrehoist/store/maintenance.py
@@ -56,13 +56,13 @@
     if not path.exists():
         newer = [p.name for p in files.find_stores(folder).values()] if folder.is_dir() else []
         raise StoreMissingError(
-            f"{folder}: no {path.name}" + (f"; there is {', '.join(newer)}" if newer else "")
+            folder, f"no {path.name}" + (f"; there is {', '.join(newer)}" if newer else "")
         )
     watermark = files.read_watermark(folder)  # before the store: a commit meanwhile is no missing one
     try:
         database = Database(path, read_only=True)
     except apsw.Error as error:
-        raise StoreMissingError(f"{path}: {error}") from None
+        raise StoreMissingError(path, str(error)) from None
     try:
         with suppress(apsw.Error):
             database.connection.execute("BEGIN")
@@ -157,7 +157,7 @@
     files.make_folder(folder)
     with _locked(folder):
         if files.read_marker(folder) is not None or files.find_stores(folder):
-            raise StoreMissingError(f"{folder}: it holds a store, or held one; nothing was changed")
+            raise StoreMissingError(folder, "it holds a store, or held one; nothing was changed")
         open_store(folder, 0, longest_window_ns, now).database.close()
 
 
@@ -167,8 +167,9 @@
         assessment = reading.assess(True)
         if assessment.condition is not StoreCondition.SOUND:
             raise StoreMissingError(
-                f"{folder}: not sound: {'; '.join(assessment.reasons)}; start the worker on it first, "
-                "which sets aside what is damaged"
+                folder,
+                f"not sound: {'; '.join(assessment.reasons)}; start the worker on it first, "
+                "which sets aside what is damaged",
             )
         return _snapshot(reading.database, reading.contents, now)
 
--- a/ochrehoist/store/records.py
+++ b/ochrehoist/store/records.py
@@ -6,6 +6,7 @@
 """
 
 from collections.abc import Callable
+from enum import Enum
 from typing import Any, TypeVar
 
 import msgspec
@@ -20,13 +21,29 @@
 HEADER_BYTES = 1 + CHECKSUM_BYTES
 
 
+class RecordDefect(Enum):
+    """How a record differs from what was written."""
+
+    TOO_SHORT = "too short"
+    WRONG_CHECKSUM = "the checksum does not fit"
+    WRONG_SCHEMA = "not of its schema"
+
+
 class CorruptRecordError(OchrehoistError):
-    """A record that is not what was written: too short, wrong checksum, or not of its schema."""
+    """A record that is not what was written."""
+
+    def __init__(self, defect: RecordDefect, detail: str = "") -> None:
+        super().__init__(f"{defect.value}: {detail}" if detail else defect.value)
+        self.defect = defect
 
 
 class UnsupportedFormatError(OchrehoistError):
     """A record of a format version that this release does not know."""
 
+    def __init__(self, version: int) -> None:
+        super().__init__(f"version {version}")
+        self.version = version
+
 
 class IntentRecord(msgspec.Struct, frozen=True, array_like=True):
     """A keyed request that was given to an executor, or was about to be.
@@ -131,19 +148,19 @@
     Raises CorruptRecordError or UnsupportedFormatError, and nothing else, whatever the bytes are.
     """
     if not isinstance(data, bytes) or len(data) <= HEADER_BYTES:
-        raise CorruptRecordError("too short")
+        raise CorruptRecordError(RecordDefect.TOO_SHORT)
     version, content = data[0], data[HEADER_BYTES:]
     if checksum(key, data[:1] + content) != int.from_bytes(data[1:HEADER_BYTES], "big"):
-        raise CorruptRecordError("the checksum does not fit")
+        raise CorruptRecordError(RecordDefect.WRONG_CHECKSUM)
     if version > FORMAT_VERSION:
-        raise UnsupportedFormatError(f"version {version}")
+        raise UnsupportedFormatError(version)
     try:
         if version == FORMAT_VERSION:
             current: Record = _decoders[record_type].decode(content)
             return current
         return _migrate(version, content, record_type)
     except (msgspec.MsgspecError, ValueError, TypeError, IndexError, KeyError) as error:
-        raise CorruptRecordError(f"not of its schema: {error}") from None
+        raise CorruptRecordError(RecordDefect.WRONG_SCHEMA, str(error)) from None
 
 
 def _migrate(version: int, content: bytes, record_type: type[Record]) -> Record:
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -25,13 +25,13 @@
 )
 from ochrehoist.capture.records import CaptureHeader
 from ochrehoist.config.loader import load
-from ochrehoist.config.settings import at_once
 from ochrehoist.core.tenants import MIN_RETIRED_PLACES, compacted_table, initial_table, updated_table
 from ochrehoist.net.peers import FleetTenant
 from ochrehoist.peers import wire
 from ochrehoist.peers.counts import Ledger
 from ochrehoist.peers.wire import Life, Message
 from ochrehoist.sites.order import MOST_TOLD, Order
+from ochrehoist.steps import run_to_completion
 
 OPENS_ONCE = """
 import os, time
@@ -69,7 +69,7 @@
         for numbers, quota in history:
             known = {t.name: t for t in table.listed}
             listed = tuple(t if known.get(t.name) == t else t for t in tenants(numbers, quota))
-            before, table = table, at_once(updated_table(table, listed))
+            before, table = table, run_to_completion(updated_table(table, listed))
             self.assertEqual(table.listed, listed)
             self.assertEqual(set(table.positions), {t.name for t in listed})
             for t in listed:
@@ -85,9 +85,9 @@
 
     @given(NAMES, NAMES, NAMES)
     def test_a_compact_table_has_those_in_force_first_and_of_the_gone_only_those_used(self, old, new, used):
-        table = at_once(updated_table(initial_table(tenants(old)), tenants(new)))
+        table = run_to_completion(updated_table(initial_table(tenants(old)), tenants(new)))
         names = {f"t{n}" for n in used}
-        got = at_once(compacted_table(table, names))
+        got = run_to_completion(compacted_table(table, names))
         self.assertEqual(got.by_position[: len(new)], tenants(new))
         self.assertEqual(set(got.retired), {f"t{n}" for n in set(old) - set(new)} & names)
         for name, position in (got.positions | got.retired).items():
@@ -100,7 +100,9 @@
             (20 * MIN_RETIRED_PLACES, 2 * MIN_RETIRED_PLACES, False),
             (20 * MIN_RETIRED_PLACES, 3 * MIN_RETIRED_PLACES, True),
         ):
-            table = at_once(updated_table(initial_table(tenants(range(stay + gone))), tenants(range(stay))))
+            table = run_to_completion(
+                updated_table(initial_table(tenants(range(stay + gone))), tenants(range(stay)))
+            )
             self.assertEqual(table.needs_compaction, crowded, (stay, gone))
 
 
@@ -126,7 +128,7 @@
 
 
 def brought_into_force(worker, change):
-    worker.reloading._commit(change)
+    worker.reloading.commit(change)
     worker.owner.step()
 
 
@@ -141,7 +143,7 @@
         self.addCleanup(self.close, worker)
         worker.owner.step()
         change(folder.name, count, routes)
-        steps, longest, lines = worker.reloading._steps(False), 0, 0
+        steps, longest, lines = worker.reloading.prepare_in_steps(only_new=False), 0, 0
 
         def count_lines(frame, event, argument):
             nonlocal lines
@@ -241,7 +243,7 @@
             (range(6), {"b4": "t1", "b3": "t5"}, {"t1": "b4", "t5": "b3"}),
         ):  # budgets alone
             written(numbers, budgets)
-            brought_into_force(worker, at_once(worker.reloading._steps(False)))
+            brought_into_force(worker, run_to_completion(worker.reloading.prepare_in_steps(only_new=False)))
             self.assertEqual(follow(), expected)
             self.assertEqual([t.name for t in module.settings.tenants][:5], [f"t{n}" for n in range(5)])
             self.assertEqual(worker.owner.tenants["t0"], 0)
@@ -519,7 +521,7 @@
 
         def change(numbers):
             appliance(folder.name, numbers, 1)
-            brought_into_force(worker, at_once(reloading._steps(False)))
+            brought_into_force(worker, run_to_completion(reloading.prepare_in_steps(only_new=False)))
             return sorted(owner.tenants.retired)
 
         # Of those that go in one change, one more request may have been read: they stay until the next.
@@ -546,7 +548,7 @@
         self.worker.owner.freeze()
         self.worker.loop.spawn(self.worker.owner.run)
         appliance(folder.name, range(4), 1)
-        self.worker.reloading.order()
+        self.worker.reloading.request_reload()
 
     def run_until(self, done):
         """The loop; whether it was done in time."""
@@ -574,12 +576,12 @@
         self.prepared()
         self.worker.owner.thaw()
         self.assertTrue(self.run_until(lambda: not self.worker.reloading.reading))
-        self.assertEqual((len(self.worker.owner.tenants), self.worker.reloading.last), (4, "taken"))
+        self.assertEqual((len(self.worker.owner.tenants), self.worker.reloading.status.outcome), (4, "taken"))
 
     def test_once_the_other_process_decides_nothing_is_taken_and_no_order_kept(self):
         self.prepared()
         reloading, rounds = self.worker.reloading, []
-        reloading.order()  # one more, which came before
+        reloading.request_reload()  # one more, which came before
         self.worker.owner.hand_over(lambda line: True, None)
         self.assertTrue(self.run_until(lambda: not reloading.reading))
         self.worker.loop.meter = lambda took, late: rounds.append(took)
@@ -587,7 +589,7 @@
         self.assertTrue(self.run_until(lambda: time.monotonic() > until))
         self.assertLess(len(rounds), 100)  # it has nothing to do but what is looked at now and then
         self.assertFalse(reloading.reading)
-        self.assertEqual((len(self.worker.owner.tenants), reloading.last), (3, "start"))
+        self.assertEqual((len(self.worker.owner.tenants), reloading.status.outcome), (3, "start"))
 
 
 if __name__ == "__main__":
--- a/tests/test_store_decisions.py
+++ b/tests/test_store_decisions.py
@@ -7,6 +7,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
+from ochrehoist.config.schema import LossPolicy
 from ochrehoist.store import records
 from ochrehoist.store.damage import FolderInspection, StoreCondition, assess_damage, remaining_hold_ns
 from ochrehoist.store.errors import FailureKind
@@ -199,9 +200,9 @@
     def test_a_hold_is_not_shortened_by_restarts_and_can_be_waived(self):
         loss = DataLossRecord(Timestamp(DAY, "b", HOUR), 20 * NS_PER_S, "gone")
         now = Timestamp(DAY, "b", HOUR + 5 * NS_PER_S)
-        self.assertEqual(remaining_hold_ns(loss, "hold", now), 15 * NS_PER_S)
-        self.assertEqual(remaining_hold_ns(loss, "serve", now), 0)
-        self.assertEqual(remaining_hold_ns(None, "hold", now), 0)
+        self.assertEqual(remaining_hold_ns(loss, LossPolicy.HOLD, now), 15 * NS_PER_S)
+        self.assertEqual(remaining_hold_ns(loss, LossPolicy.SERVE, now), 0)
+        self.assertEqual(remaining_hold_ns(None, LossPolicy.HOLD, now), 0)
 
 
 class Groups(unittest.TestCase):
