--- a/benchmarks/slopes/state.py
+++ b/benchmarks/slopes/state.py
@@ -265,18 +265,21 @@
 
 def remembered(size: int, seed: int) -> Measures:
     """What a witness keeps of others' filings: it looks through all of it each second, on the loop."""
-    from ochrehoist.recovery.witness import Memory, Tell
+    from ochrehoist.recovery.intent_log import IntentLog
+    from ochrehoist.recovery.messages import RecordIntent
 
-    memory = Memory(0.0)
+    log = IntentLog(0.0)
 
     def fill() -> None:
         for n in range(0, size, 100):
-            memory.took(
-                f"worker-{n % 5}", Tell(n, [((n + k).to_bytes(16, "big"), 900_000) for k in range(100)]), 0.0
+            log.record(
+                f"worker-{n % 5}",
+                RecordIntent(n, [((n + k).to_bytes(16, "big"), 900_000) for k in range(100)]),
+                0.0,
             )
 
     _, of_memory = grown(fill)
-    return {"bytes": of_memory, "forget_us": cpu_us(lambda: memory.forget(1.0))}
+    return {"bytes": of_memory, "forget_us": cpu_us(lambda: log.remove_expired(1.0))}
 
 
 def record_head(size: int, seed: int) -> Measures:
--- a/ochrehoist/app/worker.py
+++ b/ochrehoist/app/worker.py
@@ -180,9 +180,11 @@
             parts.append(switch_only(self.sites.configure))
         self.recovery: Any = None
         if config.recovery:
-            from ochrehoist.net.recovery import Recovery
+            from ochrehoist.net.recovery import RecoveryMonitor
 
-            self.recovery = Recovery(loop, owner, config, self, self.log)
+            self.recovery = RecoveryMonitor(
+                loop, owner, config, self.journal, self.peers, servers if config.ajp else None, self.log
+            )
         self.ending = Ending(loop, owner, self.fronts, config.stop_ms, self.log)
         self.room = {front: front.listening.limit for front in self.fronts}
         if config.link:
@@ -281,13 +283,13 @@
     def _with_orders(self, calls: dict[str, Any]) -> dict[str, Any]:
         """With what operators may say of sites, where these are on."""
         if self.config.recovery:
-            from ochrehoist.recovery.stages import STAGES
+            from ochrehoist.recovery.startup_progress import StartupStage
 
             calls |= {
                 f"/recovery/skip/{stage}": {
                     "POST": lambda stage=stage: said({"said": self.recovery.skip(stage)})
                 }
-                for stage in STAGES
+                for stage in StartupStage
             }
         if not self.config.sites:
             return calls
--- /dev/null
+++ b/ochrehoist/net/intent_replication.py
@@ -0,0 +1,252 @@
+"""Replicates the intents of one worker's journal to witness replicas, over the datagrams of its peers.
+
+It also answers other workers for which this one is a witness. Loaded only with [recovery].
+"""
+
+from __future__ import annotations
+
+import math
+import secrets
+import time
+from typing import TYPE_CHECKING, Any, Protocol
+
+from ochrehoist.config.schema import RecoveryConfig
+from ochrehoist.core.owner import Owner
+from ochrehoist.core.protocols import IntentReplicator
+from ochrehoist.peers.wire import Life
+from ochrehoist.recovery.intent_log import IntentLog
+from ochrehoist.recovery.messages import (
+    IntentPage,
+    QueryIntents,
+    RecordIntent,
+    WitnessTopic,
+    decode,
+    encode,
+    key_digest,
+)
+from ochrehoist.recovery.pending_intents import RESEND_INTERVAL_S, OutgoingMessage, PendingIntents
+from ochrehoist.recovery.witness_quorum import WitnessQuorumReport, missing_from_store
+
+if TYPE_CHECKING:
+    from ochrehoist.net.peers import Peers
+
+TOPIC = "recovery"
+EXPIRY_INTERVAL_S = 1.0  # between two sweeps of the intent log
+QUORUM_TIMEOUT_S = 3.0  # that witnesses have to answer, where the store itself is sound
+WINDOW_MARGIN_S = 1.0  # over the longest idempotency window, for messages on their way
+SPARE_SEND_TIMES = 64  # kept of requests that no longer wait
+QUERY_NUMBER_BITS = 40
+NS_PER_S = 1_000_000_000
+
+
+class ReplicatedJournal(Protocol):
+    """What replication needs of the journal; `hold_until` is by the core's clock (ns)."""
+
+    hold_until: int
+    restored: bool
+
+    def replicate_intents_to(self, replicator: IntentReplicator) -> None:
+        """From now on a run begins only once `replicator` has said so by `witnessed`."""
+
+    def witnessed(self, request_id: str, ok: bool) -> None:
+        """Whether enough witnesses recorded the intent in time."""
+
+    def hold_unknown_keys_until(self, until_ns: int) -> None:
+        """Unknown idempotency keys are rejected until then; 0: no longer."""
+
+    def is_history_uncertain(self) -> bool:
+        """Whether the open store itself cannot tell what ran."""
+
+
+class IntentReplicationService:
+    """The journal's IntentReplicator and an extension of the peers' protocol.
+
+    After a restart the history is unknown until a read quorum of witnesses has answered: until then every
+    key without a record is rejected. Without witnesses in the configuration it is known from the start.
+    """
+
+    def __init__(
+        self,
+        owner: Owner,
+        config: RecoveryConfig,
+        journal: ReplicatedJournal | None,
+        peers: Peers | None,
+        log: Any,
+    ) -> None:
+        self._owner, self._config, self._log = owner, config, log
+        self._peers = peers
+        now = time.monotonic()
+        self.intent_log = IntentLog(now)
+        self.pending = PendingIntents(config.witnesses)
+        self.history_known = not config.witnesses
+        self.missing_runs: dict[bytes, float] = {}  # begun by witnesses' word, without record; until when
+        self._report: WitnessQuorumReport | None = None
+        self._stored_keys: list[bytes] = []
+        self._expired_at = now
+        self._sent_at: dict[str, float] = {}  # by request id
+        if peers is not None:
+            peers.group.extensions[TOPIC] = self
+        self._journal: Any = journal
+        if journal is not None and config.witnesses:
+            journal.replicate_intents_to(self)
+
+    # What the journal asks.
+
+    def refuses(self, key: bytes) -> bool:
+        """Whether a run that is not on record may have begun all the same."""
+        if not self.history_known:
+            return True
+        until = self.missing_runs.get(key_digest(key)) if self.missing_runs else None
+        return until is not None and until > time.monotonic()
+
+    def begin(self, request_id: str, key: bytes, left: float) -> None:
+        """The journal hears by `witnessed`, soon, or with False once `wait_ms` is over."""
+        now = time.monotonic()
+        max_wait_s = self._config.wait_ms / 1000
+        self.pending.add(request_id, key, left + WINDOW_MARGIN_S, max_wait_s, now)
+        self._send_pending(now)
+
+    def drop(self, key: bytes) -> None:
+        """The run of this key never began."""
+        self.pending.withdraw(key)
+
+    def opened(self, keys: list[bytes]) -> None:
+        """The store is in use with these keys on record: the witnesses are asked what else was begun."""
+        self._stored_keys = keys
+        if not self._config.witnesses or self._report is not None:
+            return
+        windows_ns = (c.idempotency_window_ns for c in self._owner.settings.classes)
+        longest_window_s = max(windows_ns, default=0) / NS_PER_S
+        self._report = WitnessQuorumReport(
+            self._config.witnesses,
+            longest_window_s + WINDOW_MARGIN_S,
+            secrets.randbits(QUERY_NUMBER_BITS),
+            time.monotonic(),
+        )
+
+    # The extension of the peers' protocol.
+
+    def status(self, now: float) -> bytes:  # noqa: ARG002
+        """Nothing that all peers need."""
+        return b""
+
+    def sends(self, now: float) -> list[tuple[str, str, bytes]]:
+        """Queries and intents that are due, as name, topic and data."""
+        queries = [(name, WitnessTopic.QUERY_INTENTS, data) for name, data in self._queries(now)]
+        intents = [(name, WitnessTopic.RECORD_INTENT, data) for name, data in self._pending_messages(now)]
+        return [*queries, *intents]
+
+    def took(self, sender: Life, topic: str, data: bytes, now: float) -> list[tuple[str, bytes]]:
+        """Handles one message, and gives the answers to its sender as topic and data."""
+        message = decode(topic, data)
+        if isinstance(message, RecordIntent):
+            return self._record(sender.name, message, now)
+        if isinstance(message, QueryIntents):
+            return [(WitnessTopic.INTENT_PAGE, encode(self.intent_log.page(sender.name, message, now)))]
+        if isinstance(message, IntentPage):
+            return self._add_page(sender.name, message, now)
+        if isinstance(message, int):
+            for request_id in self.pending.acknowledge(sender.name, message, now):
+                self._journal.witnessed(request_id, True)
+        return []
+
+    def _record(self, worker: str, message: RecordIntent, now: float) -> list[tuple[str, bytes]]:
+        if not self.intent_log.record(worker, message, now):
+            return []
+        return [(WitnessTopic.INTENT_RECORDED, encode(message.number))]
+
+    def _add_page(self, witness: str, page: IntentPage, now: float) -> list[tuple[str, bytes]]:
+        if self._report is None or self.history_known:
+            return []
+        self._report.add_page(witness, page, now)
+        self._conclude_report(self._report, now)
+        return [(WitnessTopic.QUERY_INTENTS, data) for name, data in self._queries(now) if name == witness]
+
+    def _queries(self, now: float) -> list[OutgoingMessage]:
+        if self._report is None or self.history_known:
+            return []
+        return self._report.queries(now)
+
+    def _pending_messages(self, now: float) -> list[OutgoingMessage]:
+        if len(self._sent_at) > 4 * len(self.pending) + SPARE_SEND_TIMES:
+            self._sent_at = {key: at for key, at in self._sent_at.items() if key in self.pending}
+
+        def is_due(request_id: str) -> bool:
+            if now - self._sent_at.get(request_id, -math.inf) < RESEND_INTERVAL_S:
+                return False
+            self._sent_at[request_id] = now
+            return True
+
+        return self.pending.messages(now, is_due)
+
+    def _send_pending(self, now: float) -> None:
+        assert self._peers is not None  # witnesses are members: the configuration asks for [peers]
+        for name, data in self._pending_messages(now):
+            self._peers.say(name, f"{TOPIC}/{WitnessTopic.RECORD_INTENT}", data)
+
+    # What the witnesses' answers prove.
+
+    def _conclude_report(self, report: WitnessQuorumReport, now: float) -> None:
+        """Takes the quorum's answer once waiting for more would prove no more, or took too long."""
+        timed_out = report.has_quorum and now - report.asked_at > QUORUM_TIMEOUT_S
+        hold_s = report.hold_s(now)
+        if hold_s is None or not (report.is_settled(now) or timed_out):
+            return
+        self.missing_runs = missing_from_store(report.expiry_by_digest, self._stored_keys)
+        self.history_known = True
+        if self._journal.is_history_uncertain():
+            self._journal.hold_unknown_keys_until(self._owner.clock() + int(hold_s * NS_PER_S))
+        counts = {"known": len(report.expiry_by_digest), "not_on_record": len(self.missing_runs)}
+        self._log.info("witness_quorum_answered", hold_s=self._hold_s(), **counts)
+        if self.missing_runs:
+            self._log.error("store_records_missing", **counts)
+
+    def _conclude_without_quorum(self, report: WitnessQuorumReport, now: float) -> None:
+        """A sound store is believed where too few witnesses answer; without one unknown keys are held."""
+        if now - report.asked_at <= QUORUM_TIMEOUT_S:
+            return
+        self.history_known = True
+        if self._journal.is_history_uncertain():
+            window_end_ns = self._owner.clock() + int(report.window_s * NS_PER_S)
+            self._journal.hold_unknown_keys_until(max(self._journal.hold_until, window_end_ns))
+        self._log.warning(
+            "witness_quorum_unavailable",
+            of=len(self._config.witnesses),
+            hold_s=self._hold_s(),
+            answered=report.complete_witnesses(),
+        )
+
+    def _hold_s(self) -> float:
+        left_ns: int = self._journal.hold_until - self._owner.clock()
+        return round(max(0.0, left_ns / NS_PER_S), 1)
+
+    def assume_history_known(self) -> None:
+        """An operator takes unknown keys for new: a run that began before may run twice."""
+        self.history_known, self.missing_runs = True, {}
+        self._journal.hold_unknown_keys_until(0)
+
+    def tick(self, now: float) -> None:
+        """Ten times a second: time-outs, and intents that are remembered no more."""
+        if self._report is not None and not self.history_known:
+            self._conclude_report(self._report, now)
+        if self._report is not None and not self.history_known:
+            self._conclude_without_quorum(self._report, now)
+        for request_id in self.pending.give_up(now):
+            self._journal.witnessed(request_id, False)
+        if now - self._expired_at >= EXPIRY_INTERVAL_S:
+            self._expired_at = now
+            self.intent_log.remove_expired(now)
+
+    def view(self) -> dict[str, Any]:
+        """For `/status`."""
+        samples = sorted(self.pending.wait_samples_s)
+        quantiles = (("p50", 0.5), ("p99", 0.99)) if samples else ()
+        return {
+            "names": list(self._config.witnesses),
+            "testified": self.history_known,
+            "not_on_record": len(self.missing_runs),
+            "waiting": len(self.pending),
+            "wait_ms": {
+                name: round(1000 * samples[int(len(samples) * quantile)], 2) for name, quantile in quantiles
+            },
+        }
--- a/ochrehoist/net/recovery.py
+++ b/ochrehoist/net/recovery.py
@@ -1,297 +1,179 @@
-"""Binds witnesses and stages to one worker's journal, peers and clock. Only where [recovery] is on."""
+"""Follows the start of one worker up to full service, on the loop's clock. Loaded only with [recovery]."""
+
+from __future__ import annotations
 
 import json
-import secrets
 import time
 from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from ochrehoist.config.loader import Config
 from ochrehoist.core.figures import counted
 from ochrehoist.core.owner import Owner
 from ochrehoist.core.request import InboundRequest
+from ochrehoist.net.intent_replication import NS_PER_S, IntentReplicationService, ReplicatedJournal
 from ochrehoist.net.loop import Loop
 from ochrehoist.net.offloop import OffLoop
-from ochrehoist.peers.wire import Life
-from ochrehoist.recovery.stages import LOST, STAGES, Facts, Service, Way
-from ochrehoist.recovery.witness import (
-    AGAIN_S,
-    ASK,
-    KNOWN,
-    TELL,
-    TOLD,
-    Ask,
-    Asked,
-    Begins,
-    Known,
-    Memory,
-    Tell,
-    decode,
-    digest,
-    encode,
-    unknown,
-)
-from ochrehoist.store.loss import Case
-
-TOPIC = "recovery"
-LOOK_S = 0.1
-SWEEP_S = 1.0  # between two looks for what is remembered no more
-ASK_S = 3.0  # that witnesses have to answer, where the store itself is sound
-SLACK_S = 1.0  # over the longest window, for what was on its way
-S = 1_000_000_000
-RECORD = "restarts.jsonl"
-
-
-class Recovery:
-    """The journal's Testifier, the peers' Extension and the core's Observer."""
-
-    def __init__(self, loop: Loop, owner: Owner, config: Config, worker: Any, log: Any) -> None:
-        """`worker`: its journal, peers and sites are looked at."""
-        self.loop, self.owner, self.worker, self.log = loop, owner, worker, log
-        self.config, self.patience = config.recovery, config.recovery.wait_ms / 1000
+from ochrehoist.recovery.service_level import ServiceLevelMonitor, ServiceOutcome
+from ochrehoist.recovery.startup_progress import ReadinessFacts, StartupProgress, StartupStage
+
+if TYPE_CHECKING:  # loaded only where their tables are
+    from ochrehoist.net.ajp_server import AjpServers
+    from ochrehoist.net.peers import Peers
+
+TICK_INTERVAL_S = 0.1
+MIN_UNKNOWN_HOLD_S = 0.1  # that is told while the history is unknown, however short the journal's hold
+CLOSE_TIMEOUT_S = 0.5
+RESTART_RECORD_FILE = "restarts.jsonl"
+
+
+class RecoveryMonitor:
+    """The core's RequestObserver, and what operators see of a start."""
+
+    def __init__(
+        self,
+        loop: Loop,
+        owner: Owner,
+        config: Config,
+        journal: ReplicatedJournal | None,
+        peers: Peers | None,
+        servers: AjpServers | None,
+        log: Any,
+    ) -> None:
+        self._loop, self._owner, self._log = loop, owner, log
+        self._worker_name = config.name
+        self._journal, self._peers, self._servers = journal, peers, servers
+        self._replication = IntentReplicationService(owner, config.recovery, journal, peers, log)
         now = time.monotonic()
-        self.memory, self.begins = Memory(now), Begins(self.config.witnesses)
-        self.asked: Asked | None = None
-        self.testified = not self.config.witnesses
-        self.known: dict[bytes, float] = {}  # that may have run, by witnesses, and until when
-        self.way, self.service = Way(now), Service(now)
-        self.swept = now
-        self.said: dict[str, float] = {}  # when a try's words were last said
-        self.peers = worker.peers
-        if self.peers is not None:
-            self.peers.group.extensions[TOPIC] = self
-        if worker.journal is not None and self.config.witnesses:
-            worker.journal.testifier = self
+        self._progress, self._service_level = StartupProgress(now), ServiceLevelMonitor(now)
         owner.answers.observers.append(self)
-        self.writer = OffLoop(loop, "restarts") if config.state else None
-        self.folder = Path(config.state.folder) if config.state else None
-        loop.call_later(LOOK_S, self._look)
-
-    # ---- what the journal asks
-    def refuses(self, key: bytes) -> bool:
-        """Whether a filing that is not on record may have run all the same."""
-        if not self.testified:
-            return True
-        until = self.known.get(digest(key)) if self.known else None
-        return until is not None and until > time.monotonic()
-
-    def begin(self, request_id: str, key: bytes, left: float) -> None:
-        """The journal hears by `witnessed`, soon or with False once it took too long."""
-        now = time.monotonic()
-        self.begins.add(request_id, key, left + SLACK_S, self.patience, now)
-        self._tell(now)
-
-    def drop(self, key: bytes) -> None:
-        self.begins.never_ran(key)
-
-    def opened(self, keys: list[bytes]) -> None:
-        """The store is in use, and what is on record is known."""
-        self.restored = keys
-        if self.config.witnesses and self.asked is None:
-            longest = max((c.idempotency_window_ns for c in self.owner.settings.classes), default=0) / S
-            self.asked = Asked(
-                self.config.witnesses, longest + SLACK_S, secrets.randbits(40), time.monotonic()
-            )
-
-    # ---- the peers' extension
-    def status(self, now: float) -> bytes:
-        return b""
-
-    def sends(self, now: float) -> list[tuple[str, str, bytes]]:
-        out = (
-            [(name, ASK, data) for name, data in self.asked.asks(now)]
-            if self.asked and not self.testified
-            else []
-        )
-        return out + [(name, TELL, data) for name, data in self._tells(now)]
-
-    def _tells(self, now: float) -> list[tuple[str, bytes]]:
-        def due(request_id: str) -> bool:
-            if now - self.said.get(request_id, -1e9) < AGAIN_S:
-                return False
-            self.said[request_id] = now
-            return True
-
-        if len(self.said) > 4 * len(self.begins.waits) + 64:
-            self.said = {i: at for i, at in self.said.items() if i in self.begins.waits}
-        return self.begins.tells(now, due)
-
-    def _tell(self, now: float) -> None:
-        for name, data in self._tells(now):
-            self.peers.say(name, f"{TOPIC}/{TELL}", data)
-
-    def took(self, sender: Life, topic: str, data: bytes, now: float) -> list[tuple[str, bytes]]:
-        m = decode(topic, data)
-        if isinstance(m, Tell):
-            if self.memory.took(sender.name, m, now):
-                return [(TOLD, encode(m.number))]
-        elif isinstance(m, Ask):
-            return [(KNOWN, encode(self.memory.page(sender.name, m, now)))]
-        elif isinstance(m, Known) and self.asked is not None and not self.testified:
-            self.asked.took(sender.name, m, now)
-            self._testify(now)
-            return (
-                [(ASK, data) for name, data in self.asked.asks(now) if name == sender.name]
-                if not self.testified
-                else []
-            )
-        elif topic == TOLD and isinstance(m, int):
-            for request_id in self.begins.told(sender.name, m, now):
-                self.worker.journal.witnessed(request_id, True)
-        return []
-
-    def _testify(self, now: float) -> None:
-        """Once enough have answered, and waiting for more would prove no more, or took too long."""
-        if not self.asked.settled(now) and not (self.asked.done and now - self.asked.began > ASK_S):
-            return
-        hold, journal = self.asked.hold(now), self.worker.journal
-        self.known = unknown(self.asked.known, self.restored)
-        self.testified = True
-        if self._unsure():
-            journal.hold_until = self.owner.clock() + int(hold * S)
-        told = {"known": len(self.asked.known), "not_on_record": len(self.known)}
-        self.log.info("witnesses have told what may have run", hold_s=self._held(), **told)
-        if self.known:
-            self.log.error("the store lacks filings that were begun: lost, or older than it was", **told)
-
-    def _held(self) -> float:
-        return round(max(0.0, (self.worker.journal.hold_until - self.owner.clock()) / S), 1)
-
-    def _unsure(self) -> bool:
-        """Whether the store itself can't tell what ran: it is lost, or there never was one."""
-        j = self.worker.journal
-        return bool(j.losses) or j.hold_until > self.owner.clock() or j.opened.case is Case.FIRST
-
-    # ---- time
-    def _look(self) -> None:
+        self._record_path: Path | None = None
+        self._record_writer: OffLoop | None = None
+        if config.state:
+            self._record_path = Path(config.state.folder) / RESTART_RECORD_FILE
+            self._record_writer = OffLoop(loop, "restarts")
+        loop.call_later(TICK_INTERVAL_S, self._tick)
+
+    def _tick(self) -> None:
         now = time.monotonic()
-        if self.asked is not None and not self.testified:
-            self._without_testimony(now)
-        for request_id in self.begins.late(now):
-            self.worker.journal.witnessed(request_id, False)
-        if now - self.swept >= SWEEP_S:  # it looks at all that is remembered
-            self.swept = now
-            self.memory.forget(now)
-        entered = self.way.look(now, self._facts(), self.service)
+        self._replication.tick(now)
+        entered = self._progress.evaluate(now, self._readiness(), self._service_level)
         if entered is not None:
-            self.log.info("on the way back", stage=entered, why=self.way.now_in.why)
-            if self.way.over:
-                self._record(now)
-        self.loop.call_later(LOOK_S, self._look)
-
-    def _without_testimony(self, now: float) -> None:
-        """A sound store is believed where too few witnesses answer; without one filings are held back."""
-        self._testify(now)
-        if self.testified or now - self.asked.began <= ASK_S:
-            return
-        self.testified = True
-        if self._unsure():
-            window = self.owner.clock() + int(self.asked.window * S)
-            self.worker.journal.hold_until = max(self.worker.journal.hold_until, window)
-        self.log.warning(
-            "too few witnesses answered",
-            of=len(self.config.witnesses),
-            hold_s=self._held(),
-            answered=[n for n, t in self.asked.by.items() if t.whole],
-        )
-
-    def _facts(self) -> Facts:
-        w = self.worker
-        hold = None
-        if w.journal is not None:
-            hold = max(0.0, (w.journal.hold_until - self.owner.clock()) / S)
-            if w.journal.restored and not self.testified:
-                hold = max(hold, 0.1)
-        peers = None
-        if self.peers is not None and (self.peers.config.members or self.peers.config.start):
-            peers = self.peers.group.members.established
-        answered = None
-        if w.config.ajp and any(p.failed_at > self.way.began for p in w.gauge_source.pools):
-            answered = self.service.share() not in (None, 0.0)
-        return Facts(
-            None if w.journal is None else w.journal.restored, hold, peers, answered, self.owner.part
+            self._log.info("startup_stage_entered", stage=str(entered), why=self._progress.current.reason)
+            if self._progress.is_complete:
+                self._record_start(now)
+        self._loop.call_later(TICK_INTERVAL_S, self._tick)
+
+    def _readiness(self) -> ReadinessFacts:
+        return ReadinessFacts(
+            store_open=None if self._journal is None else self._journal.restored,
+            hold_s=self._hold_s(),
+            peers_heard=self._peers_heard(),
+            services_answer=self._services_answer(),
+            load_fraction=self._owner.part,
         )
 
-    def _record(self, now: float) -> None:
-        """A line for each start: how long it took, and which stage was longest."""
-        line = {"at": int(time.time()), "name": self.worker.config.name, **self.way.record(now)}
-        self.log.info("at full service", **self.way.record(now))
-        if self.writer is not None:
-            self.writer.submit(lambda: self._write(json.dumps(line) + "\n"), lambda *_: None)
+    def _hold_s(self) -> float | None:
+        if self._journal is None:
+            return None
+        hold_s = max(0.0, (self._journal.hold_until - self._owner.clock()) / NS_PER_S)
+        if self._journal.restored and not self._replication.history_known:
+            return max(hold_s, MIN_UNKNOWN_HOLD_S)
+        return hold_s
+
+    def _peers_heard(self) -> bool | None:
+        if self._peers is None or not (self._peers.config.members or self._peers.config.start):
+            return None
+        return self._peers.group.members.established
+
+    def _services_answer(self) -> bool | None:
+        """None unless a connection to one of them failed since the start."""
+        if self._servers is None:
+            return None
+        if not any(pool.failed_at > self._progress.started_at for pool in self._servers.pools):
+            return None
+        return self._service_level.good_ratio() not in (None, 0.0)
+
+    def _record_start(self, now: float) -> None:
+        """A line in the folder for each start: how long it took, and which stage was longest."""
+        summary = self._progress.summary(now)
+        self._log.info("startup_complete", **summary)
+        if self._record_writer is None:
+            return
+        line = json.dumps({"at": int(time.time()), "name": self._worker_name, **summary})
+        self._record_writer.submit(lambda: self._append_record(line + "\n"), lambda *_: None)
 
-    def _write(self, line: str) -> None:
-        with open(self.folder / RECORD, "a", encoding="utf-8") as file:
+    def _append_record(self, line: str) -> None:
+        assert self._record_path is not None
+        with self._record_path.open("a", encoding="utf-8") as file:
             file.write(line)
 
-    # ---- the core's observer
+    # The core's observer.
+
     def arrived(self, request: InboundRequest) -> None:
-        pass
+        """Nothing is measured before the answer."""
 
-    def answered(self, request: InboundRequest, figure: str | None, backoff: int) -> None:
+    def answered(self, request: InboundRequest, figure: str | None, backoff: int) -> None:  # noqa: ARG002
+        """Counts what the caller got; one that left got nothing."""
         if figure is None:
             return
-        now = time.monotonic()
-        if figure == "answered_total":
-            late = self.owner.now > request.arrived + request.cls.latency_objective_ns
-            self.service.count("late" if late else "good", now)
-        else:
-            self.service.count("refused" if figure == "deferred_total" else "failed", now)
+        self._service_level.count(self._outcome(request, figure), time.monotonic())
 
-    # ---- operators
-    def skip(self, stage: str) -> str:
-        """KeyError where there is no such stage."""
-        if stage not in STAGES:
-            raise KeyError(stage)
-        self.way.skipped.add(stage)
-        if stage == LOST and self.worker.journal is not None:
-            self.worker.journal.hold_until = 0
-            self.testified, self.known = True, {}
-        self.log.warning("operators", skipped=stage)
+    def _outcome(self, request: InboundRequest, figure: str) -> ServiceOutcome:
+        if figure == "answered_total":
+            due_ns = request.arrived + request.cls.latency_objective_ns
+            return ServiceOutcome.LATE if self._owner.now > due_ns else ServiceOutcome.GOOD
+        return ServiceOutcome.REJECTED if figure == "deferred_total" else ServiceOutcome.FAILED
+
+    # What operators call.
+
+    def skip(self, stage_name: str) -> str:
+        """Goes on without a stage; the text says so. Raises ValueError where there is no such stage."""
+        stage = StartupStage(stage_name)
+        self._progress.skip(stage)
+        if stage is StartupStage.LOST and self._journal is not None:
+            self._replication.assume_history_known()
+        self._log.warning("startup_stage_skipped", stage=str(stage))
         return f"{stage} is skipped"
 
     def view(self) -> dict[str, Any]:
-        now = time.monotonic()
-        waits = sorted(self.begins.took)
+        """For `/status`."""
+        now, current = time.monotonic(), self._progress.current
         return {
-            "stage": self.way.now_in.name,
-            "why": self.way.now_in.why,
-            "for_s": round(now - self.way.now_in.began, 1),
+            "stage": str(current.stage),
+            "why": current.reason,
+            "for_s": round(now - current.started_at, 1),
             "stages": [
-                {"stage": s.name, "for_s": round((s.ended or now) - s.began, 2), "why": s.why}
-                for s in self.way.stages
+                {"stage": str(span.stage), "for_s": round(span.duration_s(now), 2), "why": span.reason}
+                for span in self._progress.spans
             ],
-            "so_far": self.way.record(now),
-            "in_time": self.service.share(),
-            "witnesses": {
-                "names": list(self.config.witnesses),
-                "testified": self.testified,
-                "not_on_record": len(self.known),
-                "waiting": len(self.begins.waits),
-                "wait_ms": {
-                    p: round(1000 * waits[int(len(waits) * q)], 2) for p, q in (("p50", 0.5), ("p99", 0.99))
-                }
-                if waits
-                else {},
-            },
-            "remembers": {name: len(kept) for name, kept in self.memory.kept.items()},
+            "so_far": self._progress.summary(now),
+            "in_time": self._service_level.good_ratio(),
+            "witnesses": self._replication.view(),
+            "remembers": self._replication.intent_log.counts(),
         }
 
     def figures(self) -> str:
-        now = time.monotonic()
-        spans = {s: 0.0 for s in STAGES}
-        for s in self.way.stages:
-            spans[s.name] += (s.ended or now) - s.began
+        """The metrics as text."""
+        now, current = time.monotonic(), self._progress.current.stage
+        durations = dict.fromkeys(StartupStage, 0.0)
+        for span in self._progress.spans:
+            durations[span.stage] += span.duration_s(now)
+        del durations[StartupStage.FULL]
         return counted(
             {
-                "app_recovery_stage": [(f'{{stage="{s}"}}', int(s == self.way.now_in.name)) for s in STAGES],
+                "app_recovery_stage": [
+                    (f'{{stage="{stage}"}}', int(stage is current)) for stage in StartupStage
+                ],
                 "app_recovery_seconds": [
-                    (f'{{stage="{s}"}}', round(v, 3)) for s, v in spans.items() if s != "full"
+                    (f'{{stage="{stage}"}}', round(duration, 3)) for stage, duration in durations.items()
                 ],
-                "app_witnessed_filings": [("", self.memory.count)],
-                "app_filings_not_on_record": [("", len(self.known))],
+                "app_witnessed_filings": [("", self._replication.intent_log.count)],
+                "app_filings_not_on_record": [("", len(self._replication.missing_runs))],
             }
         )
 
     def close(self) -> None:
-        if self.writer is not None:
-            self.writer.close(0.5)
+        """Waits a moment for a record that is still to be written."""
+        if self._record_writer is not None:
+            self._record_writer.close(CLOSE_TIMEOUT_S)
--- /dev/null
+++ b/ochrehoist/recovery/pending_intents.py
@@ -0,0 +1,120 @@
+"""Intents of this worker that wait until a write quorum of witnesses has recorded them. No I/O; seconds."""
+
+from collections import OrderedDict
+from collections.abc import Callable, Sequence
+from dataclasses import dataclass, field
+from typing import NamedTuple
+
+from ochrehoist.recovery import quorum
+from ochrehoist.recovery.messages import PAGE_SIZE, RecordIntent, encode, key_digest
+
+RESEND_INTERVAL_S = 0.05  # until a message without an answer is sent again
+MAX_SENT_MESSAGES = 256  # whose acknowledgement still counts
+MAX_WAIT_SAMPLES = 1000
+
+
+class OutgoingMessage(NamedTuple):
+    """Encoded data for one witness."""
+
+    witness: str
+    data: bytes
+
+
+@dataclass(slots=True)
+class PendingIntent:
+    """A run that may begin once enough witnesses have recorded it."""
+
+    digest: bytes
+    added_at: float
+    give_up_at: float
+    window_ends_at: float
+    recorded_by: set[str] = field(default_factory=set)
+
+
+class PendingIntents:
+    """Sends intents to all witnesses, and says which runs may begin or must be rejected."""
+
+    def __init__(self, witnesses: Sequence[str]) -> None:
+        self._witnesses = tuple(witnesses)
+        self._write_quorum = quorum.quorum_sizes(len(self._witnesses)).write
+        self._pending: dict[str, PendingIntent] = {}  # by the id of the request
+        self._withdrawn: list[bytes] = []
+        self._message_number = 0
+        self._request_ids_by_message: OrderedDict[int, tuple[str, ...]] = OrderedDict()
+        self.wait_samples_s: list[float] = []  # that the latest recorded intents waited
+
+    def __len__(self) -> int:
+        return len(self._pending)
+
+    def __contains__(self, request_id: str) -> bool:
+        return request_id in self._pending
+
+    def add(
+        self, request_id: str, stored_key: bytes, window_left_s: float, max_wait_s: float, now: float
+    ) -> None:
+        """A run is about to begin; `max_wait_s`: until it is given up where too few witnesses answer."""
+        self._pending[request_id] = PendingIntent(
+            key_digest(stored_key), now, now + max_wait_s, now + window_left_s
+        )
+
+    def withdraw(self, stored_key: bytes) -> None:
+        """The run of this key never began. Past the room of one message the witnesses just keep it longer."""
+        if len(self._withdrawn) < PAGE_SIZE:
+            self._withdrawn.append(key_digest(stored_key))
+
+    def messages(self, now: float, is_due: Callable[[str], bool]) -> list[OutgoingMessage]:
+        """What to send now. `is_due`: whether a request was not sent lately; asked once for each of them."""
+        request_ids = [request_id for request_id in self._pending if is_due(request_id)][:PAGE_SIZE]
+        if not request_ids and not self._withdrawn:
+            return []
+        self._message_number += 1
+        self._request_ids_by_message[self._message_number] = tuple(request_ids)
+        while len(self._request_ids_by_message) > MAX_SENT_MESSAGES:
+            self._request_ids_by_message.popitem(last=False)
+        withdrawn, self._withdrawn = self._withdrawn, []
+        outgoing = []
+        for witness in self._witnesses:
+            message = self._message_for(witness, request_ids, withdrawn, now)
+            if message.intents or message.withdrawn:
+                outgoing.append(OutgoingMessage(witness, encode(message)))
+        return outgoing
+
+    def _message_for(
+        self, witness: str, request_ids: list[str], withdrawn: list[bytes], now: float
+    ) -> RecordIntent:
+        missing = [
+            intent
+            for intent in map(self._pending.__getitem__, request_ids)
+            if witness not in intent.recorded_by
+        ]
+        intents = [(intent.digest, int(1000 * (intent.window_ends_at - now)) + 1) for intent in missing]
+        return RecordIntent(self._message_number, intents, withdrawn)
+
+    def acknowledge(self, witness: str, message_number: int, now: float) -> list[str]:
+        """A witness recorded all of one message: the requests whose runs may begin now."""
+        if witness not in self._witnesses:
+            return []
+        ready = []
+        for request_id in self._request_ids_by_message.get(message_number, ()):
+            intent = self._pending.get(request_id)
+            if intent is None:
+                continue
+            intent.recorded_by.add(witness)
+            if len(intent.recorded_by) >= self._write_quorum:
+                del self._pending[request_id]
+                self._add_wait_sample(now - intent.added_at)
+                ready.append(request_id)
+        return ready
+
+    def _add_wait_sample(self, waited_s: float) -> None:
+        self.wait_samples_s.append(waited_s)
+        del self.wait_samples_s[:-MAX_WAIT_SAMPLES]
+
+    def give_up(self, now: float) -> list[str]:
+        """Requests that waited too long and are to be rejected; witnesses that recorded them are told."""
+        expired = [request_id for request_id, intent in self._pending.items() if intent.give_up_at <= now]
+        for request_id in expired:
+            intent = self._pending.pop(request_id)
+            if intent.recorded_by:
+                self._withdrawn.append(intent.digest)
+        return expired
--- /dev/null
+++ b/ochrehoist/recovery/startup_progress.py
@@ -0,0 +1,153 @@
+"""The stages of one start, up to full service as it is measured. No I/O; seconds."""
+
+from dataclasses import dataclass
+from enum import StrEnum
+from typing import NamedTuple
+
+from ochrehoist.recovery.service_level import ServiceLevelMonitor
+
+MAX_IDLE_S = 10.0  # without requests, after which a start counts as complete and as not measured
+
+
+class StartupStage(StrEnum):
+    """Stages in their order, by the names that operators see and give."""
+
+    SETTINGS = "settings"
+    STORE = "store"
+    LOST = "lost"
+    PEERS = "peers"
+    SERVICES = "services"
+    WARMING = "warming"
+    FULL = "full"
+
+
+@dataclass(slots=True)
+class StageSpan:
+    """The time that a start spent in one stage; a stage may be entered again."""
+
+    stage: StartupStage
+    started_at: float
+    ended_at: float | None = None
+    reason: str = ""
+
+    def duration_s(self, now: float) -> float:
+        """Up to its end, or up to now."""
+        return (self.ended_at if self.ended_at is not None else now) - self.started_at
+
+
+@dataclass(slots=True, frozen=True)
+class ReadinessFacts:
+    """What a process can see of itself now; None where it has no such part."""
+
+    store_open: bool | None = None
+    hold_s: float | None = None  # for which unknown idempotency keys are rejected
+    peers_heard: bool | None = None
+    services_answer: bool | None = None
+    load_fraction: float = 1.0  # of its usual load, that it asks for
+
+
+class StageDecision(NamedTuple):
+    """Where a start stands, and why it is not further."""
+
+    stage: StartupStage
+    reason: str
+
+
+class StartupProgress:
+    """One start, from its first moment to full service.
+
+    It stands at the first thing that is not over: no timer moves it, and it may go back.
+    """
+
+    def __init__(self, started_at: float) -> None:
+        self.started_at = started_at
+        self.spans = [StageSpan(StartupStage.SETTINGS, started_at)]
+        self._skipped: set[StartupStage] = set()
+        self._idle_since: float | None = None
+
+    @property
+    def current(self) -> StageSpan:
+        """The stage in which the start is now."""
+        return self.spans[-1]
+
+    @property
+    def is_complete(self) -> bool:
+        """Whether full service was reached."""
+        return self.current.stage is StartupStage.FULL
+
+    def skip(self, stage: StartupStage) -> None:
+        """An operator goes on without this stage."""
+        self._skipped.add(stage)
+
+    def evaluate(
+        self, now: float, facts: ReadinessFacts, service_level: ServiceLevelMonitor
+    ) -> StartupStage | None:
+        """The stage that was entered just now, if any."""
+        if self.is_complete:
+            return None
+        decision = self._decide(now, facts, service_level)
+        if decision.stage in self._skipped and decision.stage is not StartupStage.FULL:
+            without_parts = ReadinessFacts(load_fraction=facts.load_fraction)
+            decision = self._decide(now, without_parts, service_level)
+        if decision.stage is self.current.stage:
+            self.current.reason = decision.reason
+            return None
+        self.current.ended_at = now
+        self.spans.append(StageSpan(decision.stage, now, None, decision.reason))
+        return decision.stage
+
+    def _decide(self, now: float, facts: ReadinessFacts, service_level: ServiceLevelMonitor) -> StageDecision:
+        if facts.store_open is False:
+            return StageDecision(
+                StartupStage.STORE, "the store is being opened, or its folder is not there yet"
+            )
+        if facts.hold_s:
+            return StageDecision(
+                StartupStage.LOST,
+                "what ran before is not fully known: filings that are not are refused for "
+                f"{facts.hold_s:.0f} s",
+            )
+        if facts.peers_heard is False:
+            return StageDecision(StartupStage.PEERS, "no peer was heard yet")
+        is_restored = service_level.is_restored(now)
+        if facts.services_answer is False:
+            return StageDecision(StartupStage.SERVICES, "no service below has answered yet")
+        if facts.load_fraction < 1:
+            return StageDecision(StartupStage.WARMING, f"asks for {facts.load_fraction:.0%} of its load")
+        return self._decide_by_service_level(now, service_level, is_restored)
+
+    def _decide_by_service_level(
+        self, now: float, service_level: ServiceLevelMonitor, is_restored: bool | None
+    ) -> StageDecision:
+        if is_restored:
+            return StageDecision(StartupStage.FULL, f"{service_level.good_ratio():.0%} in time, as before")
+        if is_restored is None and service_level.is_idle():
+            return self._decide_while_idle(now)
+        if is_restored is None:
+            return StageDecision(StartupStage.WARMING, "too few requests to say")
+        missed = ", ".join(
+            f"{window.total - window.good} of {window.total}" for window in service_level.latest_windows()
+        )
+        return StageDecision(StartupStage.WARMING, f"late, refused or failed: {missed}")
+
+    def _decide_while_idle(self, now: float) -> StageDecision:
+        if self._idle_since is None:
+            self._idle_since = now
+        if now - self._idle_since > MAX_IDLE_S:
+            return StageDecision(StartupStage.FULL, f"nobody asked for {MAX_IDLE_S:g} s: not measured")
+        return StageDecision(StartupStage.WARMING, "no requests yet")
+
+    def summary(self, now: float) -> dict[str, object]:
+        """The line of this start in the record of restarts, and in the status."""
+        durations: dict[StartupStage, float] = {}
+        for span in self.spans:
+            if span.stage is not StartupStage.FULL:
+                durations[span.stage] = durations.get(span.stage, 0.0) + span.duration_s(now)
+        longest = max(durations, key=lambda stage: durations[stage]) if durations else ""
+        total_s = (self.current.started_at if self.is_complete else now) - self.started_at
+        return {
+            "full_after_s": round(total_s, 2),
+            "longest": str(longest),
+            "stages_s": {str(stage): round(duration, 2) for stage, duration in durations.items()},
+            "why": self.current.reason if self.is_complete else "not yet at full service",
+        }
--- a/ochrehoist/store/journal.py
+++ b/ochrehoist/store/journal.py
@@ -32,7 +32,7 @@
 from ochrehoist.store.backlog import Backlog, Begin, Drop, End, Error, Op, Save
 from ochrehoist.store.clock import stamp_now
 from ochrehoist.store.disk import Failed, Held, Lock
-from ochrehoist.store.loss import held_for
+from ochrehoist.store.loss import Case, held_for
 from ochrehoist.store.opening import Opened, Witness, make_folder, must_hold_a_store, open_folder, rewrite
 from ochrehoist.store.points import reached
 from ochrehoist.store.records import Begun, Finished, Learned, key_of
@@ -224,6 +224,18 @@
             self.unready[r.id] = 2
             self.testifier.begin(r.id, key_of(r.token), record.left / SECOND)
 
+    def replicate_intents_to(self, replicator: IntentReplicator) -> None:
+        """From now on a run begins only once `replicator` has said so by `witnessed`."""
+        self.testifier = replicator
+
+    def hold_unknown_keys_until(self, until_ns: int) -> None:
+        """Unknown idempotency keys are rejected until then, by the core's clock; 0: no longer."""
+        self.hold_until = until_ns
+
+    def is_history_uncertain(self) -> bool:
+        """Whether the open store itself cannot tell what ran: it is lost, or there never was one."""
+        return bool(self.losses) or self.hold_until > self.owner.clock() or self.opened.case is Case.FIRST
+
     def witnessed(self, request_id: str, ok: bool) -> None:
         """Enough others know of a filing that is to begin; or they did not answer in time."""
         if ok:
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -18,29 +18,34 @@
 from ochrehoist.lab.play import Play
 from ochrehoist.lab.scenario import parse
 from ochrehoist.net.operators import ask
-from ochrehoist.recovery import witness
-from ochrehoist.recovery.stages import FULL, LOST, PEERS, QUIET_S, STORE, WARMING, Facts, Service, Way
-from ochrehoist.recovery.witness import Asked, Begins, Memory, Tell, decode, digest, needed, unknown
+from ochrehoist.recovery import intent_log, quorum
+from ochrehoist.recovery.intent_log import IntentLog
+from ochrehoist.recovery.messages import PAGE_SIZE, IntentPage, RecordIntent, decode, encode, key_digest
+from ochrehoist.recovery.pending_intents import RESEND_INTERVAL_S, PendingIntents
+from ochrehoist.recovery.quorum import quorum_sizes
+from ochrehoist.recovery.service_level import ServiceLevelMonitor, ServiceOutcome
+from ochrehoist.recovery.startup_progress import MAX_IDLE_S, ReadinessFacts, StartupProgress, StartupStage
+from ochrehoist.recovery.witness_quorum import WitnessQuorumReport, missing_from_store
 
 logging.getLogger("asyncio").setLevel(logging.CRITICAL)
 ROOT = Path(__file__).parent.parent
 WINDOW = 20.0
 
 
-class World:
-    """A worker that begins filings, witnesses that die and return, and a network that loses and repeats."""
+class ReplicationWorld:
+    """A worker that begins runs, witnesses that die and return, and a network that loses and repeats."""
 
-    def __init__(self, seed, count, guard=True):
-        self.rng, self.guard = Random(seed), guard
+    def __init__(self, seed, count, wait_for_quorum=True):
+        self.rng, self.wait_for_quorum = Random(seed), wait_for_quorum
         self.names = [f"x{n}" for n in range(count)]
-        self.memories = {n: Memory(0.0) for n in self.names}
-        self.begins, self.now, self.begun, self.numbers = Begins(self.names), 0.0, {}, 0
-        self.said, self.keys = {}, {}
+        self.logs = {n: IntentLog(0.0) for n in self.names}
+        self.pending, self.now, self.begun, self.count = PendingIntents(self.names), 0.0, {}, 0
+        self.sent_at, self.keys = {}, {}
 
-    def due(self, request_id):
-        if self.now - self.said.get(request_id, -1.0) < witness.AGAIN_S:
+    def is_due(self, request_id):
+        if self.now - self.sent_at.get(request_id, -1.0) < RESEND_INTERVAL_S:
             return False
-        self.said[request_id] = self.now
+        self.sent_at[request_id] = self.now
         return True
 
     def live(self, span, loss):
@@ -48,43 +53,46 @@
         while self.now < until:
             self.now += 0.02
             if self.rng.random() < 0.3:
-                self.numbers += 1
-                key = f"key{self.numbers}".encode()
-                self.keys[f"r{self.numbers}"] = key, self.now
-                self.begins.add(f"r{self.numbers}", key, WINDOW, 0.25, self.now)
-                if not self.guard:  # begun without waiting for anybody
+                self.count += 1
+                key = f"key{self.count}".encode()
+                self.keys[f"r{self.count}"] = key, self.now
+                self.pending.add(f"r{self.count}", key, WINDOW, 0.25, self.now)
+                if not self.wait_for_quorum:
                     self.begun[key] = self.now
-            for name, data in self.begins.tells(self.now, self.due):
+            for name, data in self.pending.messages(self.now, self.is_due):
                 for _ in range(self.rng.choice((1, 1, 2))):
                     m = decode("tell", data)
-                    took = self.rng.random() >= loss and self.memories[name].took("w", m, self.now)
-                    if took and self.rng.random() >= loss:
-                        for request_id in self.begins.told(name, decode("tell", data).number, self.now):
+                    recorded = self.rng.random() >= loss and self.logs[name].record("w", m, self.now)
+                    if recorded and self.rng.random() >= loss:
+                        number = decode("tell", data).number
+                        for request_id in self.pending.acknowledge(name, number, self.now):
                             key, arrived = self.keys[request_id]
                             self.begun[key] = arrived
-            self.begins.late(self.now)
+            self.pending.give_up(self.now)
             if self.rng.random() < 0.004:
-                self.memories[self.rng.choice(self.names)] = Memory(self.now)
+                self.logs[self.rng.choice(self.names)] = IntentLog(self.now)
 
-    def come_back(self):
+    def restart(self):
         """What the next process knows, and for how long it holds; None where too few answer."""
-        asked = Asked(self.names, WINDOW + 1, 7, self.now)
+        report = WitnessQuorumReport(self.names, WINDOW + 1, 7, self.now)
         there = self.rng.sample(self.names, self.rng.randint(0, len(self.names)))
         for _ in range(20):
-            for name, data in asked.asks(self.now):
+            for name, data in report.queries(self.now):
                 if name in there:
-                    page = self.memories[name].page("w", decode("ask", data), self.now)
-                    asked.took(name, decode("known", witness.encode(page)), self.now)
-        hold = asked.hold(self.now) if asked.done else None
-        return hold, asked.known
+                    page = self.logs[name].page("w", decode("ask", data), self.now)
+                    report.add_page(name, decode("known", encode(page)), self.now)
+        hold = report.hold_s(self.now) if report.has_quorum else None
+        return hold, report.expiry_by_digest
 
 
 def missed(world):
     """Filings that began, could still be repeated, and would run again. A window counts from the arrival."""
-    hold, known = world.come_back()
+    hold, known = world.restart()
     if hold is None:
         return []
-    return [k for k, at in world.begun.items() if at + WINDOW > world.now + hold and digest(k) not in known]
+    return [
+        k for k, at in world.begun.items() if at + WINDOW > world.now + hold and key_digest(k) not in known
+    ]
 
 
 class Witnesses(unittest.TestCase):
@@ -95,7 +103,7 @@
     def test_whatever_is_lost_and_whoever_died_no_filing_that_began_is_taken_for_new(
         self, seed, count, loss, span
     ):
-        world = World(seed, count)
+        world = ReplicationWorld(seed, count)
         world.live(span, loss)
         self.assertEqual(missed(world), [])
 
@@ -103,51 +111,52 @@
         def some(**how):
             out = 0
             for seed in range(30):
-                world = World(seed, 3, **how)
+                world = ReplicationWorld(seed, 3, **how)
                 world.live(6.0, 0.5)
                 out += len(missed(world))
             return out
 
-        self.assertGreater(some(guard=False), 0)
-        with mock.patch.object(witness, "needed", lambda count: (1, 1)):
+        self.assertGreater(some(wait_for_quorum=False), 0)
+        with mock.patch.object(quorum, "quorum_sizes", lambda count: quorum.QuorumSizes(1, 1)):
             self.assertGreater(some(), 0)
 
     def test_any_two_such_groups_share_a_witness(self):
         for count in range(1, 9):
-            write, read = needed(count)
+            write, read = quorum_sizes(count)
             self.assertGreater(write + read, count)
             self.assertLessEqual(max(write, read), count)
 
     def test_a_young_witness_proves_nothing_of_before_it_was_born(self):
-        asked = Asked(("a",), WINDOW, 1, 100.0)
-        asked.took("a", witness.Known(1, 0, 1, 4000, []), 100.0)
-        self.assertAlmostEqual(asked.hold(100.0), 16.0)
-        self.assertEqual(asked.hold(117.0), 0.0)
+        report = WitnessQuorumReport(("a",), WINDOW, 1, 100.0)
+        report.add_page("a", IntentPage(1, 0, 1, 4000, []), 100.0)
+        self.assertAlmostEqual(report.hold_s(100.0), 16.0)
+        self.assertEqual(report.hold_s(117.0), 0.0)
 
     def test_many_come_in_pages_and_answers_to_nothing_are_passed_over(self):
-        memory = Memory(0.0)
-        count = 3 * witness.PAGE + 5
-        memory.took("w", Tell(1, [(digest(b"%d" % n), 60_000) for n in range(count)]), 1.0)
-        asked = Asked(("a",), WINDOW, 9, 30.0)
-        asked.took("a", witness.Known(8, 0, 1, 99_000, []), 30.0)
-        asked.took("b", witness.Known(9, 0, 1, 99_000, []), 30.0)
-        self.assertFalse(asked.done)
+        log = IntentLog(0.0)
+        count = 3 * PAGE_SIZE + 5
+        log.record("w", RecordIntent(1, [(key_digest(b"%d" % n), 60_000) for n in range(count)]), 1.0)
+        report = WitnessQuorumReport(("a",), WINDOW, 9, 30.0)
+        report.add_page("a", IntentPage(8, 0, 1, 99_000, []), 30.0)
+        report.add_page("b", IntentPage(9, 0, 1, 99_000, []), 30.0)
+        self.assertFalse(report.has_quorum)
         for _ in range(10):
-            for _, data in asked.asks(30.0):
-                asked.took("a", memory.page("w", decode("ask", data), 30.0), 30.0)
-        self.assertTrue(asked.done)
-        self.assertEqual(len(asked.known), count)
-        self.assertEqual(len(unknown(asked.known, [b"%d" % n for n in range(count - 2)])), 2)
+            for _, data in report.queries(30.0):
+                report.add_page("a", log.page("w", decode("ask", data), 30.0), 30.0)
+        self.assertTrue(report.has_quorum)
+        self.assertEqual(len(report.expiry_by_digest), count)
+        stored = [b"%d" % n for n in range(count - 2)]
+        self.assertEqual(len(missing_from_store(report.expiry_by_digest, stored)), 2)
 
     def test_what_never_ran_and_what_is_over_is_forgotten_and_room_is_bounded(self):
-        memory = Memory(0.0)
-        memory.took("w", Tell(1, [(b"a", 1000), (b"b", 9000)]), 0.0)
-        memory.took("w", Tell(2, [], [b"b"]), 0.0)
-        memory.forget(2.0)
-        self.assertEqual((memory.count, memory.kept), (0, {}))
-        with mock.patch.object(witness, "MOST", 2):
-            self.assertTrue(memory.took("w", Tell(3, [(b"a", 9000), (b"b", 9000)]), 3.0))
-            self.assertFalse(memory.took("v", Tell(4, [(b"c", 9000)]), 3.0))
+        log = IntentLog(0.0)
+        log.record("w", RecordIntent(1, [(b"a", 1000), (b"b", 9000)]), 0.0)
+        log.record("w", RecordIntent(2, [], [b"b"]), 0.0)
+        log.remove_expired(2.0)
+        self.assertEqual((log.count, log.counts()), (0, {}))
+        with mock.patch.object(intent_log, "MAX_INTENTS", 2):
+            self.assertTrue(log.record("w", RecordIntent(3, [(b"a", 9000), (b"b", 9000)]), 3.0))
+            self.assertFalse(log.record("v", RecordIntent(4, [(b"c", 9000)]), 3.0))
 
     @given(st.sampled_from(["tell", "told", "ask", "known", "x"]), st.binary(max_size=120))
     def test_what_cannot_be_read_is_nothing(self, topic, data):
@@ -156,45 +165,50 @@
 
 class Stages(unittest.TestCase):
     def setUp(self):
-        self.now, self.way, self.service = 0.0, Way(0.0), Service(0.0)
+        self.now = 0.0
+        self.progress, self.service_level = StartupProgress(0.0), ServiceLevelMonitor(0.0)
 
-    def look(self, seconds, facts=None, **counts):
+    def evaluate(self, seconds, facts=None, **counts):
         until = self.now + seconds
         while self.now < until - 1e-9:
             self.now += 0.1
-            for what, n in counts.items():
+            for name, n in counts.items():
                 for _ in range(n):
-                    self.service.count(what, self.now)
-            self.way.look(self.now, facts or Facts(), self.service)
-        return self.way.now_in.name
+                    self.service_level.count(ServiceOutcome[name.upper()], self.now)
+            self.progress.evaluate(self.now, facts or ReadinessFacts(), self.service_level)
+        return self.progress.current.stage
 
     def test_it_stands_where_the_first_thing_is_that_is_not_over(self):
-        self.assertEqual(self.look(0.5, Facts(store_open=False, peers_heard=False)), STORE)
-        self.assertEqual(self.look(0.5, Facts(store_open=True, hold_s=5.0, peers_heard=False)), LOST)
-        self.assertEqual(self.look(0.5, Facts(store_open=True, hold_s=0.0, peers_heard=False)), PEERS)
-        self.assertEqual(self.look(0.5, Facts(asks_for=0.2), good=3), WARMING)
-        self.assertEqual(self.look(3.0, Facts(), good=3), FULL)
-        record = self.way.record(self.now)
-        self.assertEqual(set(record["stages_s"]), {"settings", STORE, LOST, PEERS, WARMING})
+        facts = ReadinessFacts(store_open=False, peers_heard=False)
+        self.assertEqual(self.evaluate(0.5, facts), StartupStage.STORE)
+        facts = ReadinessFacts(store_open=True, hold_s=5.0, peers_heard=False)
+        self.assertEqual(self.evaluate(0.5, facts), StartupStage.LOST)
+        facts = ReadinessFacts(store_open=True, hold_s=0.0, peers_heard=False)
+        self.assertEqual(self.evaluate(0.5, facts), StartupStage.PEERS)
+        self.assertEqual(self.evaluate(0.5, ReadinessFacts(load_fraction=0.2), good=3), StartupStage.WARMING)
+        self.assertEqual(self.evaluate(3.0, ReadinessFacts(), good=3), StartupStage.FULL)
+        record = self.progress.summary(self.now)
+        self.assertEqual(set(record["stages_s"]), {"settings", "store", "lost", "peers", "warming"})
         self.assertAlmostEqual(sum(record["stages_s"].values()), record["full_after_s"], delta=0.2)
 
     def test_full_is_what_callers_get_and_no_time(self):
-        self.assertEqual(self.look(60, Facts(), good=2, late=1), WARMING)
-        self.assertEqual(self.look(60, Facts(), good=2, refused=1), WARMING)
-        self.assertEqual(self.look(1, Facts(), good=3), WARMING)
-        self.assertEqual(self.look(3, Facts(), good=3), FULL)
+        self.assertEqual(self.evaluate(60, ReadinessFacts(), good=2, late=1), StartupStage.WARMING)
+        self.assertEqual(self.evaluate(60, ReadinessFacts(), good=2, rejected=1), StartupStage.WARMING)
+        self.assertEqual(self.evaluate(1, ReadinessFacts(), good=3), StartupStage.WARMING)
+        self.assertEqual(self.evaluate(3, ReadinessFacts(), good=3), StartupStage.FULL)
 
     def test_as_good_as_before_is_enough_and_silence_is_said_to_be_no_measure(self):
-        self.service.before = 0.6
-        self.assertEqual(self.look(4, Facts(), good=2, refused=1), FULL)
+        self.service_level = ServiceLevelMonitor(0.0, usual_good_ratio=0.6)
+        self.assertEqual(self.evaluate(4, ReadinessFacts(), good=2, rejected=1), StartupStage.FULL)
         self.setUp()
-        self.assertEqual(self.look(QUIET_S + 1), FULL)
-        self.assertIn("not measured", self.way.now_in.why)
+        self.assertEqual(self.evaluate(MAX_IDLE_S + 1), StartupStage.FULL)
+        self.assertIn("not measured", self.progress.current.reason)
 
     def test_an_operator_may_skip_what_it_waits_for(self):
-        self.look(1.0, Facts(store_open=True, hold_s=50.0))
-        self.way.skipped.add(LOST)
-        self.assertEqual(self.look(4, Facts(store_open=True, hold_s=50.0), good=3), FULL)
+        facts = ReadinessFacts(store_open=True, hold_s=50.0)
+        self.evaluate(1.0, facts)
+        self.progress.skip(StartupStage.LOST)
+        self.assertEqual(self.evaluate(4, facts, good=3), StartupStage.FULL)
 
 
 def play(faults, seed=1, **changes):
@@ -276,7 +290,7 @@
         p.wait_for(lambda s: "'stage': 'full'" in s["recovery"])
         view = json.loads(ask(p.at["Operators"], "GET", "/status")[1])["recovery"]
         self.assertEqual([s["stage"] for s in view["stages"]][0], "settings")
-        p.wait_said("at full service")
+        p.wait_said("startup_complete")
 
     def test_a_file_that_cannot_hold_is_refused_by_its_key(self):
         with tempfile.TemporaryDirectory() as folder:
