--- a/benchmarks/limit_choice.py
+++ b/benchmarks/limit_choice.py
@@ -14,11 +14,11 @@
 
 import joblib
 
+from ochrehoist.config.fleet_description import parse
 from ochrehoist.config.loader import CONTROLLERS, OverloadConfig
 from ochrehoist.overload.limiter import Limiter
 from ochrehoist.plan.cores import Cores
 from ochrehoist.plan.events import Simulation
-from ochrehoist.plan.fleet import parse
 
 BASE = tomllib.loads((Path(__file__).parent / "plan" / "base.toml").read_text())
 READ, FILING = BASE["classes"]
--- a/benchmarks/plan/__main__.py
+++ b/benchmarks/plan/__main__.py
@@ -12,7 +12,7 @@
 
 import joblib
 
-from ochrehoist.plan.fleet import Fleet, parse
+from ochrehoist.config.fleet_description import Fleet, parse
 from ochrehoist.plan.questions import measured
 
 BASE = tomllib.loads((Path(__file__).parent / "base.toml").read_text())
--- a/ochrehoist/cli/lab.py
+++ b/ochrehoist/cli/lab.py
@@ -232,9 +232,9 @@
     html: Path | None,
 ) -> None:
     """Play the loss of SITE with real workers, beside what figures alone foretell."""
+    from ochrehoist.config.fleet_description import load
     from ochrehoist.lab import drill as drills
     from ochrehoist.lab.play import Play
-    from ochrehoist.plan.fleet import load
 
     if (fleet is None) == (scenario is None):
         end("name --fleet or --scenario, and not both", WRONG)
@@ -279,9 +279,9 @@
 @stops(_told)
 def rolling(ctx: click.Context, fleet: Path, workers: int, at_once: int, down: float, seed: int) -> None:
     """Restart all of a small fleet of real workers, so many at once, and say what callers got."""
+    from ochrehoist.config.fleet_description import load
     from ochrehoist.lab import drill as drills
     from ochrehoist.lab.play import Play
-    from ochrehoist.plan.fleet import load
 
     logging.getLogger("asyncio").setLevel(logging.CRITICAL)
     s = drills.rolling_of(load(fleet), workers, at_once, down)
--- a/ochrehoist/cli/plan.py
+++ b/ochrehoist/cli/plan.py
@@ -24,7 +24,7 @@
     if isinstance(error, ImportError):
         end(f"{EXTRA} ({error})", WRONG)
     from ochrehoist.capture.records import Unusable
-    from ochrehoist.plan.fleet import FleetDescriptionError
+    from ochrehoist.config.fleet_description import FleetDescriptionError
     from ochrehoist.plan.questions import UnanswerableQuestionError
 
     if isinstance(error, UnanswerableQuestionError):
@@ -98,7 +98,7 @@
 
 
 def _load(path: Path) -> Any:
-    from ochrehoist.plan.fleet import load
+    from ochrehoist.config.fleet_description import load
 
     fleet, demand = load(path), _wanted("demand")
     return fleet if demand is None else fleet.at(demand)
--- a/ochrehoist/config/fleet.py
+++ b/ochrehoist/config/fleet.py
@@ -153,23 +153,23 @@
             "setting peers.voters: missing: a site that comes back steps by their permit; or set "
             "sites.pace = false"
         )
-    places, file = None, r.text("fleet", None)
+    site_map, file = None, r.text("fleet", None)
     if file is not None:
-        from ochrehoist.sites.places import Places, SiteMapError
+        from ochrehoist.config.site_map import SiteMap, SiteMapError
 
         try:
-            places = Places.load(Path(file))
+            site_map = SiteMap.load(Path(file))
         except SiteMapError as error:
             raise InvalidInputError(f"setting {r.path}fleet: {error}") from None
-    site = r.text("site", None) or (places.site_of(peers.address[0]) if places else None) or peers.site
+    site = r.text("site", None) or (site_map.site_of(peers.address[0]) if site_map else None) or peers.site
     if not site:
         raise InvalidInputError(
             f"setting {r.path}site: missing, and no description of the fleet tells of "
             f"{peers.address[0]}; nor does peers.site"
         )
-    if places is not None and site not in places.names:
+    if site_map is not None and site not in site_map.site_names:
         raise InvalidInputError(
-            f"setting {r.path}site: no such site in {file}: {site!r}; there are {places.names}"
+            f"setting {r.path}site: no such site in {file}: {site!r}; there are {site_map.site_names}"
         )
     book, file = None, r.text("playbook", None)
     if file is not None:
@@ -177,7 +177,7 @@
             book = parse(Path(file).read_text(encoding="utf-8"), [c.name for c in settings.classes])
         except (OSError, ValueError, PlaybookError) as error:
             raise InvalidInputError(f"setting {r.path}playbook: {file}: {error}") from None
-    return SitesConfig(site=site, places=places, playbook=book, pace=r.flag("pace", True))
+    return SitesConfig(site=site, site_map=site_map, playbook=book, pace=r.flag("pace", True))
 
 
 def recovery_of(top: Reader, peers: PeersConfig | None, state: StateConfig | None) -> RecoveryConfig | None:
--- a/ochrehoist/plan/fleet.py
+++ b/ochrehoist/config/fleet_description.py
@@ -4,29 +4,29 @@
 """
 
 import tomllib
+from collections.abc import Iterator
 from enum import StrEnum
 from functools import cached_property
 from pathlib import Path
 from typing import Annotated, Any, Literal, Self
 
-import netaddr
+import netaddr  # type: ignore[import-untyped]
 from pydantic import BaseModel, ConfigDict, Field, ValidationError, field_validator, model_validator
 
-from ochrehoist.admission import settings as admission_settings
-from ochrehoist.admission.settings import AdmissionSettings, ObjectiveWeights, RequestClass
-from ochrehoist.config.settings import REPEATS
 from ochrehoist.errors import OchrehoistError
 
 Share = Annotated[float, Field(ge=0, le=1)]
 Positive = Annotated[float, Field(gt=0)]
-MS = 1_000_000
+MAX_SHARE_ERROR = 0.01  # by which shares may miss their sum
 
 
 class FleetDescriptionError(OchrehoistError):
-    """The description can't be used; one line for each fault, each with its key."""
+    """The description cannot be used; one line for each fault, each with its key."""
 
 
-class Part(BaseModel):
+class DescriptionTable(BaseModel):
+    """A table of the description; unknown keys are faults."""
+
     model_config = ConfigDict(extra="forbid", frozen=True, ignored_types=(cached_property,))
 
 
@@ -40,7 +40,9 @@
     WEIGHTED = "weighted"  # by chance, in proportion to cores and speed
 
 
-class Class(Part):
+class Class(DescriptionTable):
+    """One class of requests."""
+
     name: str
     share: Share
     work_ms: Positive  # mean, on one core of speed 1
@@ -56,24 +58,29 @@
 
     @property
     def mean_ms(self) -> float:
+        """The work of one request, over its heavy ones too."""
         return self.work_ms * (1 + self.heavy_share * (self.heavy_times - 1))
 
     @model_validator(mode="after")
     def _aim_before_deadline(self) -> Self:
         if self.aim_ms > self.deadline_ms:
-            raise ValueError("aim_ms is past deadline_ms")
+            message = "aim_ms is past deadline_ms"
+            raise ValueError(message)
         if self.repeat == "deduplicated" and not self.window_ms:
-            raise ValueError("window_ms: missing where requests may come again")
+            message = "window_ms: missing where requests may come again"
+            raise ValueError(message)
         return self
 
 
-class Tenant(Part):
+class Tenant(DescriptionTable):
+    """One tenant of the whole fleet."""
+
     name: str
     share: Share
     quota_per_s: Annotated[float, Field(ge=0)] | None = None  # of all workers; else all that it sends
 
 
-class Kind(Part):
+class Kind(DescriptionTable):
     """One kind of machine."""
 
     name: str
@@ -91,17 +98,19 @@
 
     @property
     def speeds(self) -> tuple[float, float]:
+        """The slowest and the fastest core."""
         return self.speed if isinstance(self.speed, tuple) else (self.speed, self.speed)
 
     @field_validator("speed")
     @classmethod
     def _ordered(cls, value: Any) -> Any:
         if isinstance(value, tuple) and value[0] > value[1]:
-            raise ValueError("the range runs backwards")
+            message = "the range runs backwards"
+            raise ValueError(message)
         return value
 
 
-class Site(Part):
+class Site(DescriptionTable):
     """A data centre: what lies in it is told by networks and by addresses of its own."""
 
     name: str
@@ -118,16 +127,21 @@
 
     @cached_property
     def space(self) -> netaddr.IPSet:
+        """All addresses that lie in it."""
         parts = (part for text in (*self.networks, *self.addresses) for part in addresses_of(text))
         return netaddr.IPSet(list(parts))
 
 
-class Workers(Part):
+class Workers(DescriptionTable):
+    """Workers of one kind."""
+
     kind: str
     addresses: list[str]
 
 
-class Routers(Part):
+class Routers(DescriptionTable):
+    """A group of routers that behave alike."""
+
     addresses: list[str]
     choice: Choice = Choice.ROUND
     retries: Annotated[int, Field(ge=0, le=20)] = 1
@@ -136,17 +150,23 @@
     weight: Positive = 1.0  # of the load that comes to each, against other routers
 
 
-class Clients(Part):
+class Clients(DescriptionTable):
+    """What callers do where they are rejected."""
+
     retries: Annotated[int, Field(ge=0, le=20)] = 1
     wait_ms: Annotated[float, Field(ge=0)] = 300.0
     heed: Share = 0.6  # of the routers that stay away as they are told
 
 
-class Membership(Part):
+class Membership(DescriptionTable):
+    """How routers learn of workers."""
+
     lag_s: Annotated[float, Field(ge=0)] = 1.5  # until routers know of a change
 
 
-class Load(Part):
+class Load(DescriptionTable):
+    """What comes to all routers together."""
+
     rate: Positive  # first tries a second, all routers together
     subjects: Annotated[int, Field(ge=1, le=10_000_000)] = 10_000
     zipf: Annotated[float, Field(ge=0, le=3)] = 0.9
@@ -157,7 +177,9 @@
     hint_cv: Annotated[float, Field(ge=0, le=5)] = 0.2  # error of the stated work
 
 
-class Intake(Part):
+class Intake(DescriptionTable):
+    """What reading and holding a request takes."""
+
     share: Share = 0.05  # of the mean work, to read a request
     held_kb: tuple[Positive, Positive] = (14.0, 57.0)
     run_factor: Annotated[float, Field(ge=1)] = 16.0
@@ -165,7 +187,7 @@
     idle_s: Positive = 30.0  # after which routers close a connection
 
 
-class Placed(Part):
+class Placed(DescriptionTable):
     """A worker or router by address, and the site that it lies in."""
 
     address: str
@@ -174,7 +196,9 @@
     group: int = 0  # of the description's routers
 
 
-class Fleet(Part):
+class Fleet(DescriptionTable):
+    """The whole description."""
+
     name: str = "fleet"
     load: Load
     classes: Annotated[list[Class], Field(min_length=1)]
@@ -189,65 +213,101 @@
     over_share_worth: Share = 0.1
 
     @model_validator(mode="after")
-    def _whole(self) -> Self:
+    def _is_consistent(self) -> Self:
+        self._check_names()
+        self._check_shares()
+        self._check_sites_apart()
+        self._check_kinds()
+        self._check_addresses_differ()
+        return self
+
+    def _check_names(self) -> None:
         for key in ("classes", "tenants", "kinds", "sites"):
             names = [part.name for part in getattr(self, key)]
             for name in names:
                 if names.count(name) > 1:
-                    raise ValueError(f"{key}: {name!r} comes twice")
+                    message = f"{key}: {name!r} comes twice"
+                    raise ValueError(message)
+
+    def _check_shares(self) -> None:
         for key in ("classes", "tenants"):
             total = sum(part.share for part in getattr(self, key))
-            if getattr(self, key) and abs(total - 1) > 0.01:
-                raise ValueError(f"{key}: the shares make {total:.3f}, not 1")
-        for a, site in enumerate(self.sites):
-            for other in self.sites[a + 1 :]:
+            if getattr(self, key) and abs(total - 1) > MAX_SHARE_ERROR:
+                message = f"{key}: the shares make {total:.3f}, not 1"
+                raise ValueError(message)
+
+    def _check_sites_apart(self) -> None:
+        for index, site in enumerate(self.sites):
+            for other in self.sites[index + 1 :]:
                 both = site.space & other.space
                 if both:
-                    raise ValueError(f"sites: {site.name} and {other.name} both hold {both.iter_cidrs()[0]}")
+                    message = f"sites: {site.name} and {other.name} both hold {both.iter_cidrs()[0]}"
+                    raise ValueError(message)
+
+    def _check_kinds(self) -> None:
         kinds = {kind.name for kind in self.kinds}
-        for at, group in enumerate(self.workers):
+        for index, group in enumerate(self.workers):
             if group.kind not in kinds:
-                raise ValueError(f"workers[{at}].kind: no kind {group.kind!r}; there are {sorted(kinds)}")
-        seen: set[str] = set()
-        for part in (*self.placed_workers, *self.placed_routers):
-            if part.address in seen:
-                raise ValueError(f"{part.address} stands for two")
-            seen.add(part.address)
-        return self
+                message = f"workers[{index}].kind: no kind {group.kind!r}; there are {sorted(kinds)}"
+                raise ValueError(message)
 
-    def _place(self, key: str, at: int, addresses: list[str]) -> list[tuple[str, str]]:
-        out = []
+    def _check_addresses_differ(self) -> None:
+        seen: set[str] = set()
+        for placed in (*self.placed_workers, *self.placed_routers):
+            if placed.address in seen:
+                message = f"{placed.address} stands for two"
+                raise ValueError(message)
+            seen.add(placed.address)
+
+    def _place(self, key: str, index: int, addresses: list[str]) -> list[tuple[str, str]]:
+        """Addresses with their sites, of a group of workers or routers."""
+        placed = []
+        for address in self._listed(key, index, addresses):
+            site = self.site_of(address)
+            if site is None:
+                message = f"{key}[{index}].addresses: {address} lies in no site"
+                raise ValueError(message)
+            placed.append((address, site))
+        if not placed:
+            message = f"{key}[{index}].addresses: none"
+            raise ValueError(message)
+        return placed
+
+    @staticmethod
+    def _listed(key: str, index: int, addresses: list[str]) -> Iterator[str]:
         for text in addresses:
             try:
                 listed = [str(ip) for part in addresses_of(text) for ip in part]
             except ValueError as error:
-                raise ValueError(f"{key}[{at}].addresses: {error}") from None
-            for address in listed:
-                site = next((s.name for s in self.sites if netaddr.IPAddress(address) in s.space), None)
-                if site is None:
-                    raise ValueError(f"{key}[{at}].addresses: {address} lies in no site")
-                out.append((address, site))
-        if not out:
-            raise ValueError(f"{key}[{at}].addresses: none")
-        return out
+                message = f"{key}[{index}].addresses: {error}"
+                raise ValueError(message) from None
+            yield from listed
+
+    def site_of(self, address: str) -> str | None:
+        """The site in which an address lies, by its networks, addresses and ranges."""
+        ip = netaddr.IPAddress(address)
+        return next((site.name for site in self.sites if ip in site.space), None)
 
     @cached_property
     def placed_workers(self) -> list[Placed]:
+        """All workers."""
         return [
-            Placed(address=a, site=s, kind=g.kind)
-            for at, g in enumerate(self.workers)
-            for a, s in self._place("workers", at, g.addresses)
+            Placed(address=address, site=site, kind=group.kind)
+            for index, group in enumerate(self.workers)
+            for address, site in self._place("workers", index, group.addresses)
         ]
 
     @cached_property
     def placed_routers(self) -> list[Placed]:
+        """All routers."""
         return [
-            Placed(address=a, site=s, group=at)
-            for at, g in enumerate(self.routers)
-            for a, s in self._place("routers", at, g.addresses)
+            Placed(address=address, site=site, group=index)
+            for index, group in enumerate(self.routers)
+            for address, site in self._place("routers", index, group.addresses)
         ]
 
     def kind(self, name: str) -> Kind:
+        """The kind of this name, which is there."""
         return next(kind for kind in self.kinds if kind.name == name)
 
     @property
@@ -266,106 +326,15 @@
         return self.load.rate * self.mean_work_s * (1 + self.intake.share) / self.capacity
 
     def with_load(self, rate: float) -> "Fleet":
+        """The same with so many first tries a second."""
         return self.model_copy(update={"load": self.load.model_copy(update={"rate": rate})})
 
     def at(self, demand: float) -> "Fleet":
         """The same with a load of so much of its capacity."""
         return self.with_load(self.load.rate * demand / self.demand)
 
-    def settings(self, kind: Kind, cold: bool) -> AdmissionSettings:
-        """What a worker of this kind is told."""
-        return AdmissionSettings(
-            classes=tuple(
-                RequestClass(
-                    name=c.name,
-                    latency_objective_ns=int(c.aim_ms * MS),
-                    deadline_ns=int(c.deadline_ms * MS),
-                    priority_weight=c.worth,
-                    late_weight=c.late_worth,
-                    idempotency=REPEATS[c.repeat],
-                    idempotency_window_ns=int(c.window_ms * MS),
-                )
-                for c in self.classes
-            ),
-            tenants=tuple(admission_settings.Tenant(t.name, self.quota(t), t.share) for t in self.tenants),
-            cores=kind.cores,
-            memory_kb=kind.memory_mb * 1000,
-            collapse_multiple=kind.crowd,
-            collapse_after_ns=1500 * MS,
-            run_memory_factor=self.intake.run_factor,
-            drain_grace_ns=2500 * MS,
-            answer_grace_ns=80 * MS,
-            objective=ObjectiveWeights(0.45, 0.15, 0.3, 0.1),
-            fleet_size=len(self.placed_workers),
-            caller_count=len(self.placed_routers),
-            key_kb=self.intake.key_kb,
-            cold_start=cold,
-            warmup_ns=int(kind.cold_s * 1000 * MS),
-            warmup_speed=kind.cold_from,
-            reports_disconnects=True,
-            marks_retries=True,
-            weighs_work=True,
-            over_quota_weight=self.over_share_worth,
-            relays_retry_after=True,
-            max_retry_after_ns=1000 * MS,
-            readiness=True,
-            idle_timeout_ns=int(self.intake.idle_s * 1000 * MS),
-            clock_step_ns=4 * MS,
-        )
-
-    def told(self, kind: Kind) -> dict[str, Any]:
-        """The same as the platform's settings object, for a real worker."""
-        ns = 1_000_000_000
-        names = {repeat: name for name, repeat in REPEATS.items()}
-        s = self.settings(kind, cold=False)
-        return {
-            "Classes": [
-                {
-                    "Name": c.name,
-                    "Slo": c.latency_objective_ns,
-                    "Deadline": c.deadline_ns,
-                    "Gain": c.priority_weight,
-                    "LateValue": c.late_weight,
-                    "Repeat": names[c.idempotency],
-                }
-                | ({"Window": c.idempotency_window_ns} if c.idempotency_window_ns else {})
-                for c in s.classes
-            ],
-            "Tenants": [{"Name": t.name, "QuotaPerS": t.quota_per_s, "Fraction": t.share} for t in s.tenants],
-            "FamilyInfo": {
-                "Cores": s.cores,
-                "HeapKb": s.memory_kb,
-                "RunFactor": s.run_memory_factor,
-                "KeyKb": s.key_kb,
-                "Callers": s.caller_count,
-                "Idle": s.idle_timeout_ns,
-                "TellsGone": True,
-                "Readiness": True,
-                "OwnStats": ["cpu_busy", "runnable"],
-            },
-            "FleetSize": s.fleet_size,
-            "Step": s.clock_step_ns,
-            "WorthBy": "work",
-            "OverShareWorth": s.over_quota_weight,
-            "ClientHabits": {"MarksRetry": True},
-            "ResultMix": {
-                "Whole": s.objective.overall,
-                "WorstWindow": s.objective.worst_window,
-                "WorstClass": s.objective.worst_class,
-                "WorstTenant": s.objective.worst_tenant,
-            },
-            "PolicyLimits": {"RetryAfter": True, "MaxRetryAfter": s.max_retry_after_ns},
-            "Rules": {
-                "Cold": max(1, s.warmup_ns),
-                "ColdFrom": s.warmup_speed,
-                "DrainGrace": s.drain_grace_ns,
-                "Fall": int(1.5 * ns),
-                "GraceToAnswer": s.answer_grace_ns,
-                "TipMultiple": s.collapse_multiple,
-            },
-        }
-
     def quota(self, tenant: Tenant) -> float:
+        """Requests a second that count in full for a tenant."""
         return tenant.quota_per_s if tenant.quota_per_s is not None else tenant.share * self.load.rate
 
 
@@ -377,10 +346,11 @@
             return [netaddr.IPRange(first, last)]
         return [netaddr.IPNetwork(text)]
     except (netaddr.AddrFormatError, ValueError) as error:
-        raise ValueError(f"{text!r} is no address, network or range: {error}") from None
+        message = f"{text!r} is no address, network or range: {error}"
+        raise ValueError(message) from None
 
 
-def told_faults(error: ValidationError) -> list[str]:
+def fault_lines(error: ValidationError) -> list[str]:
     """A line for each fault, which begins with its key."""
     lines = []
     for fault in error.errors():
@@ -392,19 +362,20 @@
 
 
 def parse(data: dict[str, Any]) -> Fleet:
-    """Raises FleetDescriptionError, with a line for each fault."""
+    """The description from its TOML values. Raises FleetDescriptionError, with a line for each fault."""
     try:
         return Fleet.model_validate(data)
     except ValidationError as error:
-        raise FleetDescriptionError("\n".join(told_faults(error))) from None
+        raise FleetDescriptionError("\n".join(fault_lines(error))) from None
 
 
 def load(path: Path) -> Fleet:
-    """Raises FleetDescriptionError, which names the file, and OSError."""
+    """The description from a file. Raises FleetDescriptionError, which names the file, and OSError."""
     try:
         return parse(tomllib.loads(path.read_text(encoding="utf-8")))
     except tomllib.TOMLDecodeError as error:
-        raise FleetDescriptionError(f"{path}: {error}") from None
+        message = f"{path}: {error}"
+        raise FleetDescriptionError(message) from None
     except FleetDescriptionError as error:
         raise FleetDescriptionError(
             "\n".join(f"{path}: {line}" for line in str(error).splitlines())
--- a/ochrehoist/config/schema.py
+++ b/ochrehoist/config/schema.py
@@ -129,7 +129,7 @@
     """The sites that the fleet's workers lie in."""
 
     site: str  # this worker's
-    places: Any  # site by address, of the fleet's description (sites.places.Places); None: as members say
+    site_map: Any  # a config.site_map.SiteMap, by the fleet's description; None: as members say
     playbook: Any  # sites.playbook.Playbook, or None
     pace: bool  # whether a worker that comes back takes its load by steps
 
--- a/ochrehoist/lab/balancer.py
+++ b/ochrehoist/lab/balancer.py
@@ -13,13 +13,13 @@
 import xxhash
 from pydantic import Field
 
-from ochrehoist.plan.fleet import Part
+from ochrehoist.config.fleet_description import DescriptionTable
 from ochrehoist.plan.routing import rendezvous
 
 LINE = re.compile(rb"(?P<word>up|ready|drain|down|stopped)?\s*(?:(?P<weight>\d{1,3})%)?\s*$")
 
 
-class Habits(Part):
+class Habits(DescriptionTable):
     """`check_s`: between two checks of each worker; 0: none, and every worker counts as well."""
 
     choice: Literal["round", "weighted", "subject"] = "round"
--- a/ochrehoist/lab/drill.py
+++ b/ochrehoist/lab/drill.py
@@ -3,10 +3,10 @@
 from collections.abc import Sequence
 from typing import Any
 
+from ochrehoist.config.fleet_description import Fleet
 from ochrehoist.lab import judge
 from ochrehoist.lab.judge import CallMade
 from ochrehoist.lab.scenario import Scenario, ScenarioError, parse
-from ochrehoist.plan.fleet import Fleet
 
 AT_S, AFTER_S = 8.0, 14.0  # of the loss; that is played after the return
 STARTS_S = 2.0  # for which a process starts
--- a/ochrehoist/lab/scenario.py
+++ b/ochrehoist/lab/scenario.py
@@ -6,9 +6,15 @@
 
 from pydantic import Field, ValidationError, model_validator
 
+from ochrehoist.config.fleet_description import (
+    DescriptionTable,
+    FleetDescriptionError,
+    Positive,
+    Share,
+    fault_lines,
+)
 from ochrehoist.errors import OchrehoistError
 from ochrehoist.lab.balancer import Habits
-from ochrehoist.plan.fleet import FleetDescriptionError, Part, Positive, Share, told_faults
 
 Links = Literal["peers", "fronts", "servers", "checks", "all"]
 KINDS = (
@@ -43,7 +49,7 @@
     """The scenario can't be played; one line for each fault, each with its key."""
 
 
-class Class(Part):
+class Class(DescriptionTable):
     name: str
     share: Share
     work_ms: Positive
@@ -54,7 +60,7 @@
     window_s: Positive = 20.0  # in which a repeat of a keyed one must not run
 
 
-class Load(Part):
+class Load(DescriptionTable):
     rate: Positive = 60.0  # calls a second
     tries: Annotated[int, Field(ge=1, le=20)] = 3
     wait_ms: Annotated[float, Field(ge=0)] = 100.0  # before a further try, at least
@@ -63,7 +69,7 @@
     endless: bool = False  # tries again at once, up to the call's due time, whatever it is told
 
 
-class Services(Part):
+class Services(DescriptionTable):
     """Servers below: one of each worker's own, or shared ones."""
 
     shared: Annotated[int, Field(ge=0, le=20)] = 3
@@ -73,7 +79,7 @@
     cold_s: Annotated[float, Field(ge=0)] = 0.0
 
 
-class Budget(Part):
+class Budget(DescriptionTable):
     name: str
     use: Literal["repeats", "tenant", "server"]
     amount: Annotated[int, Field(ge=1)]
@@ -84,7 +90,7 @@
     longest_ms: Positive = 1000
 
 
-class Fault(Part):
+class Fault(DescriptionTable):
     """`who`: workers (w0, w1 ...), services (s0 ...) or sites by name; of `cut`, those on one side. `to`: the
     other; else all."""
 
@@ -108,7 +114,7 @@
         return self
 
 
-class Scenario(Part):
+class Scenario(DescriptionTable):
     name: str
     about: str = ""
     seconds: Positive = 12.0
@@ -172,7 +178,7 @@
     try:
         return Scenario.model_validate(data)
     except ValidationError as error:
-        raise ScenarioError("\n".join(told_faults(error))) from None
+        raise ScenarioError("\n".join(fault_lines(error))) from None
 
 
 def load(path: Path) -> Scenario:
--- a/ochrehoist/net/sites.py
+++ b/ochrehoist/net/sites.py
@@ -75,8 +75,8 @@
     # ---- time
     def _look(self) -> None:
         now = time.monotonic()
-        places = self.config.places
-        self.desk.look(now, heard(self.peers.group, places.site_of if places else None))
+        site_map = self.config.site_map
+        self.desk.look(now, heard(self.peers.group, site_map.site_of if site_map else None))
         if self.desk.ramp is None:
             self._let_go()
         self.owner.part = self.desk.part
--- a/ochrehoist/plan/analytic.py
+++ b/ochrehoist/plan/analytic.py
@@ -10,8 +10,8 @@
 
 import numpy as np
 
+from ochrehoist.config.fleet_description import Choice, Fleet, Kind
 from ochrehoist.plan.demand import lognormal, popularity
-from ochrehoist.plan.fleet import Choice, Fleet, Kind
 from ochrehoist.plan.routing import rendezvous
 
 ROUNDS = 200  # of the fixed point; it is damped by half
--- a/ochrehoist/plan/demand.py
+++ b/ochrehoist/plan/demand.py
@@ -11,7 +11,7 @@
 import xxhash
 
 from ochrehoist.capture.reader import Capture, Entry
-from ochrehoist.plan.fleet import Fleet
+from ochrehoist.config.fleet_description import Fleet
 
 STREAMS = (
     "arrivals",
--- a/ochrehoist/plan/events.py
+++ b/ochrehoist/plan/events.py
@@ -11,6 +11,7 @@
 from typing import Any
 
 from ochrehoist.admission.events import Outcome
+from ochrehoist.config.fleet_description import Fleet, Placed
 from ochrehoist.core.messages import (
     CallerDisconnected,
     ExecutorReady,
@@ -23,9 +24,9 @@
 from ochrehoist.core.results import FailureReason, RunResult
 from ochrehoist.plan.cores import Cores, Machine
 from ochrehoist.plan.demand import Streams, Wish, drawn, speeds
-from ochrehoist.plan.fleet import Fleet, Placed
 from ochrehoist.plan.outcome import End, Quota, Tally, WorkerCount
 from ochrehoist.plan.routing import UNREACHABLE_S, Answer, Call, Next, Router, after
+from ochrehoist.plan.worker_settings import admission_settings
 
 EPOCH = 1_700_000_000  # s; the workers' Unix clock at the start
 NEAR = 0.0003  # s one way within a site
@@ -122,7 +123,7 @@
         self.tries: dict[str, Try] = {}  # that came and are not answered
         self.callers: dict[int, float] = {}  # connections, and when each was last used
         self.owner = Owner(
-            sim.fleet.settings(self.kind, cold),
+            admission_settings(sim.fleet, self.kind, cold),
             sim.seed * 1000 + self.number,
             Waker(),
             self._clock,
--- a/ochrehoist/plan/measure.py
+++ b/ochrehoist/plan/measure.py
@@ -21,14 +21,15 @@
 
 from hdrh.histogram import HdrHistogram
 
+from ochrehoist.config.fleet_description import Fleet, Placed
 from ochrehoist.errors import OchrehoistError
 from ochrehoist.net import thrift
 from ochrehoist.plan.cores import Cores, Machine
 from ochrehoist.plan.demand import Streams, Wish, drawn, speeds
 from ochrehoist.plan.events import Trouble
-from ochrehoist.plan.fleet import Fleet, Placed
 from ochrehoist.plan.outcome import LONGEST_MS, End, Quota, Tally, WorkerCount
 from ochrehoist.plan.routing import UNREACHABLE_S, Answer, Call, Next, Router, after
+from ochrehoist.plan.worker_settings import platform_settings
 
 ROOT = Path(__file__).parent.parent.parent
 MOST_OPEN = 32  # requests on one connection, as the protocol has it
@@ -79,7 +80,7 @@
             "seed": f"{self.play.seed * 1000 + self.number:x}",
             "stop_ms": 3000,
             "limits": {"memory_mb": 192, "sockets": 512},
-            "settings": self.play.fleet.told(self.kind),
+            "settings": platform_settings(self.play.fleet, self.kind),
         }
         path = Path(self.play.folder, f"n{self.number}.json")
         path.write_text(json.dumps(config))
--- a/ochrehoist/plan/outcome.py
+++ b/ochrehoist/plan/outcome.py
@@ -7,7 +7,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from ochrehoist.plan.fleet import Fleet
+from ochrehoist.config.fleet_description import Fleet
 
 LONGEST_MS = 120_000
 
--- a/ochrehoist/plan/playbook.py
+++ b/ochrehoist/plan/playbook.py
@@ -6,8 +6,8 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
+from ochrehoist.config.fleet_description import Class, Fleet, Workers
 from ochrehoist.plan import analytic
-from ochrehoist.plan.fleet import Class, Fleet, Workers
 from ochrehoist.plan.questions import UnanswerableQuestionError
 from ochrehoist.sites.order import STEADY
 from ochrehoist.sites.playbook import VERSION, LetIn, Loss, Playbook
--- a/ochrehoist/plan/questions.py
+++ b/ochrehoist/plan/questions.py
@@ -9,11 +9,11 @@
 from typing import Any
 
 from ochrehoist.capture.reader import Capture
+from ochrehoist.config.fleet_description import Fleet, Workers
 from ochrehoist.errors import OchrehoistError
 from ochrehoist.plan import analytic
 from ochrehoist.plan.demand import Streams, Wish, captured, speeds
 from ochrehoist.plan.events import Simulation, Trouble
-from ochrehoist.plan.fleet import Fleet, Workers
 
 Progress = Callable[[int, int], None]  # runs that are done, of all
 T_95 = {2: 12.71, 3: 4.30, 4: 3.18, 5: 2.78, 6: 2.57, 7: 2.45, 8: 2.36, 9: 2.31, 10: 2.26}
--- a/ochrehoist/plan/restart.py
+++ b/ochrehoist/plan/restart.py
@@ -5,9 +5,9 @@
 from statistics import mean
 from typing import Any
 
+from ochrehoist.config.fleet_description import Fleet
 from ochrehoist.plan import analytic
 from ochrehoist.plan.events import Trouble
-from ochrehoist.plan.fleet import Fleet
 from ochrehoist.plan.questions import Progress, Run, UnanswerableQuestionError, known
 
 AT_S = 10.0  # s of the loss
--- a/ochrehoist/plan/routing.py
+++ b/ochrehoist/plan/routing.py
@@ -11,7 +11,7 @@
 
 import xxhash
 
-from ochrehoist.plan.fleet import Choice, Clients, Routers
+from ochrehoist.config.fleet_description import Choice, Clients, Routers
 
 UNREACHABLE_S = 1.0  # s that a router stays away from a worker that refused its connection
 
--- a/tests/test_plan.py
+++ b/tests/test_plan.py
@@ -14,17 +14,18 @@
 
 from ochrehoist.capture.reader import Capture, Entry
 from ochrehoist.capture.records import Head, Seen
+from ochrehoist.config.fleet_description import Choice, Clients, FleetDescriptionError, Routers, parse
 from ochrehoist.config.settings import settings_from
 from ochrehoist.plan import analytic
 from ochrehoist.plan.cores import Cores, Machine
 from ochrehoist.plan.demand import Streams, Wish, captured, drawn, speeds
 from ochrehoist.plan.events import Simulation, Trouble
 from ochrehoist.plan.fit import fitted
-from ochrehoist.plan.fleet import Choice, Clients, FleetDescriptionError, Routers, parse
 from ochrehoist.plan.measure import Play
 from ochrehoist.plan.outcome import End
 from ochrehoist.plan.questions import UnanswerableQuestionError, forecast, lose, ranged, size, with_workers
 from ochrehoist.plan.routing import Answer, Call, Next, Router, after, rendezvous
+from ochrehoist.plan.worker_settings import admission_settings, platform_settings
 
 EXAMPLE = tomllib.loads((ROOT / "deploy/fleet.toml").read_text())
 
@@ -387,8 +388,8 @@
     def test_a_worker_is_told_the_same_as_the_model(self):
         f = fleet()
         kind = f.kinds[0]
-        told = settings_from(f.told(kind))
-        model = f.settings(kind, cold=False)
+        told = settings_from(platform_settings(f, kind))
+        model = admission_settings(f, kind, cold=False)
         self.assertEqual(dataclasses.replace(told, warmup_ns=0), dataclasses.replace(model, warmup_ns=0))
 
     def test_real_workers_answer_each_call_once_and_a_lost_one_ends_its_own(self):
@@ -429,8 +430,7 @@
 
     def test_the_worker_imports_nothing_of_it(self):
         for path in Path(ROOT, "ochrehoist").rglob("*.py"):
-            # sites/places.py is loaded only where `sites.fleet` names a description.
-            if not {"plan", "lab"} & set(path.parts) and path.name not in ("plan.py", "lab.py", "places.py"):
+            if not {"plan", "lab"} & set(path.parts) and path.name not in ("plan.py", "lab.py"):
                 text = path.read_text()
                 self.assertNotIn("ochrehoist.plan", text.replace("ochrehoist.cli.plan", ""), path)
 
--- a/tests/test_plan_restart.py
+++ b/tests/test_plan_restart.py
@@ -3,9 +3,9 @@
 import unittest
 from pathlib import Path
 
+from ochrehoist.config.fleet_description import load
 from ochrehoist.lab.drill import rolling_of, scenario_of
 from ochrehoist.lab.scenario import ScenarioError
-from ochrehoist.plan.fleet import load
 from ochrehoist.plan.questions import UnanswerableQuestionError
 from ochrehoist.plan.restart import by_figures, restart, spread
 
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -11,10 +11,10 @@
 from hypothesis import strategies as st
 
 from ochrehoist.admission.settings import AdmissionSettings, Idempotency, RequestClass, Tenant
+from ochrehoist.config.fleet_description import load as load_fleet
 from ochrehoist.core.tenants import first
 from ochrehoist.lab import sitestorm
 from ochrehoist.plan import playbook as plan_playbook
-from ochrehoist.plan.fleet import load as load_fleet
 from ochrehoist.sites import desk as desk_module
 from ochrehoist.sites import knowing as k
 from ochrehoist.sites import orders, playbook, words
