--- a/benchmarks/sites.py
+++ b/benchmarks/sites.py
@@ -17,8 +17,8 @@
 from ochrehoist.lab.play import Play
 from ochrehoist.lab.scenario import parse
 from ochrehoist.lab.sitestorm import Sites
-from ochrehoist.sites.desk import Desk
-from ochrehoist.sites.ramp import Ramp
+from ochrehoist.sites.admission_gate import AdmissionGate
+from ochrehoist.sites.recovery_ramp import RecoveryRamp
 
 AT, BACK, END = 10, 22, 46  # s of virtual time
 CLASSES = [
@@ -31,9 +31,9 @@
 def one(seed: int, load: float, without: str) -> dict[str, Any]:
     patches: list[Any] = []
     if without != "":
-        patches.append(mock.patch.object(Ramp, "part", 1.0))
+        patches.append(mock.patch.object(RecoveryRamp, "load_fraction", 1.0))
     if without == "gate and steps":
-        patches.append(mock.patch.object(Desk, "limit", 1.0))
+        patches.append(mock.patch.object(AdmissionGate, "rank_limit", 1.0))
     for p in patches:
         p.start()
     try:
--- a/benchmarks/slopes/state.py
+++ b/benchmarks/slopes/state.py
@@ -189,15 +189,17 @@
 
 def word_by_tenants(size: int, seed: int) -> Measures:
     """What a worker with [sites] puts into each answer, once so many tenants were heard."""
-    from ochrehoist.sites.desk import Desk
+    from ochrehoist.sites.coordinator import SiteCoordinator
 
-    desk = Desk("worker-0001", "site-a", settings(size), None, 1.0, False)
+    coordinator = SiteCoordinator("worker-0001", "site-a", settings(size), None, 1.0, False)
     for n in range(size):
-        desk.order.came((f"tenant-{n:06}", "class-0", n), "class-0", f"tenant-{n:06}", False, 1.0)
+        coordinator.gate.order.record_arrival(
+            (f"tenant-{n:06}", "class-0", n), "class-0", f"tenant-{n:06}", False, 1.0
+        )
     return {
-        "answer_bytes": len(desk.status(1.5)),
-        "status_us": cpu_us(lambda: desk.status(1.5)),
-        "look_us": cpu_us(lambda: desk.look(1.6, [])),
+        "answer_bytes": len(coordinator.status(1.5)),
+        "status_us": cpu_us(lambda: coordinator.status(1.5)),
+        "look_us": cpu_us(lambda: coordinator.tick(1.6, [])),
     }
 
 
--- a/ochrehoist/app/worker.py
+++ b/ochrehoist/app/worker.py
@@ -174,9 +174,9 @@
                 servers.advisor = self.peers
         self.sites: Any = None
         if config.sites:
-            from ochrehoist.net.sites import Sites
+            from ochrehoist.net.sites import SiteService
 
-            self.sites = Sites(loop, owner, config, self.peers, self.inherited is None, self.log)
+            self.sites = SiteService(loop, owner, config, self.peers, self.inherited is None, self.log)
             parts.append(switch_only(self.sites.configure))
         self.recovery: Any = None
         if config.recovery:
@@ -293,9 +293,9 @@
             }
         if not self.config.sites:
             return calls
-        from ochrehoist.net.sites import Calls
+        from ochrehoist.net.sites import SiteCommandRoutes
 
-        return Calls(calls, lambda site, word: self.sites.order(site, word))
+        return SiteCommandRoutes(calls, lambda site, kind: self.sites.issue_command(site, kind))
 
     def standby(self, on: bool) -> Answer:
         self.owner.post(StandbyChanged(on))
--- a/ochrehoist/cli/plan.py
+++ b/ochrehoist/cli/plan.py
@@ -422,7 +422,8 @@
 def _write_playbook(fleet: Any, site: str, values: dict[str, Any], file: Path) -> None:
     """By figures alone, with what the event model makes of this site's loss without it beside."""
     from ochrehoist.plan.playbook import made
-    from ochrehoist.sites.playbook import parse, text_of
+    from ochrehoist.sites.playbook_codec import parse
+    from ochrehoist.sites.playbook_text import render
 
     book, about = made(fleet, int(time.time()))
     during = values["during"]
@@ -431,10 +432,10 @@
         f"\nWithout a playbook the events give {during['mean']:.2f}{half} of the worth "
         f"meanwhile, {values['worst_second']:.2f} in the worst second."
     )
-    text = text_of(book, about)
+    text = render(book, about)
     parse(text, [c.name for c in fleet.classes])  # what is written can be read
     file.write_text(text)
-    lost = ", ".join(x.site for x in book.loss)
+    lost = ", ".join(x.site for x in book.losses)
     click.echo(f"{file}: playbook {book.digest} for the loss of {lost}", err=True)
 
 
--- a/ochrehoist/cli/sites.py
+++ b/ochrehoist/cli/sites.py
@@ -74,15 +74,16 @@
     @click.argument("file", type=click.Path(path_type=Path))
     def check(file: Path) -> None:
         """Read a playbook and say what is wrong, each fault by its key."""
-        from ochrehoist.sites.playbook import PlaybookError, parse
+        from ochrehoist.sites.playbook import PlaybookError
+        from ochrehoist.sites.playbook_codec import parse
 
         try:
             book = parse(file.read_text(encoding="utf-8"))
         except (OSError, ValueError, PlaybookError) as error:
             end("\n".join(f"{file}: {line}" for line in str(error).splitlines()), WRONG)
         click.echo(
-            f"{file}: good; {book.fleet}, made {book.made}, digest {book.digest}, "
-            f"for the loss of {', '.join(x.site for x in book.loss)}"
+            f"{file}: good; {book.fleet}, made {book.made_at}, digest {book.digest}, "
+            f"for the loss of {', '.join(x.site for x in book.losses)}"
         )
 
     def order(word: str) -> None:
--- a/ochrehoist/config/fleet.py
+++ b/ochrehoist/config/fleet.py
@@ -143,7 +143,8 @@
     if "sites" not in top.data:
         return None
     # Their libraries are for those who want them.
-    from ochrehoist.sites.playbook import PlaybookError, parse
+    from ochrehoist.sites.playbook import PlaybookError
+    from ochrehoist.sites.playbook_codec import parse
 
     r = only(top.part("sites"), "site", "fleet", "playbook", "pace")
     if peers is None:
--- a/ochrehoist/lab/sitejudge.py
+++ b/ochrehoist/lab/sitejudge.py
@@ -7,7 +7,7 @@
 
 from ochrehoist.lab.judge import Fault
 from ochrehoist.lab.scenario import Scenario
-from ochrehoist.sites.permit import PERMIT_S
+from ochrehoist.sites.step_lease import STEP_LEASE_DURATION_S
 
 GONE = ("kill", "hold", "leave", "pause", "cut", "dead", "call")  # after which a site's load goes elsewhere
 AFTER_S = 6.0  # s after the end of what was done, in which a loss may still be found
@@ -64,12 +64,12 @@
 
 
 def at_once(stepped: Sequence[tuple[float, str, str, float]]) -> list[str]:
-    """Steps of one site between two steps of another that followed within one permit."""
+    """Steps of one site between two steps of another that followed within one step lease."""
     out = []
     for n, (at, _, site, _) in enumerate(stepped):
         between = None
         for later, _, other, _ in stepped[n + 1 :]:
-            if later - at >= PERMIT_S / 2:
+            if later - at >= STEP_LEASE_DURATION_S / 2:
                 break
             if other != site:
                 between = later, other
--- a/ochrehoist/lab/sitestorm.py
+++ b/ochrehoist/lab/sitestorm.py
@@ -1,6 +1,6 @@
-"""Several sites on virtual time: real desks, membership and budgets, a stand-in balancer, cores that warm.
+"""Several sites on virtual time: real coordinators, membership and budgets; a stand-in balancer.
 
-Each worker's requests go through its desk and then the real decision module. No I/O; all comes from the seed.
+Each worker's requests go through its gate and then the real decision module. No I/O; all comes from the seed.
 """
 
 import math
@@ -23,12 +23,13 @@
 from ochrehoist.lab.balancer import Balancer, Habits
 from ochrehoist.lab.virtual import Node, World
 from ochrehoist.plan.cores import Cores, Machine
-from ochrehoist.sites.desk import Desk
-from ochrehoist.sites.heard import heard
-from ochrehoist.sites.knowing import BURSTS, LOST, SURE
-from ochrehoist.sites.level import LOOK_S
-from ochrehoist.sites.permit import PERMIT, PERMIT_S, permit
-from ochrehoist.sites.words import FULL, TOPIC
+from ochrehoist.sites.admission_threshold import TICK_INTERVAL_S
+from ochrehoist.sites.coordinator import SiteCoordinator
+from ochrehoist.sites.operator_commands import CommandKind
+from ochrehoist.sites.peer_workers import observe_peers
+from ochrehoist.sites.site_health import BURST_FACTOR, EVIDENCE_THRESHOLD, SiteState
+from ochrehoist.sites.site_report import TOPIC
+from ochrehoist.sites.step_lease import STEP_LEASE_BUDGET, STEP_LEASE_DURATION_S, step_lease_budget
 
 S = 1_000_000_000
 CHECK_S = 0.2
@@ -79,18 +80,37 @@
     """One process of a worker, and its machine."""
 
     node: Node
-    desk: Desk
+    coordinator: SiteCoordinator
     cores: Cores
     module: AdmissionController
     live: dict[str, tuple[Call, InboundRequest]] = field(default_factory=dict)
     running: dict[str, float] = field(default_factory=dict)
     born: float = 0.0
     looked: float = 0.0
-    ticket: int | None = None
     timer: int = 0  # of its next end: an older one says nothing
     unread: list[Call] = field(default_factory=list)  # that came while the process stood still
 
 
+class LabStepLease:
+    """The step lease of one process, used anew each time that it is asked for."""
+
+    def __init__(self, node: Node) -> None:
+        self._node = node
+        self._ticket: int | None = None
+
+    def acquire(self, now: float) -> float:
+        """Seconds for which it is held from now on; 0: not held."""
+        self.release()
+        self._ticket = self._node.group.use(STEP_LEASE_BUDGET, now)
+        return STEP_LEASE_DURATION_S if self._ticket is not None else 0.0
+
+    def release(self) -> None:
+        """Lets another site have it at once."""
+        if self._ticket is not None:
+            self._node.group.done(STEP_LEASE_BUDGET, self._ticket)
+            self._ticket = None
+
+
 class Sites(World):
     """`sites`: how many workers in each. The load is of the capacity of all, warm."""
 
@@ -107,7 +127,7 @@
         voters: int = 0,
     ) -> None:
         names = [f"w{n:03d}" for n in range(sum(sites.values()))]
-        super().__init__(seed, (permit(tuple(names[: voters or 7])),))
+        super().__init__(seed, (step_lease_budget(tuple(names[: voters or 7])),))
         self.oracle.budgets.clear()
         placed = iter(names)
         self.sites = {next(placed): site for site, count in sites.items() for _ in range(count)}
@@ -136,31 +156,20 @@
     def _began(self, node: Node) -> None:
         site = self.sites[node.name]
         now = node.clock(self.now)
-        desk = Desk(node.name, site, self.settings, None, now, self.cold_start)
+        lease = LabStepLease(node)
+        coordinator = SiteCoordinator(
+            node.name, site, self.settings, None, now, self.cold_start, step_lease=lease
+        )
         cores = Cores(self.machine, self.now, cold=self.cold_start)
         module = AdmissionController(self.settings, self.rng["groups"].getrandbits(30))
-        s = self.stations[node.name] = Station(node, desk, cores, module)
+        s = self.stations[node.name] = Station(node, coordinator, cores, module)
         s.born = self.now
         self._tell(s, InstanceStarted())
-        node.group.extensions[TOPIC] = desk
-        desk.ask_permit = lambda t, node=node: self._permit(node, t)
-        desk.drop_permit = lambda node=node: self._let_go(node)
-
-    def _permit(self, node: Node, now: float) -> float:
-        self._let_go(node)
-        s = self.stations[node.name]
-        s.ticket = node.group.use(PERMIT, now)
-        return PERMIT_S if s.ticket is not None else 0.0
-
-    def _let_go(self, node: Node) -> None:
-        s = self.stations[node.name]
-        if s.ticket is not None:
-            node.group.done(PERMIT, s.ticket)
-            s.ticket = None
+        node.group.extensions[TOPIC] = coordinator
 
     def _beaten(self, node: Node) -> None:
         s = self.stations[node.name]
-        if s.node is not node or self.now - s.looked < LOOK_S - 0.03:
+        if s.node is not node or self.now - s.looked < TICK_INTERVAL_S - 0.03:
             return
         s.looked = self.now
         now = node.clock(self.now)
@@ -172,37 +181,36 @@
         self._tell(
             s, TimerFired(1, {"cpu_busy": min(1.0, running / self.machine.cores), "runnable": running})
         )
-        before = s.desk.ramp.number if s.desk.ramp is not None else None
-        known = len(s.desk.knowing.changes)
-        s.desk.look(now, heard(node.group))
-        if s.desk.ramp is None:
-            self._let_go(node)
-        for _, site, state, _ in s.desk.knowing.changes[known:]:
-            if state == LOST:
-                self.alarms.append((self.now, node.name, site))
-        if before is not None and s.desk.ramp is not None and s.desk.ramp.number > before:
+        coordinator, pacing = s.coordinator, s.coordinator.pacing
+        before = pacing.recovery.stage if pacing.recovery is not None else None
+        known = len(coordinator.health.changes)
+        coordinator.tick(now, observe_peers(node.group))
+        for change in coordinator.health.changes[known:]:
+            if change.state is SiteState.LOST:
+                self.alarms.append((self.now, node.name, change.site))
+        if before is not None and pacing.recovery is not None and pacing.recovery.stage > before:
             self.steps[node.name] += 1
-            if s.desk.site_returns:
+            if coordinator.arbiter.site_returns:
                 self._note_step(self.sites[node.name])
 
     def _note_step(self, site: str) -> None:
         self.stepping.append((self.now, site))
 
     def at_once(self) -> list[str]:
-        """Steps of one site between two of another that followed within one permit."""
+        """Steps of one site between two of another that followed within one step lease."""
         out = []
         for n, (at, site) in enumerate(self.stepping):
-            near = [(t, other) for t, other in self.stepping[n + 1 :] if t - at < PERMIT_S / 2]
+            near = [(t, other) for t, other in self.stepping[n + 1 :] if t - at < STEP_LEASE_DURATION_S / 2]
             others = [t for t, other in near if other != site]
             if others and any(t > others[0] and other == site for t, other in near):
                 out.append(f"another site stepped at {others[0]:.2f} s, amid the steps of {site}")
         return out
 
-    def call_operator(self, by: str, site: str, word: str) -> None:
+    def call_operator(self, by: str, site: str, kind: CommandKind) -> None:
         """An operator calls one worker."""
         s = self.stations[by]
         if not s.node.dead:
-            s.desk.give(site, word, s.node.clock(self.now))
+            s.coordinator.issue_command(site, kind, s.node.clock(self.now))
 
     def lose(self, site: str) -> None:
         self.gone.setdefault(site, []).append((self.now, float("inf")))
@@ -267,7 +275,7 @@
             token=(None, "filing", f"k{call.number}") if call.filing else None,
             retry=call.tries > 1,
         )
-        refusal = s.desk.arrives(r, now)
+        refusal = s.coordinator.gate.arrives(r, now)
         if refusal is not None:
             call.refused_by_gate += 1
             return self._answered(call, False)
@@ -290,10 +298,10 @@
             call, r = found
             if isinstance(a, StartRun):
                 s.running[r.id] = self.now
-                s.desk.begun(r, now)
+                s.coordinator.gate.begun(r, now)
                 s.cores.start(r.id, call.work)
             elif isinstance(a, RejectRequest | FailRequest):
-                s.desk.answered(r, "deferred_total", 0)
+                s.coordinator.gate.answered(r, "deferred_total", 0)
                 if r.id not in s.running:
                     del s.live[r.id]
                 self._answered(call, False if isinstance(a, RejectRequest) else None)
@@ -316,8 +324,8 @@
                 continue
             call, r = found
             now, took = int(s.node.clock(self.now) * S), int((self.now - began) * S)
-            s.desk.ended(r, now, took, Outcome.OK)
-            s.desk.answered(r, "answered_total", 0)
+            s.coordinator.gate.ended(r, now, took, Outcome.OK)
+            s.coordinator.gate.answered(r, "answered_total", 0)
             if not call.ended:
                 self._answered(call, True)
             self._tell(s, RequestCompleted(rid, Outcome.OK, took))
@@ -344,7 +352,7 @@
         for name, s in self.stations.items():
             well = not s.node.dead and name not in self.mute
             if well and not s.node.paused:
-                part = s.desk.part
+                part = s.coordinator.load_fraction
                 self.balancer.told(name, b"drain" if part <= 0 else b"up %d%%" % max(1, round(100 * part)))
             self.balancer.checked(name, well)
         self.at(self.now + CHECK_S, self._check)
@@ -371,8 +379,8 @@
         gone = sum(s == site for s in self.sites.values())
         increase = len(self.sites) / (len(self.sites) - gone) - 1
         usual = self.rate / len(self.sites) * (len(self.sites) - gone)
-        a_second = usual * ((1 + increase) * math.log1p(increase) - increase) / BURSTS
-        return NOTICED_S + 3 * SURE / a_second
+        a_second = usual * ((1 + increase) * math.log1p(increase) - increase) / BURST_FACTOR
+        return NOTICED_S + 3 * EVIDENCE_THRESHOLD / a_second
 
     def missed(self) -> list[str]:
         """Losses that lasted long enough, and that a worker elsewhere did not find."""
@@ -403,7 +411,9 @@
         ]
 
     def full(self) -> bool:
-        return all(s.desk.word(s.node.clock(self.now)).step == FULL for s in self.stations.values())
+        return all(
+            s.coordinator.report(s.node.clock(self.now)).is_full_service for s in self.stations.values()
+        )
 
     def figures(self, at: float, back: float) -> dict[str, Any]:
         level = self.gained(3, at)
@@ -465,8 +475,8 @@
         world.at(at + span, lambda: world.start(name))
     else:
         first, other = names[0], sorted(rest)[0]
-        world.at(at, lambda: world.call_operator(first, site, "evacuate"))
-        world.at(at + span + 3.0, lambda: world.call_operator(other, site, "return"))
+        world.at(at, lambda: world.call_operator(first, site, CommandKind.EVACUATE))
+        world.at(at + span + 3.0, lambda: world.call_operator(other, site, CommandKind.RETURN))
 
 
 def verdict(seed: int) -> tuple[int, list[str], dict[str, float]]:
--- a/ochrehoist/net/peers.py
+++ b/ochrehoist/net/peers.py
@@ -47,10 +47,10 @@
     )
     site = p.site
     if config.sites:
-        from ochrehoist.sites.permit import permit
+        from ochrehoist.sites.step_lease import step_lease_budget
 
         site = config.sites.site
-        budgets += (permit(p.voters),) if p.voters else ()
+        budgets += (step_lease_budget(p.voters),) if p.voters else ()
     servers = tuple(s.name for s in config.ajp.servers) if config.ajp else ()
     return Terms(
         p.group,
--- a/ochrehoist/net/sites.py
+++ b/ochrehoist/net/sites.py
@@ -1,5 +1,7 @@
-"""Binds one worker's part in the fleet's sites to its core, its peers and its clock. Only where [sites] is
-on."""
+"""Binds one worker's part in the fleet's sites to its core, its peers and the loop's clock.
+
+Loaded only with [sites].
+"""
 
 import time
 from collections import Counter
@@ -15,120 +17,112 @@
 from ochrehoist.net.loop import Loop
 from ochrehoist.net.operators import Answer, said
 from ochrehoist.net.peers import Peers
-from ochrehoist.sites.desk import Desk
-from ochrehoist.sites.heard import heard
-from ochrehoist.sites.level import LOOK_S
-from ochrehoist.sites.orders import WORDS
-from ochrehoist.sites.permit import PERMIT, PERMIT_S
-from ochrehoist.sites.view import told
-from ochrehoist.sites.words import TOPIC
+from ochrehoist.sites.admission_threshold import TICK_INTERVAL_S
+from ochrehoist.sites.coordinator import SiteCoordinator, UnknownSiteError
+from ochrehoist.sites.operator_commands import CommandKind
+from ochrehoist.sites.peer_workers import observe_peers
+from ochrehoist.sites.site_report import TOPIC
+from ochrehoist.sites.status_view import status_view
+from ochrehoist.sites.step_lease import BudgetStepLease
 
-RENEW_S = 0.25  # between two uses of the permit
+COMMAND_PATHS = {f"/sites/{kind}/": kind for kind in CommandKind}
 
 
-class Calls(dict):
-    """The operators' calls, and for each site that is known when it is asked: `POST /sites/ORDER/SITE`."""
+class SiteCommandRoutes(dict[str, Any]):
+    """The operators' calls, and `POST /sites/COMMAND/SITE` for whatever site is named when it comes."""
 
-    def __init__(self, calls: Mapping[str, Any], order: Callable[[str, str], Answer]) -> None:
+    def __init__(self, calls: Mapping[str, Any], issue: Callable[[str, CommandKind], Answer]) -> None:
         super().__init__(calls)
-        self.order = order
+        self._issue = issue
 
     def get(self, path: str, default: Any = None) -> Any:
-        parts = path.split("/")
-        if len(parts) == 4 and parts[1] == "sites" and parts[2] in WORDS:
-            return {"POST": lambda: self.order(parts[3], parts[2])}
+        """The calls of a path, by method."""
+        prefix, slash, site = path.rpartition("/")
+        kind = COMMAND_PATHS.get(prefix + slash)
+        if kind is not None:
+            return {"POST": lambda: self._issue(site, kind)}
         return super().get(path, default)
 
 
-class Sites:
+class SiteService:
+    """One worker's SiteCoordinator on the loop; it tells the core which part of its load to ask for.
+
+    `cold_start`: this process replaces none, so it starts with nothing in hand.
+    """
+
     def __init__(
-        self, loop: Loop, owner: Owner, config: Config, peers: Peers, came_back: bool, log: Any
+        self, loop: Loop, owner: Owner, config: Config, peers: Peers, cold_start: bool, log: Any
     ) -> None:
-        """`came_back`: this process replaces none, so it starts with nothing in hand."""
-        self.loop, self.owner, self.peers, self.log = loop, owner, peers, log
-        self.config = config.sites
-        c = config.sites
-        self.desk = Desk(
+        self._loop, self._owner, self._peers, self._log = loop, owner, peers, log
+        self._config = config.sites
+        self._coordinator = SiteCoordinator(
             config.name,
-            c.site,
+            config.sites.site,
             owner.settings,
-            c.playbook,
+            config.sites.playbook,
             time.monotonic(),
-            came_back and c.pace,
+            cold_start and config.sites.pace,
             owner.tenants,
+            BudgetStepLease(peers.group),
         )
-        self.desk.ask_permit, self.desk.drop_permit = self._permit, self._let_go
-        self.ticket: int | None = None
-        self.asked_at, self.granted_until = 0.0, 0.0
-        self.emptied = False
-        peers.group.extensions[TOPIC] = self.desk
-        owner.gate = self.desk
-        owner.answers.observers.append(self.desk)
-        owner.part = self.desk.part
-        loop.call_later(LOOK_S, self._look)
+        self._was_evacuated = False
+        peers.group.extensions[TOPIC] = self._coordinator
+        owner.gate = self._coordinator.gate
+        owner.answers.observers.append(self._coordinator.gate)
+        owner.part = self._coordinator.load_fraction
+        loop.call_later(TICK_INTERVAL_S, self._tick)
 
     def configure(self, config: Config, tenants: Tenants) -> None:
+        """A configuration read again."""
         if config.sites is not None:
-            self.config = config.sites
-            self.desk.configure(config.settings, config.sites.playbook, time.monotonic(), tenants)
-
-    # ---- time
-    def _look(self) -> None:
-        now = time.monotonic()
-        site_map = self.config.site_map
-        self.desk.look(now, heard(self.peers.group, site_map.site_of if site_map else None))
-        if self.desk.ramp is None:
-            self._let_go()
-        self.owner.part = self.desk.part
-        if self.desk.empty != self.emptied:
-            self.emptied = self.desk.empty
-            self.owner.post(StandbyChanged(self.emptied))
-        while self.desk.news:
-            event, details = self.desk.news.popleft()
-            self.log.warning(event, **details)
-        self.loop.call_later(LOOK_S, self._look)
-
-    def _permit(self, now: float) -> float:
-        """s for which this worker's site may step: for as long as the right that was used is surely held."""
-        if now - self.asked_at >= RENEW_S:
-            self.asked_at = now
-            self._let_go()
-            self.ticket = self.peers.group.use(PERMIT, now)
-            if self.ticket is not None:
-                self.granted_until = now + PERMIT_S
-        return max(0.0, self.granted_until - now)
-
-    def _let_go(self) -> None:
-        if self.ticket is not None:
-            self.peers.group.done(PERMIT, self.ticket)
-            self.ticket = None
-
-    # ---- operators
-    def order(self, site: str, word: str) -> Answer:
+            self._config = config.sites
+            self._coordinator.configure(config.settings, config.sites.playbook, tenants)
+
+    def _tick(self) -> None:
+        now, coordinator = time.monotonic(), self._coordinator
+        site_map = self._config.site_map
+        coordinator.tick(now, observe_peers(self._peers.group, site_map.site_of if site_map else None))
+        self._owner.part = coordinator.load_fraction
+        self._follow_evacuation()
+        for event in coordinator.take_events():
+            self._log.warning(str(event.name), **event.fields)
+        self._loop.call_later(TICK_INTERVAL_S, self._tick)
+
+    def _follow_evacuation(self) -> None:
+        """An evacuated worker is on standby until its return."""
+        is_evacuated = self._coordinator.pacing.is_evacuated
+        if is_evacuated != self._was_evacuated:
+            self._was_evacuated = is_evacuated
+            self._owner.post(StandbyChanged(is_evacuated))
+
+    # What operators call.
+
+    def issue_command(self, site: str, kind: CommandKind) -> Answer:
+        """A command for a site; 404 where nobody knows it."""
         try:
-            return said({"said": self.desk.give(site, word, time.monotonic())})
-        except KeyError:
-            return said(
-                {"error": f"no site {site!r} is known; there are {self.desk.known_sites()}"},
-                HTTPStatus.NOT_FOUND,
-            )
+            return said({"said": self._coordinator.issue_command(site, kind, time.monotonic())})
+        except UnknownSiteError as error:
+            return said({"error": str(error)}, HTTPStatus.NOT_FOUND)
 
     def view(self) -> dict[str, Any]:
-        return told(self.desk, time.monotonic())
+        """For `/status`."""
+        return status_view(self._coordinator, time.monotonic())
 
     def figures(self) -> str:
-        d, now = self.desk, time.monotonic()
-        states = Counter(s.state for s in d.knowing.sites.values())
+        """The metrics as text."""
+        coordinator, now = self._coordinator, time.monotonic()
+        gate = coordinator.gate
+        states = Counter(str(health.state) for health in coordinator.health.sites.values())
         return counted(
             {
-                "app_sites": [(f'{{state="{s}"}}', n) for s, n in sorted(states.items())],
-                "app_gate_level": [("", round(d.level.value, 4))],
-                "app_gate_offered_seconds": [("", round(d.level.offered.read(now), 4))],
-                "app_gate_able_seconds": [("", round(d.level.able, 4))],
+                "app_sites": [(f'{{state="{state}"}}', count) for state, count in sorted(states.items())],
+                "app_gate_level": [("", round(gate.threshold.value, 4))],
+                "app_gate_offered_seconds": [("", round(gate.threshold.offered_work(now), 4))],
+                "app_gate_able_seconds": [("", round(gate.threshold.capacity, 4))],
                 "app_gate_turned_away_total": [
-                    (f'{{group="{c}",reason="{why}"}}', n)
-                    for (c, why), n in sorted(d.counts.turned_away.items())
+                    (f'{{group="{class_name}",reason="{cause}"}}', count)
+                    for (class_name, cause), count in sorted(gate.rejected.items())
                 ],
-                "app_part_asked_for": [("", d.part)],
+                "app_part_asked_for": [("", coordinator.load_fraction)],
             }
         )
--- a/ochrehoist/plan/playbook.py
+++ b/ochrehoist/plan/playbook.py
@@ -9,9 +9,9 @@
 from ochrehoist.config.fleet_description import Class, Fleet, Workers
 from ochrehoist.plan import analytic
 from ochrehoist.plan.questions import UnanswerableQuestionError
-from ochrehoist.sites.order import STEADY
-from ochrehoist.sites.playbook import VERSION, LetIn, Loss, Playbook
-from ochrehoist.sites.ramp import STEPS
+from ochrehoist.sites.playbook import FORMAT_VERSION, ClassAdmission, Playbook, SiteLoss
+from ochrehoist.sites.recovery_ramp import DEFAULT_STAGES
+from ochrehoist.sites.shedding_order import LOG_VALUE_STEP
 
 AWAY_MS, SPREAD_MS = 1000.0, 2000.0
 WARM_TIMES, SPARE_S = 5.0, 60.0  # of the time that a cold machine takes, and besides: the longest return
@@ -77,14 +77,16 @@
     return min(1.0, parts[binds]), binds
 
 
-def let_in(shared: Sequence[Shared], carry: float, over: float) -> list[LetIn]:
+def let_in(shared: Sequence[Shared], carry: float, over: float) -> list[ClassAdmission]:
     """Worth by work first: filings and what may run once only, then the rest, within tenants' shares; what is
     beyond them last. Those alike share alike. Rounded down: never more than the others carry."""
     left = carry
     got: dict[tuple[str, bool], float] = {}
     ranks: dict[tuple, list[Shared]] = {}
     for x in shared:
-        ranks.setdefault((x.cls.repeat == "idempotent", -round(math.log(x.by_work) / STEADY)), []).append(x)
+        ranks.setdefault(
+            (x.cls.repeat == "idempotent", -round(math.log(x.by_work) / LOG_VALUE_STEP)), []
+        ).append(x)
     for is_beyond in (False, True):
         for _, alike in sorted(ranks.items(), key=lambda item: item[0]):
             width = sum(x.work for x in alike) * (over if is_beyond else 1 - over)
@@ -94,18 +96,21 @@
                 got[x.cls.name, is_beyond] = min(part, got[x.cls.name, False]) if is_beyond else part
             left = max(0.0, left - part * width)
     return [
-        LetIn(x.cls.name, got[x.cls.name, False], got[x.cls.name, True], round(x.work, 3)) for x in shared
+        ClassAdmission(x.cls.name, got[x.cls.name, False], got[x.cls.name, True], round(x.work, 3))
+        for x in shared
     ]
 
 
-def worth_of(shared: Sequence[Shared], lets: Sequence[LetIn], over: float, over_worth: float) -> float:
+def worth_of(
+    shared: Sequence[Shared], lets: Sequence[ClassAdmission], over: float, over_worth: float
+) -> float:
     """Of the worth asked for, what is got where just this is let in and served."""
 
     def part(x: Shared, inside: float, outside: float) -> float:
         return x.work * x.by_work * ((1 - over) * inside + over * over_worth * outside)
 
     whole = sum(part(x, 1.0, 1.0) for x in shared)
-    return sum(part(x, y.share, y.beyond) for x, y in zip(shared, lets, strict=True)) / whole
+    return sum(part(x, y.share, y.beyond_quota_share) for x, y in zip(shared, lets, strict=True)) / whole
 
 
 def made(fleet: Fleet, now: int) -> tuple[Playbook, dict[str, str]]:
@@ -120,7 +125,9 @@
     for site in sites:
         carry, binds = carried(fleet, site)
         lets = let_in(shared, carry, over)
-        losses.append(Loss(site, round(carry, 3), binds, AWAY_MS, SPREAD_MS, list(STEPS), longest, lets))
+        losses.append(
+            SiteLoss(site, round(carry, 3), binds, AWAY_MS, SPREAD_MS, list(DEFAULT_STAGES), longest, lets)
+        )
         worth = worth_of(shared, lets, over, fleet.over_share_worth)
         about[site] = (
             f"Without {site}: {carry:.0%} of the work can be done, {worth:.0%} of the worth kept, "
@@ -130,4 +137,4 @@
     about[""] = (
         "What holds when a site is lost. Change what you know better, then `ochrehoist sites check FILE`."
     )
-    return Playbook(VERSION, now, fleet.name, workers, round(over, 3), losses, list(UNKNOWN)), about
+    return Playbook(FORMAT_VERSION, now, fleet.name, workers, round(over, 3), losses, list(UNKNOWN)), about
--- /dev/null
+++ b/ochrehoist/sites/status_view.py
@@ -0,0 +1,164 @@
+"""What one worker shows operators of the sites, in plain values. No I/O; seconds."""
+
+from typing import Any
+
+from ochrehoist.sites.coordinator import SiteCoordinator
+from ochrehoist.sites.peer_workers import PeerWorker
+from ochrehoist.sites.playbook import Playbook
+from ochrehoist.sites.site_report import STAGE_FULL_SERVICE, STAGE_UNPACED
+
+SHOWN_CHANGES = 20
+STAGE_NAMES = {STAGE_FULL_SERVICE: "full", STAGE_UNPACED: "together"}
+
+
+def status_view(coordinator: SiteCoordinator, now: float) -> dict[str, Any]:
+    """The part `sites` of `/status`."""
+    health = coordinator.health
+    isolated_since = health.isolated_since
+    return {
+        "site": coordinator.site,
+        "asks_for": coordinator.load_fraction,
+        "returning": _recovery(coordinator, now),
+        "leaving": _evacuation(coordinator, now),
+        "hears_no_other_for_s": None if isolated_since is None else round(now - isolated_since, 1),
+        **_gate(coordinator, now),
+        "sites": {site: _site(coordinator, site, now) for site in health.sites},
+        "own_workers": _workers(coordinator, coordinator.site),
+        "orders": _commands(coordinator, now),
+        "playbook": _playbook(coordinator),
+        "changes": [
+            {
+                "ago_s": round(now - change.at, 2),
+                "site": change.site,
+                "state": str(change.state),
+                "why": change.reason,
+            }
+            for change in health.changes[-SHOWN_CHANGES:]
+        ],
+    }
+
+
+def _recovery(coordinator: SiteCoordinator, now: float) -> dict[str, Any] | None:
+    ramp = coordinator.pacing.recovery
+    if ramp is None:
+        return None
+    return {
+        "step": ramp.stage,
+        "of": len(ramp.plan.stages),
+        "part": ramp.load_fraction,
+        "together": ramp.is_unpaced,
+        "for_s": round(now - ramp.started_at, 1),
+        "at_step_s": round(now - ramp.measured.started_at, 1),
+        "promised": round(ramp.expected_requests(coordinator.peers.baseline, now), 1),
+        "did": {"in_time": ramp.measured.good, "late_or_failed": ramp.measured.bad},
+        "taken_back": ramp.rollbacks,
+        "waits_for": ramp.waits_for,
+        "site_returns": coordinator.arbiter.site_returns,
+        "permit": coordinator.arbiter.held_until > now,
+        "held": ramp.is_held,
+        "history": [
+            {"ago_s": round(now - event.at, 2), "part": event.load_fraction, "why": event.reason}
+            for event in ramp.history
+        ],
+    }
+
+
+def _evacuation(coordinator: SiteCoordinator, now: float) -> dict[str, Any] | None:
+    ramp = coordinator.pacing.evacuation
+    if ramp is None:
+        return None
+    return {"part": ramp.load_fraction, "why": ramp.reason, "for_s": round(now - ramp.started_at, 1)}
+
+
+def _gate(coordinator: SiteCoordinator, now: float) -> dict[str, Any]:
+    gate, threshold, usual_rate = coordinator.gate, coordinator.gate.threshold, coordinator.usual_load.rate
+    spans = sorted(gate.order.spans.items(), key=lambda item: item[1])
+    return {
+        "level": round(threshold.value, 3),
+        "offered": round(threshold.offered_work(now), 3),
+        "able": round(threshold.capacity, 3),
+        "backlog_s": round(threshold.backlog_s, 3),
+        "load": round(gate.arrival_rate.read(now) / usual_rate, 2) if usual_rate else None,
+        "let_in": gate.admitted,
+        "turned_away": {f"{name}: {cause}": count for (name, cause), count in sorted(gate.rejected.items())},
+        "order": [
+            {
+                "class": group.class_name,
+                "beyond": group.beyond_quota,
+                "from": round(span.start, 3),
+                "to": round(span.start + span.width, 3),
+            }
+            for group, span in spans
+        ],
+    }
+
+
+def _site(coordinator: SiteCoordinator, site: str, now: float) -> dict[str, Any]:
+    health = coordinator.health.sites[site]
+    return {
+        "state": str(health.state),
+        "for_s": round(now - health.since, 1),
+        "why": health.reason,
+        "losses": len(health.lost_at),
+        "workers": _workers(coordinator, site),
+    }
+
+
+def _workers(coordinator: SiteCoordinator, site: str) -> dict[str, Any]:
+    return {peer.name: _worker(peer) for peer in coordinator.peers.of_site(site)}
+
+
+def _worker(peer: PeerWorker) -> dict[str, Any]:
+    if peer.report is None:
+        return {"state": peer.state}
+    stage = peer.report.stage
+    return {
+        "state": peer.state,
+        "age_s": round(peer.age_s, 2),
+        "level": peer.report.admission_threshold,
+        "weight": peer.report.weight,
+        "step": STAGE_NAMES.get(stage, f"step {stage}"),
+    }
+
+
+def _commands(coordinator: SiteCoordinator, now: float) -> dict[str, Any]:
+    return {
+        site: {
+            "word": str(command.kind),
+            "number": command.number,
+            "by": command.issued_by,
+            "left_s": round(command.expires_at - now, 1),
+        }
+        for site, command in coordinator.commands.by_site.items()
+        if command.expires_at > now
+    }
+
+
+def _playbook(coordinator: SiteCoordinator) -> dict[str, Any] | None:
+    playbook = coordinator.playbooks.current
+    if playbook is None:
+        return None
+    older_at = [
+        peer.name
+        for peer in coordinator.peers.all
+        if (report := peer.fresh_report) is not None and report.playbook.made < playbook.made_at
+    ]
+    return {
+        "made": playbook.made_at,
+        "digest": playbook.digest,
+        "from": coordinator.playbooks.source,
+        "older_at": sorted(older_at),
+        "unknown_workers": _worker_count_differences(coordinator, playbook),
+    }
+
+
+def _worker_count_differences(coordinator: SiteCoordinator, playbook: Playbook) -> list[str]:
+    """Sites of which the playbook names more or fewer workers than are known here."""
+    known = {coordinator.site: 1}
+    for peer in coordinator.peers.all:
+        known[peer.site] = known.get(peer.site, 0) + 1
+    return [
+        f"{site}: {len(addresses)} in the playbook, {known.get(site, 0)} here"
+        for site, addresses in playbook.workers_by_site.items()
+        if len(addresses) != known.get(site, 0)
+    ]
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -24,7 +24,7 @@
 from ochrehoist.peers import wire
 from ochrehoist.peers.counts import Ledger
 from ochrehoist.peers.wire import Life, Message
-from ochrehoist.sites.order import MOST_TOLD, Order
+from ochrehoist.sites.shedding_order import MAX_REPORTED_TENANTS, SheddingOrder
 
 OPENS_ONCE = """
 import os, time
@@ -263,13 +263,15 @@
 
     def test_of_tenants_rates_the_nearest_to_their_share_are_told_and_the_quiet_forgotten(self):
         many = tuple(Tenant(f"t{n}", 1.0 if n == 900 else 1000.0, 0.1) for n in range(1000))
-        order = Order((RequestClass(name="read", latency_objective_ns=1, deadline_ns=2),), first(many), 0.1)
+        order = SheddingOrder(
+            (RequestClass(name="read", latency_objective_ns=1, deadline_ns=2),), first(many), 0.1
+        )
         for n in range(1000):
-            order.came(("", "read", n), "read", f"t{n}", False, 1.0)
-        told = order.told_rates(1.0)
-        self.assertEqual((len(told), "t900" in told), (MOST_TOLD, True))
-        self.assertEqual(order.told_rates(100.0), {})
-        self.assertEqual(order.rates, {})
+            order.record_arrival(("", "read", n), "read", f"t{n}", False, 1.0)
+        told = order.reported_tenant_rates(1.0)
+        self.assertEqual((len(told), "t900" in told), (MAX_REPORTED_TENANTS, True))
+        self.assertEqual(order.reported_tenant_rates(100.0), {})
+        self.assertEqual(order.tracked_tenants, 0)
 
 
 class Captured(unittest.TestCase):
