--- a/ochrehoist/net/intent_replication.py
+++ b/ochrehoist/net/intent_replication.py
@@ -92,7 +92,7 @@
 
     # What the journal asks.
 
-    def refuses(self, key: bytes) -> bool:
+    def may_have_run(self, key: bytes) -> bool:
         """Whether a run that is not on record may have begun all the same."""
         if not self.history_known:
             return True
@@ -100,9 +100,9 @@
         return until is not None and until > time.monotonic()
 
     def begin(self, request_id: str, key: bytes, left: float) -> None:
-        """The journal hears by `witnessed`, soon, or with False once `wait_ms` is over."""
+        """The journal hears by `witnessed`, soon, or with False once `witness_timeout_ms` is over."""
         now = time.monotonic()
-        max_wait_s = self._config.wait_ms / 1000
+        max_wait_s = self._config.witness_timeout_ms / 1000
         self.pending.add(request_id, key, left + WINDOW_MARGIN_S, max_wait_s, now)
         self._send_pending(now)
 
@@ -110,7 +110,7 @@
         """The run of this key never began."""
         self.pending.withdraw(key)
 
-    def opened(self, keys: list[bytes]) -> None:
+    def journal_opened(self, keys: list[bytes]) -> None:
         """The store is in use with these keys on record: the witnesses are asked what else was begun."""
         self._stored_keys = keys
         if not self._config.witnesses or self._report is not None:
--- a/ochrehoist/net/recovery.py
+++ b/ochrehoist/net/recovery.py
@@ -82,7 +82,7 @@
         return hold_s
 
     def _peers_heard(self) -> bool | None:
-        if self._peers is None or not (self._peers.config.members or self._peers.config.start):
+        if self._peers is None or not (self._peers.config.members or self._peers.config.seed_addresses):
             return None
         return self._peers.group.members.established
 
@@ -110,10 +110,10 @@
 
     # The core's observer.
 
-    def arrived(self, request: InboundRequest) -> None:
+    def request_arrived(self, request: InboundRequest) -> None:
         """Nothing is measured before the answer."""
 
-    def answered(self, request: InboundRequest, figure: str | None, backoff: int) -> None:  # noqa: ARG002
+    def request_answered(self, request: InboundRequest, figure: str | None, backoff: int) -> None:  # noqa: ARG002
         """Counts what the caller got; one that left got nothing."""
         if figure is None:
             return
@@ -121,7 +121,7 @@
 
     def _outcome(self, request: InboundRequest, figure: str) -> ServiceOutcome:
         if figure == "answered_total":
-            due_ns = request.arrived + request.cls.latency_objective_ns
+            due_ns = request.arrived_ns + request.request_class.latency_objective_ns
             return ServiceOutcome.LATE if self._owner.now > due_ns else ServiceOutcome.GOOD
         return ServiceOutcome.REJECTED if figure == "deferred_total" else ServiceOutcome.FAILED
 
--- a/ochrehoist/net/sites.py
+++ b/ochrehoist/net/sites.py
@@ -61,7 +61,7 @@
             owner.settings,
             config.sites.playbook,
             time.monotonic(),
-            cold_start and config.sites.pace,
+            cold_start and config.sites.recovery_ramp,
             owner.tenants,
             BudgetStepLease(peers.group),
         )
--- a/ochrehoist/sites/admission_gate.py
+++ b/ochrehoist/sites/admission_gate.py
@@ -71,9 +71,9 @@
 
     # What the core asks and says.
 
-    def arrives(self, request: InboundRequest, now: int) -> Rejection | None:
+    def check_arrival(self, request: InboundRequest, now: int) -> Rejection | None:
         """One that never ran: whether it is rejected before the decision module sees it."""
-        now_s, identity, class_name = now / NS_PER_S, _identity_of(request), request.cls.name
+        now_s, identity, class_name = now / NS_PER_S, _identity_of(request), request.request_class.name
         self._record_arrival(request, identity, now_s)
         loss, limit = self._active_loss(), self.rank_limit
         held_back = loss is not None and not loss.admits(
@@ -90,8 +90,8 @@
         return self._rejection(identity, rank, loss)
 
     def _record_arrival(self, request: InboundRequest, identity: RequestIdentity, now_s: float) -> None:
-        class_name = request.cls.name
-        if not self.order.record_arrival(identity, class_name, request.tenant, request.retry, now_s):
+        class_name = request.request_class.name
+        if not self.order.record_arrival(identity, class_name, request.tenant, request.is_retry, now_s):
             return
         self.arrival_rate.add(now_s, 1.0)
         self._arrivals += 1
@@ -130,11 +130,11 @@
         max_ns = self._settings.max_retry_after_ns
         return Rejection(min(retry_after_ns, max_ns) if max_ns else retry_after_ns, no_retry=nobody_admits)
 
-    def begun(self, request: InboundRequest, now: int) -> None:  # noqa: ARG002
+    def run_started(self, request: InboundRequest, now: int) -> None:  # noqa: ARG002
         """Its run has started."""
         self._running_work[request.id] = self._waiting_work.pop(request.id, 0.0)
 
-    def ended(self, request: InboundRequest, now: int, took: int, outcome: Outcome) -> None:
+    def run_ended(self, request: InboundRequest, now: int, took: int, outcome: Outcome) -> None:
         """A run is over; its time, less what it shared its cores, tells what its class costs."""
         now_s, concurrency = now / NS_PER_S, max(1, len(self._running_work))
         self._running_work.pop(request.id, None)
@@ -142,16 +142,16 @@
         if succeeded and took > 0:
             core_share = min(1.0, self._settings.cores / concurrency)
             learning_rate = COST_LEARNING_RATE if recovery is None else COLD_COST_LEARNING_RATE
-            self.order.record_run(request.cls.name, took / NS_PER_S * core_share, learning_rate)
-            self.threshold.record_completion(self.order.cost(request.cls.name) or 0.0, now_s)
+            self.order.record_run(request.request_class.name, took / NS_PER_S * core_share, learning_rate)
+            self.threshold.record_completion(self.order.cost(request.request_class.name) or 0.0, now_s)
         if recovery is not None:
-            in_time = now <= request.arrived + request.cls.latency_objective_ns
+            in_time = now <= request.arrived_ns + request.request_class.latency_objective_ns
             recovery.record_completion(succeeded and in_time)
 
-    def arrived(self, request: InboundRequest) -> None:
-        """Counted where it is decided on, by `arrives`."""
+    def request_arrived(self, request: InboundRequest) -> None:
+        """Counted where it is decided on, by `check_arrival`."""
 
-    def answered(self, request: InboundRequest, figure: str | None, backoff: int) -> None:  # noqa: ARG002
+    def request_answered(self, request: InboundRequest, figure: str | None, backoff: int) -> None:  # noqa: ARG002
         """Nothing is owed for it any more."""
         self._waiting_work.pop(request.id, None)
 
@@ -177,7 +177,7 @@
 
 
 def _identity_of(request: InboundRequest) -> RequestIdentity:
-    if request.token is not None:
-        return RequestIdentity(request.tenant or "", request.cls.name, request.token[2])
-    subject = request.subject or request.key or request.id
-    return RequestIdentity(request.tenant or "", request.cls.name, subject)
+    if request.idempotency_key is not None:
+        return RequestIdentity(request.tenant or "", request.request_class.name, request.idempotency_key[2])
+    subject = request.subject_hash or request.routing_key or request.id
+    return RequestIdentity(request.tenant or "", request.request_class.name, subject)
--- a/ochrehoist/store/journal.py
+++ b/ochrehoist/store/journal.py
@@ -60,7 +60,7 @@
     ) -> None:
         self.loop, self.owner, self.config, self.name = loop, owner, config, name
         self.codec, self.log, self.folder = codec, log, Path(config.folder)
-        self.backlog = Backlog(config.commit_ms / 1000, config.stall_ms / 1000)
+        self.backlog = Backlog(config.group_commit_delay_ms / 1000, config.max_disk_wait_ms / 1000)
         self.lock: Lock | None = None
         self.opened: Opened | None = None
         self.witness: Witness | None = None
@@ -167,7 +167,7 @@
                     opened.learned.values,
                     opened.learned.at,
                     stamp_now(),
-                    int(self.config.learned_half_life_s * SECOND),
+                    int(self.config.snapshot_half_life_s * SECOND),
                     self.owner.started_cold,
                 )
             except (KeyError, TypeError, ValueError) as fault:
@@ -187,23 +187,23 @@
         )
         opened.stale = []
         if self.testifier is not None:
-            self.testifier.opened([key_of(token) for token in {**restored, **before}])
+            self.testifier.journal_opened([key_of(token) for token in {**restored, **before}])
         gc.freeze()  # they stay: looking through them again and again would hold up the loop
         self.owner.post(StateRestored(restored, lesson))
         self.restored = True
         for call in self.when_restored:
             call()
         self._look()
-        self.loop.call_later(self.config.learned_every_s, self._learn)
+        self.loop.call_later(self.config.snapshot_interval_s, self._learn)
 
     # ---- what the core asks
-    def refuses(self, token: IdempotencyKey) -> Rejection | None:
+    def rejection_for(self, token: IdempotencyKey) -> Rejection | None:
         """Whether a filing that is not known can't be taken now, and what its caller is told."""
         if not self.restored:
-            return Rejection(0, may_have_run=True)
-        if self.testifier is not None and self.testifier.refuses(key_of(token)):
+            return Rejection(0, outcome_unknown=True)
+        if self.testifier is not None and self.testifier.may_have_run(key_of(token)):
             self.refusals += 1
-            return Rejection(0, may_have_run=True)
+            return Rejection(0, outcome_unknown=True)
         if self.backlog.refuses(time.monotonic()):
             self.refusals += 1
             return Rejection(SECOND)
@@ -218,11 +218,11 @@
         if self.backlog.refuses(time.monotonic()):
             return self._refused([r.id])
         reached("begin")
-        record = self._begun(r.token, run)
-        self._add(Begin(r.id, key_of(r.token), record))
+        record = self._begun(r.idempotency_key, run)
+        self._add(Begin(r.id, key_of(r.idempotency_key), record))
         if self.testifier is not None:
             self.unready[r.id] = 2
-            self.testifier.begin(r.id, key_of(r.token), record.left / SECOND)
+            self.testifier.begin(r.id, key_of(r.idempotency_key), record.left / SECOND)
 
     def replicate_intents_to(self, replicator: IntentReplicator) -> None:
         """From now on a run begins only once `replicator` has said so by `witnessed`."""
@@ -411,7 +411,7 @@
         if self.stopping or self.released:
             return
         self.save_learned()
-        self.loop.call_later(self.config.learned_every_s, self._learn)
+        self.loop.call_later(self.config.snapshot_interval_s, self._learn)
 
     def save_learned(self) -> None:
         if self.owner.controller is not None and self.restored:
