--- a/ochrehoist/sites/shedding_order.py
+++ b/ochrehoist/sites/shedding_order.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 from heapq import nlargest
-from typing import NamedTuple
+from typing import NamedTuple, TypeVar
 
 from ochrehoist.admission.settings import Idempotency, RequestClass
 from ochrehoist.core.tenants import Tenants
@@ -70,6 +70,16 @@
     tenant_rates: Mapping[str, float]
 
 
+_Key = TypeVar("_Key")
+
+
+def _rate_of(rates: dict[_Key, DecayingRate], key: _Key) -> DecayingRate:
+    rate = rates.get(key)
+    if rate is None:
+        rate = rates[key] = DecayingRate(RATE_SPAN_S)
+    return rate
+
+
 class SheddingOrder:
     """Learns costs and rates, and ranks requests by them.
 
@@ -90,6 +100,9 @@
     ) -> None:
         """Takes new settings; what was learned of classes that stay is kept."""
         self.classes = {c.name: c for c in classes}
+        self._groups = {
+            name: (SheddingGroup(name, False), SheddingGroup(name, True)) for name in self.classes
+        }
         self._tenants = tenants
         self._beyond_quota_weight = beyond_quota_weight
         self.class_costs = {name: cost for name, cost in self.class_costs.items() if name in self.classes}
@@ -134,13 +147,18 @@
             return False
         self._remember(identity, now)
         if tenant is not None:
-            self._tenant_rates.setdefault(tenant, DecayingRate(RATE_SPAN_S)).add(now, 1.0)
+            _rate_of(self._tenant_rates, tenant).add(now, 1.0)
         cost = self.agreed_cost(class_name)
         if cost is not None:
-            group = SheddingGroup(class_name, self.is_beyond_quota(identity, tenant, now))
-            self._work_rates.setdefault(group, DecayingRate(RATE_SPAN_S)).add(now, cost)
+            group = self._group(class_name, self.is_beyond_quota(identity, tenant, now))
+            _rate_of(self._work_rates, group).add(now, cost)
         return True
 
+    def _group(self, class_name: str, beyond_quota: bool) -> SheddingGroup:
+        """One that was made beforehand, but for a class that the settings no longer have."""
+        groups = self._groups.get(class_name)
+        return groups[beyond_quota] if groups is not None else SheddingGroup(class_name, beyond_quota)
+
     def _remember(self, identity: tuple[object, ...], now: float) -> None:
         self._last_seen.pop(identity, None)
         self._last_seen[identity] = now
@@ -201,7 +219,7 @@
 
     def rank(self, identity: tuple[object, ...], class_name: str, tenant: str | None, now: float) -> float:
         """From 0 to 1. What nothing is known of yet stands where its class would: first."""
-        group = SheddingGroup(class_name, self.is_beyond_quota(identity, tenant, now))
+        group = self._group(class_name, self.is_beyond_quota(identity, tenant, now))
         span = self.spans.get(group)
         if span is None:
             return 0.0
