--- a/ochrehoist/net/intent_replication.py
+++ b/ochrehoist/net/intent_replication.py
@@ -73,7 +73,9 @@
         peers: Peers | None,
         log: Any,
     ) -> None:
-        self._owner, self._config, self._log = owner, config, log
+        self._owner = owner
+        self._config = config
+        self._log = log
         self._peers = peers
         now = time.monotonic()
         self.intent_log = IntentLog(now)
@@ -222,7 +224,8 @@
 
     def assume_history_known(self) -> None:
         """An operator takes unknown keys for new: a run that began before may run twice."""
-        self.history_known, self.missing_runs = True, {}
+        self.history_known = True
+        self.missing_runs = {}
         self._journal.hold_unknown_keys_until(0)
 
     def tick(self, now: float) -> None:
--- a/ochrehoist/net/recovery.py
+++ b/ochrehoist/net/recovery.py
@@ -40,12 +40,17 @@
         servers: AjpServers | None,
         log: Any,
     ) -> None:
-        self._loop, self._owner, self._log = loop, owner, log
+        self._loop = loop
+        self._owner = owner
+        self._log = log
         self._worker_name = config.name
-        self._journal, self._peers, self._servers = journal, peers, servers
+        self._journal = journal
+        self._peers = peers
+        self._servers = servers
         self._replication = IntentReplicationService(owner, config.recovery, journal, peers, log)
         now = time.monotonic()
-        self._progress, self._service_level = StartupProgress(now), ServiceLevelMonitor(now)
+        self._progress = StartupProgress(now)
+        self._service_level = ServiceLevelMonitor(now)
         owner.answers.observers.append(self)
         self._record_path: Path | None = None
         self._record_writer: OffLoop | None = None
@@ -68,7 +73,7 @@
         return ReadinessFacts(
             store_open=None if self._journal is None else self._journal.restored,
             hold_s=self._hold_s(),
-            peers_heard=self._peers_heard(),
+            has_peer_contact=self._has_peer_contact(),
             services_answer=self._services_answer(),
             load_fraction=self._owner.part,
         )
@@ -81,7 +86,7 @@
             return max(hold_s, MIN_UNKNOWN_HOLD_S)
         return hold_s
 
-    def _peers_heard(self) -> bool | None:
+    def _has_peer_contact(self) -> bool | None:
         if self._peers is None or not (self._peers.config.members or self._peers.config.seed_addresses):
             return None
         return self._peers.group.members.established
@@ -138,7 +143,8 @@
 
     def view(self) -> dict[str, Any]:
         """For `/status`."""
-        now, current = time.monotonic(), self._progress.current
+        now = time.monotonic()
+        current = self._progress.current
         return {
             "stage": str(current.stage),
             "why": current.reason,
@@ -155,7 +161,8 @@
 
     def figures(self) -> str:
         """The metrics as text."""
-        now, current = time.monotonic(), self._progress.current.stage
+        now = time.monotonic()
+        current = self._progress.current.stage
         durations = dict.fromkeys(StartupStage, 0.0)
         for span in self._progress.spans:
             durations[span.stage] += span.duration_s(now)
--- a/ochrehoist/net/sites.py
+++ b/ochrehoist/net/sites.py
@@ -53,7 +53,10 @@
     def __init__(
         self, loop: Loop, owner: Owner, config: Config, peers: Peers, cold_start: bool, log: Any
     ) -> None:
-        self._loop, self._owner, self._peers, self._log = loop, owner, peers, log
+        self._loop = loop
+        self._owner = owner
+        self._peers = peers
+        self._log = log
         self._config = config.sites
         self._coordinator = SiteCoordinator(
             config.name,
@@ -79,7 +82,8 @@
             self._coordinator.configure(config.settings, config.sites.playbook, tenants)
 
     def _tick(self) -> None:
-        now, coordinator = time.monotonic(), self._coordinator
+        now = time.monotonic()
+        coordinator = self._coordinator
         site_map = self._config.site_map
         coordinator.tick(now, observe_peers(self._peers.group, site_map.site_of if site_map else None))
         self._owner.part = coordinator.load_fraction
@@ -110,7 +114,8 @@
 
     def figures(self) -> str:
         """The metrics as text."""
-        coordinator, now = self._coordinator, time.monotonic()
+        coordinator = self._coordinator
+        now = time.monotonic()
         gate = coordinator.gate
         states = Counter(str(health.state) for health in coordinator.health.sites.values())
         return counted(
--- a/ochrehoist/recovery/pending_intents.py
+++ b/ochrehoist/recovery/pending_intents.py
@@ -71,7 +71,8 @@
         self._request_ids_by_message[self._message_number] = tuple(request_ids)
         while len(self._request_ids_by_message) > MAX_SENT_MESSAGES:
             self._request_ids_by_message.popitem(last=False)
-        withdrawn, self._withdrawn = self._withdrawn, []
+        withdrawn = self._withdrawn
+        self._withdrawn = []
         outgoing = []
         for witness in self._witnesses:
             message = self._message_for(witness, request_ids, withdrawn, now)
--- a/ochrehoist/recovery/startup_progress.py
+++ b/ochrehoist/recovery/startup_progress.py
@@ -41,7 +41,7 @@
 
     store_open: bool | None = None
     hold_s: float | None = None  # for which unknown idempotency keys are rejected
-    peers_heard: bool | None = None
+    has_peer_contact: bool | None = None
     services_answer: bool | None = None
     load_fraction: float = 1.0  # of its usual load, that it asks for
 
@@ -107,7 +107,7 @@
                 "what ran before is not fully known: filings that are not are refused for "
                 f"{facts.hold_s:.0f} s",
             )
-        if facts.peers_heard is False:
+        if facts.has_peer_contact is False:
             return StageDecision(StartupStage.PEERS, "no peer was heard yet")
         is_restored = service_level.is_restored(now)
         if facts.services_answer is False:
--- a/ochrehoist/recovery/witness_quorum.py
+++ b/ochrehoist/recovery/witness_quorum.py
@@ -48,7 +48,8 @@
     """
 
     def __init__(self, witnesses: Sequence[str], window_s: float, query_number: int, now: float) -> None:
-        self.window_s, self.asked_at = window_s, now
+        self.window_s = window_s
+        self.asked_at = now
         self._query_number = query_number
         self._read_quorum = quorum.quorum_sizes(len(witnesses)).read
         self._reports = {name: WitnessReport() for name in witnesses}
@@ -74,7 +75,8 @@
         if not 0 <= page.page < page.pages <= MAX_PAGES:
             return
         if report.log_age_s is None:
-            report.log_age_s, report.answered_at = page.age_ms / 1000, now
+            report.log_age_s = page.age_ms / 1000
+            report.answered_at = now
         report.page_count = page.pages
         report.received_pages.add(page.page)
         for digest, left_ms in page.intents:
--- a/ochrehoist/sites/admission_gate.py
+++ b/ochrehoist/sites/admission_gate.py
@@ -29,8 +29,10 @@
 NS_PER_S = 1_000_000_000
 MAX_THRESHOLD_LEAD = 0.3  # by which a worker may admit more of the order than the others
 ARRIVAL_RATE_SPAN_S = 1.0
-RETRY_AFTER_S, RETRY_SPREAD_S = 0.4, 0.6  # told where others may admit it: at least, and up to so much more
-FLEET_RETRY_AFTER_S, FLEET_RETRY_SPREAD_S = 1.0, 2.0  # and where nobody would
+RETRY_AFTER_S = 0.4  # told where others may admit it: at least,
+RETRY_SPREAD_S = 0.6  # and up to so much more
+FLEET_RETRY_AFTER_S = 1.0  # the same where nobody would admit it
+FLEET_RETRY_SPREAD_S = 2.0
 
 
 class RejectionCause(StrEnum):
@@ -52,8 +54,11 @@
         playbooks: PlaybookExchange,
         pacing: LoadPacing,
     ) -> None:
-        self._settings, self._peers, self._health = settings, peers, health
-        self._playbooks, self._pacing = playbooks, pacing
+        self._settings = settings
+        self._peers = peers
+        self._health = health
+        self._playbooks = playbooks
+        self._pacing = pacing
         self.order = SheddingOrder(settings.classes, _table(settings, tenants), settings.over_quota_weight)
         self.threshold = AdmissionThreshold(settings.cores, _least_objective_s(settings))
         self.arrival_rate = DecayingRate(ARRIVAL_RATE_SPAN_S)
@@ -73,9 +78,12 @@
 
     def check_arrival(self, request: InboundRequest, now: int) -> Rejection | None:
         """One that never ran: whether it is rejected before the decision module sees it."""
-        now_s, identity, class_name = now / NS_PER_S, _identity_of(request), request.request_class.name
+        now_s = now / NS_PER_S
+        identity = _identity_of(request)
+        class_name = request.request_class.name
         self._record_arrival(request, identity, now_s)
-        loss, limit = self._active_loss(), self.rank_limit
+        loss = self._active_loss()
+        limit = self.rank_limit
         held_back = loss is not None and not loss.admits(
             class_name, self.order.is_beyond_quota(identity, request.tenant, now_s), identity
         )
@@ -120,11 +128,14 @@
     def _rejection(self, identity: RequestIdentity, rank: float, loss: SiteLoss | None) -> Rejection:
         nobody_admits = all(rank >= report.admission_threshold for report in self._peers.fresh_reports())
         if loss is not None:
-            least_s, spread_s = loss.retry_after_ms / 1000, loss.retry_spread_ms / 1000
+            least_s = loss.retry_after_ms / 1000
+            spread_s = loss.retry_spread_ms / 1000
         elif nobody_admits:
-            least_s, spread_s = FLEET_RETRY_AFTER_S, FLEET_RETRY_SPREAD_S
+            least_s = FLEET_RETRY_AFTER_S
+            spread_s = FLEET_RETRY_SPREAD_S
         else:
-            least_s, spread_s = RETRY_AFTER_S, RETRY_SPREAD_S
+            least_s = RETRY_AFTER_S
+            spread_s = RETRY_SPREAD_S
         # By the hash again: a caller is told about the same wherever it asks, and no two the same.
         retry_after_ns = int(NS_PER_S * (least_s + spread_s * hash_fraction("away", *identity)))
         max_ns = self._settings.max_retry_after_ns
@@ -136,9 +147,11 @@
 
     def run_ended(self, request: InboundRequest, now: int, took: int, outcome: Outcome) -> None:
         """A run is over; its time, less what it shared its cores, tells what its class costs."""
-        now_s, concurrency = now / NS_PER_S, max(1, len(self._running_work))
+        now_s = now / NS_PER_S
+        concurrency = max(1, len(self._running_work))
         self._running_work.pop(request.id, None)
-        recovery, succeeded = self._pacing.recovery, outcome is Outcome.OK
+        recovery = self._pacing.recovery
+        succeeded = outcome is Outcome.OK
         if succeeded and took > 0:
             core_share = min(1.0, self._settings.cores / concurrency)
             learning_rate = COST_LEARNING_RATE if recovery is None else COLD_COST_LEARNING_RATE
@@ -159,12 +172,14 @@
 
     def update_threshold(self, now: float) -> None:
         """Ten times a second."""
-        waiting, running = sum(self._waiting_work.values()), sum(self._running_work.values())
+        waiting = sum(self._waiting_work.values())
+        running = sum(self._running_work.values())
         self.threshold.update(now, len(self._running_work), waiting, running)
 
     def take_arrivals(self) -> int:
         """First tries since this was last called."""
-        arrivals, self._arrivals = self._arrivals, 0
+        arrivals = self._arrivals
+        self._arrivals = 0
         return arrivals
 
 
--- a/ochrehoist/sites/admission_threshold.py
+++ b/ochrehoist/sites/admission_threshold.py
@@ -13,10 +13,12 @@
 COMPLETED_SPAN_S = 1.5  # over which completed work is
 TARGET_BACKLOG = 0.3  # of the latency objective, that what waits may take
 CORRECTION_RANGE = 0.3  # of the latency objective, over which the correction goes from none to all
-MIN_CORRECTION, MAX_CORRECTION = 0.3, 1.25
+MIN_CORRECTION = 0.3
+MAX_CORRECTION = 1.25
 MIN_THRESHOLD = 0.01
 SMOOTHING_SPAN_S = 2.0  # of the threshold that is reported to others
-MIN_CAPACITY, MAX_CAPACITY = 0.25, 1.5  # of the configured cores
+MIN_CAPACITY = 0.25  # of the configured cores
+MAX_CAPACITY = 1.5
 LEAST_DIVISOR = 1e-9
 
 
@@ -37,7 +39,8 @@
 
     def configure(self, cores: int, latency_objective_s: float) -> None:
         """Takes new settings; what was measured is kept."""
-        self._cores, self._objective_s = cores, latency_objective_s
+        self._cores = cores
+        self._objective_s = latency_objective_s
 
     def record_arrival(self, work: float, now: float) -> None:
         """A first try came, with so much work."""
@@ -76,7 +79,8 @@
         else:
             self._busy_for_s = 0.0
             self.capacity += (self._cores - self.capacity) * TICK_INTERVAL_S / COMPLETED_SPAN_S
-        least, most = MIN_CAPACITY * self._cores, MAX_CAPACITY * self._cores
+        least = MIN_CAPACITY * self._cores
+        most = MAX_CAPACITY * self._cores
         self.capacity = min(most, max(least, self.capacity))
 
     def value_at(self, rate: float, now: float) -> float:
--- a/ochrehoist/sites/coordinator.py
+++ b/ochrehoist/sites/coordinator.py
@@ -38,7 +38,8 @@
 
     def __init__(self, site: str, known_sites: list[str]) -> None:
         super().__init__(f"no site {site!r} is known; there are {known_sites}")
-        self.site, self.known_sites = site, known_sites
+        self.site = site
+        self.known_sites = known_sites
 
 
 class SiteCoordinator:
@@ -66,7 +67,8 @@
         tenants: Tenants | None = None,
         step_lease: StepLease | None = None,
     ) -> None:
-        self.name, self.site = name, site
+        self.name = name
+        self.site = site
         self._ticked_at = now
         self._events: deque[SiteEvent] = deque(maxlen=MAX_EVENTS)
         self.peers = PeerWorkers(site)
@@ -101,7 +103,8 @@
 
     def tick(self, now: float, peers: Sequence[PeerWorker]) -> None:
         """Ten times a second."""
-        span_s, self._ticked_at = now - self._ticked_at, now
+        span_s = now - self._ticked_at
+        self._ticked_at = now
         self.peers.update(list(peers))
         self.gate.order.set_averages(self._fleet_averages(now))
         self.gate.order.refresh(now)
@@ -109,7 +112,7 @@
         self._track_health(now, span_s)
         self._merge_commands(now)
         command = self.commands.active(self.site, now)
-        self._events.extend(self.pacing.obey(command, self.peers, now))
+        self._events.extend(self.pacing.apply_command(command, self.peers, now))
         self._events.extend(self.pacing.advance(now, self.gate.threshold, self.peers))
         if self.pacing.recovery is None:
             self.arbiter.lease.release()
@@ -183,7 +186,8 @@
 
     def report(self, now: float) -> SiteReport:
         """This worker's own state."""
-        gate, threshold = self.gate, self.gate.threshold
+        gate = self.gate
+        threshold = self.gate.threshold
         return SiteReport(
             admission_threshold=round(threshold.smoothed, 3),
             offered_work=round(threshold.offered_work(now), 4),
--- a/ochrehoist/sites/evacuation_ramp.py
+++ b/ochrehoist/sites/evacuation_ramp.py
@@ -12,8 +12,10 @@
     """The way out of one worker, by stages."""
 
     def __init__(self, now: float, reason: str) -> None:
-        self.started_at, self.reason = now, reason
-        self._stage, self._entered_at = 0, now
+        self.started_at = now
+        self.reason = reason
+        self._stage = 0
+        self._entered_at = now
 
     @property
     def load_fraction(self) -> float:
@@ -32,5 +34,6 @@
             return False
         if baseline.threshold < CROWDED_THRESHOLD and at_stage_s < MAX_STAGE_S:
             return False
-        self._stage, self._entered_at = self._stage + 1, now
+        self._stage = self._stage + 1
+        self._entered_at = now
         return True
--- a/ochrehoist/sites/load_pacing.py
+++ b/ochrehoist/sites/load_pacing.py
@@ -17,11 +17,13 @@
     def __init__(
         self, now: float, site: str, playbooks: PlaybookExchange, arbiter: StepArbiter, cold_start: bool
     ) -> None:
-        self._site, self._playbooks, self._arbiter = site, playbooks, arbiter
+        self._site = site
+        self._playbooks = playbooks
+        self._arbiter = arbiter
         self.recovery = self._new_ramp(now, RampCause.STARTED) if cold_start else None
         self.evacuation: EvacuationRamp | None = None
         self._shift = LoadShift(now)
-        self._obeyed: tuple[int, str] | None = None  # number and issuer of the command that was carried out
+        self._applied: tuple[int, str] | None = None  # number and issuer of the latest command
 
     def _new_ramp(self, now: float, cause: RampCause) -> RecoveryRamp:
         return RecoveryRamp(now, cause, self._playbooks.ramp_plan(self._site))
@@ -38,18 +40,20 @@
         """Whether it asks for nothing, by an operator's command."""
         return self.evacuation is not None and self.evacuation.is_empty
 
-    def obey(self, command: OperatorCommand | None, peers: PeerWorkers, now: float) -> list[SiteEvent]:
+    def apply_command(
+        self, command: OperatorCommand | None, peers: PeerWorkers, now: float
+    ) -> list[SiteEvent]:
         """Carries out the command that counts now for this site; gives what is to be logged."""
         kind = command.kind if command is not None else None
         if self.recovery is not None:
-            self.recovery.is_held = kind is CommandKind.HOLD
+            self.recovery.set_held(kind is CommandKind.HOLD)
         events = []
         if command is not None and kind is CommandKind.EVACUATE:
             events += self._start_evacuation(command, peers, now)
         elif kind is not CommandKind.HOLD:
             events += self._end_evacuation(kind, now)
         if command is not None:
-            self._obey_once(command, now)
+            self._apply_once(command, now)
         return events
 
     def _start_evacuation(self, command: OperatorCommand, peers: PeerWorkers, now: float) -> list[SiteEvent]:
@@ -68,10 +72,10 @@
         self.recovery = self._new_ramp(now, cause)
         return [SiteEvent(SiteEventName.EVACUATION_ENDED, {"why": cause.value})]
 
-    def _obey_once(self, command: OperatorCommand, now: float) -> None:
-        if self._obeyed == (command.number, command.issued_by):
+    def _apply_once(self, command: OperatorCommand, now: float) -> None:
+        if self._applied == (command.number, command.issued_by):
             return
-        self._obeyed = command.number, command.issued_by
+        self._applied = command.number, command.issued_by
         if self.recovery is None:
             return
         if command.kind is CommandKind.SKIP:
@@ -100,7 +104,8 @@
     ) -> list[SiteEvent]:
         by_operators = ramp.cause is RampCause.RETURNED_BY_OPERATORS
         permission = self._arbiter.evaluate(now, peers, by_operators)
-        before, events = ramp.history[-1], []
+        before = ramp.history[-1]
+        events = []
         ramp.evaluate(
             now,
             RampInputs(
@@ -114,5 +119,6 @@
         if ramp.is_complete:
             after_s = round(now - ramp.started_at, 2)
             events.append(SiteEvent(SiteEventName.RECOVERY_RAMP_COMPLETE, {"after_s": after_s}))
-            self.recovery, self._shift = None, LoadShift(now)
+            self.recovery = None
+            self._shift = LoadShift(now)
         return events
--- a/ochrehoist/sites/load_shift.py
+++ b/ochrehoist/sites/load_shift.py
@@ -7,8 +7,10 @@
 
 INTERVAL_S = 1.0
 MIN_LOAD_FRACTION = 0.3
-DECREASE_FACTOR, INCREASE = 0.9, 0.05
-WORSE_BY, ALIKE_WITHIN = 0.08, 0.02  # of the threshold, against the others
+DECREASE_FACTOR = 0.9
+INCREASE = 0.05
+MAX_DEFICIT = 0.08  # of the threshold against the others, before the load decreases
+TOLERANCE = 0.02  # within which it counts as theirs, and the load increases
 
 
 class LoadShift:
@@ -23,7 +25,7 @@
         if now - self._evaluated_at < INTERVAL_S:
             return
         self._evaluated_at = now
-        if baseline.count and threshold < baseline.capped_threshold - WORSE_BY:
+        if baseline.count and threshold < baseline.capped_threshold - MAX_DEFICIT:
             self.load_fraction = max(MIN_LOAD_FRACTION, self.load_fraction * DECREASE_FACTOR)
-        elif not baseline.count or threshold >= baseline.capped_threshold - ALIKE_WITHIN:
+        elif not baseline.count or threshold >= baseline.capped_threshold - TOLERANCE:
             self.load_fraction = min(1.0, self.load_fraction + INCREASE)
--- a/ochrehoist/sites/peer_workers.py
+++ b/ochrehoist/sites/peer_workers.py
@@ -157,7 +157,8 @@
     `site_of` gives the site of a host, where a description of the fleet tells; else it is what the worker
     says itself.
     """
-    statuses, peers = group.told(TOPIC), []
+    statuses = group.told(TOPIC)
+    peers = []
     for name, member in group.members.members.items():
         age_s, data = statuses.get(name, (0.0, b""))
         site = site_of(member.address.rpartition(":")[0]) if site_of is not None else None
--- a/ochrehoist/sites/playbook_check.py
+++ b/ochrehoist/sites/playbook_check.py
@@ -84,7 +84,8 @@
 
 
 def _admitted_work_faults(key: str, loss: SiteLoss, beyond_quota_share: float) -> list[str]:
-    faults, work = [], 0.0
+    faults = []
+    work = 0.0
     for admission in loss.class_admissions:
         within = (1 - beyond_quota_share) * admission.share
         beyond = beyond_quota_share * admission.beyond_quota_share
--- a/ochrehoist/sites/playbook_exchange.py
+++ b/ochrehoist/sites/playbook_exchange.py
@@ -93,7 +93,8 @@
         """Whether it is younger than the one in use, and so in use from now on."""
         if self.current is not None and playbook.version <= self.current.version:
             return False
-        self.current, self.source = playbook, source
+        self.current = playbook
+        self.source = source
         fields: dict[str, object] = {
             "made": playbook.made_at,
             "digest": playbook.digest,
--- a/ochrehoist/sites/rates.py
+++ b/ochrehoist/sites/rates.py
@@ -13,7 +13,9 @@
     __slots__ = ("_span_s", "_updated_at", "_value")
 
     def __init__(self, span_s: float) -> None:
-        self._span_s, self._value, self._updated_at = span_s, 0.0, 0.0
+        self._span_s = span_s
+        self._value = 0.0
+        self._updated_at = 0.0
 
     def add(self, now: float, amount: float) -> None:
         """Counts an amount at this moment."""
--- a/ochrehoist/sites/recovery_ramp.py
+++ b/ochrehoist/sites/recovery_ramp.py
@@ -23,7 +23,8 @@
 MAX_BAD_RATIO = 0.25  # of the completions that are late or failed
 MIN_THRESHOLD_RATIO = 0.75  # of the others' threshold, under which the stage is too much
 NEXT_THRESHOLD_RATIO = 0.85  # of the others' threshold, that it must keep at the next stage
-BACKOFF_S, MAX_BACKOFF_S = 0.5, 3.0  # after a stage that was taken back; doubled each time
+BACKOFF_S = 0.5  # after a stage that was taken back; doubled each time
+MAX_BACKOFF_S = 3.0
 DISCOVERY_S = 1.5  # that a worker which has just started waits for the reports of all others
 STEADY_S = 1.0  # at the last stage, well, until it counts as back
 MAX_HISTORY = 50
@@ -86,7 +87,8 @@
     """The way back of one worker; `waits_for` says in words what the next stage waits for."""
 
     def __init__(self, now: float, cause: RampCause, plan: RampPlan | None = None) -> None:
-        self.started_at, self.cause = now, cause
+        self.started_at = now
+        self.cause = cause
         self.plan = plan if plan is not None else RampPlan()
         self.stage = 0
         self.measured = StageMeasurement(now)
@@ -123,7 +125,8 @@
         """Ten times a second: takes a stage, takes one back, or says what it waits for."""
         if self.is_complete:
             return
-        baseline, max_duration_s = inputs.baseline, self.plan.max_duration_s
+        baseline = inputs.baseline
+        max_duration_s = self.plan.max_duration_s
         if now - self.started_at > max_duration_s:
             reason = f"not back after {max_duration_s:g} s: all of its load, and the gate guards"
             self._complete(now, reason)
@@ -177,7 +180,8 @@
         if obstacle is not None:
             self.waits_for = obstacle
             return
-        baseline, next_fraction = inputs.baseline, self.plan.stages[self.stage + 1]
+        baseline = inputs.baseline
+        next_fraction = self.plan.stages[self.stage + 1]
         next_threshold = inputs.threshold_at(next_fraction * baseline.rate)
         if next_threshold >= NEXT_THRESHOLD_RATIO * baseline.capped_threshold:
             reason = f"{self.measured.good} in time at {self.load_fraction:.0%}"
@@ -232,14 +236,21 @@
             self._complete(now, "back")
 
     def _enter(self, now: float, stage: int, reason: str) -> None:
-        self.stage, self.measured, self._steady_since = stage, StageMeasurement(now), None
+        self.stage = stage
+        self.measured = StageMeasurement(now)
+        self._steady_since = None
         self.history.append(RampEvent(now, self.load_fraction, reason))
         del self.history[1:-MAX_HISTORY]
 
     def _complete(self, now: float, reason: str) -> None:
-        self.is_complete, self.waits_for = True, ""
+        self.is_complete = True
+        self.waits_for = ""
         self.history.append(RampEvent(now, 1.0, reason))
 
+    def set_held(self, is_held: bool) -> None:
+        """Operators: no further stage while this is set."""
+        self.is_held = is_held
+
     def skip_stage(self, now: float, issued_by: str) -> None:
         """Operators: one stage on without evidence."""
         if not self.is_complete and not self._is_last_stage:
--- a/ochrehoist/sites/site_health.py
+++ b/ochrehoist/sites/site_health.py
@@ -14,9 +14,12 @@
 # Wald's sequential test weighs the load of before against what a loss would bring, by what comes. The
 # logarithm of the likelihood ratio decides at EVIDENCE_THRESHOLD: an error in a thousand for what comes by
 # chance alone. Bursts count for less.
-EVIDENCE_THRESHOLD, MAX_EVIDENCE, BURST_FACTOR = 7.0, 10.0, 1.5
+EVIDENCE_THRESHOLD = 7.0
+MAX_EVIDENCE = 10.0
+BURST_FACTOR = 1.5
 FLAP_WINDOW_S = 60.0  # in which losses of one site are counted
-FLAP_WAIT_S, MAX_FLAP_WAIT_S = 1.0, 16.0  # before a site that was lost again takes a stage; doubled each time
+FLAP_WAIT_S = 1.0  # before a site that was lost again takes a stage; doubled each time
+MAX_FLAP_WAIT_S = 16.0
 MAX_CHANGES = 100
 
 
@@ -32,7 +35,7 @@
     AWAY = "away"  # its workers left on purpose
 
 
-HEARD_STATES = frozenset({SiteState.UP, SiteState.THIN, SiteState.RETURNING})
+REACHABLE_STATES = frozenset({SiteState.UP, SiteState.THIN, SiteState.RETURNING})
 ABSENT_STATES = frozenset({SiteState.LOST, SiteState.RETURNING, SiteState.AWAY})
 
 
@@ -131,8 +134,9 @@
     ) -> HealthChange | None:
         health = self.sites[site]
         if membership.alive:
-            health.silent_since, health.evidence = None, 0.0
-            return self._judge_heard(site, membership, now)
+            health.silent_since = None
+            health.evidence = 0.0
+            return self._judge_reachable(site, membership, now)
         if membership.known and membership.left == membership.known:
             return self._change(site, SiteState.AWAY, "all of its workers have left on purpose", now)
         self._weigh_load(health, now, increase, load)
@@ -159,7 +163,7 @@
             if evidence > -EVIDENCE_THRESHOLD:
                 return None
             return self._change(site, SiteState.CUT, "silent, but its load no longer comes here", now)
-        if any(state in HEARD_STATES for state in membership.third_site_states):
+        if any(state in REACHABLE_STATES for state in membership.third_site_states):
             return self._change(site, SiteState.CUT, "silent here, heard by a third site", now)
         if evidence <= -EVIDENCE_THRESHOLD:
             reason = "silent, but none of its load comes here: the link is cut, or we are cut off"
@@ -177,7 +181,7 @@
         reason = f"silent for {silence_s:.1f} s, and its load comes here"
         return self._change(site, SiteState.LOST, reason, now)
 
-    def _judge_heard(self, site: str, membership: SiteMembership, now: float) -> HealthChange | None:
+    def _judge_reachable(self, site: str, membership: SiteMembership, now: float) -> HealthChange | None:
         if self.sites[site].state in ABSENT_STATES and membership.returning:
             reason = f"{membership.returning} of its workers are coming back"
             return self._change(site, SiteState.RETURNING, reason, now)
@@ -191,7 +195,8 @@
         health.reason = reason
         if health.state is state:
             return None
-        health.state, health.since = state, now
+        health.state = state
+        health.since = now
         change = HealthChange(now, site, state, reason)
         self.changes.append(change)
         del self.changes[:-MAX_CHANGES]
@@ -207,7 +212,7 @@
         """For how long a site that was lost several times lately is asked to stay at its first stage."""
         health = self.sites[site]
         repeats = len([at for at in health.lost_at if now - at < FLAP_WINDOW_S]) - 1
-        if repeats < 1 or health.state not in HEARD_STATES:
+        if repeats < 1 or health.state not in REACHABLE_STATES:
             return 0.0
         wait_s: float = min(MAX_FLAP_WAIT_S, FLAP_WAIT_S * 2 ** (repeats - 1))
         return max(0.0, health.since + wait_s - now)
--- a/ochrehoist/sites/status_view.py
+++ b/ochrehoist/sites/status_view.py
@@ -71,7 +71,9 @@
 
 
 def _gate(coordinator: SiteCoordinator, now: float) -> dict[str, Any]:
-    gate, threshold, usual_rate = coordinator.gate, coordinator.gate.threshold, coordinator.usual_load.rate
+    gate = coordinator.gate
+    threshold = coordinator.gate.threshold
+    usual_rate = coordinator.usual_load.rate
     spans = sorted(gate.order.spans.items(), key=lambda item: item[1])
     return {
         "level": round(threshold.value, 3),
--- a/ochrehoist/sites/step_lease.py
+++ b/ochrehoist/sites/step_lease.py
@@ -65,7 +65,8 @@
     def __init__(self, group: Group) -> None:
         self._group = group
         self._ticket: int | None = None
-        self._renewed_at, self._held_until = 0.0, 0.0
+        self._renewed_at = 0.0
+        self._held_until = 0.0
 
     def acquire(self, now: float) -> float:
         """For as long as the slot that was used last is surely held."""
@@ -99,7 +100,8 @@
     """
 
     def __init__(self, worker: str, site: str, lease: StepLease) -> None:
-        self._worker, self._site = worker, site
+        self._worker = worker
+        self._site = site
         self.lease = lease
         self.held_until = 0.0
         self.site_returns = False
--- a/ochrehoist/sites/usual_load.py
+++ b/ochrehoist/sites/usual_load.py
@@ -63,7 +63,8 @@
             if reported.observation.usual_rate
         ]
         if rates:
-            self.rate, self._known_for_s = sum(rates) / len(rates), MIN_KNOWN_S
+            self.rate = sum(rates) / len(rates)
+            self._known_for_s = MIN_KNOWN_S
 
     def expected_rate(self, peers: PeerWorkers) -> float | None:
         """What would come now, were all other sites there; None: not known.
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -179,11 +179,11 @@
         return self.progress.current.stage
 
     def test_it_stands_where_the_first_thing_is_that_is_not_over(self):
-        facts = ReadinessFacts(store_open=False, peers_heard=False)
+        facts = ReadinessFacts(store_open=False, has_peer_contact=False)
         self.assertEqual(self.evaluate(0.5, facts), StartupStage.STORE)
-        facts = ReadinessFacts(store_open=True, hold_s=5.0, peers_heard=False)
+        facts = ReadinessFacts(store_open=True, hold_s=5.0, has_peer_contact=False)
         self.assertEqual(self.evaluate(0.5, facts), StartupStage.LOST)
-        facts = ReadinessFacts(store_open=True, hold_s=0.0, peers_heard=False)
+        facts = ReadinessFacts(store_open=True, hold_s=0.0, has_peer_contact=False)
         self.assertEqual(self.evaluate(0.5, facts), StartupStage.PEERS)
         self.assertEqual(self.evaluate(0.5, ReadinessFacts(load_fraction=0.2), good=3), StartupStage.WARMING)
         self.assertEqual(self.evaluate(3.0, ReadinessFacts(), good=3), StartupStage.FULL)
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -260,9 +260,9 @@
     def test_without_the_step_lease_or_while_asked_to_wait_or_held_it_stays(self):
         self.assertEqual(self.evaluate(5, granted=False, good=3), DEFAULT_STAGES[0])
         self.assertEqual(self.evaluate(5, wait=1.0, good=3), DEFAULT_STAGES[0])
-        self.ramp.is_held = True
+        self.ramp.set_held(True)
         self.assertEqual(self.evaluate(5, good=3), DEFAULT_STAGES[0])
-        self.ramp.is_held = False
+        self.ramp.set_held(False)
         self.assertGreater(self.evaluate(1, good=3), DEFAULT_STAGES[0])
 
     def test_where_nobody_is_at_full_service_all_take_what_they_can(self):
