--- a/ochrehoist/lab/sitestorm.py
+++ b/ochrehoist/lab/sitestorm.py
@@ -19,6 +19,7 @@
     TimerFired,
 )
 from ochrehoist.admission.settings import AdmissionSettings, Idempotency, RequestClass
+from ochrehoist.core.metrics import RequestCounter
 from ochrehoist.core.request import InboundRequest
 from ochrehoist.lab.balancer import Balancer, Habits
 from ochrehoist.lab.virtual import Node, World
@@ -301,7 +302,7 @@
                 s.coordinator.gate.run_started(r, now)
                 s.cores.start(r.id, call.work)
             elif isinstance(a, RejectRequest | FailRequest):
-                s.coordinator.gate.request_answered(r, "deferred_total", 0)
+                s.coordinator.gate.request_answered(r, RequestCounter.REJECTED, 0)
                 if r.id not in s.running:
                     del s.live[r.id]
                 self._answered(call, False if isinstance(a, RejectRequest) else None)
@@ -325,7 +326,7 @@
             call, r = found
             now, took = int(s.node.clock(self.now) * S), int((self.now - began) * S)
             s.coordinator.gate.run_ended(r, now, took, Outcome.OK)
-            s.coordinator.gate.request_answered(r, "answered_total", 0)
+            s.coordinator.gate.request_answered(r, RequestCounter.ANSWERED, 0)
             if not call.ended:
                 self._answered(call, True)
             self._tell(s, RequestCompleted(rid, Outcome.OK, took))
--- a/ochrehoist/net/intent_replication.py
+++ b/ochrehoist/net/intent_replication.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING, Any, Protocol
 
 from ochrehoist.config.schema import RecoveryConfig
-from ochrehoist.core.owner import Owner
+from ochrehoist.core.actor import CoreActor
 from ochrehoist.core.protocols import IntentReplicator
 from ochrehoist.peers.wire import Life
 from ochrehoist.recovery.intent_log import IntentLog
@@ -67,7 +67,7 @@
 
     def __init__(
         self,
-        owner: Owner,
+        owner: CoreActor,
         config: RecoveryConfig,
         journal: ReplicatedJournal | None,
         peers: Peers | None,
@@ -101,11 +101,11 @@
         until = self.missing_runs.get(key_digest(key)) if self.missing_runs else None
         return until is not None and until > time.monotonic()
 
-    def begin(self, request_id: str, key: bytes, left: float) -> None:
+    def begin(self, request_id: str, key: bytes, window_left_s: float) -> None:
         """The journal hears by `witnessed`, soon, or with False once `witness_timeout_ms` is over."""
         now = time.monotonic()
         max_wait_s = self._config.witness_timeout_ms / 1000
-        self.pending.add(request_id, key, left + WINDOW_MARGIN_S, max_wait_s, now)
+        self.pending.add(request_id, key, window_left_s + WINDOW_MARGIN_S, max_wait_s, now)
         self._send_pending(now)
 
     def drop(self, key: bytes) -> None:
--- a/ochrehoist/net/recovery.py
+++ b/ochrehoist/net/recovery.py
@@ -8,8 +8,8 @@
 from typing import TYPE_CHECKING, Any
 
 from ochrehoist.config.loader import Config
-from ochrehoist.core.figures import counted
-from ochrehoist.core.owner import Owner
+from ochrehoist.core.actor import CoreActor
+from ochrehoist.core.metrics import RequestCounter, format_samples
 from ochrehoist.core.request import InboundRequest
 from ochrehoist.net.intent_replication import NS_PER_S, IntentReplicationService, ReplicatedJournal
 from ochrehoist.net.loop import Loop
@@ -33,7 +33,7 @@
     def __init__(
         self,
         loop: Loop,
-        owner: Owner,
+        owner: CoreActor,
         config: Config,
         journal: ReplicatedJournal | None,
         peers: Peers | None,
@@ -51,7 +51,7 @@
         now = time.monotonic()
         self._progress = StartupProgress(now)
         self._service_level = ServiceLevelMonitor(now)
-        owner.answers.observers.append(self)
+        owner.register_observer(self)
         self._record_path: Path | None = None
         self._record_writer: OffLoop | None = None
         if config.state:
@@ -75,7 +75,7 @@
             hold_s=self._hold_s(),
             has_peer_contact=self._has_peer_contact(),
             services_answer=self._services_answer(),
-            load_fraction=self._owner.part,
+            load_fraction=self._owner.load_fraction,
         )
 
     def _hold_s(self) -> float | None:
@@ -118,17 +118,22 @@
     def request_arrived(self, request: InboundRequest) -> None:
         """Nothing is measured before the answer."""
 
-    def request_answered(self, request: InboundRequest, figure: str | None, backoff: int) -> None:  # noqa: ARG002
+    def request_answered(
+        self,
+        request: InboundRequest,
+        counter: RequestCounter | None,
+        retry_after_ns: int,  # noqa: ARG002
+    ) -> None:
         """Counts what the caller got; one that left got nothing."""
-        if figure is None:
+        if counter is None:
             return
-        self._service_level.count(self._outcome(request, figure), time.monotonic())
+        self._service_level.count(self._outcome(request, counter), time.monotonic())
 
-    def _outcome(self, request: InboundRequest, figure: str) -> ServiceOutcome:
-        if figure == "answered_total":
+    def _outcome(self, request: InboundRequest, counter: RequestCounter) -> ServiceOutcome:
+        if counter is RequestCounter.ANSWERED:
             due_ns = request.arrived_ns + request.request_class.latency_objective_ns
-            return ServiceOutcome.LATE if self._owner.now > due_ns else ServiceOutcome.GOOD
-        return ServiceOutcome.REJECTED if figure == "deferred_total" else ServiceOutcome.FAILED
+            return ServiceOutcome.LATE if self._owner.now_ns > due_ns else ServiceOutcome.GOOD
+        return ServiceOutcome.REJECTED if counter is RequestCounter.REJECTED else ServiceOutcome.FAILED
 
     # What operators call.
 
@@ -167,7 +172,7 @@
         for span in self._progress.spans:
             durations[span.stage] += span.duration_s(now)
         del durations[StartupStage.FULL]
-        return counted(
+        return format_samples(
             {
                 "app_recovery_stage": [
                     (f'{{stage="{stage}"}}', int(stage is current)) for stage in StartupStage
--- a/ochrehoist/net/sites.py
+++ b/ochrehoist/net/sites.py
@@ -10,10 +10,10 @@
 from typing import Any
 
 from ochrehoist.config.loader import Config
-from ochrehoist.core.figures import counted
+from ochrehoist.core.actor import CoreActor
 from ochrehoist.core.messages import StandbyChanged
-from ochrehoist.core.owner import Owner
-from ochrehoist.core.tenants import Tenants
+from ochrehoist.core.metrics import format_samples
+from ochrehoist.core.tenants import TenantTable
 from ochrehoist.net.loop import Loop
 from ochrehoist.net.operators import Answer, said
 from ochrehoist.net.peers import Peers
@@ -51,7 +51,7 @@
     """
 
     def __init__(
-        self, loop: Loop, owner: Owner, config: Config, peers: Peers, cold_start: bool, log: Any
+        self, loop: Loop, owner: CoreActor, config: Config, peers: Peers, cold_start: bool, log: Any
     ) -> None:
         self._loop = loop
         self._owner = owner
@@ -70,12 +70,12 @@
         )
         self._was_evacuated = False
         peers.group.extensions[TOPIC] = self._coordinator
-        owner.gate = self._coordinator.gate
-        owner.answers.observers.append(self._coordinator.gate)
-        owner.part = self._coordinator.load_fraction
+        owner.register_fleet_admission(self._coordinator.gate)
+        owner.register_observer(self._coordinator.gate)
+        owner.set_load_fraction(self._coordinator.load_fraction)
         loop.call_later(TICK_INTERVAL_S, self._tick)
 
-    def configure(self, config: Config, tenants: Tenants) -> None:
+    def configure(self, config: Config, tenants: TenantTable) -> None:
         """A configuration read again."""
         if config.sites is not None:
             self._config = config.sites
@@ -86,7 +86,7 @@
         coordinator = self._coordinator
         site_map = self._config.site_map
         coordinator.tick(now, observe_peers(self._peers.group, site_map.site_of if site_map else None))
-        self._owner.part = coordinator.load_fraction
+        self._owner.set_load_fraction(coordinator.load_fraction)
         self._follow_evacuation()
         for event in coordinator.take_events():
             self._log.warning(str(event.name), **event.fields)
@@ -118,7 +118,7 @@
         now = time.monotonic()
         gate = coordinator.gate
         states = Counter(str(health.state) for health in coordinator.health.sites.values())
-        return counted(
+        return format_samples(
             {
                 "app_sites": [(f'{{state="{state}"}}', count) for state, count in sorted(states.items())],
                 "app_gate_level": [("", round(gate.threshold.value, 4))],
--- a/ochrehoist/sites/admission_gate.py
+++ b/ochrehoist/sites/admission_gate.py
@@ -9,9 +9,10 @@
 
 from ochrehoist.admission.events import Outcome
 from ochrehoist.admission.settings import AdmissionSettings
+from ochrehoist.core.metrics import RequestCounter
 from ochrehoist.core.request import InboundRequest
 from ochrehoist.core.results import Rejection
-from ochrehoist.core.tenants import Tenants, first
+from ochrehoist.core.tenants import TenantTable, initial_table
 from ochrehoist.sites.admission_threshold import AdmissionThreshold
 from ochrehoist.sites.load_pacing import LoadPacing
 from ochrehoist.sites.peer_workers import PeerWorkers
@@ -48,7 +49,7 @@
     def __init__(
         self,
         settings: AdmissionSettings,
-        tenants: Tenants | None,
+        tenants: TenantTable | None,
         peers: PeerWorkers,
         health: SiteHealthTracker,
         playbooks: PlaybookExchange,
@@ -68,7 +69,7 @@
         self._waiting_work: dict[str, float] = {}  # by the id of an admitted request
         self._running_work: dict[str, float] = {}
 
-    def configure(self, settings: AdmissionSettings, tenants: Tenants | None) -> None:
+    def configure(self, settings: AdmissionSettings, tenants: TenantTable | None) -> None:
         """New settings while it runs; what was learned is kept."""
         self._settings = settings
         self.order.configure(settings.classes, _table(settings, tenants), settings.over_quota_weight)
@@ -76,9 +77,9 @@
 
     # What the core asks and says.
 
-    def check_arrival(self, request: InboundRequest, now: int) -> Rejection | None:
+    def check_arrival(self, request: InboundRequest, now_ns: int) -> Rejection | None:
         """One that never ran: whether it is rejected before the decision module sees it."""
-        now_s = now / NS_PER_S
+        now_s = now_ns / NS_PER_S
         identity = _identity_of(request)
         class_name = request.request_class.name
         self._record_arrival(request, identity, now_s)
@@ -141,30 +142,37 @@
         max_ns = self._settings.max_retry_after_ns
         return Rejection(min(retry_after_ns, max_ns) if max_ns else retry_after_ns, no_retry=nobody_admits)
 
-    def run_started(self, request: InboundRequest, now: int) -> None:  # noqa: ARG002
+    def run_started(self, request: InboundRequest, now_ns: int) -> None:  # noqa: ARG002
         """Its run has started."""
         self._running_work[request.id] = self._waiting_work.pop(request.id, 0.0)
 
-    def run_ended(self, request: InboundRequest, now: int, took: int, outcome: Outcome) -> None:
+    def run_ended(self, request: InboundRequest, now_ns: int, duration_ns: int, outcome: Outcome) -> None:
         """A run is over; its time, less what it shared its cores, tells what its class costs."""
-        now_s = now / NS_PER_S
+        now_s = now_ns / NS_PER_S
         concurrency = max(1, len(self._running_work))
         self._running_work.pop(request.id, None)
         recovery = self._pacing.recovery
         succeeded = outcome is Outcome.OK
-        if succeeded and took > 0:
+        if succeeded and duration_ns > 0:
             core_share = min(1.0, self._settings.cores / concurrency)
             learning_rate = COST_LEARNING_RATE if recovery is None else COLD_COST_LEARNING_RATE
-            self.order.record_run(request.request_class.name, took / NS_PER_S * core_share, learning_rate)
+            self.order.record_run(
+                request.request_class.name, duration_ns / NS_PER_S * core_share, learning_rate
+            )
             self.threshold.record_completion(self.order.cost(request.request_class.name) or 0.0, now_s)
         if recovery is not None:
-            in_time = now <= request.arrived_ns + request.request_class.latency_objective_ns
+            in_time = now_ns <= request.arrived_ns + request.request_class.latency_objective_ns
             recovery.record_completion(succeeded and in_time)
 
     def request_arrived(self, request: InboundRequest) -> None:
         """Counted where it is decided on, by `check_arrival`."""
 
-    def request_answered(self, request: InboundRequest, figure: str | None, backoff: int) -> None:  # noqa: ARG002
+    def request_answered(
+        self,
+        request: InboundRequest,
+        counter: RequestCounter | None,  # noqa: ARG002
+        retry_after_ns: int,  # noqa: ARG002
+    ) -> None:
         """Nothing is owed for it any more."""
         self._waiting_work.pop(request.id, None)
 
@@ -187,8 +195,8 @@
     return min(c.latency_objective_ns for c in settings.classes) / NS_PER_S
 
 
-def _table(settings: AdmissionSettings, tenants: Tenants | None) -> Tenants:
-    return tenants if tenants is not None else first(settings.tenants)
+def _table(settings: AdmissionSettings, tenants: TenantTable | None) -> TenantTable:
+    return tenants if tenants is not None else initial_table(settings.tenants)
 
 
 def _identity_of(request: InboundRequest) -> RequestIdentity:
--- a/ochrehoist/sites/coordinator.py
+++ b/ochrehoist/sites/coordinator.py
@@ -8,7 +8,7 @@
 from collections.abc import Sequence
 
 from ochrehoist.admission.settings import AdmissionSettings
-from ochrehoist.core.tenants import Tenants
+from ochrehoist.core.tenants import TenantTable
 from ochrehoist.errors import OchrehoistError
 from ochrehoist.peers.wire import Life
 from ochrehoist.sites.admission_gate import AdmissionGate
@@ -64,7 +64,7 @@
         playbook: Playbook | None,
         now: float,
         cold_start: bool,
-        tenants: Tenants | None = None,
+        tenants: TenantTable | None = None,
         step_lease: StepLease | None = None,
     ) -> None:
         self.name = name
@@ -82,7 +82,7 @@
         self.gate = AdmissionGate(settings, tenants, self.peers, self.health, self.playbooks, self.pacing)
 
     def configure(
-        self, settings: AdmissionSettings, playbook: Playbook | None, tenants: Tenants | None = None
+        self, settings: AdmissionSettings, playbook: Playbook | None, tenants: TenantTable | None = None
     ) -> None:
         """New settings while it runs; a playbook of another file counts only where it is the younger."""
         self.gate.configure(settings, tenants)
--- a/ochrehoist/sites/shedding_order.py
+++ b/ochrehoist/sites/shedding_order.py
@@ -13,7 +13,7 @@
 from typing import NamedTuple, TypeVar
 
 from ochrehoist.admission.settings import Idempotency, RequestClass
-from ochrehoist.core.tenants import Tenants
+from ochrehoist.core.tenants import TenantTable
 from ochrehoist.sites.rates import DecayingRate, hash_fraction
 
 RATE_SPAN_S = 6.0
@@ -86,7 +86,9 @@
     `beyond_quota_weight` scales the priority weight of what a tenant sends beyond its quota.
     """
 
-    def __init__(self, classes: Iterable[RequestClass], tenants: Tenants, beyond_quota_weight: float) -> None:
+    def __init__(
+        self, classes: Iterable[RequestClass], tenants: TenantTable, beyond_quota_weight: float
+    ) -> None:
         self.class_costs: dict[str, float] = {}  # s of one core for one request
         self.averages = FleetAverages({}, {})
         self.spans: dict[SheddingGroup, RankSpan] = {}
@@ -96,7 +98,7 @@
         self.configure(classes, tenants, beyond_quota_weight)
 
     def configure(
-        self, classes: Iterable[RequestClass], tenants: Tenants, beyond_quota_weight: float
+        self, classes: Iterable[RequestClass], tenants: TenantTable, beyond_quota_weight: float
     ) -> None:
         """Takes new settings; what was learned of classes that stay is kept."""
         self.classes = {c.name: c for c in classes}
@@ -169,7 +171,7 @@
 
     def is_beyond_quota(self, identity: tuple[object, ...], tenant: str | None, now: float) -> bool:
         """Whether it is of the part that its tenant sends beyond its quota in the fleet."""
-        known = self._tenants.of(tenant)
+        known = self._tenants.get(tenant)
         if known is None or tenant is None:
             return False
         quota = known.quota_per_s
@@ -243,7 +245,7 @@
         """Of those nearest to their quota, or furthest beyond it: only there do all have to agree."""
 
         def quota_use(item: tuple[str, float]) -> float:
-            known = self._tenants.of(item[0])
+            known = self._tenants.get(item[0])
             return item[1] / max(LEAST_DIVISOR, known.quota_per_s) if known is not None else 0.0
 
         return dict(nlargest(MAX_REPORTED_TENANTS, self.tenant_rates(now).items(), key=quota_use))
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -12,7 +12,7 @@
 
 from ochrehoist.admission.settings import AdmissionSettings, Idempotency, RequestClass, Tenant
 from ochrehoist.config.fleet_description import load as load_fleet
-from ochrehoist.core.tenants import first
+from ochrehoist.core.tenants import initial_table
 from ochrehoist.lab import sitestorm
 from ochrehoist.plan import playbook as plan_playbook
 from ochrehoist.sites import playbook_codec, playbook_text, site_report
@@ -51,7 +51,7 @@
 
 def make_order(costs=(0.1, 0.1, 0.1), quota=None, rate=0.0):
     tenants = (Tenant("acme", quota, 1.0),) if quota is not None else ()
-    o = SheddingOrder((READ, REFRESH, FILING), first(tenants), 0.1)
+    o = SheddingOrder((READ, REFRESH, FILING), initial_table(tenants), 0.1)
     for c, cost in zip((READ, REFRESH, FILING), costs, strict=True):
         o.record_run(c.name, cost)
     o.set_averages(FleetAverages({}, {"acme": rate}))
