--- a/ochrehoist/app/reload_status.py
+++ b/ochrehoist/app/reload_status.py
@@ -49,7 +49,9 @@
 
     def reject(self, reason: str) -> None:
         """The reload was rejected: what was in force stays so."""
-        self.outcome, self._reason, self.ended_at = ReloadOutcome.REJECTED, reason, time.monotonic()
+        self.outcome = ReloadOutcome.REJECTED
+        self._reason = reason
+        self.ended_at = time.monotonic()
 
     def switch(self, version: str, began_at: float) -> None:
         """`version` came into force, by a switch that began at `began_at`."""
--- a/ochrehoist/app/simulator_adapter.py
+++ b/ochrehoist/app/simulator_adapter.py
@@ -25,7 +25,9 @@
 from ochrehoist.config.settings import read_settings
 from ochrehoist.errors import InvalidInputError
 
-EXIT_OK, EXIT_BROKEN_PIPE, EXIT_INVALID_INPUT = 0, 1, 2
+EXIT_OK = 0
+EXIT_BROKEN_PIPE = 1
+EXIT_INVALID_INPUT = 2
 
 
 class SimulatedInstance:
@@ -88,7 +90,8 @@
     def _begin_batch(self, fields: LineFields) -> None:
         if self._batch is not None:
             raise fields.error("(start)", "inside another batch")
-        now_ns, number = fields.integer("clock"), fields.integer("number")
+        now_ns = fields.integer("clock")
+        number = fields.integer("number")
         self._batch = fields.finish(Batch(now_ns, number))
 
     def _end_batch(self, batch: Batch, rest: str) -> None:
@@ -169,10 +172,10 @@
 
 def main(source: Iterable[str] | None = None, out: TextIO | None = None, err: TextIO | None = None) -> int:
     """Takes all lines of `source`, by default of standard input. Returns the exit code."""
-    source, out, err = source or sys.stdin, out or sys.stdout, err or sys.stderr
-    host = SimulatorHost(out, err)
+    err = err or sys.stderr
+    host = SimulatorHost(out or sys.stdout, err)
     try:
-        for line in source:
+        for line in source or sys.stdin:
             text = line.rstrip("\r\n")
             if text:
                 host.take_line(text)
--- a/ochrehoist/app/simulator_lines.py
+++ b/ochrehoist/app/simulator_lines.py
@@ -155,7 +155,8 @@
 
 def parse_request(fields: LineFields, index: InstanceIndex) -> RequestReceived:
     """The line INCOMING. Raises InvalidInputError."""
-    request_id, class_name = fields.text("Job"), fields.text("Type")
+    request_id = fields.text("Job")
+    class_name = fields.text("Type")
     if class_name not in index.classes:
         raise fields.error("Type", f"unknown class {class_name!r}")
     tenant = fields.optional_text("Realm")
@@ -216,7 +217,8 @@
 
 
 def _parse_timer(fields: LineFields) -> TimerFired:
-    timer_id, pairs = fields.integer("Ref"), fields.optional_text("Gauge")
+    timer_id = fields.integer("Ref")
+    pairs = fields.optional_text("Gauge")
     gauges: dict[str, float] = {}
     for pair in pairs.split(",") if pairs else ():
         name, colon, value = pair.partition(":")
--- a/ochrehoist/config/ajp_tables.py
+++ b/ochrehoist/config/ajp_tables.py
@@ -8,7 +8,8 @@
 from ochrehoist.config.schema import AjpConfig, AjpServer
 from ochrehoist.config.values import address, header_name
 
-MIN_PACKET_BYTES, MAX_PACKET_BYTES = 8192, 65536  # of AJP/1.3
+MIN_PACKET_BYTES = 8192  # of AJP/1.3
+MAX_PACKET_BYTES = 65536
 DEFAULT_BODY_BYTES = 1 << 20
 SERVERS_PER_STEP = 50
 
--- a/ochrehoist/config/common.py
+++ b/ochrehoist/config/common.py
@@ -38,7 +38,8 @@
     top: ObjectReader, seed: int, tenants: TenantReader
 ) -> Generator[None, None, Config]:
     """A Config that has only what each file must have. Raises InvalidInputError."""
-    limits, settings_table = top.section("limits", {}), top.section("settings")
+    limits = top.section("limits", {})
+    settings_table = top.section("settings")
     loaded = yield from settings_in_steps(settings_table.data, tenants)
     family = settings_table.section("FamilyInfo")
     gauges = family.items("OwnStats", [])
--- a/ochrehoist/config/fleet.py
+++ b/ochrehoist/config/fleet.py
@@ -61,7 +61,8 @@
     if "peers" not in top.data:
         return None
     table = top.section("peers").allow_only(*_PEERS_KEYS)
-    listen, members_table = address(table, "listen", loopback=True), table.section("members", {})
+    listen = address(table, "listen", loopback=True)
+    members_table = table.section("members", {})
     secrets = _secrets(table)
     lease_grantors = table.texts("voters", [])
     max_ejected_fraction = table.number("most_out", 0.5)
--- a/ochrehoist/config/json_reader.py
+++ b/ochrehoist/config/json_reader.py
@@ -109,7 +109,8 @@
 
     def _array(self, position: int, path: ArrayPath) -> Generator[None, None, tuple[list[Any], int]]:
         elements: list[Any] = []
-        text, take = self._text, self._takers.get(path)
+        text = self._text
+        take = self._takers.get(path)
         position = _skip_whitespace(text, position)
         if text[position : position + 1] == "]":
             return elements, position + 1
--- a/ochrehoist/config/routes.py
+++ b/ochrehoist/config/routes.py
@@ -63,7 +63,8 @@
     def _checked(self, table: ObjectReader, classes: Collection[str] | None) -> AjpRoute:
         """The route of a table. `classes`: None: any will do. Raises InvalidInputError."""
         table.allow_only("uri", "methods", "class")
-        request_class, written_methods = table.text("class"), table.items("methods", [])
+        request_class = table.text("class")
+        written_methods = table.items("methods", [])
         if classes is not None and request_class not in classes:
             raise table.error("class", f"unknown class {request_class!r}")
         if not all(isinstance(method, str) and method for method in written_methods):
--- a/ochrehoist/config/settings.py
+++ b/ochrehoist/config/settings.py
@@ -67,8 +67,11 @@
 def settings_in_steps(data: Any, tenants: TenantReader) -> Generator[None, None, LoadedSettings]:
     """As settings_from(), in steps. `tenants` may have taken the elements of `Tenants` already."""
     top = ObjectReader(data, "")
-    family, rules, limits = top.section("FamilyInfo"), top.section("Rules"), top.section("PolicyLimits", {})
-    result_mix, charges = top.section("ResultMix"), top.section("Charges", {})
+    family = top.section("FamilyInfo")
+    rules = top.section("Rules")
+    limits = top.section("PolicyLimits", {})
+    result_mix = top.section("ResultMix")
+    charges = top.section("Charges", {})
     downstream = family.choice("DependsOn", DOWNSTREAM_WORDS, "off")
     downstream_default = REQUIRED if downstream is DownstreamScope.SHARED else 0
     backpressure = family.choice("Say", BACKPRESSURE_WORDS, "off")
--- a/ochrehoist/config/source.py
+++ b/ochrehoist/config/source.py
@@ -119,7 +119,9 @@
     file: io.FileIO, max_bytes: int | None
 ) -> Generator[None, None, FileText | FileEncodingError]:
     """The text, or what is wrong with it. Of a file that grows beyond `max_bytes` no more is read."""
-    text, digest, line = FileText(), sha256(), 1
+    text = FileText()
+    digest = sha256()
+    line = 1
     decoder = io.IncrementalNewlineDecoder(codecs.getincrementaldecoder("utf-8")(), translate=True)
     while True:
         data = file.read(READ_BYTES)
--- a/ochrehoist/config/toml_reader.py
+++ b/ochrehoist/config/toml_reader.py
@@ -210,19 +210,26 @@
     def _begin_run(self, path: ArrayPath, element: str, line: int) -> None:
         self._remainder.begin_run(path, element, line)
         if path not in self._arrays:
-            self._arrays[path], self._lines[path], self._chunks[path] = [], array("L"), {}
+            self._arrays[path] = []
+            self._lines[path] = array("L")
+            self._chunks[path] = {}
 
     def _finish_chunk(self, next_text: str) -> None:
         """Parses the chunk, unless it is known. `next_text`: what follows it."""
         if not self._chunk:
             return
-        text, size, path = "".join(self._chunk), len(self._chunk), self._path
-        self._chunk, self._chunk_chars = [], 0
-        elements, take = self._arrays[path], self._takers.get(path)
+        path = self._path
+        text = "".join(self._chunk)
+        size = len(self._chunk)
+        self._chunk = []
+        self._chunk_chars = 0
+        elements = self._arrays[path]
+        take = self._takers.get(path)
         if take is None:
             elements += self._parsed_chunk(text, next_text)
             return
-        digest, end = _digest(text), len(self._lines[path])
+        digest = _digest(text)
+        end = len(self._lines[path])
         self._chunks[path][digest] = range(end - size, end)
         known = self._known_chunks[path].get(digest)
         if known is None:
@@ -302,7 +309,8 @@
 
     def _line_offset(self, line: int) -> int:
         """The line of the file less that of the remainder."""
-        starts, lines = [], 0
+        starts: list[int] = []
+        lines = 0
         for piece, _ in self._pieces:
             starts.append(lines + 2)
             lines += piece.count("\n")
