--- a/ochrehoist/core/forwarder.py
+++ b/ochrehoist/core/forwarder.py
@@ -7,13 +7,15 @@
 from collections.abc import Callable
 
 from ochrehoist.admission.events import Outcome
-from ochrehoist.core import handover_lines
 from ochrehoist.core.handover_lines import (
     FailureDecided,
+    ForwardedMessage,
     Line,
     RejectionDecided,
     ResultDecided,
     Send,
+    decision_from_json,
+    message_to_json,
 )
 from ochrehoist.core.messages import (
     CallerDisconnected,
@@ -80,11 +82,11 @@
         elif isinstance(message, IntentRecorded):
             self._intent_recorded(message)
         elif isinstance(message, StandbyChanged):
-            self._forward(handover_lines.standby_line(message.enabled))
+            self._forward(message)
 
-    def _forward(self, line: Line) -> None:
+    def _forward(self, message: ForwardedMessage) -> None:
         if self._send is not None:
-            self._send(line)
+            self._send(message_to_json(message, self._codec))
 
     def _request_arrived(self, request: InboundRequest) -> None:
         now_ns = self._clock()
@@ -95,13 +97,13 @@
             self._fail(request, FailureReason.INTERNAL)
             return
         self.pending[request.id] = request
-        self._forward(handover_lines.arrived_line(request))
+        self._forward(RequestArrived(request))
 
     def _caller_disconnected(self, message: CallerDisconnected) -> None:
         request = self.pending.get(message.id)
         if request is not None:
             request.answered = True
-            self._forward(handover_lines.caller_disconnected_line(request.id, message.gave_up))
+            self._forward(message)
             self._drop_if_over(request)
 
     def _intent_recorded(self, message: IntentRecorded) -> None:
@@ -118,9 +120,7 @@
         request = self.pending.get(message.id)
         if request is None:
             return
-        self._forward(
-            handover_lines.run_ended_line(message.id, message.result, message.duration_ns, self._codec)
-        )
+        self._forward(message)
         if self._send is None and not request.answered:
             self._complete(request, message.result)
         self._completed[message.id] = message
@@ -139,7 +139,7 @@
             return
         if request is None or request.answered:
             return
-        decision = handover_lines.decision_from_json(line, self._codec)
+        decision = decision_from_json(line, self._codec)
         if isinstance(decision, ResultDecided):
             self._complete(request, decision.result)
         elif isinstance(decision, RejectionDecided):
@@ -150,7 +150,7 @@
 
     def _start(self, request_id: str, request: InboundRequest | None) -> None:
         if request is None:  # its caller has left: nothing is begun
-            self._forward(handover_lines.not_started_line(request_id, self._codec))
+            self._forward(RunCompleted(request_id, RunResult(Outcome.NOT_STARTED), 0))
         elif not request.started:
             request.started = True
             self._execute(request)
@@ -183,7 +183,7 @@
             if not request.answered and due_ns <= now_ns:
                 self._log.warning("forwarded_request_overdue", id=request.id)
                 self._fail(request, FailureReason.DEADLINE_PASSED)
-                self._forward(handover_lines.caller_disconnected_line(request.id, gave_up=False))
+                self._forward(CallerDisconnected(request.id, gave_up=False))
                 self._drop_if_over(request)
 
     # Answers.
--- a/ochrehoist/core/handover_lines.py
+++ b/ochrehoist/core/handover_lines.py
@@ -6,13 +6,13 @@
 """
 
 import base64
-from collections.abc import Callable
+from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 from typing import Any
 
-from ochrehoist.admission.events import Outcome
 from ochrehoist.admission.settings import RequestClass
 from ochrehoist.core.errors import RequestOwnerDisconnectedError
+from ochrehoist.core.messages import CallerDisconnected, RequestArrived, RunCompleted, StandbyChanged
 from ochrehoist.core.persisted_names import (
     FAILURE_REASON_NAMES,
     FAILURE_REASONS_BY_NAME,
@@ -254,29 +254,48 @@
             raise RequestOwnerDisconnectedError(request.id)
 
 
-# From the process that read the requests to the one that decides.
+# From the process that read the requests to the one that decides: messages to the core.
 
+ForwardedMessage = RequestArrived | CallerDisconnected | RunCompleted | StandbyChanged
 
-def arrived_line(request: InboundRequest) -> Line:
-    """A request was read; its arrival is by the Unix clock."""
-    return {"m": "arrived"} | request_to_json(request, request.arrived_ns)
 
+def message_to_json(message: ForwardedMessage, codec: DetailCodec) -> Line:
+    """The line of a message that the other process is to handle.
 
-def caller_disconnected_line(request_id: str, gave_up: bool) -> Line:
-    """Nobody waits for the request any more."""
-    return {"m": "gone", "id": request_id, "gave_up": gave_up}
-
-
-def run_ended_line(request_id: str, result: RunResult, duration_ns: int, codec: DetailCodec) -> Line:
-    """The run of the request ended."""
-    return {"m": "ended", "id": request_id, "result": result_to_json(result, codec), "took": duration_ns}
-
+    A request's arrival is by the Unix clock.
+    """
+    match message:
+        case RequestArrived(request):
+            return {"m": "arrived"} | request_to_json(request, request.arrived_ns)
+        case CallerDisconnected(request_id, gave_up):
+            return {"m": "gone", "id": request_id, "gave_up": gave_up}
+        case RunCompleted(request_id, result, duration_ns):
+            return {
+                "m": "ended",
+                "id": request_id,
+                "result": result_to_json(result, codec),
+                "took": duration_ns,
+            }
+        case StandbyChanged(enabled):
+            return {"m": "standby", "on": enabled}
 
-def not_started_line(request_id: str, codec: DetailCodec) -> Line:
-    """The request is not known here any more: nothing was begun."""
-    return run_ended_line(request_id, RunResult(Outcome.NOT_STARTED), 0, codec)
 
+def message_from_json(
+    line: Line, send: Send, codec: DetailCodec, classes: Iterable[RequestClass]
+) -> ForwardedMessage | None:
+    """The message of a line; None where it is of an unknown kind.
 
-def standby_line(enabled: bool) -> Line:
-    """The operators want the worker empty, or take that back."""
-    return {"m": "standby", "on": enabled}
+    Raises KeyError, TypeError or ValueError where a known one is damaged. `send` reaches the process that
+    read the request; `classes`: those known here.
+    """
+    kind = line["m"]
+    if kind == "arrived":
+        remote = RemoteRequestOwner(line["id"], send, codec)
+        return RequestArrived(request_from_json(line, remote, {c.name: c for c in classes}))
+    if kind == "gone":
+        return CallerDisconnected(line["id"], bool(line["gave_up"]))
+    if kind == "ended":
+        return RunCompleted(line["id"], result_from_json(line["result"], codec), int(line["took"]))
+    if kind == "standby":
+        return StandbyChanged(bool(line["on"]))
+    return None
--- a/ochrehoist/net/link.py
+++ b/ochrehoist/net/link.py
@@ -20,14 +20,12 @@
 from ochrehoist.core.actor import CoreActor
 from ochrehoist.core.errors import InvalidStateError
 from ochrehoist.core.forwarder import Forwarder
-from ochrehoist.core.handover_lines import RemoteRequestOwner, request_from_json, result_from_json
+from ochrehoist.core.handover_lines import message_from_json
 from ochrehoist.core.handover_snapshot import SnapshotReader, snapshot_lines
 from ochrehoist.core.idempotent_runs import RESULT_OVERHEAD_BYTES
 from ochrehoist.core.messages import (
     CallerDisconnected,
-    RequestArrived,
     RunCompleted,
-    StandbyChanged,
     StateTransferred,
 )
 from ochrehoist.core.protocols import DetailCodec
@@ -287,21 +285,12 @@
             self._lost()
 
     def _heard(self, line: dict) -> None:
-        kind, owner = line["m"], self.owner
-        if kind == "arrived":
-            far = RemoteRequestOwner(line["id"], self._send, self.codec)
-            classes = {c.name: c for c in owner.settings.classes}
-            owner.post(RequestArrived(request_from_json(line, far, classes)))
-        elif kind == "gone":
-            owner.post(CallerDisconnected(line["id"], bool(line["gave_up"])))
-        elif kind == "ended":
-            owner.post(
-                RunCompleted(line["id"], result_from_json(line["result"], self.codec), int(line["took"]))
-            )
-        elif kind == "standby":
-            owner.post(StandbyChanged(bool(line["on"])))
-        elif kind == "holds":
+        if line["m"] == "holds":
             self.holds(line["connections"])
+            return
+        message = message_from_json(line, self._send, self.codec, self.owner.settings.classes)
+        if message is not None:
+            self.owner.post(message)
 
     def _lost(self) -> None:
         """What it had not begun has no caller any more. What it had begun counts as run, and failed."""
