--- a/ochrehoist/core/action_handlers.py
+++ b/ochrehoist/core/action_handlers.py
@@ -125,7 +125,7 @@
     core.log.error("action_unsupported", action=type(action).__name__)
 
 
-ACTION_HANDLERS: dict[type[Action], Callable[[Any, Any], None]] = {
+ACTION_HANDLERS: dict[type[Action], Callable[[CoreContext, Any], None]] = {
     StartRun: start_run,
     RejectRequest: reject_request,
     FailRequest: fail_request,
--- a/ochrehoist/core/actor.py
+++ b/ochrehoist/core/actor.py
@@ -6,7 +6,6 @@
 from collections import Counter
 from collections.abc import Callable
 from dataclasses import replace
-from typing import Any
 
 from ochrehoist.admission.controller import AdmissionController
 from ochrehoist.admission.events import (
@@ -25,7 +24,7 @@
 from ochrehoist.core.idempotency_table import IdempotencyTable
 from ochrehoist.core.message_handlers import MESSAGE_HANDLERS
 from ochrehoist.core.messages import RunCompleted
-from ochrehoist.core.protocols import DetailCodec, Waker
+from ochrehoist.core.protocols import DetailCodec, Logger, Waker
 from ochrehoist.core.request import InboundRequest
 from ochrehoist.core.results import FailureReason, RunResult
 from ochrehoist.core.snapshot import CoreSnapshot
@@ -48,7 +47,7 @@
         waker: Waker,
         clock: Callable[[], int],
         wall_clock: Callable[[], int],
-        log: Any,
+        log: Logger,
         max_result_bytes: int,
         request_gauges: Callable[[], None],
     ) -> None:
--- a/ochrehoist/core/context.py
+++ b/ochrehoist/core/context.py
@@ -3,7 +3,6 @@
 from abc import ABC, abstractmethod
 from collections import deque
 from collections.abc import Callable
-from typing import Any
 
 from ochrehoist.admission.controller import AdmissionController
 from ochrehoist.admission.events import Event, RequestReceived
@@ -19,6 +18,7 @@
     FleetAdmission,
     IdempotencyJournal,
     LifecycleListener,
+    Logger,
     RequestObserver,
     Waker,
 )
@@ -38,8 +38,28 @@
 class CoreContext(ABC):
     """State of the core.
 
-    `clock` is Unix time (ns) that runs steadily; `wall_clock` is the Unix clock as it stands, which may be
-    set. `request_gauges` asks for gauges; they come back as a GaugesMeasured message, late or never.
+    Attributes:
+        settings: The settings in force.
+        clock: Unix time (ns) that runs steadily.
+        wall_clock: The Unix clock (ns) as it stands, which may be set.
+        request_gauges: Asks for gauges; they come back as a GaugesMeasured message, late or never.
+        now_ns: The time of what is being handled, by `clock`.
+        controller: None until the executor is up, and once another process decides.
+        controller_healthy: What the controller says of its health.
+        kernel_connected: Whether what runs the requests is within reach.
+        standby: Whether the operators want the worker empty.
+        inherited_standby: Whether `standby` came from the process before this one.
+        healthy: What checks and reports say: it depends on `controller_healthy`, `kernel_connected`,
+            `standby` and the order to shut down.
+        load_fraction: The part of its usual load that this worker asks for; 0: none.
+        backpressure_weight_pct: The part of its usual share that the controller asks for.
+        drain_started_ns: When the order to shut down came; None before.
+        stop_ns: When the process will be stopped; None before the order.
+        executor_ready: None until the executor is up.
+        instance_started_ns: When the executor came up.
+        request_predecessor_state: Asks the process before this one for its state; None where there is none.
+        frozen: Whether this core stands still while the next process takes its state.
+        forwarder: What this core is reduced to once another process decides; None before.
     """
 
     def __init__(
@@ -49,7 +69,7 @@
         waker: Waker,
         clock: Callable[[], int],
         wall_clock: Callable[[], int],
-        log: Any,
+        log: Logger,
         max_result_bytes: int,
         request_gauges: Callable[[], None],
     ) -> None:
@@ -78,17 +98,14 @@
         self.fleet_admission: FleetAdmission | None = None
         self.listeners: list[LifecycleListener] = []
         self._tenant_quotas: TenantQuotas | None = None
-        # What checks and reports say depends on all of these, and on the order to shut down.
         self.controller_healthy = True
         self.kernel_connected = True
-        self.standby = False  # the operators want the worker empty
+        self.standby = False
         self.healthy = True
-        self.load_fraction = 1.0  # of its usual load that this worker asks for; 0: none
-        self.backpressure_weight_pct = 100  # of its usual share that this worker asks for
+        self.load_fraction = 1.0
+        self.backpressure_weight_pct = 100
         self.drain_started_ns: int | None = None
         self.stop_ns: int | None = None
-        # Replacing the process: what asks the one before this for its state, once this one is up; whether
-        # this core stands still while the next one takes its state; and what it is reduced to then.
         self.request_predecessor_state: Callable[[], None] | None = None
         self.executor_ready: ExecutorReady | None = None
         self.instance_started_ns = 0
--- a/ochrehoist/core/idempotent_runs.py
+++ b/ochrehoist/core/idempotent_runs.py
@@ -1,6 +1,6 @@
 """Idempotent runs through the journal: none begins before it is on record, and what was is known again."""
 
-from typing import Any, Protocol
+from typing import Protocol
 
 from ochrehoist.admission import learned_state
 from ochrehoist.admission.controller import AdmissionController
@@ -14,7 +14,7 @@
 )
 from ochrehoist.core.idempotency_table import IdempotencyTable, IdempotentRun
 from ochrehoist.core.messages import DuplicateResolved, IntentRecorded, Message, StateRestored
-from ochrehoist.core.protocols import IdempotencyJournal
+from ochrehoist.core.protocols import IdempotencyJournal, Logger
 from ochrehoist.core.request import IdempotencyKey, InboundRequest
 from ochrehoist.core.response_tracker import ResponseTracker
 from ochrehoist.core.results import FailureReason, RunResult
@@ -35,7 +35,7 @@
     class_indices: dict[str, int]
     tenants: TenantTable
     now_ns: int
-    log: Any
+    log: Logger
 
     def dispatch(self, event: Event, at_ns: int | None = None) -> bool:
         """Gives the controller an event and carries out its actions."""
--- a/ochrehoist/core/message_handlers.py
+++ b/ochrehoist/core/message_handlers.py
@@ -187,7 +187,7 @@
         core.post(RunCompleted(request.id, RunResult(Outcome.NOT_STARTED), 0))
 
 
-MESSAGE_HANDLERS: dict[type[Message], Callable[[Any, Any], None]] = {
+MESSAGE_HANDLERS: dict[type[Message], Callable[[CoreContext, Any], None]] = {
     ExecutorReady: executor_ready,
     RequestArrived: request_arrived,
     CallerDisconnected: caller_disconnected,
--- a/ochrehoist/core/protocols.py
+++ b/ochrehoist/core/protocols.py
@@ -18,6 +18,26 @@
     from ochrehoist.core.request import IdempotencyKey, InboundRequest
 
 
+class Logger(Protocol):
+    """Writes log events: a name in snake_case and typed fields."""
+
+    def info(self, event: str, **fields: object) -> None:
+        """Logs what is worth knowing."""
+        ...
+
+    def warning(self, event: str, **fields: object) -> None:
+        """Logs what may need attention."""
+        ...
+
+    def error(self, event: str, **fields: object) -> None:
+        """Logs what needs attention."""
+        ...
+
+    def exception(self, event: str, **fields: object) -> None:
+        """Logs an error with the traceback of the exception that is being handled."""
+        ...
+
+
 class Responder(Protocol):
     """Carries one final answer to the caller. A caller that has left is no error."""
 
--- a/ochrehoist/core/response_tracker.py
+++ b/ochrehoist/core/response_tracker.py
@@ -1,11 +1,10 @@
 """The one final answer of each request: sent once, and counted as what its caller received."""
 
 from collections.abc import Callable
-from typing import Any
 
 from ochrehoist.admission.events import Outcome
 from ochrehoist.core.metrics import Metrics, RequestCounter
-from ochrehoist.core.protocols import RequestObserver
+from ochrehoist.core.protocols import Logger, RequestObserver
 from ochrehoist.core.request import InboundRequest
 from ochrehoist.core.results import FailureReason, RunResult
 
@@ -22,7 +21,7 @@
         unanswered: How many of them are owed an answer.
     """
 
-    def __init__(self, metrics: Metrics, log: Any) -> None:
+    def __init__(self, metrics: Metrics, log: Logger) -> None:
         self.metrics = metrics
         self.log = log
         self.observers: list[RequestObserver] = []
