--- a/ochrehoist/capture/taker.py
+++ b/ochrehoist/capture/taker.py
@@ -26,7 +26,7 @@
     start,
     told,
 )
-from ochrehoist.config.loader import Config
+from ochrehoist.config.schema import Config
 from ochrehoist.core.actor import CoreActor
 from ochrehoist.core.metrics import RequestCounter
 from ochrehoist.core.request import InboundRequest
--- a/ochrehoist/core/reconfiguration.py
+++ b/ochrehoist/core/reconfiguration.py
@@ -29,7 +29,8 @@
 def change_tenants(core: CoreContext, message: TenantsChanged) -> None:
     """Replaces the tenants in the present controller.
 
-    Positions stay, so nothing that is open need be replayed."""
+    Positions stay, so nothing that is open need be replayed.
+    """
     core.settings = message.settings
     core.tenants = message.tenants
     if core.controller is not None:
--- a/ochrehoist/core/tenants.py
+++ b/ochrehoist/core/tenants.py
@@ -177,7 +177,7 @@
     return tuple(by_position)
 
 
-def compacted_table(table: TenantTable, used: Collection[str]) -> Generator[None, None, TenantTable]:
+def compacted_table(table: TenantTable, used: Collection[str | None]) -> Generator[None, None, TenantTable]:
     """The same tenants for a fresh controller, without those that were removed and are not `used`."""
     positions: dict[str, int] = {}
     for n, tenant in enumerate(table.listed):
--- a/ochrehoist/store/journal.py
+++ b/ochrehoist/store/journal.py
@@ -16,7 +16,7 @@
 
 from ochrehoist.admission import learned_state
 from ochrehoist.admission.events import Outcome
-from ochrehoist.config.loader import StateConfig
+from ochrehoist.config.schema import StateConfig
 from ochrehoist.core.actor import CoreActor
 from ochrehoist.core.idempotency_table import IdempotentRun
 from ochrehoist.core.messages import DuplicateResolved, IntentRecorded, StateRestored
