--- a/ochrehoist/app/worker.py
+++ b/ochrehoist/app/worker.py
@@ -184,14 +184,24 @@
         if config.sites:
             from ochrehoist.net.sites import SiteService
 
-            self.sites = SiteService(loop, owner, config, self.peers, self.inherited is None, self.log)
+            self.sites = SiteService(
+                loop, owner, config.name, config.sites, self.peers, self.inherited is None, self.log
+            )
             parts.append(switch_only(self.sites.configure))
         self.recovery: Any = None
         if config.recovery:
             from ochrehoist.net.recovery import RecoveryMonitor
 
             self.recovery = RecoveryMonitor(
-                loop, owner, config, self.journal, self.peers, servers if config.ajp else None, self.log
+                loop,
+                owner,
+                config.name,
+                config.recovery,
+                config.state,
+                self.journal,
+                self.peers,
+                servers if config.ajp else None,
+                self.log,
             )
         self.ending = Ending(loop, owner, self.fronts, config.shutdown_timeout_ms, self.log)
         self.room = {front: front.listening.limit for front in self.fronts}
--- a/ochrehoist/net/recovery.py
+++ b/ochrehoist/net/recovery.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from ochrehoist.config.loader import Config
+from ochrehoist.config.schema import RecoveryConfig, StateConfig
 from ochrehoist.core.actor import CoreActor
 from ochrehoist.core.metrics import RequestCounter, format_samples
 from ochrehoist.core.request import InboundRequest
@@ -34,7 +34,9 @@
         self,
         loop: Loop,
         owner: CoreActor,
-        config: Config,
+        name: str,
+        config: RecoveryConfig,
+        state: StateConfig | None,
         journal: ReplicatedJournal | None,
         peers: Peers | None,
         servers: AjpServers | None,
@@ -43,19 +45,19 @@
         self._loop = loop
         self._owner = owner
         self._log = log
-        self._worker_name = config.name
+        self._worker_name = name
         self._journal = journal
         self._peers = peers
         self._servers = servers
-        self._replication = IntentReplicationService(owner, config.recovery, journal, peers, log)
+        self._replication = IntentReplicationService(owner, config, journal, peers, log)
         now = time.monotonic()
         self._progress = StartupProgress(now)
         self._service_level = ServiceLevelMonitor(now)
         owner.register_observer(self)
         self._record_path: Path | None = None
         self._record_writer: OffLoop | None = None
-        if config.state:
-            self._record_path = Path(config.state.folder) / RESTART_RECORD_FILE
+        if state:
+            self._record_path = Path(state.folder) / RESTART_RECORD_FILE
             self._record_writer = OffLoop(loop, "restarts")
         loop.call_later(TICK_INTERVAL_S, self._tick)
 
--- a/ochrehoist/net/sites.py
+++ b/ochrehoist/net/sites.py
@@ -9,7 +9,7 @@
 from http import HTTPStatus
 from typing import Any
 
-from ochrehoist.config.loader import Config
+from ochrehoist.config.schema import Config, SitesConfig
 from ochrehoist.core.actor import CoreActor
 from ochrehoist.core.messages import StandbyChanged
 from ochrehoist.core.metrics import format_samples
@@ -51,20 +51,27 @@
     """
 
     def __init__(
-        self, loop: Loop, owner: CoreActor, config: Config, peers: Peers, cold_start: bool, log: Any
+        self,
+        loop: Loop,
+        owner: CoreActor,
+        name: str,
+        config: SitesConfig,
+        peers: Peers,
+        cold_start: bool,
+        log: Any,
     ) -> None:
         self._loop = loop
         self._owner = owner
         self._peers = peers
         self._log = log
-        self._config = config.sites
+        self._config = config
         self._coordinator = SiteCoordinator(
-            config.name,
-            config.sites.site,
+            name,
+            config.site,
             owner.settings,
-            config.sites.playbook,
+            config.playbook,
             time.monotonic(),
-            cold_start and config.sites.recovery_ramp,
+            cold_start and config.recovery_ramp,
             owner.tenants,
             BudgetStepLease(peers.group),
         )
