--- a/benchmarks/slopes/state.py
+++ b/benchmarks/slopes/state.py
@@ -191,15 +191,17 @@
 
 def word_by_tenants(size: int, seed: int) -> Measures:
     """What a worker with [sites] puts into each answer, once so many tenants were heard."""
-    from ochrehoist.sites.desk import Desk
+    from ochrehoist.sites.coordinator import SiteCoordinator
 
-    desk = Desk("worker-0001", "site-a", settings(size), None, 1.0, False)
+    coordinator = SiteCoordinator("worker-0001", "site-a", settings(size), None, 1.0, False)
     for n in range(size):
-        desk.order.came((f"tenant-{n:06}", "class-0", n), "class-0", f"tenant-{n:06}", False, 1.0)
+        coordinator.gate.order.record_arrival(
+            (f"tenant-{n:06}", "class-0", n), "class-0", f"tenant-{n:06}", False, 1.0
+        )
     return {
-        "answer_bytes": len(desk.status(1.5)),
-        "status_us": cpu_us(lambda: desk.status(1.5)),
-        "look_us": cpu_us(lambda: desk.look(1.6, [])),
+        "answer_bytes": len(coordinator.status(1.5)),
+        "status_us": cpu_us(lambda: coordinator.status(1.5)),
+        "look_us": cpu_us(lambda: coordinator.tick(1.6, [])),
     }
 
 
@@ -267,18 +269,21 @@
 
 def remembered(size: int, seed: int) -> Measures:
     """What a witness keeps of others' filings: it looks through all of it each second, on the loop."""
-    from ochrehoist.recovery.witness import Memory, Tell
+    from ochrehoist.recovery.intent_log import IntentLog
+    from ochrehoist.recovery.messages import RecordIntent
 
-    memory = Memory(0.0)
+    log = IntentLog(0.0)
 
     def fill() -> None:
         for n in range(0, size, 100):
-            memory.took(
-                f"worker-{n % 5}", Tell(n, [((n + k).to_bytes(16, "big"), 900_000) for k in range(100)]), 0.0
+            log.record(
+                f"worker-{n % 5}",
+                RecordIntent(n, [((n + k).to_bytes(16, "big"), 900_000) for k in range(100)]),
+                0.0,
             )
 
     _, of_memory = grown(fill)
-    return {"bytes": of_memory, "forget_us": cpu_us(lambda: memory.forget(1.0))}
+    return {"bytes": of_memory, "forget_us": cpu_us(lambda: log.remove_expired(1.0))}
 
 
 def record_head(size: int, seed: int) -> Measures:
--- a/ochrehoist/app/worker.py
+++ b/ochrehoist/app/worker.py
@@ -185,15 +185,27 @@
                 servers.advisor = self.peers
         self.sites: Any = None
         if config.sites:
-            from ochrehoist.net.sites import Sites
+            from ochrehoist.net.sites import SiteService
 
-            self.sites = Sites(loop, owner, config, self.peers, self.inherited is None, self.log)
+            self.sites = SiteService(
+                loop, owner, config.name, config.sites, self.peers, self.inherited is None, self.log
+            )
             parts.append(commit_only(self.sites.configure))
         self.recovery: Any = None
         if config.recovery:
-            from ochrehoist.net.recovery import Recovery
-
-            self.recovery = Recovery(loop, owner, config, self, self.log)
+            from ochrehoist.net.recovery import RecoveryMonitor
+
+            self.recovery = RecoveryMonitor(
+                loop,
+                owner,
+                config.name,
+                config.recovery,
+                config.state,
+                self.journal,
+                self.peers,
+                servers if config.ajp else None,
+                self.log,
+            )
         self.ending = Ending(loop, owner, self.fronts, config.shutdown_timeout_ms, self.log)
         self.room = {front: front.listening.limit for front in self.fronts}
         if config.handover_path:
@@ -292,19 +304,19 @@
     def _with_orders(self, calls: dict[str, Any]) -> dict[str, Any]:
         """With what operators may say of sites, where these are on."""
         if self.config.recovery:
-            from ochrehoist.recovery.stages import STAGES
+            from ochrehoist.recovery.startup_progress import StartupStage
 
             calls |= {
                 f"/recovery/skip/{stage}": {
                     "POST": lambda stage=stage: said({"said": self.recovery.skip(stage)})
                 }
-                for stage in STAGES
+                for stage in StartupStage
             }
         if not self.config.sites:
             return calls
-        from ochrehoist.net.sites import Calls
+        from ochrehoist.net.sites import SiteCommandRoutes
 
-        return Calls(calls, lambda site, word: self.sites.order(site, word))
+        return SiteCommandRoutes(calls, lambda site, kind: self.sites.issue_command(site, kind))
 
     def standby(self, on: bool) -> Answer:
         self.owner.post(StandbyChanged(on))
--- a/ochrehoist/config/fleet.py
+++ b/ochrehoist/config/fleet.py
@@ -61,7 +61,8 @@
     if "peers" not in top.data:
         return None
     table = top.section("peers").allow_only(*_PEERS_KEYS)
-    listen, members_table = address(table, "listen", loopback=True), table.section("members", {})
+    listen = address(table, "listen", loopback=True)
+    members_table = table.section("members", {})
     secrets = _secrets(table)
     lease_grantors = table.texts("voters", [])
     max_ejected_fraction = table.number("most_out", 0.5)
@@ -207,10 +208,13 @@
     file = table.text("fleet", None)
     if file is None:
         return None
-    from ochrehoist.sites.places import Places, SiteMapError  # its libraries are for those who want them
+    from ochrehoist.config.site_map import (
+        FleetSiteMap,
+        SiteMapError,
+    )  # its libraries are for those who want them
 
     try:
-        return Places.load(Path(file))
+        return FleetSiteMap.load(Path(file))
     except SiteMapError as error:
         raise table.error("fleet", str(error)) from None
 
@@ -224,9 +228,9 @@
         raise table.error(
             "site", f"missing, and no description of the fleet tells of {host}; nor does peers.site"
         )
-    if site_map is not None and site not in site_map.names:
+    if site_map is not None and site not in site_map.site_names:
         file = table.text("fleet")
-        raise table.error("site", f"no such site in {file}: {site!r}; there are {site_map.names}")
+        raise table.error("site", f"no such site in {file}: {site!r}; there are {site_map.site_names}")
     return site
 
 
@@ -234,7 +238,8 @@
     file = table.text("playbook", None)
     if file is None:
         return None
-    from ochrehoist.sites.playbook import PlaybookError, parse  # for those who have one
+    from ochrehoist.sites.playbook import PlaybookError  # for those who have one
+    from ochrehoist.sites.playbook_codec import parse
 
     try:
         return parse(Path(file).read_text(encoding="utf-8"), [c.name for c in settings.classes])
--- a/ochrehoist/store/journal.py
+++ b/ochrehoist/store/journal.py
@@ -127,7 +127,7 @@
         """`listener` is called once the core has been sent what was stored."""
         self._restored_listeners.append(listener)
 
-    def register_replicator(self, replicator: IntentReplicator) -> None:
+    def replicate_intents_to(self, replicator: IntentReplicator) -> None:
         """From now on requests run only once `replicator` has confirmed their intents, too."""
         self._replicator = replicator
 
@@ -136,12 +136,11 @@
         """Until when unknown requests are rejected, by the core's clock."""
         return self._hold_until_ns
 
-    def set_hold_until(self, clock_ns: int) -> None:
+    def hold_unknown_keys_until(self, until_ns: int) -> None:
         """Unknown requests are rejected until then, by the core's clock; 0: they are accepted."""
-        self._hold_until_ns = clock_ns
+        self._hold_until_ns = until_ns
 
-    @property
-    def may_lack_requests(self) -> bool:
+    def is_history_uncertain(self) -> bool:
         """Whether requests may have run that are not known: after a loss, at a first start, in a hold."""
         return (
             bool(self._metrics.losses)
