--- a/benchmarks/slopes/state.py
+++ b/benchmarks/slopes/state.py
@@ -11,7 +11,7 @@
 
 TURN = "5.4 ms on a request's way"
 LINE = Bound("line_bytes", 8 << 20, "net.link.MAX_LINE and MAX_UNSENT")
-DATAGRAM = Bound("answer_bytes", 16_384, "peers.wire.MOST: past it the answer is never sent")
+DATAGRAM = Bound("answer_bytes", 16_384, "peers.wire.MAX_DATAGRAM_BYTES: past it the answer is never sent")
 
 
 def figures_by_classes(size: int, seed: int) -> Measures:
@@ -160,10 +160,10 @@
     """An answer of a member to a ping, where so many names were counted at it and at each of four others."""
     from ochrehoist.peers import wire
     from ochrehoist.peers.counts import Ledger
-    from ochrehoist.peers.wire import Ack, Life, Message
+    from ochrehoist.peers.wire import Ack, Incarnation, Message
 
     def ledger(number: int) -> Any:
-        out = Ledger(Life(f"worker-{number:04}", 1_700_000_000_000, 1 << 61), 3000)
+        out = Ledger(Incarnation(f"worker-{number:04}", 1_700_000_000_000, 1 << 61), 3000)
         for n in range(size):
             out.add(f"{kind}/{kind}-{n:06}/answered", 1000 + n)
         return out
@@ -174,7 +174,7 @@
 
     def told() -> bytes:
         ack = Ack(1 << 61, "", [], [], mine.to_tell(1.0))
-        return wire._encode(Message("group", mine.life, "worker-0002", mine.life.inc, 7, [ack]))
+        return wire._encode(Message("group", mine.life, "worker-0002", mine.life.number, 7, [ack]))
 
     return {"answer_bytes": 2 + 16 + 1 + len(told()), "told_us": cpu_us(told)}
 
@@ -205,7 +205,14 @@
     from ochrehoist.peers.group import Group, Terms
     from ochrehoist.peers.members import ALIVE, Member
     from ochrehoist.peers.rights import Budget
-    from ochrehoist.peers.wire import Evidence, Holding, Life, Status, Tally, encode_status
+    from ochrehoist.peers.wire import (
+        BudgetDemand,
+        CounterSnapshot,
+        HealthObservation,
+        Incarnation,
+        WorkerStatus,
+        encode_status,
+    )
 
     names = [f"worker-{n:04}" for n in range(members)]
     voters = tuple(names[:7])
@@ -221,18 +228,18 @@
         0.5,
         3000,
     )
-    group = Group(terms, Life("worker-0000", 1, 1), 0.0, seed)
+    group = Group(terms, Incarnation("worker-0000", 1, 1), 0.0, seed)
     status = encode_status(
-        Status(
+        WorkerStatus(
             False,
             False,
-            [Evidence("s1", "ok", 8, 10, 1.0)],
-            [Holding(f"budget-{n:06}", 0, 1, 0) for n in range(budgets)],
+            [HealthObservation("s1", "ok", 8, 10, 1.0)],
+            [BudgetDemand(f"budget-{n:06}", 0, 1, 0) for n in range(budgets)],
         )
     )
     for k, name in enumerate(names[1:]):
         group.members.members[name] = Member(
-            Life(name, 1, k),
+            Incarnation(name, 1, k),
             f"127.0.0.1:{9001 + k}",
             "a",
             ALIVE,
@@ -244,8 +251,12 @@
         )
         for life in range(lives):
             group.ledger.learn(
-                Tally(
-                    Life(name, 1 + life, k), 1, 0, False, {f"tenant/t{n}/answered": n for n in range(counted)}
+                CounterSnapshot(
+                    Incarnation(name, 1 + life, k),
+                    1,
+                    0,
+                    False,
+                    {f"tenant/t{n}/answered": n for n in range(counted)},
                 ),
                 0.0,
                 0.0,
--- a/ochrehoist/lab/explore.py
+++ b/ochrehoist/lab/explore.py
@@ -8,7 +8,7 @@
 
 from ochrehoist.errors import OchrehoistError
 from ochrehoist.peers.rights import Budget, Holder, Voter
-from ochrehoist.peers.wire import Life
+from ochrehoist.peers.wire import Incarnation
 
 TICK = 1.0  # s: half of the lease, and a little less than half of what voters keep to
 
@@ -31,7 +31,7 @@
     now: float
     voters: list[Voter]
     holders: list[Holder]
-    lives: list[Life]
+    lives: list[Incarnation]
     left: dict[str, int]
     flying: list[tuple] = field(default_factory=list)
 
@@ -102,7 +102,7 @@
         0.0,
         [Voter(b, -100.0) for _ in range(bounds.voters)],
         [Holder(b), Holder(b)],
-        [Life("a", 1, 1), Life("b", 1, 1)],
+        [Incarnation("a", 1, 1), Incarnation("b", 1, 1)],
         left,
     )
 
@@ -155,7 +155,7 @@
         else:
             s.holders[n] = Holder(b)
             s.flying = [m for m in s.flying if m[0] != "vouched" or m[2] != s.lives[n]]
-            s.lives[n] = Life(s.lives[n].name, s.lives[n].inc + 1, 1)
+            s.lives[n] = Incarnation(s.lives[n].name, s.lives[n].number + 1, 1)
     else:
         m = s.flying[int(rest[0])]
         if word == "again":  # taken, and there to be taken once more
--- a/ochrehoist/lab/fault_injection.py
+++ b/ochrehoist/lab/fault_injection.py
@@ -276,13 +276,13 @@
 
     async def _flood(self, f: Fault, who: list[str]) -> None:
         """From one that knows the secret, and says what nobody asked for."""
-        rng, life = Random(f"{self.play.seed}/flood"), wire.Life("w99", 1, 1)
+        rng, life = Random(f"{self.play.seed}/flood"), wire.Incarnation("w99", 1, 1)
         seq = iter(range(1, 10**9))
 
         def data() -> bytes:
             items = [wire.Ack(rng.getrandbits(60))]
-            m = wire.Message("lab", life, "w0", wire.NOBODY, next(seq), items)
-            return wire.packed(m, SECRET.encode())
+            m = wire.Message("lab", life, "w0", wire.UNKNOWN_INCARNATION, next(seq), items)
+            return wire.encode_datagram(m, SECRET.encode())
 
         await self._inject(f, who, data, 0.0005)
 
--- a/ochrehoist/lab/hollow.py
+++ b/ochrehoist/lab/hollow.py
@@ -37,7 +37,7 @@
 from ochrehoist.net.loop import Loop, Signal, steady_clock
 from ochrehoist.net.peers import BEAT_S, Peers
 from ochrehoist.peers.members import ALIVE
-from ochrehoist.peers.wire import Entry, Life, Tally
+from ochrehoist.peers.wire import CounterSnapshot, Incarnation, MemberUpdate
 
 try:
     from ochrehoist.app.reload import switch_only
@@ -411,7 +411,7 @@
         return {
             "lives": [
                 [
-                    [g.life.name, g.life.inc, g.life.boot],
+                    [g.life.name, g.life.number, g.life.boot_id],
                     g.terms.address,
                     g.terms.site,
                     g.version,
@@ -431,12 +431,12 @@
                 if life[0] == m.life.name:
                     continue
                 # As at rest: so long ago was each heard of, by one way or another.
-                ago, who = h.rng.expovariate(NEWS_PER_S / len(lives)), Life(*life)
+                ago, who = h.rng.expovariate(NEWS_PER_S / len(lives)), Incarnation(*life)
                 version = max(0, version + OLD - int(ago / BEAT_S))
                 refused += not m.met(who, at, site, now)
                 age = int(1000 * ago)
-                m.learn(Entry(who, at, site, ALIVE, version, age, bytes.fromhex(status)), 0.0, now)
-                g.ledger.learn(Tally(who, 0, age, False, {}), 0.0, now)
+                m.learn(MemberUpdate(who, at, site, ALIVE, version, age, bytes.fromhex(status)), 0.0, now)
+                g.ledger.learn(CounterSnapshot(who, 0, age, False, {}), 0.0, now)
             m.rumours.clear()
             m.established, m.heard_any = True, now
         return {"refused": refused}
--- a/ochrehoist/lab/virtual.py
+++ b/ochrehoist/lab/virtual.py
@@ -12,7 +12,7 @@
 from ochrehoist.errors import OchrehoistError
 from ochrehoist.peers.group import Group, Send, Terms
 from ochrehoist.peers.rights import DRIFT, Budget
-from ochrehoist.peers.wire import Life, Message, packed, unpacked
+from ochrehoist.peers.wire import Incarnation, Message, decode_datagram, encode_datagram
 
 BEAT = 0.05
 SECRET = b"a secret of the laboratory"
@@ -154,7 +154,7 @@
         )
         rate = 1 + clocks.uniform(-DRIFT, DRIFT) / 4
         node = Node(name, None, rate, clocks.uniform(0, 1e6), address)
-        life = Life(name, inc, clocks.getrandbits(62))
+        life = Incarnation(name, inc, clocks.getrandbits(62))
         node.group = self.factory(terms, life, node.clock(self.now), self.rng["groups"].getrandbits(60))
         self.nodes[address] = node
         if self.on_start is not None:
@@ -202,7 +202,7 @@
             message = Message("lab", node.group.life, s.to, s.to_inc, node.seq, s.items)
             node.sent += 1
             if self.encoded:
-                data = packed(message, SECRET)
+                data = encode_datagram(message, SECRET)
                 node.bytes_out += len(data)
             else:
                 data = message
@@ -236,7 +236,7 @@
         if node.paused:
             node.backlog.append((data, source))
             return
-        message = unpacked(data, (SECRET,), "lab") if self.encoded else data
+        message = decode_datagram(data, (SECRET,), "lab") if self.encoded else data
         self._send(node, node.group.took(message, source, node.clock(self.now)))
 
     # ---- faults
--- a/ochrehoist/net/peers.py
+++ b/ochrehoist/net/peers.py
@@ -21,7 +21,7 @@
 from ochrehoist.peers.group import Group, Send, Terms
 from ochrehoist.peers.rights import Budget
 from ochrehoist.peers.view import told
-from ochrehoist.peers.wire import Life, Message
+from ochrehoist.peers.wire import Incarnation, Message
 
 BEAT_S = 0.05
 AT_ONCE = 64  # datagrams read in one turn of the loop: a flood must leave time for requests
@@ -93,7 +93,7 @@
 
     def __init__(self, loop: Loop, owner: Owner, config: Config, log: Any) -> None:
         self.loop, self.owner, self.log, self.config = loop, owner, log, config.peers
-        life = Life(config.name, time.time_ns() // 1_000_000, secrets.randbits(62))
+        life = Incarnation(config.name, time.time_ns() // 1_000_000, secrets.randbits(62))
         self.group = Group(terms_of(config), life, time.monotonic(), secrets.randbits(62))
         self.sock: socket.socket | None = None
         self.seq = self.tickets = 0
@@ -163,16 +163,16 @@
         began = time.thread_time()
         for _ in range(AT_ONCE):
             try:
-                data, source = self.sock.recvfrom(wire.MOST + 1)
+                data, source = self.sock.recvfrom(wire.MAX_DATAGRAM_BYTES + 1)
             except (BlockingIOError, InterruptedError):
                 break
             except OSError:  # what a datagram of ours came to, which nobody took
                 continue
             self.bytes_in += len(data)
             try:
-                message = wire.unpacked(data, self.secrets, self.config.group)
-            except wire.Rejected as why:
-                self.rejected[str(why)] += 1
+                message = wire.decode_datagram(data, self.secrets, self.config.group)
+            except wire.MessageRejectedError as error:
+                self.rejected[error.reason.value] += 1
                 continue
             self._send(self.group.took(message, _text(source), time.monotonic()))
         self.spent += time.thread_time() - began
@@ -185,14 +185,14 @@
         for s in sends:
             self.seq += 1
             try:
-                data = wire.packed(
+                data = wire.encode_datagram(
                     Message(self.config.group, self.group.life, s.to, s.to_inc, self.seq, s.items),
                     self.secrets[0],
                 )
                 self.sock.sendto(data, _address(s.address))
                 self.bytes_out += len(data)
                 self.sent += 1
-            except ValueError as error:
+            except (wire.MessageTooLongError, ValueError) as error:
                 self.log.error("a message to a peer was too long or its address is none", why=str(error))
             except OSError:  # as if it were lost
                 pass
--- a/ochrehoist/net/recovery.py
+++ b/ochrehoist/net/recovery.py
@@ -12,7 +12,7 @@
 from ochrehoist.core.request import InboundRequest
 from ochrehoist.net.loop import Loop
 from ochrehoist.net.offloop import OffLoop
-from ochrehoist.peers.wire import Life
+from ochrehoist.peers.wire import Incarnation
 from ochrehoist.recovery.stages import LOST, STAGES, Facts, Service, Way
 from ochrehoist.recovery.witness import (
     AGAIN_S,
@@ -120,7 +120,7 @@
         for name, data in self._tells(now):
             self.peers.say(name, f"{TOPIC}/{TELL}", data)
 
-    def took(self, sender: Life, topic: str, data: bytes, now: float) -> list[tuple[str, bytes]]:
+    def took(self, sender: Incarnation, topic: str, data: bytes, now: float) -> list[tuple[str, bytes]]:
         m = decode(topic, data)
         if isinstance(m, Tell):
             if self.memory.took(sender.name, m, now):
--- a/ochrehoist/peers/counts.py
+++ b/ochrehoist/peers/counts.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 
 from ochrehoist.peers.rights import DRIFT
-from ochrehoist.peers.wire import Asked, Life, Part, Tally
+from ochrehoist.peers.wire import CounterCursor, CounterDelta, CounterSnapshot, Incarnation
 
 LIVES = 16  # of one name whose counts are kept apart; older ones are added up
 MOST_KEYS = 512  # of one life; what is over it is counted as `REST`
@@ -74,7 +74,7 @@
 class Ledger:
     """`most_per_s`: what one worker can count in a second at the most, of all keys together."""
 
-    life: Life
+    life: Incarnation
     most_per_s: float
     born: float | None = None
     own: Counter = field(default_factory=Counter)
@@ -82,11 +82,11 @@
     room: int = MOST_BYTES
     order: list[str] = field(default_factory=list)
     version: int = 0
-    books: dict[Life, Book] = field(default_factory=dict)
+    books: dict[Incarnation, Book] = field(default_factory=dict)
     past: dict[str, Counter] = field(default_factory=dict)  # by name, of lives added up
     folded: dict[str, tuple[int, int]] = field(default_factory=dict)  # the last of them
-    lives: dict[tuple[str, int], Life] = field(default_factory=dict)  # of `books`
-    begun: dict[Life, None] = field(default_factory=dict)  # those of which parts are to come
+    lives: dict[tuple[str, int], Incarnation] = field(default_factory=dict)  # of `books`
+    begun: dict[Incarnation, None] = field(default_factory=dict)  # those of which parts are to come
     asked_turn: int = 0
     told_turn: int = 0
 
@@ -111,81 +111,81 @@
         return key
 
     # ---- what is heard
-    def learn(self, t: Tally, lag: float, now: float, here: bool = False) -> None:
+    def learn(self, t: CounterSnapshot, lag: float, now: float, here: bool = False) -> None:
         """Whole counts, of a member of before parts. `here`: it is known to be there, whoever says not."""
-        if not self._heard(t.life, len(t.counts)):
+        if not self._heard(t.incarnation, len(t.counts)):
             return
         told_at = now - lag - max(0, t.age_ms) / 1000
-        b = self.books.get(t.life)
+        b = self.books.get(t.incarnation)
         if b is None:
-            b = self._open(t.life, Book(dict(t.counts), t.version, told_at))
+            b = self._open(t.incarnation, Book(dict(t.counts), t.version, told_at))
         elif t.version >= b.version:  # a version is told once: what comes again adds nothing
             b.add(t.counts)
             b.took(t.version, told_at)
-            self._note(t.life, b)
+            self._note(t.incarnation, b)
         b.ended = b.ended or (t.ended and not here)
 
-    def learn_part(self, p: Part, lag: float, now: float, here: bool = False) -> None:
-        if not self._heard(p.life, len(p.counts)):
+    def learn_part(self, p: CounterDelta, lag: float, now: float, here: bool = False) -> None:
+        if not self._heard(p.incarnation, len(p.counts)):
             return
         told_at = now - lag - max(0, p.age_ms) / 1000
-        b = self.books.get(p.life)
+        b = self.books.get(p.incarnation)
         if b is None:
             # It had counted nothing when it began: so what is missing has a bound from the first part on.
-            born = now - lag - p.born_ms / 1000 * (1 + DRIFT) if p.born_ms >= 0 else None
-            b = self._open(p.life, Book({}, 0, born, born=born))
+            born = now - lag - p.started_ms_ago / 1000 * (1 + DRIFT) if p.started_ms_ago >= 0 else None
+            b = self._open(p.incarnation, Book({}, 0, born, born=born))
         b.ended = b.ended or (p.ended and not here)
         b.add(p.counts)
-        if p.since > b.version:
+        if p.since_version > b.version:
             return  # it leaves out what is not here
-        if not p.after and not p.upto:
+        if not p.after_key and not p.up_to_key:
             b.took(p.version, told_at)
-        elif p.after == b.come_to and p.version > b.version:
+        elif p.after_key == b.come_to and p.version > b.version:
             # Whoever told each of them: all parts are of the earliest version or a later one.
             before = b.coming if b.come_to else (p.version, told_at)
             b.coming = min(before[0], p.version), min(before[1], told_at)
-            b.come_to = p.upto
-            if not p.upto:
+            b.come_to = p.up_to_key
+            if not p.up_to_key:
                 b.took(*b.coming)
-        self._note(p.life, b)
+        self._note(p.incarnation, b)
 
-    def _open(self, life: Life, b: Book) -> Book:
+    def _open(self, life: Incarnation, b: Book) -> Book:
         self.books[life] = b
-        self.lives[life.name, life.inc] = life
+        self.lives[life.name, life.number] = life
         self._fold(life.name)
         return b
 
-    def _note(self, life: Life, b: Book) -> None:
+    def _note(self, life: Incarnation, b: Book) -> None:
         if b.come_to:
             self.begun[life] = None
         else:
             self.begun.pop(life, None)
 
-    def _heard(self, life: Life, keys: int) -> bool:
+    def _heard(self, life: Incarnation, keys: int) -> bool:
         mine = life.name == self.life.name and life == self.life
-        over = (life.inc, life.boot) <= self.folded.get(life.name, (-1, -1))
+        over = (life.number, life.boot_id) <= self.folded.get(life.name, (-1, -1))
         return not mine and not over and keys <= MOST_KEYS
 
-    def end(self, life: Life) -> None:
+    def end(self, life: Incarnation) -> None:
         """It tells no more: its missing part stays as it is."""
         if (b := self.books.get(life)) is not None:
             b.ended = True
 
-    def go_on(self, life: Life) -> None:
+    def go_on(self, life: Incarnation) -> None:
         """It was taken for ended, and is there."""
         if (b := self.books.get(life)) is not None:
             b.ended = False
 
     def _fold(self, name: str) -> None:
-        mine = sorted((life for life in self.books if life.name == name), key=lambda v: (v.inc, v.boot))
+        mine = sorted((life for life in self.books if life.name == name), key=lambda v: (v.number, v.boot_id))
         for life in mine[:-LIVES]:
             self.past.setdefault(name, Counter()).update(self.books.pop(life).counts)
-            self.lives.pop((life.name, life.inc), None)
+            self.lives.pop((life.name, life.number), None)
             self.begun.pop(life, None)
-            self.folded[name] = life.inc, life.boot
+            self.folded[name] = life.number, life.boot_id
 
     # ---- what is known
-    def read(self, key: str, now: float, ended_at: dict[Life, float] | None = None) -> Reading:
+    def read(self, key: str, now: float, ended_at: dict[Incarnation, float] | None = None) -> Reading:
         """`ended_at`: when lives were found to be gone, from which on they count no more."""
         total, age, missing, untold = self.own[key], 0.0, 0.0, 0.0
         for counts in self.past.values():
@@ -212,39 +212,43 @@
         return sorted(out)
 
     # ---- what is told
-    def asks(self, name: str, inc: int) -> list[Asked]:
+    def asks(self, name: str, inc: int) -> list[CounterCursor]:
         """For a ping to this life: how far its counts are known, and those of some others in turn."""
         lives = [life] if (life := self.lives.get((name, inc))) is not None else []
-        out = [] if lives else [Asked(name, inc, 0, "")]
+        out = [] if lives else [CounterCursor(name, inc, 0, "")]
         self.asked_turn += 1
         for others in (list(self.begun), list(self.books)):  # one that has begun to come, and one of all
             if others:
                 lives.append(others[self.asked_turn % len(others)])
         for life in dict.fromkeys(lives):
             b = self.books[life]
-            out.append(Asked(life.name, life.inc, b.version, b.come_to))
+            out.append(CounterCursor(life.name, life.number, b.version, b.come_to))
         return out
 
-    def parts(self, asked: Sequence[Asked], now: float) -> list[Part]:
+    def parts(self, asked: Sequence[CounterCursor], now: float) -> list[CounterDelta]:
         """This life's counts and what else was asked for, from where it was asked; and which versions are
         known of some others."""
-        want = {(a.name, a.inc): a for a in asked[:TOLD]}
-        a = want.pop((self.life.name, self.life.inc), None) or Asked(self.life.name, self.life.inc, 0, "")
+        want = {(a.name, a.number): a for a in asked[:TOLD]}
+        a = want.pop((self.life.name, self.life.number), None) or CounterCursor(
+            self.life.name, self.life.number, 0, ""
+        )
         born = -1 if self.born is None else _ms(now - self.born)
         if len(self.order) != len(self.own):
             self.order = sorted(self.own)
-        part = Part(self.life, min(a.since, self.version), a.after, "", self.version, 0, False, born, {})
+        part = CounterDelta(
+            self.life, min(a.version, self.version), a.after_key, "", self.version, 0, False, born, {}
+        )
         room = TOLD_BYTES - OWN_BYTES + _fill(part, self.own, self.order, self.changed, OWN_BYTES)
         out = [part]
         lives = [life for key in want if (life := self.lives.get(key)) is not None]
         for life in dict.fromkeys(lives + self._some(TOLD - len(lives))):
-            b, a = self.books[life], want.get((life.name, life.inc))
+            b, a = self.books[life], want.get((life.name, life.number))
             if b.told_at is None:
                 continue
             at, born = _ms(now - b.told_at), -1 if b.born is None else _ms(now - b.born)
-            part = Part(life, b.version, "", "", b.version, at, b.ended, born, {})
-            if a is not None and a.since < b.version:
-                part.since, part.after = 0, a.after
+            part = CounterDelta(life, b.version, "", "", b.version, at, b.ended, born, {})
+            if a is not None and a.version < b.version:
+                part.since_version, part.after_key = 0, a.after_key
                 left = _fill(part, b.counts, b.sorted(), None, room)
             else:
                 left = room - _size(part)
@@ -253,7 +257,7 @@
                 out.append(part)
         return out
 
-    def _some(self, count: int) -> list[Life]:
+    def _some(self, count: int) -> list[Incarnation]:
         lives = list(self.books)
         out = []
         for _ in range(min(count, len(lives))):
@@ -261,24 +265,24 @@
             out.append(lives[self.told_turn % len(lives)])
         return out
 
-    def to_tell(self, now: float, room: int = WHOLE_BYTES) -> list[Tally]:
+    def to_tell(self, now: float, room: int = WHOLE_BYTES) -> list[CounterSnapshot]:
         """For a member of before parts: this life's, and some of others in turn, as far as there is room, in
         bytes; of what has none it hears nothing, and what is missing grows with its age."""
         out = []
-        own = Tally(self.life, self.version, 0, False, dict(self.own))
+        own = CounterSnapshot(self.life, self.version, 0, False, dict(self.own))
         for t in [own, *(self._tally(life, now) for life in self._some(TOLD))]:
             if t is not None:
-                size = _HEAD + len(t.life.name.encode()) + sum(_cost(key) for key in t.counts)
+                size = _HEAD + len(t.incarnation.name.encode()) + sum(_cost(key) for key in t.counts)
                 if size <= room:
                     room -= size
                     out.append(t)
         return out
 
-    def _tally(self, life: Life, now: float) -> Tally | None:
+    def _tally(self, life: Incarnation, now: float) -> CounterSnapshot | None:
         b = self.books[life]
         if b.told_at is None or b.come_to:
             return None  # not all of one version
-        return Tally(life, b.version, _ms(now - b.told_at), b.ended, b.counts)
+        return CounterSnapshot(life, b.version, _ms(now - b.told_at), b.ended, b.counts)
 
 
 _HEAD = 72  # bytes of a part or a tally without its name and its keys, at the most
@@ -292,22 +296,22 @@
     return len(key.encode()) + 12  # with its length and its count
 
 
-def _size(part: Part) -> int:
-    return _HEAD + sum(len(text.encode()) for text in (part.life.name, part.after, part.upto))
+def _size(part: CounterDelta) -> int:
+    return _HEAD + sum(len(text.encode()) for text in (part.incarnation.name, part.after_key, part.up_to_key))
 
 
 def _fill(
-    part: Part, counts: dict[str, int], order: list[str], changed: dict[str, int] | None, room: int
+    part: CounterDelta, counts: dict[str, int], order: list[str], changed: dict[str, int] | None, room: int
 ) -> int:
     """Counts that go into it, and up to which key; the room that is left after it, below 0 where it has none
     for the next key."""
     left = room - _size(part)
-    for at in range(bisect_right(order, part.after), len(order)):
+    for at in range(bisect_right(order, part.after_key), len(order)):
         key = order[at]
-        if changed is None or changed[key] > part.since:
+        if changed is None or changed[key] > part.since_version:
             if _cost(key) + len(key.encode()) > left:  # it may be `upto` as well
-                part.upto = next(reversed(part.counts), "")
-                return left - len(part.upto.encode()) if part.upto else -1
+                part.up_to_key = next(reversed(part.counts), "")
+                return left - len(part.up_to_key.encode()) if part.up_to_key else -1
             part.counts[key] = counts[key]
             left -= _cost(key)
     return left
--- a/ochrehoist/peers/group.py
+++ b/ochrehoist/peers/group.py
@@ -16,27 +16,28 @@
 from ochrehoist.peers.rights import Budget, Holder, Meter, Voter
 from ochrehoist.peers.services import Judge
 from ochrehoist.peers.wire import (
-    MOST,
-    NOBODY,
+    MAX_DATAGRAM_BYTES,
+    UNKNOWN_INCARNATION,
     Ack,
-    Ask,
-    Claim,
-    Entry,
-    Evidence,
+    BudgetDemand,
+    ExtensionMessage,
+    HealthObservation,
     Hello,
-    Holding,
-    Item,
-    Later,
-    Left,
-    Life,
+    Incarnation,
+    KnownVersion,
+    LeaseGranted,
+    LeaseReleased,
+    LeaseRequest,
+    MemberLeft,
+    MemberUpdate,
     Message,
+    MessageRejectedError,
+    Payload,
     Ping,
-    Rejected,
-    Released,
-    Said,
-    Seen,
-    Status,
-    Vouched,
+    PingRequest,
+    ReplayWindow,
+    Superseded,
+    WorkerStatus,
     decode_status,
     encode_status,
 )
@@ -94,7 +95,7 @@
         """Messages to members: name, topic, data. Asked at each beat."""
         ...
 
-    def took(self, sender: Life, topic: str, data: bytes, now: float) -> list[tuple[str, bytes]]:
+    def took(self, sender: Incarnation, topic: str, data: bytes, now: float) -> list[tuple[str, bytes]]:
         """One that came; answers to its sender, as topic and data."""
         ...
 
@@ -106,11 +107,11 @@
     to: str
     address: str
     to_inc: int
-    items: list[Item]
+    items: list[Payload]
 
 
 class Group:
-    def __init__(self, terms: Terms, life: Life, now: float, seed: int) -> None:
+    def __init__(self, terms: Terms, life: Incarnation, now: float, seed: int) -> None:
         self.terms, self.rng = terms, Random(seed)
         self.members = Membership(
             life, terms.address, terms.site, self._others(terms), terms.period, now, seed
@@ -121,13 +122,13 @@
         self.judge.fleet = self._size
         self.shares: dict[str, Share] = {}
         self.now, self.looked = now, now
-        self.seen: dict[Life, Seen] = {}
+        self.seen: dict[Incarnation, ReplayWindow] = {}
         self.counted: Counter = Counter()  # messages by what became of them
         self.version, self.status = 0, b""
         self.helping: dict[int, tuple[str, int, str]] = {}  # our nonce: for whom, their nonce, of whom
         self.hellos: dict[str, float] = {}
-        self.decoded: dict[str, tuple[int, Status]] = {}
-        self.ended_at: dict[Life, float] = {}
+        self.decoded: dict[str, tuple[int, WorkerStatus]] = {}
+        self.ended_at: dict[Incarnation, float] = {}
         self.leaving = False
         self.yielded = False  # another process is this member now
         self.extensions: dict[str, Extension] = {}  # by the topic that their messages begin with
@@ -144,7 +145,7 @@
         return 1 + len(known - left)
 
     @property
-    def life(self) -> Life:
+    def life(self) -> Incarnation:
         return self.members.life
 
     def _take_budgets(self, budgets: tuple[Budget, ...], now: float) -> None:
@@ -191,16 +192,18 @@
         for name, nonce, through_others in m.beat(now):
             if through_others:
                 for helper in m.some(HELPERS, (name,)):
-                    out += self._to(helper, [Ask(nonce, name)])
+                    out += self._to(helper, [PingRequest(nonce, name)])
             else:
                 out += self._to(name, [self._ping(name, nonce, now)])
         if not m.members:
             for address in self.terms.start:
                 if address != self.terms.address and self._may_greet(address, now):
-                    out.append(Send("", address, NOBODY, [Hello(self.terms.address, self.terms.site)]))
+                    out.append(
+                        Send("", address, UNKNOWN_INCARNATION, [Hello(self.terms.address, self.terms.site)])
+                    )
         for name, extension in self.extensions.items():
             for to, topic, data in extension.sends(now):
-                out += self._to(to, [Said(f"{name}/{topic}", data)])
+                out += self._to(to, [ExtensionMessage(f"{name}/{topic}", data)])
         if len(self.helping) > 256:
             self.helping.clear()
         self._note_ends(now)
@@ -222,7 +225,7 @@
                 self.ledger.go_on(m.life)
         current = {m.life.name: m.life for m in self.members.members.values()}
         for life, book in self.ledger.books.items():
-            if not book.ended and life.name in current and current[life.name].follows(life):
+            if not book.ended and life.name in current and current[life.name].supersedes(life):
                 self.ended_at.setdefault(life, now)
                 book.ended = True
         for life in [
@@ -237,15 +240,15 @@
         for name, share in self.shares.items():
             wants, unmet = share.meter.wants(now)
             claimed = bits(share.holder.held) | bits(r for r, t in share.promised.items() if t > now)
-            holdings.append(Holding(name, claimed, wants, unmet))
+            holdings.append(BudgetDemand(name, claimed, wants, unmet))
         more = {name: extension.status(now) for name, extension in self.extensions.items()}
         alone = self.members.alone(now) is not None
-        status = Status(self.leaving, alone, self.judge.evidence(now), holdings, more)
+        status = WorkerStatus(self.leaving, alone, self.judge.evidence(now), holdings, more)
         self.version += 1
         self.status = encode_status(status)
 
-    def _me(self) -> Entry:
-        return Entry(
+    def _me(self) -> MemberUpdate:
+        return MemberUpdate(
             self.life,
             self.terms.address,
             self.terms.site,
@@ -259,18 +262,18 @@
     def _ping(self, to: str, nonce: int, now: float) -> Ping:
         members = self.members.members
         names = list(members) if len(members) <= KNOW else self.rng.sample(list(members), KNOW)
-        know = [(n, members[n].life.inc, members[n].version) for n in names]
+        know = [KnownVersion(n, members[n].life.number, members[n].version) for n in names]
         asks = self.ledger.asks(to, self.members.incarnation_of(to))
         return Ping(nonce, know, self.members.to_tell(now, self._me(), to), asks)
 
-    def _to(self, name: str, items: list[Item]) -> list[Send]:
+    def _to(self, name: str, items: list[Payload]) -> list[Send]:
         address = self.members.address_of(name)
         if not address:
             return []
         hello = Hello(self.terms.address, self.terms.site)
         inc = self.members.incarnation_of(name)
         if not inc:
-            return [Send(name, address, NOBODY, [hello])]
+            return [Send(name, address, UNKNOWN_INCARNATION, [hello])]
         return [Send(name, address, inc, [hello, *items] if isinstance(items[0], Ping) else items)]
 
     def _may_greet(self, key: str, now: float) -> bool:
@@ -289,31 +292,38 @@
         if sender == me:
             self.counted["own"] += 1
             return []
-        if message.to not in ("", me.name):
+        if message.recipient not in ("", me.name):
             self.counted["not for us"] += 1
             return []
         if sender.name == me.name:
             self.counted["same name"] += 1
             self.members.namesake(sender)
             return []
-        if message.to_inc != me.inc:
+        if message.recipient_number != me.number:
             # It does not know this life yet, or was said to the one before: it only learns who is here.
-            if message.to_inc > me.inc:  # said to a later life of this name, which so is, or was, somewhere
-                self.members.namesake(Life(me.name, message.to_inc, NOBODY), heard=False)
-            self.counted["greeting" if message.to_inc == NOBODY else "to a life before"] += 1
+            # Said to a later life of this name, which so is, or was, somewhere.
+            if message.recipient_number > me.number:
+                self.members.namesake(
+                    Incarnation(me.name, message.recipient_number, UNKNOWN_INCARNATION), heard=False
+                )
+            self.counted[
+                "greeting" if message.recipient_number == UNKNOWN_INCARNATION else "to a life before"
+            ] += 1
             address = self.members.addresses.get(sender.name) or source
             if self._may_greet(f"{sender.name}/{address}", now):
-                return [Send(sender.name, address, sender.inc, [Hello(self.terms.address, self.terms.site)])]
+                return [
+                    Send(sender.name, address, sender.number, [Hello(self.terms.address, self.terms.site)])
+                ]
             return []
         seen = self.seen.get(sender)
         if seen is None:
             if len(self.seen) >= MOST_SEEN:
                 self.seen.pop(next(iter(self.seen)))
-            seen = self.seen[sender] = Seen()
-        if not seen.takes(message.seq):
+            seen = self.seen[sender] = ReplayWindow()
+        if not seen.accept(message.sequence):
             self.counted["repeated"] += 1
             return []
-        hello = next((i for i in message.items if isinstance(i, Hello)), None)
+        hello = next((i for i in message.payloads if isinstance(i, Hello)), None)
         if not self.members.met(sender, hello.address if hello else source, hello.site if hello else "", now):
             self.counted["earlier life"] += 1
             later, address = (
@@ -321,142 +331,146 @@
                 self.members.addresses.get(sender.name) or source,
             )
             if later is not None and self._may_greet(f"{sender.name}/{address}", now):
-                return [Send(sender.name, address, sender.inc, [Later(later)])]
+                return [Send(sender.name, address, sender.number, [Superseded(later)])]
             return []
         self.counted["heard"] += 1
         out: list[Send] = []
-        for item in message.items:
+        for item in message.payloads:
             out += self.TAKES[type(item)](self, item, sender, now)
         return out
 
-    def _hello(self, item: Hello, sender: Life, now: float) -> list[Send]:
+    def _hello(self, item: Hello, sender: Incarnation, now: float) -> list[Send]:
         m = self.members.members[sender.name]
         m.address, m.site = item.address, item.site
         return []
 
-    def _pinged(self, item: Ping, sender: Life, now: float) -> list[Send]:
-        for e in item.rumours:
+    def _pinged(self, item: Ping, sender: Incarnation, now: float) -> list[Send]:
+        for e in item.gossip:
             self.members.rumour(e, sender.name, now)
-        known = {name: (inc, version) for name, inc, version in item.know}
+        known = {known.name: (known.number, known.version) for known in item.known_versions}
         entries = [self._me()]
         news = []
         for name, m in self.members.members.items():
             if (
                 name != sender.name
                 and m.told_at is not None
-                and (m.life.inc, m.version) > known.get(name, (0, -1))
+                and (m.life.number, m.version) > known.get(name, (0, -1))
                 and (name in known or len(known) < KNOW)
             ):
                 news.append(m)
         if len(news) > NEWS:
             news = self.rng.sample(news, NEWS)
         rumours = self.members.to_tell(now, self._me())
-        room = ENTRIES_BYTES - sum(e.size() for e in (*entries, *rumours))
+        room = ENTRIES_BYTES - sum(e.max_size() for e in (*entries, *rumours))
         for e in (m.entry(now) for m in news):
-            room -= e.size()
+            room -= e.max_size()
             if room < 0:
                 break
             entries.append(e)
         ack = Ack(item.nonce, "", entries, rumours)
-        if self.members.established and item.asked is None:
-            rest = MOST - FRAME_BYTES - sum(e.size() for e in (*entries, *rumours))
-            ack.tallies = self.ledger.to_tell(now, min(rest, WHOLE_BYTES))
+        if self.members.established and item.cursors is None:
+            rest = MAX_DATAGRAM_BYTES - FRAME_BYTES - sum(e.max_size() for e in (*entries, *rumours))
+            ack.snapshots = self.ledger.to_tell(now, min(rest, WHOLE_BYTES))
         elif self.members.established:
-            ack.parts = self.ledger.parts(item.asked, now)
+            ack.deltas = self.ledger.parts(item.cursors, now)
         return self._to(sender.name, [ack])
 
-    def _acked(self, item: Ack, sender: Life, now: float) -> list[Send]:
-        for e in item.rumours:
+    def _acked(self, item: Ack, sender: Incarnation, now: float) -> list[Send]:
+        for e in item.gossip:
             self.members.rumour(e, sender.name, now)
         helped = self.helping.pop(item.nonce, None)
         if helped is not None:
             asker, nonce, of = helped
-            if of != sender.name or not item.entries or asker not in self.members.members:
+            if of != sender.name or not item.updates or asker not in self.members.members:
                 return []
-            return self._to(asker, [Ack(nonce, of, item.entries[:1], [], [])])
-        probe = self.members.answered(item.nonce, item.of or sender.name, now)
+            return self._to(asker, [Ack(nonce, of, item.updates[:1], [], [])])
+        probe = self.members.answered(item.nonce, item.subject or sender.name, now)
         if probe is None:
             return []
         lag = now - probe.at
-        for e in item.entries:
-            if e.life.name == self.life.name:
+        for e in item.updates:
+            if e.incarnation.name == self.life.name:
                 continue
-            if e.life.name not in self.members.members:
+            if e.incarnation.name not in self.members.members:
                 self.members.rumour(e, sender.name, now)
             self.members.learn(e, lag, now)
-        for t in item.tallies:
-            self.ledger.learn(t, lag, now, self._is_here(t.life))
-        for p in item.parts:
-            self.ledger.learn_part(p, lag, now, self._is_here(p.life))
+        for t in item.snapshots:
+            self.ledger.learn(t, lag, now, self._is_here(t.incarnation))
+        for p in item.deltas:
+            self.ledger.learn_part(p, lag, now, self._is_here(p.incarnation))
         return []
 
-    def _is_here(self, life: Life) -> bool:
+    def _is_here(self, life: Incarnation) -> bool:
         m = self.members.members.get(life.name)
         return m is not None and m.life == life and m.state in (ALIVE, SUSPECT)
 
-    def _asked(self, item: Ask, sender: Life, now: float) -> list[Send]:
+    def _asked(self, item: PingRequest, sender: Incarnation, now: float) -> list[Send]:
         nonce = self.rng.getrandbits(62) | 1
-        self.helping[nonce] = sender.name, item.nonce, item.name
-        return self._to(item.name, [self._ping(item.name, nonce, now)])
+        self.helping[nonce] = sender.name, item.nonce, item.target
+        return self._to(item.target, [self._ping(item.target, nonce, now)])
 
-    def _claimed(self, item: Claim, sender: Life, now: float) -> list[Send]:
+    def _claimed(self, item: LeaseRequest, sender: Incarnation, now: float) -> list[Send]:
         share = self.shares.get(item.budget)
         if share is None or share.voter is None:
             return []
-        granted = share.voter.claimed(sender, item.terms, item.round, item.rights, now)
-        return self._to(sender.name, [Vouched(item.budget, item.round, granted)]) if granted else []
+        granted = share.voter.claimed(sender, item.terms_digest, item.round_number, item.slots, now)
+        return (
+            self._to(sender.name, [LeaseGranted(item.budget, item.round_number, granted)]) if granted else []
+        )
 
-    def _vouched(self, item: Vouched, sender: Life, now: float) -> list[Send]:
+    def _vouched(self, item: LeaseGranted, sender: Incarnation, now: float) -> list[Send]:
         share = self.shares.get(item.budget)
         if share is not None and not self.yielded:
-            share.holder.vouched(sender.name, item.round, item.rights, now)
+            share.holder.vouched(sender.name, item.round_number, item.slots, now)
         return []
 
-    def _released(self, item: Released, sender: Life, now: float) -> list[Send]:
+    def _released(self, item: LeaseReleased, sender: Incarnation, now: float) -> list[Send]:
         share = self.shares.get(item.budget)
         if share is None:
             return []
         if share.voter is not None:
-            share.voter.gave_back(sender, item.round, item.rights)
-        for r in item.rights:
-            if item.to == self.life.name:
+            share.voter.gave_back(sender, item.round_number, item.slots)
+        for r in item.slots:
+            if item.recipient == self.life.name:
                 share.promised[r] = now + ASIDE_S
                 share.aside.pop(r, None)
-            elif item.to:
+            elif item.recipient:
                 share.aside[r] = now + ASIDE_S
         return []
 
-    def _left(self, item: Left, sender: Life, now: float) -> list[Send]:
+    def _left(self, item: MemberLeft, sender: Incarnation, now: float) -> list[Send]:
         self.members.left(sender, now)
         return []
 
-    def _later(self, item: Later, sender: Life, now: float) -> list[Send]:
-        if item.life.name == self.life.name:
-            self.members.namesake(item.life)
+    def _later(self, item: Superseded, sender: Incarnation, now: float) -> list[Send]:
+        if item.incarnation.name == self.life.name:
+            self.members.namesake(item.incarnation)
         return []
 
     def say(self, name: str, topic: str, data: bytes) -> list[Send]:
-        return self._to(name, [Said(topic, data)])
+        return self._to(name, [ExtensionMessage(topic, data)])
 
-    def _said(self, item: Said, sender: Life, now: float) -> list[Send]:
+    def _said(self, item: ExtensionMessage, sender: Incarnation, now: float) -> list[Send]:
         name, _, topic = item.topic.partition("/")
         extension = self.extensions.get(name)
         if extension is None:
             return []
         answers = extension.took(sender, topic, item.data, now)
-        return [s for t, data in answers for s in self._to(sender.name, [Said(f"{name}/{t}", data)])]
+        return [
+            s for t, data in answers for s in self._to(sender.name, [ExtensionMessage(f"{name}/{t}", data)])
+        ]
 
     TAKES = {
-        Said: _said,
+        ExtensionMessage: _said,
         Hello: _hello,
-        Later: _later,
+        Superseded: _later,
         Ping: _pinged,
         Ack: _acked,
-        Ask: _asked,
-        Claim: _claimed,
-        Vouched: _vouched,
-        Released: _released,
-        Left: _left,
+        PingRequest: _asked,
+        LeaseRequest: _claimed,
+        LeaseGranted: _vouched,
+        LeaseReleased: _released,
+        MemberLeft: _left,
     }
 
     # ---- rights
@@ -492,7 +506,7 @@
             if share.voter is not None:
                 granted = share.voter.claimed(self.life, b.terms, round_, due, now)
                 holder.vouched(me, round_, granted, now)
-            claim = Claim(b.name, b.terms, round_, due)
+            claim = LeaseRequest(b.name, b.terms, round_, due)
             for voter in b.voters:
                 # Only where the configuration says that it is: one address has one process, so a name that
                 # two # processes believe to be theirs has one vote.
@@ -508,7 +522,7 @@
         if share.voter is not None:
             share.voter.gave_back(self.life, round_, gone)
         names = set(share.holder.budget.voters) | ({to} if to else set())
-        word = Released(share.holder.budget.name, round_, gone, to)
+        word = LeaseReleased(share.holder.budget.name, round_, gone, to)
         return [s for n in sorted(names - {self.life.name}) for s in self._to(n, [word])]
 
     def _give_all_back(self) -> list[Send]:
@@ -523,7 +537,7 @@
     def _going(self) -> set[str]:
         return {n for n in self.members.members if (s := self.status_of(n)) is not None and s.leaving}
 
-    def status_of(self, name: str) -> Status | None:
+    def status_of(self, name: str) -> WorkerStatus | None:
         m = self.members.members.get(name)
         if m is None or m.told_at is None or not m.status:
             return None
@@ -531,7 +545,7 @@
         if known is None or known[0] != m.version:
             try:
                 known = self.decoded[name] = (m.version, decode_status(m.status))
-            except Rejected:
+            except MessageRejectedError:
                 return None
         return known[1]
 
@@ -545,9 +559,9 @@
             if status is None:
                 continue
             fresh = now - m.told_at <= FRESH_S and not status.leaving
-            for h in status.holdings:
+            for h in status.demands:
                 if h.budget == budget:
-                    out[name] = View(h.held, h.want, h.unmet, fresh)
+                    out[name] = View(h.held_slots, h.wanted, h.denied, fresh)
         return out
 
     def told(self, topic: str) -> dict[str, tuple[float, bytes]]:
@@ -555,17 +569,17 @@
         out = {}
         for name, m in self.members.members.items():
             status = self.status_of(name)
-            if status is not None and topic in status.more:
-                out[name] = self.now - m.told_at, status.more[topic]
+            if status is not None and topic in status.extensions:
+                out[name] = self.now - m.told_at, status.extensions[topic]
         return out
 
-    def hearsay(self) -> dict[str, tuple[float, list[Evidence]]]:
+    def hearsay(self) -> dict[str, tuple[float, list[HealthObservation]]]:
         """What the others have seen of services, with its age."""
         out = {}
         for name, m in self.members.members.items():
             status = self.status_of(name) if m.state in (ALIVE, SUSPECT) else None
-            if status is not None and status.evidence:
-                out[name] = self.now - m.told_at, status.evidence
+            if status is not None and status.observations:
+                out[name] = self.now - m.told_at, status.observations
         return out
 
     # ---- use
@@ -592,5 +606,5 @@
         """Ends on purpose: gives all back and says so."""
         out = self._give_all_back()
         for name in self.members.live():
-            out += self._to(name, [Left(reason)])
+            out += self._to(name, [MemberLeft(reason)])
         return out
--- a/ochrehoist/peers/members.py
+++ b/ochrehoist/peers/members.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from ochrehoist.peers.wire import Entry, Life
+from ochrehoist.peers.wire import Incarnation, MemberUpdate
 
 ALIVE, SUSPECT, DEAD, LEFT = "alive", "suspect", "dead", "left"
 RANK = {ALIVE: 0, SUSPECT: 1, DEAD: 2, LEFT: 3}
@@ -23,7 +23,7 @@
 
 @dataclass(slots=True)
 class Member:
-    life: Life
+    life: Incarnation
     address: str
     site: str
     state: str
@@ -36,15 +36,15 @@
     told_at: float | None = None  # its status was so at this moment or later
     status: bytes = b""
 
-    def entry(self, now: float) -> Entry:
+    def entry(self, now: float) -> MemberUpdate:
         age = -1 if self.told_at is None else max(0, math.ceil((now - self.told_at) * 1000))
         return self._entry(age, self.status)
 
-    def rumour(self) -> Entry:
+    def rumour(self) -> MemberUpdate:
         return self._entry(-1, b"")
 
-    def _entry(self, age: int, status: bytes) -> Entry:
-        return Entry(
+    def _entry(self, age: int, status: bytes) -> MemberUpdate:
+        return MemberUpdate(
             self.life, self.address, self.site, self.state, self.version, age, status, self.refutations
         )
 
@@ -62,7 +62,7 @@
 
     def __init__(
         self,
-        life: Life,
+        life: Incarnation,
         address: str,
         site: str,
         addresses: dict[str, str],
@@ -74,7 +74,7 @@
         self.addresses = addresses
         self.rng = Random(seed)
         self.members: dict[str, Member] = {}
-        self.ended: dict[str, Life] = {}  # the latest life of each name that was ever known
+        self.ended: dict[str, Incarnation] = {}  # the latest life of each name that was ever known
         self.round: list[str] = []
         self.probes: dict[int, Probe] = {}
         self.rumours: dict[str, int] = {}  # names to tell of, and how often it still is
@@ -84,7 +84,7 @@
         self.heard_any: float | None = None  # when any answer came
         self.born, self.alone_since = now, now
         self.established = False
-        self.duplicate: Life | None = None  # another process that believes that it is this member,
+        self.duplicate: Incarnation | None = None  # another process that believes that it is this member,
         self.followed = False  # and whom others take for it
         self.deaths: list[tuple[float, str, float]] = []  # when, who, how long after it was heard last
         self.was_late = 0
@@ -122,7 +122,7 @@
 
     def incarnation_of(self, name: str) -> int:
         m = self.members.get(name)
-        return m.life.inc if m is not None else 0
+        return m.life.number if m is not None else 0
 
     # ---- time
     def beat(self, now: float) -> list[tuple[str, int, bool]]:
@@ -234,12 +234,12 @@
                 self._spread(name)
         return probe
 
-    def met(self, life: Life, address: str, site: str, now: float) -> bool:
+    def met(self, life: Incarnation, address: str, site: str, now: float) -> bool:
         """A message of this life came; whether it is to be heard: one of an earlier life is not."""
         if life.name == self.life.name:
             return self.namesake(life)
         last = self.ended.get(life.name)
-        if last is not None and last.follows(life):
+        if last is not None and last.supersedes(life):
             return False
         m = self.members.get(life.name)
         if m is None:
@@ -247,7 +247,7 @@
                 return False
             m = self.members[life.name] = Member(life, address, site, ALIVE, now)
             self._spread(life.name)
-        elif life.follows(m.life):
+        elif life.supersedes(m.life):
             self.members[life.name] = Member(life, address or m.address, site, ALIVE, now)
             self._spread(life.name)
         elif m.state in (DEAD, LEFT) and m.life == life and m.state != LEFT:
@@ -258,39 +258,39 @@
             self.ended.pop(next(n for n in self.ended if n not in self.members))
         return True
 
-    def namesake(self, life: Life, heard: bool = True) -> bool:
+    def namesake(self, life: Incarnation, heard: bool = True) -> bool:
         """Somebody tells of a life of this name that is not this one; `heard`: and takes it for the
         member."""
-        if life != self.life and life.follows(self.life):
+        if life != self.life and life.supersedes(self.life):
             if not self.established:
                 # What is left of a process before this one, whose clock was ahead: this one comes after it.
-                self.life = Life(self.life.name, life.inc + 1, self.life.boot)
+                self.life = Incarnation(self.life.name, life.number + 1, self.life.boot_id)
             else:
                 self.duplicate, self.followed = life, self.followed or heard
         return False
 
-    def rumour(self, e: Entry, by: str, now: float) -> None:
+    def rumour(self, e: MemberUpdate, by: str, now: float) -> None:
         """Hearsay: of states and addresses; it never proves anybody to be there."""
-        name = e.life.name
+        name = e.incarnation.name
         if name == self.life.name:
-            if e.life != self.life:
-                self.namesake(e.life)
+            if e.incarnation != self.life:
+                self.namesake(e.incarnation)
             elif e.state in (SUSPECT, DEAD):
                 # Said to be dead: it says that it is not, above the number of whoever says so.
                 self.refutations = max(self.refutations, e.refutations + 1)
                 self._spread(name)
             return
         m = self.members.get(name)
-        if m is None or e.life.follows(m.life):
+        if m is None or e.incarnation.supersedes(m.life):
             last = self.ended.get(name)
-            if e.state in (DEAD, LEFT) or (last is not None and last.follows(e.life)):
+            if e.state in (DEAD, LEFT) or (last is not None and last.supersedes(e.incarnation)):
                 if m is None and last is None:
-                    self.ended[name] = e.life  # known only as gone
+                    self.ended[name] = e.incarnation  # known only as gone
                 return
-            if self.met(e.life, e.address, e.site, now):
+            if self.met(e.incarnation, e.address, e.site, now):
                 self._refuted(self.members[name], e.refutations, now)
             return
-        if e.life != m.life or e.state not in RANK:
+        if e.incarnation != m.life or e.state not in RANK:
             return
         self._refuted(m, e.refutations, now)
         if e.state == LEFT and m.state in (ALIVE, SUSPECT):
@@ -312,15 +312,15 @@
             m.state, m.since, m.accusers = ALIVE, now, set()
         self._spread(m.life.name)
 
-    def left(self, life: Life, now: float) -> None:
+    def left(self, life: Incarnation, now: float) -> None:
         m = self.members.get(life.name)
         if m is not None and m.life == life and m.state != LEFT:
             self._gone(m, LEFT, now)
 
-    def learn(self, e: Entry, lag: float, now: float) -> None:
+    def learn(self, e: MemberUpdate, lag: float, now: float) -> None:
         """A status, with the most that it can be old; `lag`: since the ping that it answers was sent."""
-        m = self.members.get(e.life.name)
-        if m is None or m.life != e.life:
+        m = self.members.get(e.incarnation.name)
+        if m is None or m.life != e.incarnation:
             return
         self._refuted(m, e.refutations, now)
         if e.age_ms < 0:
@@ -333,7 +333,7 @@
     def _spread(self, name: str) -> None:
         self.rumours[name] = 3 * max(1, math.ceil(math.log2(len(self.members) + 2)))
 
-    def to_tell(self, now: float, me: Entry, to: str = "") -> list[Entry]:
+    def to_tell(self, now: float, me: MemberUpdate, to: str = "") -> list[MemberUpdate]:
         """The rumours for one message, the least told first. One who is accused is told so each time that
         it is asked (`to`): nobody else can end a false accusation."""
         accused = self.members.get(to)
--- a/ochrehoist/peers/rights.py
+++ b/ochrehoist/peers/rights.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from hashlib import blake2b
 
-from ochrehoist.peers.wire import Life
+from ochrehoist.peers.wire import Incarnation
 
 DRIFT = 0.02  # share by which two steady clocks may differ in speed
 GUARD_S = 0.05  # by which a voter vouches longer besides
@@ -77,7 +77,7 @@
 
 @dataclass(slots=True)
 class Vouch:
-    life: Life
+    life: Incarnation
     until: float
     round: int
 
@@ -87,7 +87,7 @@
 
     def __init__(self, budget: Budget, born: float) -> None:
         self.vouches: dict[int, Vouch] = {}
-        self.released: dict[int, tuple[Life, int]] = {}
+        self.released: dict[int, tuple[Incarnation, int]] = {}
         self.budget = budget
         # A process before this one may have vouched until then: by floor or not.
         self.silent = {floor: born + self._whole(budget, floor) for floor in (False, True)}
@@ -111,7 +111,7 @@
             self.released.clear()
         self.budget = budget
 
-    def claimed(self, life: Life, terms: str, round_: int, rights: list[int], now: float) -> list[int]:
+    def claimed(self, life: Incarnation, terms: str, round_: int, rights: list[int], now: float) -> list[int]:
         """The rights that it vouches for now, of those asked for."""
         if terms != self.budget.terms:
             return []
@@ -137,7 +137,7 @@
             granted.append(right)
         return granted
 
-    def gave_back(self, life: Life, round_: int, rights: list[int]) -> None:
+    def gave_back(self, life: Incarnation, round_: int, rights: list[int]) -> None:
         for right in rights:
             v = self.vouches.get(right)
             if v is not None and v.life == life and v.round <= round_:
--- a/ochrehoist/peers/services.py
+++ b/ochrehoist/peers/services.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from ochrehoist.peers.wire import Evidence
+from ochrehoist.peers.wire import HealthObservation
 
 OK, SLOW, FAILING, GONE = "ok", "slow", "failing", "gone"
 BAD = frozenset({SLOW, FAILING, GONE})
@@ -67,7 +67,7 @@
     def __init__(self, services: Iterable[str], most_out: float, seed: int) -> None:
         self.services: dict[str, Service] = {}
         self.most_out, self.rng = most_out, Random(seed)
-        self.hearsay: Callable[[], Mapping[str, tuple[float, list[Evidence]]]] = dict
+        self.hearsay: Callable[[], Mapping[str, tuple[float, list[HealthObservation]]]] = dict
         self.fleet: Callable[[], int] = lambda: 1
         self.usuals: dict[str, float | None] = {}  # by class, as of the last look
         self.changes: deque[tuple[float, str, str, str]] = deque(maxlen=100)
@@ -142,7 +142,7 @@
         return usual is not None and took > SLOW_TIMES * usual and took > usual + SLOW_S
 
     # ---- evidence
-    def seen(self, name: str, now: float) -> Evidence | None:
+    def seen(self, name: str, now: float) -> HealthObservation | None:
         """What this worker saw lately; None where that is too little."""
         s = self.services[name]
         lately = [r for r in list(s.results)[-NEWEST:] if now - r.at <= LATELY]
@@ -163,39 +163,43 @@
         age = int(1000 * (now - lately[-1].at)) if lately and not overdue else 0
         ratio = sum(ratios) / len(ratios) if ratios else 1.0
         if gone >= 2 and lately[-1].verdict == GONE:
-            return Evidence(name, GONE, seen, age, ratio)
+            return HealthObservation(name, GONE, seen, age, ratio)
         if seen < ENOUGH and not (overdue and len(overdue) == seen):
             return None
         if 2 * (bad + gone) >= seen:
-            return Evidence(name, FAILING, seen, age, ratio)
+            return HealthObservation(name, FAILING, seen, age, ratio)
         if slow and ratio >= SLOW_TIMES:  # one may be a costly request: see `proves`
-            return Evidence(name, SLOW, seen, age, ratio)
-        return Evidence(name, OK, seen, age, ratio)
+            return HealthObservation(name, SLOW, seen, age, ratio)
+        return HealthObservation(name, OK, seen, age, ratio)
 
     @staticmethod
-    def proves(own: Evidence) -> bool:
+    def proves(own: HealthObservation) -> bool:
         """Whether a worker's bad evidence is enough by itself; else it counts as one observer's."""
-        return own.verdict != SLOW or own.seen >= ENOUGH or (own.seen > 1 and own.ratio >= 2 * SLOW_TIMES)
+        return (
+            own.status != SLOW
+            or own.sample_count >= ENOUGH
+            or (own.sample_count > 1 and own.latency_ratio >= 2 * SLOW_TIMES)
+        )
 
-    def evidence(self, now: float) -> list[Evidence]:
+    def evidence(self, now: float) -> list[HealthObservation]:
         return [e for name in self.services if (e := self.seen(name, now)) is not None]
 
-    def heard(self, name: str, own: Evidence | None = None) -> tuple[str, list[str]]:
+    def heard(self, name: str, own: HealthObservation | None = None) -> tuple[str, list[str]]:
         """What others say of it, by the observers whose own link seems well, and who they are; with what this
         worker saw, where that alone proves nothing."""
         verdicts: Counter = Counter()
         who: list[str] = []
-        if own is not None and own.verdict in BAD:
-            verdicts[own.verdict] += 1
-            who.append(f"itself:{own.verdict}")
+        if own is not None and own.status in BAD:
+            verdicts[own.status] += 1
+            who.append(f"itself:{own.status}")
         for member, (age, told) in self.hearsay().items():
             fresh = [e for e in told if age + e.age_ms / 1000 <= END_S]
-            if len(fresh) > 1 and 2 * sum(e.verdict in BAD for e in fresh) > len(fresh):
+            if len(fresh) > 1 and 2 * sum(e.status in BAD for e in fresh) > len(fresh):
                 continue
             for e in fresh:
                 if e.service == name:
-                    verdicts[e.verdict] += 1
-                    who.append(f"{member}:{e.verdict}")
+                    verdicts[e.status] += 1
+                    who.append(f"{member}:{e.status}")
         bad = sum(n for v, n in verdicts.items() if v in BAD)
         if bad >= 2 and bad > verdicts[OK]:
             return max((v for v in verdicts if v in BAD), key=lambda v: verdicts[v]), who
@@ -207,7 +211,7 @@
         for age, told in self.hearsay().values():
             for e in told:
                 if e.service == name and age + e.age_ms / 1000 < since:
-                    good, bad = good + (e.verdict == OK), bad + (e.verdict in BAD)
+                    good, bad = good + (e.status == OK), bad + (e.status in BAD)
         return good > bad
 
     # ---- judgement
@@ -234,14 +238,15 @@
                     s.results.clear()
                     self._move(s, name, "back", "well for others", now)
                 continue
-            bad_here = own is not None and own.verdict in BAD
+            bad_here = own is not None and own.status in BAD
             if own is not None and (self.proves(own) if bad_here else own.age_ms <= FRESH_S * 1000):
                 if bad_here:
                     bad.append(
                         (
-                            math.inf if own.verdict == GONE else own.ratio,
+                            math.inf if own.status == GONE else own.latency_ratio,
                             name,
-                            f"{own.verdict}: {own.seen} results of its own, {own.ratio:.1f} times the {OWN}",
+                            f"{own.status}: {own.sample_count} results of its own, "
+                            f"{own.latency_ratio:.1f} times the {OWN}",
                         )
                     )
                 continue
@@ -315,7 +320,7 @@
                 "why": s.why,
                 "trials": s.trials,
                 "open": len(s.open),
-                "own": [own.verdict, own.seen, round(own.ratio, 2)] if own else None,
+                "own": [own.status, own.sample_count, round(own.latency_ratio, 2)] if own else None,
                 "heard": self.heard(name)[1],
             }
             if s.standing in ("out", "trial"):
--- a/ochrehoist/peers/view.py
+++ b/ochrehoist/peers/view.py
@@ -11,21 +11,21 @@
     alone = m.alone(now)
     return {
         "name": group.life.name,
-        "incarnation": group.life.inc,
+        "incarnation": group.life.number,
         "group": group.terms.group,
         "site": group.terms.site,
         "address": group.terms.address,
         "alone_s": None if alone is None else round(alone, 2),
         "late": m.lateness,
         "was_late": m.was_late,
-        "duplicate": m.duplicate.boot if m.duplicate is not None else None,
+        "duplicate": m.duplicate.boot_id if m.duplicate is not None else None,
         "members": {
             n: {
                 "state": x.state,
                 "for_s": round(now - x.since, 1),
                 "address": m.address_of(n),
                 "site": x.site,
-                "incarnation": x.life.inc,
+                "incarnation": x.life.number,
                 "accused_by": sorted(x.accusers) if x.state == SUSPECT else [],
                 "heard_s": None if x.heard_at is None else round(now - x.heard_at, 2),
                 "told_s": None if x.told_at is None else round(now - x.told_at, 2),
--- a/ochrehoist/peers/wire.py
+++ b/ochrehoist/peers/wire.py
@@ -1,10 +1,15 @@
-"""What workers say to each other: one datagram a message, each with a keyed digest. A codec, without I/O.
+"""The datagram format of peers: message types, their encoding and their authentication. No I/O.
 
-A message is heard only by the life that it is addressed to. So what was recorded before a start, and is
-played again after it, changes nothing; within a life a window of sequence numbers takes each message once.
+One message is one datagram with a keyed digest. A message is accepted only by the incarnation that it is
+addressed to, so datagrams recorded before a restart and replayed after it change nothing. Within an
+incarnation a `ReplayWindow` of sequence numbers accepts each message once.
+
+All structs are encoded as arrays: the order of their fields is the format. Fields are only added at the end,
+with a default, so that releases can be mixed in one group.
 """
 
 import hmac
+from enum import StrEnum
 from hashlib import blake2b
 
 import msgspec
@@ -12,257 +17,351 @@
 from ochrehoist.errors import OchrehoistError
 
 MAGIC, VERSION = b"OH", 1
-DIGEST = 16  # bytes
-MOST = 16_384  # bytes of a datagram: past it nothing is read, and nothing is sent
-NOBODY = 0  # incarnation of a receiver that is not known yet
-WINDOW = 256  # messages by which one may come late
+DIGEST_BYTES = 16
+MAX_DATAGRAM_BYTES = 16_384  # a longer datagram is neither read nor sent
+UNKNOWN_INCARNATION = 0  # incarnation number of a recipient that is not known yet
+REPLAY_WINDOW = 256  # sequence numbers by which a message may arrive late
+MAX_UPDATE_OVERHEAD_BYTES = 64  # of a member update, beside its strings
+
+
+class MemberState(StrEnum):
+    """The state of a member as another member sees it; the values are written to the wire and `/status`."""
+
+    ALIVE = "alive"
+    SUSPECT = "suspect"
+    DEAD = "dead"
+    LEFT = "left"
+
+
+class HealthStatus(StrEnum):
+    """What a worker observed of a service; the values are written to the wire and `/status`."""
+
+    OK = "ok"
+    SLOW = "slow"
+    FAILING = "failing"  # answers that cannot be used, or none
+    UNREACHABLE = "gone"
+
+
+class RejectReason(StrEnum):
+    """Why a datagram was rejected; the values are labels of a metric."""
+
+    GARBLED = "garbled"
+    UNAUTHENTICATED = "stranger"
+    VERSION = "version"
+    GROUP = "group"
+
 
+class MessageRejectedError(OchrehoistError):
+    """A datagram that is not accepted; `reason` says why, and is what such datagrams are counted by."""
 
-class Life(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """One process of a member: `inc` never goes back for a name; `boot` tells two of the same name apart."""
+    def __init__(self, reason: RejectReason) -> None:
+        super().__init__(f"peer message rejected: {reason}")
+        self.reason = reason
+
+
+class MessageTooLongError(OchrehoistError):
+    """A message whose encoding of `size` bytes does not fit into a datagram."""
+
+    def __init__(self, size: int) -> None:
+        super().__init__(f"a message of {size} bytes; a datagram takes {MAX_DATAGRAM_BYTES}")
+        self.size = size
+
+
+class Incarnation(msgspec.Struct, frozen=True, array_like=True, order=True):
+    """One process of a member.
+
+    `number` never decreases for a name; `boot_id` is drawn at random and tells two processes with the same
+    name and number apart.
+    """
 
     name: str
-    inc: int
-    boot: int
+    number: int
+    boot_id: int
 
-    def follows(self, other: "Life") -> bool:
-        return (self.inc, self.boot) > (other.inc, other.boot)
+    def supersedes(self, other: "Incarnation") -> bool:
+        """Whether this is a later process of the same member than `other`."""
+        return (self.number, self.boot_id) > (other.number, other.boot_id)
 
 
-class Entry(msgspec.Struct, array_like=True):
-    """What is known of a member. `age_ms`: the most that it can be old, -1 where it was never heard.
+class MemberUpdate(msgspec.Struct, array_like=True):
+    """What the sender knows of one member.
 
-    `refutations`: SWIM's incarnation number, within a life. Only the member itself raises it, on hearing an
-    accusation of this number; so a higher one proves that it was there after that accusation. `version`
-    does not: it goes up with each beat, and one that is newer than the accuser's may be older than the
-    accusation.
+    `age_ms` is an upper bound of the age of `status`, -1 where the sender has no status. `refutations` is
+    SWIM's incarnation number within a process: only the member itself raises it, when it learns of an
+    accusation of this number, so a higher one proves that it was there after that accusation. `version` does
+    not: it grows with each tick, and one that is newer than the accuser's may be older than the accusation.
     """
 
-    life: Life
+    incarnation: Incarnation
     address: str
     site: str
-    state: str
+    state: str  # a MemberState; a value of a later release is ignored
     version: int = 0
     age_ms: int = -1
-    status: bytes = b""  # a Status, as its owner encoded it
-    refutations: int = 0  # last: a member of before this field passes it over, and what it tells has 0
+    status: bytes = b""  # a WorkerStatus, as its owner encoded it
+    refutations: int = 0
 
-    def size(self) -> int:
-        """In a message, at the most."""
-        return 64 + len(self.status) + sum(len(s.encode()) for s in (self.life.name, self.address, self.site))
+    def max_size(self) -> int:
+        """Upper bound of its encoded size in bytes."""
+        texts = (self.incarnation.name, self.address, self.site)
+        return MAX_UPDATE_OVERHEAD_BYTES + len(self.status) + sum(len(text.encode()) for text in texts)
 
 
-class Evidence(msgspec.Struct, array_like=True):
-    """What one worker has seen itself of a service below."""
+class HealthObservation(msgspec.Struct, array_like=True):
+    """What one worker has observed itself of a downstream service."""
 
     service: str
-    verdict: str
-    seen: int  # results that it rests on
+    status: str  # a HealthStatus; a value of a later release counts for nothing
+    sample_count: int
     age_ms: int
-    ratio: float  # of the usual time
+    latency_ratio: float  # of the baseline latency
 
 
-class Holding(msgspec.Struct, array_like=True):
-    """Of one budget: rights held, by their numbers as bits; what is wanted; what was asked in vain lately."""
+class BudgetDemand(msgspec.Struct, array_like=True):
+    """A worker's part in one budget: lease slots held (as a bit mask), amounts wanted and lately denied."""
 
     budget: str
-    held: int
-    want: int
-    unmet: int
+    held_slots: int
+    wanted: int
+    denied: int
+
 
+class WorkerStatus(msgspec.Struct, array_like=True):
+    """What all other members are to know of a worker."""
 
-class Status(msgspec.Struct, array_like=True):
     leaving: bool = False
-    alone: bool = False
-    evidence: list[Evidence] = []
-    holdings: list[Holding] = []
-    more: dict[str, bytes] = {}  # of extensions, by topic
+    isolated: bool = False  # it receives acknowledgements from nobody
+    observations: list[HealthObservation] = []
+    demands: list[BudgetDemand] = []
+    extensions: dict[str, bytes] = {}  # by topic
 
 
-class Tally(msgspec.Struct, array_like=True):
-    """Counts of one life, which only grow. `ended`: it is over, and tells no more."""
+class CounterSnapshot(msgspec.Struct, array_like=True):
+    """All counters of one incarnation, which only grow. `ended`: it counts no more."""
 
-    life: Life
+    incarnation: Incarnation
     version: int
     age_ms: int
     ended: bool
     counts: dict[str, int]
 
 
-class Asked(msgspec.Struct, array_like=True):
-    """How far the counts of a life are known: all of this version, and a later one up to the key `after`."""
+class CounterCursor(msgspec.Struct, array_like=True):
+    """How far the counters of an incarnation are known.
+
+    All of `version` is known, and of a later one the keys up to `after_key`.
+    """
 
     name: str
-    inc: int
-    since: int
-    after: str
+    number: int
+    version: int
+    after_key: str
+
 
+class CounterDelta(msgspec.Struct, array_like=True):
+    """All counters of one incarnation that changed since a version, in a range of keys.
 
-class Part(msgspec.Struct, array_like=True):
-    """Of the counts of one life all that changed since a version, of keys behind `after` up to `upto` (empty:
-    from the first, to the last). It was so at `version`, which was there `age_ms` ago or later."""
+    The range begins behind `after_key` (empty: with the first) and ends with `up_to_key` (empty: the last).
+    The values are those of `version` or later ones; `version` existed `age_ms` ago or later.
+    """
 
-    life: Life
-    since: int
-    after: str
-    upto: str
+    incarnation: Incarnation
+    since_version: int
+    after_key: str
+    up_to_key: str
     version: int
     age_ms: int
     ended: bool
-    born_ms: int  # ago at the most it had counted nothing; -1: unknown
+    started_ms_ago: int  # upper bound of the time since it had counted nothing; -1: unknown
     counts: dict[str, int]
 
 
+class KnownVersion(msgspec.Struct, array_like=True):
+    """The latest status of a member that the sender of a ping has."""
+
+    name: str
+    number: int  # of its incarnation
+    version: int
+
+
 class Ping(msgspec.Struct, tag="p", array_like=True):
+    """Health check of a member; asks for what is newer than what the sender knows."""
+
     nonce: int
-    know: list[tuple[str, int, int]] = []  # some names, with incarnation and version
-    rumours: list[Entry] = []
-    asked: list[Asked] | None = None  # None: of a member that takes whole counts alone
+    known_versions: list[KnownVersion] = []
+    gossip: list[MemberUpdate] = []
+    cursors: list[CounterCursor] | None = None  # None: an older release, which takes whole snapshots only
 
 
 class Ack(msgspec.Struct, tag="a", array_like=True):
-    """Answers a ping, itself or for another member (`of`): what it tells was so after the ping was sent."""
+    """Answers a ping; what it reports was so after the ping was sent.
+
+    `subject` is the member that was pinged where the answer is relayed for it, and empty otherwise.
+    """
 
     nonce: int
-    of: str = ""
-    entries: list[Entry] = []
-    rumours: list[Entry] = []
-    tallies: list[Tally] = []  # for a member of before `parts`
-    parts: list[Part] = []
+    subject: str = ""
+    updates: list[MemberUpdate] = []
+    gossip: list[MemberUpdate] = []
+    snapshots: list[CounterSnapshot] = []  # for an older release
+    deltas: list[CounterDelta] = []
 
 
-class Ask(msgspec.Struct, tag="q", array_like=True):
-    """Please ping this one for me."""
+class PingRequest(msgspec.Struct, tag="q", array_like=True):
+    """Indirect probe: asks the receiver to ping `target` for the sender."""
 
     nonce: int
-    name: str
+    target: str
 
 
-class Claim(msgspec.Struct, tag="c", array_like=True):
-    """Asks a voter to vouch for these rights of a budget."""
+class LeaseRequest(msgspec.Struct, tag="c", array_like=True):
+    """Asks a grantor to grant or renew these lease slots of a budget."""
 
     budget: str
-    terms: str
-    round: int
-    rights: list[int]
+    terms_digest: str
+    round_number: int
+    slots: list[int]
+
 
+class LeaseGranted(msgspec.Struct, tag="v", array_like=True):
+    """A grantor's answer to the request of `round_number`: the slots that it grants."""
 
-class Vouched(msgspec.Struct, tag="v", array_like=True):
     budget: str
-    round: int
-    rights: list[int]
+    round_number: int
+    slots: list[int]
 
 
-class Released(msgspec.Struct, tag="r", array_like=True):
-    """These are not used any more; `to` may claim them."""
+class LeaseReleased(msgspec.Struct, tag="r", array_like=True):
+    """The sender uses these slots no more; `recipient`, if any, may request them."""
 
     budget: str
-    round: int
-    rights: list[int]
-    to: str = ""
+    round_number: int
+    slots: list[int]
+    recipient: str = ""
 
 
-class Left(msgspec.Struct, tag="l", array_like=True):
-    """Ends on purpose: no death."""
+class MemberLeft(msgspec.Struct, tag="l", array_like=True):
+    """The sender shuts down in order."""
 
     reason: str
 
 
 class Hello(msgspec.Struct, tag="h", array_like=True):
-    """Says who is here, to one that did not know, and asks nothing."""
+    """Introduces the sender to one that may not know it, and asks nothing."""
 
     address: str
     site: str
 
 
-class Later(msgspec.Struct, tag="n", array_like=True):
-    """A later life of your name is known here."""
+class Superseded(msgspec.Struct, tag="n", array_like=True):
+    """Tells a process that a later incarnation of its name is known."""
 
-    life: Life
+    incarnation: Incarnation
 
 
-class Said(msgspec.Struct, tag="s", array_like=True):
-    """From one extension to another. It may be lost, and comes at most once."""
+class ExtensionMessage(msgspec.Struct, tag="s", array_like=True):
+    """From one extension to another. It may be lost, and arrives at most once."""
 
     topic: str
     data: bytes
 
 
-Item = Ping | Ack | Ask | Claim | Vouched | Released | Left | Hello | Later | Said
+Payload = (
+    Ping
+    | Ack
+    | PingRequest
+    | LeaseRequest
+    | LeaseGranted
+    | LeaseReleased
+    | MemberLeft
+    | Hello
+    | Superseded
+    | ExtensionMessage
+)
 
 
 class Message(msgspec.Struct, array_like=True):
-    group: str
-    sender: Life
-    to: str
-    to_inc: int
-    seq: int
-    items: list[Item]
+    """One datagram: its addressing and what it carries."""
 
-
-class Rejected(OchrehoistError):
-    """Not to be heard; the text is one word, by which such messages are counted."""
+    group: str
+    sender: Incarnation
+    recipient: str
+    recipient_number: int  # of the recipient's incarnation, or UNKNOWN_INCARNATION
+    sequence: int
+    payloads: list[Payload]
 
 
 _encode = msgspec.msgpack.Encoder().encode
 _decode = msgspec.msgpack.Decoder(Message).decode
-encode_status = _encode
-_decode_status = msgspec.msgpack.Decoder(Status).decode
+_decode_status = msgspec.msgpack.Decoder(WorkerStatus).decode
 
 
-def decode_status(data: bytes) -> Status:
-    """Raises Rejected."""
+def encode_status(status: WorkerStatus) -> bytes:
+    """The bytes that `MemberUpdate.status` carries."""
+    return _encode(status)
+
+
+def decode_status(data: bytes) -> WorkerStatus:
+    """Raises MessageRejectedError."""
     try:
         return _decode_status(data)
     except msgspec.DecodeError:
-        raise Rejected("garbled") from None
+        raise MessageRejectedError(RejectReason.GARBLED) from None
 
 
 def _digest(body: bytes, secret: bytes) -> bytes:
-    return blake2b(body, digest_size=DIGEST, key=blake2b(secret).digest()).digest()
+    return blake2b(body, digest_size=DIGEST_BYTES, key=blake2b(secret).digest()).digest()
 
 
-def packed(message: Message, secret: bytes) -> bytes:
-    """One datagram; ValueError where it would be too long."""
+def encode_datagram(message: Message, secret: bytes) -> bytes:
+    """One datagram; raises MessageTooLongError where it does not fit."""
     body = bytes((VERSION,)) + _encode(message)
-    if len(body) + DIGEST + len(MAGIC) > MOST:
-        raise ValueError(f"a message of {len(body)} bytes")
+    if len(body) + DIGEST_BYTES + len(MAGIC) > MAX_DATAGRAM_BYTES:
+        raise MessageTooLongError(len(body))
     return MAGIC + _digest(body, secret) + body
 
 
-def unpacked(data: bytes, secrets: tuple[bytes, ...], group: str) -> Message:
-    """Raises Rejected, whatever the bytes are. More than one secret: while a new one is brought in."""
-    if len(data) > MOST or data[:2] != MAGIC or len(data) <= 2 + DIGEST:
-        raise Rejected("garbled")
-    digest, body = data[2 : 2 + DIGEST], data[2 + DIGEST :]
-    if not any(hmac.compare_digest(digest, _digest(body, s)) for s in secrets):
-        raise Rejected("stranger")
+def decode_datagram(data: bytes, secrets: tuple[bytes, ...], group: str) -> Message:
+    """Raises MessageRejectedError, whatever the bytes are.
+
+    There is more than one secret while a new one is introduced.
+    """
+    header_bytes = len(MAGIC) + DIGEST_BYTES
+    if len(data) > MAX_DATAGRAM_BYTES or not data.startswith(MAGIC) or len(data) <= header_bytes:
+        raise MessageRejectedError(RejectReason.GARBLED)
+    digest = data[len(MAGIC) : header_bytes]
+    body = data[header_bytes:]
+    if not any(hmac.compare_digest(digest, _digest(body, secret)) for secret in secrets):
+        raise MessageRejectedError(RejectReason.UNAUTHENTICATED)
     if body[0] != VERSION:
-        raise Rejected("version")
+        raise MessageRejectedError(RejectReason.VERSION)
     try:
         message = _decode(body[1:])
     except (msgspec.DecodeError, RecursionError):
-        raise Rejected("garbled") from None
+        raise MessageRejectedError(RejectReason.GARBLED) from None
     if message.group != group:
-        raise Rejected("group")
+        raise MessageRejectedError(RejectReason.GROUP)
     return message
 
 
-class Seen:
-    """Which messages of one life came already: a window behind the highest number."""
+class ReplayWindow:
+    """Which messages of one incarnation were accepted: a window behind the highest sequence number."""
 
-    __slots__ = ("top", "bits")
+    __slots__ = ("_accepted", "_highest")
 
     def __init__(self) -> None:
-        self.top, self.bits = 0, 0
-
-    def takes(self, seq: int) -> bool:
-        if seq > self.top:
-            self.bits = ((self.bits << min(WINDOW, seq - self.top)) | 1) & ((1 << WINDOW) - 1)
-            self.top = seq
+        self._highest = 0
+        self._accepted = 0  # bit n: the message n below the highest
+
+    def accept(self, sequence: int) -> bool:
+        """Whether the message is new; each sequence number is accepted at most once."""
+        if sequence > self._highest:
+            shift = min(REPLAY_WINDOW, sequence - self._highest)
+            self._accepted = ((self._accepted << shift) | 1) & ((1 << REPLAY_WINDOW) - 1)
+            self._highest = sequence
             return True
-        behind = self.top - seq
-        if behind >= WINDOW or self.bits >> behind & 1:
+        behind = self._highest - sequence
+        if behind >= REPLAY_WINDOW or self._accepted >> behind & 1:
             return False
-        self.bits |= 1 << behind
+        self._accepted |= 1 << behind
         return True
--- a/ochrehoist/sites/desk.py
+++ b/ochrehoist/sites/desk.py
@@ -16,7 +16,7 @@
 from ochrehoist.core.request import InboundRequest
 from ochrehoist.core.results import Rejection
 from ochrehoist.core.tenants import Tenants, first
-from ochrehoist.peers.wire import Life
+from ochrehoist.peers.wire import Incarnation
 from ochrehoist.sites import orders as words_of_operators
 from ochrehoist.sites.knowing import LOST, RETURNING, Knowing, Load, Seen
 from ochrehoist.sites.level import Level
@@ -432,7 +432,7 @@
         younger = [p for p in self.peers if p.fresh and p.word.book > mine]
         return [(max(younger, key=lambda p: p.word.book).name, ASK_BOOK, b"")] if younger else []
 
-    def took(self, sender: Life, topic: str, data: bytes, now: float) -> list[tuple[str, bytes]]:
+    def took(self, sender: Incarnation, topic: str, data: bytes, now: float) -> list[tuple[str, bytes]]:
         if topic == ASK_BOOK and self.book is not None:
             return [(BOOK, packed(self.book))]
         if topic == BOOK:
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -9,7 +9,7 @@
 from ochrehoist.lab.explore import Bounds
 from ochrehoist.peers import members, services
 from ochrehoist.peers.rights import Budget, Held, Holder, Voter
-from ochrehoist.peers.wire import Evidence, Life
+from ochrehoist.peers.wire import HealthObservation, Incarnation
 
 NAMES = ("w000", "w001", "w002")
 
@@ -191,8 +191,8 @@
 
     def test_suspicion_without_a_check_of_ones_own_lateness(self):
         def states():
-            m = members.Membership(Life("a", 1, 1), "at:a", "", {}, 0.1, 0.0, 1)
-            m.met(Life("b", 1, 1), "at:b", "", 0.0)
+            m = members.Membership(Incarnation("a", 1, 1), "at:a", "", {}, 0.1, 0.0, 1)
+            m.met(Incarnation("b", 1, 1), "at:b", "", 0.0)
             m.heard_any = 0.2
             for beat in range(5):
                 m.beat(beat * 0.05)
@@ -206,7 +206,7 @@
 
     def test_evidence_of_one_observer_that_is_trusted(self):
         judge = services.Judge(("s0", "s1", "s2"), 0.5, 1)
-        judge.hearsay = lambda: {"x": (0.1, [Evidence("s1", services.SLOW, 9, 0, 20.0)])}
+        judge.hearsay = lambda: {"x": (0.1, [HealthObservation("s1", services.SLOW, 9, 0, 20.0)])}
         judge.look(1.0)
         self.assertEqual(judge.services["s1"].standing, "in")
 
@@ -214,8 +214,8 @@
         b = Budget("x", 1, NAMES, lease_s=2.0, floor=0.0)
         voters, first, second = [Voter(b, -99.0) for _ in NAMES], Holder(b), Holder(b)
         for holder, life, some in (
-            (first, Life("a", 1, 1), voters[:2]),
-            (second, Life("b", 1, 1), voters[1:]),
+            (first, Incarnation("a", 1, 1), voters[:2]),
+            (second, Incarnation("b", 1, 1), voters[1:]),
         ):
             holder.claim(0, 0.0)
             round_, due = holder.ask(0.0, 0.2)
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -23,7 +23,7 @@
 from ochrehoist.net.peers import FleetTenant
 from ochrehoist.peers import wire
 from ochrehoist.peers.counts import Ledger
-from ochrehoist.peers.wire import Life, Message
+from ochrehoist.peers.wire import Incarnation, Message
 from ochrehoist.sites.order import MOST_TOLD, Order
 
 OPENS_ONCE = """
@@ -244,7 +244,7 @@
             self.assertGreaterEqual(tenant.quota_per_s, 0.0)
 
     def test_a_message_of_counts_fits_a_datagram_however_many_tenants_were_answered(self):
-        ledgers = [Ledger(Life(f"n{n}", 1, n), 100.0) for n in range(6)]
+        ledgers = [Ledger(Incarnation(f"n{n}", 1, n), 100.0) for n in range(6)]
         for ledger in ledgers:
             for n in range(58_000):
                 ledger.add(f"tenant/tenant-{n:06d}/answered")
@@ -256,8 +256,8 @@
                 me.learn(tally, 0.0, 1.0)
         told = me.to_tell(2.0)
         self.assertEqual(len(told), 5)
-        size = len(wire.packed(Message("g", me.life, "n1", 1, 1, told), b"s" * 16))
-        self.assertLess(size, wire.MOST - 2000)  # and what else is in an answer
+        size = len(wire.encode_datagram(Message("g", me.life, "n1", 1, 1, told), b"s" * 16))
+        self.assertLess(size, wire.MAX_DATAGRAM_BYTES - 2000)  # and what else is in an answer
         self.assertEqual(sum(me.own.values()), 58_014)
         self.assertEqual(me.read("class/read/answered", 2.0).total, 42)
 
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -249,7 +249,7 @@
 
 class BetweenMembers(unittest.TestCase):
     def _ledger(self, number, tenants):
-        ledger = Ledger(wire.Life(f"worker-{number:04}", 1 << 40, 1 << 61), 3000)
+        ledger = Ledger(wire.Incarnation(f"worker-{number:04}", 1 << 40, 1 << 61), 3000)
         for n in range(tenants):
             for word in ("answered", "deferred", "errored"):
                 ledger.add(f"tenant/tenant-{n:06}/{word}", 1000)
@@ -266,7 +266,9 @@
 
     def test_an_answer_fits_a_datagram_whatever_tenants_were_answered(self):
         sizes = {n: self._answer(n, 4) for n in SIZES}
-        self.assertLess(max(sizes.values()), 0.8 * wire.MOST, sizes)  # the rest is for states and statuses
+        self.assertLess(
+            max(sizes.values()), 0.8 * wire.MAX_DATAGRAM_BYTES, sizes
+        )  # the rest is for states and statuses
 
 
 if __name__ == "__main__":
--- a/tests/test_growth_messages.py
+++ b/tests/test_growth_messages.py
@@ -132,7 +132,7 @@
 
         def learn(self, e, lag, now):
             book = self.ended.setdefault("what was told", {})
-            book[e.life.name, e.version] = e
+            book[e.incarnation.name, e.version] = e
             usual(self, e, lag, now)
 
         with (
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -14,52 +14,54 @@
 from ochrehoist.peers.group import Group, Terms
 from ochrehoist.peers.members import ALIVE, DEAD, LEFT, Membership
 from ochrehoist.peers.rights import DRIFT, GUARD_S, WINDOW_S, Budget, Holder, Meter, Voter
-from ochrehoist.peers.wire import Entry, Evidence, Life, Message, Tally
+from ochrehoist.peers.wire import CounterSnapshot, HealthObservation, Incarnation, MemberUpdate, Message
 
 SECRETS = (b"first secret of ours", b"second secret of ours")
-A, B = Life("a", 10, 1), Life("b", 10, 1)
+A, B = Incarnation("a", 10, 1), Incarnation("b", 10, 1)
 
 
 def message(**changes):
     values = {
         "group": "g",
         "sender": A,
-        "to": "b",
-        "to_inc": 10,
-        "seq": 1,
-        "items": [wire.Ping(5, [("c", 1, 2)]), wire.Claim("x", "t", 3, [1, 2])],
+        "recipient": "b",
+        "recipient_number": 10,
+        "sequence": 1,
+        "payloads": [wire.Ping(5, [wire.KnownVersion("c", 1, 2)]), wire.LeaseRequest("x", "t", 3, [1, 2])],
     }
     return Message(**(values | changes))
 
 
 class Wire(unittest.TestCase):
     def test_a_message_comes_as_it_was_sent(self):
-        self.assertEqual(wire.unpacked(wire.packed(message(), SECRETS[0]), SECRETS, "g"), message())
+        self.assertEqual(
+            wire.decode_datagram(wire.encode_datagram(message(), SECRETS[0]), SECRETS, "g"), message()
+        )
 
     def test_a_new_secret_is_brought_in_by_two_steps(self):
         old, new = SECRETS
-        said_old, said_new = wire.packed(message(), old), wire.packed(message(), new)
+        said_old, said_new = wire.encode_datagram(message(), old), wire.encode_datagram(message(), new)
         for known in ((old, new), (new, old)):
-            wire.unpacked(said_old, known, "g")
-            wire.unpacked(said_new, known, "g")
-        with self.assertRaises(wire.Rejected):
-            wire.unpacked(said_old, (new,), "g")
+            wire.decode_datagram(said_old, known, "g")
+            wire.decode_datagram(said_new, known, "g")
+        with self.assertRaises(wire.MessageRejectedError):
+            wire.decode_datagram(said_old, (new,), "g")
 
     def test_strangers_other_groups_and_versions_are_told_apart(self):
         body = bytes((wire.VERSION + 1,)) + b"x"
         for data, why in (
-            (wire.packed(message(), b"another secret...."), "stranger"),
-            (wire.packed(message(group="h"), SECRETS[0]), "group"),
+            (wire.encode_datagram(message(), b"another secret...."), "stranger"),
+            (wire.encode_datagram(message(group="h"), SECRETS[0]), "group"),
             (wire.MAGIC + wire._digest(body, SECRETS[0]) + body, "version"),
             (b"", "garbled"),
-            (wire.MAGIC + b"0" * (wire.MOST + 1), "garbled"),
+            (wire.MAGIC + b"0" * (wire.MAX_DATAGRAM_BYTES + 1), "garbled"),
         ):
-            with self.subTest(why), self.assertRaisesRegex(wire.Rejected, why):
-                wire.unpacked(data, SECRETS, "g")
+            with self.subTest(why), self.assertRaisesRegex(wire.MessageRejectedError, why):
+                wire.decode_datagram(data, SECRETS, "g")
 
     @given(st.binary(max_size=300), st.integers(0, 400), st.booleans())
     def test_no_bytes_do_harm(self, noise, at, signed):
-        data = wire.packed(message(), SECRETS[0])
+        data = wire.encode_datagram(message(), SECRETS[0])
         for bad in (
             noise,
             data[:at],
@@ -68,18 +70,18 @@
         ):
             if bad == data:
                 continue
-            with self.assertRaises(wire.Rejected):
-                wire.unpacked(bad, SECRETS, "g")
+            with self.assertRaises(wire.MessageRejectedError):
+                wire.decode_datagram(bad, SECRETS, "g")
 
-    @given(st.lists(st.integers(1, 3 * wire.WINDOW), max_size=200))
+    @given(st.lists(st.integers(1, 3 * wire.REPLAY_WINDOW), max_size=200))
     def test_a_message_is_taken_once_whatever_order_they_come_in(self, seqs):
-        seen, taken = wire.Seen(), set()
+        seen, taken = wire.ReplayWindow(), set()
         for seq in seqs:
-            if seen.takes(seq):
+            if seen.accept(seq):
                 self.assertNotIn(seq, taken)
                 taken.add(seq)
             else:
-                self.assertTrue(seq in taken or seq <= max(taken) - wire.WINDOW)
+                self.assertTrue(seq in taken or seq <= max(taken) - wire.REPLAY_WINDOW)
 
 
 def membership(now=0.0, **addresses):
@@ -102,13 +104,13 @@
 
     def test_who_does_not_answer_is_suspected_and_then_dead_while_others_answer(self):
         m = membership()
-        self.meet(m, 0.0, B, Life("c", 1, 1))
+        self.meet(m, 0.0, B, Incarnation("c", 1, 1))
         self.quiet(m, 0.0, 6.0, answers=("c",))
         self.assertEqual((m.members["b"].state, m.members["c"].state), (DEAD, ALIVE))
 
     def test_who_hears_nobody_is_alone_and_calls_nobody_dead(self):
         m = membership()
-        self.meet(m, 0.0, B, Life("c", 1, 1))
+        self.meet(m, 0.0, B, Incarnation("c", 1, 1))
         now = self.quiet(m, 0.0, 2.0, answers=("b", "c"))
         now = self.quiet(m, now, now + 20.0)
         self.assertGreater(m.alone(now), 10.0)
@@ -116,7 +118,7 @@
 
     def test_one_that_stood_still_itself_judges_nobody_for_it(self):
         m = membership()
-        self.meet(m, 0.0, B, Life("c", 1, 1))
+        self.meet(m, 0.0, B, Incarnation("c", 1, 1))
         now = self.quiet(m, 0.0, 2.0, answers=("b", "c"))
         m.beat(now + 30.0)  # half a minute later by its clock, with probes open
         now = self.quiet(m, now + 30.0, now + 31.0, answers=("b", "c"))
@@ -125,31 +127,31 @@
 
     def test_a_life_before_is_not_heard_after_its_successor(self):
         m = membership()
-        self.meet(m, 0.0, Life("b", 20, 1))
+        self.meet(m, 0.0, Incarnation("b", 20, 1))
         self.assertFalse(m.met(B, "at:b", "", 1.0))
-        m.rumour(Entry(B, "elsewhere", "", ALIVE), "c", 1.0)
-        self.assertEqual(m.members["b"].life.inc, 20)
+        m.rumour(MemberUpdate(B, "elsewhere", "", ALIVE), "c", 1.0)
+        self.assertEqual(m.members["b"].life.number, 20)
 
     def test_a_rumour_proves_nobody_to_be_there_and_none_to_be_gone_that_answers(self):
         m = membership()
         self.meet(m, 0.0, B)
         now = self.quiet(m, 0.0, 1.0, answers=("b",))
-        m.rumour(Entry(B, "at:b", "", DEAD), "c", now)
+        m.rumour(MemberUpdate(B, "at:b", "", DEAD), "c", now)
         self.assertEqual(m.members["b"].state, ALIVE)
-        m.rumour(Entry(B, "at:b", "", LEFT), "c", now)
+        m.rumour(MemberUpdate(B, "at:b", "", LEFT), "c", now)
         self.assertEqual(m.members["b"].state, LEFT)
 
     def test_a_start_with_an_earlier_clock_comes_after_what_it_was(self):
         m = membership()
-        m.namesake(Life("a", 500, 7))
-        self.assertEqual((m.life.inc, m.life.boot, m.duplicate), (501, 1, None))
+        m.namesake(Incarnation("a", 500, 7))
+        self.assertEqual((m.life.number, m.life.boot_id, m.duplicate), (501, 1, None))
 
     def test_one_that_was_heard_does_not_fight_for_its_name(self):
         m = membership()
         m.established = True
-        m.namesake(Life("a", 500, 7))
-        self.assertEqual((m.life, m.duplicate), (A, Life("a", 500, 7)))
-        m.namesake(Life("a", 3, 7))  # what it said long ago, played again
+        m.namesake(Incarnation("a", 500, 7))
+        self.assertEqual((m.life, m.duplicate), (A, Incarnation("a", 500, 7)))
+        m.namesake(Incarnation("a", 3, 7))  # what it said long ago, played again
 
 
 BUDGET = Budget("x", 12, ("a", "b", "c"), lease_s=2.0, floor=0.25, floor_lease_s=10.0)
@@ -188,9 +190,9 @@
         voters, holder = self.held()
         other = Holder(BUDGET)
         last = 100 + 2.0 * (1 + DRIFT) + GUARD_S
-        self.ask(voters, other, Life("a", 11, 2), 3, last - 0.01)
+        self.ask(voters, other, Incarnation("a", 11, 2), 3, last - 0.01)
         self.assertFalse(other.holds(3, last))
-        self.ask(voters, other, Life("a", 11, 2), 3, last + 0.01)
+        self.ask(voters, other, Incarnation("a", 11, 2), 3, last + 0.01)
         self.assertTrue(other.holds(3, last + 0.02))
 
     def test_a_word_is_counted_from_when_it_was_asked_for(self):
@@ -288,7 +290,7 @@
         ledger = Ledger(A, 100.0)
         ledger.add("served", 5)
         for version, n in ((2, 7), (1, 4), (2, 7)):
-            ledger.learn(Tally(B, version, 0, False, {"served": n}), 0.0, 10.0)
+            ledger.learn(CounterSnapshot(B, version, 0, False, {"served": n}), 0.0, 10.0)
         self.assertEqual(ledger.read("served", 10.0).total, 12)
 
     @given(st.lists(st.tuples(st.integers(0, 2), st.integers(0, 30), st.integers(0, 5)), max_size=60))
@@ -296,16 +298,18 @@
         """Three count at most as much as they may; some of what they tell comes, late and out of order."""
         true, told, now = [0, 0, 0], [], 0.0
         ledger = Ledger(A, 10.0)
-        lives = [Life(f"m{n}", 1, 1) for n in range(3)]
+        lives = [Incarnation(f"m{n}", 1, 1) for n in range(3)]
         for life in lives:
-            ledger.learn(Tally(life, 0, 0, False, {}), 0.0, now)
+            ledger.learn(CounterSnapshot(life, 0, 0, False, {}), 0.0, now)
         for who, pick, n in steps:
             now += 0.5
             true[who] += n
             told.append((now, who, true[who]))
             if pick < len(told):
                 at, w, total = told[pick]
-                ledger.learn(Tally(lives[w], int(at * 2) + 1, 0, False, {"k": total}), now - at, now)
+                ledger.learn(
+                    CounterSnapshot(lives[w], int(at * 2) + 1, 0, False, {"k": total}), now - at, now
+                )
             r = ledger.read("k", now)
             self.assertLessEqual(r.total, sum(true))
             self.assertLessEqual(sum(true), r.total + r.missing)
@@ -313,9 +317,9 @@
     def test_lives_that_ended_are_added_up_and_never_told_anew(self):
         ledger = Ledger(A, 10.0)
         for inc in range(LIVES + 5):
-            ledger.learn(Tally(Life("b", inc, 1), 1, 0, True, {"k": 1}), 0.0, 1.0)
+            ledger.learn(CounterSnapshot(Incarnation("b", inc, 1), 1, 0, True, {"k": 1}), 0.0, 1.0)
         for inc in range(LIVES + 5):
-            ledger.learn(Tally(Life("b", inc, 1), 1, 0, True, {"k": 1}), 0.0, 2.0)
+            ledger.learn(CounterSnapshot(Incarnation("b", inc, 1), 1, 0, True, {"k": 1}), 0.0, 2.0)
         self.assertEqual(ledger.read("k", 2.0).total, LIVES + 5)
 
 
@@ -406,7 +410,7 @@
             self.told[member] = (
                 0.1,
                 [
-                    Evidence(n, verdict if n in names else services.OK, 9, 0, 20.0)
+                    HealthObservation(n, verdict if n in names else services.OK, 9, 0, 20.0)
                     for n in self.judge.services
                 ],
             )
@@ -549,7 +553,7 @@
                 0.5,
                 3000,
             )
-            group = Group(terms, Life(name, 1, 1), 0.0, rng.getrandbits(30))
+            group = Group(terms, Incarnation(name, 1, 1), 0.0, rng.getrandbits(30))
             if fleet is not None:
                 group.judge.fleet = fleet
             group.judge._move(group.judge.services["s0"], "s0", "out", "gone", 0.0)
--- a/tests/test_peers_counts.py
+++ b/tests/test_peers_counts.py
@@ -15,9 +15,21 @@
 from ochrehoist.peers.group import Group, Terms
 from ochrehoist.peers.members import ALIVE, DEAD
 from ochrehoist.peers.rights import DRIFT
-from ochrehoist.peers.wire import Ack, Asked, Entry, Hello, Life, Message, Part, Ping, Tally
-
-A, B, C = (Life(name, 10, 1) for name in "abc")
+from ochrehoist.peers.wire import (
+    Ack,
+    CounterCursor,
+    CounterDelta,
+    CounterSnapshot,
+    Hello,
+    Incarnation,
+    KnownVersion,
+    MemberUpdate,
+    Message,
+    MessageTooLongError,
+    Ping,
+)
+
+A, B, C = (Incarnation(name, 10, 1) for name in "abc")
 encode = msgspec.msgpack.encode
 
 
@@ -30,7 +42,7 @@
 
 def answer(teller, asker, now, lag=0.0):
     """One question, its answer, and what the asker takes of it."""
-    parts = teller.parts(asker.asks(teller.life.name, teller.life.inc), now - lag)
+    parts = teller.parts(asker.asks(teller.life.name, teller.life.number), now - lag)
     for p in parts:
         asker.learn_part(p, lag, now)
     return parts
@@ -49,7 +61,7 @@
             with self.subTest(keys=keys, long=long):
                 teller, asker = filled(A, keys, 2**50, long=long), Ledger(B, 100.0, 0.0)
                 for n in range(20):
-                    other = filled(Life(f"m{n}", 1, 2**60), keys, 2**50, long=long)
+                    other = filled(Incarnation(f"m{n}", 1, 2**60), keys, 2**50, long=long)
                     for _ in range(60):
                         answer(other, teller, 1.0)
                 for _ in range(200):
@@ -69,7 +81,7 @@
 
     def test_only_what_has_changed_is_told_again(self):
         teller, asker = filled(A, 500), Ledger(B, 100.0, 0.0)
-        while answer(teller, asker, 5.0)[0].upto:
+        while answer(teller, asker, 5.0)[0].up_to_key:
             pass
         self.assertEqual(answer(teller, asker, 6.0)[0].counts, {})
         teller.add("class/00400/served", 3)
@@ -79,7 +91,7 @@
     def test_while_parts_are_missing_the_bound_counts_from_the_beginning_of_that_life(self):
         teller, asker = filled(A, 500, born=1.0), Ledger(B, 100.0, 0.0)
         part = answer(teller, asker, 6.0)[0]
-        self.assertTrue(part.upto)
+        self.assertTrue(part.up_to_key)
         r = asker.read("class/00499/served", 6.0)
         self.assertEqual(r.total, 0)
         self.assertGreaterEqual(r.missing, 500)  # five seconds at 100
@@ -87,40 +99,40 @@
 
     def test_one_whose_beginning_is_unknown_is_read_only_once_all_of_it_came(self):
         teller, asker = filled(A, 500, born=None), Ledger(B, 100.0, 0.0)
-        while answer(teller, asker, 6.0)[0].upto:
+        while answer(teller, asker, 6.0)[0].up_to_key:
             self.assertEqual(asker.read("class/00000/served", 6.0).total, 0)
         self.assertEqual(asker.read("class/00000/served", 6.0).total, 1)
 
     def test_a_part_that_leaves_out_what_is_not_here_makes_nothing_whole(self):
         asker = Ledger(B, 100.0, 0.0)
-        asker.learn_part(Part(A, 7, "", "", 9, 0, False, 5000, {"k": 3}), 0.0, 5.0)
+        asker.learn_part(CounterDelta(A, 7, "", "", 9, 0, False, 5000, {"k": 3}), 0.0, 5.0)
         self.assertEqual((asker.books[A].version, asker.books[A].told_at), (0, 5.0 - 5.0 * (1 + DRIFT)))
         self.assertEqual(asker.read("k", 5.0).total, 3)
 
     def test_parts_of_several_versions_make_the_earliest_whole(self):
         asker = Ledger(B, 100.0, 0.0)
-        asker.learn_part(Part(A, 0, "", "k", 9, 0, False, 5000, {"k": 3}), 0.0, 5.0)
-        asker.learn_part(Part(A, 0, "k", "", 8, 0, False, 5000, {"m": 1}), 0.0, 5.0)
+        asker.learn_part(CounterDelta(A, 0, "", "k", 9, 0, False, 5000, {"k": 3}), 0.0, 5.0)
+        asker.learn_part(CounterDelta(A, 0, "k", "", 8, 0, False, 5000, {"m": 1}), 0.0, 5.0)
         self.assertEqual((asker.books[A].come_to, asker.books[A].version), ("", 8))
-        asker.learn_part(Part(A, 8, "", "k", 10, 0, False, 6000, {"k": 4}), 0.0, 6.0)
+        asker.learn_part(CounterDelta(A, 8, "", "k", 10, 0, False, 6000, {"k": 4}), 0.0, 6.0)
         for version, after in ((8, "k"), (12, "j"), (12, "")):  # not newer; not from where it has come to
-            asker.learn_part(Part(A, 8, after, "z", version, 0, False, 6000, {}), 0.0, 6.0)
+            asker.learn_part(CounterDelta(A, 8, after, "z", version, 0, False, 6000, {}), 0.0, 6.0)
         self.assertEqual((asker.books[A].come_to, asker.books[A].version), ("k", 8))
-        asker.learn_part(Part(A, 8, "k", "", 12, 0, False, 7000, {"m": 2}), 0.0, 7.0)
+        asker.learn_part(CounterDelta(A, 8, "k", "", 12, 0, False, 7000, {"m": 2}), 0.0, 7.0)
         self.assertEqual((asker.books[A].version, asker.books[A].told_at), (10, 6.0))
         self.assertEqual(asker.books[A].counts, {"k": 4, "m": 2})
 
     def test_one_that_nobody_can_tell_to_its_end_does_not_keep_others_from_being_asked_for(self):
-        asker, lives = Ledger(B, 100.0, 0.0), [Life(f"m{n}", 1, 1) for n in range(9)]
+        asker, lives = Ledger(B, 100.0, 0.0), [Incarnation(f"m{n}", 1, 1) for n in range(9)]
         for life in lives:
-            asker.learn_part(Part(life, 0, "", "", 1, 0, False, 5000, {"k": 1}), 0.0, 5.0)
-        asker.learn_part(Part(lives[0], 1, "", "k", 9, 0, False, 5000, {"k": 3}), 0.0, 5.0)
+            asker.learn_part(CounterDelta(life, 0, "", "", 1, 0, False, 5000, {"k": 1}), 0.0, 5.0)
+        asker.learn_part(CounterDelta(lives[0], 1, "", "k", 9, 0, False, 5000, {"k": 3}), 0.0, 5.0)
         asked = {a.name for _ in range(20) for a in asker.asks("b2", 1)}
         self.assertEqual(asked, {"b2", *(life.name for life in lives)})
 
     def test_a_life_that_ended_is_told_by_others_in_parts_also_beside_a_large_own_one(self):
         gone, teller, asker = filled(C, 300), filled(A, 2000), Ledger(B, 100.0, 0.0)
-        while answer(gone, teller, 1.0)[0].upto:
+        while answer(gone, teller, 1.0)[0].up_to_key:
             pass
         teller.end(C)
         for _ in range(200):
@@ -157,7 +169,7 @@
         """Three and a late one count and ask each other; answers are lost, late, out of order, repeated."""
         rng, now, true = Random(seed), 0.0, {}
         keys = [f"kind/{n:03d}/{'x' * rng.randint(0, 60)}" for n in range(rng.choice((3, 40, 120)))]
-        ledgers, late = [Ledger(Life(f"m{n}", 1, 1), 20.0, 0.0) for n in range(3)], []
+        ledgers, late = [Ledger(Incarnation(f"m{n}", 1, 1), 20.0, 0.0) for n in range(3)], []
 
         def check(key):
             for ledger in ledgers:
@@ -170,14 +182,14 @@
         for step in range(120):
             now += 0.5
             if step == 60:
-                ledgers.append(Ledger(Life("m3", 1, 1), 20.0, now))
+                ledgers.append(Ledger(Incarnation("m3", 1, 1), 20.0, now))
             for ledger in ledgers:
                 for _ in range(rng.randint(0, 10)):  # within its most
                     key = rng.choice(keys)
                     ledger.add(key)
                     true[ledger.life, key] = true.get((ledger.life, key), 0) + 1
             teller, asker = rng.sample(ledgers, 2)
-            asked = asker.asks(teller.life.name, teller.life.inc)
+            asked = asker.asks(teller.life.name, teller.life.number)
             late.append((asker, teller.parts(asked, now), now))
             rng.shuffle(late)
             for entry in late[:]:
@@ -200,28 +212,30 @@
 class PingOfBefore(msgspec.Struct, tag="p", array_like=True):
     nonce: int
     know: list[tuple[str, int, int]] = []
-    rumours: list[Entry] = []
+    rumours: list[MemberUpdate] = []
 
 
 class AckOfBefore(msgspec.Struct, tag="a", array_like=True):
     nonce: int
     of: str = ""
-    entries: list[Entry] = []
-    rumours: list[Entry] = []
-    tallies: list[Tally] = []
+    entries: list[MemberUpdate] = []
+    rumours: list[MemberUpdate] = []
+    tallies: list[CounterSnapshot] = []
 
 
 class Mixed(unittest.TestCase):
     """During a rolling update members of before parts are in the group."""
 
     def test_members_of_before_read_what_they_get_and_are_read(self):
-        ping = encode(Ping(5, [("c", 1, 2)], [], [Asked("b", 1, 2, "k")]))
+        ping = encode(Ping(5, [KnownVersion("c", 1, 2)], [], [CounterCursor("b", 1, 2, "k")]))
         self.assertEqual(msgspec.msgpack.decode(ping, type=PingOfBefore), PingOfBefore(5, [("c", 1, 2)], []))
-        self.assertIsNone(msgspec.msgpack.decode(encode(PingOfBefore(5)), type=Ping).asked)
-        ack = encode(Ack(5, parts=[Part(A, 0, "", "", 1, 0, False, 0, {"k": 1})]))
+        self.assertIsNone(msgspec.msgpack.decode(encode(PingOfBefore(5)), type=Ping).cursors)
+        ack = encode(Ack(5, deltas=[CounterDelta(A, 0, "", "", 1, 0, False, 0, {"k": 1})]))
         self.assertEqual(msgspec.msgpack.decode(ack, type=AckOfBefore), AckOfBefore(5))
-        back = msgspec.msgpack.decode(encode(AckOfBefore(5, tallies=[Tally(A, 1, 0, False, {})])), type=Ack)
-        self.assertEqual((back.parts, back.tallies[0].life), ([], A))
+        back = msgspec.msgpack.decode(
+            encode(AckOfBefore(5, tallies=[CounterSnapshot(A, 1, 0, False, {})])), type=Ack
+        )
+        self.assertEqual((back.deltas, back.snapshots[0].incarnation), ([], A))
 
     def test_one_of_before_gets_whole_counts_or_none_and_never_a_part(self):
         for keys, told in ((3, True), (100, True), (300, False), (2000, False)):
@@ -229,32 +243,35 @@
                 teller = filled(A, keys)
                 for n in range(6):
                     teller.learn(
-                        Tally(Life(f"m{n}", 1, 1), 3, 0, False, {f"k{i}": 1 for i in range(keys)})
+                        CounterSnapshot(
+                            Incarnation(f"m{n}", 1, 1), 3, 0, False, {f"k{i}": 1 for i in range(keys)}
+                        )
                         if keys <= MOST_KEYS
-                        else Tally(B, 1, 0, False, {}),
+                        else CounterSnapshot(B, 1, 0, False, {}),
                         0.0,
                         1.0,
                     )
                 for _ in range(10):
                     tallies = teller.to_tell(1.0, 6144)
                     self.assertLessEqual(len(encode(tallies)), 6144)
-                    self.assertEqual(told, any(t.life == A for t in tallies))
+                    self.assertEqual(told, any(t.incarnation == A for t in tallies))
                     for t in tallies:
                         self.assertEqual(
-                            t.counts, dict(teller.own) if t.life == A else teller.books[t.life].counts
+                            t.counts,
+                            dict(teller.own) if t.incarnation == A else teller.books[t.incarnation].counts,
                         )
 
     def test_of_a_book_that_parts_have_begun_to_renew_none_of_before_is_told(self):
         teller, asker = filled(A, 100), Ledger(B, 100.0, 0.0)
-        self.assertTrue(answer(teller, asker, 1.0)[0].upto)
-        self.assertEqual([t.life for t in asker.to_tell(1.0)], [B])
+        self.assertTrue(answer(teller, asker, 1.0)[0].up_to_key)
+        self.assertEqual([t.incarnation for t in asker.to_tell(1.0)], [B])
 
     def test_whole_counts_of_before_and_parts_go_together(self):
         teller, asker = filled(A, 100), Ledger(B, 100.0, 0.0)
-        asker.learn(Tally(A, teller.version, 0, False, dict(teller.own)), 0.0, 1.0)
+        asker.learn(CounterSnapshot(A, teller.version, 0, False, dict(teller.own)), 0.0, 1.0)
         teller.add("class/00003/served")
         self.assertEqual(answer(teller, asker, 2.0)[0].counts, {"class/00003/served": 2})
-        asker.learn(Tally(A, 3, 0, False, {"class/00003/served": 1}), 0.0, 2.0)  # late
+        asker.learn(CounterSnapshot(A, 3, 0, False, {"class/00003/served": 1}), 0.0, 2.0)  # late
         self.assertEqual(asker.read("class/00003/served", 2.0).total, 2)
 
 
@@ -317,7 +334,7 @@
     def test_it_is_red_where_an_answer_tells_all(self):
         with (
             mock.patch.multiple(counts, OWN_BYTES=10**6, MOST_KEYS=2100),
-            self.assertRaisesRegex(ValueError, "a message of"),
+            self.assertRaisesRegex(MessageTooLongError, "a message of"),
         ):
             w, _ = self.fleet(5, 2000, kind="class")
             w.run(w.now + 3.0)
@@ -329,13 +346,13 @@
         for t in range(2000):
             g.ledger.add(f"tenant/{t:05d}/served")
         for n in range(40):
-            life = Life(f"m{n}", 1, 1)
+            life = Incarnation(f"m{n}", 1, 1)
             g.members.met(life, f"at:m{n}", "", 0.0)
-            g.members.learn(Entry(life, f"at:m{n}", "", ALIVE, 5, 0, b"x" * 3000), 0.0, 0.0)
-        for asked in (None, [Asked("a", 10, 0, "")]):
+            g.members.learn(MemberUpdate(life, f"at:m{n}", "", ALIVE, 5, 0, b"x" * 3000), 0.0, 0.0)
+        for asked in (None, [CounterCursor("a", 10, 0, "")]):
             m = Message(
                 "g",
-                Life("m1", 1, 1),
+                Incarnation("m1", 1, 1),
                 "a",
                 10,
                 1 + (asked is None),
@@ -343,13 +360,15 @@
             )
             sends = g.took(m, "at:m1", 1.0)
             ack = sends[0].items[-1]
-            self.assertGreater(len(ack.entries), 2)
-            self.assertEqual(bool(ack.parts), asked is not None)
-            wire.packed(Message("g", A, "m1", 1, 1, sends[0].items), b"a secret")
+            self.assertGreater(len(ack.updates), 2)
+            self.assertEqual(bool(ack.deltas), asked is not None)
+            wire.encode_datagram(Message("g", A, "m1", 1, 1, sends[0].items), b"a secret")
         with mock.patch.object(group, "ENTRIES_BYTES", 10**6):
-            sends = g.took(Message("g", Life("m1", 1, 1), "a", 10, 3, [Ping(7, [], [], None)]), "at:m1", 1.0)
-            with self.assertRaises(ValueError):
-                wire.packed(Message("g", A, "m1", 1, 1, sends[0].items), b"a secret")
+            sends = g.took(
+                Message("g", Incarnation("m1", 1, 1), "a", 10, 3, [Ping(7, [], [], None)]), "at:m1", 1.0
+            )
+            with self.assertRaises(MessageTooLongError):
+                wire.encode_datagram(Message("g", A, "m1", 1, 1, sends[0].items), b"a secret")
 
     def test_what_one_called_dead_and_back_counts_is_bounded_again(self):
         w, nodes = self.fleet(5, 3)
--- a/tests/test_peers_suspicion.py
+++ b/tests/test_peers_suspicion.py
@@ -7,13 +7,13 @@
 from ochrehoist.lab.virtual import World
 from ochrehoist.peers.members import ALIVE, DEAD, LEFT, SUSPECT, Membership
 from ochrehoist.peers.rights import Budget
-from ochrehoist.peers.wire import Entry, Life
+from ochrehoist.peers.wire import Incarnation, MemberUpdate
 
-A, B = Life("a", 10, 1), Life("b", 10, 1)
+A, B = Incarnation("a", 10, 1), Incarnation("b", 10, 1)
 
 
 def said(state, refutations=0, life=B, version=0):
-    return Entry(life, f"at:{life.name}", "", state, version, -1, b"", refutations)
+    return MemberUpdate(life, f"at:{life.name}", "", state, version, -1, b"", refutations)
 
 
 class Refutation(unittest.TestCase):
@@ -58,14 +58,14 @@
 
     def test_one_of_another_life_says_nothing_of_this_one(self):
         self.hear(said(SUSPECT))
-        self.assertEqual(self.hear(said(ALIVE, 4, Life("b", 9, 1))), SUSPECT)
-        self.hear(said(ALIVE, 4, Life("b", 11, 1)))
+        self.assertEqual(self.hear(said(ALIVE, 4, Incarnation("b", 9, 1))), SUSPECT)
+        self.hear(said(ALIVE, 4, Incarnation("b", 11, 1)))
         self.assertEqual((self.m.members["b"].state, self.m.members["b"].refutations), (ALIVE, 4))
-        self.assertEqual(self.m.members["b"].life.inc, 11)
+        self.assertEqual(self.m.members["b"].life.number, 11)
 
     def test_what_an_answer_tells_of_it_counts_too(self):
         self.hear(said(SUSPECT))
-        self.m.learn(Entry(B, "at:b", "", ALIVE, 7, 20, b"", 1), 0.01, 10.0)
+        self.m.learn(MemberUpdate(B, "at:b", "", ALIVE, 7, 20, b"", 1), 0.01, 10.0)
         self.assertEqual(self.b.state, ALIVE)
 
     def test_the_accused_alone_raises_its_number_above_the_accusation(self):
@@ -76,7 +76,7 @@
         self.assertEqual(self.m.refutations, 1)
         self.m.rumour(said(DEAD, 6, A), "c", 1.0)
         self.assertEqual(self.m.refutations, 7)
-        self.m.rumour(said(SUSPECT, 6, Life("a", 9, 1)), "c", 1.0)  # a life before
+        self.m.rumour(said(SUSPECT, 6, Incarnation("a", 9, 1)), "c", 1.0)  # a life before
         self.assertEqual(self.m.refutations, 7)
         self.m._suspect(self.b, "a", 1.0)
         self.assertEqual(self.b.refutations, 0)
@@ -85,10 +85,10 @@
         self.hear(said(SUSPECT))
         self.m.rumours.clear()
         me = said(ALIVE, 0, A)
-        self.assertEqual([(e.life, e.state) for e in self.m.to_tell(10.0, me, "b")], [(B, SUSPECT)])
+        self.assertEqual([(e.incarnation, e.state) for e in self.m.to_tell(10.0, me, "b")], [(B, SUSPECT)])
         self.assertEqual(self.m.to_tell(10.0, me, "c"), [])
         self.m.rumours = {"b": 2, "a": 1}
-        self.assertEqual([e.life for e in self.m.to_tell(10.0, me, "b")], [B, A])
+        self.assertEqual([e.incarnation for e in self.m.to_tell(10.0, me, "b")], [B, A])
         self.hear(said(ALIVE, 1))
         self.m.rumours.clear()
         self.assertEqual(self.m.to_tell(10.0, me, "b"), [])
@@ -97,7 +97,7 @@
 class EntryOfBefore(msgspec.Struct, array_like=True):
     """What a member before refutation numbers reads and says."""
 
-    life: Life
+    life: Incarnation
     address: str
     site: str
     state: str
@@ -108,11 +108,11 @@
 
 class Mixed(unittest.TestCase):
     def test_members_of_before_read_what_they_get_and_are_read(self):
-        new = Entry(B, "at:b", "s", SUSPECT, 3, 7, b"status", 5)
+        new = MemberUpdate(B, "at:b", "s", SUSPECT, 3, 7, b"status", 5)
         old = msgspec.msgpack.decode(msgspec.msgpack.encode(new), type=EntryOfBefore)
         self.assertEqual(old, EntryOfBefore(B, "at:b", "s", SUSPECT, 3, 7, b"status"))
-        back = msgspec.msgpack.decode(msgspec.msgpack.encode(old), type=Entry)
-        self.assertEqual(back, Entry(B, "at:b", "s", SUSPECT, 3, 7, b"status", 0))
+        back = msgspec.msgpack.decode(msgspec.msgpack.encode(old), type=MemberUpdate)
+        self.assertEqual(back, MemberUpdate(B, "at:b", "s", SUSPECT, 3, 7, b"status", 0))
 
 
 class Rest(unittest.TestCase):
