--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -14,8 +14,8 @@
 from ochrehoist.lab.play import Play
 from ochrehoist.lab.scenario import parse
 from ochrehoist.lab.virtual import World
+from ochrehoist.peers.budget import Budget
 from ochrehoist.peers.members import DEAD
-from ochrehoist.peers.rights import Budget
 
 BUDGET = 60
 # Work that 20 times slower is late: in time or not is what shows.
--- a/benchmarks/slopes/state.py
+++ b/benchmarks/slopes/state.py
@@ -202,9 +202,9 @@
 
 
 def _group(members: int, seed: int, counted: int = 20, lives: int = 1, budgets: int = 1) -> Any:
+    from ochrehoist.peers.budget import Budget
     from ochrehoist.peers.group import Group, Terms
     from ochrehoist.peers.members import ALIVE, Member
-    from ochrehoist.peers.rights import Budget
     from ochrehoist.peers.wire import (
         BudgetDemand,
         CounterSnapshot,
--- a/ochrehoist/lab/explore.py
+++ b/ochrehoist/lab/explore.py
@@ -1,5 +1,6 @@
 """All orders of events for one right: claims, words and gifts that come, are lost or come twice, deaths and
-restarts on either side, and time. Breadth first over the real Voter and Holder, each state once. No I/O.
+restarts on either side, and time. Breadth first over the real LeaseGrantor and LeaseHolder, each state once.
+No I/O.
 """
 
 import pickle
@@ -7,7 +8,8 @@
 from dataclasses import dataclass, field
 
 from ochrehoist.errors import OchrehoistError
-from ochrehoist.peers.rights import Budget, Holder, Voter
+from ochrehoist.peers.budget import Budget
+from ochrehoist.peers.leases import LeaseGrantor, LeaseHolder
 from ochrehoist.peers.wire import Incarnation
 
 TICK = 1.0  # s: half of the lease, and a little less than half of what voters keep to
@@ -29,8 +31,8 @@
 @dataclass
 class State:
     now: float
-    voters: list[Voter]
-    holders: list[Holder]
+    voters: list[LeaseGrantor]
+    holders: list[LeaseHolder]
     lives: list[Incarnation]
     left: dict[str, int]
     flying: list[tuple] = field(default_factory=list)
@@ -45,22 +47,26 @@
         voters = tuple(
             (
                 tuple(
-                    (r, v.life, from_now(v.until), v.round)
-                    for r, v in sorted(x.vouches.items())
-                    if v.until > n
+                    (r, v.incarnation, from_now(v.expires_at), v.round_number)
+                    for r, v in sorted(x.grants.items())
+                    if v.expires_at > n
                 ),
-                tuple(sorted(x.released.items())),
-                from_now(x.silent[False]),
+                tuple(sorted(x.releases.items())),
+                from_now(x.silent_until_by_floor[False]),
             )
             for x in self.voters
         )
         holders = tuple(
             (
-                h.round,
-                tuple((r, from_now(at)) for r, at in h.asked),
+                h.round_number,
+                tuple((r.number, from_now(r.requested_at)) for r in h.rounds),
                 tuple(
-                    (r, x.first_round, tuple(sorted((k, from_now(u)) for k, u in x.votes.items() if u > n)))
-                    for r, x in h.held.items()
+                    (
+                        r,
+                        x.first_round,
+                        tuple(sorted((k, from_now(u)) for k, u in x.expiry_by_grantor.items() if u > n)),
+                    )
+                    for r, x in h.leases.items()
                 ),
             )
             for h in self.holders
@@ -100,8 +106,8 @@
     }
     return State(
         0.0,
-        [Voter(b, -100.0) for _ in range(bounds.voters)],
-        [Holder(b), Holder(b)],
+        [LeaseGrantor(b, -100.0) for _ in range(bounds.voters)],
+        [LeaseHolder(b), LeaseHolder(b)],
         [Incarnation("a", 1, 1), Incarnation("b", 1, 1)],
         left,
     )
@@ -111,7 +117,7 @@
     for n in range(2):
         if s.left[f"ask{n}"] and len(s.flying) + bounds.voters <= bounds.flying:
             yield f"ask {n}"
-        if s.left["gift"] and 0 in s.holders[n].held and s.holders[n].holds(0, s.now):
+        if s.left["gift"] and 0 in s.holders[n].leases and s.holders[n].holds(0, s.now):
             yield f"gift {n}"
         if s.left["kill"]:
             yield f"kill holder {n}"
@@ -137,23 +143,22 @@
         n = int(rest[0])
         s.left[f"ask{n}"] -= 1
         h = s.holders[n]
-        h.claim(0, s.now)
-        h.round += 1
-        h.asked.append((h.round, s.now))
-        s.flying += [("claim", v, s.lives[n], h.round) for v in range(bounds.voters)]
+        h.request(0, s.now)
+        h.begin_round(s.now)
+        s.flying += [("claim", v, s.lives[n], h.round_number) for v in range(bounds.voters)]
     elif word == "gift":
         n = int(rest[0])
         s.left["gift"] -= 1
-        round_, _ = s.holders[n].stop([0])
+        round_, _ = s.holders[n].drop([0])
         s.flying += [("released", v, s.lives[n], round_) for v in range(bounds.voters)]
     elif word == "kill":
         s.left["kill"] -= 1
         b, n = _budget(bounds), int(rest[1])
         if rest[0] == "voter":  # and at once there again, without a memory
-            s.voters[n] = Voter(b, s.now)
+            s.voters[n] = LeaseGrantor(b, s.now)
             s.flying = [m for m in s.flying if m[0] == "vouched" or m[1] != n]
         else:
-            s.holders[n] = Holder(b)
+            s.holders[n] = LeaseHolder(b)
             s.flying = [m for m in s.flying if m[0] != "vouched" or m[2] != s.lives[n]]
             s.lives[n] = Incarnation(s.lives[n].name, s.lives[n].number + 1, 1)
     else:
@@ -168,13 +173,13 @@
 def _take(s: State, m: tuple) -> None:
     kind, voter, life, round_ = m
     if kind == "claim":
-        terms = s.voters[voter].budget.terms
-        if s.voters[voter].claimed(life, terms, round_, [0], s.now):
+        terms = s.voters[voter].budget.terms_digest
+        if s.voters[voter].grant(life, terms, round_, [0], s.now):
             s.flying.append(("vouched", voter, life, round_))
     elif kind == "released":
-        s.voters[voter].gave_back(life, round_, [0])
+        s.voters[voter].release(life, round_, [0])
     elif life in s.lives:  # of a life that is over nobody hears
-        s.holders[s.lives.index(life)].vouched(f"v{voter}", round_, [0], s.now)
+        s.holders[s.lives.index(life)].record_grant(f"v{voter}", round_, [0], s.now)
 
 
 def replay(bounds: Bounds, steps: list[str]) -> bool:
--- a/ochrehoist/lab/virtual.py
+++ b/ochrehoist/lab/virtual.py
@@ -10,8 +10,8 @@
 from random import Random
 
 from ochrehoist.errors import OchrehoistError
+from ochrehoist.peers.budget import CLOCK_DRIFT, Budget
 from ochrehoist.peers.group import Group, Send, Terms
-from ochrehoist.peers.rights import DRIFT, Budget
 from ochrehoist.peers.wire import Incarnation, Message, decode_datagram, encode_datagram
 
 BEAT = 0.05
@@ -35,7 +35,7 @@
 
     def used(self, name: str, at: float, lasts: float = 0.0) -> None:
         b = self.budgets[name]
-        if b.runs:
+        if b.concurrent:
             now = self.ends.setdefault(name, [])
             while now and now[0] <= at:
                 heappop(now)
@@ -137,7 +137,7 @@
         self.incs[name] = max(inc, self.incs.get(name, 0))
         address = self.address(name) + ("'" if twin else "")
         # Voters are known by address in any case: on that their one vote rests.
-        known = self.names if self.known else sorted({v for b in self.budgets for v in b.voters})
+        known = self.names if self.known else sorted({v for b in self.budgets for v in b.grantors})
         addresses = {n: self.address(n) for n in known if n != name}
         start = tuple(self.address(n) for n in self.names[:2] if n != name)
         terms = Terms(
@@ -152,7 +152,7 @@
             0.5,
             self.most_per_s,
         )
-        rate = 1 + clocks.uniform(-DRIFT, DRIFT) / 4
+        rate = 1 + clocks.uniform(-CLOCK_DRIFT, CLOCK_DRIFT) / 4
         node = Node(name, None, rate, clocks.uniform(0, 1e6), address)
         life = Incarnation(name, inc, clocks.getrandbits(62))
         node.group = self.factory(terms, life, node.clock(self.now), self.rng["groups"].getrandbits(60))
@@ -275,7 +275,7 @@
         if ticket is None:
             return False
         self.oracle.used(budget, self.now, lasts)
-        if self.oracle.budgets[budget].runs:
+        if self.oracle.budgets[budget].concurrent:
             self.at(self.now + lasts, lambda: None if node.dead else node.group.done(budget, ticket))
         return True
 
@@ -351,7 +351,15 @@
             floor=rng.choice((0.0, 0.25, 0.5)),
             floor_lease_s=rng.choice((1.5, 5.0)),
         ),
-        Budget("runs", rng.choice((5, 12)), voters, runs=True, lease_s=0.8, floor_lease_s=2.0, longest_s=0.6),
+        Budget(
+            "runs",
+            rng.choice((5, 12)),
+            voters,
+            concurrent=True,
+            lease_s=0.8,
+            floor_lease_s=2.0,
+            max_run_s=0.6,
+        ),
     )
     world = World(seed, budgets)
     world.factory, world.known = factory, rng.random() < 0.6
--- a/ochrehoist/net/peers.py
+++ b/ochrehoist/net/peers.py
@@ -18,8 +18,8 @@
 from ochrehoist.core.tenants import Tenants
 from ochrehoist.net.loop import Loop
 from ochrehoist.peers import wire
+from ochrehoist.peers.budget import Budget
 from ochrehoist.peers.group import Group, Send, Terms
-from ochrehoist.peers.rights import Budget
 from ochrehoist.peers.view import told
 from ochrehoist.peers.wire import Incarnation, Message
 
@@ -35,13 +35,13 @@
         Budget(
             name=b.name,
             amount=b.amount,
-            voters=p.voters,
-            runs=b.use == "server",
+            grantors=p.voters,
+            concurrent=b.use == "server",
             lease_s=b.lease_s,
             floor=b.floor,
             floor_lease_s=b.floor_lease_s,
-            longest_s=b.longest_s,
-            parts=b.parts,
+            max_run_s=b.longest_s,
+            configured_slots=b.parts,
         )
         for b in p.budgets
     )
@@ -237,8 +237,8 @@
         budget = self.tenants.get(request.tenant)
         if budget is not None:
             now = time.monotonic()
-            wants, _ = self.group.shares[budget].meter.wants(now)
-            self.group.asked(budget, wants <= self.part(budget), now)
+            wanted = self.group.shares[budget].meter.demand(now).wanted
+            self.group.asked(budget, wanted <= self.part(budget), now)
 
     def answered(self, request: InboundRequest, figure: str | None, backoff: int) -> None:
         if figure is not None:
@@ -299,7 +299,7 @@
     def longest(self, server: str) -> float | None:
         """s that a run at this server may take, where a budget of runs counts on it."""
         budget = self.servers.get(server)
-        return self.group.shares[budget].holder.budget.longest_s if budget is not None else None
+        return self.group.shares[budget].holder.budget.max_run_s if budget is not None else None
 
     def may_repeat(self, server: str) -> bool:
         """Whether one more try may go to this server: at the moment of use, by the fleet's budget."""
@@ -328,11 +328,15 @@
             "app_peers_rejected_total": [(f'{{why="{w}"}}', n) for w, n in sorted(self.rejected.items())],
             "app_peers_bytes_total": [('{way="out"}', self.bytes_out), ('{way="in"}', self.bytes_in)],
         }
-        for name, what in (("held", "amount"), ("used_total", "used"), ("denied_total", "denied")):
-            values[f"app_budget_{name}"] = [
-                (f'{{budget="{b}"}}', s.holder.amount(now) if what == "amount" else getattr(s.meter, what))
-                for b, s in g.shares.items()
-            ]
+        values["app_budget_held"] = [
+            (f'{{budget="{name}"}}', share.holder.amount(now)) for name, share in g.shares.items()
+        ]
+        values["app_budget_used_total"] = [
+            (f'{{budget="{name}"}}', share.meter.used_count) for name, share in g.shares.items()
+        ]
+        values["app_budget_denied_total"] = [
+            (f'{{budget="{name}"}}', share.meter.denied_count) for name, share in g.shares.items()
+        ]
         values["app_server_left_out"] = [
             (f'{{server="{n}"}}', int(s.standing in ("out", "trial"))) for n, s in g.judge.services.items()
         ]
--- a/ochrehoist/peers/counts.py
+++ b/ochrehoist/peers/counts.py
@@ -11,7 +11,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-from ochrehoist.peers.rights import DRIFT
+from ochrehoist.peers.budget import CLOCK_DRIFT
 from ochrehoist.peers.wire import CounterCursor, CounterDelta, CounterSnapshot, Incarnation
 
 LIVES = 16  # of one name whose counts are kept apart; older ones are added up
@@ -132,7 +132,7 @@
         b = self.books.get(p.incarnation)
         if b is None:
             # It had counted nothing when it began: so what is missing has a bound from the first part on.
-            born = now - lag - p.started_ms_ago / 1000 * (1 + DRIFT) if p.started_ms_ago >= 0 else None
+            born = now - lag - p.started_ms_ago / 1000 * (1 + CLOCK_DRIFT) if p.started_ms_ago >= 0 else None
             b = self._open(p.incarnation, Book({}, 0, born, born=born))
         b.ended = b.ended or (p.ended and not here)
         b.add(p.counts)
--- a/ochrehoist/peers/group.py
+++ b/ochrehoist/peers/group.py
@@ -10,11 +10,13 @@
 from random import Random
 from typing import Protocol
 
-from ochrehoist.peers.assign import View, bits, to_claim, to_give
+from ochrehoist.peers.budget import Budget
 from ochrehoist.peers.counts import WHOLE_BYTES, Ledger
+from ochrehoist.peers.lease_assignment import PeerDemand, choose_transfer, slot_mask, slots_to_request
+from ochrehoist.peers.leases import LeaseGrantor, LeaseHolder
 from ochrehoist.peers.members import ALIVE, DEAD, LEFT, SUSPECT, Membership
-from ochrehoist.peers.rights import Budget, Holder, Meter, Voter
 from ochrehoist.peers.services import Judge
+from ochrehoist.peers.usage import UsageMeter
 from ochrehoist.peers.wire import (
     MAX_DATAGRAM_BYTES,
     UNKNOWN_INCARNATION,
@@ -76,9 +78,9 @@
 class Share:
     """One budget, as voter and as holder."""
 
-    voter: Voter | None
-    holder: Holder
-    meter: Meter
+    voter: LeaseGrantor | None
+    holder: LeaseHolder
+    meter: UsageMeter
     given_at: float = 0.0
     aside: dict[int, float] = field(default_factory=dict)  # rights given away, and until when
     promised: dict[int, float] = field(default_factory=dict)  # rights given to this worker, likewise
@@ -154,15 +156,15 @@
         for b in budgets:
             share = known.get(b.name)
             if share is None:
-                holder = Holder(b)
-                share = Share(None, holder, Meter(holder))
-            share.holder.retune(b)
-            if name not in b.voters:
+                holder = LeaseHolder(b)
+                share = Share(None, holder, UsageMeter(holder))
+            share.holder.reconfigure(b)
+            if name not in b.grantors:
                 share.voter = None
             elif share.voter is None:
-                share.voter = Voter(b, now)
+                share.voter = LeaseGrantor(b, now)
             else:
-                share.voter.retune(b, now)
+                share.voter.reconfigure(b, now)
             self.shares[b.name] = share
 
     def retune(self, terms: Terms, now: float) -> None:
@@ -238,9 +240,11 @@
     def _renew_status(self, now: float) -> None:
         holdings = []
         for name, share in self.shares.items():
-            wants, unmet = share.meter.wants(now)
-            claimed = bits(share.holder.held) | bits(r for r, t in share.promised.items() if t > now)
-            holdings.append(BudgetDemand(name, claimed, wants, unmet))
+            demand = share.meter.demand(now)
+            claimed = slot_mask(share.holder.leases) | slot_mask(
+                r for r, t in share.promised.items() if t > now
+            )
+            holdings.append(BudgetDemand(name, claimed, demand.wanted, demand.denied))
         more = {name: extension.status(now) for name, extension in self.extensions.items()}
         alone = self.members.alone(now) is not None
         status = WorkerStatus(self.leaving, alone, self.judge.evidence(now), holdings, more)
@@ -413,7 +417,7 @@
         share = self.shares.get(item.budget)
         if share is None or share.voter is None:
             return []
-        granted = share.voter.claimed(sender, item.terms_digest, item.round_number, item.slots, now)
+        granted = share.voter.grant(sender, item.terms_digest, item.round_number, item.slots, now)
         return (
             self._to(sender.name, [LeaseGranted(item.budget, item.round_number, granted)]) if granted else []
         )
@@ -421,7 +425,7 @@
     def _vouched(self, item: LeaseGranted, sender: Incarnation, now: float) -> list[Send]:
         share = self.shares.get(item.budget)
         if share is not None and not self.yielded:
-            share.holder.vouched(sender.name, item.round_number, item.slots, now)
+            share.holder.record_grant(sender.name, item.round_number, item.slots, now)
         return []
 
     def _released(self, item: LeaseReleased, sender: Incarnation, now: float) -> list[Send]:
@@ -429,7 +433,7 @@
         if share is None:
             return []
         if share.voter is not None:
-            share.voter.gave_back(sender, item.round_number, item.slots)
+            share.voter.release(sender, item.round_number, item.slots)
         for r in item.slots:
             if item.recipient == self.life.name:
                 share.promised[r] = now + ASIDE_S
@@ -477,9 +481,9 @@
     def _rights(self, share: Share, now: float) -> list[Send]:
         b, holder, me = share.holder.budget, share.holder, self.life.name
         out: list[Send] = []
-        failed = holder.failed_claims(now)
+        failed = holder.timed_out_slots(now)
         if failed:
-            holder.lost += len(failed)
+            holder.lost_count += len(failed)
             out += self._give_back(share, failed, "")
             for r in failed:
                 share.aside[r] = now + ASIDE_S * (0.5 + self.rng.random())
@@ -488,50 +492,50 @@
                 del book[r]
         others = self.views(b.name, now)
         for r in share.promised:
-            holder.claim(r, now)
+            holder.request(r, now)
         # A worker that nobody hears claims nothing: those who may be there decide without it.
         if self.members.alone(now) is None and not self.leaving:
             alive = {me, *self.members.live()} - self._going()
-            for r in to_claim(b, me, set(holder.held) | set(share.aside), alive, others):
-                holder.claim(r, now)
+            for r in slots_to_request(b, me, set(holder.leases) | set(share.aside), alive, others):
+                holder.request(r, now)
         if now - share.given_at >= GIVE_S:
-            wants, _ = share.meter.wants(now)
-            gift = to_give(b, holder.mine(now), wants, share.meter.spare(now), others)
+            wanted = share.meter.demand(now).wanted
+            gift = choose_transfer(b, holder.held_slots(now), wanted, share.meter.transferable(now), others)
             if gift is not None:
                 share.given_at = now
-                share.aside[gift[1]] = now + ASIDE_S
-                out += self._give_back(share, [gift[1]], gift[0])
-        round_, due = holder.ask(now, CLAIM_S)
+                share.aside[gift.slot] = now + ASIDE_S
+                out += self._give_back(share, [gift.slot], gift.recipient)
+        round_, due = holder.due_slots(now, CLAIM_S)
         if due:
             if share.voter is not None:
-                granted = share.voter.claimed(self.life, b.terms, round_, due, now)
-                holder.vouched(me, round_, granted, now)
-            claim = LeaseRequest(b.name, b.terms, round_, due)
-            for voter in b.voters:
+                granted = share.voter.grant(self.life, b.terms_digest, round_, due, now)
+                holder.record_grant(me, round_, granted, now)
+            claim = LeaseRequest(b.name, b.terms_digest, round_, due)
+            for voter in b.grantors:
                 # Only where the configuration says that it is: one address has one process, so a name that
-                # two # processes believe to be theirs has one vote.
+                # two processes believe to be theirs has one vote.
                 address = self.members.addresses.get(voter)
                 if voter != me and address and voter in self.members.members:
                     out.append(Send(voter, address, self.members.incarnation_of(voter), [claim]))
         return out
 
     def _give_back(self, share: Share, rights: list[int], to: str) -> list[Send]:
-        round_, gone = share.holder.stop(rights)
+        round_, gone = share.holder.drop(rights)
         if not gone:
             return []
         if share.voter is not None:
-            share.voter.gave_back(self.life, round_, gone)
-        names = set(share.holder.budget.voters) | ({to} if to else set())
+            share.voter.release(self.life, round_, gone)
+        names = set(share.holder.budget.grantors) | ({to} if to else set())
         word = LeaseReleased(share.holder.budget.name, round_, gone, to)
         return [s for n in sorted(names - {self.life.name}) for s in self._to(n, [word])]
 
     def _give_all_back(self) -> list[Send]:
         out: list[Send] = []
         for share in self.shares.values():
-            if share.meter.running:  # they go on: their rights run out by themselves, and no sooner
-                share.holder.stop(list(share.holder.held))
+            if share.meter.runs:  # they go on: their rights run out by themselves, and no sooner
+                share.holder.drop(list(share.holder.leases))
             else:
-                out += self._give_back(share, list(share.holder.held), "")
+                out += self._give_back(share, list(share.holder.leases), "")
         return out
 
     def _going(self) -> set[str]:
@@ -549,7 +553,7 @@
                 return None
         return known[1]
 
-    def views(self, budget: str, now: float) -> dict[str, View]:
+    def views(self, budget: str, now: float) -> dict[str, PeerDemand]:
         """What the others there hold and want of a budget, as far as it is known."""
         out = {}
         for name, m in self.members.members.items():
@@ -561,7 +565,7 @@
             fresh = now - m.told_at <= FRESH_S and not status.leaving
             for h in status.demands:
                 if h.budget == budget:
-                    out[name] = View(h.held_slots, h.wanted, h.denied, fresh)
+                    out[name] = PeerDemand(h.held_slots, h.wanted, h.denied, fresh)
         return out
 
     def told(self, topic: str) -> dict[str, tuple[float, bytes]]:
@@ -586,11 +590,11 @@
     def use(self, budget: str, now: float) -> int | None:
         """A ticket for one use of a budget now, or None; nothing is granted of a budget that is not there."""
         share = self.shares.get(budget)
-        return share.meter.use(now) if share is not None and not self.yielded else None
+        return share.meter.acquire(now) if share is not None and not self.yielded else None
 
     def done(self, budget: str, ticket: int) -> None:
         if (share := self.shares.get(budget)) is not None:
-            share.meter.ended(ticket)
+            share.meter.release(ticket)
 
     def part(self, budget: str, now: float) -> int | None:
         """What this worker holds of a budget; None where there is no such budget."""
@@ -600,7 +604,7 @@
     def asked(self, budget: str, good: bool, now: float) -> None:
         """Demand for a budget that is only judged by."""
         if (share := self.shares.get(budget)) is not None:
-            share.meter.asked_lately.append((now, good))
+            share.meter.record_demand(now, good)
 
     def leave(self, reason: str) -> list[Send]:
         """Ends on purpose: gives all back and says so."""
--- /dev/null
+++ b/ochrehoist/peers/usage.py
@@ -0,0 +1,99 @@
+"""Use of a budget by one worker: each use is checked against the leases at that very moment. No I/O."""
+
+from collections import deque
+from dataclasses import dataclass
+
+from ochrehoist.peers.budget import CLOCK_DRIFT, RATE_WINDOW_S
+from ochrehoist.peers.leases import LeaseHolder
+
+DEMAND_MEMORY_S = 2.0  # for which demand is remembered
+# A slot counts for a rate only once the uses of an earlier holder are out of the window.
+GUARDED_WINDOW_S = RATE_WINDOW_S * (1 + CLOCK_DRIFT)
+
+
+@dataclass(slots=True, frozen=True)
+class Demand:
+    """What would serve all recent demand (in a second, or at once), and how much of it was denied."""
+
+    wanted: int
+    denied: int
+
+
+@dataclass(slots=True, frozen=True)
+class DemandSample:
+    """One wish for a use."""
+
+    at: float
+    granted: bool
+
+
+class UsageMeter:
+    """Uses of one budget by this incarnation; times in seconds of its steady clock."""
+
+    def __init__(self, holder: LeaseHolder) -> None:
+        self.holder = holder
+        self.runs: dict[int, float] = {}  # by ticket: when a run ends at the latest
+        self.used_count = 0
+        self.denied_count = 0
+        self.max_used = 0  # at once, or in one window
+        self._uses: deque[float] = deque()
+        self._recent_demand: deque[DemandSample] = deque()
+        self._last_ticket = 0
+
+    def _expire(self, now: float) -> None:
+        while self._uses and self._uses[0] <= now - GUARDED_WINDOW_S:
+            self._uses.popleft()
+        while self._recent_demand and self._recent_demand[0].at <= now - DEMAND_MEMORY_S:
+            self._recent_demand.popleft()
+
+    def available(self, now: float) -> int:
+        """How many uses may begin now."""
+        budget = self.holder.budget
+        if budget.concurrent:
+            return self.holder.amount(now, remaining_s=budget.max_run_s) - len(self.runs)
+        self._expire(now)
+        return self.holder.amount(now, held_for_s=GUARDED_WINDOW_S) - len(self._uses)
+
+    def record_demand(self, now: float, granted: bool) -> None:
+        """Counts a wish for a use; `granted`: whether it was served."""
+        self._recent_demand.append(DemandSample(now, granted))
+
+    def acquire(self, now: float) -> int | None:
+        """A ticket for one use that begins now, or None. A run's ticket is given back by `release`."""
+        self._expire(now)
+        granted = self.available(now) >= 1
+        self.record_demand(now, granted)
+        if not granted:
+            self.denied_count += 1
+            return None
+        self.used_count += 1
+        self._last_ticket += 1
+        if self.holder.budget.concurrent:
+            self.runs[self._last_ticket] = now + self.holder.budget.max_run_s
+            self.max_used = max(self.max_used, len(self.runs))
+        else:
+            self._uses.append(now)
+            self.max_used = max(self.max_used, len(self._uses))
+        return self._last_ticket
+
+    def release(self, ticket: int) -> None:
+        """The run of this ticket has ended."""
+        self.runs.pop(ticket, None)
+
+    def transferable(self, now: float) -> int:
+        """The amount that may be given away now so that what runs stays within the rest."""
+        budget = self.holder.budget
+        if budget.concurrent:
+            return max(0, self.holder.amount(now, remaining_s=budget.max_run_s) - len(self.runs))
+        return self.holder.amount(now)
+
+    def demand(self, now: float) -> Demand:
+        """Recent demand: of runs, those at work and those denied; of a rate, the busier of two seconds."""
+        self._expire(now)
+        if self.holder.budget.concurrent:
+            denied = sum(not sample.granted for sample in self._recent_demand)
+            return Demand(len(self.runs) + denied, denied)
+        last_second = [sample for sample in self._recent_demand if sample.at > now - 1]
+        earlier_count = len(self._recent_demand) - len(last_second)
+        denied = sum(not sample.granted for sample in last_second)
+        return Demand(max(len(last_second), earlier_count), denied)
--- a/ochrehoist/peers/view.py
+++ b/ochrehoist/peers/view.py
@@ -46,19 +46,19 @@
 
 def _of_budget(share: Share, now: float) -> dict[str, Any]:
     h, meter = share.holder, share.meter
-    wants, unmet = meter.wants(now)
-    ends = [x.until(h.budget.majority) - now for x in h.held.values()]
+    demand = meter.demand(now)
+    ends = [x.valid_until(h.budget.quorum) - now for x in h.leases.values()]
     return {
         "amount": h.budget.amount,
-        "kind": "at once" if h.budget.runs else "per second",
+        "kind": "at once" if h.budget.concurrent else "per second",
         "held": h.amount(now),
-        "rights": {r: round(now - h.held[r].since, 4) for r in sorted(h.mine(now))},
-        "wants": wants,
-        "denied_lately": unmet,
-        "used": meter.used,
-        "denied": meter.denied,
-        "most_used": meter.most,
-        "lost": h.lost,
+        "rights": {r: round(now - h.leases[r].held_since, 4) for r in sorted(h.held_slots(now))},
+        "wants": demand.wanted,
+        "denied_lately": demand.denied,
+        "used": meter.used_count,
+        "denied": meter.denied_count,
+        "most_used": meter.max_used,
+        "lost": h.lost_count,
         "ends_in_s": round(min((e for e in ends if e > 0), default=0.0), 2),
         "votes_again_in_s": round(max(0.0, share.voter.silent_until - now), 1) if share.voter else None,
     }
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -8,7 +8,8 @@
 from ochrehoist.lab import explore, virtual
 from ochrehoist.lab.explore import Bounds
 from ochrehoist.peers import members, services
-from ochrehoist.peers.rights import Budget, Held, Holder, Voter
+from ochrehoist.peers.budget import Budget
+from ochrehoist.peers.leases import HeldLease, LeaseGrantor, LeaseHolder, RequestRound
 from ochrehoist.peers.wire import HealthObservation, Incarnation
 
 NAMES = ("w000", "w001", "w002")
@@ -48,62 +49,72 @@
 
 def no_end(patch):
     patch(
-        Held, "until", lambda self, majority: float("inf") if len(self.votes) >= majority else float("-inf")
+        HeldLease,
+        "valid_until",
+        lambda self, quorum: float("inf") if len(self.expiry_by_grantor) >= quorum else float("-inf"),
     )
 
 
 def half_is_enough(patch):
-    patch(Budget, "majority", property(lambda self: len(self.voters) // 2))
+    patch(Budget, "quorum", property(lambda self: len(self.grantors) // 2))
 
 
 def counted_from_the_answer(patch):
-    usual = Holder.vouched
+    usual = LeaseHolder.record_grant
 
-    def vouched(self, voter, round_, granted, now):
-        self.asked = deque(((number, now) for number, _ in self.asked), maxlen=64)
-        return usual(self, voter, round_, granted, now)
+    def record_grant(self, grantor, round_number, granted, now):
+        self.rounds = deque((RequestRound(r.number, now) for r in self.rounds), maxlen=64)
+        return usual(self, grantor, round_number, granted, now)
 
-    patch(Holder, "vouched", vouched)
+    patch(LeaseHolder, "record_grant", record_grant)
 
 
-def voter_without_a_wait(patch):
-    usual = Voter.__init__
+def grantor_without_a_wait(patch):
+    usual = LeaseGrantor.__init__
 
-    def start(self, budget, born):
-        usual(self, budget, born)
-        self.silent = {False: 0.0, True: 0.0}
+    def start(self, budget, started_at):
+        usual(self, budget, started_at)
+        self.silent_until_by_floor = {False: 0.0, True: 0.0}
 
-    patch(Voter, "__init__", start)
+    patch(LeaseGrantor, "__init__", start)
 
 
-def old_words_count(patch):
-    patch(Holder, "claim", lambda self, right, now: self.held.setdefault(right, Held(claimed_at=now)))
+def old_grants_count(patch):
+    patch(
+        LeaseHolder,
+        "request",
+        lambda self, slot, now: self.leases.setdefault(slot, HeldLease(requested_at=now)),
+    )
 
 
-def any_life_gives_back(patch):
-    def gave_back(self, life, round_, given):
-        for right in given:
-            if right in self.vouches and self.vouches[right].life.name == life.name:
-                del self.vouches[right]
+def any_incarnation_releases(patch):
+    def release(self, incarnation, round_number, slots):
+        for slot in slots:
+            if slot in self.grants and self.grants[slot].incarnation.name == incarnation.name:
+                del self.grants[slot]
 
-    patch(Voter, "gave_back", gave_back)
+    patch(LeaseGrantor, "release", release)
 
 
 def no_incarnation(patch):
-    usual = Voter.claimed
+    usual = LeaseGrantor.grant
 
-    def claimed(self, life, terms, round_, wanted, now):
-        for vouch in self.vouches.values():
-            if vouch.life.name == life.name:
-                vouch.life = life
-        return usual(self, life, terms, round_, wanted, now)
+    def grant(self, incarnation, terms_digest, round_number, slots, now):
+        for given in self.grants.values():
+            if given.incarnation.name == incarnation.name:
+                given.incarnation = incarnation
+        return usual(self, incarnation, terms_digest, round_number, slots, now)
 
-    patch(Voter, "claimed", claimed)
+    patch(LeaseGrantor, "grant", grant)
 
 
 def no_window_between(patch):
-    usual = Holder.amount
-    patch(Holder, "amount", lambda self, now, steady_for=0.0, left=0.0: usual(self, now, 0.0, left))
+    usual = LeaseHolder.amount
+    patch(
+        LeaseHolder,
+        "amount",
+        lambda self, now, held_for_s=0.0, remaining_s=0.0: usual(self, now, 0.0, remaining_s),
+    )
 
 
 ONE = Bounds(voters=1)
@@ -164,11 +175,11 @@
         self.doubled_by(counted_from_the_answer, path)
 
     def test_a_voter_that_forgets_what_it_said_before_its_start(self):
-        self.doubled_by(voter_without_a_wait, [*HELD, "kill voter 0", *OTHERS])
+        self.doubled_by(grantor_without_a_wait, [*HELD, "kill voter 0", *OTHERS])
 
     def test_a_word_for_a_claim_that_was_given_back(self):
         self.doubled_by(
-            old_words_count,
+            old_grants_count,
             [
                 "ask 0",
                 "take 0",
@@ -185,7 +196,7 @@
 
     def test_a_gift_of_a_life_before(self):
         self.doubled_by(
-            any_life_gives_back,
+            any_incarnation_releases,
             [*HELD, "gift 0", "again 0", "kill holder 0", "ask 0", "take 1", "take 1", "take 0", *OTHERS],
         )
 
@@ -212,14 +223,16 @@
 
     def test_the_same_holds_for_more_voters_than_two(self):
         b = Budget("x", 1, NAMES, lease_s=2.0, floor=0.0)
-        voters, first, second = [Voter(b, -99.0) for _ in NAMES], Holder(b), Holder(b)
+        voters, first, second = [LeaseGrantor(b, -99.0) for _ in NAMES], LeaseHolder(b), LeaseHolder(b)
         for holder, life, some in (
             (first, Incarnation("a", 1, 1), voters[:2]),
             (second, Incarnation("b", 1, 1), voters[1:]),
         ):
-            holder.claim(0, 0.0)
-            round_, due = holder.ask(0.0, 0.2)
+            holder.request(0, 0.0)
+            round_, due = holder.due_slots(0.0, 0.2)
             for n, voter in enumerate(voters):
                 if voter in some:
-                    holder.vouched(NAMES[n], round_, voter.claimed(life, b.terms, round_, due, 0.0), 0.0)
+                    holder.record_grant(
+                        NAMES[n], round_, voter.grant(life, b.terms_digest, round_, due, 0.0), 0.0
+                    )
         self.assertEqual((first.holds(0, 1.0), second.holds(0, 1.0)), (True, False))
--- a/tests/test_growth_messages.py
+++ b/tests/test_growth_messages.py
@@ -8,8 +8,8 @@
 
 from ochrehoist.lab.virtual import World
 from ochrehoist.peers import group, members
+from ochrehoist.peers.budget import Budget
 from ochrehoist.peers.members import ALIVE
-from ochrehoist.peers.rights import Budget
 
 SIZES = (5, 20, 60)
 REST_S, SPAN_S = 8.0, 3.0  # all know all, and rights lie still; what is counted
--- a/tests/test_peers_counts.py
+++ b/tests/test_peers_counts.py
@@ -11,10 +11,10 @@
 
 from ochrehoist.lab.virtual import World
 from ochrehoist.peers import counts, group, wire
+from ochrehoist.peers.budget import CLOCK_DRIFT
 from ochrehoist.peers.counts import MOST_KEY, MOST_KEYS, OWN_BYTES, REST, TOLD_BYTES, Ledger
 from ochrehoist.peers.group import Group, Terms
 from ochrehoist.peers.members import ALIVE, DEAD
-from ochrehoist.peers.rights import DRIFT
 from ochrehoist.peers.wire import (
     Ack,
     CounterCursor,
@@ -95,7 +95,7 @@
         r = asker.read("class/00499/served", 6.0)
         self.assertEqual(r.total, 0)
         self.assertGreaterEqual(r.missing, 500)  # five seconds at 100
-        self.assertLessEqual(r.missing, 500 * (1 + DRIFT) + 2)  # clocks may differ by that
+        self.assertLessEqual(r.missing, 500 * (1 + CLOCK_DRIFT) + 2)  # clocks may differ by that
 
     def test_one_whose_beginning_is_unknown_is_read_only_once_all_of_it_came(self):
         teller, asker = filled(A, 500, born=None), Ledger(B, 100.0, 0.0)
@@ -106,7 +106,7 @@
     def test_a_part_that_leaves_out_what_is_not_here_makes_nothing_whole(self):
         asker = Ledger(B, 100.0, 0.0)
         asker.learn_part(CounterDelta(A, 7, "", "", 9, 0, False, 5000, {"k": 3}), 0.0, 5.0)
-        self.assertEqual((asker.books[A].version, asker.books[A].told_at), (0, 5.0 - 5.0 * (1 + DRIFT)))
+        self.assertEqual((asker.books[A].version, asker.books[A].told_at), (0, 5.0 - 5.0 * (1 + CLOCK_DRIFT)))
         self.assertEqual(asker.read("k", 5.0).total, 3)
 
     def test_parts_of_several_versions_make_the_earliest_whole(self):
--- a/tests/test_peers_suspicion.py
+++ b/tests/test_peers_suspicion.py
@@ -5,8 +5,8 @@
 import msgspec
 
 from ochrehoist.lab.virtual import World
+from ochrehoist.peers.budget import Budget
 from ochrehoist.peers.members import ALIVE, DEAD, LEFT, SUSPECT, Membership
-from ochrehoist.peers.rights import Budget
 from ochrehoist.peers.wire import Incarnation, MemberUpdate
 
 A, B = Incarnation("a", 10, 1), Incarnation("b", 10, 1)
