--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -15,7 +15,7 @@
 from ochrehoist.lab.scenario import parse
 from ochrehoist.lab.virtual import World
 from ochrehoist.peers.budget import Budget
-from ochrehoist.peers.members import DEAD
+from ochrehoist.peers.wire import MemberState
 
 BUDGET = 60
 # Work that 20 times slower is late: in time or not is what shows.
@@ -68,7 +68,7 @@
         while waiting and world.now < died + 30:
             world.run(world.now + 0.05)
             for n in sorted(waiting):
-                if nodes[n].group.members.members["w005"].state == DEAD:
+                if nodes[n].group.members.members["w005"].state == MemberState.DEAD:
                     waiting.discard(n)
                     noticed.append(world.now - died)
         if waiting:
--- a/benchmarks/slopes/state.py
+++ b/benchmarks/slopes/state.py
@@ -69,7 +69,7 @@
 
     def beat() -> None:
         now[0] += 0.05
-        group.members.heard_any = now[0]
+        group.members.last_ack_at = now[0]
         group.members.probes.clear()
         group.beat(now[0])
 
@@ -204,12 +204,13 @@
 def _group(members: int, seed: int, counted: int = 20, lives: int = 1, budgets: int = 1) -> Any:
     from ochrehoist.peers.budget import Budget
     from ochrehoist.peers.group import Group, Terms
-    from ochrehoist.peers.members import ALIVE, Member
+    from ochrehoist.peers.member import Member
     from ochrehoist.peers.wire import (
         BudgetDemand,
         CounterSnapshot,
         HealthObservation,
         Incarnation,
+        MemberState,
         WorkerStatus,
         encode_status,
     )
@@ -242,11 +243,11 @@
             Incarnation(name, 1, k),
             f"127.0.0.1:{9001 + k}",
             "a",
-            ALIVE,
+            MemberState.ALIVE,
             0.0,
-            heard_at=0.5,
+            last_ack_at=0.5,
             version=1,
-            told_at=0.5,
+            status_as_of=0.5,
             status=status,
         )
         for life in range(lives):
@@ -261,7 +262,7 @@
                 0.0,
                 0.0,
             )
-    group.members.established, group.members.heard_any = True, 0.5
+    group.members.established, group.members.last_ack_at = True, 0.5
     return group
 
 
--- a/ochrehoist/lab/hollow.py
+++ b/ochrehoist/lab/hollow.py
@@ -36,8 +36,7 @@
 from ochrehoist.net.ajp_server import AjpServers
 from ochrehoist.net.loop import Loop, Signal, steady_clock
 from ochrehoist.net.peers import BEAT_S, Peers
-from ochrehoist.peers.members import ALIVE
-from ochrehoist.peers.wire import CounterSnapshot, Incarnation, MemberUpdate
+from ochrehoist.peers.wire import CounterSnapshot, Incarnation, MemberState, MemberUpdate
 
 try:
     from ochrehoist.app.reload import switch_only
@@ -217,10 +216,8 @@
         self.peers = HollowPeers(loop, self.owner, config, log)
         self.peers.network = network
         # The choices of a worker are chance's; here a seed's.
-        self.peers.group.rng, self.peers.group.members.rng = (
-            Random(self.rng.random()),
-            Random(self.rng.random()),
-        )
+        self.peers.group.rng.seed(self.rng.random())
+        self.peers.group.members.rng.seed(self.rng.random())
         self.owner.listeners.append(self.peers)
         self.servers.advisor = self.peers
         self.reloading = Reloading(loop, self.owner, config, str(path), self._parts(), None, log)
@@ -274,7 +271,7 @@
         self.peers.answered(request, "answered_total", 0)
 
     def alive(self) -> int:
-        return sum(m.state == ALIVE for m in self.peers.group.members.members.values())
+        return sum(m.state == MemberState.ALIVE for m in self.peers.group.members.members.values())
 
     def counters(self) -> dict[str, Any]:
         """Since its start: bytes, messages and s of processor time for peers."""
@@ -287,7 +284,7 @@
             "received": p.received,
             "peers_cpu_s": p.spent,
             "alive": self.alive(),
-            "late": g.members.was_late,
+            "late": g.members.stall_count,
             "deaths": len(g.members.deaths),
             "rejected": sum(p.rejected.values()),
             "beats": list(self.owner.beats),
@@ -433,12 +430,16 @@
                 # As at rest: so long ago was each heard of, by one way or another.
                 ago, who = h.rng.expovariate(NEWS_PER_S / len(lives)), Incarnation(*life)
                 version = max(0, version + OLD - int(ago / BEAT_S))
-                refused += not m.met(who, at, site, now)
+                refused += not m.on_message_from(who, at, site, now)
                 age = int(1000 * ago)
-                m.learn(MemberUpdate(who, at, site, ALIVE, version, age, bytes.fromhex(status)), 0.0, now)
+                m.apply_status(
+                    MemberUpdate(who, at, site, MemberState.ALIVE, version, age, bytes.fromhex(status)),
+                    0.0,
+                    now,
+                )
                 g.ledger.learn(CounterSnapshot(who, 0, age, False, {}), 0.0, now)
-            m.rumours.clear()
-            m.established, m.heard_any = True, now
+            m.gossip.remaining.clear()
+            m.established, m.last_ack_at = True, now
         return {"refused": refused}
 
     def do_look(self, tell: Tell) -> dict[str, Any]:
--- a/ochrehoist/net/peers.py
+++ b/ochrehoist/net/peers.py
@@ -200,7 +200,7 @@
     def _say(self) -> None:
         """What who is on call wants in the log: changes, each once."""
         now, m = time.monotonic(), self.group.members
-        alone = m.alone(now) is not None
+        alone = m.isolated_for_s(now) is not None
         news: dict[str, Any] = {"alone": alone, "duplicate": m.duplicate is not None}
         news |= {f"member {n}": x.state for n, x in m.members.items()}
         news |= {f"service {n}": s.standing for n, s in self.group.judge.services.items()}
@@ -320,7 +320,7 @@
     def figures(self) -> str:
         now, g = time.monotonic(), self.group
         states = Counter(m.state for m in g.members.members.values())
-        alone = g.members.alone(now)
+        alone = g.members.isolated_for_s(now)
         values: dict[str, Any] = {
             "app_peers": [(f'{{state="{s}"}}', states[s]) for s in ("alive", "suspect", "dead", "left")],
             "app_peers_alone_seconds": [("", alone or 0.0)],
--- a/ochrehoist/peers/group.py
+++ b/ochrehoist/peers/group.py
@@ -14,7 +14,7 @@
 from ochrehoist.peers.counts import WHOLE_BYTES, Ledger
 from ochrehoist.peers.lease_assignment import PeerDemand, choose_transfer, slot_mask, slots_to_request
 from ochrehoist.peers.leases import LeaseGrantor, LeaseHolder
-from ochrehoist.peers.members import ALIVE, DEAD, LEFT, SUSPECT, Membership
+from ochrehoist.peers.membership import Membership
 from ochrehoist.peers.services import Judge
 from ochrehoist.peers.usage import UsageMeter
 from ochrehoist.peers.wire import (
@@ -31,6 +31,7 @@
     LeaseReleased,
     LeaseRequest,
     MemberLeft,
+    MemberState,
     MemberUpdate,
     Message,
     MessageRejectedError,
@@ -143,15 +144,15 @@
         """Workers that may be trying a service now. One that is not heard may only be cut off, and trying
         too: a service that comes back must not get the whole fleet's trials from each part of it."""
         known = self._others(self.terms).keys() | self.members.members.keys()
-        left = {n for n, m in self.members.members.items() if m.state == LEFT}
+        left = {n for n, m in self.members.members.items() if m.state == MemberState.LEFT}
         return 1 + len(known - left)
 
     @property
     def life(self) -> Incarnation:
-        return self.members.life
+        return self.members.incarnation
 
     def _take_budgets(self, budgets: tuple[Budget, ...], now: float) -> None:
-        name = self.members.life.name
+        name = self.members.incarnation.name
         known, self.shares = self.shares, {}
         for b in budgets:
             share = known.get(b.name)
@@ -170,7 +171,7 @@
     def retune(self, terms: Terms, now: float) -> None:
         """New settings while it runs."""
         self.terms = terms
-        self.members.addresses, self.members.period = self._others(terms), terms.period
+        self.members.addresses, self.members.protocol_period_s = self._others(terms), terms.period
         self.members.site = terms.site
         self.ledger.most_per_s = terms.most_per_s
         self.judge.configure(terms.services)
@@ -183,20 +184,20 @@
         out: list[Send] = []
         m = self.members
         self.judge.beat(now, REACT_S)
-        self.ledger.life = m.life
-        if m.duplicate is not None and m.followed and not self.yielded:
+        self.ledger.life = m.incarnation
+        if m.duplicate is not None and m.duplicate_followed and not self.yielded:
             self.yielded = True
             out += self._give_all_back()
         if now - self.looked >= REACT_S:
             self.looked = now
             self.judge.look(now)
         self._renew_status(now)
-        for name, nonce, through_others in m.beat(now):
-            if through_others:
-                for helper in m.some(HELPERS, (name,)):
-                    out += self._to(helper, [PingRequest(nonce, name)])
+        for probe in m.tick(now):
+            if probe.indirect:
+                for helper in m.sample_live(HELPERS, (probe.target,)):
+                    out += self._to(helper, [PingRequest(probe.nonce, probe.target)])
             else:
-                out += self._to(name, [self._ping(name, nonce, now)])
+                out += self._to(probe.target, [self._ping(probe.target, probe.nonce, now)])
         if not m.members:
             for address in self.terms.start:
                 if address != self.terms.address and self._may_greet(address, now):
@@ -219,13 +220,13 @@
 
     def _note_ends(self, now: float) -> None:
         for m in self.members.members.values():
-            if m.state in (DEAD, LEFT) and m.life not in self.ended_at:
-                self.ended_at[m.life] = m.since
-                self.ledger.end(m.life)
-            elif m.state in (ALIVE, SUSPECT) and m.life in self.ended_at:  # it was called dead, and is there
-                del self.ended_at[m.life]
-                self.ledger.go_on(m.life)
-        current = {m.life.name: m.life for m in self.members.members.values()}
+            if m.state in (MemberState.DEAD, MemberState.LEFT) and m.incarnation not in self.ended_at:
+                self.ended_at[m.incarnation] = m.state_since
+                self.ledger.end(m.incarnation)
+            elif m.is_present and m.incarnation in self.ended_at:  # it was called dead, and is there
+                del self.ended_at[m.incarnation]
+                self.ledger.go_on(m.incarnation)
+        current = {m.incarnation.name: m.incarnation for m in self.members.members.values()}
         for life, book in self.ledger.books.items():
             if not book.ended and life.name in current and current[life.name].supersedes(life):
                 self.ended_at.setdefault(life, now)
@@ -246,7 +247,7 @@
             )
             holdings.append(BudgetDemand(name, claimed, demand.wanted, demand.denied))
         more = {name: extension.status(now) for name, extension in self.extensions.items()}
-        alone = self.members.alone(now) is not None
+        alone = self.members.isolated_for_s(now) is not None
         status = WorkerStatus(self.leaving, alone, self.judge.evidence(now), holdings, more)
         self.version += 1
         self.status = encode_status(status)
@@ -256,7 +257,7 @@
             self.life,
             self.terms.address,
             self.terms.site,
-            LEFT if self.leaving else ALIVE,
+            MemberState.LEFT if self.leaving else MemberState.ALIVE,
             self.version,
             0,
             self.status,
@@ -266,16 +267,16 @@
     def _ping(self, to: str, nonce: int, now: float) -> Ping:
         members = self.members.members
         names = list(members) if len(members) <= KNOW else self.rng.sample(list(members), KNOW)
-        know = [KnownVersion(n, members[n].life.number, members[n].version) for n in names]
-        asks = self.ledger.asks(to, self.members.incarnation_of(to))
-        return Ping(nonce, know, self.members.to_tell(now, self._me(), to), asks)
+        know = [KnownVersion(n, members[n].incarnation.number, members[n].version) for n in names]
+        asks = self.ledger.asks(to, self.members.incarnation_number_of(to))
+        return Ping(nonce, know, self.members.select_gossip(self._me(), to), asks)
 
     def _to(self, name: str, items: list[Payload]) -> list[Send]:
         address = self.members.address_of(name)
         if not address:
             return []
         hello = Hello(self.terms.address, self.terms.site)
-        inc = self.members.incarnation_of(name)
+        inc = self.members.incarnation_number_of(name)
         if not inc:
             return [Send(name, address, UNKNOWN_INCARNATION, [hello])]
         return [Send(name, address, inc, [hello, *items] if isinstance(items[0], Ping) else items)]
@@ -301,14 +302,14 @@
             return []
         if sender.name == me.name:
             self.counted["same name"] += 1
-            self.members.namesake(sender)
+            self.members.note_duplicate(sender)
             return []
         if message.recipient_number != me.number:
             # It does not know this life yet, or was said to the one before: it only learns who is here.
             # Said to a later life of this name, which so is, or was, somewhere.
             if message.recipient_number > me.number:
-                self.members.namesake(
-                    Incarnation(me.name, message.recipient_number, UNKNOWN_INCARNATION), heard=False
+                self.members.note_duplicate(
+                    Incarnation(me.name, message.recipient_number, UNKNOWN_INCARNATION), followed=False
                 )
             self.counted[
                 "greeting" if message.recipient_number == UNKNOWN_INCARNATION else "to a life before"
@@ -328,10 +329,12 @@
             self.counted["repeated"] += 1
             return []
         hello = next((i for i in message.payloads if isinstance(i, Hello)), None)
-        if not self.members.met(sender, hello.address if hello else source, hello.site if hello else "", now):
+        if not self.members.on_message_from(
+            sender, hello.address if hello else source, hello.site if hello else "", now
+        ):
             self.counted["earlier life"] += 1
             later, address = (
-                self.members.ended.get(sender.name),
+                self.members.latest_incarnations.get(sender.name),
                 self.members.addresses.get(sender.name) or source,
             )
             if later is not None and self._may_greet(f"{sender.name}/{address}", now):
@@ -350,23 +353,23 @@
 
     def _pinged(self, item: Ping, sender: Incarnation, now: float) -> list[Send]:
         for e in item.gossip:
-            self.members.rumour(e, sender.name, now)
+            self.members.apply_gossip(e, sender.name, now)
         known = {known.name: (known.number, known.version) for known in item.known_versions}
         entries = [self._me()]
         news = []
         for name, m in self.members.members.items():
             if (
                 name != sender.name
-                and m.told_at is not None
-                and (m.life.number, m.version) > known.get(name, (0, -1))
+                and m.status_as_of is not None
+                and (m.incarnation.number, m.version) > known.get(name, (0, -1))
                 and (name in known or len(known) < KNOW)
             ):
                 news.append(m)
         if len(news) > NEWS:
             news = self.rng.sample(news, NEWS)
-        rumours = self.members.to_tell(now, self._me())
+        rumours = self.members.select_gossip(self._me())
         room = ENTRIES_BYTES - sum(e.max_size() for e in (*entries, *rumours))
-        for e in (m.entry(now) for m in news):
+        for e in (m.status_update(now) for m in news):
             room -= e.max_size()
             if room < 0:
                 break
@@ -381,23 +384,23 @@
 
     def _acked(self, item: Ack, sender: Incarnation, now: float) -> list[Send]:
         for e in item.gossip:
-            self.members.rumour(e, sender.name, now)
+            self.members.apply_gossip(e, sender.name, now)
         helped = self.helping.pop(item.nonce, None)
         if helped is not None:
             asker, nonce, of = helped
             if of != sender.name or not item.updates or asker not in self.members.members:
                 return []
             return self._to(asker, [Ack(nonce, of, item.updates[:1], [], [])])
-        probe = self.members.answered(item.nonce, item.subject or sender.name, now)
+        probe = self.members.on_ack(item.nonce, item.subject or sender.name, now)
         if probe is None:
             return []
-        lag = now - probe.at
+        lag = now - probe.sent_at
         for e in item.updates:
             if e.incarnation.name == self.life.name:
                 continue
             if e.incarnation.name not in self.members.members:
-                self.members.rumour(e, sender.name, now)
-            self.members.learn(e, lag, now)
+                self.members.apply_gossip(e, sender.name, now)
+            self.members.apply_status(e, lag, now)
         for t in item.snapshots:
             self.ledger.learn(t, lag, now, self._is_here(t.incarnation))
         for p in item.deltas:
@@ -406,7 +409,7 @@
 
     def _is_here(self, life: Incarnation) -> bool:
         m = self.members.members.get(life.name)
-        return m is not None and m.life == life and m.state in (ALIVE, SUSPECT)
+        return m is not None and m.incarnation == life and m.is_present
 
     def _asked(self, item: PingRequest, sender: Incarnation, now: float) -> list[Send]:
         nonce = self.rng.getrandbits(62) | 1
@@ -443,12 +446,12 @@
         return []
 
     def _left(self, item: MemberLeft, sender: Incarnation, now: float) -> list[Send]:
-        self.members.left(sender, now)
+        self.members.mark_left(sender, now)
         return []
 
     def _later(self, item: Superseded, sender: Incarnation, now: float) -> list[Send]:
         if item.incarnation.name == self.life.name:
-            self.members.namesake(item.incarnation)
+            self.members.note_duplicate(item.incarnation)
         return []
 
     def say(self, name: str, topic: str, data: bytes) -> list[Send]:
@@ -494,8 +497,8 @@
         for r in share.promised:
             holder.request(r, now)
         # A worker that nobody hears claims nothing: those who may be there decide without it.
-        if self.members.alone(now) is None and not self.leaving:
-            alive = {me, *self.members.live()} - self._going()
+        if self.members.isolated_for_s(now) is None and not self.leaving:
+            alive = {me, *self.members.live_names()} - self._going()
             for r in slots_to_request(b, me, set(holder.leases) | set(share.aside), alive, others):
                 holder.request(r, now)
         if now - share.given_at >= GIVE_S:
@@ -516,7 +519,7 @@
                 # two processes believe to be theirs has one vote.
                 address = self.members.addresses.get(voter)
                 if voter != me and address and voter in self.members.members:
-                    out.append(Send(voter, address, self.members.incarnation_of(voter), [claim]))
+                    out.append(Send(voter, address, self.members.incarnation_number_of(voter), [claim]))
         return out
 
     def _give_back(self, share: Share, rights: list[int], to: str) -> list[Send]:
@@ -543,7 +546,7 @@
 
     def status_of(self, name: str) -> WorkerStatus | None:
         m = self.members.members.get(name)
-        if m is None or m.told_at is None or not m.status:
+        if m is None or m.status_as_of is None or not m.status:
             return None
         known = self.decoded.get(name)
         if known is None or known[0] != m.version:
@@ -557,12 +560,12 @@
         """What the others there hold and want of a budget, as far as it is known."""
         out = {}
         for name, m in self.members.members.items():
-            if m.state not in (ALIVE, SUSPECT):
+            if not m.is_present:
                 continue
             status = self.status_of(name)
             if status is None:
                 continue
-            fresh = now - m.told_at <= FRESH_S and not status.leaving
+            fresh = now - m.status_as_of <= FRESH_S and not status.leaving
             for h in status.demands:
                 if h.budget == budget:
                     out[name] = PeerDemand(h.held_slots, h.wanted, h.denied, fresh)
@@ -574,16 +577,16 @@
         for name, m in self.members.members.items():
             status = self.status_of(name)
             if status is not None and topic in status.extensions:
-                out[name] = self.now - m.told_at, status.extensions[topic]
+                out[name] = self.now - m.status_as_of, status.extensions[topic]
         return out
 
     def hearsay(self) -> dict[str, tuple[float, list[HealthObservation]]]:
         """What the others have seen of services, with its age."""
         out = {}
         for name, m in self.members.members.items():
-            status = self.status_of(name) if m.state in (ALIVE, SUSPECT) else None
+            status = self.status_of(name) if m.is_present else None
             if status is not None and status.observations:
-                out[name] = self.now - m.told_at, status.observations
+                out[name] = self.now - m.status_as_of, status.observations
         return out
 
     # ---- use
@@ -609,6 +612,6 @@
     def leave(self, reason: str) -> list[Send]:
         """Ends on purpose: gives all back and says so."""
         out = self._give_all_back()
-        for name in self.members.live():
+        for name in self.members.live_names():
             out += self._to(name, [MemberLeft(reason)])
         return out
--- a/ochrehoist/peers/view.py
+++ b/ochrehoist/peers/view.py
@@ -3,12 +3,12 @@
 from typing import Any
 
 from ochrehoist.peers.group import Group, Share
-from ochrehoist.peers.members import SUSPECT
+from ochrehoist.peers.wire import MemberState
 
 
 def told(group: Group, now: float) -> dict[str, Any]:
     m = group.members
-    alone = m.alone(now)
+    alone = m.isolated_for_s(now)
     return {
         "name": group.life.name,
         "incarnation": group.life.number,
@@ -16,19 +16,19 @@
         "site": group.terms.site,
         "address": group.terms.address,
         "alone_s": None if alone is None else round(alone, 2),
-        "late": m.lateness,
-        "was_late": m.was_late,
+        "late": m.local_health,
+        "was_late": m.stall_count,
         "duplicate": m.duplicate.boot_id if m.duplicate is not None else None,
         "members": {
             n: {
                 "state": x.state,
-                "for_s": round(now - x.since, 1),
+                "for_s": round(now - x.state_since, 1),
                 "address": m.address_of(n),
                 "site": x.site,
-                "incarnation": x.life.number,
-                "accused_by": sorted(x.accusers) if x.state == SUSPECT else [],
-                "heard_s": None if x.heard_at is None else round(now - x.heard_at, 2),
-                "told_s": None if x.told_at is None else round(now - x.told_at, 2),
+                "incarnation": x.incarnation.number,
+                "accused_by": sorted(x.accusers) if x.state == MemberState.SUSPECT else [],
+                "heard_s": None if x.last_ack_at is None else round(now - x.last_ack_at, 2),
+                "told_s": None if x.status_as_of is None else round(now - x.status_as_of, 2),
             }
             for n, x in sorted(m.members.items())
         },
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -7,7 +7,7 @@
 
 from ochrehoist.lab import explore, virtual
 from ochrehoist.lab.explore import Bounds
-from ochrehoist.peers import members, services
+from ochrehoist.peers import membership, services
 from ochrehoist.peers.budget import Budget
 from ochrehoist.peers.leases import HeldLease, LeaseGrantor, LeaseHolder, RequestRound
 from ochrehoist.peers.wire import HealthObservation, Incarnation
@@ -202,17 +202,17 @@
 
     def test_suspicion_without_a_check_of_ones_own_lateness(self):
         def states():
-            m = members.Membership(Incarnation("a", 1, 1), "at:a", "", {}, 0.1, 0.0, 1)
-            m.met(Incarnation("b", 1, 1), "at:b", "", 0.0)
-            m.heard_any = 0.2
+            m = membership.Membership(Incarnation("a", 1, 1), "at:a", "", {}, 0.1, 0.0, 1)
+            m.on_message_from(Incarnation("b", 1, 1), "at:b", "", 0.0)
+            m.last_ack_at = 0.2
             for beat in range(5):
-                m.beat(beat * 0.05)
-            m.beat(30.0)  # it stood still for half a minute, with a probe open
-            m.beat(30.05)
+                m.tick(beat * 0.05)
+            m.tick(30.0)  # it stood still for half a minute, with a probe open
+            m.tick(30.05)
             return {x.state for x in m.members.values()}
 
         self.assertEqual(states(), {"alive"})
-        with mock.patch.object(members.Membership, "_was_late", lambda self, gap: None):
+        with mock.patch.object(membership.Membership, "_on_stall", lambda self, gap: None):
             self.assertEqual(states(), {"suspect"})
 
     def test_evidence_of_one_observer_that_is_trusted(self):
--- a/tests/test_growth_messages.py
+++ b/tests/test_growth_messages.py
@@ -7,9 +7,9 @@
 from unittest import mock
 
 from ochrehoist.lab.virtual import World
-from ochrehoist.peers import group, members
+from ochrehoist.peers import group, membership, probing
 from ochrehoist.peers.budget import Budget
-from ochrehoist.peers.members import ALIVE
+from ochrehoist.peers.wire import MemberState
 
 SIZES = (5, 20, 60)
 REST_S, SPAN_S = 8.0, 3.0  # all know all, and rights lie still; what is counted
@@ -53,10 +53,10 @@
     g = node.group
     held = (
         g.members.members,
-        g.members.ended,
-        g.members.rumours,
+        g.members.latest_incarnations,
+        g.members.gossip.remaining,
         g.members.probes,
-        g.members.round,
+        g.members.schedule.round,
         g.seen,
         g.decoded,
         g.ended_at,
@@ -112,31 +112,34 @@
             within([Measured(count) for count in (20, 60)])
 
     def test_a_probe_of_more_members_the_more_there_are_is_seen(self):
-        usual = members.Membership.beat
+        usual = membership.Membership.tick
 
-        def beat(self, now):
+        def tick(self, now):
             out = usual(self, now)
-            more = [(n, self.rng.getrandbits(62) | 1, False) for n in self.some(len(self.members) // 20, ())]
-            for name, nonce, _ in more:
-                self.probes[nonce] = members.Probe(name, nonce, now)
+            more = [
+                probing.ProbeAction(name, self.rng.getrandbits(62) | 1, indirect=False)
+                for name in self.sample_live(len(self.members) // 20, ())
+            ]
+            for probe in more:
+                self.probes[probe.nonce] = probing.Probe(probe.target, probe.nonce, now)
             return out + more
 
         with (
-            mock.patch.object(members.Membership, "beat", beat),
+            mock.patch.object(membership.Membership, "tick", tick),
             self.assertRaisesRegex(AssertionError, "messages a second"),
         ):
             within([Measured(count) for count in (20, 60)])
 
     def test_a_book_of_what_each_said_of_each_is_seen(self):
-        usual = members.Membership.learn
+        usual = membership.Membership.apply_status
 
-        def learn(self, e, lag, now):
-            book = self.ended.setdefault("what was told", {})
-            book[e.incarnation.name, e.version] = e
-            usual(self, e, lag, now)
+        def apply_status(self, update, round_trip_s, now):
+            book = self.latest_incarnations.setdefault("what was told", {})
+            book[update.incarnation.name, update.version] = update
+            usual(self, update, round_trip_s, now)
 
         with (
-            mock.patch.object(members.Membership, "learn", learn),
+            mock.patch.object(membership.Membership, "apply_status", apply_status),
             self.assertRaisesRegex(AssertionError, "bytes of state for each member"),
         ):
             within([Measured(count) for count in (20, 60)])
@@ -159,7 +162,7 @@
     @staticmethod
     def whole(w, count):
         return all(
-            sum(m.state == ALIVE for m in n.group.members.members.values()) == count - 1
+            sum(m.state == MemberState.ALIVE for m in n.group.members.members.values()) == count - 1
             for n in w.nodes.values()
         )
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -14,9 +14,16 @@
 from ochrehoist.peers.counts import LIVES, Ledger
 from ochrehoist.peers.group import Group, Terms
 from ochrehoist.peers.leases import LeaseGrantor, LeaseHolder
-from ochrehoist.peers.members import ALIVE, DEAD, LEFT, Membership
+from ochrehoist.peers.membership import Membership
 from ochrehoist.peers.usage import UsageMeter
-from ochrehoist.peers.wire import CounterSnapshot, HealthObservation, Incarnation, MemberUpdate, Message
+from ochrehoist.peers.wire import (
+    CounterSnapshot,
+    HealthObservation,
+    Incarnation,
+    MemberState,
+    MemberUpdate,
+    Message,
+)
 
 SECRETS = (b"first secret of ours", b"second secret of ours")
 A, B = Incarnation("a", 10, 1), Incarnation("b", 10, 1)
@@ -93,14 +100,14 @@
 class Members(unittest.TestCase):
     def meet(self, m, now, *lives):
         for life in lives:
-            self.assertTrue(m.met(life, f"at:{life.name}", "", now))
+            self.assertTrue(m.on_message_from(life, f"at:{life.name}", "", now))
 
     def quiet(self, m, now, until, answers=()):
         """Beats, with answers of those named."""
         while now < until:
-            for name, nonce, asked in m.beat(now):
-                if name in answers and not asked:
-                    m.answered(nonce, name, now)
+            for probe in m.tick(now):
+                if probe.target in answers and not probe.indirect:
+                    m.on_ack(probe.nonce, probe.target, now)
             now += 0.05
         return now
 
@@ -108,52 +115,52 @@
         m = membership()
         self.meet(m, 0.0, B, Incarnation("c", 1, 1))
         self.quiet(m, 0.0, 6.0, answers=("c",))
-        self.assertEqual((m.members["b"].state, m.members["c"].state), (DEAD, ALIVE))
+        self.assertEqual((m.members["b"].state, m.members["c"].state), (MemberState.DEAD, MemberState.ALIVE))
 
     def test_who_hears_nobody_is_alone_and_calls_nobody_dead(self):
         m = membership()
         self.meet(m, 0.0, B, Incarnation("c", 1, 1))
         now = self.quiet(m, 0.0, 2.0, answers=("b", "c"))
         now = self.quiet(m, now, now + 20.0)
-        self.assertGreater(m.alone(now), 10.0)
-        self.assertNotIn(DEAD, {x.state for x in m.members.values()})
+        self.assertGreater(m.isolated_for_s(now), 10.0)
+        self.assertNotIn(MemberState.DEAD, {x.state for x in m.members.values()})
 
     def test_one_that_stood_still_itself_judges_nobody_for_it(self):
         m = membership()
         self.meet(m, 0.0, B, Incarnation("c", 1, 1))
         now = self.quiet(m, 0.0, 2.0, answers=("b", "c"))
-        m.beat(now + 30.0)  # half a minute later by its clock, with probes open
+        m.tick(now + 30.0)  # half a minute later by its clock, with probes open
         now = self.quiet(m, now + 30.0, now + 31.0, answers=("b", "c"))
-        self.assertEqual({x.state for x in m.members.values()}, {ALIVE})
-        self.assertEqual(m.was_late, 1)
+        self.assertEqual({x.state for x in m.members.values()}, {MemberState.ALIVE})
+        self.assertEqual(m.stall_count, 1)
 
     def test_a_life_before_is_not_heard_after_its_successor(self):
         m = membership()
         self.meet(m, 0.0, Incarnation("b", 20, 1))
-        self.assertFalse(m.met(B, "at:b", "", 1.0))
-        m.rumour(MemberUpdate(B, "elsewhere", "", ALIVE), "c", 1.0)
-        self.assertEqual(m.members["b"].life.number, 20)
+        self.assertFalse(m.on_message_from(B, "at:b", "", 1.0))
+        m.apply_gossip(MemberUpdate(B, "elsewhere", "", MemberState.ALIVE), "c", 1.0)
+        self.assertEqual(m.members["b"].incarnation.number, 20)
 
     def test_a_rumour_proves_nobody_to_be_there_and_none_to_be_gone_that_answers(self):
         m = membership()
         self.meet(m, 0.0, B)
         now = self.quiet(m, 0.0, 1.0, answers=("b",))
-        m.rumour(MemberUpdate(B, "at:b", "", DEAD), "c", now)
-        self.assertEqual(m.members["b"].state, ALIVE)
-        m.rumour(MemberUpdate(B, "at:b", "", LEFT), "c", now)
-        self.assertEqual(m.members["b"].state, LEFT)
+        m.apply_gossip(MemberUpdate(B, "at:b", "", MemberState.DEAD), "c", now)
+        self.assertEqual(m.members["b"].state, MemberState.ALIVE)
+        m.apply_gossip(MemberUpdate(B, "at:b", "", MemberState.LEFT), "c", now)
+        self.assertEqual(m.members["b"].state, MemberState.LEFT)
 
     def test_a_start_with_an_earlier_clock_comes_after_what_it_was(self):
         m = membership()
-        m.namesake(Incarnation("a", 500, 7))
-        self.assertEqual((m.life.number, m.life.boot_id, m.duplicate), (501, 1, None))
+        m.note_duplicate(Incarnation("a", 500, 7))
+        self.assertEqual((m.incarnation.number, m.incarnation.boot_id, m.duplicate), (501, 1, None))
 
     def test_one_that_was_heard_does_not_fight_for_its_name(self):
         m = membership()
         m.established = True
-        m.namesake(Incarnation("a", 500, 7))
-        self.assertEqual((m.life, m.duplicate), (A, Incarnation("a", 500, 7)))
-        m.namesake(Incarnation("a", 3, 7))  # what it said long ago, played again
+        m.note_duplicate(Incarnation("a", 500, 7))
+        self.assertEqual((m.incarnation, m.duplicate), (A, Incarnation("a", 500, 7)))
+        m.note_duplicate(Incarnation("a", 3, 7))  # what it said long ago, played again
 
 
 BUDGET = Budget("x", 12, ("a", "b", "c"), lease_s=2.0, floor=0.25, floor_lease_s=10.0)
@@ -491,7 +498,7 @@
         nodes = world.fleet(8)
         world.run(3.0)
         for n, node in enumerate(nodes):
-            self.assertEqual(len(node.group.members.live()), 7)
+            self.assertEqual(len(node.group.members.live_names()), 7)
             node.group.ledger.add("served", n + 1)
         world.run(5.0)
         for node in nodes:
@@ -543,7 +550,7 @@
         world.kill(nodes[4])
         world.run(20.0)
         for node in nodes[:4]:
-            self.assertEqual(node.group.members.members["w004"].state, DEAD)
+            self.assertEqual(node.group.members.members["w004"].state, MemberState.DEAD)
 
 
 class ColdServer(unittest.TestCase):
--- a/tests/test_peers_counts.py
+++ b/tests/test_peers_counts.py
@@ -14,7 +14,6 @@
 from ochrehoist.peers.budget import CLOCK_DRIFT
 from ochrehoist.peers.counts import MOST_KEY, MOST_KEYS, OWN_BYTES, REST, TOLD_BYTES, Ledger
 from ochrehoist.peers.group import Group, Terms
-from ochrehoist.peers.members import ALIVE, DEAD
 from ochrehoist.peers.wire import (
     Ack,
     CounterCursor,
@@ -23,6 +22,7 @@
     Hello,
     Incarnation,
     KnownVersion,
+    MemberState,
     MemberUpdate,
     Message,
     MessageTooLongError,
@@ -309,7 +309,9 @@
                 while not self.whole(w, nodes, count * tenants):
                     self.assertLess(w.now - began, within)
                     w.run(w.now + 0.5)
-                self.assertEqual({m.state for n in nodes for m in n.group.members.members.values()}, {ALIVE})
+                self.assertEqual(
+                    {m.state for n in nodes for m in n.group.members.members.values()}, {MemberState.ALIVE}
+                )
 
     def test_messages_do_not_grow_with_tenants_and_bytes_only_up_to_the_bound(self):
         sent = {}
@@ -347,8 +349,10 @@
             g.ledger.add(f"tenant/{t:05d}/served")
         for n in range(40):
             life = Incarnation(f"m{n}", 1, 1)
-            g.members.met(life, f"at:m{n}", "", 0.0)
-            g.members.learn(MemberUpdate(life, f"at:m{n}", "", ALIVE, 5, 0, b"x" * 3000), 0.0, 0.0)
+            g.members.on_message_from(life, f"at:m{n}", "", 0.0)
+            g.members.apply_status(
+                MemberUpdate(life, f"at:m{n}", "", MemberState.ALIVE, 5, 0, b"x" * 3000), 0.0, 0.0
+            )
         for asked in (None, [CounterCursor("a", 10, 0, "")]):
             m = Message(
                 "g",
@@ -376,10 +380,10 @@
         w.pause(nodes[1], 8.0)
         life = nodes[1].group.life
         w.run(15.0)
-        self.assertEqual(nodes[0].group.members.members["w001"].state, DEAD)
+        self.assertEqual(nodes[0].group.members.members["w001"].state, MemberState.DEAD)
         w.run(22.0)
         for node in [n for n in nodes if n is not nodes[1]]:
-            self.assertEqual(node.group.members.members["w001"].state, ALIVE)
+            self.assertEqual(node.group.members.members["w001"].state, MemberState.ALIVE)
             self.assertNotIn(life, node.group.ended_at)
             self.assertFalse(node.group.ledger.books[life].ended)
         nodes[1].group.ledger.add("tenant/customer-00000/served", 4)
--- a/tests/test_peers_suspicion.py
+++ b/tests/test_peers_suspicion.py
@@ -6,8 +6,8 @@
 
 from ochrehoist.lab.virtual import World
 from ochrehoist.peers.budget import Budget
-from ochrehoist.peers.members import ALIVE, DEAD, LEFT, SUSPECT, Membership
-from ochrehoist.peers.wire import Incarnation, MemberUpdate
+from ochrehoist.peers.membership import Membership
+from ochrehoist.peers.wire import Incarnation, MemberState, MemberUpdate
 
 A, B = Incarnation("a", 10, 1), Incarnation("b", 10, 1)
 
@@ -19,79 +19,84 @@
 class Refutation(unittest.TestCase):
     def setUp(self):
         self.m = Membership(A, "at:a", "", {}, 0.1, 0.0, 1)
-        self.m.met(B, "at:b", "", 0.0)
+        self.m.on_message_from(B, "at:b", "", 0.0)
         self.b = self.m.members["b"]
 
     def hear(self, *entries, now=10.0):
         for e in entries:
-            self.m.rumour(e, "c", now)
+            self.m.apply_gossip(e, "c", now)
         return self.b.state
 
     def test_a_higher_number_ends_a_suspicion_and_the_same_does_not(self):
-        self.assertEqual(self.hear(said(SUSPECT), said(ALIVE)), SUSPECT)
-        self.assertEqual(self.hear(said(ALIVE, 1)), ALIVE)
+        self.assertEqual(self.hear(said(MemberState.SUSPECT), said(MemberState.ALIVE)), MemberState.SUSPECT)
+        self.assertEqual(self.hear(said(MemberState.ALIVE, 1)), MemberState.ALIVE)
         self.assertEqual(self.b.accusers, set())
 
     def test_a_newer_version_alone_ends_none(self):
         """Each beat makes one: it may be older than the accusation, and newer than what the accuser had."""
-        self.hear(said(SUSPECT, version=5))
-        self.assertEqual(self.hear(said(ALIVE, version=900)), SUSPECT)
+        self.hear(said(MemberState.SUSPECT, version=5))
+        self.assertEqual(self.hear(said(MemberState.ALIVE, version=900)), MemberState.SUSPECT)
 
     def test_an_accusation_that_was_answered_is_passed_over_whoever_repeats_it(self):
-        self.hear(said(ALIVE, 1))
-        self.assertEqual(self.hear(said(SUSPECT), said(DEAD)), ALIVE)
-        self.assertEqual(self.hear(said(SUSPECT, 1)), SUSPECT)
+        self.hear(said(MemberState.ALIVE, 1))
+        self.assertEqual(self.hear(said(MemberState.SUSPECT), said(MemberState.DEAD)), MemberState.ALIVE)
+        self.assertEqual(self.hear(said(MemberState.SUSPECT, 1)), MemberState.SUSPECT)
 
     def test_an_accusation_of_a_higher_number_begins_anew(self):
-        self.hear(said(SUSPECT), now=10.0)
-        self.hear(said(SUSPECT, 3), now=11.0)
-        self.assertEqual((self.b.state, self.b.suspect_at, self.b.refutations), (SUSPECT, 11.0, 3))
+        self.hear(said(MemberState.SUSPECT), now=10.0)
+        self.hear(said(MemberState.SUSPECT, 3), now=11.0)
+        self.assertEqual(
+            (self.b.state, self.b.suspected_at, self.b.refutations), (MemberState.SUSPECT, 11.0, 3)
+        )
 
     def test_one_called_dead_returns_by_a_higher_number_only(self):
-        self.b.state = DEAD
-        self.assertEqual(self.hear(said(ALIVE)), DEAD)
-        self.assertEqual(self.hear(said(ALIVE, 1)), ALIVE)
+        self.b.state = MemberState.DEAD
+        self.assertEqual(self.hear(said(MemberState.ALIVE)), MemberState.DEAD)
+        self.assertEqual(self.hear(said(MemberState.ALIVE, 1)), MemberState.ALIVE)
 
     def test_who_left_stays_so(self):
-        self.hear(said(LEFT))
-        self.assertEqual(self.hear(said(ALIVE, 4)), LEFT)
+        self.hear(said(MemberState.LEFT))
+        self.assertEqual(self.hear(said(MemberState.ALIVE, 4)), MemberState.LEFT)
 
     def test_one_of_another_life_says_nothing_of_this_one(self):
-        self.hear(said(SUSPECT))
-        self.assertEqual(self.hear(said(ALIVE, 4, Incarnation("b", 9, 1))), SUSPECT)
-        self.hear(said(ALIVE, 4, Incarnation("b", 11, 1)))
-        self.assertEqual((self.m.members["b"].state, self.m.members["b"].refutations), (ALIVE, 4))
-        self.assertEqual(self.m.members["b"].life.number, 11)
+        self.hear(said(MemberState.SUSPECT))
+        self.assertEqual(self.hear(said(MemberState.ALIVE, 4, Incarnation("b", 9, 1))), MemberState.SUSPECT)
+        self.hear(said(MemberState.ALIVE, 4, Incarnation("b", 11, 1)))
+        self.assertEqual((self.m.members["b"].state, self.m.members["b"].refutations), (MemberState.ALIVE, 4))
+        self.assertEqual(self.m.members["b"].incarnation.number, 11)
 
     def test_what_an_answer_tells_of_it_counts_too(self):
-        self.hear(said(SUSPECT))
-        self.m.learn(MemberUpdate(B, "at:b", "", ALIVE, 7, 20, b"", 1), 0.01, 10.0)
-        self.assertEqual(self.b.state, ALIVE)
+        self.hear(said(MemberState.SUSPECT))
+        self.m.apply_status(MemberUpdate(B, "at:b", "", MemberState.ALIVE, 7, 20, b"", 1), 0.01, 10.0)
+        self.assertEqual(self.b.state, MemberState.ALIVE)
 
     def test_the_accused_alone_raises_its_number_above_the_accusation(self):
-        self.m.rumour(said(SUSPECT, 0, A), "c", 1.0)
+        self.m.apply_gossip(said(MemberState.SUSPECT, 0, A), "c", 1.0)
         self.assertEqual(self.m.refutations, 1)
-        self.m.rumour(said(DEAD, 0, A), "c", 1.0)  # answered before
-        self.m.rumour(said(ALIVE, 1, A), "c", 1.0)
+        self.m.apply_gossip(said(MemberState.DEAD, 0, A), "c", 1.0)  # answered before
+        self.m.apply_gossip(said(MemberState.ALIVE, 1, A), "c", 1.0)
         self.assertEqual(self.m.refutations, 1)
-        self.m.rumour(said(DEAD, 6, A), "c", 1.0)
+        self.m.apply_gossip(said(MemberState.DEAD, 6, A), "c", 1.0)
         self.assertEqual(self.m.refutations, 7)
-        self.m.rumour(said(SUSPECT, 6, Incarnation("a", 9, 1)), "c", 1.0)  # a life before
+        self.m.apply_gossip(said(MemberState.SUSPECT, 6, Incarnation("a", 9, 1)), "c", 1.0)  # a life before
         self.assertEqual(self.m.refutations, 7)
         self.m._suspect(self.b, "a", 1.0)
         self.assertEqual(self.b.refutations, 0)
 
     def test_who_is_asked_is_told_that_it_is_accused_and_each_other_rumour(self):
-        self.hear(said(SUSPECT))
-        self.m.rumours.clear()
-        me = said(ALIVE, 0, A)
-        self.assertEqual([(e.incarnation, e.state) for e in self.m.to_tell(10.0, me, "b")], [(B, SUSPECT)])
-        self.assertEqual(self.m.to_tell(10.0, me, "c"), [])
-        self.m.rumours = {"b": 2, "a": 1}
-        self.assertEqual([e.incarnation for e in self.m.to_tell(10.0, me, "b")], [B, A])
-        self.hear(said(ALIVE, 1))
-        self.m.rumours.clear()
-        self.assertEqual(self.m.to_tell(10.0, me, "b"), [])
+        self.hear(said(MemberState.SUSPECT))
+        self.m.gossip.remaining.clear()
+        me = said(MemberState.ALIVE, 0, A)
+        self.assertEqual(
+            [(e.incarnation, e.state) for e in self.m.select_gossip(me, "b")],
+            [(B, MemberState.SUSPECT)],
+        )
+        self.assertEqual(self.m.select_gossip(me, "c"), [])
+        self.m.gossip.remaining = {"b": 2, "a": 1}
+        self.assertEqual([e.incarnation for e in self.m.select_gossip(me, "b")], [B, A])
+        self.hear(said(MemberState.ALIVE, 1))
+        self.m.gossip.remaining.clear()
+        self.assertEqual(self.m.select_gossip(me, "b"), [])
 
 
 class EntryOfBefore(msgspec.Struct, array_like=True):
@@ -108,11 +113,11 @@
 
 class Mixed(unittest.TestCase):
     def test_members_of_before_read_what_they_get_and_are_read(self):
-        new = MemberUpdate(B, "at:b", "s", SUSPECT, 3, 7, b"status", 5)
+        new = MemberUpdate(B, "at:b", "s", MemberState.SUSPECT, 3, 7, b"status", 5)
         old = msgspec.msgpack.decode(msgspec.msgpack.encode(new), type=EntryOfBefore)
-        self.assertEqual(old, EntryOfBefore(B, "at:b", "s", SUSPECT, 3, 7, b"status"))
+        self.assertEqual(old, EntryOfBefore(B, "at:b", "s", MemberState.SUSPECT, 3, 7, b"status"))
         back = msgspec.msgpack.decode(msgspec.msgpack.encode(old), type=MemberUpdate)
-        self.assertEqual(back, MemberUpdate(B, "at:b", "s", SUSPECT, 3, 7, b"status", 0))
+        self.assertEqual(back, MemberUpdate(B, "at:b", "s", MemberState.SUSPECT, 3, 7, b"status", 0))
 
 
 class Rest(unittest.TestCase):
@@ -141,10 +146,11 @@
         if len(w.nodes) < count:
             return ["one is not there"]
         return [
-            (n.name, m.life.name, m.state)
+            (n.name, m.incarnation.name, m.state)
             for n in w.nodes.values()
             for m in n.group.members.members.values()
-            if m.state != ALIVE or m.life != w.nodes[w.address(m.life.name)].group.life
+            if m.state != MemberState.ALIVE
+            or m.incarnation != w.nodes[w.address(m.incarnation.name)].group.life
         ] + [n.name for n in w.nodes.values() if len(n.group.members.members) != count - 1]
 
     def test_after_a_pause(self):
@@ -178,7 +184,9 @@
         w.kill(nodes[4])
         w.run(25.0)
         for _ in range(10):
-            self.assertEqual({n.group.members.members["w004"].state for n in w.nodes.values()}, {DEAD})
+            self.assertEqual(
+                {n.group.members.members["w004"].state for n in w.nodes.values()}, {MemberState.DEAD}
+            )
             w.run(w.now + 1.0)
 
 
