--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -124,7 +124,7 @@
             nonlocal true
             if world.now > 1:
                 n = world.rng["use"].randint(0, 3)  # 20 beats a second
-                node.group.ledger.add("served", n)
+                node.group.counters.add("served", n)
                 true += n
 
         world.on_use = count
@@ -134,10 +134,10 @@
         )
         for step in range(24):
             world.run(3.0 + step * 0.5)
-            r = nodes[0].group.ledger.read("served", nodes[0].clock(world.now))
+            r = nodes[0].group.counters.read("served", nodes[0].clock(world.now))
             errors.append(true - r.total)
             bounds.append(r.missing)
-            over += not 0 <= errors[-1] <= r.missing + r.untold
+            over += not 0 <= errors[-1] <= r.missing + r.lost
     print(
         f"{len(errors)} readings: true error p50 {statistics.median(errors):.0f}, at the most {max(errors)}; "
         f"stated bound p50 {statistics.median(bounds):.0f}, at the most {max(bounds)}; {over} outside"
--- a/benchmarks/slopes/state.py
+++ b/benchmarks/slopes/state.py
@@ -159,22 +159,24 @@
 def _answer(kind: str, size: int) -> Measures:
     """An answer of a member to a ping, where so many names were counted at it and at each of four others."""
     from ochrehoist.peers import wire
-    from ochrehoist.peers.counts import Ledger
+    from ochrehoist.peers.counters import ReplicatedCounters
     from ochrehoist.peers.wire import Ack, Incarnation, Message
 
-    def ledger(number: int) -> Any:
-        out = Ledger(Incarnation(f"worker-{number:04}", 1_700_000_000_000, 1 << 61), 3000)
+    def counters(number: int) -> Any:
+        out = ReplicatedCounters(Incarnation(f"worker-{number:04}", 1_700_000_000_000, 1 << 61), 3000)
         for n in range(size):
             out.add(f"{kind}/{kind}-{n:06}/answered", 1000 + n)
         return out
 
-    mine = ledger(1)
+    mine = counters(1)
     for number in range(2, 6):
-        mine.learn(ledger(number).to_tell(0.0)[0], 0, 0)
+        mine.merge_snapshot(counters(number).snapshots(0.0)[0], 0, 0)
 
     def told() -> bytes:
-        ack = Ack(1 << 61, "", [], [], mine.to_tell(1.0))
-        return wire._encode(Message("group", mine.life, "worker-0002", mine.life.number, 7, [ack]))
+        ack = Ack(1 << 61, "", [], [], mine.snapshots(1.0))
+        return wire._encode(
+            Message("group", mine.incarnation, "worker-0002", mine.incarnation.number, 7, [ack])
+        )
 
     return {"answer_bytes": 2 + 16 + 1 + len(told()), "told_us": cpu_us(told)}
 
@@ -251,7 +253,7 @@
             status=status,
         )
         for life in range(lives):
-            group.ledger.learn(
+            group.counters.merge_snapshot(
                 CounterSnapshot(
                     Incarnation(name, 1 + life, k),
                     1,
--- a/ochrehoist/lab/hollow.py
+++ b/ochrehoist/lab/hollow.py
@@ -437,7 +437,7 @@
                     0.0,
                     now,
                 )
-                g.ledger.learn(CounterSnapshot(who, 0, age, False, {}), 0.0, now)
+                g.counters.merge_snapshot(CounterSnapshot(who, 0, age, False, {}), 0.0, now)
             m.gossip.remaining.clear()
             m.established, m.last_ack_at = True, now
         return {"refused": refused}
--- a/ochrehoist/net/peers.py
+++ b/ochrehoist/net/peers.py
@@ -243,9 +243,9 @@
     def answered(self, request: InboundRequest, figure: str | None, backoff: int) -> None:
         if figure is not None:
             word = figure.removesuffix("_total")
-            self.group.ledger.add(f"class/{request.cls.name}/{word}")
+            self.group.counters.add(f"class/{request.cls.name}/{word}")
             if request.tenant is not None:
-                self.group.ledger.add(f"tenant/{request.tenant}/{word}")
+                self.group.counters.add(f"tenant/{request.tenant}/{word}")
 
     # ---- the listener of the core
     def health_changed(self, good: bool) -> None:
--- /dev/null
+++ b/ochrehoist/peers/counter_encoding.py
@@ -0,0 +1,86 @@
+"""How counters are cut to what fits into an answer: bounded in bytes, in the order of their keys. No I/O."""
+
+from bisect import bisect_right
+from collections.abc import Mapping, Sequence
+
+from ochrehoist.peers.counter_replica import CounterReplica
+from ochrehoist.peers.own_counters import OwnCounters
+from ochrehoist.peers.wire import CounterCursor, CounterDelta, CounterSnapshot
+
+MAX_DELTA_BYTES = 1536  # of all deltas in an answer,
+MAX_OWN_BYTES = 1024  # and of its own incarnation's: those that ended are told by others alone
+MAX_SNAPSHOT_BYTES = 12_288  # of snapshots in an answer to a member of an older release
+HEADER_BYTES = 72  # of a delta or snapshot without its name and its keys, at the most
+ENTRY_BYTES = 12  # of a key's length and its count, at the most
+
+
+def age_ms(span_s: float) -> int:
+    """A span in ms, rounded up."""
+    return max(0, int(span_s * 1000) + 1)
+
+
+def _entry_size(key: str) -> int:
+    return len(key.encode()) + ENTRY_BYTES
+
+
+def _header_size(delta: CounterDelta) -> int:
+    texts = (delta.incarnation.name, delta.after_key, delta.up_to_key)
+    return HEADER_BYTES + sum(len(text.encode()) for text in texts)
+
+
+def max_snapshot_size(snapshot: CounterSnapshot) -> int:
+    """Upper bound of the encoded size of a snapshot in bytes."""
+    name_size = len(snapshot.incarnation.name.encode())
+    return HEADER_BYTES + name_size + sum(_entry_size(key) for key in snapshot.counts)
+
+
+class DeltaWriter:
+    """Collects the deltas of one answer, as far as they fit."""
+
+    def __init__(self) -> None:
+        self.deltas: list[CounterDelta] = []
+        self._free_bytes = MAX_DELTA_BYTES
+
+    def write_own(self, delta: CounterDelta, own: OwnCounters) -> None:
+        """Adds the counters of the answering incarnation that changed since the delta's version."""
+        free = _fill(delta, own.counts, own.sorted_keys(), own.changed_at_version, MAX_OWN_BYTES)
+        self._free_bytes = MAX_DELTA_BYTES - MAX_OWN_BYTES + free
+        self.deltas.append(delta)
+
+    def write_replica(
+        self, delta: CounterDelta, replica: CounterReplica, cursor: CounterCursor | None
+    ) -> None:
+        """Adds the counters of another incarnation where the cursor asks for them, else its version only."""
+        if cursor is not None and cursor.version < replica.version:
+            delta.since_version = 0
+            delta.after_key = cursor.after_key
+            free = _fill(delta, replica.counts, replica.sorted_keys(), None, self._free_bytes)
+        else:
+            free = self._free_bytes - _header_size(delta)
+        if free >= 0:
+            self._free_bytes = free
+            self.deltas.append(delta)
+
+
+def _fill(
+    delta: CounterDelta,
+    counts: Mapping[str, int],
+    sorted_keys: Sequence[str],
+    changed_at_version: Mapping[str, int] | None,
+    max_bytes: int,
+) -> int:
+    """Adds counts to a delta and notes up to which key.
+
+    Returns the bytes that are left after it, negative where there is no room for the next key.
+    """
+    free = max_bytes - _header_size(delta)
+    for index in range(bisect_right(sorted_keys, delta.after_key), len(sorted_keys)):
+        key = sorted_keys[index]
+        if changed_at_version is not None and changed_at_version[key] <= delta.since_version:
+            continue
+        if _entry_size(key) + len(key.encode()) > free:  # it may be `up_to_key` as well
+            delta.up_to_key = next(reversed(delta.counts), "")
+            return free - len(delta.up_to_key.encode()) if delta.up_to_key else -1
+        delta.counts[key] = counts[key]
+        free -= _entry_size(key)
+    return free
--- /dev/null
+++ b/ochrehoist/peers/counters.py
@@ -0,0 +1,272 @@
+"""Replicated grow-only counters: each incarnation counts for itself, and its counts only grow.
+
+Nothing is counted twice, and what is missing is bounded by the age of what was received. What is sent at
+once is bounded in bytes, so a replica may arrive in parts (`counter_encoding`): in the order of its keys,
+each part all that changed in its range. Who asks names the version that it has all of and the key that it has
+come to; the answer continues from there. A part that is lost is asked for again, and who answers keeps
+nothing of who asked. No I/O; times in seconds.
+"""
+
+from collections import Counter
+from collections.abc import Mapping, Sequence
+
+from ochrehoist.peers.budget import CLOCK_DRIFT
+from ochrehoist.peers.counter_encoding import (
+    MAX_SNAPSHOT_BYTES,
+    DeltaWriter,
+    age_ms,
+    max_snapshot_size,
+)
+from ochrehoist.peers.counter_replica import CounterReading, CounterReplica
+from ochrehoist.peers.own_counters import MAX_KEYS, OwnCounters
+from ochrehoist.peers.wire import CounterCursor, CounterDelta, CounterSnapshot, Incarnation
+
+MAX_INCARNATIONS = 16  # of one name whose counters are kept apart; older ones are added up
+MAX_OTHERS_SENT = 4  # incarnations of others in an answer
+ROUNDING_UP = 0.999  # readings of a bound are whole numbers, rounded up
+
+
+class ReplicatedCounters:
+    """The counters of this incarnation and its replicas of all others'.
+
+    `max_rate_per_s` is the most that one worker can count in a second, of all keys together: the bound of
+    what is missing rests on it. `started_at` is when this incarnation had counted nothing, None if unknown.
+    """
+
+    def __init__(
+        self, incarnation: Incarnation, max_rate_per_s: float, started_at: float | None = None
+    ) -> None:
+        self.incarnation = incarnation
+        self.max_rate_per_s = max_rate_per_s
+        self.own = OwnCounters()
+        self.replicas: dict[Incarnation, CounterReplica] = {}
+        self.incomplete: dict[Incarnation, None] = {}  # replicas of which further parts are to arrive
+        self.folded_counts: dict[str, Counter[str]] = {}  # by name, of old incarnations added up
+        self._started_at = started_at
+        self._last_folded: dict[str, tuple[int, int]] = {}  # by name: number and boot id
+        self._by_number: dict[tuple[str, int], Incarnation] = {}  # of the replicas
+        self._cursor_turn = 0
+        self._send_turn = 0
+
+    def add(self, key: str, count: int = 1) -> None:
+        """Counts `key`, which reads kind/name/word."""
+        self.own.add(key, count)
+
+    # ---- what is received
+    def merge_snapshot(
+        self, snapshot: CounterSnapshot, round_trip_s: float, now: float, is_present: bool = False
+    ) -> None:
+        """Merges a whole snapshot, of a member of an older release.
+
+        `is_present`: the incarnation is known to be there, whoever says that it ended.
+        """
+        if not self._accepts(snapshot.incarnation, len(snapshot.counts)):
+            return
+        as_of = now - round_trip_s - max(0, snapshot.age_ms) / 1000
+        replica = self.replicas.get(snapshot.incarnation)
+        if replica is None:
+            replica = CounterReplica(dict(snapshot.counts), snapshot.version, as_of)
+            self._add_replica(snapshot.incarnation, replica)
+        elif snapshot.version >= replica.version:  # an earlier one adds nothing
+            replica.merge(snapshot.counts)
+            replica.complete(snapshot.version, as_of)
+            self._track_incomplete(snapshot.incarnation, replica)
+        replica.ended = replica.ended or (snapshot.ended and not is_present)
+
+    def merge_delta(
+        self, delta: CounterDelta, round_trip_s: float, now: float, is_present: bool = False
+    ) -> None:
+        """Merges a part; `is_present` as for `merge_snapshot`."""
+        if not self._accepts(delta.incarnation, len(delta.counts)):
+            return
+        as_of = now - round_trip_s - max(0, delta.age_ms) / 1000
+        replica = self.replicas.get(delta.incarnation)
+        if replica is None:
+            replica = self._empty_replica(delta, round_trip_s, now)
+            self._add_replica(delta.incarnation, replica)
+        replica.ended = replica.ended or (delta.ended and not is_present)
+        replica.merge(delta.counts)
+        if delta.since_version <= replica.version:  # else it leaves out what is not known here
+            replica.advance(delta, as_of)
+            self._track_incomplete(delta.incarnation, replica)
+
+    @staticmethod
+    def _empty_replica(delta: CounterDelta, round_trip_s: float, now: float) -> CounterReplica:
+        """A replica of the beginning, so that what is missing is bounded from the first part on."""
+        if delta.started_ms_ago < 0:
+            return CounterReplica({}, 0, None)
+        started_at = now - round_trip_s - delta.started_ms_ago / 1000 * (1 + CLOCK_DRIFT)
+        return CounterReplica({}, 0, started_at, started_at=started_at)
+
+    def _accepts(self, incarnation: Incarnation, key_count: int) -> bool:
+        folded = self._last_folded.get(incarnation.name, (-1, -1))
+        is_folded = (incarnation.number, incarnation.boot_id) <= folded
+        return incarnation != self.incarnation and not is_folded and key_count <= MAX_KEYS
+
+    def _add_replica(self, incarnation: Incarnation, replica: CounterReplica) -> None:
+        self.replicas[incarnation] = replica
+        self._by_number[incarnation.name, incarnation.number] = incarnation
+        self._fold_oldest(incarnation.name)
+
+    def _fold_oldest(self, name: str) -> None:
+        """Adds up the counts of all but the latest incarnations of a name."""
+        of_name = (incarnation for incarnation in self.replicas if incarnation.name == name)
+        oldest_first = sorted(of_name, key=lambda incarnation: (incarnation.number, incarnation.boot_id))
+        for incarnation in oldest_first[:-MAX_INCARNATIONS]:
+            counts = self.replicas.pop(incarnation).counts
+            self.folded_counts.setdefault(name, Counter()).update(counts)
+            self._by_number.pop((incarnation.name, incarnation.number), None)
+            self.incomplete.pop(incarnation, None)
+            self._last_folded[name] = incarnation.number, incarnation.boot_id
+
+    def _track_incomplete(self, incarnation: Incarnation, replica: CounterReplica) -> None:
+        if replica.complete_up_to:
+            self.incomplete[incarnation] = None
+        else:
+            self.incomplete.pop(incarnation, None)
+
+    def mark_ended(self, incarnation: Incarnation) -> None:
+        """It counts no more: what is missing of it stays as it is."""
+        replica = self.replicas.get(incarnation)
+        if replica is not None:
+            replica.ended = True
+
+    def mark_present(self, incarnation: Incarnation) -> None:
+        """It was believed to have ended, and is there."""
+        replica = self.replicas.get(incarnation)
+        if replica is not None:
+            replica.ended = False
+
+    # ---- what is known
+    def read(
+        self, key: str, now: float, ended_at: Mapping[Incarnation, float] | None = None
+    ) -> CounterReading:
+        """The total of a key and its bounds; `ended_at`: when incarnations were found to have ended."""
+        total = self.own.counts[key]
+        for folded in self.folded_counts.values():
+            total += folded[key]
+        age_s = missing = lost = 0.0
+        for incarnation, replica in self.replicas.items():
+            if replica.as_of is None:
+                continue  # bounded by nothing yet, like one that is not known at all
+            total += replica.counts.get(key, 0)
+            until = (ended_at or {}).get(incarnation, now)
+            unknown_s = max(0.0, until - replica.as_of)
+            if replica.ended:
+                lost += unknown_s * self.max_rate_per_s
+            else:
+                age_s = max(age_s, now - replica.as_of)
+                missing += unknown_s * self.max_rate_per_s
+        return CounterReading(total, age_s, int(missing + ROUNDING_UP), int(lost + ROUNDING_UP))
+
+    def keys(self) -> list[str]:
+        """All keys that were ever counted, sorted."""
+        keys = set(self.own.counts)
+        for replica in self.replicas.values():
+            keys |= replica.counts.keys()
+        for folded in self.folded_counts.values():
+            keys |= folded.keys()
+        return sorted(keys)
+
+    # ---- what is sent
+    def cursors_for(self, name: str, number: int) -> list[CounterCursor]:
+        """For a ping to this incarnation: how far its counters are known, and in turn those of others."""
+        target = self._by_number.get((name, number))
+        wanted = [target] if target is not None else []
+        cursors = [CounterCursor(name, number, 0, "")] if target is None else []
+        self._cursor_turn += 1
+        for candidates in (list(self.incomplete), list(self.replicas)):
+            if candidates:
+                wanted.append(candidates[self._cursor_turn % len(candidates)])
+        for incarnation in dict.fromkeys(wanted):
+            replica = self.replicas[incarnation]
+            cursors.append(
+                CounterCursor(incarnation.name, incarnation.number, replica.version, replica.complete_up_to)
+            )
+        return cursors
+
+    def deltas_for(self, cursors: Sequence[CounterCursor], now: float) -> list[CounterDelta]:
+        """Answers the cursors of a ping, bounded in bytes.
+
+        With this incarnation's counters, those of others that were asked for, and the known versions of some
+        further ones.
+        """
+        by_number = {(cursor.name, cursor.number): cursor for cursor in cursors[:MAX_OTHERS_SENT]}
+        own_cursor = by_number.pop((self.incarnation.name, self.incarnation.number), None)
+        writer = DeltaWriter()
+        writer.write_own(self._own_delta(own_cursor, now), self.own)
+        wanted = [self._by_number[key] for key in by_number if key in self._by_number]
+        others = dict.fromkeys(wanted + self._next_others(MAX_OTHERS_SENT - len(wanted)))
+        for incarnation in others:
+            replica = self.replicas[incarnation]
+            if replica.as_of is None:
+                continue
+            cursor = by_number.get((incarnation.name, incarnation.number))
+            delta = self._replica_delta(incarnation, replica, replica.as_of, now)
+            writer.write_replica(delta, replica, cursor)
+        return writer.deltas
+
+    def _own_delta(self, cursor: CounterCursor | None, now: float) -> CounterDelta:
+        since_version = min(cursor.version, self.own.version) if cursor is not None else 0
+        return CounterDelta(
+            self.incarnation,
+            since_version,
+            cursor.after_key if cursor is not None else "",
+            "",
+            self.own.version,
+            0,
+            False,
+            -1 if self._started_at is None else age_ms(now - self._started_at),
+            {},
+        )
+
+    @staticmethod
+    def _replica_delta(
+        incarnation: Incarnation, replica: CounterReplica, as_of: float, now: float
+    ) -> CounterDelta:
+        started_ms_ago = -1 if replica.started_at is None else age_ms(now - replica.started_at)
+        return CounterDelta(
+            incarnation,
+            replica.version,
+            "",
+            "",
+            replica.version,
+            age_ms(now - as_of),
+            replica.ended,
+            started_ms_ago,
+            {},
+        )
+
+    def _next_others(self, count: int) -> list[Incarnation]:
+        incarnations = list(self.replicas)
+        selected = []
+        for _ in range(min(count, len(incarnations))):
+            self._send_turn += 1
+            selected.append(incarnations[self._send_turn % len(incarnations)])
+        return selected
+
+    def snapshots(self, now: float, max_bytes: int = MAX_SNAPSHOT_BYTES) -> list[CounterSnapshot]:
+        """For a member of an older release: whole snapshots, this incarnation's first, as far as they fit.
+
+        Of what does not fit that member learns nothing, and its bound of what is missing grows.
+        """
+        own = CounterSnapshot(self.incarnation, self.own.version, 0, False, dict(self.own.counts))
+        selected = []
+        for snapshot in [own, *self._replica_snapshots(now)]:
+            size = max_snapshot_size(snapshot)
+            if size <= max_bytes:
+                max_bytes -= size
+                selected.append(snapshot)
+        return selected
+
+    def _replica_snapshots(self, now: float) -> list[CounterSnapshot]:
+        snapshots = []
+        for incarnation in self._next_others(MAX_OTHERS_SENT):
+            replica = self.replicas[incarnation]
+            if replica.as_of is None or replica.complete_up_to:
+                continue  # not all of one version
+            age = age_ms(now - replica.as_of)
+            snapshots.append(
+                CounterSnapshot(incarnation, replica.version, age, replica.ended, replica.counts)
+            )
+        return snapshots
--- a/ochrehoist/peers/group.py
+++ b/ochrehoist/peers/group.py
@@ -11,7 +11,8 @@
 from typing import Protocol
 
 from ochrehoist.peers.budget import Budget
-from ochrehoist.peers.counts import WHOLE_BYTES, Ledger
+from ochrehoist.peers.counter_encoding import MAX_SNAPSHOT_BYTES
+from ochrehoist.peers.counters import ReplicatedCounters
 from ochrehoist.peers.lease_assignment import PeerDemand, choose_transfer, slot_mask, slots_to_request
 from ochrehoist.peers.leases import LeaseGrantor, LeaseHolder
 from ochrehoist.peers.membership import Membership
@@ -119,7 +120,7 @@
         self.members = Membership(
             life, terms.address, terms.site, self._others(terms), terms.period, now, seed
         )
-        self.ledger = Ledger(life, terms.most_per_s, now)
+        self.counters = ReplicatedCounters(life, terms.most_per_s, now)
         self.judge = Judge(terms.services, terms.most_out, seed)
         self.judge.hearsay = self.hearsay
         self.judge.fleet = self._size
@@ -173,7 +174,7 @@
         self.terms = terms
         self.members.addresses, self.members.protocol_period_s = self._others(terms), terms.period
         self.members.site = terms.site
-        self.ledger.most_per_s = terms.most_per_s
+        self.counters.max_rate_per_s = terms.most_per_s
         self.judge.configure(terms.services)
         self.judge.most_out = terms.most_out
         self._take_budgets(terms.budgets, now)
@@ -184,7 +185,7 @@
         out: list[Send] = []
         m = self.members
         self.judge.beat(now, REACT_S)
-        self.ledger.life = m.incarnation
+        self.counters.incarnation = m.incarnation
         if m.duplicate is not None and m.duplicate_followed and not self.yielded:
             self.yielded = True
             out += self._give_all_back()
@@ -222,19 +223,19 @@
         for m in self.members.members.values():
             if m.state in (MemberState.DEAD, MemberState.LEFT) and m.incarnation not in self.ended_at:
                 self.ended_at[m.incarnation] = m.state_since
-                self.ledger.end(m.incarnation)
+                self.counters.mark_ended(m.incarnation)
             elif m.is_present and m.incarnation in self.ended_at:  # it was called dead, and is there
                 del self.ended_at[m.incarnation]
-                self.ledger.go_on(m.incarnation)
+                self.counters.mark_present(m.incarnation)
         current = {m.incarnation.name: m.incarnation for m in self.members.members.values()}
-        for life, book in self.ledger.books.items():
+        for life, book in self.counters.replicas.items():
             if not book.ended and life.name in current and current[life.name].supersedes(life):
                 self.ended_at.setdefault(life, now)
                 book.ended = True
         for life in [
             x
             for x in self.ended_at
-            if x not in self.ledger.books and (x.name not in current or current[x.name] != x)
+            if x not in self.counters.replicas and (x.name not in current or current[x.name] != x)
         ]:
             del self.ended_at[life]
 
@@ -268,7 +269,7 @@
         members = self.members.members
         names = list(members) if len(members) <= KNOW else self.rng.sample(list(members), KNOW)
         know = [KnownVersion(n, members[n].incarnation.number, members[n].version) for n in names]
-        asks = self.ledger.asks(to, self.members.incarnation_number_of(to))
+        asks = self.counters.cursors_for(to, self.members.incarnation_number_of(to))
         return Ping(nonce, know, self.members.select_gossip(self._me(), to), asks)
 
     def _to(self, name: str, items: list[Payload]) -> list[Send]:
@@ -377,9 +378,9 @@
         ack = Ack(item.nonce, "", entries, rumours)
         if self.members.established and item.cursors is None:
             rest = MAX_DATAGRAM_BYTES - FRAME_BYTES - sum(e.max_size() for e in (*entries, *rumours))
-            ack.snapshots = self.ledger.to_tell(now, min(rest, WHOLE_BYTES))
+            ack.snapshots = self.counters.snapshots(now, min(rest, MAX_SNAPSHOT_BYTES))
         elif self.members.established:
-            ack.deltas = self.ledger.parts(item.cursors, now)
+            ack.deltas = self.counters.deltas_for(item.cursors, now)
         return self._to(sender.name, [ack])
 
     def _acked(self, item: Ack, sender: Incarnation, now: float) -> list[Send]:
@@ -402,9 +403,9 @@
                 self.members.apply_gossip(e, sender.name, now)
             self.members.apply_status(e, lag, now)
         for t in item.snapshots:
-            self.ledger.learn(t, lag, now, self._is_here(t.incarnation))
+            self.counters.merge_snapshot(t, lag, now, self._is_here(t.incarnation))
         for p in item.deltas:
-            self.ledger.learn_part(p, lag, now, self._is_here(p.incarnation))
+            self.counters.merge_delta(p, lag, now, self._is_here(p.incarnation))
         return []
 
     def _is_here(self, life: Incarnation) -> bool:
--- a/ochrehoist/peers/view.py
+++ b/ochrehoist/peers/view.py
@@ -34,9 +34,9 @@
         },
         "budgets": {name: _of_budget(share, now) for name, share in group.shares.items()},
         "counts": {
-            key: {"total": r.total, "age_s": round(r.age_s, 2), "missing": r.missing, "untold": r.untold}
-            for key in group.ledger.keys()
-            for r in (group.ledger.read(key, now, group.ended_at),)
+            key: {"total": r.total, "age_s": round(r.age_s, 2), "missing": r.missing, "untold": r.lost}
+            for key in group.counters.keys()
+            for r in (group.counters.read(key, now, group.ended_at),)
         },
         "services": group.judge.view(now),
         "judged": group.judge.history(now),
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -22,7 +22,7 @@
 from ochrehoist.core.tenants import SPARE, changed, compact, first
 from ochrehoist.net.peers import FleetTenant
 from ochrehoist.peers import wire
-from ochrehoist.peers.counts import Ledger
+from ochrehoist.peers.counters import ReplicatedCounters
 from ochrehoist.peers.wire import Incarnation, Message
 from ochrehoist.sites.order import MOST_TOLD, Order
 
@@ -244,21 +244,21 @@
             self.assertGreaterEqual(tenant.quota_per_s, 0.0)
 
     def test_a_message_of_counts_fits_a_datagram_however_many_tenants_were_answered(self):
-        ledgers = [Ledger(Incarnation(f"n{n}", 1, n), 100.0) for n in range(6)]
-        for ledger in ledgers:
+        all_counters = [ReplicatedCounters(Incarnation(f"n{n}", 1, n), 100.0) for n in range(6)]
+        for counters in all_counters:
             for n in range(58_000):
-                ledger.add(f"tenant/tenant-{n:06d}/answered")
+                counters.add(f"tenant/tenant-{n:06d}/answered")
             for cls in ("read", "filing"):
-                ledger.add(f"class/{cls}/answered", 7)
-        me = ledgers[0]
-        for other in ledgers[1:]:
-            for tally in other.to_tell(1.0)[:1]:
-                me.learn(tally, 0.0, 1.0)
-        told = me.to_tell(2.0)
+                counters.add(f"class/{cls}/answered", 7)
+        me = all_counters[0]
+        for other in all_counters[1:]:
+            for tally in other.snapshots(1.0)[:1]:
+                me.merge_snapshot(tally, 0.0, 1.0)
+        told = me.snapshots(2.0)
         self.assertEqual(len(told), 5)
-        size = len(wire.encode_datagram(Message("g", me.life, "n1", 1, 1, told), b"s" * 16))
+        size = len(wire.encode_datagram(Message("g", me.incarnation, "n1", 1, 1, told), b"s" * 16))
         self.assertLess(size, wire.MAX_DATAGRAM_BYTES - 2000)  # and what else is in an answer
-        self.assertEqual(sum(me.own.values()), 58_014)
+        self.assertEqual(sum(me.own.counts.values()), 58_014)
         self.assertEqual(me.read("class/read/answered", 2.0).total, 42)
 
     def test_of_tenants_rates_the_nearest_to_their_share_are_told_and_the_quiet_forgotten(self):
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -20,7 +20,7 @@
 from ochrehoist.core.results import RunResult
 from ochrehoist.net.members import Members
 from ochrehoist.peers import wire
-from ochrehoist.peers.counts import Ledger
+from ochrehoist.peers.counters import ReplicatedCounters
 from ochrehoist.store.backlog import Begin, Drop, End, net
 from ochrehoist.store.records import Begun, Finished, key_of, pack
 
@@ -248,18 +248,18 @@
 
 
 class BetweenMembers(unittest.TestCase):
-    def _ledger(self, number, tenants):
-        ledger = Ledger(wire.Incarnation(f"worker-{number:04}", 1 << 40, 1 << 61), 3000)
+    def _counters(self, number, tenants):
+        counters = ReplicatedCounters(wire.Incarnation(f"worker-{number:04}", 1 << 40, 1 << 61), 3000)
         for n in range(tenants):
             for word in ("answered", "deferred", "errored"):
-                ledger.add(f"tenant/tenant-{n:06}/{word}", 1000)
-        return ledger
+                counters.add(f"tenant/tenant-{n:06}/{word}", 1000)
+        return counters
 
     def _answer(self, tenants, members):
-        mine = self._ledger(1, tenants)
+        mine = self._counters(1, tenants)
         for n in range(members):
-            mine.learn(self._ledger(n + 2, tenants).to_tell(0.0)[0], 0, 0)
-        return len(wire._encode([wire.Ack(1 << 61, "", [], [], mine.to_tell(1.0))]))
+            mine.merge_snapshot(self._counters(n + 2, tenants).snapshots(0.0)[0], 0, 0)
+        return len(wire._encode([wire.Ack(1 << 61, "", [], [], mine.snapshots(1.0))]))
 
     def test_counts_in_an_answer_do_not_grow_with_the_fleet(self):
         self.assertEqual(len({self._answer(10, n) for n in (4, 100, 400)}), 1)
--- a/tests/test_growth_messages.py
+++ b/tests/test_growth_messages.py
@@ -60,8 +60,8 @@
         g.seen,
         g.decoded,
         g.ended_at,
-        g.ledger.books,
-        g.ledger.past,
+        g.counters.replicas,
+        g.counters.folded_counts,
         g.hellos,
         g.helping,
     )
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -11,7 +11,7 @@
 from ochrehoist.lab.virtual import World
 from ochrehoist.peers import lease_assignment, services, wire
 from ochrehoist.peers.budget import CLOCK_DRIFT, GRANT_GUARD_S, RATE_WINDOW_S, Budget
-from ochrehoist.peers.counts import LIVES, Ledger
+from ochrehoist.peers.counters import MAX_INCARNATIONS, ReplicatedCounters
 from ochrehoist.peers.group import Group, Terms
 from ochrehoist.peers.leases import LeaseGrantor, LeaseHolder
 from ochrehoist.peers.membership import Membership
@@ -310,40 +310,40 @@
 
 class Counts(unittest.TestCase):
     def test_what_comes_twice_or_late_is_counted_once(self):
-        ledger = Ledger(A, 100.0)
-        ledger.add("served", 5)
+        counters = ReplicatedCounters(A, 100.0)
+        counters.add("served", 5)
         for version, n in ((2, 7), (1, 4), (2, 7)):
-            ledger.learn(CounterSnapshot(B, version, 0, False, {"served": n}), 0.0, 10.0)
-        self.assertEqual(ledger.read("served", 10.0).total, 12)
+            counters.merge_snapshot(CounterSnapshot(B, version, 0, False, {"served": n}), 0.0, 10.0)
+        self.assertEqual(counters.read("served", 10.0).total, 12)
 
     @given(st.lists(st.tuples(st.integers(0, 2), st.integers(0, 30), st.integers(0, 5)), max_size=60))
     def test_the_truth_is_within_the_bound_whatever_is_lost_or_late(self, steps):
         """Three count at most as much as they may; some of what they tell comes, late and out of order."""
         true, told, now = [0, 0, 0], [], 0.0
-        ledger = Ledger(A, 10.0)
+        counters = ReplicatedCounters(A, 10.0)
         lives = [Incarnation(f"m{n}", 1, 1) for n in range(3)]
         for life in lives:
-            ledger.learn(CounterSnapshot(life, 0, 0, False, {}), 0.0, now)
+            counters.merge_snapshot(CounterSnapshot(life, 0, 0, False, {}), 0.0, now)
         for who, pick, n in steps:
             now += 0.5
             true[who] += n
             told.append((now, who, true[who]))
             if pick < len(told):
                 at, w, total = told[pick]
-                ledger.learn(
+                counters.merge_snapshot(
                     CounterSnapshot(lives[w], int(at * 2) + 1, 0, False, {"k": total}), now - at, now
                 )
-            r = ledger.read("k", now)
+            r = counters.read("k", now)
             self.assertLessEqual(r.total, sum(true))
             self.assertLessEqual(sum(true), r.total + r.missing)
 
     def test_lives_that_ended_are_added_up_and_never_told_anew(self):
-        ledger = Ledger(A, 10.0)
-        for inc in range(LIVES + 5):
-            ledger.learn(CounterSnapshot(Incarnation("b", inc, 1), 1, 0, True, {"k": 1}), 0.0, 1.0)
-        for inc in range(LIVES + 5):
-            ledger.learn(CounterSnapshot(Incarnation("b", inc, 1), 1, 0, True, {"k": 1}), 0.0, 2.0)
-        self.assertEqual(ledger.read("k", 2.0).total, LIVES + 5)
+        counters = ReplicatedCounters(A, 10.0)
+        for inc in range(MAX_INCARNATIONS + 5):
+            counters.merge_snapshot(CounterSnapshot(Incarnation("b", inc, 1), 1, 0, True, {"k": 1}), 0.0, 1.0)
+        for inc in range(MAX_INCARNATIONS + 5):
+            counters.merge_snapshot(CounterSnapshot(Incarnation("b", inc, 1), 1, 0, True, {"k": 1}), 0.0, 2.0)
+        self.assertEqual(counters.read("k", 2.0).total, MAX_INCARNATIONS + 5)
 
 
 class Judgements(unittest.TestCase):
@@ -499,10 +499,10 @@
         world.run(3.0)
         for n, node in enumerate(nodes):
             self.assertEqual(len(node.group.members.live_names()), 7)
-            node.group.ledger.add("served", n + 1)
+            node.group.counters.add("served", n + 1)
         world.run(5.0)
         for node in nodes:
-            r = node.group.ledger.read("served", node.clock(world.now))
+            r = node.group.counters.read("served", node.clock(world.now))
             self.assertEqual(r.total, 36)
             self.assertLess(r.age_s, 4.0)
 
