--- a/ochrehoist/net/peers.py
+++ b/ochrehoist/net/peers.py
@@ -21,7 +21,7 @@
 from ochrehoist.peers.budget import Budget
 from ochrehoist.peers.group import Group, Send, Terms
 from ochrehoist.peers.view import told
-from ochrehoist.peers.wire import Incarnation, Message
+from ochrehoist.peers.wire import HealthStatus, Incarnation, Message
 
 BEAT_S = 0.05
 AT_ONCE = 64  # datagrams read in one turn of the loop: a flood must leave time for requests
@@ -203,7 +203,7 @@
         alone = m.isolated_for_s(now) is not None
         news: dict[str, Any] = {"alone": alone, "duplicate": m.duplicate is not None}
         news |= {f"member {n}": x.state for n, x in m.members.items()}
-        news |= {f"service {n}": s.standing for n, s in self.group.judge.services.items()}
+        news |= {f"service {n}": s.ejection for n, s in self.group.outliers.services.items()}
         for what, value in news.items():
             before = self.said.get(what)
             if before == value or (before is None and value in (False, "alive", "in")):
@@ -217,8 +217,8 @@
             elif what == "alone":
                 self.log.warning("no peer is heard" if value else "peers are heard again")
             elif what.startswith("service"):
-                s = self.group.judge.services[what[8:]]
-                self.log.warning("judgement on a server", server=what[8:], standing=value, why=s.why)
+                s = self.group.outliers.services[what[8:]]
+                self.log.warning("judgement on a server", server=what[8:], standing=value, why=s.reason)
             else:
                 self.log.warning("member", member=what[7:], state=value)
         self.said = news
@@ -276,7 +276,7 @@
 
     # ---- what the AJP servers' executor asks
     def order(self, busy: Mapping[str, int]) -> list[str]:
-        return self.group.judge.order(busy, time.monotonic())
+        return self.group.outliers.rank_services(busy, time.monotonic())
 
     def began(self, server: str, cls: str) -> int | None:
         """A ticket, or None where the budget of that server gives none."""
@@ -287,14 +287,14 @@
                 return None
         self.tickets += 1
         self.open[self.tickets] = server, budget, ticket
-        self.group.judge.began(server, self.tickets, cls, now)
+        self.group.outliers.call_started(server, self.tickets, cls, now)
         return self.tickets
 
     def ended(self, ticket: int, verdict: str) -> None:
         server, budget, used = self.open.pop(ticket)
         if budget is not None and used is not None:
             self.group.done(budget, used)
-        self.group.judge.ended(server, ticket, verdict, time.monotonic())
+        self.group.outliers.call_completed(server, ticket, HealthStatus(verdict), time.monotonic())
 
     def longest(self, server: str) -> float | None:
         """s that a run at this server may take, where a budget of runs counts on it."""
@@ -338,6 +338,6 @@
             (f'{{budget="{name}"}}', share.meter.denied_count) for name, share in g.shares.items()
         ]
         values["app_server_left_out"] = [
-            (f'{{server="{n}"}}', int(s.standing in ("out", "trial"))) for n, s in g.judge.services.items()
+            (f'{{server="{n}"}}', int(s.is_ejected)) for n, s in g.outliers.services.items()
         ]
         return counted(values)
--- a/ochrehoist/peers/group.py
+++ b/ochrehoist/peers/group.py
@@ -16,7 +16,8 @@
 from ochrehoist.peers.lease_assignment import PeerDemand, choose_transfer, slot_mask, slots_to_request
 from ochrehoist.peers.leases import LeaseGrantor, LeaseHolder
 from ochrehoist.peers.membership import Membership
-from ochrehoist.peers.services import Judge
+from ochrehoist.peers.outlier_detection import OutlierDetector
+from ochrehoist.peers.remote_health import RemoteReport
 from ochrehoist.peers.usage import UsageMeter
 from ochrehoist.peers.wire import (
     MAX_DATAGRAM_BYTES,
@@ -24,7 +25,6 @@
     Ack,
     BudgetDemand,
     ExtensionMessage,
-    HealthObservation,
     Hello,
     Incarnation,
     KnownVersion,
@@ -121,9 +121,9 @@
             life, terms.address, terms.site, self._others(terms), terms.period, now, seed
         )
         self.counters = ReplicatedCounters(life, terms.most_per_s, now)
-        self.judge = Judge(terms.services, terms.most_out, seed)
-        self.judge.hearsay = self.hearsay
-        self.judge.fleet = self._size
+        self.outliers = OutlierDetector(
+            terms.services, terms.most_out, seed, remote_reports=self.remote_reports, fleet_size=self._size
+        )
         self.shares: dict[str, Share] = {}
         self.now, self.looked = now, now
         self.seen: dict[Incarnation, ReplayWindow] = {}
@@ -175,8 +175,7 @@
         self.members.addresses, self.members.protocol_period_s = self._others(terms), terms.period
         self.members.site = terms.site
         self.counters.max_rate_per_s = terms.most_per_s
-        self.judge.configure(terms.services)
-        self.judge.most_out = terms.most_out
+        self.outliers.configure(terms.services, terms.most_out)
         self._take_budgets(terms.budgets, now)
 
     # ---- time
@@ -184,14 +183,14 @@
         self.now = now
         out: list[Send] = []
         m = self.members
-        self.judge.beat(now, REACT_S)
+        self.outliers.tick(now, REACT_S)
         self.counters.incarnation = m.incarnation
         if m.duplicate is not None and m.duplicate_followed and not self.yielded:
             self.yielded = True
             out += self._give_all_back()
         if now - self.looked >= REACT_S:
             self.looked = now
-            self.judge.look(now)
+            self.outliers.evaluate(now)
         self._renew_status(now)
         for probe in m.tick(now):
             if probe.indirect:
@@ -249,7 +248,7 @@
             holdings.append(BudgetDemand(name, claimed, demand.wanted, demand.denied))
         more = {name: extension.status(now) for name, extension in self.extensions.items()}
         alone = self.members.isolated_for_s(now) is not None
-        status = WorkerStatus(self.leaving, alone, self.judge.evidence(now), holdings, more)
+        status = WorkerStatus(self.leaving, alone, self.outliers.observations(now), holdings, more)
         self.version += 1
         self.status = encode_status(status)
 
@@ -581,13 +580,13 @@
                 out[name] = self.now - m.status_as_of, status.extensions[topic]
         return out
 
-    def hearsay(self) -> dict[str, tuple[float, list[HealthObservation]]]:
+    def remote_reports(self) -> dict[str, RemoteReport]:
         """What the others have seen of services, with its age."""
         out = {}
         for name, m in self.members.members.items():
             status = self.status_of(name) if m.is_present else None
             if status is not None and status.observations:
-                out[name] = self.now - m.status_as_of, status.observations
+                out[name] = RemoteReport(self.now - m.status_as_of, status.observations)
         return out
 
     # ---- use
--- /dev/null
+++ b/ochrehoist/peers/outlier_detection.py
@@ -0,0 +1,359 @@
+"""Outlier detection: which downstream services are ejected, by own and by remote observations. No I/O; s.
+
+Own fresh observations go before remote ones. Never more than a stated fraction of the services is ejected,
+and where all are unhealthy none is. Each ejection has an end: an ejected service gets single trial calls, and
+then takes its load back in a slow start. Time in which this worker itself stalled counts against no service.
+"""
+
+import math
+from collections import deque
+from collections.abc import Callable, Hashable, Iterable, Mapping
+from dataclasses import dataclass, field
+from enum import StrEnum
+from random import Random
+
+from ochrehoist.peers.remote_health import (
+    REMOTE_MAX_AGE_S,
+    RemoteConsensus,
+    RemoteReports,
+    consensus,
+    is_recovered,
+)
+from ochrehoist.peers.service_health import (
+    UNHEALTHY,
+    CallResult,
+    LatencyBaselines,
+    OpenCall,
+    ServiceSamples,
+    is_conclusive,
+    is_slow,
+)
+from ochrehoist.peers.wire import HealthObservation, HealthStatus
+
+FRESH_OBSERVATION_MS = 700  # for which own healthy observations go before remote ones
+BASE_EJECTION_S = 1.0  # until the first trial; doubled after each trial that fails,
+MAX_EJECTION_S = 8.0  # up to this
+TRIAL_RETRY_S = 0.1  # until the next draw whether this worker tries an ejected service
+TRIAL_TIMEOUT_S = 1.0  # a trial that is slow and takes longer has failed
+TRIALS_TO_RECOVER = 3  # successes in a row
+SLOW_START_FRACTIONS = (0.1, 0.3, 0.6, 1.0)  # of its load, in stages
+SLOW_START_STAGE_S = 0.5
+STALL_S = 0.12  # a longer gap between two ticks means that this worker stalled or starved
+OWN_REASON_SUFFIX = "usual"  # how the reason of an ejection by own observations ends
+MAX_CHANGES = 100  # that are remembered
+
+
+class EjectionState(StrEnum):
+    """Whether a service gets calls; the values are written to `/status`."""
+
+    IN = "in"
+    EJECTED = "out"
+    TRIAL = "trial"  # ejected, and a single call is under way
+    SLOW_START = "back"
+
+
+EJECTED_STATES = frozenset({EjectionState.EJECTED, EjectionState.TRIAL})
+
+
+@dataclass(slots=True, frozen=True)
+class StateChange:
+    """One change of a service's ejection state."""
+
+    at: float
+    service: str
+    state: EjectionState
+    reason: str
+
+
+@dataclass(slots=True, frozen=True)
+class EjectionCandidate:
+    """An unhealthy service; the one of the highest severity is ejected first."""
+
+    severity: float
+    service: str
+    reason: str
+    is_own_observation: bool
+
+
+@dataclass(slots=True)
+class ServiceState:
+    """One service as this worker treats it."""
+
+    samples: ServiceSamples = field(default_factory=ServiceSamples)
+    ejection: EjectionState = EjectionState.IN
+    since: float = 0.0
+    reason: str = ""
+    ejection_s: float = BASE_EJECTION_S
+    trial_ticket: Hashable | None = None
+    successful_trials: int = 0  # in a row
+    trial_count: int = 0
+    slow_start_stage: int = 0
+    ejected_on_remote: bool = False
+
+    @property
+    def is_ejected(self) -> bool:
+        """Whether it gets trial calls only."""
+        return self.ejection in EJECTED_STATES
+
+    @property
+    def load_fraction(self) -> float:
+        """The fraction of its load that it takes during a slow start, else 1."""
+        if self.ejection != EjectionState.SLOW_START:
+            return 1.0
+        return SLOW_START_FRACTIONS[min(self.slow_start_stage, len(SLOW_START_FRACTIONS) - 1)]
+
+
+def _no_reports() -> RemoteReports:
+    return {}
+
+
+def _single_worker() -> int:
+    return 1
+
+
+class OutlierDetector:
+    """Decides which services get calls, and in which order they are tried.
+
+    At most `max_ejected_fraction` of the services is ejected. `remote_reports` gives what other workers
+    observe, `fleet_size` how many workers may be trying an ejected service.
+    """
+
+    def __init__(
+        self,
+        services: Iterable[str],
+        max_ejected_fraction: float,
+        seed: int,
+        remote_reports: Callable[[], RemoteReports] = _no_reports,
+        fleet_size: Callable[[], int] = _single_worker,
+    ) -> None:
+        self.services: dict[str, ServiceState] = {}
+        self.changes: deque[StateChange] = deque(maxlen=MAX_CHANGES)
+        self._baselines = LatencyBaselines()
+        self._remote_reports = remote_reports
+        self._fleet_size = fleet_size
+        self._rng = Random(seed)
+        self._last_tick_at: float | None = None  # None: without ticks nothing is known of stalls
+        self.configure(services, max_ejected_fraction)
+
+    def configure(self, services: Iterable[str], max_ejected_fraction: float) -> None:
+        """Takes new settings; what is known of services that stay is kept."""
+        self.services = {name: self.services.get(name) or ServiceState() for name in services}
+        self._baselines.configure(self.services)
+        self._max_ejected_fraction = max_ejected_fraction
+
+    # ---- what happens
+    def tick(self, now: float, interval_s: float) -> None:
+        """Called each `interval_s` while this worker runs: in what exceeds that, it stalled."""
+        self._discount_stall(now, interval_s)
+        self._last_tick_at = now
+
+    def _discount_stall(self, now: float, interval_s: float = 0.0) -> None:
+        """What a stalled worker did not read is no sign of a slow service."""
+        if self._last_tick_at is None or now - self._last_tick_at < STALL_S:
+            return
+        stalled_s = now - self._last_tick_at - interval_s
+        self._last_tick_at = now
+        for service in self.services.values():
+            service.samples.discount_stall(stalled_s, now)
+
+    def call_started(self, name: str, ticket: Hashable, request_class: str, now: float) -> None:
+        """A call was sent; the first one to an ejected service is its trial."""
+        service = self.services.get(name)
+        if service is None:
+            return
+        self._discount_stall(now)
+        service.samples.open_calls[ticket] = OpenCall(now, request_class)
+        if service.is_ejected and service.trial_ticket is None:
+            service.ejection = EjectionState.TRIAL
+            service.trial_ticket = ticket
+            service.trial_count += 1
+
+    def call_completed(self, name: str, ticket: Hashable, status: HealthStatus, now: float) -> None:
+        """A call has ended; `status` is OK, FAILING (an unusable answer or none) or UNREACHABLE."""
+        service = self.services.get(name)
+        if service is None:
+            return
+        self._discount_stall(now)  # the answer may be read before the first tick after a stall
+        call = service.samples.open_calls.pop(ticket, None) or OpenCall(now, "")
+        latency_s = now - call.started_at
+        baseline_s = self._baselines.baseline_s(call.request_class)
+        service.samples.results.append(CallResult(now, status, latency_s, baseline_s or latency_s))
+        if status == HealthStatus.OK:
+            self._baselines.record(name, call.request_class, latency_s, baseline_s)
+        if service.trial_ticket == ticket:
+            healthy = status == HealthStatus.OK and not is_slow(latency_s, baseline_s)
+            failure = status if status != HealthStatus.OK else HealthStatus.SLOW
+            self._complete_trial(service, name, healthy, failure, now)
+
+    def _complete_trial(
+        self, service: ServiceState, name: str, healthy: bool, failure: HealthStatus, now: float
+    ) -> None:
+        service.trial_ticket = None
+        if not healthy:
+            self._fail_trial(service, name, failure, now)
+            return
+        service.successful_trials += 1
+        if service.successful_trials >= TRIALS_TO_RECOVER:
+            self._begin_slow_start(service, name, "trials went well", now)
+
+    def _fail_trial(self, service: ServiceState, name: str, failure: HealthStatus, now: float) -> None:
+        service.trial_ticket = None
+        service.successful_trials = 0
+        service.ejection_s = min(MAX_EJECTION_S, 2 * service.ejection_s)
+        self._change_state(service, name, EjectionState.EJECTED, f"trial: {failure}", now)
+
+    # ---- observations
+    def observe(self, name: str, now: float) -> HealthObservation | None:
+        """What this worker has observed of a service lately; None where that is too little."""
+        return self.services[name].samples.observe(name, now, self._baselines)
+
+    def observations(self, now: float) -> list[HealthObservation]:
+        """What this worker has observed of all services lately."""
+        observed = (self.observe(name, now) for name in self.services)
+        return [observation for observation in observed if observation is not None]
+
+    def remote_consensus(self, name: str, own: HealthObservation | None = None) -> RemoteConsensus:
+        """What other workers agree on; with an unhealthy own observation as one of theirs."""
+        return consensus(name, self._remote_reports(), own)
+
+    # ---- evaluation
+    def evaluate(self, now: float) -> None:
+        """Decides anew on all services; called several times a second."""
+        self._baselines.refresh()
+        candidates = []
+        for name, service in self.services.items():
+            self._advance_slow_start(service, name, now)
+            own = self.observe(name, now)
+            if service.is_ejected:
+                self._check_trial_timeout(service, name, now)
+                self._check_remote_recovery(service, name, now)
+                continue
+            candidate = self._candidate(name, own)
+            if candidate is not None:
+                candidates.append(candidate)
+        self._eject(candidates, now)
+
+    def _advance_slow_start(self, service: ServiceState, name: str, now: float) -> None:
+        if service.ejection != EjectionState.SLOW_START:
+            return
+        if now - service.since <= SLOW_START_STAGE_S * (service.slow_start_stage + 1):
+            return
+        service.slow_start_stage += 1
+        if service.slow_start_stage >= len(SLOW_START_FRACTIONS) - 1:
+            self._change_state(service, name, EjectionState.IN, "well again", now)
+
+    def _check_trial_timeout(self, service: ServiceState, name: str, now: float) -> None:
+        call = service.samples.open_calls.get(service.trial_ticket)
+        if service.trial_ticket is None or call is None:
+            return
+        latency_s = now - call.started_at
+        baseline_s = self._baselines.baseline_s(call.request_class)
+        if is_slow(latency_s, baseline_s) and latency_s > TRIAL_TIMEOUT_S:
+            self._fail_trial(service, name, HealthStatus.SLOW, now)
+
+    def _check_remote_recovery(self, service: ServiceState, name: str, now: float) -> None:
+        """Others, by trials of their own, have found well again what they reported to be unhealthy."""
+        ejected_for_s = now - service.since
+        if (
+            service.ejected_on_remote
+            and ejected_for_s > service.ejection_s
+            and is_recovered(name, self._remote_reports(), ejected_for_s)
+        ):
+            self._begin_slow_start(service, name, "well for others", now)
+
+    def _candidate(self, name: str, own: HealthObservation | None) -> EjectionCandidate | None:
+        """The service as a candidate for ejection; None where it seems well or nothing is known."""
+        if own is not None and own.status in UNHEALTHY:
+            if is_conclusive(own):
+                severity = math.inf if own.status == HealthStatus.UNREACHABLE else own.latency_ratio
+                reason = (
+                    f"{own.status}: {own.sample_count} results of its own, "
+                    f"{own.latency_ratio:.1f} times the {OWN_REASON_SUFFIX}"
+                )
+                return EjectionCandidate(severity, name, reason, is_own_observation=True)
+        elif own is not None and own.age_ms <= FRESH_OBSERVATION_MS:
+            return None
+        remote = self.remote_consensus(name, own)
+        if not remote.is_unhealthy:
+            return None
+        reason = f"{remote.status}: {', '.join(remote.observers)}"
+        return EjectionCandidate(1.0, name, reason, is_own_observation=False)
+
+    def _eject(self, candidates: list[EjectionCandidate], now: float) -> None:
+        ejected_count = sum(service.is_ejected for service in self.services.values())
+        free_places = int(self._max_ejected_fraction * len(self.services)) - ejected_count
+        if not ejected_count and len(candidates) >= len(self.services):
+            return  # all of them: nothing would be gained
+        if free_places <= 0:
+            candidates = [
+                candidate for candidate in candidates if self.remote_consensus(candidate.service).is_unhealthy
+            ]
+            free_places += self._free_a_place(now) if candidates else 0
+        worst_first = sorted(
+            candidates,
+            key=lambda candidate: (candidate.severity, candidate.service, candidate.reason),
+            reverse=True,
+        )
+        for candidate in worst_first[: max(0, free_places)]:
+            service = self.services[candidate.service]
+            service.successful_trials = 0
+            service.trial_ticket = None
+            service.ejected_on_remote = not candidate.is_own_observation
+            self._change_state(service, candidate.service, EjectionState.EJECTED, candidate.reason, now)
+
+    def _free_a_place(self, now: float) -> int:
+        """One that this worker alone ejected gives its place to one that several see unhealthy."""
+        reports = self._remote_reports()
+        for name, service in self.services.items():
+            if (
+                service.is_ejected
+                and not service.ejected_on_remote
+                and is_recovered(name, reports, REMOTE_MAX_AGE_S)
+            ):
+                service.trial_ticket = None
+                self._begin_slow_start(service, name, "well for others, and another is bad for several", now)
+                return 1
+        return 0
+
+    def _begin_slow_start(self, service: ServiceState, name: str, reason: str, now: float) -> None:
+        service.slow_start_stage = 0
+        service.ejection_s = BASE_EJECTION_S
+        service.samples.results.clear()
+        self._change_state(service, name, EjectionState.SLOW_START, reason, now)
+
+    def _change_state(
+        self, service: ServiceState, name: str, state: EjectionState, reason: str, now: float
+    ) -> None:
+        service.ejection = state
+        service.since = now
+        service.reason = reason
+        self.changes.append(StateChange(now, name, state, reason))
+
+    # ---- choice
+    def rank_services(self, busy: Mapping[str, int], now: float) -> list[str]:
+        """The services to try, the best first; called for each request, so it evaluates nothing.
+
+        `busy` counts the open calls of each. An ejected service comes first where it is this worker's turn to
+        try it, and last otherwise: better than none.
+        """
+        if len(self.services) == 1:
+            return list(self.services)
+        usable, ejected = [], []
+        for name, service in self.services.items():
+            if not service.is_ejected:
+                load = (busy.get(name, 0) + 1) / service.load_fraction
+                usable.append((load, self._rng.random(), name))
+            elif self._takes_trial(service, now):
+                usable.append((0, self._rng.random(), name))
+            else:
+                ejected.append((busy.get(name, 0) + 1, self._rng.random(), name))
+        return [name for _, _, name in sorted(usable) + sorted(ejected)]
+
+    def _takes_trial(self, service: ServiceState, now: float) -> bool:
+        """Whether this worker sends the next trial: one worker of the fleet on average, at each draw."""
+        if service.trial_ticket is not None or now - service.since < service.ejection_s:
+            return False
+        if service.successful_trials > 0 or self._rng.random() < 1.0 / max(1, self._fleet_size()):
+            return True
+        service.since = now - service.ejection_s + TRIAL_RETRY_S
+        return False
--- a/ochrehoist/peers/view.py
+++ b/ochrehoist/peers/view.py
@@ -3,6 +3,7 @@
 from typing import Any
 
 from ochrehoist.peers.group import Group, Share
+from ochrehoist.peers.outlier_detection import OutlierDetector, ServiceState
 from ochrehoist.peers.wire import MemberState
 
 
@@ -38,8 +39,14 @@
             for key in group.counters.keys()
             for r in (group.counters.read(key, now, group.ended_at),)
         },
-        "services": group.judge.view(now),
-        "judged": group.judge.history(now),
+        "services": {
+            name: _of_service(group.outliers, name, service, now)
+            for name, service in group.outliers.services.items()
+        },
+        "judged": [
+            (round(now - change.at, 2), change.service, change.state, change.reason)
+            for change in group.outliers.changes
+        ],
         "messages": dict(sorted(group.counted.items())),
     }
 
@@ -62,3 +69,19 @@
         "ends_in_s": round(min((e for e in ends if e > 0), default=0.0), 2),
         "votes_again_in_s": round(max(0.0, share.voter.silent_until - now), 1) if share.voter else None,
     }
+
+
+def _of_service(outliers: OutlierDetector, name: str, service: ServiceState, now: float) -> dict[str, Any]:
+    own = outliers.observe(name, now)
+    values = {
+        "standing": service.ejection,
+        "for_s": round(now - service.since, 1) if service.since else None,
+        "why": service.reason,
+        "trials": service.trial_count,
+        "open": len(service.samples.open_calls),
+        "own": [own.status, own.sample_count, round(own.latency_ratio, 2)] if own else None,
+        "heard": outliers.remote_consensus(name).observers,
+    }
+    if service.is_ejected:
+        values["tried_in_s"] = round(max(0.0, service.since + service.ejection_s - now), 1)
+    return values
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -7,10 +7,12 @@
 
 from ochrehoist.lab import explore, virtual
 from ochrehoist.lab.explore import Bounds
-from ochrehoist.peers import membership, services
+from ochrehoist.peers import membership
 from ochrehoist.peers.budget import Budget
 from ochrehoist.peers.leases import HeldLease, LeaseGrantor, LeaseHolder, RequestRound
-from ochrehoist.peers.wire import HealthObservation, Incarnation
+from ochrehoist.peers.outlier_detection import OutlierDetector
+from ochrehoist.peers.remote_health import RemoteReport
+from ochrehoist.peers.wire import HealthObservation, HealthStatus, Incarnation
 
 NAMES = ("w000", "w001", "w002")
 
@@ -216,10 +218,10 @@
             self.assertEqual(states(), {"suspect"})
 
     def test_evidence_of_one_observer_that_is_trusted(self):
-        judge = services.Judge(("s0", "s1", "s2"), 0.5, 1)
-        judge.hearsay = lambda: {"x": (0.1, [HealthObservation("s1", services.SLOW, 9, 0, 20.0)])}
-        judge.look(1.0)
-        self.assertEqual(judge.services["s1"].standing, "in")
+        reports = {"x": RemoteReport(0.1, [HealthObservation("s1", HealthStatus.SLOW, 9, 0, 20.0)])}
+        outliers = OutlierDetector(("s0", "s1", "s2"), 0.5, 1, remote_reports=lambda: reports)
+        outliers.evaluate(1.0)
+        self.assertEqual(outliers.services["s1"].ejection, "in")
 
     def test_the_same_holds_for_more_voters_than_two(self):
         b = Budget("x", 1, NAMES, lease_s=2.0, floor=0.0)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -14,7 +14,8 @@
 
 from ochrehoist.lab.play import Play
 from ochrehoist.lab.scenario import parse
-from ochrehoist.peers import services
+from ochrehoist.peers.outlier_detection import OWN_REASON_SUFFIX
+from ochrehoist.peers.service_health import UNHEALTHY
 
 logging.getLogger("asyncio").setLevel(logging.CRITICAL)
 ROOT = Path(__file__).parent.parent
@@ -151,10 +152,10 @@
             if (
                 (server, standing) == ("s1", "out")
                 and worker != "w1"
-                and not why.endswith(services.OWN)
+                and not why.endswith(OWN_REASON_SUFFIX)
                 and not why.startswith("trial")
             ):
-                self.assertGreaterEqual(sum(why.count(f":{bad}") for bad in services.BAD), 2, why)
+                self.assertGreaterEqual(sum(why.count(f":{bad}") for bad in UNHEALTHY), 2, why)
 
     def test_a_garbling_peer_and_a_flood_change_nothing(self):
         v = self.keeps(
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -9,16 +9,24 @@
 from hypothesis import strategies as st
 
 from ochrehoist.lab.virtual import World
-from ochrehoist.peers import lease_assignment, services, wire
+from ochrehoist.peers import lease_assignment, wire
 from ochrehoist.peers.budget import CLOCK_DRIFT, GRANT_GUARD_S, RATE_WINDOW_S, Budget
 from ochrehoist.peers.counters import MAX_INCARNATIONS, ReplicatedCounters
 from ochrehoist.peers.group import Group, Terms
 from ochrehoist.peers.leases import LeaseGrantor, LeaseHolder
 from ochrehoist.peers.membership import Membership
+from ochrehoist.peers.outlier_detection import (
+    BASE_EJECTION_S,
+    TRIALS_TO_RECOVER,
+    EjectionState,
+    OutlierDetector,
+)
+from ochrehoist.peers.remote_health import REMOTE_MAX_AGE_S, RemoteReport
 from ochrehoist.peers.usage import UsageMeter
 from ochrehoist.peers.wire import (
     CounterSnapshot,
     HealthObservation,
+    HealthStatus,
     Incarnation,
     MemberState,
     MemberUpdate,
@@ -125,7 +133,7 @@
         self.assertGreater(m.isolated_for_s(now), 10.0)
         self.assertNotIn(MemberState.DEAD, {x.state for x in m.members.values()})
 
-    def test_one_that_stood_still_itself_judges_nobody_for_it(self):
+    def test_one_that_stalled_itself_accuses_nobody_for_it(self):
         m = membership()
         self.meet(m, 0.0, B, Incarnation("c", 1, 1))
         now = self.quiet(m, 0.0, 2.0, answers=("b", "c"))
@@ -346,38 +354,37 @@
         self.assertEqual(counters.read("k", 2.0).total, MAX_INCARNATIONS + 5)
 
 
-class Judgements(unittest.TestCase):
+class Outliers(unittest.TestCase):
     def setUp(self):
-        self.judge = services.Judge(("s0", "s1", "s2"), 0.5, 1)
         self.told = {}
-        self.judge.hearsay = lambda: self.told
+        self.outliers = OutlierDetector(("s0", "s1", "s2"), 0.5, 1, remote_reports=lambda: self.told)
         self.tickets = 0
 
-    def run_at(self, name, at, took=0.02, verdict=services.OK):
+    def run_at(self, name, at, took=0.02, status=HealthStatus.OK):
         self.tickets += 1
-        self.judge.began(name, self.tickets, "read", at)
-        self.judge.ended(name, self.tickets, verdict, at + took)
+        self.outliers.call_started(name, self.tickets, "read", at)
+        self.outliers.call_completed(name, self.tickets, status, at + took)
 
-    def seen(self, at, slow=(), took=0.5, verdict=services.OK, count=4):
+    def seen(self, at, slow=(), took=0.5, status=HealthStatus.OK, count=4):
         for n in range(count):
-            for name in self.judge.services:
+            for name in self.outliers.services:
                 self.run_at(
                     name,
                     at + n * 0.01,
                     took if name in slow else 0.02,
-                    verdict if name in slow else services.OK,
+                    status if name in slow else HealthStatus.OK,
                 )
 
-    def standing(self, now):
-        self.judge.look(now)
-        return [s.standing for s in self.judge.services.values()]
+    def states(self, now):
+        self.outliers.evaluate(now)
+        return [s.ejection for s in self.outliers.services.values()]
 
     def test_a_slow_one_is_left_out_by_own_evidence_and_before_it_has_answered(self):
         self.seen(0.0, count=24)
         for n in range(4):
-            self.judge.began("s2", f"open{n}", "read", 1.0)
-        self.assertEqual(self.standing(1.05), ["in", "in", "in"])
-        self.assertEqual(self.standing(1.2), ["in", "in", "out"])
+            self.outliers.call_started("s2", f"open{n}", "read", 1.0)
+        self.assertEqual(self.states(1.05), ["in", "in", "in"])
+        self.assertEqual(self.states(1.2), ["in", "in", "out"])
 
     def test_what_a_stopped_worker_did_not_read_is_nobodys_fault(self):
         for first in ("look", "answer"):  # after the stop either may come first
@@ -385,108 +392,110 @@
                 self.setUp()
                 self.seen(0.0, count=24)
                 for n in range(20):
-                    self.judge.beat(0.3 + n * 0.05, 0.05)
+                    self.outliers.tick(0.3 + n * 0.05, 0.05)
                 for n in range(4):
-                    self.judge.began("s1", f"open{n}", "read", 1.25)
+                    self.outliers.call_started("s1", f"open{n}", "read", 1.25)
                 if first == "look":
-                    self.judge.beat(2.3, 0.05)
+                    self.outliers.tick(2.3, 0.05)
                 else:
                     for n in range(4):
-                        self.judge.ended("s1", f"open{n}", services.OK, 2.3)
-                self.assertEqual(self.standing(2.3), ["in", "in", "in"])
+                        self.outliers.call_completed("s1", f"open{n}", HealthStatus.OK, 2.3)
+                self.assertEqual(self.states(2.3), ["in", "in", "in"])
 
     def test_a_trial_that_went_well_is_followed_by_the_next_at_once(self):
         self.seen(0.0)
-        self.seen(3.0, slow=("s1",), verdict=services.FAILING)
-        self.assertEqual(self.standing(3.3), ["in", "out", "in"])
+        self.seen(3.0, slow=("s1",), status=HealthStatus.FAILING)
+        self.assertEqual(self.states(3.3), ["in", "out", "in"])
         now, asked = 3.3, 0
-        while self.judge.services["s1"].standing in ("out", "trial"):
+        while self.outliers.services["s1"].ejection in ("out", "trial"):
             now += 0.05  # a look each time, and a request at every third
-            self.judge.look(now)
+            self.outliers.evaluate(now)
             asked += 1
             self.assertLess(asked, 400)
             if asked % 3 == 0:
-                self.run_at(self.judge.order({}, now)[0], now)
-        self.assertLess(now, 3.3 + services.OUT_S + 1.0)
+                self.run_at(self.outliers.rank_services({}, now)[0], now)
+        self.assertLess(now, 3.3 + BASE_EJECTION_S + 1.0)
 
     def test_one_that_several_see_bad_takes_the_place_of_one_left_out_alone(self):
         self.seen(0.0)
-        self.seen(3.0, slow=("s1",), verdict=services.FAILING)
-        self.assertEqual(self.standing(3.1), ["in", "out", "in"])
+        self.seen(3.0, slow=("s1",), status=HealthStatus.FAILING)
+        self.assertEqual(self.states(3.1), ["in", "out", "in"])
         self.bad("s2")
-        self.assertEqual(self.standing(6.0), ["in", "back", "out"])
+        self.assertEqual(self.states(6.0), ["in", "back", "out"])
         self.bad("s1", "s2")  # others see both bad: whoever was left out stays so
-        self.assertEqual(self.standing(6.1), ["in", "back", "out"])
+        self.assertEqual(self.states(6.1), ["in", "back", "out"])
 
     def test_all_slow_means_that_none_is(self):
         self.seen(0.0, count=24)
         self.seen(3.0, slow=("s0", "s1", "s2"), took=0.4, count=12)
-        self.assertEqual(self.standing(4.0), ["in", "in", "in"])
+        self.assertEqual(self.states(4.0), ["in", "in", "in"])
 
     def test_no_more_than_the_stated_part_is_left_out(self):
         self.seen(0.0)
-        self.seen(3.0, slow=("s1", "s2"), verdict=services.FAILING)
-        self.assertEqual(sorted(self.standing(3.6)), ["in", "in", "out"])
+        self.seen(3.0, slow=("s1", "s2"), status=HealthStatus.FAILING)
+        self.assertEqual(sorted(self.states(3.6)), ["in", "in", "out"])
 
-    def bad(self, *names, who=("x", "y"), verdict=services.SLOW):
+    def bad(self, *names, who=("x", "y"), status=HealthStatus.SLOW):
         for member in who:
-            self.told[member] = (
+            self.told[member] = RemoteReport(
                 0.1,
                 [
-                    HealthObservation(n, verdict if n in names else services.OK, 9, 0, 20.0)
-                    for n in self.judge.services
+                    HealthObservation(n, status if n in names else HealthStatus.OK, 9, 0, 20.0)
+                    for n in self.outliers.services
                 ],
             )
 
-    def test_hearsay_counts_from_two_and_has_an_end(self):
+    def test_remote_observations_count_from_two_and_have_an_end(self):
         self.bad("s1", who=("x",))
-        self.assertEqual(self.standing(1.0), ["in", "in", "in"])
+        self.assertEqual(self.states(1.0), ["in", "in", "in"])
         self.bad("s1")
-        self.told = {m: (services.END_S + 1, e) for m, (_, e) in self.told.items()}
-        self.assertEqual(self.standing(1.0), ["in", "in", "in"])
+        self.told = {
+            m: RemoteReport(REMOTE_MAX_AGE_S + 1, report.observations) for m, report in self.told.items()
+        }
+        self.assertEqual(self.states(1.0), ["in", "in", "in"])
         self.bad("s1")
-        self.assertEqual(self.standing(1.0), ["in", "out", "in"])
+        self.assertEqual(self.states(1.0), ["in", "out", "in"])
 
-    def test_own_fresh_evidence_goes_before_hearsay(self):
+    def test_own_fresh_observations_go_before_remote_ones(self):
         self.seen(0.0)
         self.bad("s1")
-        self.assertEqual(self.standing(0.5), ["in", "in", "in"])
+        self.assertEqual(self.states(0.5), ["in", "in", "in"])
 
     def test_observers_whose_own_link_is_bad_take_nothing_from_others(self):
         self.bad("s0", "s1")
-        self.assertEqual(self.standing(1.0), ["in", "in", "in"])
+        self.assertEqual(self.states(1.0), ["in", "in", "in"])
 
     def test_trials_are_one_at_a_time_and_take_it_back_in_steps(self):
         self.seen(0.0)
-        self.seen(3.0, slow=("s1",), verdict=services.FAILING)
-        self.assertEqual(self.standing(3.3), ["in", "out", "in"])
-        now = 3.3 + services.OUT_S + 0.1
-        first = [self.judge.order({}, now)[0] for _ in range(3)]
+        self.seen(3.0, slow=("s1",), status=HealthStatus.FAILING)
+        self.assertEqual(self.states(3.3), ["in", "out", "in"])
+        now = 3.3 + BASE_EJECTION_S + 0.1
+        first = [self.outliers.rank_services({}, now)[0] for _ in range(3)]
         self.assertIn("s1", first)
-        self.judge.began("s1", "trial", "read", now)
-        self.assertNotEqual(self.judge.order({}, now)[0], "s1")
-        self.judge.ended("s1", "trial", services.OK, now + 0.02)
-        for n in range(services.BACK - 1):
+        self.outliers.call_started("s1", "trial", "read", now)
+        self.assertNotEqual(self.outliers.rank_services({}, now)[0], "s1")
+        self.outliers.call_completed("s1", "trial", HealthStatus.OK, now + 0.02)
+        for n in range(TRIALS_TO_RECOVER - 1):
             self.run_trial(now + 0.1 + n)
-        self.assertEqual(self.judge.services["s1"].standing, "back")
+        self.assertEqual(self.outliers.services["s1"].ejection, "back")
         later = now + 10
-        self.judge.look(now + 5)
+        self.outliers.evaluate(now + 5)
         for n in range(6):
-            self.judge.look(now + 5 + n)
-        self.assertEqual(self.standing(later)[1], "in")
+            self.outliers.evaluate(now + 5 + n)
+        self.assertEqual(self.states(later)[1], "in")
 
     def run_trial(self, at):
-        self.judge.began("s1", f"t{at}", "read", at)
-        self.judge.ended("s1", f"t{at}", services.OK, at + 0.02)
+        self.outliers.call_started("s1", f"t{at}", "read", at)
+        self.outliers.call_completed("s1", f"t{at}", HealthStatus.OK, at + 0.02)
 
     def test_a_trial_that_fails_puts_the_next_one_off(self):
         self.seen(0.0)
-        self.seen(3.0, slow=("s1",), verdict=services.FAILING)
-        self.standing(3.3)
-        self.judge.began("s1", "t", "read", 5.0)
-        self.judge.ended("s1", "t", services.GONE, 5.1)
-        s = self.judge.services["s1"]
-        self.assertEqual((s.standing, s.out_for), ("out", 2 * services.OUT_S))
+        self.seen(3.0, slow=("s1",), status=HealthStatus.FAILING)
+        self.states(3.3)
+        self.outliers.call_started("s1", "t", "read", 5.0)
+        self.outliers.call_completed("s1", "t", HealthStatus.UNREACHABLE, 5.1)
+        s = self.outliers.services["s1"]
+        self.assertEqual((s.ejection, s.ejection_s), ("out", 2 * BASE_EJECTION_S))
 
 
 class Fleet(unittest.TestCase):
@@ -557,7 +566,7 @@
     """What comes to a server that returns is the sum of what all workers send, whoever hears whom."""
 
     # Calls a second that one fleet gives a server it left out: ten throws, each up to three trials in a row.
-    BUDGET = 10 * services.BACK
+    BUDGET = 10 * TRIALS_TO_RECOVER
 
     def first_second(self, count, seed, fleet=None):
         """Calls in the first second at a server that all left out; nobody hears anybody."""
@@ -578,22 +587,24 @@
             )
             group = Group(terms, Incarnation(name, 1, 1), 0.0, rng.getrandbits(30))
             if fleet is not None:
-                group.judge.fleet = fleet
-            group.judge._move(group.judge.services["s0"], "s0", "out", "gone", 0.0)
+                group.outliers._fleet_size = fleet
+            group.outliers._change_state(
+                group.outliers.services["s0"], "s0", EjectionState.EJECTED, "gone", 0.0
+            )
             groups.append(group)
         for ticket in range(1, 40_000):
             now = ticket * 0.0002  # 200 calls a second over all, each at any worker
-            if now > services.OUT_S + 1.0:
+            if now > BASE_EJECTION_S + 1.0:
                 break
             for call in [c for c in open_ if c[0] <= now]:
                 open_.remove(call)
-                call[1].judge.ended(call[2], call[3], services.OK, now)
+                call[1].outliers.call_completed(call[2], call[3], HealthStatus.OK, now)
             if ticket % 25 == 0:
                 group = rng.choice(groups)
                 group.beat(now)
                 busy = Counter(name for _, g, name, _ in open_ if g is group)
-                name = group.judge.order({s: busy[s] for s in ("s0", "s1", "s2")}, now)[0]
-                group.judge.began(name, ticket, "read", now)
+                name = group.outliers.rank_services({s: busy[s] for s in ("s0", "s1", "s2")}, now)[0]
+                group.outliers.call_started(name, ticket, "read", now)
                 open_.append((now + 0.04, group, name, ticket))
                 sent += name == "s0"
         return sent
