--- a/ochrehoist/core/succession.py
+++ b/ochrehoist/core/succession.py
@@ -3,6 +3,7 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
+from ochrehoist.admission import learned_state
 from ochrehoist.admission.events import RequestReceived, RunAdopted
 from ochrehoist.admission.settings import AdmissionSettings
 from ochrehoist.core import handover
@@ -39,11 +40,11 @@
     """All that another module needs to go on from here."""
     if core.controller is None:
         return handover.State(keys=core.keys, standby=core.standby)
-    used = {r.cls.name for r in core.live.values()}
+    used = {r.request_class.name for r in core.live.values()}
     used |= {token[1] for known in (core.keys.runs, core.keys.entries) for token in known}
-    classes = {c.name: c for c in core.controller.s.classes if c.name in used}
+    classes = {c.name: c for c in core.controller.settings.classes if c.name in used}
     return handover.State(
-        handover.learned(core.controller), core.standby, list(core.live.values()), core.keys, classes
+        learned_state.snapshot(core.controller), core.standby, list(core.live.values()), core.keys, classes
     )
 
 
@@ -67,10 +68,10 @@
         core.tell(RunAdopted(core.event(r), r.answered, False))
     _teach(core, state.learned)
     held = [r for r in state.requests if not r.started and not r.answered]
-    for r in sorted(held, key=lambda r: r.arrived):
+    for r in sorted(held, key=lambda r: r.arrived_ns):
         core.owe(r)
         event = core.event(r)
-        event.remaining_ns = max(1, r.due - core.now)  # by its own class, whatever has become of that
+        event.remaining_ns = max(1, r.due_ns - core.now)  # by its own class, whatever has become of that
         core.tell(event)
     _teach(core, state.learned)  # what was held is no news of how long requests wait to be read
 
@@ -78,6 +79,6 @@
 def _teach(core: Core, learned: dict | None) -> None:
     try:
         if learned is not None:
-            handover.teach(core.controller, learned, core.now, core.tenants)
+            learned_state.restore(core.controller, learned, core.now, core.tenants)
     except Exception:  # it learns anew
         core.log.exception("what was learned can't be taken up")
--- a/ochrehoist/lab/explore.py
+++ b/ochrehoist/lab/explore.py
@@ -90,7 +90,12 @@
 
 def _budget(bounds: Bounds) -> Budget:
     return Budget(
-        "one", 1, tuple(f"v{n}" for n in range(bounds.voters)), lease_s=2.0, floor=0.0, floor_lease_s=2.0
+        "one",
+        1,
+        tuple(f"v{n}" for n in range(bounds.voters)),
+        lease_s=2.0,
+        floor_fraction=0.0,
+        floor_lease_s=2.0,
     )
 
 
--- a/ochrehoist/lab/virtual.py
+++ b/ochrehoist/lab/virtual.py
@@ -348,7 +348,7 @@
             rng.choice((7, 24, 60)),
             voters,
             lease_s=rng.choice((0.8, 2.0)),
-            floor=rng.choice((0.0, 0.25, 0.5)),
+            floor_fraction=rng.choice((0.0, 0.25, 0.5)),
             floor_lease_s=rng.choice((1.5, 5.0)),
         ),
         Budget(
--- a/ochrehoist/peers/budget.py
+++ b/ochrehoist/peers/budget.py
@@ -19,7 +19,7 @@
 
     With `concurrent` the amount bounds how many uses run at once, each of at most `max_run_s`; without, how
     many begin in any second. The amount is divided over numbered lease slots. Each slot has a home, one of
-    the grantors; a fraction `floor` of a home's slots is leased to that home alone, for `floor_lease_s`.
+    the grantors; `floor_fraction` of a home's slots is leased to that home alone, for `floor_lease_s`.
     """
 
     name: str
@@ -27,7 +27,7 @@
     grantors: tuple[str, ...]  # names of members
     concurrent: bool = False
     lease_s: float = 2.0
-    floor: float = 0.1
+    floor_fraction: float = 0.1
     floor_lease_s: float = 30.0
     max_run_s: float = 0.0
     configured_slots: int = 0  # 0: SLOTS_PER_GRANTOR for each grantor
@@ -51,7 +51,7 @@
     def is_floor(self, slot: int) -> bool:
         """Whether a slot is leased to its home alone."""
         slots_of_home = range(slot % len(self.grantors), self.slot_count, len(self.grantors))
-        return slot // len(self.grantors) < int(len(slots_of_home) * self.floor)
+        return slot // len(self.grantors) < int(len(slots_of_home) * self.floor_fraction)
 
     def lease_duration_s(self, slot: int) -> float:
         """How long a lease of a slot lasts, from when it was requested."""
@@ -71,7 +71,7 @@
             self.grantors,
             self.concurrent,
             self.lease_s,
-            self.floor,
+            self.floor_fraction,
             self.floor_lease_s,
             self.max_run_s,
             self.slot_count,
--- a/ochrehoist/sites/permit.py
+++ b/ochrehoist/sites/permit.py
@@ -10,5 +10,12 @@
     """Short, or voters that come back themselves, and wait for what they may have said, would hold up the
     return."""
     return Budget(
-        PERMIT, 1, voters, concurrent=True, lease_s=0.5, floor=0.0, floor_lease_s=0.5, max_run_s=PERMIT_S
+        PERMIT,
+        1,
+        voters,
+        concurrent=True,
+        lease_s=0.5,
+        floor_fraction=0.0,
+        floor_lease_s=0.5,
+        max_run_s=PERMIT_S,
     )
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -224,7 +224,7 @@
         self.assertEqual(outliers.services["s1"].ejection, "in")
 
     def test_the_same_holds_for_more_voters_than_two(self):
-        b = Budget("x", 1, NAMES, lease_s=2.0, floor=0.0)
+        b = Budget("x", 1, NAMES, lease_s=2.0, floor_fraction=0.0)
         voters, first, second = [LeaseGrantor(b, -99.0) for _ in NAMES], LeaseHolder(b), LeaseHolder(b)
         for holder, life, some in (
             (first, Incarnation("a", 1, 1), voters[:2]),
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -171,7 +171,7 @@
         m.note_duplicate(Incarnation("a", 3, 7))  # what it said long ago, played again
 
 
-BUDGET = Budget("x", 12, ("a", "b", "c"), lease_s=2.0, floor=0.25, floor_lease_s=10.0)
+BUDGET = Budget("x", 12, ("a", "b", "c"), lease_s=2.0, floor_fraction=0.25, floor_lease_s=10.0)
 
 
 class Leases(unittest.TestCase):
@@ -238,7 +238,7 @@
 
     def test_on_other_terms_nothing_is_granted_until_the_old_grants_end(self):
         grantors, _ = self.held()
-        half = Budget("x", 6, ("a", "b", "c"), lease_s=2.0, floor=0.25, floor_lease_s=10.0)
+        half = Budget("x", 6, ("a", "b", "c"), lease_s=2.0, floor_fraction=0.25, floor_lease_s=10.0)
         for grantor in grantors.values():
             self.assertEqual(grantor.grant(B, half.terms_digest, 1, [2], 100.0), [])
             grantor.reconfigure(half, 100.5)
@@ -281,7 +281,9 @@
         self.assertIsNone(meter.acquire(104.7))
 
     def test_a_run_is_begun_only_where_the_lease_lasts_for_all_of_it(self):
-        budget = Budget("x", 6, ("a", "b", "c"), concurrent=True, lease_s=1.0, floor=0.0, max_run_s=2.0)
+        budget = Budget(
+            "x", 6, ("a", "b", "c"), concurrent=True, lease_s=1.0, floor_fraction=0.0, max_run_s=2.0
+        )
         _, holder = self.held(budget)
         meter = UsageMeter(holder)
         ticket = meter.acquire(100.9)
@@ -293,7 +295,7 @@
     @given(st.integers(1, 6), st.integers(1, 200), st.data())
     def test_all_slots_have_an_assignee_and_no_slot_has_two(self, count, amount, data):
         names = tuple(f"m{n}" for n in range(count))
-        budget = Budget("x", amount, names, floor=data.draw(st.sampled_from((0.0, 0.25, 1.0))))
+        budget = Budget("x", amount, names, floor_fraction=data.draw(st.sampled_from((0.0, 0.25, 1.0))))
         alive = set(data.draw(st.lists(st.sampled_from(names), min_size=1)))
         claimed = [r for me in alive for r in lease_assignment.slots_to_request(budget, me, set(), alive, {})]
         self.assertEqual(len(claimed), len(set(claimed)))
@@ -517,7 +519,7 @@
 
     def test_a_rate_that_one_worker_wants_goes_there(self):
         names = tuple(f"w{n:03d}" for n in range(5))
-        world = World(4, (Budget("rate", 40, names, floor=0.0, floor_lease_s=2.0),))
+        world = World(4, (Budget("rate", 40, names, floor_fraction=0.0, floor_lease_s=2.0),))
         nodes = world.fleet(5)
         world.on_use = lambda node: [world.use(node, "rate") for _ in range(5)] if node is nodes[2] else None
         world.run(15.0)
