--- a/benchmarks/slopes/state.py
+++ b/benchmarks/slopes/state.py
@@ -71,7 +71,7 @@
         now[0] += 0.05
         group.members.last_ack_at = now[0]
         group.members.probes.clear()
-        group.beat(now[0])
+        group.tick(now[0])
 
     return now, beat
 
@@ -206,7 +206,8 @@
 
 def _group(members: int, seed: int, counted: int = 20, lives: int = 1, budgets: int = 1) -> Any:
     from ochrehoist.peers.budget import Budget
-    from ochrehoist.peers.group import Group, Terms
+    from ochrehoist.peers.fleet_settings import FleetSettings
+    from ochrehoist.peers.group import Group
     from ochrehoist.peers.member import Member
     from ochrehoist.peers.wire import (
         BudgetDemand,
@@ -220,7 +221,7 @@
 
     names = [f"worker-{n:04}" for n in range(members)]
     voters = tuple(names[:7])
-    terms = Terms(
+    terms = FleetSettings(
         "group",
         "127.0.0.1:1",
         "a",
@@ -271,11 +272,15 @@
 
 def group_by_members(size: int, seed: int) -> Measures:
     """A member's own beat (20 a second) and its page for operators; messages are the scale run's."""
-    from ochrehoist.peers.view import told
+    from ochrehoist.peers.status_view import status_view
 
     group, of_group = grown(lambda: _group(size, seed))
     now, beat = _beating(group)
-    return {"bytes": of_group, "beat_us": cpu_us(beat), "status_us": cpu_us(lambda: told(group, now[0]))}
+    return {
+        "bytes": of_group,
+        "beat_us": cpu_us(beat),
+        "status_us": cpu_us(lambda: status_view(group, now[0])),
+    }
 
 
 def remembered(size: int, seed: int) -> Measures:
--- a/ochrehoist/lab/hollow.py
+++ b/ochrehoist/lab/hollow.py
@@ -291,7 +291,7 @@
             "beats": list(self.owner.beats),
             "state_bytes": sum(len(m.status) for m in g.members.members.values()),
             "held": sum(s.holder.amount(time.monotonic()) for s in g.shares.values()),
-            "status": len(g.status),
+            "status": len(g.own_status.encoded),
         }
 
 
@@ -411,11 +411,11 @@
         return {
             "lives": [
                 [
-                    [g.life.name, g.life.number, g.life.boot_id],
-                    g.terms.address,
-                    g.terms.site,
-                    g.version,
-                    g.status.hex(),
+                    [g.incarnation.name, g.incarnation.number, g.incarnation.boot_id],
+                    g.settings.address,
+                    g.settings.site,
+                    g.own_status.version,
+                    g.own_status.encoded.hex(),
                 ]
                 for g in groups
             ]
@@ -426,7 +426,7 @@
         now, refused = time.monotonic(), 0
         for h in self.hollows.values():
             g, m = h.peers.group, h.peers.group.members
-            g.version += OLD
+            g.own_status.version += OLD
             for life, at, site, version, status in lives:
                 if life[0] == m.life.name:
                     continue
--- a/ochrehoist/lab/virtual.py
+++ b/ochrehoist/lab/virtual.py
@@ -11,7 +11,9 @@
 
 from ochrehoist.errors import OchrehoistError
 from ochrehoist.peers.budget import CLOCK_DRIFT, Budget
-from ochrehoist.peers.group import Group, Send, Terms
+from ochrehoist.peers.fleet_settings import FleetSettings
+from ochrehoist.peers.group import Group
+from ochrehoist.peers.outbound import OutgoingMessage
 from ochrehoist.peers.wire import Incarnation, Message, decode_datagram, encode_datagram
 
 BEAT = 0.05
@@ -140,7 +142,7 @@
         known = self.names if self.known else sorted({v for b in self.budgets for v in b.grantors})
         addresses = {n: self.address(n) for n in known if n != name}
         start = tuple(self.address(n) for n in self.names[:2] if n != name)
-        terms = Terms(
+        terms = FleetSettings(
             "lab",
             address,
             self.sites.get(name, ""),
@@ -186,7 +188,7 @@
         if node.dead:
             return
         if not node.paused:
-            self._send(node, node.group.beat(node.clock(self.now)))
+            self._send(node, node.group.tick(node.clock(self.now)))
             if self.on_use is not None:
                 self.on_use(node)
         late = self.rng["net"].uniform(0, 0.004)
@@ -196,10 +198,12 @@
     def link(self, a: str, b: str) -> Link:
         return self.links.setdefault((a, b), Link())
 
-    def _send(self, node: Node, sends: list[Send]) -> None:
+    def _send(self, node: Node, sends: list[OutgoingMessage]) -> None:
         for s in sends:
             node.seq += 1
-            message = Message("lab", node.group.life, s.to, s.to_inc, node.seq, s.items)
+            message = Message(
+                "lab", node.group.incarnation, s.recipient, s.recipient_number, node.seq, s.payloads
+            )
             node.sent += 1
             if self.encoded:
                 data = encode_datagram(message, SECRET)
@@ -237,7 +241,7 @@
             node.backlog.append((data, source))
             return
         message = decode_datagram(data, (SECRET,), "lab") if self.encoded else data
-        self._send(node, node.group.took(message, source, node.clock(self.now)))
+        self._send(node, node.group.receive(message, source, node.clock(self.now)))
 
     # ---- faults
     def cut(self, a: set[str], b: set[str], span: float, one_way: bool = False, held: bool = False) -> None:
@@ -267,16 +271,18 @@
                 link.loss, link.repeat, link.delay = loss, repeat, delay
 
     def retune(self, node: Node, budgets: tuple[Budget, ...]) -> None:
-        node.group.retune(replace(node.group.terms, budgets=budgets), node.clock(self.now))
+        node.group.reconfigure(replace(node.group.settings, budgets=budgets), node.clock(self.now))
 
     # ---- use
     def use(self, node: Node, budget: str, lasts: float = 0.0) -> bool:
-        ticket = node.group.use(budget, node.clock(self.now))
+        ticket = node.group.leases.acquire(budget, node.clock(self.now))
         if ticket is None:
             return False
         self.oracle.used(budget, self.now, lasts)
         if self.oracle.budgets[budget].concurrent:
-            self.at(self.now + lasts, lambda: None if node.dead else node.group.done(budget, ticket))
+            self.at(
+                self.now + lasts, lambda: None if node.dead else node.group.leases.release(budget, ticket)
+            )
         return True
 
 
--- a/ochrehoist/net/peers.py
+++ b/ochrehoist/net/peers.py
@@ -19,8 +19,10 @@
 from ochrehoist.net.loop import Loop
 from ochrehoist.peers import wire
 from ochrehoist.peers.budget import Budget
-from ochrehoist.peers.group import Group, Send, Terms
-from ochrehoist.peers.view import told
+from ochrehoist.peers.fleet_settings import FleetSettings
+from ochrehoist.peers.group import Group
+from ochrehoist.peers.outbound import OutgoingMessage
+from ochrehoist.peers.status_view import status_view
 from ochrehoist.peers.wire import HealthStatus, Incarnation, Message
 
 BEAT_S = 0.05
@@ -28,7 +30,7 @@
 BIND_S = 0.1  # between two tries to bind: a process that is replaced may still hold the address
 
 
-def terms_of(config: Config) -> Terms:
+def terms_of(config: Config) -> FleetSettings:
     """What the fleet's side is told of the configuration."""
     p = config.peers
     budgets = tuple(
@@ -52,7 +54,7 @@
         site = config.sites.site
         budgets += (permit(p.lease_grantors),) if p.lease_grantors else ()
     servers = tuple(s.name for s in config.ajp.servers) if config.ajp else ()
-    return Terms(
+    return FleetSettings(
         p.group,
         _text(p.advertised_address),
         site,
@@ -129,7 +131,7 @@
             return
         self.config, self.secrets = config.peers, tuple(s.encode() for s in config.peers.secrets)
         self._budgets()
-        self.group.retune(terms_of(config), time.monotonic())
+        self.group.reconfigure(terms_of(config), time.monotonic())
 
     # ---- datagrams
     def start(self) -> None:
@@ -154,7 +156,7 @@
         if self.sock is None:
             return
         began = time.thread_time()
-        self._send(self.group.beat(time.monotonic()))
+        self._send(self.group.tick(time.monotonic()))
         self._say()
         self.spent += time.thread_time() - began
         self.loop.call_later(BEAT_S, self._beat)
@@ -174,19 +176,26 @@
             except wire.MessageRejectedError as error:
                 self.rejected[error.reason.value] += 1
                 continue
-            self._send(self.group.took(message, _text(source), time.monotonic()))
+            self._send(self.group.receive(message, _text(source), time.monotonic()))
         self.spent += time.thread_time() - began
 
     def say(self, name: str, topic: str, data: bytes) -> None:
         """At once, to one member's extension; as lost where it is not known."""
-        self._send(self.group.say(name, topic, data))
+        self._send(self.group.send_to_extension(name, topic, data))
 
-    def _send(self, sends: list[Send]) -> None:
+    def _send(self, sends: list[OutgoingMessage]) -> None:
         for s in sends:
             self.seq += 1
             try:
                 data = wire.encode_datagram(
-                    Message(self.config.group, self.group.life, s.to, s.to_inc, self.seq, s.items),
+                    Message(
+                        self.config.group,
+                        self.group.incarnation,
+                        s.recipient,
+                        s.recipient_number,
+                        self.seq,
+                        s.payloads,
+                    ),
                     self.secrets[0],
                 )
                 self.sock.sendto(data, _address(s.address))
@@ -238,7 +247,7 @@
         if budget is not None:
             now = time.monotonic()
             wanted = self.group.shares[budget].meter.demand(now).wanted
-            self.group.asked(budget, wanted <= self.part(budget), now)
+            self.group.leases.record_demand(budget, wanted <= self.part(budget), now)
 
     def request_answered(self, request: InboundRequest, figure: str | None, backoff: int) -> None:
         if figure is not None:
@@ -255,11 +264,11 @@
         pass
 
     def shutdown_started(self, remaining: int) -> None:
-        self.group.leaving = True
+        self.group.announce_leaving()
 
     # ---- shares of tenants
     def part(self, budget: str) -> int:
-        return (self.group.part(budget, time.monotonic()) or 0) if not self.group.yielded else 0
+        return self.group.leases.held_amount(budget, time.monotonic())
 
     def live_tenants(self, tenants: Tenants, fleet_size: int) -> tuple:
         """Tenants by position, for the module: those that have a budget with their part of it."""
@@ -282,7 +291,7 @@
         """A ticket, or None where the budget of that server gives none."""
         now, budget, ticket = time.monotonic(), self.servers.get(server), None
         if budget is not None:
-            ticket = self.group.use(budget, now)
+            ticket = self.group.leases.acquire(budget, now)
             if ticket is None:
                 return None
         self.tickets += 1
@@ -293,7 +302,7 @@
     def ended(self, ticket: int, verdict: str) -> None:
         server, budget, used = self.open.pop(ticket)
         if budget is not None and used is not None:
-            self.group.done(budget, used)
+            self.group.leases.release(budget, used)
         self.group.outliers.call_completed(server, ticket, HealthStatus(verdict), time.monotonic())
 
     def longest(self, server: str) -> float | None:
@@ -304,11 +313,11 @@
     def may_repeat(self, server: str) -> bool:
         """Whether one more try may go to this server: at the moment of use, by the fleet's budget."""
         budget = self.repeats.get(server) or self.repeats.get(None)
-        return budget is not None and self.group.use(budget, time.monotonic()) is not None
+        return budget is not None and self.group.leases.acquire(budget, time.monotonic()) is not None
 
     # ---- for operators
     def view(self) -> dict[str, Any]:
-        return told(self.group, time.monotonic()) | {
+        return status_view(self.group, time.monotonic()) | {
             "rejected": dict(self.rejected),
             "datagrams": self.sent,
             "bytes_out": self.bytes_out,
--- a/ochrehoist/net/recovery.py
+++ b/ochrehoist/net/recovery.py
@@ -59,7 +59,7 @@
         self.said: dict[str, float] = {}  # when a try's words were last said
         self.peers = worker.peers
         if self.peers is not None:
-            self.peers.group.extensions[TOPIC] = self
+            self.peers.group.add_extension(TOPIC, self)
         if worker.journal is not None and self.config.witnesses:
             worker.journal.testifier = self
         owner.answers.observers.append(self)
--- a/ochrehoist/net/sites.py
+++ b/ochrehoist/net/sites.py
@@ -61,7 +61,7 @@
         self.ticket: int | None = None
         self.asked_at, self.granted_until = 0.0, 0.0
         self.emptied = False
-        peers.group.extensions[TOPIC] = self.desk
+        peers.group.add_extension(TOPIC, self.desk)
         owner.gate = self.desk
         owner.answers.observers.append(self.desk)
         owner.part = self.desk.part
@@ -93,14 +93,14 @@
         if now - self.asked_at >= RENEW_S:
             self.asked_at = now
             self._let_go()
-            self.ticket = self.peers.group.use(PERMIT, now)
+            self.ticket = self.peers.group.leases.acquire(PERMIT, now)
             if self.ticket is not None:
                 self.granted_until = now + PERMIT_S
         return max(0.0, self.granted_until - now)
 
     def _let_go(self) -> None:
         if self.ticket is not None:
-            self.peers.group.done(PERMIT, self.ticket)
+            self.peers.group.leases.release(PERMIT, self.ticket)
             self.ticket = None
 
     # ---- operators
--- a/ochrehoist/peers/counters.py
+++ b/ochrehoist/peers/counters.py
@@ -48,6 +48,14 @@
         self._cursor_turn = 0
         self._send_turn = 0
 
+    def reconfigure(self, max_rate_per_s: float) -> None:
+        """Takes a new bound of what one worker counts."""
+        self.max_rate_per_s = max_rate_per_s
+
+    def follow(self, incarnation: Incarnation) -> None:
+        """This process is known by this incarnation from now on."""
+        self.incarnation = incarnation
+
     def add(self, key: str, count: int = 1) -> None:
         """Counts `key`, which reads kind/name/word."""
         self.own.add(key, count)
@@ -159,7 +167,7 @@
                 missing += unknown_s * self.max_rate_per_s
         return CounterReading(total, age_s, int(missing + ROUNDING_UP), int(lost + ROUNDING_UP))
 
-    def keys(self) -> list[str]:
+    def sorted_keys(self) -> list[str]:
         """All keys that were ever counted, sorted."""
         keys = set(self.own.counts)
         for replica in self.replicas.values():
--- a/ochrehoist/peers/membership.py
+++ b/ochrehoist/peers/membership.py
@@ -65,6 +65,12 @@
         self._last_tick_at = now
         self._next_probe_at = now
 
+    def reconfigure(self, addresses: dict[str, str], site: str, protocol_period_s: float) -> None:
+        """Takes new settings."""
+        self.addresses = addresses
+        self.site = site
+        self.protocol_period_s = protocol_period_s
+
     # ---- what is known
     def live_names(self) -> list[str]:
         """Names of other members that are not known to be gone."""
@@ -322,6 +328,11 @@
             self._mark_alive(member, now)
         self._spread(member.incarnation.name)
 
+    def set_contact(self, name: str, address: str, site: str) -> None:
+        """Where a known member says that it is."""
+        self.members[name].address = address
+        self.members[name].site = site
+
     def mark_left(self, incarnation: Incarnation, now: float) -> None:
         """The member said itself that it shuts down."""
         member = self.members.get(incarnation.name)
--- /dev/null
+++ b/ochrehoist/peers/outbound.py
@@ -0,0 +1,109 @@
+"""Messages to other members: to whom they are addressed, and how often strangers are greeted. No I/O; s."""
+
+from collections.abc import Sequence
+from dataclasses import dataclass
+
+from ochrehoist.peers.fleet_settings import FleetSettings
+from ochrehoist.peers.membership import Membership
+from ochrehoist.peers.wire import (
+    UNKNOWN_INCARNATION,
+    Hello,
+    Incarnation,
+    MemberLeft,
+    Payload,
+    Ping,
+    Superseded,
+)
+
+GREETING_INTERVAL_S = 0.2  # between two greetings of one that does not know this incarnation
+MAX_GREETED = 4096  # that are remembered
+
+
+@dataclass(frozen=True)
+class OutgoingMessage:
+    """A message to be sent: to a name, or to an address whose name is not known (an empty recipient)."""
+
+    recipient: str
+    address: str
+    recipient_number: int  # of its incarnation, or UNKNOWN_INCARNATION
+    payloads: Sequence[Payload]
+
+
+class Outbound:
+    """Addresses payloads to members by what the membership knows of them."""
+
+    def __init__(self, settings: FleetSettings, membership: Membership) -> None:
+        self.last_greeting_at: dict[str, float] = {}
+        self._settings = settings
+        self._membership = membership
+
+    def reconfigure(self, settings: FleetSettings) -> None:
+        """Takes new settings."""
+        self._settings = settings
+
+    def _hello(self) -> Hello:
+        return Hello(self._settings.address, self._settings.site)
+
+    def to_member(self, name: str, payloads: Sequence[Payload]) -> list[OutgoingMessage]:
+        """A message to a member; a mere greeting where its incarnation is not known yet."""
+        address = self._membership.address_of(name)
+        if not address:
+            return []
+        number = self._membership.incarnation_number_of(name)
+        if not number:
+            return [OutgoingMessage(name, address, UNKNOWN_INCARNATION, [self._hello()])]
+        if isinstance(payloads[0], Ping):
+            payloads = [self._hello(), *payloads]
+        return [OutgoingMessage(name, address, number, payloads)]
+
+    def to_configured_address(self, name: str, payloads: Sequence[Payload]) -> list[OutgoingMessage]:
+        """A message to a known member, only where the settings give its address.
+
+        One address has one process, so of two processes that believe to have a name only one gets it.
+        """
+        address = self._membership.addresses.get(name)
+        if not address or name not in self._membership.members:
+            return []
+        number = self._membership.incarnation_number_of(name)
+        return [OutgoingMessage(name, address, number, payloads)]
+
+    def greet_seeds(self, now: float) -> list[OutgoingMessage]:
+        """Greetings to the addresses at which a member may be found."""
+        return [
+            OutgoingMessage("", address, UNKNOWN_INCARNATION, [self._hello()])
+            for address in self._settings.seed_addresses
+            if address != self._settings.address and self._may_greet(address, now)
+        ]
+
+    def greet(self, incarnation: Incarnation, source: str, now: float) -> list[OutgoingMessage]:
+        """Tells one that does not know this incarnation who is here."""
+        return self._to_sender(incarnation, source, self._hello(), now)
+
+    def tell_superseded(
+        self, incarnation: Incarnation, latest: Incarnation, source: str, now: float
+    ) -> list[OutgoingMessage]:
+        """Tells a process that a later one of its name is known."""
+        return self._to_sender(incarnation, source, Superseded(latest), now)
+
+    def _to_sender(
+        self, incarnation: Incarnation, source: str, payload: Payload, now: float
+    ) -> list[OutgoingMessage]:
+        address = self._membership.addresses.get(incarnation.name) or source
+        if not self._may_greet(f"{incarnation.name}/{address}", now):
+            return []
+        return [OutgoingMessage(incarnation.name, address, incarnation.number, [payload])]
+
+    def _may_greet(self, key: str, now: float) -> bool:
+        if now - self.last_greeting_at.get(key, -1e9) < GREETING_INTERVAL_S:
+            return False
+        if len(self.last_greeting_at) > MAX_GREETED:
+            self.last_greeting_at.clear()
+        self.last_greeting_at[key] = now
+        return True
+
+    def goodbye(self, reason: str) -> list[OutgoingMessage]:
+        """Tells all that this worker leaves."""
+        messages = []
+        for name in self._membership.live_names():
+            messages += self.to_member(name, [MemberLeft(reason)])
+        return messages
--- a/tests/test_growth_messages.py
+++ b/tests/test_growth_messages.py
@@ -7,7 +7,7 @@
 from unittest import mock
 
 from ochrehoist.lab.virtual import World
-from ochrehoist.peers import group, membership, probing
+from ochrehoist.peers import membership, ping_exchange, probing
 from ochrehoist.peers.budget import Budget
 from ochrehoist.peers.wire import MemberState
 
@@ -57,13 +57,13 @@
         g.members.gossip.remaining,
         g.members.probes,
         g.members.schedule.round,
-        g.seen,
-        g.decoded,
+        g.inbound.replay_windows,
+        g.peer_statuses.decoded,
         g.ended_at,
         g.counters.replicas,
         g.counters.folded_counts,
-        g.hellos,
-        g.helping,
+        g.outbound.last_greeting_at,
+        g.pings.relayed,
     )
     return size(held, set())
 
@@ -105,8 +105,8 @@
 
     def test_an_answer_that_tells_of_all_members_is_seen(self):
         with (
-            mock.patch.object(group, "NEWS", 10**6),
-            mock.patch.object(group, "KNOW", 10**6),
+            mock.patch.object(ping_exchange, "MAX_NEWS", 10**6),
+            mock.patch.object(ping_exchange, "MAX_KNOWN_VERSIONS", 10**6),
             self.assertRaisesRegex(AssertionError, "bytes a second for each member"),
         ):
             within([Measured(count) for count in (20, 60)])
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -12,7 +12,8 @@
 from ochrehoist.peers import lease_assignment, wire
 from ochrehoist.peers.budget import CLOCK_DRIFT, GRANT_GUARD_S, RATE_WINDOW_S, Budget
 from ochrehoist.peers.counters import MAX_INCARNATIONS, ReplicatedCounters
-from ochrehoist.peers.group import Group, Terms
+from ochrehoist.peers.fleet_settings import FleetSettings
+from ochrehoist.peers.group import Group
 from ochrehoist.peers.leases import LeaseGrantor, LeaseHolder
 from ochrehoist.peers.membership import Membership
 from ochrehoist.peers.outlier_detection import (
@@ -575,7 +576,7 @@
         at, rng = {f"w{n}": f"127.0.0.1:{9000 + n}" for n in range(count)}, Random(seed)
         groups, open_, sent = [], [], 0
         for name, address in at.items():
-            terms = Terms(
+            terms = FleetSettings(
                 "g",
                 address,
                 "",
@@ -603,7 +604,7 @@
                 call[1].outliers.call_completed(call[2], call[3], HealthStatus.OK, now)
             if ticket % 25 == 0:
                 group = rng.choice(groups)
-                group.beat(now)
+                group.tick(now)
                 busy = Counter(name for _, g, name, _ in open_ if g is group)
                 name = group.outliers.rank_services({s: busy[s] for s in ("s0", "s1", "s2")}, now)[0]
                 group.outliers.call_started(name, ticket, "read", now)
--- a/tests/test_peers_counts.py
+++ b/tests/test_peers_counts.py
@@ -10,11 +10,12 @@
 from hypothesis import strategies as st
 
 from ochrehoist.lab.virtual import World
-from ochrehoist.peers import group, own_counters, wire
+from ochrehoist.peers import own_counters, ping_exchange, wire
 from ochrehoist.peers.budget import CLOCK_DRIFT
 from ochrehoist.peers.counter_encoding import MAX_DELTA_BYTES, MAX_OWN_BYTES
 from ochrehoist.peers.counters import ReplicatedCounters
-from ochrehoist.peers.group import Group, Terms
+from ochrehoist.peers.fleet_settings import FleetSettings
+from ochrehoist.peers.group import Group
 from ochrehoist.peers.own_counters import MAX_KEY_BYTES, MAX_KEYS, OVERFLOW_KEY
 from ochrehoist.peers.wire import (
     Ack,
@@ -312,7 +313,7 @@
 
     def whole(self, w, nodes, total):
         return all(
-            sum(n.group.counters.read(k, n.clock(w.now)).total for k in nodes[0].group.counters.keys())
+            sum(n.group.counters.read(k, n.clock(w.now)).total for k in nodes[0].group.counters.sorted_keys())
             == total
             and not n.group.counters.incomplete
             for n in nodes
@@ -368,7 +369,7 @@
             w.run(w.now + 3.0)
 
     def test_an_answer_finds_room_whatever_is_told_of_members(self):
-        terms = Terms("g", "at:a", "", {}, (), 0.1, (), (), 0.5, 100.0)
+        terms = FleetSettings("g", "at:a", "", {}, (), 0.1, (), (), 0.5, 100.0)
         g = Group(terms, A, 0.0, 1)
         g.members.established = True
         for t in range(2000):
@@ -388,23 +389,23 @@
                 1 + (asked is None),
                 [Hello("at:m1", ""), Ping(7, [], [], asked)],
             )
-            sends = g.took(m, "at:m1", 1.0)
-            ack = sends[0].items[-1]
+            sends = g.receive(m, "at:m1", 1.0)
+            ack = sends[0].payloads[-1]
             self.assertGreater(len(ack.updates), 2)
             self.assertEqual(bool(ack.deltas), asked is not None)
-            wire.encode_datagram(Message("g", A, "m1", 1, 1, sends[0].items), b"a secret")
-        with mock.patch.object(group, "ENTRIES_BYTES", 10**6):
-            sends = g.took(
+            wire.encode_datagram(Message("g", A, "m1", 1, 1, sends[0].payloads), b"a secret")
+        with mock.patch.object(ping_exchange, "MAX_UPDATES_BYTES", 10**6):
+            sends = g.receive(
                 Message("g", Incarnation("m1", 1, 1), "a", 10, 3, [Ping(7, [], [], None)]), "at:m1", 1.0
             )
             with self.assertRaises(MessageTooLongError):
-                wire.encode_datagram(Message("g", A, "m1", 1, 1, sends[0].items), b"a secret")
+                wire.encode_datagram(Message("g", A, "m1", 1, 1, sends[0].payloads), b"a secret")
 
     def test_what_one_called_dead_and_back_counts_is_bounded_again(self):
         w, nodes = self.fleet(5, 3)
         w.run(8.0)
         w.pause(nodes[1], 8.0)
-        life = nodes[1].group.life
+        life = nodes[1].group.incarnation
         w.run(15.0)
         self.assertEqual(nodes[0].group.members.members["w001"].state, MemberState.DEAD)
         w.run(22.0)
--- a/tests/test_peers_suspicion.py
+++ b/tests/test_peers_suspicion.py
@@ -150,7 +150,7 @@
             for n in w.nodes.values()
             for m in n.group.members.members.values()
             if m.state != MemberState.ALIVE
-            or m.incarnation != w.nodes[w.address(m.incarnation.name)].group.life
+            or m.incarnation != w.nodes[w.address(m.incarnation.name)].group.incarnation
         ] + [n.name for n in w.nodes.values() if len(n.group.members.members) != count - 1]
 
     def test_after_a_pause(self):
