--- a/ochrehoist/peers/counters.py
+++ b/ochrehoist/peers/counters.py
@@ -183,15 +183,13 @@
         wanted = [target] if target is not None else []
         cursors = [CounterCursor(name, number, 0, "")] if target is None else []
         self._cursor_turn += 1
-        for candidates in (list(self.incomplete), list(self.replicas)):
-            if candidates:
-                wanted.append(candidates[self._cursor_turn % len(candidates)])
-        for incarnation in dict.fromkeys(wanted):
-            replica = self.replicas[incarnation]
-            cursors.append(
-                CounterCursor(incarnation.name, incarnation.number, replica.version, replica.complete_up_to)
-            )
-        return cursors
+        turns = (list(self.incomplete), list(self.replicas))  # one that is incomplete, and one of all
+        wanted += [candidates[self._cursor_turn % len(candidates)] for candidates in turns if candidates]
+        return cursors + [self._cursor(incarnation) for incarnation in dict.fromkeys(wanted)]
+
+    def _cursor(self, incarnation: Incarnation) -> CounterCursor:
+        replica = self.replicas[incarnation]
+        return CounterCursor(incarnation.name, incarnation.number, replica.version, replica.complete_up_to)
 
     def deltas_for(self, cursors: Sequence[CounterCursor], now: float) -> list[CounterDelta]:
         """Answers the cursors of a ping, bounded in bytes.
--- a/ochrehoist/peers/group.py
+++ b/ochrehoist/peers/group.py
@@ -157,7 +157,7 @@
         self._tick_outliers(now)
         self._renew_status(now)
         for probe in self.members.tick(now):
-            messages += self.pings.send_probe(probe, now)
+            messages += self.pings.send_probe(probe)
         if not self.members.members:
             messages += self.outbound.greet_seeds(now)
         messages += self._extension_messages(now)
@@ -230,18 +230,18 @@
             messages += self._handlers[type(payload)](payload, message.sender, now)
         return messages
 
-    def _on_hello(self, hello: Hello, sender: Incarnation, now: float) -> list[OutgoingMessage]:
+    def _on_hello(self, hello: Hello, sender: Incarnation, _now: float) -> list[OutgoingMessage]:
         self.members.set_contact(sender.name, hello.address, hello.site)
         return []
 
     def _on_superseded(
-        self, superseded: Superseded, sender: Incarnation, now: float
+        self, superseded: Superseded, _sender: Incarnation, _now: float
     ) -> list[OutgoingMessage]:
         if superseded.incarnation.name == self.incarnation.name:
             self.members.note_duplicate(superseded.incarnation)
         return []
 
-    def _on_member_left(self, left: MemberLeft, sender: Incarnation, now: float) -> list[OutgoingMessage]:
+    def _on_member_left(self, _left: MemberLeft, sender: Incarnation, now: float) -> list[OutgoingMessage]:
         self.members.mark_left(sender, now)
         return []
 
--- a/ochrehoist/peers/lease_assignment.py
+++ b/ochrehoist/peers/lease_assignment.py
@@ -1,5 +1,4 @@
-"""Which free lease slots a worker requests, and which it transfers: so that none lies idle while one is
-denied.
+"""Which free lease slots a worker requests, and which it transfers to one that is denied.
 
 A matter of utilisation alone: whatever is requested, the grantors keep the budget's bound. No I/O.
 """
--- a/ochrehoist/peers/leases.py
+++ b/ochrehoist/peers/leases.py
@@ -38,8 +38,11 @@
 
 
 class LeaseGrantor:
-    """One grantor's part in the leases of one budget. It grants nothing that an earlier process of the same
-    member, which ended before `started_at`, may have granted to another."""
+    """One grantor's part in the leases of one budget.
+
+    It grants nothing that an earlier process of the same member, which ended before `started_at`, may have
+    granted to another.
+    """
 
     def __init__(self, budget: Budget, started_at: float) -> None:
         self.budget = budget
--- a/ochrehoist/peers/membership.py
+++ b/ochrehoist/peers/membership.py
@@ -319,8 +319,10 @@
                 self._suspect(member, sender, now)
 
     def _apply_refutations(self, member: Member, refutations: int, now: float) -> None:
-        """It has answered all accusations below this number: they are over, a death too; one that left is
-        gone for good."""
+        """It has answered all accusations below this number: they are over, a death too.
+
+        One that left is gone for good.
+        """
         if refutations <= member.refutations:
             return
         member.refutations = refutations
--- a/ochrehoist/peers/ping_exchange.py
+++ b/ochrehoist/peers/ping_exchange.py
@@ -58,10 +58,10 @@
         self._outbound = outbound
         self._rng = rng
 
-    def send_probe(self, probe: ProbeAction, now: float) -> list[OutgoingMessage]:
+    def send_probe(self, probe: ProbeAction) -> list[OutgoingMessage]:
         """The messages of one probe."""
         if not probe.indirect:
-            return self._outbound.to_member(probe.target, [self._ping(probe.target, probe.nonce, now)])
+            return self._outbound.to_member(probe.target, [self._ping(probe.target, probe.nonce)])
         messages = []
         for helper in self._membership.sample_live(INDIRECT_PROBES, (probe.target,)):
             messages += self._outbound.to_member(helper, [PingRequest(probe.nonce, probe.target)])
@@ -72,7 +72,7 @@
         if len(self.relayed) > MAX_RELAYED:
             self.relayed.clear()
 
-    def _ping(self, target: str, nonce: int, now: float) -> Ping:
+    def _ping(self, target: str, nonce: int) -> Ping:
         members = self._membership.members
         names = list(members)
         if len(names) > MAX_KNOWN_VERSIONS:
@@ -84,11 +84,13 @@
         return Ping(nonce, known, self._membership.select_gossip(self._own_status.update(), target), cursors)
 
     # ---- what is received
-    def on_ping_request(self, request: PingRequest, sender: Incarnation, now: float) -> list[OutgoingMessage]:
+    def on_ping_request(
+        self, request: PingRequest, sender: Incarnation, _now: float
+    ) -> list[OutgoingMessage]:
         """Pings the target for another member."""
         nonce = self._rng.getrandbits(62) | 1
         self.relayed[nonce] = RelayedPing(sender.name, request.nonce, request.target)
-        return self._outbound.to_member(request.target, [self._ping(request.target, nonce, now)])
+        return self._outbound.to_member(request.target, [self._ping(request.target, nonce)])
 
     def on_ping(self, ping: Ping, sender: Incarnation, now: float) -> list[OutgoingMessage]:
         """Answers with this worker's status, what the sender does not know yet, and counters."""
