--- a/ochrehoist/lab/hollow.py
+++ b/ochrehoist/lab/hollow.py
@@ -35,7 +35,8 @@
 from ochrehoist.net.ajp_front import AjpReader
 from ochrehoist.net.ajp_server import AjpServers
 from ochrehoist.net.loop import Loop, Signal, steady_clock
-from ochrehoist.net.peers import BEAT_S, Peers
+from ochrehoist.net.peer_transport import DatagramSocket, open_datagram_socket
+from ochrehoist.net.peers import TICK_S, Peers
 from ochrehoist.peers.wire import CounterSnapshot, Incarnation, MemberState, MemberUpdate
 
 try:
@@ -146,7 +147,7 @@
 class Link:
     """A worker's datagram socket on that network."""
 
-    def __init__(self, sock: socket.socket, network: Network, address: Address) -> None:
+    def __init__(self, sock: DatagramSocket, network: Network, address: Address) -> None:
         self.sock, self.network, self.address = sock, network, address
         self.fileno, self.close, self.getsockname = sock.fileno, sock.close, sock.getsockname
         self.received = 0
@@ -165,16 +166,20 @@
 
 
 class HollowPeers(Peers):
-    network: Network
+    """A worker's peers whose datagrams go over a network that can be cut."""
 
-    def start(self) -> None:
-        super().start()
-        if self.sock is not None:
-            self.sock = Link(self.sock, self.network, self.config.listen)
+    def __init__(self, loop: Loop, owner: Owner, config: Config, log: Log, network: Network) -> None:
+        self.link: Link | None = None
+
+        def open_link(listen: Address) -> Link:
+            self.link = Link(open_datagram_socket(listen), network, listen)
+            return self.link
+
+        super().__init__(loop, owner, config, log, open_link)
 
     @property
     def received(self) -> int:
-        return getattr(self.sock, "received", 0)
+        return self.link.received if self.link is not None else 0
 
 
 class MeteredOwner(Owner):
@@ -213,8 +218,7 @@
         self.servers = AjpServers(loop, self.owner, config.ajp, int(bytes_ * BODY_SHARE), log)
         self.reader = AjpReader(self.owner, self.servers, config.ajp)
         self.owner.post(ExecutorReady(None, 0))
-        self.peers = HollowPeers(loop, self.owner, config, log)
-        self.peers.network = network
+        self.peers = HollowPeers(loop, self.owner, config, log, network)
         # The choices of a worker are chance's; here a seed's.
         self.peers.group.rng.seed(self.rng.random())
         self.peers.group.members.rng.seed(self.rng.random())
@@ -243,11 +247,8 @@
 
     def kill(self) -> None:
         """As SIGKILL would: no goodbye."""
-        self.ended, self.peers.stopped = True, True
-        if self.peers.sock is not None:
-            self.loop.forget(self.peers.sock.fileno())
-            self.peers.sock.close()
-            self.peers.sock = None
+        self.ended = True
+        self.peers.transport.close()
         self.waker.waiter = None
         self.task.throw(GreenletExit)
 
@@ -279,15 +280,15 @@
         p, g = self.peers, self.peers.group
         return {
             "name": self.config.name,
-            "bytes_out": p.bytes_out,
-            "bytes_in": p.bytes_in,
-            "sent": p.sent,
+            "bytes_out": p.transport.sent_bytes,
+            "bytes_in": p.transport.received_bytes,
+            "sent": p.transport.sent_count,
             "received": p.received,
-            "peers_cpu_s": p.spent,
+            "peers_cpu_s": p.cpu_s,
             "alive": self.alive(),
             "late": g.members.stall_count,
             "deaths": len(g.members.deaths),
-            "rejected": sum(p.rejected.values()),
+            "rejected": sum(p.transport.rejected_counts.values()),
             "beats": list(self.owner.beats),
             "state_bytes": sum(len(m.status) for m in g.members.members.values()),
             "held": sum(s.holder.amount(time.monotonic()) for s in g.shares.values()),
@@ -432,7 +433,7 @@
                     continue
                 # As at rest: so long ago was each heard of, by one way or another.
                 ago, who = h.rng.expovariate(NEWS_PER_S / len(lives)), Incarnation(*life)
-                version = max(0, version + OLD - int(ago / BEAT_S))
+                version = max(0, version + OLD - int(ago / TICK_S))
                 refused += not m.on_message_from(who, at, site, now)
                 age = int(1000 * ago)
                 m.apply_status(
--- /dev/null
+++ b/ochrehoist/net/peer_settings.py
@@ -0,0 +1,56 @@
+"""The settings of one worker's part in its fleet, from the configuration."""
+
+from ochrehoist.config.schema import BudgetConfig, Config, PeersConfig
+from ochrehoist.peers.budget import Budget
+from ochrehoist.peers.fleet_settings import FleetSettings
+
+Address = tuple[str, int]
+
+
+def format_address(address: Address) -> str:
+    """host:port."""
+    return f"{address[0]}:{address[1]}"
+
+
+def parse_address(text: str) -> Address:
+    """The reverse of `format_address`; raises ValueError where the port is no number."""
+    host, _, port = text.rpartition(":")
+    return host, int(port)
+
+
+def _budget(config: BudgetConfig, grantors: tuple[str, ...]) -> Budget:
+    return Budget(
+        name=config.name,
+        amount=config.amount,
+        grantors=grantors,
+        concurrent=config.kind == "server",
+        lease_s=config.lease_s,
+        floor_fraction=config.floor_fraction,
+        floor_lease_s=config.floor_lease_s,
+        max_run_s=config.max_run_s,
+        configured_slots=config.slot_count,
+    )
+
+
+def fleet_settings(config: Config, peers: PeersConfig) -> FleetSettings:
+    """What the fleet's side needs of the configuration; `peers` is its table, or the one before."""
+    budgets = tuple(_budget(budget, peers.lease_grantors) for budget in peers.budgets)
+    site = peers.site
+    if config.sites:
+        from ochrehoist.sites.permit import permit
+
+        site = config.sites.site
+        if peers.lease_grantors:
+            budgets += (permit(peers.lease_grantors),)
+    return FleetSettings(
+        group=peers.group,
+        address=format_address(peers.advertised_address),
+        site=site,
+        addresses={name: format_address(address) for name, address in peers.members.items()},
+        seed_addresses=tuple(format_address(address) for address in peers.seed_addresses),
+        protocol_period_s=peers.protocol_period_ms / 1000,
+        budgets=budgets,
+        services=tuple(server.name for server in config.ajp.servers) if config.ajp else (),
+        max_ejected_fraction=peers.max_ejected_fraction,
+        max_rate_per_s=peers.max_requests_per_s,
+    )
--- a/ochrehoist/net/peers.py
+++ b/ochrehoist/net/peers.py
@@ -1,352 +1,292 @@
-"""The datagrams between workers, and what the rest of the worker asks of the fleet. Only where [peers] is
-on."""
+"""This worker in its fleet: what the core, the executor and operators ask of it. Only where [peers] is on."""
 
-import errno
 import os
 import secrets
-import socket
 import time
-from collections import Counter
 from collections.abc import Callable, Generator, Mapping
-from typing import Any
+from dataclasses import dataclass
+from typing import Any, cast
 
 from ochrehoist.admission.settings import Tenant
-from ochrehoist.config.loader import Config
-from ochrehoist.core.figures import counted
+from ochrehoist.config.schema import Config, PeersConfig
 from ochrehoist.core.owner import Owner
 from ochrehoist.core.request import InboundRequest
 from ochrehoist.core.tenants import Tenants
+from ochrehoist.errors import OchrehoistError
 from ochrehoist.net.loop import Loop
-from ochrehoist.peers import wire
-from ochrehoist.peers.budget import Budget
-from ochrehoist.peers.fleet_settings import FleetSettings
+from ochrehoist.net.peer_log import PeerEventLog
+from ochrehoist.net.peer_metrics import peer_metrics
+from ochrehoist.net.peer_settings import Address, fleet_settings
+from ochrehoist.net.peer_transport import DatagramSocket, PeerTransport, open_datagram_socket
 from ochrehoist.peers.group import Group
 from ochrehoist.peers.outbound import OutgoingMessage
 from ochrehoist.peers.status_view import status_view
 from ochrehoist.peers.wire import HealthStatus, Incarnation, Message
 
-BEAT_S = 0.05
-AT_ONCE = 64  # datagrams read in one turn of the loop: a flood must leave time for requests
-BIND_S = 0.1  # between two tries to bind: a process that is replaced may still hold the address
-
-
-def terms_of(config: Config) -> FleetSettings:
-    """What the fleet's side is told of the configuration."""
-    p = config.peers
-    budgets = tuple(
-        Budget(
-            name=b.name,
-            amount=b.amount,
-            grantors=p.lease_grantors,
-            concurrent=b.kind == "server",
-            lease_s=b.lease_s,
-            floor_fraction=b.floor_fraction,
-            floor_lease_s=b.floor_lease_s,
-            max_run_s=b.max_run_s,
-            configured_slots=b.slot_count,
-        )
-        for b in p.budgets
-    )
-    site = p.site
-    if config.sites:
-        from ochrehoist.sites.permit import permit
-
-        site = config.sites.site
-        budgets += (permit(p.lease_grantors),) if p.lease_grantors else ()
-    servers = tuple(s.name for s in config.ajp.servers) if config.ajp else ()
-    return FleetSettings(
-        p.group,
-        _text(p.advertised_address),
-        site,
-        {n: _text(a) for n, a in p.members.items()},
-        tuple(_text(a) for a in p.seed_addresses),
-        p.protocol_period_ms / 1000,
-        budgets,
-        servers,
-        p.max_ejected_fraction,
-        p.max_requests_per_s,
-    )
-
-
-def _text(address: tuple[str, int]) -> str:
-    return f"{address[0]}:{address[1]}"
-
-
-def _address(text: str) -> tuple[str, int]:
-    host, _, port = text.rpartition(":")
-    return host, int(port)
+TICK_S = 0.05
+MAX_BOOT_ID_BITS = 62
+NS_PER_MS = 1_000_000
+
+
+class PeersNotConfiguredError(OchrehoistError):
+    """The configuration has no table of peers."""
+
+    def __init__(self) -> None:
+        super().__init__("setting peers: missing")
 
 
 class FleetTenant:
-    """A tenant whose quota here is this worker's part of what it has over the whole fleet, as it is now."""
+    """A tenant whose quota here is this worker's part of its budget over the whole fleet, as it is now."""
 
     def __init__(self, tenant: Tenant, peers: "Peers", budget: str, fleet_size: int) -> None:
-        self.name, self.share = tenant.name, tenant.share
-        self._peers, self._budget, self._size = peers, budget, fleet_size
+        self.name = tenant.name
+        self.share = tenant.share
+        self._peers = peers
+        self._budget = budget
+        self._fleet_size = fleet_size
 
     @property
     def quota_per_s(self) -> float:
-        # The module takes the quota for that of `fleet_size` workers alike.
-        return float(self._peers.part(self._budget) * self._size)
+        """The quota of a fleet of `fleet_size` equal workers, as the admission controller expects it."""
+        return float(self._peers.held_amount(self._budget) * self._fleet_size)
+
+
+@dataclass(frozen=True)
+class BudgetNames:
+    """The names of the budgets by what they are for."""
+
+    by_tenant: Mapping[str | None, str]
+    by_retried_server: Mapping[str | None, str]  # None: any server
+    by_server: Mapping[str | None, str]
+
+    @classmethod
+    def of(cls, config: PeersConfig) -> "BudgetNames":
+        """The names of the configured budgets."""
+
+        def of_kind(kind: str) -> dict[str | None, str]:
+            return {budget.subject: budget.name for budget in config.budgets if budget.kind == kind}
+
+        return cls(of_kind("tenant"), of_kind("repeats"), of_kind("server"))
+
+
+@dataclass(frozen=True)
+class LiveTenants:
+    """The tenants of a table, by position, those with a budget as `FleetTenant`."""
+
+    table: Tenants
+    tenants: tuple[Tenant, ...]
+
+
+@dataclass(frozen=True)
+class ServerCall:
+    """A call to a server that is under way, and the use of the server's budget that it took, if any."""
+
+    server: str
+    budget: str | None
+    budget_ticket: int | None
+
+
+def _encoded(texts: tuple[str, ...]) -> tuple[bytes, ...]:
+    return tuple(text.encode() for text in texts)
 
 
 class Peers:
-    """This worker in its fleet. It observes the core's requests and advises the AJP servers' executor."""
-
-    def __init__(self, loop: Loop, owner: Owner, config: Config, log: Any) -> None:
-        self.loop, self.owner, self.log, self.config = loop, owner, log, config.peers
-        life = Incarnation(config.name, time.time_ns() // 1_000_000, secrets.randbits(62))
-        self.group = Group(terms_of(config), life, time.monotonic(), secrets.randbits(62))
-        self.sock: socket.socket | None = None
-        self.seq = self.tickets = 0
-        self.rejected: Counter = Counter()
-        self.bytes_out = self.bytes_in = self.sent = 0
-        self.spent = 0.0
-        self.secrets = tuple(s.encode() for s in self.config.secrets)
-        self.told: tuple[Tenants, tuple] | None = None  # a table, and what the module is told of it
-        self.stopped, self.said = False, {}
-        self.open: dict[
-            int, tuple[str, str | None, int | None]
-        ] = {}  # runs: server, its budget and ticket there
-        self._budgets()
+    """This worker in its fleet. It observes the core's requests and advises the AJP servers' executor.
+
+    Raises PeersNotConfiguredError where the configuration has no table of peers.
+    """
+
+    def __init__(
+        self,
+        loop: Loop,
+        owner: Owner,
+        config: Config,
+        log: Any,
+        open_socket: Callable[[Address], DatagramSocket] = open_datagram_socket,
+    ) -> None:
+        if config.peers is None:
+            raise PeersNotConfiguredError
+        self.config = config.peers
+        self.loop = loop
+        self.owner = owner
+        self._tick_cpu_s = 0.0
+        number = time.time_ns() // NS_PER_MS
+        incarnation = Incarnation(config.name, number, secrets.randbits(MAX_BOOT_ID_BITS))
+        settings = fleet_settings(config, self.config)
+        self.group = Group(settings, incarnation, time.monotonic(), secrets.randbits(MAX_BOOT_ID_BITS))
+        self.transport = PeerTransport(
+            loop,
+            self.config.group,
+            _encoded(self.config.secrets),
+            self._tick,
+            self._on_message,
+            log,
+            open_socket,
+        )
+        self._event_log = PeerEventLog(log)
+        self._budgets = BudgetNames.of(self.config)
+        self._live_tenants: LiveTenants | None = None
+        self._calls: dict[int, ServerCall] = {}  # by ticket
+        self._last_ticket = 0
         owner.answers.observers.append(self)
         owner.live_tenants = self.live_tenants
 
-    def _budgets(self) -> None:
-        self.tenants = {b.subject: b.name for b in self.config.budgets if b.kind == "tenant"}
-        self.repeats = {b.subject: b.name for b in self.config.budgets if b.kind == "repeats"}
-        self.servers = {b.subject: b.name for b in self.config.budgets if b.kind == "server"}
-
     def prepare(self, config: Config, tenants: Tenants) -> Generator[None, None, Callable[[], None]]:
         """What a configuration read again comes to; nothing changes before the call that it gives."""
-        peers = config.peers or self.config
-        budgets = {b.subject: b.name for b in peers.budgets if b.kind == "tenant"}
-        told = tenants, self._told(tenants, budgets, config.settings.fleet_size)
+        budgets = BudgetNames.of(config.peers or self.config)
+        fleet_size = config.settings.fleet_size
+        live_tenants = LiveTenants(tenants, self._with_budgets(tenants, budgets.by_tenant, fleet_size))
         yield
-        return lambda: self._configure(config, told)
+        return lambda: self._configure(config, live_tenants)
 
-    def _configure(self, config: Config, told: tuple[Tenants, tuple]) -> None:
-        self.told = told
+    def _configure(self, config: Config, live_tenants: LiveTenants) -> None:
+        self._live_tenants = live_tenants
         if config.peers is None:
             return
-        self.config, self.secrets = config.peers, tuple(s.encode() for s in config.peers.secrets)
-        self._budgets()
-        self.group.reconfigure(terms_of(config), time.monotonic())
+        self.config = config.peers
+        self.transport.secrets = _encoded(config.peers.secrets)
+        self._budgets = BudgetNames.of(config.peers)
+        self.group.reconfigure(fleet_settings(config, config.peers), time.monotonic())
 
-    # ---- datagrams
+    # ---- time and messages
     def start(self) -> None:
-        if self.stopped:
-            return
-        sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        sock.setblocking(False)
-        try:
-            sock.bind(self.config.listen)
-        except OSError as error:
-            sock.close()
-            if error.errno != errno.EADDRINUSE:
-                self.log.error("no socket for peers: they hear nothing of this worker", why=str(error))
-            self.loop.call_later(BIND_S, self.start)
-            return
-        self.sock = sock
-        self.log.info("started", part="Peers", listen=sock.getsockname())
-        self.loop.on_readable(sock.fileno(), self._readable)
-        self._beat()
+        """Takes part in the fleet once the address is free."""
+        self.transport.open(self.config.listen)
 
-    def _beat(self) -> None:
-        if self.sock is None:
+    def stop(self, reason: str) -> None:
+        """Gives all leases back and says goodbye; another process may take the address from then on."""
+        if self.transport.is_open:
+            self._send(self.group.leave(reason))
+        self.transport.close()
+
+    def _tick(self) -> None:
+        if not self.transport.is_open:
             return
         began = time.thread_time()
-        self._send(self.group.tick(time.monotonic()))
-        self._say()
-        self.spent += time.thread_time() - began
-        self.loop.call_later(BEAT_S, self._beat)
+        now = time.monotonic()
+        self._send(self.group.tick(now))
+        self._event_log.update(self.group, time.monotonic())
+        self._tick_cpu_s += time.thread_time() - began
+        self.loop.call_later(TICK_S, self._tick)
 
-    def _readable(self) -> None:
-        began = time.thread_time()
-        for _ in range(AT_ONCE):
-            try:
-                data, source = self.sock.recvfrom(wire.MAX_DATAGRAM_BYTES + 1)
-            except (BlockingIOError, InterruptedError):
-                break
-            except OSError:  # what a datagram of ours came to, which nobody took
-                continue
-            self.bytes_in += len(data)
-            try:
-                message = wire.decode_datagram(data, self.secrets, self.config.group)
-            except wire.MessageRejectedError as error:
-                self.rejected[error.reason.value] += 1
-                continue
-            self._send(self.group.receive(message, _text(source), time.monotonic()))
-        self.spent += time.thread_time() - began
-
-    def say(self, name: str, topic: str, data: bytes) -> None:
-        """At once, to one member's extension; as lost where it is not known."""
-        self._send(self.group.send_to_extension(name, topic, data))
+    def _on_message(self, message: Message, source: str) -> None:
+        self._send(self.group.receive(message, source, time.monotonic()))
 
-    def _send(self, sends: list[OutgoingMessage]) -> None:
-        for s in sends:
-            self.seq += 1
-            try:
-                data = wire.encode_datagram(
-                    Message(
-                        self.config.group,
-                        self.group.incarnation,
-                        s.recipient,
-                        s.recipient_number,
-                        self.seq,
-                        s.payloads,
-                    ),
-                    self.secrets[0],
-                )
-                self.sock.sendto(data, _address(s.address))
-                self.bytes_out += len(data)
-                self.sent += 1
-            except (wire.MessageTooLongError, ValueError) as error:
-                self.log.error("a message to a peer was too long or its address is none", why=str(error))
-            except OSError:  # as if it were lost
-                pass
-
-    def _say(self) -> None:
-        """What who is on call wants in the log: changes, each once."""
-        now, m = time.monotonic(), self.group.members
-        alone = m.isolated_for_s(now) is not None
-        news: dict[str, Any] = {"alone": alone, "duplicate": m.duplicate is not None}
-        news |= {f"member {n}": x.state for n, x in m.members.items()}
-        news |= {f"service {n}": s.ejection for n, s in self.group.outliers.services.items()}
-        for what, value in news.items():
-            before = self.said.get(what)
-            if before == value or (before is None and value in (False, "alive", "in")):
-                continue
-            if what == "duplicate":
-                self.log.error(
-                    "another process says that it is this member: this one uses no budget any more; "
-                    "end one of the two",
-                    later=str(m.duplicate),
-                )
-            elif what == "alone":
-                self.log.warning("no peer is heard" if value else "peers are heard again")
-            elif what.startswith("service"):
-                s = self.group.outliers.services[what[8:]]
-                self.log.warning("judgement on a server", server=what[8:], standing=value, why=s.reason)
-            else:
-                self.log.warning("member", member=what[7:], state=value)
-        self.said = news
+    def send_to_extension(self, name: str, topic: str, data: bytes) -> None:
+        """Sends at once to one member's extension; as if lost where the member is not known."""
+        self._send(self.group.send_to_extension(name, topic, data))
 
-    def stop(self, reason: str) -> None:
-        """Gives all back and says goodbye; another process may take the address from then on."""
-        self.stopped = True
-        if self.sock is not None:
-            self._send(self.group.leave(reason))
-            self.loop.forget(self.sock.fileno())
-            self.sock.close()
-            self.sock = None
+    def _send(self, messages: list[OutgoingMessage]) -> None:
+        self.transport.send(self.group.incarnation, messages)
 
     # ---- the core's observer
     def request_arrived(self, request: InboundRequest) -> None:
-        budget = self.tenants.get(request.tenant)
+        """Counts the demand for a tenant's budget, which the admission controller enforces."""
+        budget = self._budgets.by_tenant.get(request.tenant)
         if budget is not None:
             now = time.monotonic()
             wanted = self.group.shares[budget].meter.demand(now).wanted
-            self.group.leases.record_demand(budget, wanted <= self.part(budget), now)
+            self.group.leases.record_demand(budget, wanted <= self.held_amount(budget), now)
 
-    def request_answered(self, request: InboundRequest, figure: str | None, backoff: int) -> None:
-        if figure is not None:
-            word = figure.removesuffix("_total")
-            self.group.counters.add(f"class/{request.request_class.name}/{word}")
-            if request.tenant is not None:
-                self.group.counters.add(f"tenant/{request.tenant}/{word}")
+    def request_answered(self, request: InboundRequest, figure: str | None, _backoff: int) -> None:
+        """Counts the answer over the fleet."""
+        if figure is None:
+            return
+        word = figure.removesuffix("_total")
+        self.group.counters.add(f"class/{request.request_class.name}/{word}")
+        if request.tenant is not None:
+            self.group.counters.add(f"tenant/{request.tenant}/{word}")
 
     # ---- the listener of the core
     def health_changed(self, good: bool) -> None:
-        pass  # members are judged by what they say to each other
+        """Nothing: members are judged by their messages to each other."""
 
     def idle_timeout_changed(self, hold_for: int) -> None:
-        pass
+        """Nothing: datagrams keep no connection."""
 
-    def shutdown_started(self, remaining: int) -> None:
+    def shutdown_started(self, _remaining: int) -> None:
+        """Lets the others know."""
         self.group.announce_leaving()
 
-    # ---- shares of tenants
-    def part(self, budget: str) -> int:
+    # ---- budgets of tenants
+    def held_amount(self, budget: str) -> int:
+        """The amount of a budget that this worker holds now."""
         return self.group.leases.held_amount(budget, time.monotonic())
 
-    def live_tenants(self, tenants: Tenants, fleet_size: int) -> tuple:
-        """Tenants by position, for the module: those that have a budget with their part of it."""
-        table, told = self.told or (None, ())
-        return told if table is tenants else self._told(tenants, self.tenants, fleet_size)
-
-    def _told(self, tenants: Tenants, budgets: Mapping[str, str], fleet_size: int) -> tuple:
-        out = list(tenants.places)
+    def live_tenants(self, tenants: Tenants, fleet_size: int) -> tuple[Tenant, ...]:
+        """Tenants by position, for the admission controller: those with a budget have their part of it."""
+        prepared = self._live_tenants
+        if prepared is not None and prepared.table is tenants:
+            return prepared.tenants
+        return self._with_budgets(tenants, self._budgets.by_tenant, fleet_size)
+
+    def _with_budgets(
+        self, tenants: Tenants, budgets: Mapping[str | None, str], fleet_size: int
+    ) -> tuple[Tenant, ...]:
+        if not budgets:
+            return tenants.places
+        by_position = list(tenants.places)
         for name, budget in budgets.items():
-            position = tenants.at.get(name)
+            position = tenants.at.get(cast(str, name))
             if position is not None:
-                out[position] = FleetTenant(out[position], self, budget, fleet_size)
-        return tuple(out) if budgets else tenants.places
+                tenant = FleetTenant(by_position[position], self, budget, fleet_size)
+                by_position[position] = cast(Tenant, tenant)  # it has the same attributes
+        return tuple(by_position)
 
     # ---- what the AJP servers' executor asks
     def order(self, busy: Mapping[str, int]) -> list[str]:
+        """The servers to try, the best first; `busy` counts this worker's open calls at each."""
         return self.group.outliers.rank_services(busy, time.monotonic())
 
-    def began(self, server: str, cls: str) -> int | None:
-        """A ticket, or None where the budget of that server gives none."""
-        now, budget, ticket = time.monotonic(), self.servers.get(server), None
+    def began(self, server: str, request_class: str) -> int | None:
+        """A ticket for a call, or None where the budget of that server gives none now."""
+        now = time.monotonic()
+        budget = self._budgets.by_server.get(server)
+        budget_ticket = None
         if budget is not None:
-            ticket = self.group.leases.acquire(budget, now)
-            if ticket is None:
+            budget_ticket = self.group.leases.acquire(budget, now)
+            if budget_ticket is None:
                 return None
-        self.tickets += 1
-        self.open[self.tickets] = server, budget, ticket
-        self.group.outliers.call_started(server, self.tickets, cls, now)
-        return self.tickets
-
-    def ended(self, ticket: int, verdict: str) -> None:
-        server, budget, used = self.open.pop(ticket)
-        if budget is not None and used is not None:
-            self.group.leases.release(budget, used)
-        self.group.outliers.call_completed(server, ticket, HealthStatus(verdict), time.monotonic())
+        self._last_ticket += 1
+        self._calls[self._last_ticket] = ServerCall(server, budget, budget_ticket)
+        self.group.outliers.call_started(server, self._last_ticket, request_class, now)
+        return self._last_ticket
+
+    def ended(self, ticket: int, status: str) -> None:
+        """The call of this ticket has ended; `status` is a value of HealthStatus."""
+        call = self._calls.pop(ticket)
+        if call.budget is not None and call.budget_ticket is not None:
+            self.group.leases.release(call.budget, call.budget_ticket)
+        self.group.outliers.call_completed(call.server, ticket, HealthStatus(status), time.monotonic())
 
     def longest(self, server: str) -> float | None:
-        """s that a run at this server may take, where a budget of runs counts on it."""
-        budget = self.servers.get(server)
+        """How long a run at this server may take (s), where a budget of concurrent runs rests on it."""
+        budget = self._budgets.by_server.get(server)
         return self.group.shares[budget].holder.budget.max_run_s if budget is not None else None
 
     def may_repeat(self, server: str) -> bool:
-        """Whether one more try may go to this server: at the moment of use, by the fleet's budget."""
-        budget = self.repeats.get(server) or self.repeats.get(None)
+        """Whether a retry may go to this server now; it uses the fleet's retry budget."""
+        budget = self._budgets.by_retried_server.get(server) or self._budgets.by_retried_server.get(None)
         return budget is not None and self.group.leases.acquire(budget, time.monotonic()) is not None
 
     # ---- for operators
+    @property
+    def cpu_s(self) -> float:
+        """Processor time spent on peers."""
+        return self._tick_cpu_s + self.transport.receive_cpu_s
+
     def view(self) -> dict[str, Any]:
+        """This worker's view of the fleet, for `/status`."""
+        rejected = {reason.value: count for reason, count in self.transport.rejected_counts.items()}
         return status_view(self.group, time.monotonic()) | {
-            "rejected": dict(self.rejected),
-            "datagrams": self.sent,
-            "bytes_out": self.bytes_out,
-            "bytes_in": self.bytes_in,
-            "cpu_s": round(self.spent, 3),
+            "rejected": rejected,
+            "datagrams": self.transport.sent_count,
+            "bytes_out": self.transport.sent_bytes,
+            "bytes_in": self.transport.received_bytes,
+            "cpu_s": round(self.cpu_s, 3),
             "pid": os.getpid(),
         }
 
     def figures(self) -> str:
-        now, g = time.monotonic(), self.group
-        states = Counter(m.state for m in g.members.members.values())
-        alone = g.members.isolated_for_s(now)
-        values: dict[str, Any] = {
-            "app_peers": [(f'{{state="{s}"}}', states[s]) for s in ("alive", "suspect", "dead", "left")],
-            "app_peers_alone_seconds": [("", alone or 0.0)],
-            "app_peers_duplicate": [("", int(g.yielded))],
-            "app_peers_rejected_total": [(f'{{why="{w}"}}', n) for w, n in sorted(self.rejected.items())],
-            "app_peers_bytes_total": [('{way="out"}', self.bytes_out), ('{way="in"}', self.bytes_in)],
-        }
-        values["app_budget_held"] = [
-            (f'{{budget="{name}"}}', share.holder.amount(now)) for name, share in g.shares.items()
-        ]
-        values["app_budget_used_total"] = [
-            (f'{{budget="{name}"}}', share.meter.used_count) for name, share in g.shares.items()
-        ]
-        values["app_budget_denied_total"] = [
-            (f'{{budget="{name}"}}', share.meter.denied_count) for name, share in g.shares.items()
-        ]
-        values["app_server_left_out"] = [
-            (f'{{server="{n}"}}', int(s.is_ejected)) for n, s in g.outliers.services.items()
-        ]
-        return counted(values)
+        """The metrics, as text."""
+        return peer_metrics(self.group, self.transport, time.monotonic())
--- a/ochrehoist/net/recovery.py
+++ b/ochrehoist/net/recovery.py
@@ -118,7 +118,7 @@
 
     def _tell(self, now: float) -> None:
         for name, data in self._tells(now):
-            self.peers.say(name, f"{TOPIC}/{TELL}", data)
+            self.peers.send_to_extension(name, f"{TOPIC}/{TELL}", data)
 
     def took(self, sender: Incarnation, topic: str, data: bytes, now: float) -> list[tuple[str, bytes]]:
         m = decode(topic, data)
--- a/ochrehoist/peers/outbound.py
+++ b/ochrehoist/peers/outbound.py
@@ -1,6 +1,5 @@
 """Messages to other members: to whom they are addressed, and how often strangers are greeted. No I/O; s."""
 
-from collections.abc import Sequence
 from dataclasses import dataclass
 
 from ochrehoist.peers.fleet_settings import FleetSettings
@@ -26,7 +25,7 @@
     recipient: str
     address: str
     recipient_number: int  # of its incarnation, or UNKNOWN_INCARNATION
-    payloads: Sequence[Payload]
+    payloads: list[Payload]
 
 
 class Outbound:
@@ -44,7 +43,7 @@
     def _hello(self) -> Hello:
         return Hello(self._settings.address, self._settings.site)
 
-    def to_member(self, name: str, payloads: Sequence[Payload]) -> list[OutgoingMessage]:
+    def to_member(self, name: str, payloads: list[Payload]) -> list[OutgoingMessage]:
         """A message to a member; a mere greeting where its incarnation is not known yet."""
         address = self._membership.address_of(name)
         if not address:
@@ -56,7 +55,7 @@
             payloads = [self._hello(), *payloads]
         return [OutgoingMessage(name, address, number, payloads)]
 
-    def to_configured_address(self, name: str, payloads: Sequence[Payload]) -> list[OutgoingMessage]:
+    def to_configured_address(self, name: str, payloads: list[Payload]) -> list[OutgoingMessage]:
         """A message to a known member, only where the settings give its address.
 
         One address has one process, so of two processes that believe to have a name only one gets it.
