--- a/ochrehoist/lab/explore.py
+++ b/ochrehoist/lab/explore.py
@@ -1,6 +1,6 @@
-"""All orders of events for one right: claims, words and gifts that come, are lost or come twice, deaths and
-restarts on either side, and time. Breadth first over the real LeaseGrantor and LeaseHolder, each state once.
-No I/O.
+"""All orders of events for one lease slot: requests, grants and releases that arrive, are lost or arrive
+twice, deaths and restarts on either side, and time. Breadth first over the real LeaseGrantor and LeaseHolder,
+each state once. No I/O.
 """
 
 import pickle
@@ -12,7 +12,7 @@
 from ochrehoist.peers.leases import LeaseGrantor, LeaseHolder
 from ochrehoist.peers.wire import Incarnation
 
-TICK = 1.0  # s: half of the lease, and a little less than half of what voters keep to
+TICK = 1.0  # s: half of the lease, and a little less than half of what grantors keep to
 
 
 @dataclass(frozen=True)
@@ -31,7 +31,7 @@
 @dataclass
 class State:
     now: float
-    voters: list[LeaseGrantor]
+    grantors: list[LeaseGrantor]
     holders: list[LeaseHolder]
     lives: list[Incarnation]
     left: dict[str, int]
@@ -54,7 +54,7 @@
                 tuple(sorted(x.releases.items())),
                 from_now(x.silent_until_by_floor[False]),
             )
-            for x in self.voters
+            for x in self.grantors
         )
         holders = tuple(
             (
@@ -81,7 +81,7 @@
 
 
 class Doubled(OchrehoistError):
-    """Two lives hold one right at once; `path` is how that came about."""
+    """Two incarnations hold one slot at once; `path` is how that came about."""
 
     def __init__(self, path: list[str]) -> None:
         super().__init__(" ; ".join(path))
@@ -160,7 +160,7 @@
         s.left["kill"] -= 1
         b, n = _budget(bounds), int(rest[1])
         if rest[0] == "voter":  # and at once there again, without a memory
-            s.voters[n] = LeaseGrantor(b, s.now)
+            s.grantors[n] = LeaseGrantor(b, s.now)
             s.flying = [m for m in s.flying if m[0] == "vouched" or m[1] != n]
         else:
             s.holders[n] = LeaseHolder(b)
@@ -178,17 +178,17 @@
 def _take(s: State, m: tuple) -> None:
     kind, voter, life, round_ = m
     if kind == "claim":
-        terms = s.voters[voter].budget.terms_digest
-        if s.voters[voter].grant(life, terms, round_, [0], s.now):
+        terms = s.grantors[voter].budget.terms_digest
+        if s.grantors[voter].grant(life, terms, round_, [0], s.now):
             s.flying.append(("vouched", voter, life, round_))
     elif kind == "released":
-        s.voters[voter].release(life, round_, [0])
+        s.grantors[voter].release(life, round_, [0])
     elif life in s.lives:  # of a life that is over nobody hears
         s.holders[s.lives.index(life)].record_grant(f"v{voter}", round_, [0], s.now)
 
 
 def replay(bounds: Bounds, steps: list[str]) -> bool:
-    """Takes one path of named steps; whether two lives hold the right at its end."""
+    """Takes one path of named steps; whether two incarnations hold the slot at its end."""
     s = _start(bounds)
     for step in steps:
         word, at = (step.split() + ["0"])[:2]
--- a/ochrehoist/lab/virtual.py
+++ b/ochrehoist/lab/virtual.py
@@ -138,7 +138,7 @@
         inc = inc - 500_000 if set_back else max(inc, self.incs.get(name, 0) + 1)
         self.incs[name] = max(inc, self.incs.get(name, 0))
         address = self.address(name) + ("'" if twin else "")
-        # Voters are known by address in any case: on that their one vote rests.
+        # Grantors are known by address in any case: on that their one vote rests.
         known = self.names if self.known else sorted({v for b in self.budgets for v in b.grantors})
         addresses = {n: self.address(n) for n in known if n != name}
         start = tuple(self.address(n) for n in self.names[:2] if n != name)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -126,7 +126,7 @@
         self.quiet(m, 0.0, 6.0, answers=("c",))
         self.assertEqual((m.members["b"].state, m.members["c"].state), (MemberState.DEAD, MemberState.ALIVE))
 
-    def test_who_hears_nobody_is_alone_and_calls_nobody_dead(self):
+    def test_who_hears_nobody_is_isolated_and_declares_nobody_dead(self):
         m = membership()
         self.meet(m, 0.0, B, Incarnation("c", 1, 1))
         now = self.quiet(m, 0.0, 2.0, answers=("b", "c"))
@@ -143,14 +143,14 @@
         self.assertEqual({x.state for x in m.members.values()}, {MemberState.ALIVE})
         self.assertEqual(m.stall_count, 1)
 
-    def test_a_life_before_is_not_heard_after_its_successor(self):
+    def test_an_earlier_incarnation_is_not_heard_after_its_successor(self):
         m = membership()
         self.meet(m, 0.0, Incarnation("b", 20, 1))
         self.assertFalse(m.on_message_from(B, "at:b", "", 1.0))
         m.apply_gossip(MemberUpdate(B, "elsewhere", "", MemberState.ALIVE), "c", 1.0)
         self.assertEqual(m.members["b"].incarnation.number, 20)
 
-    def test_a_rumour_proves_nobody_to_be_there_and_none_to_be_gone_that_answers(self):
+    def test_gossip_proves_nobody_to_be_there_and_none_to_be_gone_that_answers(self):
         m = membership()
         self.meet(m, 0.0, B)
         now = self.quiet(m, 0.0, 1.0, answers=("b",))
@@ -348,7 +348,7 @@
             self.assertLessEqual(r.total, sum(true))
             self.assertLessEqual(sum(true), r.total + r.missing)
 
-    def test_lives_that_ended_are_added_up_and_never_told_anew(self):
+    def test_incarnations_that_ended_are_added_up_and_never_counted_anew(self):
         counters = ReplicatedCounters(A, 10.0)
         for inc in range(MAX_INCARNATIONS + 5):
             counters.merge_snapshot(CounterSnapshot(Incarnation("b", inc, 1), 1, 0, True, {"k": 1}), 0.0, 1.0)
@@ -359,8 +359,8 @@
 
 class Outliers(unittest.TestCase):
     def setUp(self):
-        self.told = {}
-        self.outliers = OutlierDetector(("s0", "s1", "s2"), 0.5, 1, remote_reports=lambda: self.told)
+        self.reports = {}
+        self.outliers = OutlierDetector(("s0", "s1", "s2"), 0.5, 1, remote_reports=lambda: self.reports)
         self.tickets = 0
 
     def run_at(self, name, at, took=0.02, status=HealthStatus.OK):
@@ -440,7 +440,7 @@
 
     def bad(self, *names, who=("x", "y"), status=HealthStatus.SLOW):
         for member in who:
-            self.told[member] = RemoteReport(
+            self.reports[member] = RemoteReport(
                 0.1,
                 [
                     HealthObservation(n, status if n in names else HealthStatus.OK, 9, 0, 20.0)
@@ -452,8 +452,8 @@
         self.bad("s1", who=("x",))
         self.assertEqual(self.states(1.0), ["in", "in", "in"])
         self.bad("s1")
-        self.told = {
-            m: RemoteReport(REMOTE_MAX_AGE_S + 1, report.observations) for m, report in self.told.items()
+        self.reports = {
+            m: RemoteReport(REMOTE_MAX_AGE_S + 1, report.observations) for m, report in self.reports.items()
         }
         self.assertEqual(self.states(1.0), ["in", "in", "in"])
         self.bad("s1")
@@ -537,7 +537,7 @@
             sent[count] = (sum(n.sent for n in nodes) - before) / count
         self.assertLess(sent[40], 1.3 * sent[5])
 
-    def test_a_second_process_of_a_name_that_others_follow_ends_the_rights_of_the_first(self):
+    def test_a_second_process_of_a_name_that_others_follow_ends_the_leases_of_the_first(self):
         names = ("w000", "w001", "w002")
         world = World(6, (Budget("rate", 12, names, floor_lease_s=2.0),))
         world.known = False
--- a/tests/test_peers_counts.py
+++ b/tests/test_peers_counts.py
@@ -141,7 +141,7 @@
         asked = {a.name for _ in range(20) for a in asker.cursors_for("b2", 1)}
         self.assertEqual(asked, {"b2", *(life.name for life in lives)})
 
-    def test_a_life_that_ended_is_told_by_others_in_parts_also_beside_a_large_own_one(self):
+    def test_an_incarnation_that_ended_is_sent_by_others_in_parts_also_beside_a_large_own_one(self):
         gone, teller, asker = filled(C, 300), filled(A, 2000), ReplicatedCounters(B, 100.0, 0.0)
         while answer(gone, teller, 1.0)[0].up_to_key:
             pass
--- a/tests/test_peers_suspicion.py
+++ b/tests/test_peers_suspicion.py
@@ -12,7 +12,7 @@
 A, B = Incarnation("a", 10, 1), Incarnation("b", 10, 1)
 
 
-def said(state, refutations=0, life=B, version=0):
+def update(state, refutations=0, life=B, version=0):
     return MemberUpdate(life, f"at:{life.name}", "", state, version, -1, b"", refutations)
 
 
@@ -22,71 +22,79 @@
         self.m.on_message_from(B, "at:b", "", 0.0)
         self.b = self.m.members["b"]
 
-    def hear(self, *entries, now=10.0):
+    def receive(self, *entries, now=10.0):
         for e in entries:
             self.m.apply_gossip(e, "c", now)
         return self.b.state
 
     def test_a_higher_number_ends_a_suspicion_and_the_same_does_not(self):
-        self.assertEqual(self.hear(said(MemberState.SUSPECT), said(MemberState.ALIVE)), MemberState.SUSPECT)
-        self.assertEqual(self.hear(said(MemberState.ALIVE, 1)), MemberState.ALIVE)
+        self.assertEqual(
+            self.receive(update(MemberState.SUSPECT), update(MemberState.ALIVE)), MemberState.SUSPECT
+        )
+        self.assertEqual(self.receive(update(MemberState.ALIVE, 1)), MemberState.ALIVE)
         self.assertEqual(self.b.accusers, set())
 
-    def test_a_newer_version_alone_ends_none(self):
-        """Each beat makes one: it may be older than the accusation, and newer than what the accuser had."""
-        self.hear(said(MemberState.SUSPECT, version=5))
-        self.assertEqual(self.hear(said(MemberState.ALIVE, version=900)), MemberState.SUSPECT)
+    def test_a_newer_version_alone_ends_no_suspicion(self):
+        """Each tick makes one: it may be older than the accusation, and newer than what the accuser had."""
+        self.receive(update(MemberState.SUSPECT, version=5))
+        self.assertEqual(self.receive(update(MemberState.ALIVE, version=900)), MemberState.SUSPECT)
 
-    def test_an_accusation_that_was_answered_is_passed_over_whoever_repeats_it(self):
-        self.hear(said(MemberState.ALIVE, 1))
-        self.assertEqual(self.hear(said(MemberState.SUSPECT), said(MemberState.DEAD)), MemberState.ALIVE)
-        self.assertEqual(self.hear(said(MemberState.SUSPECT, 1)), MemberState.SUSPECT)
+    def test_an_accusation_that_was_refuted_is_ignored_whoever_repeats_it(self):
+        self.receive(update(MemberState.ALIVE, 1))
+        self.assertEqual(
+            self.receive(update(MemberState.SUSPECT), update(MemberState.DEAD)), MemberState.ALIVE
+        )
+        self.assertEqual(self.receive(update(MemberState.SUSPECT, 1)), MemberState.SUSPECT)
 
     def test_an_accusation_of_a_higher_number_begins_anew(self):
-        self.hear(said(MemberState.SUSPECT), now=10.0)
-        self.hear(said(MemberState.SUSPECT, 3), now=11.0)
+        self.receive(update(MemberState.SUSPECT), now=10.0)
+        self.receive(update(MemberState.SUSPECT, 3), now=11.0)
         self.assertEqual(
             (self.b.state, self.b.suspected_at, self.b.refutations), (MemberState.SUSPECT, 11.0, 3)
         )
 
     def test_one_called_dead_returns_by_a_higher_number_only(self):
         self.b.state = MemberState.DEAD
-        self.assertEqual(self.hear(said(MemberState.ALIVE)), MemberState.DEAD)
-        self.assertEqual(self.hear(said(MemberState.ALIVE, 1)), MemberState.ALIVE)
+        self.assertEqual(self.receive(update(MemberState.ALIVE)), MemberState.DEAD)
+        self.assertEqual(self.receive(update(MemberState.ALIVE, 1)), MemberState.ALIVE)
 
     def test_who_left_stays_so(self):
-        self.hear(said(MemberState.LEFT))
-        self.assertEqual(self.hear(said(MemberState.ALIVE, 4)), MemberState.LEFT)
+        self.receive(update(MemberState.LEFT))
+        self.assertEqual(self.receive(update(MemberState.ALIVE, 4)), MemberState.LEFT)
 
-    def test_one_of_another_life_says_nothing_of_this_one(self):
-        self.hear(said(MemberState.SUSPECT))
-        self.assertEqual(self.hear(said(MemberState.ALIVE, 4, Incarnation("b", 9, 1))), MemberState.SUSPECT)
-        self.hear(said(MemberState.ALIVE, 4, Incarnation("b", 11, 1)))
+    def test_one_of_another_incarnation_says_nothing_of_this_one(self):
+        self.receive(update(MemberState.SUSPECT))
+        self.assertEqual(
+            self.receive(update(MemberState.ALIVE, 4, Incarnation("b", 9, 1))), MemberState.SUSPECT
+        )
+        self.receive(update(MemberState.ALIVE, 4, Incarnation("b", 11, 1)))
         self.assertEqual((self.m.members["b"].state, self.m.members["b"].refutations), (MemberState.ALIVE, 4))
         self.assertEqual(self.m.members["b"].incarnation.number, 11)
 
     def test_what_an_answer_tells_of_it_counts_too(self):
-        self.hear(said(MemberState.SUSPECT))
+        self.receive(update(MemberState.SUSPECT))
         self.m.apply_status(MemberUpdate(B, "at:b", "", MemberState.ALIVE, 7, 20, b"", 1), 0.01, 10.0)
         self.assertEqual(self.b.state, MemberState.ALIVE)
 
     def test_the_accused_alone_raises_its_number_above_the_accusation(self):
-        self.m.apply_gossip(said(MemberState.SUSPECT, 0, A), "c", 1.0)
+        self.m.apply_gossip(update(MemberState.SUSPECT, 0, A), "c", 1.0)
         self.assertEqual(self.m.refutations, 1)
-        self.m.apply_gossip(said(MemberState.DEAD, 0, A), "c", 1.0)  # answered before
-        self.m.apply_gossip(said(MemberState.ALIVE, 1, A), "c", 1.0)
+        self.m.apply_gossip(update(MemberState.DEAD, 0, A), "c", 1.0)  # answered before
+        self.m.apply_gossip(update(MemberState.ALIVE, 1, A), "c", 1.0)
         self.assertEqual(self.m.refutations, 1)
-        self.m.apply_gossip(said(MemberState.DEAD, 6, A), "c", 1.0)
+        self.m.apply_gossip(update(MemberState.DEAD, 6, A), "c", 1.0)
         self.assertEqual(self.m.refutations, 7)
-        self.m.apply_gossip(said(MemberState.SUSPECT, 6, Incarnation("a", 9, 1)), "c", 1.0)  # a life before
+        self.m.apply_gossip(
+            update(MemberState.SUSPECT, 6, Incarnation("a", 9, 1)), "c", 1.0
+        )  # an earlier incarnation
         self.assertEqual(self.m.refutations, 7)
         self.m._suspect(self.b, "a", 1.0)
         self.assertEqual(self.b.refutations, 0)
 
-    def test_who_is_asked_is_told_that_it_is_accused_and_each_other_rumour(self):
-        self.hear(said(MemberState.SUSPECT))
+    def test_who_is_pinged_is_told_that_it_is_accused_and_each_other_update(self):
+        self.receive(update(MemberState.SUSPECT))
         self.m.gossip.remaining.clear()
-        me = said(MemberState.ALIVE, 0, A)
+        me = update(MemberState.ALIVE, 0, A)
         self.assertEqual(
             [(e.incarnation, e.state) for e in self.m.select_gossip(me, "b")],
             [(B, MemberState.SUSPECT)],
@@ -94,7 +102,7 @@
         self.assertEqual(self.m.select_gossip(me, "c"), [])
         self.m.gossip.remaining = {"b": 2, "a": 1}
         self.assertEqual([e.incarnation for e in self.m.select_gossip(me, "b")], [B, A])
-        self.hear(said(MemberState.ALIVE, 1))
+        self.receive(update(MemberState.ALIVE, 1))
         self.m.gossip.remaining.clear()
         self.assertEqual(self.m.select_gossip(me, "b"), [])
 
