--- a/benchmarks/limit_choice.py
+++ b/benchmarks/limit_choice.py
@@ -14,11 +14,11 @@
 
 import joblib
 
-from ochrehoist.config.loader import CONTROLLERS, OverloadConfig
+from ochrehoist.config.fleet_description import parse
+from ochrehoist.config.schema import LimitController, OverloadConfig
 from ochrehoist.overload.limiter import Limiter
 from ochrehoist.plan.cores import Cores
 from ochrehoist.plan.events import Simulation
-from ochrehoist.plan.fleet import parse
 
 BASE = tomllib.loads((Path(__file__).parent / "plan" / "base.toml").read_text())
 READ, FILING = BASE["classes"]
@@ -52,7 +52,11 @@
 OFF = OverloadConfig(admission=False, bulkheads=False, low_priority_lane=False, retry_budget=False)
 WAYS: dict[str, OverloadConfig | None] = {
     "module alone": None,
-    **{name: dataclasses.replace(OFF, bulkheads=True, controller=name) for name in CONTROLLERS[1:]},
+    **{
+        name: dataclasses.replace(OFF, bulkheads=True, controller=name)
+        for name in LimitController
+        if name is not LimitController.MODULE
+    },
     "pools": dataclasses.replace(OFF, bulkheads=True),
     "pools, lane": dataclasses.replace(OFF, bulkheads=True, low_priority_lane=True),
     "lane": dataclasses.replace(OFF, low_priority_lane=True),
@@ -76,7 +80,7 @@
             w.machine = dataclasses.replace(w.machine, cores=real.cores)
             w.cores = Cores(w.machine, 0.0, False)
         if WAYS[way] is not None:
-            w.owner.limiter = Limiter(WAYS[way], w.owner.settings, seed)
+            w.owner.register_limiter(Limiter(WAYS[way], w.owner.settings, seed))
         if unstated:
             plain = w._inbound
 
--- a/benchmarks/slopes/state.py
+++ b/benchmarks/slopes/state.py
@@ -15,9 +15,9 @@
 
 
 def figures_by_classes(size: int, seed: int) -> Measures:
-    from ochrehoist.core.figures import Figures
+    from ochrehoist.core.metrics import Metrics
 
-    figures = Figures(f"class-{n}" for n in range(size))
+    figures = Metrics(f"class-{n}" for n in range(size))
     return {"text_bytes": len(figures.text(0)), "text_us": cpu_us(lambda: figures.text(0))}
 
 
@@ -101,32 +101,33 @@
 
 def _keys(size: int) -> Any:
     from ochrehoist.admission.events import Outcome
-    from ochrehoist.core.keys import KeyTable
+    from ochrehoist.core.idempotency_table import IdempotencyTable
     from ochrehoist.core.results import RunResult
 
-    table = KeyTable(2 * S, 1 << 40)
+    table = IdempotencyTable(2 * S, 1 << 40)
     for n in range(size):
         token = f"tenant-{n % 1000:06}", "class-1", f"key {n:032}"
-        table.keep(token, f"r{n}", 900 * S, (None, bytes(32)))
-        table.started(token, f"r{n}", 900 * S, (None, bytes(32)))
-        table.ended(token, f"r{n}", RunResult(Outcome.OK, b"done" * 75), 900)
+        table.retain(token, f"r{n}", 900 * S, (None, bytes(32)))
+        table.run_started(token, f"r{n}", 900 * S, (None, bytes(32)))
+        table.run_ended(token, f"r{n}", RunResult(Outcome.OK, b"done" * 75), 900)
     return table
 
 
 def keys(size: int, seed: int) -> Measures:
     """Filings within their window: the sweep is made each second, on the loop."""
     table, of_keys = grown(lambda: _keys(size))
-    out = {"bytes": of_keys, "sweep_us": cpu_us(lambda: table.sweep(10 * S))}
+    out = {"bytes": of_keys, "sweep_us": cpu_us(lambda: table.expire(10 * S))}
     assert len(table.runs) == size
     began = time.thread_time()
-    table.sweep(1000 * S)
+    table.expire(1000 * S)
     return out | {"last_sweep_us": (time.thread_time() - began) * 1e6}
 
 
 def handover_by_keys(size: int, seed: int) -> Measures:
-    from ochrehoist.core import handover
+    from ochrehoist.core.handover_snapshot import snapshot_lines
+    from ochrehoist.core.snapshot import CoreSnapshot
 
-    state = handover.State(keys=_keys(size))
+    state = CoreSnapshot(idempotency=_keys(size))
 
     class Plain:
         def to_json(self, detail: Any) -> Any:
@@ -134,7 +135,7 @@
 
     def lines() -> int:
         return sum(
-            len(json.dumps(line, separators=(",", ":"))) + 1 for line in handover.lines(state, 0, Plain())
+            len(json.dumps(line, separators=(",", ":"))) + 1 for line in snapshot_lines(state, 0, Plain())
         )
 
     return {"state_bytes": lines(), "state_us": cpu_us(lines)}
@@ -149,8 +150,8 @@
 
     def one() -> None:
         heap.answer_by(next(at) * MS, "request")
-        heap.next()
-        for _ in heap.past_due(heap.backstops[0][0]):
+        heap.next_due_ns()
+        for _ in heap.take_overdue_requests(heap.next_due_ns()):
             break
 
     return {"bytes": of_heap, "request_us": each_us(one, 1000)}
@@ -192,15 +193,17 @@
 
 def word_by_tenants(size: int, seed: int) -> Measures:
     """What a worker with [sites] puts into each answer, once so many tenants were heard."""
-    from ochrehoist.sites.desk import Desk
+    from ochrehoist.sites.coordinator import SiteCoordinator
 
-    desk = Desk("worker-0001", "site-a", settings(size), None, 1.0, False)
+    coordinator = SiteCoordinator("worker-0001", "site-a", settings(size), None, 1.0, False)
     for n in range(size):
-        desk.order.came((f"tenant-{n:06}", "class-0", n), "class-0", f"tenant-{n:06}", False, 1.0)
+        coordinator.gate.order.record_arrival(
+            (f"tenant-{n:06}", "class-0", n), "class-0", f"tenant-{n:06}", False, 1.0
+        )
     return {
-        "answer_bytes": len(desk.status(1.5)),
-        "status_us": cpu_us(lambda: desk.status(1.5)),
-        "look_us": cpu_us(lambda: desk.look(1.6, [])),
+        "answer_bytes": len(coordinator.status(1.5)),
+        "status_us": cpu_us(lambda: coordinator.status(1.5)),
+        "look_us": cpu_us(lambda: coordinator.tick(1.6, [])),
     }
 
 
@@ -285,18 +288,21 @@
 
 def remembered(size: int, seed: int) -> Measures:
     """What a witness keeps of others' filings: it looks through all of it each second, on the loop."""
-    from ochrehoist.recovery.witness import Memory, Tell
+    from ochrehoist.recovery.intent_log import IntentLog
+    from ochrehoist.recovery.messages import RecordIntent
 
-    memory = Memory(0.0)
+    log = IntentLog(0.0)
 
     def fill() -> None:
         for n in range(0, size, 100):
-            memory.took(
-                f"worker-{n % 5}", Tell(n, [((n + k).to_bytes(16, "big"), 900_000) for k in range(100)]), 0.0
+            log.record(
+                f"worker-{n % 5}",
+                RecordIntent(n, [((n + k).to_bytes(16, "big"), 900_000) for k in range(100)]),
+                0.0,
             )
 
     _, of_memory = grown(fill)
-    return {"bytes": of_memory, "forget_us": cpu_us(lambda: memory.forget(1.0))}
+    return {"bytes": of_memory, "forget_us": cpu_us(lambda: log.remove_expired(1.0))}
 
 
 def record_head(size: int, seed: int) -> Measures:
--- a/ochrehoist/app/worker.py
+++ b/ochrehoist/app/worker.py
@@ -9,13 +9,15 @@
 from http import HTTPStatus
 from typing import Any
 
+from ochrehoist.app.kernel_link_supervisor import KernelLinkSupervisor
 from ochrehoist.app.logs import LogSink, start_log
-from ochrehoist.app.reload import Part, Reloading, switch_only
+from ochrehoist.app.reload import ConfigReloader
+from ochrehoist.app.reload_change import Participant, commit_only
 from ochrehoist.config import loader as configuration
-from ochrehoist.config.loader import Config
-from ochrehoist.core.figures import CONTENT_TYPE
+from ochrehoist.config.schema import Config
+from ochrehoist.core.actor import CoreActor
 from ochrehoist.core.messages import ExecutorReady, StandbyChanged
-from ochrehoist.core.owner import Owner
+from ochrehoist.core.metrics import METRICS_CONTENT_TYPE, RequestCounter
 from ochrehoist.errors import InvalidInputError
 from ochrehoist.net import agent
 from ochrehoist.net.ajp import ReplyCodec
@@ -46,7 +48,7 @@
         self.config, self.sink = config, LogSink(sys.stderr.fileno())
         self.log = start_log(self.sink).bind(name=config.name)
         self.loop = loop = Loop(self.log)
-        self.owner = owner = Owner(
+        self.owner = owner = CoreActor(
             config.settings,
             config.seed,
             Signal(loop),
@@ -62,7 +64,7 @@
         self.predecessor: Predecessor | None = None
         self.fronts: list[ThriftFront | AjpFront] = []
         self.tasks = [owner.run]
-        parts: list[Part] = []  # that take a configuration read again
+        parts: list[Participant] = []  # of a reload of the configuration
         # Where the system gives fewer than the settings say, it is the system's limit that binds.
         sockets = min([n for n in (config.max_sockets, os.sysconf("SC_OPEN_MAX")) if n > 0])
         room = (
@@ -92,28 +94,29 @@
             )
             self.fronts.append(front)
             parts += [
-                switch_only(lambda new, _: servers.configure(new.ajp)),
+                commit_only(lambda new, _: servers.configure(new.ajp)),
                 lambda new, _: front.prepare(new.ajp, new.settings),
             ]
         if config.listen:
             kernel = Kernel(loop, owner, config.kernel_address, config.gauges, self.log)
             self.gauge_source = self.kernel = kernel
             self.tasks.append(kernel.run)
-            parts.append(switch_only(lambda new, _: kernel.move(new.kernel_address, new.gauges)))
+            parts.append(commit_only(lambda new, _: kernel.move(new.kernel_address, new.gauges)))
             passed = inherited(config.listen)
             if config.inherited_fd is not None:
                 passed = socket.socket(fileno=config.inherited_fd)
             unsent = int(config.memory_mb * 1e6 * UNSENT_SHARE)
             routers = ThriftFront(loop, owner, kernel, config.listen, room, unsent, self.log, passed)
-            parts.append(switch_only(lambda new, _: routers.configure(new.settings)))
+            parts.append(commit_only(lambda new, _: routers.configure(new.settings)))
             self.fronts.append(routers)
         else:
             owner.post(ExecutorReady(None, 0))
         if config.membership_address:
             self.members = members = Members(loop, owner, config.membership_address, config.name, self.log)
-            parts.append(switch_only(lambda new, _: members.move(new.membership_address)))
-            owner.listeners.append(members)
-        owner.listeners += self.fronts
+            parts.append(commit_only(lambda new, _: members.move(new.membership_address)))
+            owner.register_listener(members)
+        for listener in self.fronts:
+            owner.register_listener(listener)
         self.listeners: list = list(self.fronts)
         if config.agent_check_address:
             self.listeners.append(
@@ -144,51 +147,55 @@
         for address, sock in (self.inherited or {}).items():
             if address not in self.handed:
                 sock.close()  # of no use here: what waits in its queue is for the process that listens there
-        self.reloading = Reloading(loop, owner, config, path, parts, self.kernel, self.log)
+        self.reloading = ConfigReloader(loop, owner, config, path, parts, self.kernel, self.log)
         if self.kernel:
-            self.tasks.append(self.reloading.watch_link)
+            supervisor = KernelLinkSupervisor(loop, owner, self.kernel, self.reloading, self.log)
+            self.tasks.append(supervisor.run)
         if config.state:
             # Its libraries are for those who want it: the platform's worker stays without them.
             from ochrehoist.store.journal import Journal
 
-            self.journal = owner.filings.journal = Journal(
+            self.journal = Journal(
                 loop, owner, config.state, config.name, ReplyCodec(), self.log, self.inherited is not None
             )
+            owner.register_journal(self.journal)
         self.capture: Any = None
         if config.capture:
             from ochrehoist.capture.taker import Capture
 
             self.capture = Capture(loop, owner, config, self.log)
-            owner.answers.observers.append(self.capture)
-            parts.append(switch_only(lambda new, _: self.capture.configure(new)))
+            owner.register_observer(self.capture)
+            parts.append(commit_only(lambda new, _: self.capture.configure(new)))
         self.measures: Any = None
         if config.overload:
             from ochrehoist.net.selfmeasure import SelfMeasure
 
             self.measures = SelfMeasure(loop, owner, config.overload, config.memory_mb, self.fronts, self.log)
             parts.append(
-                switch_only(lambda new, tenants: self.measures.configure(new.settings, new.overload, tenants))
+                commit_only(lambda new, tenants: self.measures.configure(new.settings, new.overload, tenants))
             )
         self.peers: Any = None
         if config.peers:
             from ochrehoist.net.peers import Peers
 
             self.peers = Peers(loop, owner, config, self.log)
-            owner.listeners.append(self.peers)
+            owner.register_listener(self.peers)
             parts.append(self.peers.prepare)
             if config.ajp:
                 servers.advisor = self.peers
         self.sites: Any = None
         if config.sites:
-            from ochrehoist.net.sites import Sites
+            from ochrehoist.net.sites import SiteService
 
-            self.sites = Sites(loop, owner, config, self.peers, self.inherited is None, self.log)
-            parts.append(switch_only(self.sites.configure))
+            self.sites = SiteService(loop, owner, config, self.peers, self.inherited is None, self.log)
+            parts.append(commit_only(self.sites.configure))
         self.recovery: Any = None
         if config.recovery:
-            from ochrehoist.net.recovery import Recovery
+            from ochrehoist.net.recovery import RecoveryMonitor
 
-            self.recovery = Recovery(loop, owner, config, self, self.log)
+            self.recovery = RecoveryMonitor(
+                loop, owner, config, self.journal, self.peers, servers if config.ajp else None, self.log
+            )
         self.ending = Ending(loop, owner, self.fronts, config.shutdown_timeout_ms, self.log)
         self.room = {front: front.listening.limit for front in self.fronts}
         if config.handover_path:
@@ -204,7 +211,7 @@
         # SIGTERM and SIGHUP are orders to this program, whatever whoever started it does with them: nohup and
         # some supervisors leave SIGHUP ignored, and a worker deaf to it would serve an old configuration.
         self.loop.on_signal(signal.SIGTERM, self.ending.leave)
-        self.loop.on_signal(signal.SIGHUP, self.reloading.order)
+        self.loop.on_signal(signal.SIGHUP, self.reloading.request_reload)
         if signal.getsignal(signal.SIGINT) is not signal.SIG_IGN:  # ignored by a shell for background jobs
             self.loop.on_signal(signal.SIGINT, self.ending.leave)
         for task in self.tasks:
@@ -230,30 +237,30 @@
             self.capture.close()
         if self.measures:
             self.measures.close()
-        f = self.owner.figures
+        f = self.owner.metrics
         self.log.info(
             "ended",
-            served=f.total("answered_total"),
-            refused=f.total("deferred_total"),
-            failed=f.total("errored_total"),
+            served=f.total(RequestCounter.ANSWERED),
+            refused=f.total(RequestCounter.REJECTED),
+            failed=f.total(RequestCounter.FAILED),
         )
         return 0
 
     # ---- what operators call
     def status(self) -> Answer:
-        o, f = self.owner, self.owner.figures
+        o, f = self.owner, self.owner.metrics
         values = {
             "name": self.config.name,
             "state": o.state,
             "up_s": round(time.monotonic() - self.started, 1),
-            "in_hand": o.owed,
-            "running": sum(r.started for r in o.live.values()),
-            "served": f.total("answered_total"),
-            "refused": f.total("deferred_total"),
-            "failed": f.total("errored_total"),
-            "keys": len(o.keys.runs),
-            "result_bytes": o.keys.bytes,
-            "log_dropped": self.sink.dropped,
+            "in_hand": o.unanswered,
+            "running": sum(r.started for r in o.open_requests.values()),
+            "served": f.total(RequestCounter.ANSWERED),
+            "refused": f.total(RequestCounter.REJECTED),
+            "failed": f.total(RequestCounter.FAILED),
+            "keys": len(o.idempotency.runs),
+            "result_bytes": o.idempotency.bytes,
+            "log_dropped": self.sink.dropped_lines,
             "connections": {type(f).__name__: len(f.connections) for f in self.fronts},
             "configuration": self.reloading.view(),
         }
@@ -275,31 +282,31 @@
         return said(values, HTTPStatus.OK if ready else HTTPStatus.SERVICE_UNAVAILABLE)
 
     def metrics(self) -> Answer:
-        text = self.owner.figures.text(self.owner.current)
+        text = self.owner.metrics.text(self.owner.own_unanswered)
         conf = self.config.ajp and self.reloading  # the platform's worker keeps to the fixed names
         text += "".join(
             part.figures()
             for part in (conf, self.journal, self.measures, self.peers, self.sites, self.recovery)
             if part
         )
-        return Answer(HTTPStatus.OK, text.encode(), CONTENT_TYPE)
+        return Answer(HTTPStatus.OK, text.encode(), METRICS_CONTENT_TYPE)
 
     def _with_orders(self, calls: dict[str, Any]) -> dict[str, Any]:
         """With what operators may say of sites, where these are on."""
         if self.config.recovery:
-            from ochrehoist.recovery.stages import STAGES
+            from ochrehoist.recovery.startup_progress import StartupStage
 
             calls |= {
                 f"/recovery/skip/{stage}": {
                     "POST": lambda stage=stage: said({"said": self.recovery.skip(stage)})
                 }
-                for stage in STAGES
+                for stage in StartupStage
             }
         if not self.config.sites:
             return calls
-        from ochrehoist.net.sites import Calls
+        from ochrehoist.net.sites import SiteCommandRoutes
 
-        return Calls(calls, lambda site, word: self.sites.order(site, word))
+        return SiteCommandRoutes(calls, lambda site, kind: self.sites.issue_command(site, kind))
 
     def standby(self, on: bool) -> Answer:
         self.owner.post(StandbyChanged(on))
--- a/ochrehoist/lab/hollow.py
+++ b/ochrehoist/lab/hollow.py
@@ -25,12 +25,12 @@
 from greenlet import GreenletExit
 
 from ochrehoist.admission.events import Event, TimerFired
-from ochrehoist.app.reload import Reloading
+from ochrehoist.app.reload import ConfigReloader
 from ochrehoist.app.worker import BODY_SHARE, RESULT_SHARE
 from ochrehoist.config import loader as configuration
-from ochrehoist.config.loader import Config
+from ochrehoist.config.schema import Config
+from ochrehoist.core.actor import CoreActor
 from ochrehoist.core.messages import ExecutorReady
-from ochrehoist.core.owner import Owner
 from ochrehoist.lab.toml import toml
 from ochrehoist.net.ajp_front import AjpReader
 from ochrehoist.net.ajp_server import AjpServers
@@ -40,9 +40,9 @@
 from ochrehoist.peers.wire import CounterSnapshot, Incarnation, MemberState, MemberUpdate
 
 try:
-    from ochrehoist.app.reload import switch_only
+    from ochrehoist.app.reload_change import commit_only
 except ImportError:  # a tree of before the reading in steps: its parts take a configuration whole
-    switch_only = None
+    commit_only = None
 
 PAGE_KB = os.sysconf("SC_PAGE_SIZE") // 1024
 BEATS = 256  # of the module, whose cost is kept
@@ -168,7 +168,7 @@
 class HollowPeers(Peers):
     """A worker's peers whose datagrams go over a network that can be cut."""
 
-    def __init__(self, loop: Loop, owner: Owner, config: Config, log: Log, network: Network) -> None:
+    def __init__(self, loop: Loop, owner: CoreActor, config: Config, log: Log, network: Network) -> None:
         self.link: Link | None = None
 
         def open_link(listen: Address) -> Link:
@@ -182,18 +182,18 @@
         return self.link.received if self.link is not None else 0
 
 
-class MeteredOwner(Owner):
+class MeteredOwner(CoreActor):
     """Tells what each beat of the module cost, in s of this thread."""
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
         self.beats: deque[float] = deque(maxlen=BEATS)
 
-    def tell(self, event: Event, at: int | None = None) -> bool:
+    def dispatch(self, event: Event, at_ns: int | None = None) -> bool:
         if type(event) is not TimerFired:
-            return super().tell(event, at)
+            return super().dispatch(event, at_ns)
         began = time.thread_time()
-        done = super().tell(event, at)
+        done = super().dispatch(event, at_ns)
         self.beats.append(time.thread_time() - began)
         return done
 
@@ -222,21 +222,21 @@
         # The choices of a worker are chance's; here a seed's.
         self.peers.group.rng.seed(self.rng.random())
         self.peers.group.members.rng.seed(self.rng.random())
-        self.owner.listeners.append(self.peers)
+        self.owner.register_listener(self.peers)
         self.servers.advisor = self.peers
-        self.reloading = Reloading(loop, self.owner, config, str(path), self._parts(), None, log)
+        self.reloading = ConfigReloader(loop, self.owner, config, str(path), self._parts(), None, log)
         self.ended = False
 
     def _parts(self) -> list[Callable[..., Any]]:
         servers, reader, peers = self.servers, self.reader, self.peers
-        if switch_only is None:
+        if commit_only is None:
             return [
                 lambda new: servers.configure(new.ajp),
                 lambda new: reader.configure(new.ajp, new.settings),
                 peers.configure,
             ]
         return [
-            switch_only(lambda new, _: servers.configure(new.ajp)),
+            commit_only(lambda new, _: servers.configure(new.ajp)),
             lambda new, _: reader.prepare(new.ajp, new.settings),
             peers.prepare,
         ]
@@ -520,7 +520,7 @@
             w = waiting.pop()
             hollow, path = self.hollows[w["name"]], self._file(w)
             at, cpu = time.monotonic(), time.thread_time()
-            hollow.reloading.order()
+            hollow.reloading.request_reload()
             held = time.monotonic() - at
             look(hollow, at, cpu, held, path)
 
@@ -531,7 +531,7 @@
                 return
             if in_force:
                 taken["in_force_s"].append(time.monotonic() - at)
-                taken["held_s"].append(max(held, getattr(hollow.reloading, "held", 0.0)))
+                taken["held_s"].append(max(held, hollow.reloading.status.longest_hold_s))
                 taken["cpu_s"].append(time.thread_time() - cpu)  # with that of others meanwhile
             path.unlink(missing_ok=True)
             self.loop.call_later(0.0, order)
--- a/ochrehoist/net/ajp_front.py
+++ b/ochrehoist/net/ajp_front.py
@@ -13,10 +13,10 @@
 
 from ochrehoist.admission.events import Outcome
 from ochrehoist.admission.settings import AdmissionSettings, Idempotency, RequestClass
-from ochrehoist.config.loader import AjpConfig
-from ochrehoist.config.settings import at_once
+from ochrehoist.config.schema import AjpConfig
+from ochrehoist.core.actor import CoreActor
 from ochrehoist.core.messages import CallerDisconnected, RequestArrived
-from ochrehoist.core.owner import Owner
+from ochrehoist.core.metrics import RequestCounter
 from ochrehoist.core.protocols import AdmissionFilter, Executor
 from ochrehoist.core.request import InboundRequest
 from ochrehoist.core.results import FailureReason, RunResult
@@ -27,6 +27,7 @@
 from ochrehoist.net.loop import Loop
 from ochrehoist.net.stream import ConnectionClosedError, Stream, StreamTimeoutError
 from ochrehoist.routes import RouteIndex
+from ochrehoist.steps import run_to_completion
 
 S = 1_000_000_000
 STUCK = 1.0  # s without a byte after which a packet that was begun is taken for one that won't come
@@ -56,7 +57,7 @@
 class AjpReader:
     """Reads a Forward Request into a core request, by the rules of the configuration."""
 
-    def __init__(self, owner: Owner, executor: Executor, config: AjpConfig) -> None:
+    def __init__(self, owner: CoreActor, executor: Executor, config: AjpConfig) -> None:
         self.owner, self.executor = owner, executor
         self.config: AjpConfig | None = None
         self.index = RouteIndex()
@@ -82,7 +83,7 @@
 
     def configure(self, config: AjpConfig, settings: AdmissionSettings) -> None:
         """At once, as at the start."""
-        at_once(self.prepare(config, settings))()
+        run_to_completion(self.prepare(config, settings))()
 
     def check(self, f: ajp.Forward) -> tuple[RequestClass, str | None, str | None]:
         """Class, tenant and filing key, before any of the body is read."""
@@ -119,7 +120,9 @@
     def _repeats(self, cls: RequestClass, tenant: str, token: str) -> bool:
         """Whether a filing that ran, or will, is asked for again: its tenant may have gone meanwhile."""
         owner = self.owner
-        return bool(token) and owner.keys.original((tenant, cls.name, token), owner.clock()) is not None
+        return (
+            bool(token) and owner.idempotency.original((tenant, cls.name, token), owner.clock()) is not None
+        )
 
     def request(
         self, f: ajp.Forward, checked: tuple, body: bytes, arrived: int, responder: "AjpResponder"
@@ -279,7 +282,9 @@
             responder.plain(error.status, str(error), again)
             group = checked[0].name if checked else error.group
             if group is not None:
-                self.front.owner.figures.count("deferred_total" if again else "errored_total", group)
+                self.front.owner.metrics.count(
+                    RequestCounter.REJECTED if again else RequestCounter.FAILED, group
+                )
             if f.chunked and self.body_bytes:
                 self.stream.close_when_sent()  # a body broken off: this connection is out of step
             elif unread:
@@ -369,7 +374,7 @@
     def __init__(
         self,
         loop: Loop,
-        owner: Owner,
+        owner: CoreActor,
         executor: Executor,
         config: AjpConfig,
         max_connections: int,
--- a/ochrehoist/net/peer_metrics.py
+++ b/ochrehoist/net/peer_metrics.py
@@ -3,7 +3,7 @@
 from collections import Counter
 from collections.abc import Iterable, Mapping
 
-from ochrehoist.core.figures import counted
+from ochrehoist.core.metrics import format_samples
 from ochrehoist.net.peer_transport import PeerTransport
 from ochrehoist.peers.group import Group
 from ochrehoist.peers.wire import MemberState
@@ -33,4 +33,4 @@
         "app_budget_denied_total": _labelled("budget", {n: s.meter.denied_count for n, s in shares.items()}),
         "app_server_left_out": _labelled("server", {n: int(s.is_ejected) for n, s in services.items()}),
     }
-    return counted(samples)
+    return format_samples(samples)
--- a/ochrehoist/net/peer_settings.py
+++ b/ochrehoist/net/peer_settings.py
@@ -1,6 +1,6 @@
 """The settings of one worker's part in its fleet, from the configuration."""
 
-from ochrehoist.config.schema import BudgetConfig, Config, PeersConfig
+from ochrehoist.config.schema import BudgetConfig, BudgetKind, Config, PeersConfig
 from ochrehoist.peers.budget import Budget
 from ochrehoist.peers.fleet_settings import FleetSettings
 
@@ -23,7 +23,7 @@
         name=config.name,
         amount=config.amount,
         grantors=grantors,
-        concurrent=config.kind == "server",
+        concurrent=config.kind is BudgetKind.SERVER,
         lease_s=config.lease_s,
         floor_fraction=config.floor_fraction,
         floor_lease_s=config.floor_lease_s,
@@ -37,11 +37,11 @@
     budgets = tuple(_budget(budget, peers.lease_grantors) for budget in peers.budgets)
     site = peers.site
     if config.sites:
-        from ochrehoist.sites.permit import permit
+        from ochrehoist.sites.step_lease import step_lease_budget
 
         site = config.sites.site
         if peers.lease_grantors:
-            budgets += (permit(peers.lease_grantors),)
+            budgets += (step_lease_budget(peers.lease_grantors),)
     return FleetSettings(
         group=peers.group,
         address=format_address(peers.advertised_address),
--- a/ochrehoist/net/peers.py
+++ b/ochrehoist/net/peers.py
@@ -8,10 +8,10 @@
 from typing import Any, cast
 
 from ochrehoist.admission.settings import Tenant
-from ochrehoist.config.schema import Config, PeersConfig
-from ochrehoist.core.owner import Owner
+from ochrehoist.config.schema import BudgetKind, Config, PeersConfig
+from ochrehoist.core.actor import CoreActor
 from ochrehoist.core.request import InboundRequest
-from ochrehoist.core.tenants import Tenants
+from ochrehoist.core.tenants import TenantTable
 from ochrehoist.errors import OchrehoistError
 from ochrehoist.net.loop import Loop
 from ochrehoist.net.peer_log import PeerEventLog
@@ -63,17 +63,17 @@
     def of(cls, config: PeersConfig) -> "BudgetNames":
         """The names of the configured budgets."""
 
-        def of_kind(kind: str) -> dict[str | None, str]:
-            return {budget.subject: budget.name for budget in config.budgets if budget.kind == kind}
+        def of_kind(kind: BudgetKind) -> dict[str | None, str]:
+            return {budget.subject: budget.name for budget in config.budgets if budget.kind is kind}
 
-        return cls(of_kind("tenant"), of_kind("repeats"), of_kind("server"))
+        return cls(of_kind(BudgetKind.TENANT), of_kind(BudgetKind.RETRIES), of_kind(BudgetKind.SERVER))
 
 
 @dataclass(frozen=True)
 class LiveTenants:
     """The tenants of a table, by position, those with a budget as `FleetTenant`."""
 
-    table: Tenants
+    table: TenantTable
     tenants: tuple[Tenant, ...]
 
 
@@ -99,7 +99,7 @@
     def __init__(
         self,
         loop: Loop,
-        owner: Owner,
+        owner: CoreActor,
         config: Config,
         log: Any,
         open_socket: Callable[[Address], DatagramSocket] = open_datagram_socket,
@@ -128,10 +128,10 @@
         self._live_tenants: LiveTenants | None = None
         self._calls: dict[int, ServerCall] = {}  # by ticket
         self._last_ticket = 0
-        owner.answers.observers.append(self)
-        owner.live_tenants = self.live_tenants
+        owner.register_observer(self)
+        owner.register_tenant_quotas(self.live_tenants)
 
-    def prepare(self, config: Config, tenants: Tenants) -> Generator[None, None, Callable[[], None]]:
+    def prepare(self, config: Config, tenants: TenantTable) -> Generator[None, None, Callable[[], None]]:
         """What a configuration read again comes to; nothing changes before the call that it gives."""
         budgets = BudgetNames.of(config.peers or self.config)
         fleet_size = config.settings.fleet_size
@@ -213,7 +213,7 @@
         """The amount of a budget that this worker holds now."""
         return self.group.leases.held_amount(budget, time.monotonic())
 
-    def live_tenants(self, tenants: Tenants, fleet_size: int) -> tuple[Tenant, ...]:
+    def live_tenants(self, tenants: TenantTable, fleet_size: int) -> tuple[Tenant, ...]:
         """Tenants by position, for the admission controller: those with a budget have their part of it."""
         prepared = self._live_tenants
         if prepared is not None and prepared.table is tenants:
@@ -221,13 +221,13 @@
         return self._with_budgets(tenants, self._budgets.by_tenant, fleet_size)
 
     def _with_budgets(
-        self, tenants: Tenants, budgets: Mapping[str | None, str], fleet_size: int
+        self, tenants: TenantTable, budgets: Mapping[str | None, str], fleet_size: int
     ) -> tuple[Tenant, ...]:
         if not budgets:
-            return tenants.places
-        by_position = list(tenants.places)
+            return tenants.by_position
+        by_position = list(tenants.by_position)
         for name, budget in budgets.items():
-            position = tenants.at.get(cast(str, name))
+            position = tenants.positions.get(cast(str, name))
             if position is not None:
                 tenant = FleetTenant(by_position[position], self, budget, fleet_size)
                 by_position[position] = cast(Tenant, tenant)  # it has the same attributes
--- a/ochrehoist/plan/events.py
+++ b/ochrehoist/plan/events.py
@@ -11,6 +11,8 @@
 from typing import Any
 
 from ochrehoist.admission.events import Outcome
+from ochrehoist.config.fleet_description import Fleet, Placed
+from ochrehoist.core.actor import CoreActor
 from ochrehoist.core.messages import (
     CallerDisconnected,
     ExecutorReady,
@@ -18,14 +20,13 @@
     RequestArrived,
     RunCompleted,
 )
-from ochrehoist.core.owner import Owner
 from ochrehoist.core.request import InboundRequest
 from ochrehoist.core.results import FailureReason, RunResult
 from ochrehoist.plan.cores import Cores, Machine
 from ochrehoist.plan.demand import Streams, Wish, drawn, speeds
-from ochrehoist.plan.fleet import Fleet, Placed
 from ochrehoist.plan.outcome import End, Quota, Tally, WorkerCount
 from ochrehoist.plan.routing import UNREACHABLE_S, Answer, Call, Next, Router, after
+from ochrehoist.plan.worker_settings import admission_settings
 
 EPOCH = 1_700_000_000  # s; the workers' Unix clock at the start
 NEAR = 0.0003  # s one way within a site
@@ -121,8 +122,8 @@
         self.reading, self.running = 0, 0
         self.tries: dict[str, Try] = {}  # that came and are not answered
         self.callers: dict[int, float] = {}  # connections, and when each was last used
-        self.owner = Owner(
-            sim.fleet.settings(self.kind, cold),
+        self.owner = CoreActor(
+            admission_settings(sim.fleet, self.kind, cold),
             sim.seed * 1000 + self.number,
             Waker(),
             self._clock,
@@ -131,7 +132,7 @@
             RESULT_BYTES,
             self._measure,
         )
-        self.owner.listeners.append(self)
+        self.owner.register_listener(self)
         self.owner.post(ExecutorReady(cold, 0))
         self.settle()
 
@@ -224,7 +225,7 @@
         owner.step()
         while owner.inbox:
             owner.step()
-        due = owner.deadlines.next()
+        due = owner.deadlines.next_due_ns()
         moments = self.cores.next_end(), None if due is None else due / NS - EPOCH
         times = [t for t in moments if t is not None]
         if times:
@@ -233,7 +234,7 @@
                 self.planned = at
                 self.sim.at(at, partial(self._look, at, owner))
 
-    def _look(self, at: float, owner: Owner) -> None:
+    def _look(self, at: float, owner: CoreActor) -> None:
         if owner is self.owner and at == self.planned:
             self.planned = -math.inf
             self.settle()
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -152,7 +152,7 @@
         program.reload(
             "operators.toml",
             toml_file({"overload": {"controller": "best"}}),
-            event="configuration can't be used, the old one stays",
+            event="config_invalid",
         )
         self.assertEqual(self.status(program)["overload"]["running"]["controller"], "seek")
         self.assertEqual(program.thrift().call()[0], "Answer")
@@ -180,7 +180,7 @@
             timeout=PATIENCE,
         )
         loaded = done.stdout.split()
-        self.assertIn("ochrehoist.core.owner", loaded)
+        self.assertIn("ochrehoist.core.actor", loaded)
         self.assertEqual([m for m in loaded if m.startswith(("ochrehoist.overload", "hdrh"))], [])
         program = Program(site=settings(), kernel=InstantKernel())
         self.addCleanup(program.close)
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -6,7 +6,7 @@
 
 from stand_ins import MS, PATIENCE, AjpServer, Kernel, Members, Program, settings, toml_file
 
-BAD = "configuration can't be used, the old one stays"
+BAD = "config_invalid"
 
 
 class Platform(unittest.TestCase):
@@ -35,10 +35,10 @@
         runs = {body: rid for rid, _, body in (first.next(), first.next())}
         second, _ = self.move(first)
         for bad in ("{", "[]", json.dumps(self.program.config | {"kernel": "nowhere"})):
-            self.assertIn("setting", self.program.reload("config.json", bad, BAD)["why"])
+            self.assertIn("setting", self.program.reload("config.json", bad, BAD)["reason"])
         second.reap(runs[b"doc"], body=b"filed", say=False)  # told on the next link
         third, said = self.move(second, name="n2", stop_ms=9)
-        self.assertEqual(said["needs_a_restart"], ["name", "stop_ms"])
+        self.assertEqual(said["restart_keys"], ["name", "stop_ms"])
         self.assertEqual(router.answer(filing), ("Answer", {}, b"filed"))
         self.assertEqual(router.call("filing", b"done", token="t0", again="1"), ("Answer", {}, b"before"))
         third.reap(runs[b"read"], body=b"served")
@@ -66,7 +66,7 @@
         self.addCleanup(self.program.close)
         self.kernel = self.program.kernel
 
-    def reload(self, site, event="settings changed"):
+    def reload(self, site, event="settings_changed"):
         return self.program.reload("config.json", json.dumps(self.program.config | {"settings": site}), event)
 
     def test_classes_come_and_go_while_open_requests_and_keys_stay(self):
@@ -79,7 +79,9 @@
         joined = router.invoke("filing", b"doc", token="t1", again="1")
         held = router.invoke("filing", b"held", token="t2")  # two cores, both taken
         router.ping()
-        self.assertEqual(self.reload(site(("new", 1500, KEYED), ("read", 1700, {})))["gone"], ["filing"])
+        self.assertEqual(
+            self.reload(site(("new", 1500, KEYED), ("read", 1700, {})))["removed_classes"], ["filing"]
+        )
         # Of a class that is gone, what ran is answered for its whole window, and nothing else is begun.
         self.assertEqual(router.call("filing", b"done", token="t0", again="1"), ("Answer", {}, b"before"))
         self.assertEqual(router.call("filing", b"other", token="t0", again="1")[0], "Broken")
@@ -129,7 +131,7 @@
         bad.append(json.dumps(whole | {"settings": site(("new", 1500, {}), ("new", 1500, {}))}))
         for content in bad:
             with self.subTest(content[:60]):
-                self.assertIn("setting", self.program.reload("config.json", content, BAD)["why"])
+                self.assertIn("setting", self.program.reload("config.json", content, BAD)["reason"])
         self.assertEqual(self.program.figure("conf_invalid_total"), len(bad))
         self.assertEqual(self.program.figure("conf_loaded_total"), 0)
         router = self.program.thrift()
@@ -166,7 +168,7 @@
         new.took_over()
         old.process.send_signal(signal.SIGTERM)
         without = json.dumps(new.config | {"settings": site(("read", 1700, {}))})
-        new.reload("config.json", without, "settings changed")
+        new.reload("config.json", without, "settings_changed")
         late = router.invoke("filing", b"doc", token="t", again="1")  # to the old one; its class is gone
         other = router.invoke("filing", b"other", token="u")
         self.assertEqual(router.answer(other)[0], "Throttled")
@@ -217,7 +219,7 @@
             "rules": [{"uri": "/new/*", "class": "read"}],
         }
         self.assertEqual(
-            program.reload("ajp.toml", toml_file(whole | {"ajp": front}))["needs_a_restart"], ["ajp.listen"]
+            program.reload("ajp.toml", toml_file(whole | {"ajp": front}))["restart_keys"], ["ajp.listen"]
         )
         late.request(uri="/new/1")
         other.next()[2](data=b"by the new server")
