--- a/ochrehoist/lab/hollow.py
+++ b/ochrehoist/lab/hollow.py
@@ -35,9 +35,9 @@
 from ochrehoist.net.ajp_front import AjpReader
 from ochrehoist.net.ajp_server import AjpServers
 from ochrehoist.net.loop import Loop, Signal, steady_clock
-from ochrehoist.net.peers import BEAT_S, Peers
-from ochrehoist.peers.members import ALIVE
-from ochrehoist.peers.wire import Entry, Life, Tally
+from ochrehoist.net.peer_transport import DatagramSocket, open_datagram_socket
+from ochrehoist.net.peers import TICK_S, Peers
+from ochrehoist.peers.wire import CounterSnapshot, Incarnation, MemberState, MemberUpdate
 
 try:
     from ochrehoist.app.reload_change import commit_only
@@ -147,7 +147,7 @@
 class Link:
     """A worker's datagram socket on that network."""
 
-    def __init__(self, sock: socket.socket, network: Network, address: Address) -> None:
+    def __init__(self, sock: DatagramSocket, network: Network, address: Address) -> None:
         self.sock, self.network, self.address = sock, network, address
         self.fileno, self.close, self.getsockname = sock.fileno, sock.close, sock.getsockname
         self.received = 0
@@ -166,16 +166,20 @@
 
 
 class HollowPeers(Peers):
-    network: Network
+    """A worker's peers whose datagrams go over a network that can be cut."""
 
-    def start(self) -> None:
-        super().start()
-        if self.sock is not None:
-            self.sock = Link(self.sock, self.network, self.config.listen)
+    def __init__(self, loop: Loop, owner: CoreActor, config: Config, log: Log, network: Network) -> None:
+        self.link: Link | None = None
+
+        def open_link(listen: Address) -> Link:
+            self.link = Link(open_datagram_socket(listen), network, listen)
+            return self.link
+
+        super().__init__(loop, owner, config, log, open_link)
 
     @property
     def received(self) -> int:
-        return getattr(self.sock, "received", 0)
+        return self.link.received if self.link is not None else 0
 
 
 class MeteredOwner(CoreActor):
@@ -214,13 +218,10 @@
         self.servers = AjpServers(loop, self.owner, config.ajp, int(bytes_ * BODY_SHARE), log)
         self.reader = AjpReader(self.owner, self.servers, config.ajp)
         self.owner.post(ExecutorReady(None, 0))
-        self.peers = HollowPeers(loop, self.owner, config, log)
-        self.peers.network = network
+        self.peers = HollowPeers(loop, self.owner, config, log, network)
         # The choices of a worker are chance's; here a seed's.
-        self.peers.group.rng, self.peers.group.members.rng = (
-            Random(self.rng.random()),
-            Random(self.rng.random()),
-        )
+        self.peers.group.rng.seed(self.rng.random())
+        self.peers.group.members.rng.seed(self.rng.random())
         self.owner.register_listener(self.peers)
         self.servers.advisor = self.peers
         self.reloading = ConfigReloader(loop, self.owner, config, str(path), self._parts(), None, log)
@@ -246,11 +247,8 @@
 
     def kill(self) -> None:
         """As SIGKILL would: no goodbye."""
-        self.ended, self.peers.stopped = True, True
-        if self.peers.sock is not None:
-            self.loop.forget(self.peers.sock.fileno())
-            self.peers.sock.close()
-            self.peers.sock = None
+        self.ended = True
+        self.peers.transport.close()
         self.waker.waiter = None
         self.task.throw(GreenletExit)
 
@@ -275,26 +273,26 @@
         self.peers.request_answered(request, "answered_total", 0)
 
     def alive(self) -> int:
-        return sum(m.state == ALIVE for m in self.peers.group.members.members.values())
+        return sum(m.state == MemberState.ALIVE for m in self.peers.group.members.members.values())
 
     def counters(self) -> dict[str, Any]:
         """Since its start: bytes, messages and s of processor time for peers."""
         p, g = self.peers, self.peers.group
         return {
             "name": self.config.name,
-            "bytes_out": p.bytes_out,
-            "bytes_in": p.bytes_in,
-            "sent": p.sent,
+            "bytes_out": p.transport.sent_bytes,
+            "bytes_in": p.transport.received_bytes,
+            "sent": p.transport.sent_count,
             "received": p.received,
-            "peers_cpu_s": p.spent,
+            "peers_cpu_s": p.cpu_s,
             "alive": self.alive(),
-            "late": g.members.was_late,
+            "late": g.members.stall_count,
             "deaths": len(g.members.deaths),
-            "rejected": sum(p.rejected.values()),
+            "rejected": sum(p.transport.rejected_counts.values()),
             "beats": list(self.owner.beats),
             "state_bytes": sum(len(m.status) for m in g.members.members.values()),
             "held": sum(s.holder.amount(time.monotonic()) for s in g.shares.values()),
-            "status": len(g.status),
+            "status": len(g.own_status.encoded),
         }
 
 
@@ -414,11 +412,11 @@
         return {
             "lives": [
                 [
-                    [g.life.name, g.life.inc, g.life.boot],
-                    g.terms.address,
-                    g.terms.site,
-                    g.version,
-                    g.status.hex(),
+                    [g.incarnation.name, g.incarnation.number, g.incarnation.boot_id],
+                    g.settings.address,
+                    g.settings.site,
+                    g.own_status.version,
+                    g.own_status.encoded.hex(),
                 ]
                 for g in groups
             ]
@@ -429,19 +427,23 @@
         now, refused = time.monotonic(), 0
         for h in self.hollows.values():
             g, m = h.peers.group, h.peers.group.members
-            g.version += OLD
+            g.own_status.version += OLD
             for life, at, site, version, status in lives:
                 if life[0] == m.life.name:
                     continue
                 # As at rest: so long ago was each heard of, by one way or another.
-                ago, who = h.rng.expovariate(NEWS_PER_S / len(lives)), Life(*life)
-                version = max(0, version + OLD - int(ago / BEAT_S))
-                refused += not m.met(who, at, site, now)
+                ago, who = h.rng.expovariate(NEWS_PER_S / len(lives)), Incarnation(*life)
+                version = max(0, version + OLD - int(ago / TICK_S))
+                refused += not m.on_message_from(who, at, site, now)
                 age = int(1000 * ago)
-                m.learn(Entry(who, at, site, ALIVE, version, age, bytes.fromhex(status)), 0.0, now)
-                g.ledger.learn(Tally(who, 0, age, False, {}), 0.0, now)
-            m.rumours.clear()
-            m.established, m.heard_any = True, now
+                m.apply_status(
+                    MemberUpdate(who, at, site, MemberState.ALIVE, version, age, bytes.fromhex(status)),
+                    0.0,
+                    now,
+                )
+                g.counters.merge_snapshot(CounterSnapshot(who, 0, age, False, {}), 0.0, now)
+            m.gossip.remaining.clear()
+            m.established, m.last_ack_at = True, now
         return {"refused": refused}
 
     def do_look(self, tell: Tell) -> dict[str, Any]:
