--- a/ochrehoist/core/handover_lines.py
+++ b/ochrehoist/core/handover_lines.py
@@ -222,11 +222,15 @@
 
     def __init__(self, request_id: str, send: Send, codec: DetailCodec) -> None:
         self.id = request_id
-        self.send = send
+        self._send = send
         self._codec = codec
 
+    def is_reached_by(self, send: Send) -> bool:
+        """Whether `send` is how the other process is reached."""
+        return self._send == send
+
     def _send_decision(self, decision: Decision) -> bool | None:
-        return self.send(decision_to_json(decision, self._codec))
+        return self._send(decision_to_json(decision, self._codec))
 
     def served(self, result: RunResult) -> bool:
         """Lets the other process answer with the result."""
--- a/ochrehoist/core/reconfiguration.py
+++ b/ochrehoist/core/reconfiguration.py
@@ -4,14 +4,15 @@
 from ochrehoist.core import state_transfer
 from ochrehoist.core.context import CoreContext
 from ochrehoist.core.messages import ConfigurationSwitched, SettingsChanged, TenantsChanged
-from ochrehoist.core.tenants import updated_table_at_once
+from ochrehoist.core.tenants import updated_table
+from ochrehoist.steps import run_to_completion
 
 
 def change_settings(core: CoreContext, message: SettingsChanged) -> None:
     """Boots a fresh controller and replays all that is open to it: the cost grows with that."""
     tenants = message.tenants
     if tenants is None:
-        tenants = updated_table_at_once(core.tenants, message.settings.tenants)
+        tenants = run_to_completion(updated_table(core.tenants, message.settings.tenants))
     core.settings = message.settings
     core.tenants = tenants
     core.metrics.add_classes(c.name for c in message.settings.classes)
--- a/ochrehoist/core/tenants.py
+++ b/ochrehoist/core/tenants.py
@@ -194,14 +194,3 @@
         if n % NAMES_PER_STEP == 0:
             yield
     return TenantTable(table.listed, tuple(by_position), positions, retired)
-
-
-def updated_table_at_once(before: TenantTable, listed: Tenants) -> TenantTable:
-    """The table for other settings, without a pause."""
-    steps = updated_table(before, listed)
-    while True:
-        try:
-            next(steps)
-        except StopIteration as end:
-            table: TenantTable = end.value
-            return table
--- a/ochrehoist/net/link.py
+++ b/ochrehoist/net/link.py
@@ -20,7 +20,7 @@
 from ochrehoist.core.actor import CoreActor
 from ochrehoist.core.errors import InvalidStateError
 from ochrehoist.core.forwarder import Forwarder
-from ochrehoist.core.handover_lines import message_from_json
+from ochrehoist.core.handover_lines import RemoteRequestOwner, message_from_json
 from ochrehoist.core.handover_snapshot import SnapshotReader, snapshot_lines
 from ochrehoist.core.idempotent_runs import RESULT_OVERHEAD_BYTES
 from ochrehoist.core.messages import (
@@ -29,6 +29,7 @@
     StateTransferred,
 )
 from ochrehoist.core.protocols import DetailCodec
+from ochrehoist.core.request import InboundRequest
 from ochrehoist.core.results import RunResult
 from ochrehoist.core.snapshot import CoreSnapshot
 from ochrehoist.net.loop import Loop, Signal
@@ -292,11 +293,14 @@
         if message is not None:
             self.owner.post(message)
 
+    def _reads(self, request: InboundRequest) -> bool:
+        """Whether the process before this one read the request, and answers it."""
+        responder = request.responder
+        return isinstance(responder, RemoteRequestOwner) and responder.is_reached_by(self._send)
+
     def _lost(self) -> None:
         """What it had not begun has no caller any more. What it had begun counts as run, and failed."""
-        left = [
-            r for r in self.owner.open_requests.values() if r.is_remote and r.responder.send == self._send
-        ]
+        left = [r for r in self.owner.open_requests.values() if self._reads(r)]
         begun = [r.id for r in left if r.started]
         for r in left:
             if not r.started:
