--- a/ochrehoist/core/actor.py
+++ b/ochrehoist/core/actor.py
@@ -24,7 +24,7 @@
 from ochrehoist.core.idempotency_table import IdempotencyTable
 from ochrehoist.core.message_handlers import MESSAGE_HANDLERS
 from ochrehoist.core.messages import RunCompleted
-from ochrehoist.core.protocols import DetailCodec, Logger, Waker
+from ochrehoist.core.protocols import ConcurrencyLimiter, DetailCodec, Logger, Waker
 from ochrehoist.core.request import InboundRequest
 from ochrehoist.core.results import FailureReason, RunResult
 from ochrehoist.core.snapshot import CoreSnapshot
@@ -107,19 +107,18 @@
         if self.now_ns - self.last_expiry_ns >= EXPIRY_PERIOD_NS:
             self.last_expiry_ns = self.now_ns
             self.idempotent_runs.expire()
-        self._evaluate_limits()
+        if self.limiter is not None and self.controller is not None:
+            self._evaluate_limits(self.limiter)
 
-    def _evaluate_limits(self) -> None:
+    def _evaluate_limits(self, limiter: ConcurrencyLimiter) -> None:
         """Tells the controller of new limits, now and then."""
-        if self.limiter is None or self.controller is None:
-            return
         if self.now_ns - self._last_limits_ns < LIMITS_PERIOD_NS:
             return
         self._last_limits_ns = self.now_ns
         waiting = Counter(
             r.request_class.name for r in self.open_requests.values() if not r.started and not r.answered
         )
-        limits = self.limiter.evaluate(self.now_ns, waiting)
+        limits = limiter.evaluate(self.now_ns, waiting)
         # Limits are by position: the controller must know the same classes.
         if limits is not None and self.class_indices.keys() == self.served_classes:
             self.dispatch(limits)
