--- a/ochrehoist/net/intent_replication.py
+++ b/ochrehoist/net/intent_replication.py
@@ -198,7 +198,7 @@
         self.history_known = True
         if self._journal.is_history_uncertain():
             self._journal.hold_unknown_keys_until(self._owner.clock() + int(hold_s * NS_PER_S))
-        counts = {"known": len(report.expiry_by_digest), "not_on_record": len(self.missing_runs)}
+        counts = {"known_runs": len(report.expiry_by_digest), "missing_runs": len(self.missing_runs)}
         self._log.info("witness_quorum_answered", hold_s=self._hold_s(), **counts)
         if self.missing_runs:
             self._log.error("store_records_missing", **counts)
@@ -213,7 +213,7 @@
             self._journal.hold_unknown_keys_until(max(self._journal.hold_until, window_end_ns))
         self._log.warning(
             "witness_quorum_unavailable",
-            of=len(self._config.witnesses),
+            witnesses=len(self._config.witnesses),
             hold_s=self._hold_s(),
             answered=report.complete_witnesses(),
         )
--- a/ochrehoist/net/recovery.py
+++ b/ochrehoist/net/recovery.py
@@ -66,7 +66,7 @@
         self._replication.tick(now)
         entered = self._progress.evaluate(now, self._readiness(), self._service_level)
         if entered is not None:
-            self._log.info("startup_stage_entered", stage=str(entered), why=self._progress.current.reason)
+            self._log.info("startup_stage_entered", stage=str(entered), reason=self._progress.current.reason)
             if self._progress.is_complete:
                 self._record_start(now)
         self._loop.call_later(TICK_INTERVAL_S, self._tick)
--- a/ochrehoist/sites/coordinator.py
+++ b/ochrehoist/sites/coordinator.py
@@ -145,7 +145,7 @@
             fields: dict[str, object] = {
                 "site": change.site,
                 "state": str(change.state),
-                "why": change.reason,
+                "reason": change.reason,
             }
             self._events.append(SiteEvent(SiteEventName.SITE_STATE_CHANGED, fields))
 
--- a/ochrehoist/sites/load_pacing.py
+++ b/ochrehoist/sites/load_pacing.py
@@ -62,7 +62,7 @@
             return []
         self.evacuation = EvacuationRamp(now, f"evacuated by {command.issued_by}")
         self.recovery = None
-        return [SiteEvent(SiteEventName.EVACUATION_STARTED, {"by": command.issued_by})]
+        return [SiteEvent(SiteEventName.EVACUATION_STARTED, {"issued_by": command.issued_by})]
 
     def _end_evacuation(self, kind: CommandKind | None, now: float) -> list[SiteEvent]:
         if self.evacuation is None:
@@ -70,7 +70,7 @@
         self.evacuation = None
         cause = RampCause.EVACUATION_ENDED if kind is None else RampCause.RETURNED_BY_OPERATORS
         self.recovery = self._new_ramp(now, cause)
-        return [SiteEvent(SiteEventName.EVACUATION_ENDED, {"why": cause.value})]
+        return [SiteEvent(SiteEventName.EVACUATION_ENDED, {"reason": cause.value})]
 
     def _apply_once(self, command: OperatorCommand, now: float) -> None:
         if self._applied == (command.number, command.issued_by):
@@ -96,7 +96,7 @@
     def _advance_evacuation(ramp: EvacuationRamp, now: float, peers: PeerWorkers) -> list[SiteEvent]:
         if not ramp.evaluate(now, peers.baseline):
             return []
-        fields = {"load_fraction": ramp.load_fraction, "why": ramp.reason}
+        fields = {"load_fraction": ramp.load_fraction, "reason": ramp.reason}
         return [SiteEvent(SiteEventName.EVACUATION_STAGE_ENTERED, fields)]
 
     def _advance_recovery(
@@ -114,7 +114,7 @@
         )
         latest = ramp.history[-1]
         if latest is not before:
-            fields = {"load_fraction": ramp.load_fraction, "why": latest.reason}
+            fields = {"load_fraction": ramp.load_fraction, "reason": latest.reason}
             events.append(SiteEvent(SiteEventName.RECOVERY_STAGE_ENTERED, fields))
         if ramp.is_complete:
             after_s = round(now - ramp.started_at, 2)
