--- a/benchmarks/slopes/state.py
+++ b/benchmarks/slopes/state.py
@@ -11,7 +11,7 @@
 
 TURN = "5.4 ms on a request's way"
 LINE = Bound("line_bytes", 8 << 20, "net.link.MAX_LINE and MAX_UNSENT")
-DATAGRAM = Bound("answer_bytes", 16_384, "peers.wire.MOST: past it the answer is never sent")
+DATAGRAM = Bound("answer_bytes", 16_384, "peers.wire.MAX_DATAGRAM_BYTES: past it the answer is never sent")
 
 
 def figures_by_classes(size: int, seed: int) -> Measures:
@@ -69,9 +69,9 @@
 
     def beat() -> None:
         now[0] += 0.05
-        group.members.heard_any = now[0]
+        group.members.last_ack_at = now[0]
         group.members.probes.clear()
-        group.beat(now[0])
+        group.tick(now[0])
 
     return now, beat
 
@@ -161,22 +161,24 @@
 def _answer(kind: str, size: int) -> Measures:
     """An answer of a member to a ping, where so many names were counted at it and at each of four others."""
     from ochrehoist.peers import wire
-    from ochrehoist.peers.counts import Ledger
-    from ochrehoist.peers.wire import Ack, Life, Message
+    from ochrehoist.peers.counters import ReplicatedCounters
+    from ochrehoist.peers.wire import Ack, Incarnation, Message
 
-    def ledger(number: int) -> Any:
-        out = Ledger(Life(f"worker-{number:04}", 1_700_000_000_000, 1 << 61), 3000)
+    def counters(number: int) -> Any:
+        out = ReplicatedCounters(Incarnation(f"worker-{number:04}", 1_700_000_000_000, 1 << 61), 3000)
         for n in range(size):
             out.add(f"{kind}/{kind}-{n:06}/answered", 1000 + n)
         return out
 
-    mine = ledger(1)
+    mine = counters(1)
     for number in range(2, 6):
-        mine.learn(ledger(number).to_tell(0.0)[0], 0, 0)
+        mine.merge_snapshot(counters(number).snapshots(0.0)[0], 0, 0)
 
     def told() -> bytes:
-        ack = Ack(1 << 61, "", [], [], mine.to_tell(1.0))
-        return wire._encode(Message("group", mine.life, "worker-0002", mine.life.inc, 7, [ack]))
+        ack = Ack(1 << 61, "", [], [], mine.snapshots(1.0))
+        return wire._encode(
+            Message("group", mine.incarnation, "worker-0002", mine.incarnation.number, 7, [ack])
+        )
 
     return {"answer_bytes": 2 + 16 + 1 + len(told()), "told_us": cpu_us(told)}
 
@@ -206,14 +208,23 @@
 
 
 def _group(members: int, seed: int, counted: int = 20, lives: int = 1, budgets: int = 1) -> Any:
-    from ochrehoist.peers.group import Group, Terms
-    from ochrehoist.peers.members import ALIVE, Member
-    from ochrehoist.peers.rights import Budget
-    from ochrehoist.peers.wire import Evidence, Holding, Life, Status, Tally, encode_status
+    from ochrehoist.peers.budget import Budget
+    from ochrehoist.peers.fleet_settings import FleetSettings
+    from ochrehoist.peers.group import Group
+    from ochrehoist.peers.member import Member
+    from ochrehoist.peers.wire import (
+        BudgetDemand,
+        CounterSnapshot,
+        HealthObservation,
+        Incarnation,
+        MemberState,
+        WorkerStatus,
+        encode_status,
+    )
 
     names = [f"worker-{n:04}" for n in range(members)]
     voters = tuple(names[:7])
-    terms = Terms(
+    terms = FleetSettings(
         "group",
         "127.0.0.1:1",
         "a",
@@ -225,46 +236,54 @@
         0.5,
         3000,
     )
-    group = Group(terms, Life("worker-0000", 1, 1), 0.0, seed)
+    group = Group(terms, Incarnation("worker-0000", 1, 1), 0.0, seed)
     status = encode_status(
-        Status(
+        WorkerStatus(
             False,
             False,
-            [Evidence("s1", "ok", 8, 10, 1.0)],
-            [Holding(f"budget-{n:06}", 0, 1, 0) for n in range(budgets)],
+            [HealthObservation("s1", "ok", 8, 10, 1.0)],
+            [BudgetDemand(f"budget-{n:06}", 0, 1, 0) for n in range(budgets)],
         )
     )
     for k, name in enumerate(names[1:]):
         group.members.members[name] = Member(
-            Life(name, 1, k),
+            Incarnation(name, 1, k),
             f"127.0.0.1:{9001 + k}",
             "a",
-            ALIVE,
+            MemberState.ALIVE,
             0.0,
-            heard_at=0.5,
+            last_ack_at=0.5,
             version=1,
-            told_at=0.5,
+            status_as_of=0.5,
             status=status,
         )
         for life in range(lives):
-            group.ledger.learn(
-                Tally(
-                    Life(name, 1 + life, k), 1, 0, False, {f"tenant/t{n}/answered": n for n in range(counted)}
+            group.counters.merge_snapshot(
+                CounterSnapshot(
+                    Incarnation(name, 1 + life, k),
+                    1,
+                    0,
+                    False,
+                    {f"tenant/t{n}/answered": n for n in range(counted)},
                 ),
                 0.0,
                 0.0,
             )
-    group.members.established, group.members.heard_any = True, 0.5
+    group.members.established, group.members.last_ack_at = True, 0.5
     return group
 
 
 def group_by_members(size: int, seed: int) -> Measures:
     """A member's own beat (20 a second) and its page for operators; messages are the scale run's."""
-    from ochrehoist.peers.view import told
+    from ochrehoist.peers.status_view import status_view
 
     group, of_group = grown(lambda: _group(size, seed))
     now, beat = _beating(group)
-    return {"bytes": of_group, "beat_us": cpu_us(beat), "status_us": cpu_us(lambda: told(group, now[0]))}
+    return {
+        "bytes": of_group,
+        "beat_us": cpu_us(beat),
+        "status_us": cpu_us(lambda: status_view(group, now[0])),
+    }
 
 
 def remembered(size: int, seed: int) -> Measures:
--- a/ochrehoist/net/intent_replication.py
+++ b/ochrehoist/net/intent_replication.py
@@ -13,7 +13,7 @@
 from ochrehoist.config.schema import RecoveryConfig
 from ochrehoist.core.actor import CoreActor
 from ochrehoist.core.protocols import IntentReplicator
-from ochrehoist.peers.wire import Life
+from ochrehoist.peers.wire import Incarnation
 from ochrehoist.recovery.intent_log import IntentLog
 from ochrehoist.recovery.messages import (
     IntentPage,
@@ -87,7 +87,7 @@
         self._expired_at = now
         self._sent_at: dict[str, float] = {}  # by request id
         if peers is not None:
-            peers.group.extensions[TOPIC] = self
+            peers.group.add_extension(TOPIC, self)
         self._journal: Any = journal
         if journal is not None and config.witnesses:
             journal.replicate_intents_to(self)
@@ -138,7 +138,7 @@
         intents = [(name, WitnessTopic.RECORD_INTENT, data) for name, data in self._pending_messages(now)]
         return [*queries, *intents]
 
-    def took(self, sender: Life, topic: str, data: bytes, now: float) -> list[tuple[str, bytes]]:
+    def took(self, sender: Incarnation, topic: str, data: bytes, now: float) -> list[tuple[str, bytes]]:
         """Handles one message, and gives the answers to its sender as topic and data."""
         message = decode(topic, data)
         if isinstance(message, RecordIntent):
@@ -184,7 +184,7 @@
     def _send_pending(self, now: float) -> None:
         assert self._peers is not None  # witnesses are members: the configuration asks for [peers]
         for name, data in self._pending_messages(now):
-            self._peers.say(name, f"{TOPIC}/{WitnessTopic.RECORD_INTENT}", data)
+            self._peers.send_to_extension(name, f"{TOPIC}/{WitnessTopic.RECORD_INTENT}", data)
 
     # What the witnesses' answers prove.
 
