--- a/ochrehoist/app/worker.py
+++ b/ochrehoist/app/worker.py
@@ -155,13 +155,17 @@
             self.capture = Capture(loop, owner, config, self.log)
             owner.answers.observers.append(self.capture)
             parts.append(switch_only(lambda new, _: self.capture.configure(new)))
-        self.measures: Any = None
+        self.self_monitor: Any = None
         if config.overload:
-            from ochrehoist.net.selfmeasure import SelfMeasure
+            from ochrehoist.net.self_monitoring import SelfMonitor
+            from ochrehoist.overload.overload_control import OverloadControl
 
-            self.measures = SelfMeasure(loop, owner, config.overload, config.memory_mb, self.fronts, self.log)
+            control = OverloadControl(
+                config.overload, config.settings, config.seed, int(config.memory_mb * 1e6)
+            )
+            self.self_monitor = SelfMonitor(loop, owner, control, self.fronts, self.log)
             parts.append(
-                switch_only(lambda new, tenants: self.measures.configure(new.settings, new.overload, tenants))
+                switch_only(lambda new, tenants: control.configure(new.settings, new.overload, tenants))
             )
         self.peers: Any = None
         if config.peers:
@@ -222,8 +226,8 @@
             self.recovery.close()
         if self.capture:
             self.capture.close()
-        if self.measures:
-            self.measures.close()
+        if self.self_monitor:
+            self.self_monitor.close()
         f = self.owner.figures
         self.log.info(
             "ended",
@@ -255,8 +259,8 @@
             values["store"] = self.journal.view()
         if self.capture:
             values["capture"] = self.capture.view()
-        if self.measures:
-            values["overload"] = self.measures.view()
+        if self.self_monitor:
+            values["overload"] = self.self_monitor.view()
         if self.peers:
             values["peers"] = self.peers.view()
         if self.sites:
@@ -273,7 +277,7 @@
         conf = self.config.ajp and self.reloading  # the platform's worker keeps to the fixed names
         text += "".join(
             part.figures()
-            for part in (conf, self.journal, self.measures, self.peers, self.sites, self.recovery)
+            for part in (conf, self.journal, self.self_monitor, self.peers, self.sites, self.recovery)
             if part
         )
         return Answer(HTTPStatus.OK, text.encode(), CONTENT_TYPE)
--- /dev/null
+++ b/ochrehoist/net/self_monitoring.py
@@ -0,0 +1,202 @@
+"""Self-monitoring: samples this process ten times a second for overload control, and tells operators of it.
+
+Imported only where the configuration has a table [overload].
+"""
+
+import os
+import time
+from collections.abc import Sequence
+from fcntl import ioctl
+from struct import unpack
+from termios import FIONREAD
+from typing import Any
+
+from ochrehoist.core.figures import counted
+from ochrehoist.core.owner import Owner
+from ochrehoist.net.ajp_front import AjpFront
+from ochrehoist.net.loop import Loop
+from ochrehoist.net.thrift_front import ThriftFront
+from ochrehoist.overload.overload_control import OverloadControl
+from ochrehoist.overload.overload_detector import SAMPLE_INTERVAL_S, LoadSample
+
+PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
+STATM_BYTES = 64  # more than the file's first two fields take
+LOG_INTERVAL_S = 5.0  # between two lines of the log while the worker is overloaded
+SAMPLED_CONNECTIONS = 64  # whose unread bytes are asked for in a sample
+MIN_INTERVAL_S = 1e-3
+
+
+class SelfMonitor:
+    """Measures the event loop, processor time, memory and unread bytes of one worker.
+
+    It feeds the detector of `control`, refills early rejection, and logs when overload begins and ends.
+    """
+
+    def __init__(
+        self,
+        loop: Loop,
+        owner: Owner,
+        control: OverloadControl,
+        fronts: Sequence[ThriftFront | AjpFront],
+        log: Any,
+    ) -> None:
+        self.control = control
+        self._loop = loop
+        self._owner = owner
+        self._fronts = fronts
+        self._log = log
+        self._cpu_s = time.process_time()
+        self._busy_s = 0.0  # since the last sample, as the loop's delay
+        self._loop_delay_s = 0.0
+        self._sampled_s = time.monotonic()
+        self._logged_s = self._sampled_s
+        self._logged_overloaded = False
+        self._statm = os.open("/proc/self/statm", os.O_RDONLY)
+        self._first_connection = 0  # of those whose unread bytes are asked for
+        self._runs_started = 0
+        loop.meter = self._record_iteration
+        owner.limiter = control.limiter
+        owner.step = control.timings.timed("deciding", owner.step)
+        owner.answers.send = control.timings.timed("answering", owner.answers.send)
+        for front in fronts:
+            front.admission = control.early_rejection
+            front.reader.request = control.timings.timed("reading", front.reader.request)
+        loop.call_later(SAMPLE_INTERVAL_S, self._sample)
+
+    def view(self) -> dict[str, Any]:
+        """For operators, under the published status keys."""
+        control = self.control
+        values = {
+            "loop": control.detector.view(),
+            "running": control.limiter.view(),
+            "time_s": {stage: round(spent_s, 3) for stage, spent_s in control.timings.spent_s.items()},
+            "memory_bytes": self._memory_by_owner(),
+        }
+        if control.early_rejection is not None:
+            values["admission"] = control.early_rejection.view()
+            values["door"] = values["admission"]  # its older name: tools may read it
+        return values
+
+    def figures(self) -> str:
+        """Lines of the metrics page, beside the platform's fixed names."""
+        detector = self.control.detector
+        affordable = detector.affordable_per_s
+        values: dict[str, list[tuple[str, float]]] = {
+            "app_loop_delay_seconds": [
+                (f'{{quantile="{fraction}"}}', detector.delays.quantile(fraction)) for fraction in (0.5, 0.99)
+            ],
+            "app_behind": [("", int(detector.overloaded))],
+            "app_affordable_per_second": [("", affordable)] if affordable != float("inf") else [],
+            "app_running_limit": [("", self.control.limiter.algorithm.limit)],
+        }
+        if self.control.early_rejection is not None:
+            values["app_shed_total"] = [
+                (f'{{group="{class_name}",reason="{reason}"}}', count)
+                for (class_name, reason), count in sorted(
+                    self.control.early_rejection.counts.rejected.items()
+                )
+            ]
+        values["app_repeats_denied_total"] = [("", self.control.limiter.retry_budget.denied)]
+        return counted(values)
+
+    def close(self) -> None:
+        """Gives back its descriptor."""
+        os.close(self._statm)
+
+    # ---- sampling
+    def _record_iteration(self, duration_s: float, timer_delay_s: float) -> None:
+        """One iteration of the loop: the last of what could run waited for all of it, or a timer was late."""
+        self._busy_s += duration_s
+        delay_s = max(duration_s, timer_delay_s)
+        if delay_s > self._loop_delay_s:
+            self._loop_delay_s = delay_s
+        self.control.detector.delays.add(self._sampled_s, delay_s)
+
+    def _sample(self) -> None:
+        now_s = time.monotonic()
+        self.control.detector.observe(self._take_sample(now_s))
+        self._log_state(now_s)
+        self._loop.call_later(SAMPLE_INTERVAL_S, self._sample)
+
+    def _take_sample(self, now_s: float) -> LoadSample:
+        """What was counted since the last sample, which is counted anew from now on."""
+        cpu_s = time.process_time()
+        interval_s = max(MIN_INTERVAL_S, now_s - self._sampled_s)
+        admitted = rejected = 0
+        if self.control.early_rejection is not None:
+            counts = self.control.early_rejection.end_interval(SAMPLE_INTERVAL_S)
+            admitted = counts.admitted
+            rejected = counts.rejected_total
+        runs_started = self._owner.figures.total("sends_total")
+        sample = LoadSample(
+            at_s=now_s,
+            cpu_s=cpu_s - self._cpu_s,
+            busy_s=self._busy_s,
+            # A sample that comes late is itself what waited.
+            loop_delay_s=max(self._loop_delay_s, interval_s - SAMPLE_INTERVAL_S),
+            admitted=admitted,
+            rejected=rejected,
+            rss_bytes=self._resident_bytes(),
+            unread_bytes=self._unread_bytes(),
+            runs_started=runs_started - self._runs_started,
+        )
+        self._sampled_s = now_s
+        self._cpu_s = cpu_s
+        self._runs_started = runs_started
+        self._busy_s = 0.0
+        self._loop_delay_s = 0.0
+        return sample
+
+    def _resident_bytes(self) -> int:
+        resident_pages = os.pread(self._statm, STATM_BYTES, 0).split()[1]
+        return int(resident_pages) * PAGE_BYTES
+
+    def _unread_bytes(self) -> int:
+        """Bytes in the sockets' receive buffers: of some connections in turn, extrapolated to all."""
+        connections = [
+            connection
+            for front in self._fronts
+            for connection in front.connections
+            if not connection.stream.closed
+        ]
+        if not connections:
+            return 0
+        self._first_connection = (self._first_connection + SAMPLED_CONNECTIONS) % len(connections)
+        start = self._first_connection
+        sampled = (connections[start:] + connections[:start])[:SAMPLED_CONNECTIONS]
+        unread = 0
+        for connection in sampled:
+            try:
+                unread += unpack("i", ioctl(connection.stream.fd, FIONREAD, b"\0\0\0\0"))[0]
+            except OSError:  # it was closed a moment ago
+                continue
+        return unread * len(connections) // len(sampled)
+
+    def _log_state(self, now_s: float) -> None:
+        """Logs each change at once, and while overloaded a line now and then."""
+        overloaded = self.control.detector.overloaded
+        reminder_due = overloaded and now_s - self._logged_s > LOG_INTERVAL_S
+        if overloaded == self._logged_overloaded and not reminder_due:
+            return
+        self._logged_s = now_s
+        self._logged_overloaded = overloaded
+        rejection = self.control.early_rejection
+        self._log.warning(
+            "overload_detected" if overloaded else "overload_ended",
+            rejected=rejection.counts.rejected_total if rejection is not None else 0,
+            **self.control.detector.view(),
+        )
+
+    def _memory_by_owner(self) -> dict[str, int]:
+        """Bytes by what holds them, as far as each knows its own, and some counts."""
+        connections = [connection for front in self._fronts for connection in front.connections]
+        owner = self._owner
+        return {
+            "results": owner.keys.bytes,
+            "unsent": sum(len(connection.stream.unsent) for connection in connections),
+            "half_read": sum(len(connection.stream.buffer) for connection in connections),
+            "bodies": sum(getattr(connection, "body_bytes", 0) for connection in connections),
+            "live_requests": len(owner.live),
+            "keys": len(owner.keys.runs),
+            "resident": self.control.detector.rss_bytes,
+        }
--- /dev/null
+++ b/ochrehoist/overload/bulkheads.py
@@ -0,0 +1,100 @@
+"""Bulkheads: concurrency by class under one limit, so that no class can take all of it.
+
+Each class has a floor, up to which it goes first. A class lends what it does not use simply by not asking:
+floors say who goes first, not what stands empty. Only the reserve of low-cost classes stands empty while
+these have come lately, as a long run that began there would hold it.
+"""
+
+import math
+from collections.abc import Mapping, Sequence
+from collections.abc import Set as AbstractSet
+from dataclasses import dataclass
+
+from ochrehoist.admission.events import UNLIMITED, ConcurrencyLimits
+from ochrehoist.admission.settings import AdmissionSettings, Idempotency
+
+LOW_COST_FRACTION = 0.2  # of the mean cost of all that runs or waits, up to which a class is low-cost
+LOW_COST_RESERVE = 0.1  # of the limit, reserved for low-cost classes
+LOW_COST_RESERVE_S = 10.0  # since one of them came, for which the reserve stands
+CLASS_FLOOR = 0.1  # of the limit
+KEYED_CLASS_FLOOR = 0.25  # of the limit: filings have the highest priority weight
+MAX_FLOORS = 0.8  # of the limit, together: the rest goes by priority
+LOW_PRIORITY_LANE = 0.15  # of the limit, for requests that cost many times what is usual
+
+
+@dataclass(slots=True)
+class ClassActivity:
+    """One class of late: requests that wait and run, what one costs (s), and when the last one came (s)."""
+
+    queued: int = 0
+    running: int = 0
+    cost_s: float = 0.0
+    last_arrival_s: float = -math.inf
+
+
+def low_cost_classes(activity: Mapping[str, ClassActivity]) -> set[str]:
+    """Names of the classes whose measured cost is small beside the mean of all that runs or waits."""
+    measured = {name: known for name, known in activity.items() if known.cost_s > 0}
+    count = sum(known.queued + known.running for known in measured.values())
+    if len(measured) < 2 or not count:
+        return set()
+    mean_s = sum(known.cost_s * (known.queued + known.running) for known in measured.values()) / count
+    return {name for name, known in measured.items() if known.cost_s <= LOW_COST_FRACTION * mean_s}
+
+
+def bulkhead_limits(
+    concurrency_limit: float | None,
+    settings: AdmissionSettings,
+    activity: Mapping[str, ClassActivity],
+    now_s: float,
+    low_cost: AbstractSet[str],
+    low_priority_lane: bool,
+) -> ConcurrencyLimits:
+    """What the admission controller is to keep to until it is told anew.
+
+    Without a `concurrency_limit` the controller finds by itself how many run; floors are then fractions of
+    the cores, and nothing is reserved.
+    """
+    slots = max(1, int(concurrency_limit)) if concurrency_limit is not None else settings.cores
+    reserved = 0
+    if concurrency_limit is not None and _any_arrived_recently(low_cost, activity, now_s):
+        reserved = min(slots - 1, max(1, math.ceil(slots * LOW_COST_RESERVE)))
+    floors = [
+        max(floor, reserved) if request_class.name in low_cost else floor
+        for floor, request_class in zip(_class_floors(slots, settings), settings.classes, strict=True)
+    ]
+    if concurrency_limit is not None:
+        cap = slots
+    else:
+        cap = max(slots, int(settings.cores * settings.collapse_multiple))
+    return ConcurrencyLimits(
+        total=UNLIMITED if concurrency_limit is None else slots,
+        class_floors=tuple(floors),
+        class_caps=tuple(
+            cap if request_class.name in low_cost else cap - reserved for request_class in settings.classes
+        ),
+        expensive=max(1, int(slots * LOW_PRIORITY_LANE)) if low_priority_lane else UNLIMITED,
+    )
+
+
+def _any_arrived_recently(
+    names: AbstractSet[str], activity: Mapping[str, ClassActivity], now_s: float
+) -> bool:
+    return any(
+        now_s - activity[name].last_arrival_s <= LOW_COST_RESERVE_S for name in names if name in activity
+    )
+
+
+def _class_floors(slots: int, settings: AdmissionSettings) -> Sequence[int]:
+    """Slots for each class: at least one where there are as many slots as classes, else none for anybody."""
+    fractions = [
+        KEYED_CLASS_FLOOR if request_class.idempotency is Idempotency.KEYED else CLASS_FLOOR
+        for request_class in settings.classes
+    ]
+    scale = min(1.0, MAX_FLOORS / max(1e-9, sum(fractions)))
+    floors = [max(1, int(slots * fraction * scale)) for fraction in fractions]
+    while sum(floors) > slots and max(floors) > 1:
+        floors[floors.index(max(floors))] -= 1
+    if sum(floors) > slots:
+        return [0] * len(floors)
+    return floors
--- a/ochrehoist/overload/limiter.py
+++ b/ochrehoist/overload/limiter.py
@@ -1,162 +1,210 @@
-"""All limits of one worker beside its core: hears what comes, begins and ends, and says what the module is to
-keep to. It is the core's Limiter, and does no I/O."""
+"""Bounds what runs at once on one worker, from what it sees of arrivals, starts and completions."""
 
-import math
 from collections import Counter
-from collections.abc import Mapping
+from collections.abc import Hashable, Mapping
 from typing import Any
 
 from ochrehoist.admission.events import ConcurrencyLimits, Outcome
 from ochrehoist.admission.settings import AdmissionSettings
-from ochrehoist.config.loader import OverloadConfig
+from ochrehoist.config.schema import OverloadConfig
 from ochrehoist.core.request import InboundRequest
 from ochrehoist.core.results import Rejection
-from ochrehoist.overload.controllers import CONTROLLERS, Bounds, Fixed, Windows
-from ochrehoist.overload.outliers import FIRST, HEAVY, Outliers
-from ochrehoist.overload.pools import Seen, cheap, limits
-from ochrehoist.overload.storms import Storms
+from ochrehoist.overload.bulkheads import ClassActivity, bulkhead_limits, low_cost_classes
+from ochrehoist.overload.completion_window import WindowAggregator
+from ochrehoist.overload.concurrency_limits import (
+    LIMIT_ALGORITHMS,
+    FixedLimit,
+    LimitAlgorithm,
+    LimitBounds,
+)
+from ochrehoist.overload.cost_prediction import EXPENSIVE_MULTIPLE, MIN_COMPLETIONS, CostPredictor
+from ochrehoist.overload.retry_budget import RetryBudget
+
+NS_PER_S = 1_000_000_000
+OVER_BUDGET_BACKOFF_NS = NS_PER_S  # that a caller over its retry budget gets, before jitter
+MAX_REPORTED_MULTIPLE = 4.0  # of the usual that the module hears of a run: rare ones must not teach a class
+COLLAPSE_MARGIN = 0.8  # of the concurrency that the cores survive, up to which a limit goes by default
+NO_ALGORITHM = "module"  # the configured controller that leaves the limit to the admission controller
+
+
+class AdaptiveLimiter:
+    """The core's ConcurrencyLimiter: tells the admission controller its limits, and rejects excess retries.
+
+    It never blocks and has no clock: `now` is in ns by the core's clock.
+    """
 
-S = 1_000_000_000
-STORM_BACKOFF = S  # that one over its caller's budget is told
-TOLD = 4.0  # times the usual that the module hears of a run at most: rare ones must not teach a class
-
-
-class Limiter:
     def __init__(self, config: OverloadConfig, settings: AdmissionSettings, seed: int) -> None:
-        self.config, self.seed = config, seed
-        self.outliers, self.storms, self.windows = Outliers(), Storms(seed), Windows()
-        self.seen: dict[str, Seen] = {}
-        self.units: dict[str, float] = {}  # what one of a class counts as, fixed once known
-        self.running, self.at = 0, 0.0
-        self.told: ConcurrencyLimits | None = None
-        self.cheap: set[str] = set()
-        self.clipped = 0
-        self.controller: Any = None
-        self.configure(settings)
-
-    def configure(self, settings: AdmissionSettings) -> None:
+        self.config = config
+        self.cost_predictor = CostPredictor()
+        self.retry_budget = RetryBudget(seed)
+        self.activity: dict[str, ClassActivity] = {}  # by class
+        self.running = 0
+        self.low_cost: set[str] = set()
+        self.algorithm: LimitAlgorithm = FixedLimit(1.0)
+        self._windows = WindowAggregator()
+        self._work_units: dict[str, float] = {}  # what a run of a class counts as, fixed once known (s)
+        self._updated_s = 0.0
+        self._announced: ConcurrencyLimits | None = None
+        self._mispredicted = 0  # ran as expensive and were not predicted to
+        self.configure(settings, config)
+
+    def configure(self, settings: AdmissionSettings, config: OverloadConfig) -> None:
         """Takes new settings; what was learned of classes that stay is kept."""
         self.settings = settings
-        c, crowd = (
-            self.config,
-            max(settings.cores + 1, int(settings.cores * settings.collapse_multiple * 0.8)),
-        )
-        bounds = Bounds(c.least or max(1, settings.cores // 4), c.most or crowd)
-        kind = CONTROLLERS.get(c.controller, Fixed)
-        if not isinstance(self.controller, kind) or kind is Fixed:
-            self.controller = kind(bounds.keep(float(settings.cores)), bounds)
+        self.config = config
+        survived = max(settings.cores + 1, int(settings.cores * settings.collapse_multiple * COLLAPSE_MARGIN))
+        bounds = LimitBounds(config.least or max(1, settings.cores // 4), config.most or survived)
+        chosen = LIMIT_ALGORITHMS.get(config.controller, FixedLimit)
+        if not isinstance(self.algorithm, chosen) or chosen is FixedLimit:
+            self.algorithm = chosen(bounds.clamp(float(settings.cores)), bounds)
         else:
-            self.controller.bounds = bounds
-            self.controller.limit = bounds.keep(self.controller.limit)
-        names = {k.name for k in settings.classes}
-        self.seen = {name: self.seen.get(name, Seen()) for name in names}
-        self.told = None
-
-    def _pass(self, now: int) -> float:
-        t = now / S
-        self.windows.passed(max(0.0, t - self.at) if self.at else 0.0, self.running)
-        self.at = t
-        return t
-
-    # ---- what the core tells
-    def arrives(self, r: InboundRequest, now: int) -> Rejection | None:
-        """Whether one that never ran is turned away before the module hears of it."""
-        t = self._pass(now)
-        if (seen := self.seen.get(r.cls.name)) is not None:
-            seen.came = t
+            self.algorithm.bounds = bounds
+            self.algorithm.limit = bounds.clamp(self.algorithm.limit)
+        names = {request_class.name for request_class in settings.classes}
+        self.activity = {name: self.activity.get(name, ClassActivity()) for name in names}
+        self._announced = None
+
+    def arrives(self, request: InboundRequest, now: int) -> Rejection | None:
+        """Whether a request that never ran is rejected before the admission controller hears of it."""
+        now_s = self._advance(now)
+        activity = self.activity.get(request.cls.name)
+        if activity is not None:
+            activity.last_arrival_s = now_s
         if not self.config.retries:
             return None
-        full = self.running >= self.settings.cores and any(s.held for s in self.seen.values())
-        allowed = self.storms.allows(self._caller(r), self._likeness(r), r.retry, full, t)
-        # A filing is worth more than a first try of a read; the cheap cost little more than to refuse them.
-        if not allowed and r.token is None and r.cls.name not in self.cheap:
-            return Rejection(self.storms.spread(STORM_BACKOFF))
-        return None
-
-    def times(self, r: InboundRequest, now: int) -> float:
-        """How many times the usual it will cost."""
+        allowed = self.retry_budget.allows(
+            self._caller(request), self._signature(request), request.retry, self._saturated, now_s
+        )
+        if allowed or request.token is not None or request.cls.name in self.low_cost:
+            # A filing is worth more than a first attempt at a read; low-cost classes cost little more than
+            # their rejection would.
+            return None
+        return Rejection(self.retry_budget.jittered(OVER_BUDGET_BACKOFF_NS))
+
+    def times(self, request: InboundRequest, now: int) -> float:
+        """How many times the usual the request will cost."""
         if not self.config.lane:
             return 1.0
-        return self.outliers.times(r, now / S)
+        return self.cost_predictor.cost_multiple(request, now / NS_PER_S)
 
-    def begun(self, r: InboundRequest, now: int) -> None:
-        self._pass(now)
+    def begun(self, request: InboundRequest, now: int) -> None:
+        """A run was started."""
+        self._advance(now)
         self.running += 1
-        if (seen := self.seen.get(r.cls.name)) is not None:
-            seen.running += 1
-
-    def ended(self, r: InboundRequest, now: int, took: int, outcome: Outcome) -> int:
-        """Learns from a run; gives the time that the module is to hear."""
-        t = self._pass(now)
-        crowding = max(1.0, self.running / max(1, self.settings.cores))
+        activity = self.activity.get(request.cls.name)
+        if activity is not None:
+            activity.running += 1
+
+    def ended(self, request: InboundRequest, now: int, took: int, outcome: Outcome) -> int:
+        """Learns from a run that took so long (ns); gives the duration that the module is to hear."""
+        now_s = self._advance(now)
+        contention = max(1.0, self.running / max(1, self.settings.cores))
         self.running = max(0, self.running - 1)
-        seen = self.seen.get(r.cls.name)
-        if seen is not None:
-            seen.running = max(0, seen.running - 1)
+        activity = self.activity.get(request.cls.name)
+        if activity is not None:
+            activity.running = max(0, activity.running - 1)
         if outcome is not Outcome.OK or took <= 0:
             return took
-        times = self.outliers.ended(r, t, took / S, crowding)
-        usual = self.outliers.usual[r.cls.name]
-        if usual.took.count == FIRST:
-            self.units[r.cls.name] = math.exp(usual.took.value)
-        if seen is not None:
-            seen.cost = math.exp(usual.took.value)
-        work = r.work / S if r.work else self.units.get(r.cls.name, 1.0)
-        # One that costs many times what it states would look like a machine gone slow.
-        self.windows.ended(t, work * (times if times >= HEAVY and not r.work else 1.0), took / S)
-        if self.config.lane and r.times <= 1 and times > TOLD:
-            self.clipped += 1
-            return int(took * TOLD / times)
+        cost_multiple = self.cost_predictor.learn(request, now_s, took / NS_PER_S, contention)
+        self._learn_class_cost(request.cls.name, activity)
+        self._windows.record_completion(now_s, self._work_done(request, cost_multiple), took / NS_PER_S)
+        if self.config.lane and request.times <= 1 and cost_multiple > MAX_REPORTED_MULTIPLE:
+            self._mispredicted += 1
+            return int(took * MAX_REPORTED_MULTIPLE / cost_multiple)
         return took
 
-    def refused(self, r: InboundRequest, backoff: int, now: int) -> int:
-        """The time to stay away that it is told."""
+    def refused(self, request: InboundRequest, backoff: int, now: int) -> int:
+        """A request was rejected; gives the backoff (ns) that its caller is to hear."""
         if not self.config.retries:
             return backoff
-        self.storms.was_refused(self._likeness(r), now / S)
-        return self.storms.spread(backoff)
+        self.retry_budget.record_rejection(self._signature(request), now / NS_PER_S)
+        return self.retry_budget.jittered(backoff)
 
     def look(self, now: int, held: Mapping[str, int]) -> ConcurrencyLimits | None:
-        """What the module is to keep to, where that has changed; `held` are requests by class."""
-        t = self._pass(now)
-        for name, seen in self.seen.items():
-            seen.held = held.get(name, 0)
+        """The limits to keep to from now on, where they have changed; `held` are requests by class."""
+        now_s = self._advance(now)
+        for name, activity in self.activity.items():
+            activity.queued = held.get(name, 0)
         if not self.config.pools:
             return None
-        if (w := self.windows.close(t)) is not None:
-            self.controller.window(w)
-        self.cheap = cheap(self.seen)
-        total = None if self.config.controller == "module" else self.controller.limit
-        new = limits(total, self.settings, self.seen, t, self.cheap, self.config.lane)
-        if new == self.told:
+        window = self._windows.close(now_s)
+        if window is not None:
+            self.algorithm.update(window)
+        self.low_cost = low_cost_classes(self.activity)
+        limits = bulkhead_limits(
+            None if self.config.controller == NO_ALGORITHM else self.algorithm.limit,
+            self.settings,
+            self.activity,
+            now_s,
+            self.low_cost,
+            self.config.lane,
+        )
+        if limits == self._announced:
             return None
-        self.told = new
-        return new
-
-    # ---- how callers and repeats are told apart
-    @staticmethod
-    def _caller(r: InboundRequest) -> int | str:
-        return r.caller or r.responder.origin()[1]
-
-    def _likeness(self, r: InboundRequest) -> tuple:
-        return self._caller(r), r.cls.name, r.key or r.token, r.work or r.memory_kb
+        self._announced = limits
+        return limits
 
     def view(self) -> dict[str, Any]:
-        """For operators, in plain values."""
+        """For operators, in plain values, under the published status keys."""
+        classes = [request_class.name for request_class in self.settings.classes]
+        floors = self._announced.class_floors if self._announced else ()
+        predicted = Counter({str(basis): count for basis, count in self.cost_predictor.predicted.items()})
         return {
-            "limit": round(self.controller.limit, 1) if self.config.controller != "module" else None,
+            "limit": None if self.config.controller == NO_ALGORITHM else round(self.algorithm.limit, 1),
             "controller": self.config.controller,
             "running": self.running,
-            "cheap": sorted(self.cheap),
-            "floors": dict(zip([c.name for c in self.settings.classes], self.told.class_floors, strict=False))
-            if self.told
-            else {},
-            "usual_ms": {name: round(s.cost * 1000, 1) for name, s in self.seen.items() if s.cost},
-            "heavy": Counter({str(k): v for k, v in self.outliers.found.items()})
-            | Counter({"unforeseen": self.clipped}),
+            "cheap": sorted(self.low_cost),
+            "floors": dict(zip(classes, floors, strict=False)),
+            "usual_ms": {
+                name: round(activity.cost_s * 1000, 1)
+                for name, activity in self.activity.items()
+                if activity.cost_s
+            },
+            "heavy": predicted | Counter({"unforeseen": self._mispredicted}),
             "repeats": {
-                "marked": self.storms.marked,
-                "unmarked": self.storms.unmarked,
-                "denied": self.storms.denied,
+                "marked": self.retry_budget.marked_retries,
+                "unmarked": self.retry_budget.unmarked_retries,
+                "denied": self.retry_budget.denied,
             },
         }
+
+    def _advance(self, now: int) -> float:
+        """Counts the time since the last event with what ran in it; gives `now` in seconds."""
+        now_s = now / NS_PER_S
+        span_s = max(0.0, now_s - self._updated_s) if self._updated_s else 0.0
+        self._windows.record_concurrency(span_s, self.running)
+        self._updated_s = now_s
+        return now_s
+
+    @property
+    def _saturated(self) -> bool:
+        return self.running >= self.settings.cores and any(
+            activity.queued for activity in self.activity.values()
+        )
+
+    def _learn_class_cost(self, class_name: str, activity: ClassActivity | None) -> None:
+        baseline = self.cost_predictor.baselines[class_name]
+        if baseline.duration_s.count == MIN_COMPLETIONS:
+            self._work_units[class_name] = baseline.usual_duration_s
+        if activity is not None:
+            activity.cost_s = baseline.usual_duration_s
+
+    def _work_done(self, request: InboundRequest, cost_multiple: float) -> float:
+        """In s as stated; else in units of its class, or an expensive run would look like a slow machine."""
+        if request.work:
+            return request.work / NS_PER_S
+        unit = self._work_units.get(request.cls.name, 1.0)
+        return unit * (cost_multiple if cost_multiple >= EXPENSIVE_MULTIPLE else 1.0)
+
+    @staticmethod
+    def _caller(request: InboundRequest) -> int | str:
+        return request.caller or request.responder.origin()[1]
+
+    def _signature(self, request: InboundRequest) -> Hashable:
+        """Equal for all attempts at one request, marked or not."""
+        return (
+            self._caller(request),
+            request.cls.name,
+            request.key or request.token,
+            request.work or request.memory_kb,
+        )
