--- a/ochrehoist/app/worker.py
+++ b/ochrehoist/app/worker.py
@@ -1,384 +1,151 @@
-"""How the parts of one worker are put together, and what operators call on it."""
+"""The life of one worker process: it starts, serves, may be replaced by the next process, and ends."""
 
-import os
 import signal
-import socket
-import sys
-import time
-from collections.abc import Mapping
-from http import HTTPStatus
-from typing import Any
+from collections.abc import Callable, Mapping, Sequence
+from typing import TYPE_CHECKING, Any
 
-from ochrehoist.app.logs import LogSink, start_log
-from ochrehoist.app.reload import Part, Reloading, switch_only
+from ochrehoist.app.replacement import Replacement
+from ochrehoist.app.worker_parts import WorkerParts
 from ochrehoist.config import loader as configuration
 from ochrehoist.config.loader import Config
-from ochrehoist.core.figures import CONTENT_TYPE
-from ochrehoist.core.messages import ExecutorReady, StandbyChanged
-from ochrehoist.core.owner import Owner
 from ochrehoist.errors import InvalidInputError
-from ochrehoist.net import agent
-from ochrehoist.net.ajp import ReplyCodec
-from ochrehoist.net.ajp_front import AjpFront
-from ochrehoist.net.ajp_server import AjpServers
 from ochrehoist.net.ending import Ending
-from ochrehoist.net.kernel import Kernel
-from ochrehoist.net.link import Predecessor, Successors, predecessors_sockets
-from ochrehoist.net.listener import Service
-from ochrehoist.net.loop import Loop, Signal, steady_clock
-from ochrehoist.net.members import Members
-from ochrehoist.net.operators import Answer, Operators, said
-from ochrehoist.net.thrift_front import ThriftFront
+from ochrehoist.net.operators import Operators
 
-RESULT_SHARE = 0.15  # of the process memory, for the results of filings
-BODY_SHARE = 0.12  # of it, for AJP bodies coming in, for responses being read, and for those not yet sent
-UNSENT_SHARE = 0.06  # of it, for answers that routers have not taken yet
-RESTORE = 3.0  # s at the most that clients wait for what was on record
-LEAST = 8  # connections that a front may have at once, whatever the process before this one still holds
-RESERVED = 24  # descriptors for all that is no accepted connection
-SERVICE = Service.max_open + 1  # and for the operators' address and the agent checks, each, where they are on
+if TYPE_CHECKING:
+    from ochrehoist.store.journal import Journal
+
+MAX_RESTORE_WAIT_S = 3.0  # that clients wait for what was on record
 
 
 class Worker:
     """One worker: the core, its fronts and executors, on one scheduler."""
 
     def __init__(self, config: Config, path: str | None = None) -> None:
-        self.config, self.sink = config, LogSink(sys.stderr.fileno())
-        self.log = start_log(self.sink).bind(name=config.name)
-        self.loop = loop = Loop(self.log)
-        self.owner = owner = Owner(
-            config.settings,
-            config.seed,
-            Signal(loop),
-            steady_clock(),
-            time.time_ns,
-            self.log,
-            int(config.memory_mb * 1e6 * RESULT_SHARE),
-            lambda: self.gauge_source.measure(),
-        )
-        self.inherited = predecessors_sockets(config.link) if config.link else None
-        self.members: Members | None = None
-        self.successors: Successors | None = None
-        self.predecessor: Predecessor | None = None
-        self.fronts: list[ThriftFront | AjpFront] = []
-        self.tasks = [owner.run]
-        parts: list[Part] = []  # that take a configuration read again
-        # Where the system gives fewer than the settings say, it is the system's limit that binds.
-        sockets = min([n for n in (config.sockets, os.sysconf("SC_OPEN_MAX")) if n > 0])
-        room = sockets - RESERVED - SERVICE * sum(a is not None for a in (config.admin, config.agent))
-        self.kernel: Kernel | None = None
-        self.journal: Any = None
-
-        def inherited(address: tuple[str, int]) -> socket.socket | None:
-            return (self.inherited or {}).get(address)
-
-        if config.ajp:
-            body_bytes = int(config.memory_mb * 1e6 * BODY_SHARE)
-            servers = AjpServers(loop, owner, config.ajp, body_bytes, self.log)
-            self.gauge_source = servers
-            # What runs is bounded by the crowd that the cores survive, whatever the module learns.
-            room -= int(config.settings.cores * config.settings.collapse_multiple)
-            room -= sum(s.max_idle for s in config.ajp.servers)
-            most = min(config.ajp.max_connections, room // 2 if config.listen else room)
-            if most < 1:
-                raise InvalidInputError(f"setting limits.sockets: too few: {config.sockets}")
-            room -= most
-            front = AjpFront(
-                loop, owner, servers, config.ajp, most, body_bytes, self.log, inherited(config.ajp.listen)
-            )
-            self.fronts.append(front)
-            parts += [
-                switch_only(lambda new, _: servers.configure(new.ajp)),
-                lambda new, _: front.prepare(new.ajp, new.settings),
-            ]
-        if config.listen:
-            kernel = Kernel(loop, owner, config.kernel, config.gauges, self.log)
-            self.gauge_source = self.kernel = kernel
-            self.tasks.append(kernel.run)
-            parts.append(switch_only(lambda new, _: kernel.move(new.kernel, new.gauges)))
-            passed = inherited(config.listen)
-            if config.passed is not None:
-                passed = socket.socket(fileno=config.passed)
-            unsent = int(config.memory_mb * 1e6 * UNSENT_SHARE)
-            routers = ThriftFront(loop, owner, kernel, config.listen, room, unsent, self.log, passed)
-            parts.append(switch_only(lambda new, _: routers.configure(new.settings)))
-            self.fronts.append(routers)
-        else:
-            owner.post(ExecutorReady(None, 0))
-        if config.members:
-            self.members = members = Members(loop, owner, config.members, config.name, self.log)
-            parts.append(switch_only(lambda new, _: members.move(new.members)))
-            owner.listeners.append(members)
-        owner.listeners += self.fronts
-        self.listeners: list = list(self.fronts)
-        if config.agent:
-            self.listeners.append(
-                agent.AgentCheck(loop, owner, config.agent, self.log, inherited(config.agent))
-            )
-        if config.admin:
-            self.listeners.append(
-                Operators(
-                    loop,
-                    config.admin,
-                    self._with_orders(
-                        {
-                            "/status": {"GET": self.status},
-                            "/status/metrics": {"GET": self.metrics},
-                            "/standby": {"POST": lambda: self.standby(True)},
-                            "/active": {"POST": lambda: self.standby(False)},
-                        }
-                    ),
-                    self.log,
-                    inherited(config.admin),
-                )
-            )
-        self.handed = {
-            p.listening.address for p in self.listeners if p.listening.sock in (self.inherited or {}).values()
-        }
-        for address, sock in (self.inherited or {}).items():
-            if address not in self.handed:
-                sock.close()  # of no use here: what waits in its queue is for the process that listens there
-        self.reloading = Reloading(loop, owner, config, path, parts, self.kernel, self.log)
-        if self.kernel:
-            self.tasks.append(self.reloading.watch_link)
-        if config.state:
-            # Its libraries are for those who want it: the platform's worker stays without them.
-            from ochrehoist.store.journal import Journal
-
-            self.journal = owner.filings.journal = Journal(
-                loop, owner, config.state, config.name, ReplyCodec(), self.log, self.inherited is not None
-            )
-        self.capture: Any = None
-        if config.capture:
-            from ochrehoist.capture.taker import Capture
-
-            self.capture = Capture(loop, owner, config, self.log)
-            owner.answers.observers.append(self.capture)
-            parts.append(switch_only(lambda new, _: self.capture.configure(new)))
-        self.self_monitor: Any = None
-        if config.overload:
-            from ochrehoist.net.self_monitoring import SelfMonitor
-            from ochrehoist.overload.overload_control import OverloadControl
-
-            control = OverloadControl(
-                config.overload, config.settings, config.seed, int(config.memory_mb * 1e6)
-            )
-            self.self_monitor = SelfMonitor(loop, owner, control, self.fronts, self.log)
-            parts.append(
-                switch_only(lambda new, tenants: control.configure(new.settings, new.overload, tenants))
-            )
-        self.peers: Any = None
-        if config.peers:
-            from ochrehoist.net.peers import Peers
-
-            self.peers = Peers(loop, owner, config, self.log)
-            owner.listeners.append(self.peers)
-            parts.append(self.peers.prepare)
-            if config.ajp:
-                servers.advisor = self.peers
-        self.sites: Any = None
-        if config.sites:
-            from ochrehoist.net.sites import Sites
-
-            self.sites = Sites(loop, owner, config, self.peers, self.inherited is None, self.log)
-            parts.append(switch_only(self.sites.configure))
-        self.recovery: Any = None
-        if config.recovery:
-            from ochrehoist.net.recovery import Recovery
-
-            self.recovery = Recovery(loop, owner, config, self, self.log)
-        self.ending = Ending(loop, owner, self.fronts, config.stop_ms, self.log)
-        self.room = {front: front.listening.limit for front in self.fronts}
+        """Puts the parts together and binds all addresses.
+
+        Args:
+            config: what the worker is to be.
+            path: of the file that the configuration is read from again.
+
+        Raises:
+            InvalidInputError: a setting can't be carried out; it names the key.
+            OSError: an address can't be bound.
+        """
+        self._serving = False  # clients are taken
+        self.parts = parts = WorkerParts(config, path, lambda: self._serving)
+        self._ending = Ending(parts.loop, parts.owner, parts.fronts, config.stop_ms, parts.log)
+        self._replacement: Replacement | None = None
         if config.link:
-            self._take_up(config.link)
-        if self.kernel:
-            self.kernel.shared = lambda: bool(
-                owner.forwarder or (self.predecessor and self.predecessor.present)
-            )
-        self.started = time.monotonic()
-        self.serving = False  # clients are taken
+            self._replacement = Replacement(parts, config.link, self._take_over, self._be_replaced)
+        parts.share_kernel(self._kernel_is_shared)
 
     def run(self) -> int:
-        # SIGTERM and SIGHUP are orders to this program, whatever whoever started it does with them: nohup and
-        # some supervisors leave SIGHUP ignored, and a worker deaf to it would serve an old configuration.
-        self.loop.on_signal(signal.SIGTERM, self.ending.leave)
-        self.loop.on_signal(signal.SIGHUP, self.reloading.order)
-        if signal.getsignal(signal.SIGINT) is not signal.SIG_IGN:  # ignored by a shell for background jobs
-            self.loop.on_signal(signal.SIGINT, self.ending.leave)
-        for task in self.tasks:
-            self.loop.spawn(task)
-        if self.predecessor is None and self.journal is None:
-            self._serve()
-        elif self.predecessor is None:
-            self._restore()
-        for part in self.listeners:
-            if isinstance(part, Operators) and part.listening.address not in self.handed:
-                part.listening.start()  # it says from the start that it is not ready
-            self.log.info("started", part=type(part).__name__, listen=part.listening.address)
-        self.loop.run()
-        if self.peers:
-            self.peers.stop("ended")
-        if self.successors:
-            self.successors.close()
-        if self.journal:
-            self.journal.close()
-        if self.recovery:
-            self.recovery.close()
-        if self.capture:
-            self.capture.close()
-        if self.self_monitor:
-            self.self_monitor.close()
-        f = self.owner.figures
-        self.log.info(
-            "ended",
-            served=f.total("answered_total"),
-            refused=f.total("deferred_total"),
-            failed=f.total("errored_total"),
-        )
+        """Serves until it is told to leave or replaced; gives the exit code."""
+        parts = self.parts
+        self._register_signals()
+        for task in parts.tasks:
+            parts.loop.spawn(task)
+        if self._replacement is None or not self._replacement.replaces_process:
+            if parts.journal is None:
+                self._serve()
+            else:
+                self._restore(parts.journal)
+        self._announce_listeners()
+        parts.loop.run()
+        self._close()
         return 0
 
-    # ---- what operators call
-    def status(self) -> Answer:
-        o, f = self.owner, self.owner.figures
-        values = {
-            "name": self.config.name,
-            "state": o.state,
-            "up_s": round(time.monotonic() - self.started, 1),
-            "in_hand": o.owed,
-            "running": sum(r.started for r in o.live.values()),
-            "served": f.total("answered_total"),
-            "refused": f.total("deferred_total"),
-            "failed": f.total("errored_total"),
-            "keys": len(o.keys.runs),
-            "result_bytes": o.keys.bytes,
-            "log_dropped": self.sink.dropped,
-            "connections": {type(f).__name__: len(f.connections) for f in self.fronts},
-            "configuration": self.reloading.view(),
-        }
-        if self.journal:
-            values["store"] = self.journal.view()
-        if self.capture:
-            values["capture"] = self.capture.view()
-        if self.self_monitor:
-            values["overload"] = self.self_monitor.view()
-        if self.peers:
-            values["peers"] = self.peers.view()
-        if self.sites:
-            values["sites"] = self.sites.view()
-        if self.recovery:
-            values["recovery"] = self.recovery.view()
-        if self.kernel:
-            values["kernel"] = self.kernel.view()
-        ready = o.ready and self.serving
-        return said(values, HTTPStatus.OK if ready else HTTPStatus.SERVICE_UNAVAILABLE)
-
-    def metrics(self) -> Answer:
-        text = self.owner.figures.text(self.owner.current)
-        conf = self.config.ajp and self.reloading  # the platform's worker keeps to the fixed names
-        text += "".join(
-            part.figures()
-            for part in (conf, self.journal, self.self_monitor, self.peers, self.sites, self.recovery)
-            if part
-        )
-        return Answer(HTTPStatus.OK, text.encode(), CONTENT_TYPE)
-
-    def _with_orders(self, calls: dict[str, Any]) -> dict[str, Any]:
-        """With what operators may say of sites, where these are on."""
-        if self.config.recovery:
-            from ochrehoist.recovery.stages import STAGES
-
-            calls |= {
-                f"/recovery/skip/{stage}": {
-                    "POST": lambda stage=stage: said({"said": self.recovery.skip(stage)})
-                }
-                for stage in STAGES
-            }
-        if not self.config.sites:
-            return calls
-        from ochrehoist.net.sites import Calls
-
-        return Calls(calls, lambda site, word: self.sites.order(site, word))
-
-    def standby(self, on: bool) -> Answer:
-        self.owner.post(StandbyChanged(on))
-        return said({"standby": on})
-
-    # ---- replacing the process
-    def _take_up(self, path: str) -> None:
-        """Finds out whether another process serves, and prepares to replace it, and to be replaced."""
-        codec = ReplyCodec()
-        self.successors = Successors(
-            self.loop, self.owner, path, codec, self._sockets, self._replaced, self.log
-        )
-        if self.inherited is None:
-            return
-        self.predecessor = Predecessor(
-            self.loop,
-            self.owner,
-            path,
-            codec,
-            lambda: [p.listening.address for p in self.listeners],
-            self._took_over,
-            self._make_way,
-            self.log,
-        )
-        self.tasks.append(self.predecessor.run)
-
-    def _took_over(self) -> None:
-        self._serve()
-        if self.journal:
-            self.journal.open()
-
-    def _sockets(self) -> dict[str, socket.socket]:
-        return {type(p).__name__: p.listening.sock for p in self.listeners if not p.listening.stopped}
-
-    def _restore(self) -> None:
-        """Clients wait in the queue until what ran before is known, but not for long: reads need none of
-        it."""
-        waiting = [self._serve]
-
-        def serve() -> None:
-            while waiting:
-                waiting.pop()()
+    def _register_signals(self) -> None:
+        # SIGTERM and SIGHUP are meant for this program, whatever whoever started it does with them: nohup and
+        # some supervisors leave SIGHUP ignored, and a worker deaf to it would serve an old configuration.
+        loop = self.parts.loop
+        loop.on_signal(signal.SIGTERM, self._ending.leave)
+        loop.on_signal(signal.SIGHUP, self.parts.reloading.order)
+        if signal.getsignal(signal.SIGINT) is not signal.SIG_IGN:  # ignored by a shell for background jobs
+            loop.on_signal(signal.SIGINT, self._ending.leave)
 
-        self.journal.when_restored.append(serve)
-        self.loop.call_later(RESTORE, serve)
-        self.journal.open()
+    def _announce_listeners(self) -> None:
+        for listener in self.parts.listeners:
+            address = listener.listening.address
+            if isinstance(listener, Operators) and address not in self.parts.inherited_addresses:
+                listener.listening.start()  # it says from the start that the worker is not ready
+            self.parts.log.info("started", part=type(listener).__name__, listen=address)
 
     def _serve(self) -> None:
         """No other process decides: this one takes what comes."""
-        self.serving = True
-        for part in self.listeners:
-            part.listening.start()
-        if self.members:
-            self.loop.spawn(self.members.run)
-        if self.peers:
-            self.peers.start()
-        if self.successors:
-            self.successors.listen()
+        parts = self.parts
+        self._serving = True
+        for listener in parts.listeners:
+            listener.listening.start()
+        if parts.members:
+            parts.loop.spawn(parts.members.run)
+        if parts.peers:
+            parts.peers.start()
+        if self._replacement:
+            self._replacement.listen()
+
+    def _restore(self, journal: "Journal") -> None:
+        """Clients wait until what ran before is known, but not for long: reads need none of it."""
+
+        def serve_once() -> None:
+            if not self._serving:
+                self._serve()
+
+        journal.when_restored.append(serve_once)
+        self.parts.loop.call_later(MAX_RESTORE_WAIT_S, serve_once)
+        journal.open()
+
+    def _take_over(self) -> None:
+        """The process before this one has left its state to it, or is gone."""
+        self._serve()
+        if self.parts.journal:
+            self.parts.journal.open()
 
-    def _replaced(self, at: list) -> None:
+    def _be_replaced(
+        self, addresses: Sequence[list[Any]], tell_open_connections: Callable[[Mapping[str, int]], None]
+    ) -> None:
         """Another process decides now. Where it listens too, this one no longer does."""
-        for part in self.listeners:
-            if list(part.listening.address) in at:
-                part.listening.stop(leave_queue=True)
-        if self.members:
-            self.members.stop()
-        if self.peers:
-            self.peers.stop("replaced")
-        if self.journal:
-            self.journal.release()
-        self.ending.retire(self.successors.holds)
-
-    def _make_way(self, held: Mapping[str, int]) -> None:
-        """The connections that the process before this one still holds count against the limit of both."""
-        for front in self.fronts:
-            used = held.get(type(front).__name__, 0) if self.predecessor and held else 0
-            front.listening.set_limit(max(LEAST, self.room[front] - used - (RESERVED // 2 if held else 0)))
+        parts = self.parts
+        for listener in parts.listeners:
+            if list(listener.listening.address) in addresses:
+                listener.listening.stop(leave_queue=True)
+        if parts.members:
+            parts.members.stop()
+        if parts.peers:
+            parts.peers.stop("replaced")
+        if parts.journal:
+            parts.journal.release()
+        self._ending.retire(tell_open_connections)
+
+    def _kernel_is_shared(self) -> bool:
+        """Whether another process of this worker may run something at the kernel."""
+        if self.parts.owner.forwarder:
+            return True
+        return self._replacement is not None and self._replacement.predecessor_present
+
+    def _close(self) -> None:
+        parts = self.parts
+        if parts.peers:
+            parts.peers.stop("ended")
+        if self._replacement:
+            self._replacement.close()
+        parts.close()
+        figures = parts.owner.figures
+        parts.log.info(
+            "ended",
+            served=figures.total("answered_total"),
+            refused=figures.total("deferred_total"),
+            failed=figures.total("errored_total"),
+        )
 
 
 def serve(path: str | None) -> int:
-    """Serves until it is told to leave. Raises InvalidInputError, which names the key."""
+    """Serves until it is told to leave; gives the exit code.
+
+    Raises:
+        InvalidInputError: the configuration can't be used; it names the key.
+    """
     config = configuration.load(path)
     try:
         worker = Worker(config, path)
--- /dev/null
+++ b/ochrehoist/app/worker_parts.py
@@ -0,0 +1,373 @@
+"""The parts of one worker and how they are put together, one concern after the other.
+
+Packages that only some workers need are imported where their table is set: the platform's worker stays
+without them and their libraries.
+"""
+
+from __future__ import annotations
+
+import socket
+import sys
+import time
+from collections.abc import Callable, Mapping
+from typing import TYPE_CHECKING, Any
+
+from ochrehoist.app.logs import LogSink, start_log
+from ochrehoist.app.operator_api import OperatorApi
+from ochrehoist.app.reload import Part, Reloading, switch_only
+from ochrehoist.app.resource_limits import (
+    BODY_MEMORY_FRACTION,
+    BYTES_PER_MB,
+    RESULT_MEMORY_FRACTION,
+    UNSENT_MEMORY_FRACTION,
+    ConnectionLimits,
+    connection_limits,
+    memory_bytes,
+)
+from ochrehoist.config.loader import Config
+from ochrehoist.core.messages import ExecutorReady
+from ochrehoist.core.owner import Owner
+from ochrehoist.core.stage_timing import untimed
+from ochrehoist.net.agent import AgentCheck
+from ochrehoist.net.ajp import ReplyCodec
+from ochrehoist.net.ajp_front import AjpFront
+from ochrehoist.net.ajp_server import AjpServers
+from ochrehoist.net.kernel import Kernel
+from ochrehoist.net.link import predecessors_sockets
+from ochrehoist.net.loop import Loop, Signal, steady_clock
+from ochrehoist.net.members import Members
+from ochrehoist.net.operators import Answer, Operators, said
+from ochrehoist.net.thrift_front import ThriftFront
+
+if TYPE_CHECKING:
+    from ochrehoist.capture.taker import Capture
+    from ochrehoist.core.protocols import AdmissionFilter
+    from ochrehoist.net.peers import Peers
+    from ochrehoist.net.recovery import Recovery
+    from ochrehoist.net.self_monitoring import SelfMonitor
+    from ochrehoist.net.sites import Sites
+    from ochrehoist.overload.overload_control import OverloadControl
+    from ochrehoist.store.journal import Journal
+
+Address = tuple[str, int]
+Listener = ThriftFront | AjpFront | AgentCheck | Operators
+
+
+class InheritedSockets:
+    """Listening sockets that the process before this one has handed over, by address."""
+
+    def __init__(self, handover_path: str | None) -> None:
+        sockets = predecessors_sockets(handover_path) if handover_path else None
+        self.replaces_process = sockets is not None
+        self._sockets: Mapping[Address, socket.socket] = sockets or {}
+
+    def get(self, address: Address) -> socket.socket | None:
+        """The socket that listens at the address, where there is one."""
+        return self._sockets.get(address)
+
+    def close_unused(self, listeners: list[Listener]) -> set[Address]:
+        """Closes those that no listener uses; gives the addresses of those in use.
+
+        What waits in the queue of an unused one is for the process that listens there.
+        """
+        inherited = set(self._sockets.values())
+        used = {listener.listening.address for listener in listeners if listener.listening.sock in inherited}
+        for address, sock in self._sockets.items():
+            if address not in used:
+                sock.close()
+        return used
+
+
+class WorkerParts:
+    """All parts of one worker; an optional one is None where the configuration has no table for it.
+
+    Attributes:
+        tasks: what the loop runs from the start.
+        listeners: all that accept connections: the fronts, agent checks and the operators' address.
+        inherited_addresses: of the listeners whose sockets the process before this one has handed over.
+    """
+
+    def __init__(self, config: Config, path: str | None, is_serving: Callable[[], bool]) -> None:
+        """Binds all addresses, but accepts nothing yet.
+
+        Args:
+            config: what the worker is to be.
+            path: of the file that the configuration is read from again.
+            is_serving: whether this process takes what comes; asked by operators' calls.
+
+        Raises:
+            InvalidInputError: a setting can't be carried out; it names the key.
+            OSError: an address can't be bound.
+        """
+        self.config = config
+        self.sink = LogSink(sys.stderr.fileno())
+        self.log = start_log(self.sink).bind(name=config.name)
+        self.loop = Loop(self.log)
+        self.fronts: list[ThriftFront | AjpFront] = []
+        self.listeners: list[Listener] = []
+        self._reloadable: list[Part] = []  # take a configuration read again; read at each reload
+        self._kernel_is_shared: Callable[[], bool] = lambda: False
+        self.overload_control = self._build_overload_control()
+        self.owner = self._build_core()
+        self.tasks: list[Callable[[], None]] = [self.owner.run]
+        self.operator_api = OperatorApi(config.name, self.owner, self.sink, self.fronts, is_serving)
+        self.inherited = InheritedSockets(config.link)
+        limits = connection_limits(config)
+        self.ajp_servers = self._build_ajp(limits)
+        self.kernel = self._build_thrift(limits)
+        self.members = self._build_membership()
+        self._build_agent_check()
+        self._build_operators()
+        self.inherited_addresses = self.inherited.close_unused(self.listeners)
+        self.reloading = self._build_reloading(path)
+        self.journal = self._build_store()
+        self.capture = self._build_capture()
+        self.self_monitor = self._build_self_monitor()
+        self.peers = self._build_peers()
+        self.sites = self._build_sites()
+        self.recovery = self._build_recovery()
+
+    def share_kernel(self, is_shared: Callable[[], bool]) -> None:
+        """`is_shared` tells from now on whether another process may run something at the same kernel."""
+        self._kernel_is_shared = is_shared
+
+    def close(self) -> None:
+        """Ends what must not be left behind, after the loop has ended."""
+        if self.journal:
+            self.journal.close()
+        if self.recovery:
+            self.recovery.close()
+        if self.capture:
+            self.capture.close()
+        if self.self_monitor:
+            self.self_monitor.close()
+
+    # ---- the core
+    def _build_overload_control(self) -> OverloadControl | None:
+        config = self.config
+        if not config.overload:
+            return None
+        from ochrehoist.overload.overload_control import OverloadControl
+
+        memory_limit_bytes = int(config.memory_mb * BYTES_PER_MB)
+        return OverloadControl(config.overload, config.settings, config.seed, memory_limit_bytes)
+
+    def _build_core(self) -> Owner:
+        config, control = self.config, self.overload_control
+        return Owner(
+            config.settings,
+            config.seed,
+            Signal(self.loop),
+            steady_clock(),
+            time.time_ns,
+            self.log,
+            memory_bytes(config.memory_mb, RESULT_MEMORY_FRACTION),
+            self._measure_gauges,
+            control.limiter if control else None,
+            control.timings.timed if control else untimed,
+        )
+
+    def _measure_gauges(self) -> None:
+        executor = self.kernel or self.ajp_servers
+        if executor is not None:
+            executor.measure()
+
+    # ---- fronts and their executors
+    def _build_ajp(self, limits: ConnectionLimits) -> AjpServers | None:
+        ajp = self.config.ajp
+        if not ajp:
+            return None
+        body_bytes = memory_bytes(self.config.memory_mb, BODY_MEMORY_FRACTION)
+        servers = AjpServers(self.loop, self.owner, ajp, body_bytes, self.log)
+        front = AjpFront(
+            self.loop,
+            self.owner,
+            servers,
+            ajp,
+            limits.ajp,
+            body_bytes,
+            self.log,
+            self.inherited.get(ajp.listen),
+            self._admission_filter,
+            self.overload_control.timings.timed if self.overload_control else untimed,
+        )
+        self._add_front(front)
+        self._reloadable += [
+            switch_only(lambda new, _: servers.configure(new.ajp)),
+            lambda new, _: front.prepare(new.ajp, new.settings),
+        ]
+        return servers
+
+    def _build_thrift(self, limits: ConnectionLimits) -> Kernel | None:
+        config = self.config
+        if not config.listen:
+            self.owner.post(ExecutorReady(None, 0))
+            return None
+        kernel = Kernel(
+            self.loop,
+            self.owner,
+            config.kernel,
+            config.gauges,
+            self.log,
+            is_shared=lambda: self._kernel_is_shared(),
+        )
+        self.tasks.append(kernel.run)
+        self.operator_api.add_status("kernel", kernel)
+        self._reloadable.append(switch_only(lambda new, _: kernel.move(new.kernel, new.gauges)))
+        sock = self.inherited.get(config.listen)
+        if config.passed is not None:
+            sock = socket.socket(fileno=config.passed)
+        front = ThriftFront(
+            self.loop,
+            self.owner,
+            kernel,
+            config.listen,
+            limits.thrift,
+            memory_bytes(config.memory_mb, UNSENT_MEMORY_FRACTION),
+            self.log,
+            sock,
+            self._admission_filter,
+            self.overload_control.timings.timed if self.overload_control else untimed,
+        )
+        self._reloadable.append(switch_only(lambda new, _: front.configure(new.settings)))
+        self._add_front(front)
+        return kernel
+
+    @property
+    def _admission_filter(self) -> AdmissionFilter | None:
+        return self.overload_control.early_rejection if self.overload_control else None
+
+    def _add_front(self, front: ThriftFront | AjpFront) -> None:
+        self.fronts.append(front)
+        self.listeners.append(front)
+
+    # ---- membership, health checks and operators
+    def _build_membership(self) -> Members | None:
+        config = self.config
+        members = None
+        if config.members:
+            members = Members(self.loop, self.owner, config.members, config.name, self.log)
+            self._reloadable.append(switch_only(lambda new, _: members.move(new.members)))
+            self.owner.listeners.append(members)
+        self.owner.listeners += self.fronts
+        return members
+
+    def _build_agent_check(self) -> None:
+        address = self.config.agent
+        if address:
+            sock = self.inherited.get(address)
+            self.listeners.append(AgentCheck(self.loop, self.owner, address, self.log, sock))
+
+    def _build_operators(self) -> None:
+        address = self.config.admin
+        if address:
+            sock = self.inherited.get(address)
+            self.listeners.append(Operators(self.loop, address, self._operator_calls(), self.log, sock))
+
+    def _operator_calls(self) -> Mapping[str, Mapping[str, Callable[[], Answer]]]:
+        calls = self.operator_api.calls()
+        if self.config.recovery:
+            from ochrehoist.recovery.stages import STAGES
+
+            calls |= {f"/recovery/skip/{stage}": {"POST": self._skip_call(stage)} for stage in STAGES}
+        if not self.config.sites:
+            return calls
+        from ochrehoist.net.sites import Calls
+
+        return Calls(calls, lambda site, command: self.sites.order(site, command))
+
+    def _skip_call(self, stage: str) -> Callable[[], Answer]:
+        return lambda: said({"said": self.recovery.skip(stage)})
+
+    # ---- configuration
+    def _build_reloading(self, path: str | None) -> Reloading:
+        reloading = Reloading(
+            self.loop, self.owner, self.config, path, self._reloadable, self.kernel, self.log
+        )
+        self.operator_api.add_status("configuration", reloading)
+        if self.config.ajp:  # the platform's worker keeps to the fixed names
+            self.operator_api.add_metrics("configuration", reloading)
+        if self.kernel:
+            self.tasks.append(reloading.watch_link)
+        return reloading
+
+    # ---- what only some workers have
+    def _build_store(self) -> Journal | None:
+        config = self.config
+        if not config.state:
+            return None
+        from ochrehoist.store.journal import Journal
+
+        journal = self.owner.filings.journal = Journal(
+            self.loop,
+            self.owner,
+            config.state,
+            config.name,
+            ReplyCodec(),
+            self.log,
+            self.inherited.replaces_process,
+        )
+        self._add_to_operator_api("store", journal)
+        return journal
+
+    def _build_capture(self) -> Capture | None:
+        if not self.config.capture:
+            return None
+        from ochrehoist.capture.taker import Capture
+
+        capture = Capture(self.loop, self.owner, self.config, self.log)
+        self.owner.answers.observers.append(capture)
+        self._reloadable.append(switch_only(lambda new, _: capture.configure(new)))
+        self.operator_api.add_status("capture", capture)
+        return capture
+
+    def _build_self_monitor(self) -> SelfMonitor | None:
+        control = self.overload_control
+        if control is None:
+            return None
+        from ochrehoist.net.self_monitoring import SelfMonitor
+
+        monitor = SelfMonitor(self.loop, self.owner, control, self.fronts, self.log)
+        self._reloadable.append(
+            switch_only(lambda new, tenants: control.configure(new.settings, new.overload, tenants))
+        )
+        self._add_to_operator_api("overload", monitor)
+        return monitor
+
+    def _build_peers(self) -> Peers | None:
+        if not self.config.peers:
+            return None
+        from ochrehoist.net.peers import Peers
+
+        peers = Peers(self.loop, self.owner, self.config, self.log)
+        self.owner.listeners.append(peers)
+        self._reloadable.append(peers.prepare)
+        if self.ajp_servers:
+            self.ajp_servers.use_advisor(peers)
+        self._add_to_operator_api("peers", peers)
+        return peers
+
+    def _build_sites(self) -> Sites | None:
+        if not self.config.sites:
+            return None
+        from ochrehoist.net.sites import Sites
+
+        sites = Sites(
+            self.loop, self.owner, self.config, self.peers, not self.inherited.replaces_process, self.log
+        )
+        self._reloadable.append(switch_only(sites.configure))
+        self._add_to_operator_api("sites", sites)
+        return sites
+
+    def _build_recovery(self) -> Recovery | None:
+        if not self.config.recovery:
+            return None
+        from ochrehoist.net.recovery import Recovery
+
+        recovery = Recovery(self.loop, self.owner, self.config, self, self.log)
+        self._add_to_operator_api("recovery", recovery)
+        return recovery
+
+    def _add_to_operator_api(self, section: str, part: Any) -> None:
+        self.operator_api.add_status(section, part)
+        self.operator_api.add_metrics(section, part)
--- a/ochrehoist/core/answers.py
+++ b/ochrehoist/core/answers.py
@@ -8,6 +8,7 @@
 from ochrehoist.core.protocols import RequestObserver
 from ochrehoist.core.request import InboundRequest
 from ochrehoist.core.results import FailureReason, RunResult
+from ochrehoist.core.stage_timing import StageTimer, untimed
 
 ANSWERED, REFUSED, FAILED = "answered_total", "deferred_total", "errored_total"
 
@@ -15,8 +16,9 @@
 class Answers:
     """Marks requests as answered and tells their callers. `live`: those owed an answer, or still running."""
 
-    def __init__(self, figures: Figures, log: Any) -> None:
+    def __init__(self, figures: Figures, log: Any, timed: StageTimer = untimed) -> None:
         self.figures, self.log = figures, log
+        self.send = timed("answering", self._send)
         self.observers: list[RequestObserver] = []
         self.live: dict[str, InboundRequest] = {}
         self.owed = 0
@@ -75,7 +77,9 @@
             for observer in self.observers:
                 observer.answered(r, None, 0)
 
-    def send(self, r: InboundRequest, figure: str, tell: Callable[[], bool | None], backoff: int = 0) -> None:
+    def _send(
+        self, r: InboundRequest, figure: str, tell: Callable[[], bool | None], backoff: int = 0
+    ) -> None:
         try:
             if tell() is False:
                 figure = FAILED
--- a/ochrehoist/core/owner.py
+++ b/ochrehoist/core/owner.py
@@ -65,6 +65,7 @@
 from ochrehoist.core.protocols import ConcurrencyLimiter, FleetAdmission, LifecycleListener, Waker
 from ochrehoist.core.request import InboundRequest
 from ochrehoist.core.results import FailureReason, RunResult
+from ochrehoist.core.stage_timing import StageTimer, untimed
 from ochrehoist.core.tenants import Tenants, first
 
 MS = 1_000_000
@@ -90,6 +91,8 @@
         log: Any,
         result_bytes: int,
         measure: Callable[[], None],
+        limiter: ConcurrencyLimiter | None = None,
+        timed: StageTimer = untimed,
     ) -> None:
         self.settings, self.seed, self.waker, self.log = settings, seed, waker, log
         self.clock, self.wall = clock, wall
@@ -98,7 +101,7 @@
         self.controller: AdmissionController | None = None
         self.listeners: list[LifecycleListener] = []
         self.figures = Figures(c.name for c in settings.classes)
-        self.answers = Answers(self.figures, log)
+        self.answers = Answers(self.figures, log, timed)
         self.live = self.answers.live  # owed an answer, or still running
         self.deadlines = Deadlines()
         self.result_bytes = result_bytes
@@ -106,7 +109,8 @@
             slack=max(c.deadline_ns for c in settings.classes) + SECOND, max_bytes=result_bytes
         )
         self.filings = Filings(self)
-        self.limiter: ConcurrencyLimiter | None = None
+        self.limiter = limiter
+        self._timed = timed
         self.gate: FleetAdmission | None = None
         self.tenants = first(settings.tenants)
         # Where a fleet is known: its tenants by position, whose quotas here follow what this worker holds.
@@ -196,8 +200,9 @@
         self.waker.set()
 
     def run(self) -> None:
+        step = self._timed("deciding", self.step)
         while True:
-            self.step()
+            step()
             self.waker.wait(self._timeout())
 
     def step(self) -> None:
--- a/ochrehoist/lab/hollow.py
+++ b/ochrehoist/lab/hollow.py
@@ -26,7 +26,7 @@
 
 from ochrehoist.admission.events import Event, TimerFired
 from ochrehoist.app.reload import Reloading
-from ochrehoist.app.worker import BODY_SHARE, RESULT_SHARE
+from ochrehoist.app.resource_limits import BODY_MEMORY_FRACTION, RESULT_MEMORY_FRACTION
 from ochrehoist.config import loader as configuration
 from ochrehoist.config.loader import Config
 from ochrehoist.core.messages import ExecutorReady
@@ -208,10 +208,10 @@
             steady_clock(),
             time.time_ns,
             log,
-            int(bytes_ * RESULT_SHARE),
+            int(bytes_ * RESULT_MEMORY_FRACTION),
             lambda: self.servers.measure(),
         )
-        self.servers = AjpServers(loop, self.owner, config.ajp, int(bytes_ * BODY_SHARE), log)
+        self.servers = AjpServers(loop, self.owner, config.ajp, int(bytes_ * BODY_MEMORY_FRACTION), log)
         self.reader = AjpReader(self.owner, self.servers, config.ajp)
         self.owner.post(ExecutorReady(None, 0))
         self.peers = HollowPeers(loop, self.owner, config, log)
@@ -222,7 +222,7 @@
             Random(self.rng.random()),
         )
         self.owner.listeners.append(self.peers)
-        self.servers.advisor = self.peers
+        self.servers.use_advisor(self.peers)
         self.reloading = Reloading(loop, self.owner, config, str(path), self._parts(), None, log)
         self.ended = False
 
@@ -305,7 +305,7 @@
         self.spec, self.log = spec, Log()
         self.loop = Loop(self.log)
         self.loop.poll = Poll(spec["pace"])
-        self.loop.meter = self._round
+        self.loop.observe_iterations(self._round)
         self.network, self.hollows = Network(), {}
         self.late = self.harness = 0.0
         self.input = b""
--- a/ochrehoist/net/ajp_front.py
+++ b/ochrehoist/net/ajp_front.py
@@ -20,6 +20,7 @@
 from ochrehoist.core.protocols import AdmissionFilter, Executor
 from ochrehoist.core.request import InboundRequest
 from ochrehoist.core.results import FailureReason, RunResult
+from ochrehoist.core.stage_timing import StageTimer, untimed
 from ochrehoist.errors import OchrehoistError
 from ochrehoist.net import ajp
 from ochrehoist.net.ajp_server import AjpPayload, read_packet
@@ -283,7 +284,7 @@
                     self.stream, ajp.TO_CONTAINER, self.front.config.packet_size, self.front.config.body_s
                 )
             return
-        request = self.front.reader.request(f, checked, body, arrived, responder)
+        request = self.front.read_request(f, checked, body, arrived, responder)
         self.front.owner.post(RequestArrived(request))
         while not responder.done:
             self.stream.watch(lambda: responder.done)
@@ -369,6 +370,8 @@
         max_bytes: int,
         log: Any,
         sock: socket.socket | None = None,
+        admission: AdmissionFilter | None = None,
+        timed: StageTimer = untimed,
     ) -> None:
         self.loop, self.owner, self.config, self.log = loop, owner, config, log
         self.max_bytes = max_bytes  # for all bodies coming in, and as much for all responses not yet sent
@@ -376,7 +379,8 @@
         self.connections: set[AjpConnection] = set()
         self.body_bytes = 0  # of all connections
         self.draining = False
-        self.admission: AdmissionFilter | None = None
+        self.admission = admission
+        self.read_request = timed("reading", self.reader.request)
         self.numbers = itertools.count(1)
         self.listening = Listening(
             loop, config.listen, self._accepted, max_connections, log, sock, self._make_room
--- a/ochrehoist/net/ajp_server.py
+++ b/ochrehoist/net/ajp_server.py
@@ -72,10 +72,14 @@
         self.loop, self.owner, self.config, self.log = loop, owner, config, log
         self.pools = [Pool(server) for server in config.servers]
         self.running = 0
-        self.advisor: Advisor | None = None
+        self._advisor: Advisor | None = None
         self.max_bytes, self.bytes = max_bytes, 0  # of responses that are being read
         loop.call_later(1.0, self._sweep)
 
+    def use_advisor(self, advisor: Advisor) -> None:
+        """From now on the advisor says which servers are tried, and in which order."""
+        self._advisor = advisor
+
     def configure(self, config: AjpConfig) -> None:
         """Takes a changed configuration: servers that stay keep their connections, what runs goes on."""
         self.config, before = config, {pool.server: pool for pool in self.pools}
@@ -107,7 +111,7 @@
         began = time.monotonic()
         result = RunResult(Outcome.FAILED)
         try:
-            result = self._ask(request) if self.advisor is None else self._advised(request, self.advisor)
+            result = self._ask(request) if self._advisor is None else self._advised(request, self._advisor)
         finally:  # whatever happens, one Ended for each start
             self.running -= 1
             self.owner.post(RunCompleted(request.id, result, int((time.monotonic() - began) * 1e9)))
--- a/ochrehoist/net/kernel.py
+++ b/ochrehoist/net/kernel.py
@@ -49,8 +49,15 @@
     """An Executor, and the source of the gauges."""
 
     def __init__(
-        self, loop: Loop, owner: Owner, address: tuple[str, int], gauges: tuple[str, ...], log: Any
+        self,
+        loop: Loop,
+        owner: Owner,
+        address: tuple[str, int],
+        gauges: tuple[str, ...],
+        log: Any,
+        is_shared: Callable[[], bool] = lambda: False,
     ) -> None:
+        """`is_shared`: whether another process may run something at the same kernel."""
         self.loop, self.owner, self.address, self.gauges, self.log = loop, owner, address, gauges, log
         self.stream: Stream | None = None  # once the kernel is up
         self.since = time.monotonic()  # when the link came up, or was lost
@@ -64,7 +71,7 @@
         self.asked = 0
         self.questions: dict[str, float] = {}  # gauges asked for on this link, and when
         self.asks_again = False  # soon, for what is in doubt
-        self.shared: Callable[[], bool] = lambda: False  # whether another process may run something there
+        self._is_shared = is_shared
 
     # ---- for the core
     def start(self, request: InboundRequest) -> None:
@@ -240,7 +247,7 @@
         """What is still in doubt when gauges asked for on this link are here was not over before."""
         for run in self.runs.reads_in_doubt():
             self._schedule(run)
-        if self.shared():  # what another process runs there is not known here
+        if self._is_shared():  # what another process runs there is not known here
             return
         for run in self.runs.lost(asked, runnable):
             self.log.info("a lost filing was found", id=run.request.id, answered=run.request.answered)
--- a/ochrehoist/net/loop.py
+++ b/ochrehoist/net/loop.py
@@ -49,8 +49,7 @@
         self.looked = time.monotonic()  # when the round before this one looked for what had come
         self.forgotten: set[int] = set()  # closed in this round: their number may be in use again already
         self.signals: dict[int, Callable[[], Any]] = {}
-        # Told of each round, in s: how long it took, and by how much the latest of its timers was late.
-        self.meter: Callable[[float, float], None] | None = None
+        self._iteration_observer: Callable[[float, float], None] | None = None
 
     # ---- tasks
     def spawn(self, run: Callable[..., Any], *args: Any) -> greenlet:
@@ -127,6 +126,10 @@
             if number in self.signals:
                 self.signals[number]()
 
+    def observe_iterations(self, observer: Callable[[float, float], None]) -> None:
+        """`observer` hears of each iteration: its duration, and how late the latest timer was (s)."""
+        self._iteration_observer = observer
+
     # ---- the hub
     def stop(self) -> None:
         self.stopped = True
@@ -141,8 +144,8 @@
             else:
                 wait = (self.timers[0].when - time.monotonic()) * 1000 if self.timers else None
             self.forgotten.clear()
-            if self.meter is not None:
-                self.meter(time.monotonic() - began, late)
+            if self._iteration_observer is not None:
+                self._iteration_observer(time.monotonic() - began, late)
             # Rounded up: a poll that ends a moment early would spin until the timer falls due.
             asked = time.monotonic()
             came = self.poll.poll(None if wait is None else max(0, int(wait + 0.999)))
--- a/ochrehoist/net/recovery.py
+++ b/ochrehoist/net/recovery.py
@@ -206,7 +206,7 @@
         if self.peers is not None and (self.peers.config.members or self.peers.config.start):
             peers = self.peers.group.members.established
         answered = None
-        if w.config.ajp and any(p.failed_at > self.way.began for p in w.gauge_source.pools):
+        if w.config.ajp and any(p.failed_at > self.way.began for p in w.ajp_servers.pools):
             answered = self.service.share() not in (None, 0.0)
         return Facts(
             None if w.journal is None else w.journal.restored, hold, peers, answered, self.owner.part
--- a/ochrehoist/net/self_monitoring.py
+++ b/ochrehoist/net/self_monitoring.py
@@ -54,13 +54,7 @@
         self._statm = os.open("/proc/self/statm", os.O_RDONLY)
         self._first_connection = 0  # of those whose unread bytes are asked for
         self._runs_started = 0
-        loop.meter = self._record_iteration
-        owner.limiter = control.limiter
-        owner.step = control.timings.timed("deciding", owner.step)
-        owner.answers.send = control.timings.timed("answering", owner.answers.send)
-        for front in fronts:
-            front.admission = control.early_rejection
-            front.reader.request = control.timings.timed("reading", front.reader.request)
+        loop.observe_iterations(self._record_iteration)
         loop.call_later(SAMPLE_INTERVAL_S, self._sample)
 
     def view(self) -> dict[str, Any]:
--- a/ochrehoist/net/thrift_front.py
+++ b/ochrehoist/net/thrift_front.py
@@ -14,6 +14,7 @@
 from ochrehoist.core.protocols import AdmissionFilter, Executor
 from ochrehoist.core.request import InboundRequest
 from ochrehoist.core.results import FailureReason, RunResult
+from ochrehoist.core.stage_timing import StageTimer, untimed
 from ochrehoist.net import thrift
 from ochrehoist.net.listener import Listening, Pace, close_least
 from ochrehoist.net.loop import Loop
@@ -292,7 +293,7 @@
             if self.front.admission is not None and self._ask_admission(m.seqid, values):
                 return
             responder = ThriftResponder(self, m.seqid)
-            request = self.front.reader.request(values, body, responder)
+            request = self.front.read_request(values, body, responder)
         except thrift.InvalidArgumentsError as error:
             self._write(thrift.application_exception(INVOKE, m.seqid, thrift.PROTOCOL_ERROR, str(error)))
             method = (values or {}).get(b"method", b"").decode("latin-1")
@@ -361,13 +362,16 @@
         max_unsent: int,
         log: Any,
         sock: socket.socket | None = None,
+        admission: AdmissionFilter | None = None,
+        timed: StageTimer = untimed,
     ) -> None:
         self.loop, self.owner, self.log = loop, owner, log
         self.reader = ThriftReader(owner, executor)
         self.connections: set[Connection] = set()
         self.max_unsent = max_unsent  # bytes of all answers that are not taken yet
         self.draining = False
-        self.admission: AdmissionFilter | None = None
+        self.admission = admission
+        self.read_request = timed("reading", self.reader.request)
         self.names: dict[bytes, str] = {}  # classes by what is on the wire
         self.configure(owner.settings)
         self.idle: float = owner.settings.idle_timeout_ns / 1e9
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -119,8 +119,8 @@
 
 
 def brought_into_force(worker, change):
-    worker.reloading._commit(change)
-    worker.owner.step()
+    worker.parts.reloading._commit(change)
+    worker.parts.owner.step()
 
 
 class Growth(unittest.TestCase):
@@ -132,9 +132,9 @@
         path = appliance(folder.name, range(count), routes)
         worker = Worker(load(path), path)
         self.addCleanup(self.close, worker)
-        worker.owner.step()
+        worker.parts.owner.step()
         change(folder.name, count, routes)
-        steps, longest, lines = worker.reloading._steps(False), 0, 0
+        steps, longest, lines = worker.parts.reloading._steps(False), 0, 0
 
         def count_lines(frame, event, argument):
             nonlocal lines
@@ -161,9 +161,9 @@
         return worker, longest, lines
 
     def close(self, worker):
-        for front in worker.fronts:
+        for front in worker.parts.fronts:
             front.listening.sock.close()
-        worker.self_monitor.close()
+        worker.parts.self_monitor.close()
 
     def flat(self, change, for_each=0):
         """Gives the worker of the largest size. `for_each`: lines that the switch may run for each tenant."""
@@ -181,14 +181,14 @@
         worker = self.flat(
             lambda folder, count, routes: appliance(folder, [n for n in range(count + 1) if n != 1], routes)
         )
-        table = worker.owner.tenants
+        table = worker.parts.owner.tenants
         self.assertEqual((table.position("t20000"), table.gone), (20_000, {"t1": 1}))
-        self.assertEqual(len(worker.owner.controller.s.tenants), 20_001)
+        self.assertEqual(len(worker.parts.owner.controller.s.tenants), 20_001)
 
     def test_one_route_changed_does_as_well_and_the_module_hears_nothing_of_it(self):
         worker = self.flat(lambda folder, count, routes: appliance(folder, range(count), routes + 1))
-        self.assertEqual(len(worker.fronts[0].config.rules), 1301)
-        self.assertIs(worker.owner.controller.s.tenants, worker.owner.tenants.places)
+        self.assertEqual(len(worker.parts.fronts[0].config.rules), 1301)
+        self.assertIs(worker.parts.owner.controller.s.tenants, worker.parts.owner.tenants.places)
 
     def test_each_tenant_changed_and_a_class_too_is_a_fresh_module_that_looks_at_each_once(self):
         def change(folder, count, routes):
@@ -196,8 +196,8 @@
             appliance(folder, range(count), routes, 2.0, Classes=[*base, base[0] | {"Name": "more"}])
 
         worker = self.flat(change, for_each=1)  # its quota, as it was at first
-        self.assertEqual(worker.owner.controller.s.tenants[7].quota_per_s, 2.0)
-        self.assertIn("more", worker.owner.kinds)
+        self.assertEqual(worker.parts.owner.controller.s.tenants[7].quota_per_s, 2.0)
+        self.assertIn("more", worker.parts.owner.kinds)
 
 
 class Fleet(unittest.TestCase):
@@ -220,13 +220,13 @@
         path = written(range(5), {"b1": "t1"})
         worker = Worker(load(path), path)
         self.addCleanup(Growth.close, self, worker)
-        worker.owner.step()
+        worker.parts.owner.step()
 
         def follow():
-            told = worker.owner.controller.s.tenants
+            told = worker.parts.owner.controller.s.tenants
             return {t.name: t._budget for t in told if isinstance(t, FleetTenant)}
 
-        module = worker.owner.controller
+        module = worker.parts.owner.controller
         self.assertEqual(follow(), {"t1": "b1"})
         for numbers, budgets, expected in (
             ((0, 2, 3, 4), {}, {}),  # both go: who is gone has the quota of the file for what is open
@@ -234,12 +234,12 @@
             (range(6), {"b4": "t1", "b3": "t5"}, {"t1": "b4", "t5": "b3"}),
         ):  # budgets alone
             written(numbers, budgets)
-            brought_into_force(worker, at_once(worker.reloading._steps(False)))
+            brought_into_force(worker, at_once(worker.parts.reloading._steps(False)))
             self.assertEqual(follow(), expected)
             self.assertEqual([t.name for t in module.s.tenants][:5], [f"t{n}" for n in range(5)])
-            self.assertEqual(worker.owner.tenants["t0"], 0)
-        self.assertIs(worker.owner.controller, module)
-        self.assertEqual(worker.owner.tenants["t5"], 5)
+            self.assertEqual(worker.parts.owner.tenants["t0"], 0)
+        self.assertIs(worker.parts.owner.controller, module)
+        self.assertEqual(worker.parts.owner.tenants["t5"], 5)
         for tenant in module.s.tenants:  # each can be asked: no budget that is gone is meant
             self.assertGreaterEqual(tenant.quota_per_s, 0.0)
 
@@ -503,7 +503,7 @@
         path = appliance(folder.name, range(SPARE + 50), 1)
         worker = Worker(load(path), path)
         self.addCleanup(Growth.close, self, worker)
-        owner, reloading = worker.owner, worker.reloading
+        owner, reloading = worker.parts.owner, worker.parts.reloading
         owner.step()
         owner.keys.started(("t40", "filing", "key"), "first", owner.clock() + 60 * 10**9, None)
         module = owner.controller
@@ -533,15 +533,15 @@
         path = appliance(folder.name, range(3), 1)
         self.worker = Worker(load(path), path)
         self.addCleanup(Growth.close, self, self.worker)
-        self.worker.owner.step()
-        self.worker.owner.freeze()
-        self.worker.loop.spawn(self.worker.owner.run)
+        self.worker.parts.owner.step()
+        self.worker.parts.owner.freeze()
+        self.worker.parts.loop.spawn(self.worker.parts.owner.run)
         appliance(folder.name, range(4), 1)
-        self.worker.reloading.order()
+        self.worker.parts.reloading.order()
 
     def run_until(self, done):
         """The loop; whether it was done in time."""
-        loop, seen = self.worker.loop, []
+        loop, seen = self.worker.parts.loop, []
 
         def look():
             if done():
@@ -559,26 +559,30 @@
         """All that is left is the switch."""
         rounds = []
         self.assertTrue(self.run_until(lambda: rounds.append(1) or len(rounds) > 20))
-        self.assertEqual((self.worker.reloading.reading, len(self.worker.owner.tenants)), (True, 3))
+        self.assertEqual(
+            (self.worker.parts.reloading.reading, len(self.worker.parts.owner.tenants)), (True, 3)
+        )
 
     def test_a_change_waits_until_that_is_over_and_is_then_in_force(self):
         self.prepared()
-        self.worker.owner.thaw()
-        self.assertTrue(self.run_until(lambda: not self.worker.reloading.reading))
-        self.assertEqual((len(self.worker.owner.tenants), self.worker.reloading.last), (4, "taken"))
+        self.worker.parts.owner.thaw()
+        self.assertTrue(self.run_until(lambda: not self.worker.parts.reloading.reading))
+        self.assertEqual(
+            (len(self.worker.parts.owner.tenants), self.worker.parts.reloading.last), (4, "taken")
+        )
 
     def test_once_the_other_process_decides_nothing_is_taken_and_no_order_kept(self):
         self.prepared()
-        reloading, rounds = self.worker.reloading, []
+        reloading, rounds = self.worker.parts.reloading, []
         reloading.order()  # one more, which came before
-        self.worker.owner.hand_over(lambda line: True, None)
+        self.worker.parts.owner.hand_over(lambda line: True, None)
         self.assertTrue(self.run_until(lambda: not reloading.reading))
-        self.worker.loop.meter = lambda took, late: rounds.append(took)
+        self.worker.parts.loop.observe_iterations(lambda took, late: rounds.append(took))
         until = time.monotonic() + 0.05
         self.assertTrue(self.run_until(lambda: time.monotonic() > until))
         self.assertLess(len(rounds), 100)  # it has nothing to do but what is looked at now and then
         self.assertFalse(reloading.reading)
-        self.assertEqual((len(self.worker.owner.tenants), reloading.last), (3, "start"))
+        self.assertEqual((len(self.worker.parts.owner.tenants), reloading.last), (3, "start"))
 
 
 if __name__ == "__main__":
