--- a/ochrehoist/app/operator_api.py
+++ b/ochrehoist/app/operator_api.py
@@ -74,7 +74,8 @@
 
     def status(self) -> Answer:
         """The state of the worker as JSON: 200 where it is ready for requests, else 503."""
-        owner, figures = self._owner, self._owner.figures
+        owner = self._owner
+        figures = owner.figures
         values: dict[str, Any] = {
             "name": self._name,
             "state": owner.state,
--- a/ochrehoist/app/replacement.py
+++ b/ochrehoist/app/replacement.py
@@ -46,17 +46,7 @@
         )
         self._predecessor: Predecessor | None = None
         if parts.inherited.replaces_process:
-            self._predecessor = Predecessor(
-                parts.loop,
-                parts.owner,
-                handover_path,
-                codec,
-                lambda: [listener.listening.address for listener in parts.listeners],
-                on_take_over,
-                self._limit_connections,
-                parts.log,
-            )
-            parts.tasks.append(self._predecessor.run)
+            self._predecessor = self._start_take_over(handover_path, codec, on_take_over)
 
     @property
     def replaces_process(self) -> bool:
@@ -76,6 +66,23 @@
         """Leaves nothing behind at the path."""
         self._successors.close()
 
+    def _start_take_over(
+        self, handover_path: str, codec: ReplyCodec, on_take_over: Callable[[], None]
+    ) -> Predecessor:
+        parts = self._parts
+        predecessor = Predecessor(
+            parts.loop,
+            parts.owner,
+            handover_path,
+            codec,
+            lambda: [listener.listening.address for listener in parts.listeners],
+            on_take_over,
+            self._limit_connections,
+            parts.log,
+        )
+        parts.tasks.append(predecessor.run)
+        return predecessor
+
     def _listening_sockets(self) -> dict[str, socket]:
         return {
             type(listener).__name__: listener.listening.sock
--- a/ochrehoist/app/worker_parts.py
+++ b/ochrehoist/app/worker_parts.py
@@ -153,7 +153,8 @@
         return OverloadControl(config.overload, config.settings, config.seed, memory_limit_bytes)
 
     def _build_core(self) -> Owner:
-        config, control = self.config, self.overload_control
+        config = self.config
+        control = self.overload_control
         return Owner(
             config.settings,
             config.seed,
