--- a/ochrehoist/app/resource_limits.py
+++ b/ochrehoist/app/resource_limits.py
@@ -35,15 +35,15 @@
         InvalidInputError: there are too few for the AJP front to have a connection.
     """
     # Where the system gives fewer than the settings say, it is the system's limit that binds.
-    descriptors = min(limit for limit in (config.sockets, os.sysconf("SC_OPEN_MAX")) if limit > 0)
-    services = sum(address is not None for address in (config.admin, config.agent))
+    descriptors = min(limit for limit in (config.max_sockets, os.sysconf("SC_OPEN_MAX")) if limit > 0)
+    services = sum(address is not None for address in (config.admin_address, config.agent_check_address))
     available = descriptors - RESERVED_DESCRIPTORS - DESCRIPTORS_PER_SERVICE * services
     if not config.ajp:
         return ConnectionLimits(ajp=0, thrift=available)
     # What runs is bounded by what the cores survive, whatever the admission controller learns.
     available -= int(config.settings.cores * config.settings.collapse_multiple)
-    available -= sum(server.max_idle for server in config.ajp.servers)
+    available -= sum(server.max_idle_connections for server in config.ajp.servers)
     ajp = min(config.ajp.max_connections, available // 2 if config.listen else available)
     if ajp < 1:
-        raise InvalidInputError(f"setting limits.sockets: too few: {config.sockets}")
+        raise InvalidInputError(f"setting limits.sockets: too few: {config.max_sockets}")
     return ConnectionLimits(ajp=ajp, thrift=available - ajp)
--- a/ochrehoist/app/worker.py
+++ b/ochrehoist/app/worker.py
@@ -34,10 +34,10 @@
         """
         self._serving = False  # clients are taken
         self.parts = parts = WorkerParts(config, path, lambda: self._serving)
-        self._ending = Ending(parts.loop, parts.owner, parts.fronts, config.stop_ms, parts.log)
+        self._ending = Ending(parts.loop, parts.owner, parts.fronts, config.shutdown_timeout_ms, parts.log)
         self._replacement: Replacement | None = None
-        if config.link:
-            self._replacement = Replacement(parts, config.link, self._take_over, self._be_replaced)
+        if config.handover_path:
+            self._replacement = Replacement(parts, config.handover_path, self._take_over, self._be_replaced)
         parts.share_kernel(self._kernel_is_shared)
 
     def run(self) -> int:
--- a/ochrehoist/app/worker_parts.py
+++ b/ochrehoist/app/worker_parts.py
@@ -111,7 +111,7 @@
         self.owner = self._build_core()
         self.tasks: list[Callable[[], None]] = [self.owner.run]
         self.operator_api = OperatorApi(config.name, self.owner, self.sink, self.fronts, is_serving)
-        self.inherited = InheritedSockets(config.link)
+        self.inherited = InheritedSockets(config.handover_path)
         limits = connection_limits(config)
         self.ajp_servers = self._build_ajp(limits)
         self.kernel = self._build_thrift(limits)
@@ -207,17 +207,17 @@
         kernel = Kernel(
             self.loop,
             self.owner,
-            config.kernel,
+            config.kernel_address,
             config.gauges,
             self.log,
             is_shared=lambda: self._kernel_is_shared(),
         )
         self.tasks.append(kernel.run)
         self.operator_api.add_status("kernel", kernel)
-        self._reloadable.append(switch_only(lambda new, _: kernel.move(new.kernel, new.gauges)))
+        self._reloadable.append(switch_only(lambda new, _: kernel.move(new.kernel_address, new.gauges)))
         sock = self.inherited.get(config.listen)
-        if config.passed is not None:
-            sock = socket.socket(fileno=config.passed)
+        if config.inherited_fd is not None:
+            sock = socket.socket(fileno=config.inherited_fd)
         front = ThriftFront(
             self.loop,
             self.owner,
@@ -246,21 +246,21 @@
     def _build_membership(self) -> Members | None:
         config = self.config
         members = None
-        if config.members:
-            members = Members(self.loop, self.owner, config.members, config.name, self.log)
-            self._reloadable.append(switch_only(lambda new, _: members.move(new.members)))
+        if config.membership_address:
+            members = Members(self.loop, self.owner, config.membership_address, config.name, self.log)
+            self._reloadable.append(switch_only(lambda new, _: members.move(new.membership_address)))
             self.owner.listeners.append(members)
         self.owner.listeners += self.fronts
         return members
 
     def _build_agent_check(self) -> None:
-        address = self.config.agent
+        address = self.config.agent_check_address
         if address:
             sock = self.inherited.get(address)
             self.listeners.append(AgentCheck(self.loop, self.owner, address, self.log, sock))
 
     def _build_operators(self) -> None:
-        address = self.config.admin
+        address = self.config.admin_address
         if address:
             sock = self.inherited.get(address)
             self.listeners.append(Operators(self.loop, address, self._operator_calls(), self.log, sock))
--- a/ochrehoist/net/peers.py
+++ b/ochrehoist/net/peers.py
@@ -35,13 +35,13 @@
         Budget(
             name=b.name,
             amount=b.amount,
-            voters=p.voters,
-            runs=b.use == "server",
+            voters=p.lease_grantors,
+            runs=b.kind == "server",
             lease_s=b.lease_s,
-            floor=b.floor,
+            floor=b.floor_fraction,
             floor_lease_s=b.floor_lease_s,
-            longest_s=b.longest_s,
-            parts=b.parts,
+            longest_s=b.max_run_s,
+            parts=b.slot_count,
         )
         for b in p.budgets
     )
@@ -50,19 +50,19 @@
         from ochrehoist.sites.permit import permit
 
         site = config.sites.site
-        budgets += (permit(p.voters),) if p.voters else ()
+        budgets += (permit(p.lease_grantors),) if p.lease_grantors else ()
     servers = tuple(s.name for s in config.ajp.servers) if config.ajp else ()
     return Terms(
         p.group,
-        _text(p.address),
+        _text(p.advertised_address),
         site,
         {n: _text(a) for n, a in p.members.items()},
-        tuple(_text(a) for a in p.start),
-        p.probe_ms / 1000,
+        tuple(_text(a) for a in p.seed_addresses),
+        p.protocol_period_ms / 1000,
         budgets,
         servers,
-        p.most_out,
-        p.most_per_s,
+        p.max_ejected_fraction,
+        p.max_requests_per_s,
     )
 
 
@@ -111,14 +111,14 @@
         owner.live_tenants = self.live_tenants
 
     def _budgets(self) -> None:
-        self.tenants = {b.of: b.name for b in self.config.budgets if b.use == "tenant"}
-        self.repeats = {b.of: b.name for b in self.config.budgets if b.use == "repeats"}
-        self.servers = {b.of: b.name for b in self.config.budgets if b.use == "server"}
+        self.tenants = {b.subject: b.name for b in self.config.budgets if b.kind == "tenant"}
+        self.repeats = {b.subject: b.name for b in self.config.budgets if b.kind == "repeats"}
+        self.servers = {b.subject: b.name for b in self.config.budgets if b.kind == "server"}
 
     def prepare(self, config: Config, tenants: Tenants) -> Generator[None, None, Callable[[], None]]:
         """What a configuration read again comes to; nothing changes before the call that it gives."""
         peers = config.peers or self.config
-        budgets = {b.of: b.name for b in peers.budgets if b.use == "tenant"}
+        budgets = {b.subject: b.name for b in peers.budgets if b.kind == "tenant"}
         told = tenants, self._told(tenants, budgets, config.settings.fleet_size)
         yield
         return lambda: self._configure(config, told)
@@ -233,17 +233,17 @@
             self.sock = None
 
     # ---- the core's observer
-    def arrived(self, request: InboundRequest) -> None:
+    def request_arrived(self, request: InboundRequest) -> None:
         budget = self.tenants.get(request.tenant)
         if budget is not None:
             now = time.monotonic()
             wants, _ = self.group.shares[budget].meter.wants(now)
             self.group.asked(budget, wants <= self.part(budget), now)
 
-    def answered(self, request: InboundRequest, figure: str | None, backoff: int) -> None:
+    def request_answered(self, request: InboundRequest, figure: str | None, backoff: int) -> None:
         if figure is not None:
             word = figure.removesuffix("_total")
-            self.group.ledger.add(f"class/{request.cls.name}/{word}")
+            self.group.ledger.add(f"class/{request.request_class.name}/{word}")
             if request.tenant is not None:
                 self.group.ledger.add(f"tenant/{request.tenant}/{word}")
 
@@ -251,10 +251,10 @@
     def health_changed(self, good: bool) -> None:
         pass  # members are judged by what they say to each other
 
-    def keep_alive_changed(self, hold_for: int) -> None:
+    def idle_timeout_changed(self, hold_for: int) -> None:
         pass
 
-    def leaving(self, remaining: int) -> None:
+    def shutdown_started(self, remaining: int) -> None:
         self.group.leaving = True
 
     # ---- shares of tenants
--- a/ochrehoist/overload/cost_prediction.py
+++ b/ochrehoist/overload/cost_prediction.py
@@ -146,7 +146,7 @@
 
     def cost_multiple(self, request: InboundRequest, now_s: float) -> float:
         """How many times the usual the request will cost; 1 where nothing says that it is expensive."""
-        baseline = self.baselines.get(request.cls.name)
+        baseline = self.baselines.get(request.request_class.name)
         if baseline is None or not baseline.established:
             return 1.0
         for basis, log_multiple in (
@@ -161,12 +161,16 @@
 
     @staticmethod
     def _by_stated_work(baseline: ClassBaseline, request: InboundRequest) -> float:
-        if not request.work or baseline.stated_work_fit.positive_r_squared < MIN_CORRELATION:
+        if not request.work_ns or baseline.stated_work_fit.positive_r_squared < MIN_CORRELATION:
             return 0.0
-        return math.log(request.work / NS_PER_S) - baseline.stated_work_s.value
+        return math.log(request.work_ns / NS_PER_S) - baseline.stated_work_s.value
 
     def _by_subject(self, request: InboundRequest, now_s: float) -> float:
-        known = self._subjects.get((request.cls.name, request.key)) if request.key else None
+        known = (
+            self._subjects.get((request.request_class.name, request.routing_key))
+            if request.routing_key
+            else None
+        )
         if known is None:
             return 0.0
         decay: float = 0.5 ** ((now_s - known.learned_s) / SUBJECT_HALF_LIFE_S)
@@ -187,19 +191,21 @@
             duration_s: how long it ran.
             contention: how many times longer than alone runs took meanwhile.
         """
-        baseline = self.baselines.setdefault(request.cls.name, ClassBaseline())
+        baseline = self.baselines.setdefault(request.request_class.name, ClassBaseline())
         log_duration = math.log(max(MIN_DURATION_S, duration_s / max(1.0, contention)))
         log_multiple = log_duration - baseline.duration_s.value if baseline.established else 0.0
         expensive = log_multiple >= LOG_EXPENSIVE
         baseline.duration_s.add(log_duration)
-        if request.work:
-            log_work = math.log(request.work / NS_PER_S)
+        if request.work_ns:
+            log_work = math.log(request.work_ns / NS_PER_S)
             baseline.stated_work_s.add(log_work)
             baseline.stated_work_fit.add(log_work, log_duration)
         if request.memory_kb > 0:
             self._learn_size(baseline, request, expensive)
-        if request.key:
-            self._learn_subject((request.cls.name, request.key), log_multiple, expensive, now_s)
+        if request.routing_key:
+            self._learn_subject(
+                (request.request_class.name, request.routing_key), log_multiple, expensive, now_s
+            )
         return math.exp(log_multiple)
 
     @staticmethod
--- a/ochrehoist/overload/limiter.py
+++ b/ochrehoist/overload/limiter.py
@@ -53,7 +53,9 @@
         self.settings = settings
         self.config = config
         survived = max(settings.cores + 1, int(settings.cores * settings.collapse_multiple * COLLAPSE_MARGIN))
-        bounds = LimitBounds(config.least or max(1, settings.cores // 4), config.most or survived)
+        bounds = LimitBounds(
+            config.min_running or max(1, settings.cores // 4), config.max_running or survived
+        )
         chosen = LIMIT_ALGORITHMS.get(config.controller, FixedLimit)
         if not isinstance(self.algorithm, chosen) or chosen is FixedLimit:
             self.algorithm = chosen(bounds.clamp(float(settings.cores)), bounds)
@@ -64,68 +66,72 @@
         self.activity = {name: self.activity.get(name, ClassActivity()) for name in names}
         self._announced = None
 
-    def arrives(self, request: InboundRequest, now: int) -> Rejection | None:
+    def check_arrival(self, request: InboundRequest, now: int) -> Rejection | None:
         """Whether a request that never ran is rejected before the admission controller hears of it."""
         now_s = self._advance(now)
-        activity = self.activity.get(request.cls.name)
+        activity = self.activity.get(request.request_class.name)
         if activity is not None:
             activity.last_arrival_s = now_s
-        if not self.config.retries:
+        if not self.config.retry_budget:
             return None
         allowed = self.retry_budget.allows(
-            self._caller(request), self._signature(request), request.retry, self._saturated, now_s
+            self._caller(request), self._signature(request), request.is_retry, self._saturated, now_s
         )
-        if allowed or request.token is not None or request.cls.name in self.low_cost:
+        if allowed or request.idempotency_key is not None or request.request_class.name in self.low_cost:
             # A filing is worth more than a first attempt at a read; low-cost classes cost little more than
             # their rejection would.
             return None
         return Rejection(self.retry_budget.jittered(OVER_BUDGET_BACKOFF_NS))
 
-    def times(self, request: InboundRequest, now: int) -> float:
+    def estimate_cost(self, request: InboundRequest, now: int) -> float:
         """How many times the usual the request will cost."""
-        if not self.config.lane:
+        if not self.config.low_priority_lane:
             return 1.0
         return self.cost_predictor.cost_multiple(request, now / NS_PER_S)
 
-    def begun(self, request: InboundRequest, now: int) -> None:
+    def run_started(self, request: InboundRequest, now: int) -> None:
         """A run was started."""
         self._advance(now)
         self.running += 1
-        activity = self.activity.get(request.cls.name)
+        activity = self.activity.get(request.request_class.name)
         if activity is not None:
             activity.running += 1
 
-    def ended(self, request: InboundRequest, now: int, took: int, outcome: Outcome) -> int:
+    def run_ended(self, request: InboundRequest, now: int, took: int, outcome: Outcome) -> int:
         """Learns from a run that took so long (ns); gives the duration that the module is to hear."""
         now_s = self._advance(now)
         contention = max(1.0, self.running / max(1, self.settings.cores))
         self.running = max(0, self.running - 1)
-        activity = self.activity.get(request.cls.name)
+        activity = self.activity.get(request.request_class.name)
         if activity is not None:
             activity.running = max(0, activity.running - 1)
         if outcome is not Outcome.OK or took <= 0:
             return took
         cost_multiple = self.cost_predictor.learn(request, now_s, took / NS_PER_S, contention)
-        self._learn_class_cost(request.cls.name, activity)
+        self._learn_class_cost(request.request_class.name, activity)
         self._windows.record_completion(now_s, self._work_done(request, cost_multiple), took / NS_PER_S)
-        if self.config.lane and request.times <= 1 and cost_multiple > MAX_REPORTED_MULTIPLE:
+        if (
+            self.config.low_priority_lane
+            and request.cost_multiple <= 1
+            and cost_multiple > MAX_REPORTED_MULTIPLE
+        ):
             self._mispredicted += 1
             return int(took * MAX_REPORTED_MULTIPLE / cost_multiple)
         return took
 
-    def refused(self, request: InboundRequest, backoff: int, now: int) -> int:
+    def request_rejected(self, request: InboundRequest, backoff: int, now: int) -> int:
         """A request was rejected; gives the backoff (ns) that its caller is to hear."""
-        if not self.config.retries:
+        if not self.config.retry_budget:
             return backoff
         self.retry_budget.record_rejection(self._signature(request), now / NS_PER_S)
         return self.retry_budget.jittered(backoff)
 
-    def look(self, now: int, held: Mapping[str, int]) -> ConcurrencyLimits | None:
+    def evaluate(self, now: int, held: Mapping[str, int]) -> ConcurrencyLimits | None:
         """The limits to keep to from now on, where they have changed; `held` are requests by class."""
         now_s = self._advance(now)
         for name, activity in self.activity.items():
             activity.queued = held.get(name, 0)
-        if not self.config.pools:
+        if not self.config.bulkheads:
             return None
         window = self._windows.close(now_s)
         if window is not None:
@@ -137,7 +143,7 @@
             self.activity,
             now_s,
             self.low_cost,
-            self.config.lane,
+            self.config.low_priority_lane,
         )
         if limits == self._announced:
             return None
@@ -191,9 +197,9 @@
 
     def _work_done(self, request: InboundRequest, cost_multiple: float) -> float:
         """In s as stated; else in units of its class, or an expensive run would look like a slow machine."""
-        if request.work:
-            return request.work / NS_PER_S
-        unit = self._work_units.get(request.cls.name, 1.0)
+        if request.work_ns:
+            return request.work_ns / NS_PER_S
+        unit = self._work_units.get(request.request_class.name, 1.0)
         return unit * (cost_multiple if cost_multiple >= EXPENSIVE_MULTIPLE else 1.0)
 
     @staticmethod
@@ -204,7 +210,7 @@
         """Equal for all attempts at one request, marked or not."""
         return (
             self._caller(request),
-            request.cls.name,
-            request.key or request.token,
-            request.work or request.memory_kb,
+            request.request_class.name,
+            request.routing_key or request.idempotency_key,
+            request.work_ns or request.memory_kb,
         )
