--- a/benchmarks/limit_choice.py
+++ b/benchmarks/limit_choice.py
@@ -1,5 +1,5 @@
-"""Which way to find the running limit, and what pools, lane and budgets do: fleets on virtual time with the
-real core and module, each case with and without, on the same draws.
+"""Which algorithm to find the concurrency limit by, and what bulkheads, lane and retry budgets do: fleets on
+virtual time with the real core and module, each case with and without, on the same draws.
 
 `python -m benchmarks.limit_choice [--seeds N] [--seconds N] [--jobs N] [CASE ...]`. Goodput, and that of
 the class that the case is about.
--- a/ochrehoist/overload/stage_timings.py
+++ b/ochrehoist/overload/stage_timings.py
@@ -2,9 +2,8 @@
 
 from collections.abc import Callable
 from time import perf_counter
-from typing import ParamSpec, TypeVar
+from typing import Any, TypeVar
 
-P = ParamSpec("P")
 T = TypeVar("T")
 
 
@@ -15,15 +14,18 @@
         self.spent_s: dict[str, float] = {}
         self._nested_s: list[float] = []  # for each stage that is running, what stages within it took
 
-    def timed(self, stage: str, call: Callable[P, T]) -> Callable[P, T]:
-        """`call`, with the time of each of its runs added to `stage`, whether it returns or raises."""
+    def timed(self, stage: str, call: Callable[..., T]) -> Callable[..., T]:
+        """`call`, with the time of each of its runs added to `stage`, whether it returns or raises.
+
+        It takes positional arguments alone: keywords would cost each call a dictionary.
+        """
         self.spent_s.setdefault(stage, 0.0)
 
-        def timed_call(*args: P.args, **kwargs: P.kwargs) -> T:
+        def timed_call(*args: Any) -> T:
             started_s = perf_counter()
             self._nested_s.append(0.0)
             try:
-                return call(*args, **kwargs)
+                return call(*args)
             finally:
                 elapsed_s = perf_counter() - started_s
                 self.spent_s[stage] += elapsed_s - self._nested_s.pop()
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -1,4 +1,4 @@
-"""A worker that is behind: the real program, whose module was made slow, under a flood on both fronts."""
+"""An overloaded worker: the real program, whose module was made slow, under a flood on both fronts."""
 
 import json
 import subprocess
@@ -64,7 +64,7 @@
         return self
 
 
-class Behind(unittest.TestCase):
+class Overloaded(unittest.TestCase):
     def program(self, **how):
         program = Program(site=hasty(), kernel=InstantKernel(), **({"overload": {}, "fault": SLOW} | how))
         self.addCleanup(program.close)
@@ -80,7 +80,7 @@
             time.sleep(0.02)
         return status
 
-    def test_a_flood_is_shed_at_admission_filings_are_served_and_it_is_over_once_the_flood_ends(self):
+    def test_a_flood_is_rejected_early_filings_are_served_and_it_is_over_once_the_flood_ends(self):
         program = self.program()
         flood = Flood(program.at["ThriftFront"])
         self.until(program, lambda s: s["overload"]["admission"]["shed"])
@@ -110,7 +110,7 @@
         for name in ("app_loop_delay_seconds", "app_behind 0", 'app_shed_total{group="read",reason='):
             self.assertIn(name, text)
 
-    def test_both_fronts_go_by_the_same_admission_and_a_repeat_of_what_ran_gets_its_result(self):
+    def test_both_fronts_share_early_rejection_and_a_retry_of_what_ran_gets_its_result(self):
         program = self.program(ajp=True, server=InstantServer())
         first = program.thrift().call(method="filing", token="0" * 31 + "1")
         self.assertEqual(first[0], "Answer")
@@ -133,7 +133,7 @@
         self.assertEqual(flood.faults, [])
         self.assertEqual(program.kernel.scheduled.qsize(), 0)
 
-    def test_leaving_while_behind_answers_all_that_was_read_and_ends(self):
+    def test_a_graceful_shutdown_while_overloaded_answers_all_that_was_read_and_ends(self):
         program = self.program()
         flood = Flood(program.at["ThriftFront"], connections=2, each=20)
         self.until(program, lambda s: s["overload"]["loop"]["behind"])
