--- a/ochrehoist/app/logs.py
+++ b/ochrehoist/app/logs.py
@@ -8,25 +8,31 @@
 
 
 class LogSink:
-    """Standard error. A log reader that stalls must not hold up the worker: its lines are dropped."""
+    """Standard error. A log reader that stalls must not hold up the worker: its lines are dropped.
+
+    `dropped` counts them.
+    """
 
     def __init__(self, fd: int) -> None:
-        self.fd, self.dropped = fd, 0
+        self.dropped = 0
+        self._fd = fd
         # Never on a terminal: there the mode would be every program's.
         if stat.S_ISFIFO(os.fstat(fd).st_mode):
             os.set_blocking(fd, False)
 
     def write(self, line: str) -> None:
+        """Writes the line, or drops it."""
         try:
-            os.write(self.fd, line.encode())
+            os.write(self._fd, line.encode())
         except OSError:  # full, or nobody reads any more
             self.dropped += 1
 
     def flush(self) -> None:
-        pass
+        """Nothing is held back here: each line is written at once."""
 
 
 def start_log(sink: LogSink) -> structlog.typing.FilteringBoundLogger:
+    """Configures structlog for the process: JSON lines to the sink, from level info on."""
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
--- a/ochrehoist/app/resource_limits.py
+++ b/ochrehoist/app/resource_limits.py
@@ -3,7 +3,7 @@
 import os
 from dataclasses import dataclass
 
-from ochrehoist.config.loader import Config
+from ochrehoist.config.schema import Config
 from ochrehoist.errors import InvalidInputError
 from ochrehoist.net.listener import Service
 
@@ -15,6 +15,14 @@
 DESCRIPTORS_PER_SERVICE = Service.max_open + 1  # for the operators' address and the agent checks, each
 
 
+class TooFewSocketsError(InvalidInputError):
+    """The descriptors leave the AJP front no connection; `configured` is what the settings give."""
+
+    def __init__(self, configured: int) -> None:
+        super().__init__(f"setting limits.sockets: too few: {configured}")
+        self.configured = configured
+
+
 def memory_bytes(memory_mb: float, fraction: float) -> int:
     """Bytes of so large a fraction of the process memory."""
     return int(memory_mb * BYTES_PER_MB * fraction)
@@ -32,7 +40,7 @@
     """Divides the descriptors that the settings and the system give.
 
     Raises:
-        InvalidInputError: there are too few for the AJP front to have a connection.
+        TooFewSocketsError: there are too few for the AJP front to have a connection.
     """
     # Where the system gives fewer than the settings say, it is the system's limit that binds.
     descriptors = min(limit for limit in (config.max_sockets, os.sysconf("SC_OPEN_MAX")) if limit > 0)
@@ -45,5 +53,5 @@
     available -= sum(server.max_idle_connections for server in config.ajp.servers)
     ajp = min(config.ajp.max_connections, available // 2 if config.listen else available)
     if ajp < 1:
-        raise InvalidInputError(f"setting limits.sockets: too few: {config.max_sockets}")
+        raise TooFewSocketsError(config.max_sockets)
     return ConnectionLimits(ajp=ajp, thrift=available - ajp)
--- a/ochrehoist/app/worker.py
+++ b/ochrehoist/app/worker.py
@@ -7,7 +7,7 @@
 from ochrehoist.app.replacement import Replacement
 from ochrehoist.app.worker_parts import WorkerParts
 from ochrehoist.config import loader as configuration
-from ochrehoist.config.loader import Config
+from ochrehoist.config.schema import Config
 from ochrehoist.errors import InvalidInputError
 from ochrehoist.net.ending import Ending
 from ochrehoist.net.operators import Operators
@@ -18,6 +18,13 @@
 MAX_RESTORE_WAIT_S = 3.0  # that clients wait for what was on record
 
 
+class AddressUnavailableError(InvalidInputError):
+    """An address of the configuration can't be bound."""
+
+    def __init__(self, cause: OSError) -> None:
+        super().__init__(f"setting listen, or an address of the console: {cause}")
+
+
 class Worker:
     """One worker: the core, its fronts and executors, on one scheduler."""
 
@@ -150,5 +157,5 @@
     try:
         worker = Worker(config, path)
     except OSError as error:
-        raise InvalidInputError(f"setting listen, or an address of the console: {error}") from None
+        raise AddressUnavailableError(error) from None
     return worker.run()
--- a/ochrehoist/app/worker_parts.py
+++ b/ochrehoist/app/worker_parts.py
@@ -24,7 +24,7 @@
     connection_limits,
     memory_bytes,
 )
-from ochrehoist.config.loader import Config
+from ochrehoist.config.schema import Config
 from ochrehoist.core.messages import ExecutorReady
 from ochrehoist.core.owner import Owner
 from ochrehoist.core.stage_timing import untimed
