--- a/ochrehoist/app/operator_api.py
+++ b/ochrehoist/app/operator_api.py
@@ -6,9 +6,9 @@
 from typing import Any, Protocol
 
 from ochrehoist.app.logs import LogSink
-from ochrehoist.core.figures import CONTENT_TYPE
+from ochrehoist.core.actor import CoreActor
 from ochrehoist.core.messages import StandbyChanged
-from ochrehoist.core.owner import Owner
+from ochrehoist.core.metrics import METRICS_CONTENT_TYPE, RequestCounter
 from ochrehoist.net.ajp_front import AjpFront
 from ochrehoist.net.operators import Answer, said
 from ochrehoist.net.thrift_front import ThriftFront
@@ -40,14 +40,14 @@
     def __init__(
         self,
         name: str,
-        owner: Owner,
+        core: CoreActor,
         sink: LogSink,
         fronts: Sequence[ThriftFront | AjpFront],
         is_serving: Callable[[], bool],
     ) -> None:
         """`is_serving`: whether this process, and no other one, takes what comes."""
         self._name = name
-        self._owner = owner
+        self._core = core
         self._sink = sink
         self._fronts = fronts
         self._is_serving = is_serving
@@ -74,39 +74,39 @@
 
     def status(self) -> Answer:
         """The state of the worker as JSON: 200 where it is ready for requests, else 503."""
-        owner = self._owner
-        figures = owner.figures
+        core = self._core
+        metrics = core.metrics
         values: dict[str, Any] = {
             "name": self._name,
-            "state": owner.state,
+            "state": core.state,
             "up_s": round(time.monotonic() - self._started_s, 1),
-            "in_hand": owner.owed,
-            "running": sum(request.started for request in owner.live.values()),
-            "served": figures.total("answered_total"),
-            "refused": figures.total("deferred_total"),
-            "failed": figures.total("errored_total"),
-            "keys": len(owner.keys.runs),
-            "result_bytes": owner.keys.bytes,
+            "in_hand": core.unanswered,
+            "running": sum(request.started for request in core.open_requests.values()),
+            "served": metrics.total(RequestCounter.ANSWERED),
+            "refused": metrics.total(RequestCounter.REJECTED),
+            "failed": metrics.total(RequestCounter.FAILED),
+            "keys": len(core.idempotency.runs),
+            "result_bytes": core.idempotency.bytes,
             "log_dropped": self._sink.dropped,
             "connections": {type(front).__name__: len(front.connections) for front in self._fronts},
         }
         for section in STATUS_SECTIONS:
             if section in self._status_sources:
                 values[section] = self._status_sources[section].view()
-        ready = owner.ready and self._is_serving()
+        ready = core.ready and self._is_serving()
         return said(values, HTTPStatus.OK if ready else HTTPStatus.SERVICE_UNAVAILABLE)
 
     def metrics(self) -> Answer:
         """The platform's fixed names, then those of the parts."""
-        text = self._owner.figures.text(self._owner.current)
+        text = self._core.metrics.text(self._core.own_unanswered)
         text += "".join(
             self._metrics_sources[section].figures()
             for section in METRICS_SECTIONS
             if section in self._metrics_sources
         )
-        return Answer(HTTPStatus.OK, text.encode(), CONTENT_TYPE)
+        return Answer(HTTPStatus.OK, text.encode(), METRICS_CONTENT_TYPE)
 
     def standby(self, enabled: bool) -> Answer:
         """Takes the worker out of service, or back."""
-        self._owner.post(StandbyChanged(enabled))
+        self._core.post(StandbyChanged(enabled))
         return said({"standby": enabled})
--- a/ochrehoist/app/replacement.py
+++ b/ochrehoist/app/replacement.py
@@ -37,7 +37,7 @@
         codec = ReplyCodec()
         self._successors = Successors(
             parts.loop,
-            parts.owner,
+            parts.core,
             handover_path,
             codec,
             self._listening_sockets,
@@ -72,7 +72,7 @@
         parts = self._parts
         predecessor = Predecessor(
             parts.loop,
-            parts.owner,
+            parts.core,
             handover_path,
             codec,
             lambda: [listener.listening.address for listener in parts.listeners],
--- a/ochrehoist/app/worker.py
+++ b/ochrehoist/app/worker.py
@@ -8,6 +8,7 @@
 from ochrehoist.app.worker_parts import WorkerParts
 from ochrehoist.config import loader as configuration
 from ochrehoist.config.schema import Config
+from ochrehoist.core.metrics import RequestCounter
 from ochrehoist.errors import InvalidInputError
 from ochrehoist.net.ending import Ending
 from ochrehoist.net.operators import Operators
@@ -41,7 +42,7 @@
         """
         self._serving = False  # clients are taken
         self.parts = parts = WorkerParts(config, path, lambda: self._serving)
-        self._ending = Ending(parts.loop, parts.owner, parts.fronts, config.shutdown_timeout_ms, parts.log)
+        self._ending = Ending(parts.loop, parts.core, parts.fronts, config.shutdown_timeout_ms, parts.log)
         self._replacement: Replacement | None = None
         if config.handover_path:
             self._replacement = Replacement(parts, config.handover_path, self._take_over, self._be_replaced)
@@ -127,7 +128,7 @@
 
     def _kernel_is_shared(self) -> bool:
         """Whether another process of this worker may run something at the kernel."""
-        if self.parts.owner.forwarder:
+        if self.parts.core.forwarder:
             return True
         return self._replacement is not None and self._replacement.predecessor_present
 
@@ -138,12 +139,12 @@
         if self._replacement:
             self._replacement.close()
         parts.close()
-        figures = parts.owner.figures
+        metrics = parts.core.metrics
         parts.log.info(
             "ended",
-            served=figures.total("answered_total"),
-            refused=figures.total("deferred_total"),
-            failed=figures.total("errored_total"),
+            served=metrics.total(RequestCounter.ANSWERED),
+            refused=metrics.total(RequestCounter.REJECTED),
+            failed=metrics.total(RequestCounter.FAILED),
         )
 
 
--- a/ochrehoist/app/worker_parts.py
+++ b/ochrehoist/app/worker_parts.py
@@ -25,9 +25,8 @@
     memory_bytes,
 )
 from ochrehoist.config.schema import Config
+from ochrehoist.core.actor import CoreActor
 from ochrehoist.core.messages import ExecutorReady
-from ochrehoist.core.owner import Owner
-from ochrehoist.core.stage_timing import untimed
 from ochrehoist.net.agent import AgentCheck
 from ochrehoist.net.ajp import ReplyCodec
 from ochrehoist.net.ajp_front import AjpFront
@@ -108,9 +107,9 @@
         self._reloadable: list[Part] = []  # take a configuration read again; read at each reload
         self._kernel_is_shared: Callable[[], bool] = lambda: False
         self.overload_control = self._build_overload_control()
-        self.owner = self._build_core()
-        self.tasks: list[Callable[[], None]] = [self.owner.run]
-        self.operator_api = OperatorApi(config.name, self.owner, self.sink, self.fronts, is_serving)
+        self.core = self._build_core()
+        self.tasks: list[Callable[[], None]] = [self.core.run]
+        self.operator_api = OperatorApi(config.name, self.core, self.sink, self.fronts, is_serving)
         self.inherited = InheritedSockets(config.handover_path)
         limits = connection_limits(config)
         self.ajp_servers = self._build_ajp(limits)
@@ -152,10 +151,10 @@
         memory_limit_bytes = int(config.memory_mb * BYTES_PER_MB)
         return OverloadControl(config.overload, config.settings, config.seed, memory_limit_bytes)
 
-    def _build_core(self) -> Owner:
+    def _build_core(self) -> CoreActor:
         config = self.config
         control = self.overload_control
-        return Owner(
+        core = CoreActor(
             config.settings,
             config.seed,
             Signal(self.loop),
@@ -164,9 +163,10 @@
             self.log,
             memory_bytes(config.memory_mb, RESULT_MEMORY_FRACTION),
             self._measure_gauges,
-            control.limiter if control else None,
-            control.timings.timed if control else untimed,
         )
+        if control:
+            core.register_limiter(control.limiter)
+        return core
 
     def _measure_gauges(self) -> None:
         executor = self.kernel or self.ajp_servers
@@ -179,10 +179,10 @@
         if not ajp:
             return None
         body_bytes = memory_bytes(self.config.memory_mb, BODY_MEMORY_FRACTION)
-        servers = AjpServers(self.loop, self.owner, ajp, body_bytes, self.log)
+        servers = AjpServers(self.loop, self.core, ajp, body_bytes, self.log)
         front = AjpFront(
             self.loop,
-            self.owner,
+            self.core,
             servers,
             ajp,
             limits.ajp,
@@ -190,7 +190,6 @@
             self.log,
             self.inherited.get(ajp.listen),
             self._admission_filter,
-            self.overload_control.timings.timed if self.overload_control else untimed,
         )
         self._add_front(front)
         self._reloadable += [
@@ -202,11 +201,11 @@
     def _build_thrift(self, limits: ConnectionLimits) -> Kernel | None:
         config = self.config
         if not config.listen:
-            self.owner.post(ExecutorReady(None, 0))
+            self.core.post(ExecutorReady(None, 0))
             return None
         kernel = Kernel(
             self.loop,
-            self.owner,
+            self.core,
             config.kernel_address,
             config.gauges,
             self.log,
@@ -220,7 +219,7 @@
             sock = socket.socket(fileno=config.inherited_fd)
         front = ThriftFront(
             self.loop,
-            self.owner,
+            self.core,
             kernel,
             config.listen,
             limits.thrift,
@@ -228,7 +227,6 @@
             self.log,
             sock,
             self._admission_filter,
-            self.overload_control.timings.timed if self.overload_control else untimed,
         )
         self._reloadable.append(switch_only(lambda new, _: front.configure(new.settings)))
         self._add_front(front)
@@ -247,17 +245,18 @@
         config = self.config
         members = None
         if config.membership_address:
-            members = Members(self.loop, self.owner, config.membership_address, config.name, self.log)
+            members = Members(self.loop, self.core, config.membership_address, config.name, self.log)
             self._reloadable.append(switch_only(lambda new, _: members.move(new.membership_address)))
-            self.owner.listeners.append(members)
-        self.owner.listeners += self.fronts
+            self.core.register_listener(members)
+        for front in self.fronts:
+            self.core.register_listener(front)
         return members
 
     def _build_agent_check(self) -> None:
         address = self.config.agent_check_address
         if address:
             sock = self.inherited.get(address)
-            self.listeners.append(AgentCheck(self.loop, self.owner, address, self.log, sock))
+            self.listeners.append(AgentCheck(self.loop, self.core, address, self.log, sock))
 
     def _build_operators(self) -> None:
         address = self.config.admin_address
@@ -283,7 +282,7 @@
     # ---- configuration
     def _build_reloading(self, path: str | None) -> Reloading:
         reloading = Reloading(
-            self.loop, self.owner, self.config, path, self._reloadable, self.kernel, self.log
+            self.loop, self.core, self.config, path, self._reloadable, self.kernel, self.log
         )
         self.operator_api.add_status("configuration", reloading)
         if self.config.ajp:  # the platform's worker keeps to the fixed names
@@ -299,15 +298,16 @@
             return None
         from ochrehoist.store.journal import Journal
 
-        journal = self.owner.filings.journal = Journal(
+        journal = Journal(
             self.loop,
-            self.owner,
+            self.core,
             config.state,
             config.name,
             ReplyCodec(),
             self.log,
             self.inherited.replaces_process,
         )
+        self.core.register_journal(journal)
         self._add_to_operator_api("store", journal)
         return journal
 
@@ -316,8 +316,8 @@
             return None
         from ochrehoist.capture.taker import Capture
 
-        capture = Capture(self.loop, self.owner, self.config, self.log)
-        self.owner.answers.observers.append(capture)
+        capture = Capture(self.loop, self.core, self.config, self.log)
+        self.core.register_observer(capture)
         self._reloadable.append(switch_only(lambda new, _: capture.configure(new)))
         self.operator_api.add_status("capture", capture)
         return capture
@@ -328,7 +328,7 @@
             return None
         from ochrehoist.net.self_monitoring import SelfMonitor
 
-        monitor = SelfMonitor(self.loop, self.owner, control, self.fronts, self.log)
+        monitor = SelfMonitor(self.loop, self.core, control, self.fronts, self.log)
         self._reloadable.append(
             switch_only(lambda new, tenants: control.configure(new.settings, new.overload, tenants))
         )
@@ -340,8 +340,8 @@
             return None
         from ochrehoist.net.peers import Peers
 
-        peers = Peers(self.loop, self.owner, self.config, self.log)
-        self.owner.listeners.append(peers)
+        peers = Peers(self.loop, self.core, self.config, self.log)
+        self.core.register_listener(peers)
         self._reloadable.append(peers.prepare)
         if self.ajp_servers:
             self.ajp_servers.use_advisor(peers)
@@ -354,7 +354,7 @@
         from ochrehoist.net.sites import Sites
 
         sites = Sites(
-            self.loop, self.owner, self.config, self.peers, not self.inherited.replaces_process, self.log
+            self.loop, self.core, self.config, self.peers, not self.inherited.replaces_process, self.log
         )
         self._reloadable.append(switch_only(sites.configure))
         self._add_to_operator_api("sites", sites)
@@ -365,7 +365,7 @@
             return None
         from ochrehoist.net.recovery import Recovery
 
-        recovery = Recovery(self.loop, self.owner, self.config, self, self.log)
+        recovery = Recovery(self.loop, self.core, self.config, self, self.log)
         self._add_to_operator_api("recovery", recovery)
         return recovery
 
--- a/ochrehoist/net/ajp_front.py
+++ b/ochrehoist/net/ajp_front.py
@@ -15,12 +15,12 @@
 from ochrehoist.admission.settings import AdmissionSettings, Idempotency, RequestClass
 from ochrehoist.config.loader import AjpConfig
 from ochrehoist.config.settings import at_once
+from ochrehoist.core.actor import CoreActor
 from ochrehoist.core.messages import CallerDisconnected, RequestArrived
-from ochrehoist.core.owner import Owner
+from ochrehoist.core.metrics import RequestCounter
 from ochrehoist.core.protocols import AdmissionFilter, Executor
 from ochrehoist.core.request import InboundRequest
 from ochrehoist.core.results import FailureReason, RunResult
-from ochrehoist.core.stage_timing import StageTimer, untimed
 from ochrehoist.errors import OchrehoistError
 from ochrehoist.net import ajp
 from ochrehoist.net.ajp_server import AjpPayload, read_packet
@@ -37,6 +37,9 @@
 WHOLE = 2.5  # s for a packet that was begun, and for the first of a new connection
 
 
+ReadRequest = Callable[..., InboundRequest]  # of a front: reads one request for the core
+
+
 class Rejected(OchrehoistError):
     """Answered by the front itself: the request never becomes one of the core's."""
 
@@ -57,7 +60,7 @@
 class AjpReader:
     """Reads a Forward Request into a core request, by the rules of the configuration."""
 
-    def __init__(self, owner: Owner, executor: Executor, config: AjpConfig) -> None:
+    def __init__(self, owner: CoreActor, executor: Executor, config: AjpConfig) -> None:
         self.owner, self.executor = owner, executor
         self.config: AjpConfig | None = None
         self.index = RouteIndex()
@@ -120,7 +123,9 @@
     def _repeats(self, cls: RequestClass, tenant: str, token: str) -> bool:
         """Whether a filing that ran, or will, is asked for again: its tenant may have gone meanwhile."""
         owner = self.owner
-        return bool(token) and owner.keys.original((tenant, cls.name, token), owner.clock()) is not None
+        return (
+            bool(token) and owner.idempotency.original((tenant, cls.name, token), owner.clock()) is not None
+        )
 
     def request(
         self, f: ajp.Forward, checked: tuple, body: bytes, arrived: int, responder: "AjpResponder"
@@ -280,7 +285,9 @@
             responder.plain(error.status, str(error), again)
             group = checked[0].name if checked else error.group
             if group is not None:
-                self.front.owner.figures.count("deferred_total" if again else "errored_total", group)
+                self.front.owner.metrics.count(
+                    RequestCounter.REJECTED if again else RequestCounter.FAILED, group
+                )
             if f.chunked and self.body_bytes:
                 self.stream.close_when_sent()  # a body broken off: this connection is out of step
             elif unread:
@@ -370,7 +377,7 @@
     def __init__(
         self,
         loop: Loop,
-        owner: Owner,
+        owner: CoreActor,
         executor: Executor,
         config: AjpConfig,
         max_connections: int,
@@ -378,7 +385,6 @@
         log: Any,
         sock: socket.socket | None = None,
         admission: AdmissionFilter | None = None,
-        timed: StageTimer = untimed,
     ) -> None:
         self.loop, self.owner, self.config, self.log = loop, owner, config, log
         self.max_bytes = max_bytes  # for all bodies coming in, and as much for all responses not yet sent
@@ -387,7 +393,7 @@
         self.body_bytes = 0  # of all connections
         self.draining = False
         self.admission = admission
-        self.read_request = timed("reading", self.reader.request)
+        self.read_request = self.reader.request
         self.numbers = itertools.count(1)
         self.listening = Listening(
             loop, config.listen, self._accepted, max_connections, log, sock, self._make_room
@@ -411,6 +417,10 @@
         self.config = config
         self.reader.configure(config, settings)
 
+    def instrument_reading(self, wrap: Callable[[ReadRequest], ReadRequest]) -> None:
+        """Puts a wrapper, such as a timer, around the reading of each request."""
+        self.read_request = wrap(self.read_request)
+
     def _accepted(self, sock: socket.socket) -> Callable[[], None]:
         # Room for one response and some: a client that reads slowly holds up nobody else.
         stream = Stream(self.loop, sock, self.config.max_response * 2 + 65536)
--- a/ochrehoist/net/kernel.py
+++ b/ochrehoist/net/kernel.py
@@ -11,8 +11,8 @@
 from typing import Any
 
 from ochrehoist.admission.events import Outcome
+from ochrehoist.core.actor import CoreActor
 from ochrehoist.core.messages import ExecutorReady, GaugesMeasured, RunCompleted
-from ochrehoist.core.owner import Owner
 from ochrehoist.core.request import InboundRequest
 from ochrehoist.core.results import RunResult
 from ochrehoist.errors import OchrehoistError
@@ -51,7 +51,7 @@
     def __init__(
         self,
         loop: Loop,
-        owner: Owner,
+        owner: CoreActor,
         address: tuple[str, int],
         gauges: tuple[str, ...],
         log: Any,
--- a/ochrehoist/net/self_monitoring.py
+++ b/ochrehoist/net/self_monitoring.py
@@ -7,12 +7,13 @@
 import time
 from collections.abc import Sequence
 from fcntl import ioctl
+from functools import partial
 from struct import unpack
 from termios import FIONREAD
 from typing import Any
 
-from ochrehoist.core.figures import counted
-from ochrehoist.core.owner import Owner
+from ochrehoist.core.actor import CoreActor
+from ochrehoist.core.metrics import RequestCounter, format_samples
 from ochrehoist.net.ajp_front import AjpFront
 from ochrehoist.net.loop import Loop
 from ochrehoist.net.thrift_front import ThriftFront
@@ -35,14 +36,14 @@
     def __init__(
         self,
         loop: Loop,
-        owner: Owner,
+        core: CoreActor,
         control: OverloadControl,
         fronts: Sequence[ThriftFront | AjpFront],
         log: Any,
     ) -> None:
         self.control = control
         self._loop = loop
-        self._owner = owner
+        self._core = core
         self._fronts = fronts
         self._log = log
         self._cpu_s = time.process_time()
@@ -54,6 +55,10 @@
         self._statm = os.open("/proc/self/statm", os.O_RDONLY)
         self._first_connection = 0  # of those whose unread bytes are asked for
         self._runs_started = 0
+        core.instrument_step(partial(control.timings.timed, "deciding"))
+        core.responses.instrument_send(partial(control.timings.timed, "answering"))
+        for front in fronts:
+            front.instrument_reading(partial(control.timings.timed, "reading"))
         loop.observe_iterations(self._record_iteration)
         loop.call_later(SAMPLE_INTERVAL_S, self._sample)
 
@@ -91,7 +96,7 @@
                 )
             ]
         values["app_repeats_denied_total"] = [("", self.control.limiter.retry_budget.denied)]
-        return counted(values)
+        return format_samples(values)
 
     def close(self) -> None:
         """Gives back its descriptor."""
@@ -121,7 +126,7 @@
             counts = self.control.early_rejection.end_interval(SAMPLE_INTERVAL_S)
             admitted = counts.admitted
             rejected = counts.rejected_total
-        runs_started = self._owner.figures.total("sends_total")
+        runs_started = self._core.metrics.total(RequestCounter.RUNS_STARTED)
         sample = LoadSample(
             at_s=now_s,
             cpu_s=cpu_s - self._cpu_s,
@@ -184,13 +189,13 @@
     def _memory_by_owner(self) -> dict[str, int]:
         """Bytes by what holds them, as far as each knows its own, and some counts."""
         connections = [connection for front in self._fronts for connection in front.connections]
-        owner = self._owner
+        core = self._core
         return {
-            "results": owner.keys.bytes,
+            "results": core.idempotency.bytes,
             "unsent": sum(len(connection.stream.unsent) for connection in connections),
             "half_read": sum(len(connection.stream.buffer) for connection in connections),
             "bodies": sum(getattr(connection, "body_bytes", 0) for connection in connections),
-            "live_requests": len(owner.live),
-            "keys": len(owner.keys.runs),
+            "live_requests": len(core.open_requests),
+            "keys": len(core.idempotency.runs),
             "resident": self.control.detector.rss_bytes,
         }
--- a/ochrehoist/net/thrift_front.py
+++ b/ochrehoist/net/thrift_front.py
@@ -9,12 +9,12 @@
 from typing import Any
 
 from ochrehoist.admission.settings import AdmissionSettings, Idempotency, RequestClass
+from ochrehoist.core.actor import CoreActor
 from ochrehoist.core.messages import CallerDisconnected, RequestArrived
-from ochrehoist.core.owner import Owner
+from ochrehoist.core.metrics import RequestCounter
 from ochrehoist.core.protocols import AdmissionFilter, Executor
 from ochrehoist.core.request import InboundRequest
 from ochrehoist.core.results import FailureReason, RunResult
-from ochrehoist.core.stage_timing import StageTimer, untimed
 from ochrehoist.net import thrift
 from ochrehoist.net.listener import Listening, Pace, close_least
 from ochrehoist.net.loop import Loop
@@ -40,6 +40,9 @@
 FAREWELL = thrift.message(thrift.ONEWAY, b"farewell", 0, thrift.END)
 
 
+ReadRequest = Callable[..., InboundRequest]  # of a front: reads one request for the core
+
+
 @dataclass(slots=True, frozen=True)
 class Payload:
     """What the kernel gets of a request, as it came."""
@@ -89,7 +92,7 @@
 class ThriftReader:
     """Reads the arguments of an invoke call into a core request."""
 
-    def __init__(self, owner: Owner, executor: Executor) -> None:
+    def __init__(self, owner: CoreActor, executor: Executor) -> None:
         self.owner, self.executor = owner, executor
         self.classes: dict[str, RequestClass] = {}  # also those that are gone: the core answers them
         self.configure(owner.settings)
@@ -108,8 +111,8 @@
         if len(rid) != 16 or not HEX.issuperset(rid):
             raise thrift.InvalidArgumentsError("field rid: not 16 hex digits")
         tenants = self.owner.tenants
-        acct = f.text("acct", required=bool(tenants.places))
-        if acct is not None and not tenants.known(acct):  # one that is gone may repeat a filing that ran
+        acct = f.text("acct", required=bool(tenants.by_position))
+        if acct is not None and not tenants.is_known(acct):  # one that is gone may repeat a filing that ran
             raise thrift.InvalidArgumentsError("field acct: unknown tenant")
         keyed = cls.idempotency is Idempotency.KEYED
         token = f.text("token", required=keyed)
@@ -298,7 +301,7 @@
             self._write(thrift.application_exception(INVOKE, m.seqid, thrift.PROTOCOL_ERROR, str(error)))
             method = (values or {}).get(b"method", b"").decode("latin-1")
             if method in self.front.reader.classes:
-                self.front.owner.figures.count("errored_total", method)
+                self.front.owner.metrics.count(RequestCounter.FAILED, method)
             return
         self.checks_only = False
         self.calls += 1
@@ -325,7 +328,7 @@
         self.checks_only = False
         told = thrift.problem({b"backoff": b"%d" % (backoff // MS)})
         self.turned_away += thrift.reply(INVOKE, seqid, 1, told)
-        front.owner.figures.count("deferred_total", cls)
+        front.owner.metrics.count(RequestCounter.REJECTED, cls)
         return True
 
     def _write(self, data: bytes) -> None:
@@ -355,7 +358,7 @@
     def __init__(
         self,
         loop: Loop,
-        owner: Owner,
+        owner: CoreActor,
         executor: Executor,
         address: tuple[str, int],
         max_connections: int,
@@ -363,7 +366,6 @@
         log: Any,
         sock: socket.socket | None = None,
         admission: AdmissionFilter | None = None,
-        timed: StageTimer = untimed,
     ) -> None:
         self.loop, self.owner, self.log = loop, owner, log
         self.reader = ThriftReader(owner, executor)
@@ -371,7 +373,7 @@
         self.max_unsent = max_unsent  # bytes of all answers that are not taken yet
         self.draining = False
         self.admission = admission
-        self.read_request = timed("reading", self.reader.request)
+        self.read_request = self.reader.request
         self.names: dict[bytes, str] = {}  # classes by what is on the wire
         self.configure(owner.settings)
         self.idle: float = owner.settings.idle_timeout_ns / 1e9
@@ -383,6 +385,10 @@
         self.reader.configure(settings)
         self.names = {name.encode(): name for name in self.reader.classes}
 
+    def instrument_reading(self, wrap: Callable[[ReadRequest], ReadRequest]) -> None:
+        """Puts a wrapper, such as a timer, around the reading of each request."""
+        self.read_request = wrap(self.read_request)
+
     def _accepted(self, sock: socket.socket) -> Callable[[], None]:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER)
         connection = Connection(self, Stream(self.loop, sock))
--- a/ochrehoist/overload/bulkheads.py
+++ b/ochrehoist/overload/bulkheads.py
@@ -17,7 +17,7 @@
 LOW_COST_RESERVE = 0.1  # of the limit, reserved for low-cost classes
 LOW_COST_RESERVE_S = 10.0  # since one of them came, for which the reserve stands
 CLASS_FLOOR = 0.1  # of the limit
-KEYED_CLASS_FLOOR = 0.25  # of the limit: filings have the highest priority weight
+KEYED_FLOOR = 0.25  # of the limit: filings have the highest priority weight
 MAX_FLOORS = 0.8  # of the limit, together: the rest goes by priority
 LOW_PRIORITY_LANE = 0.15  # of the limit, for requests that cost many times what is usual
 
@@ -55,42 +55,37 @@
     Without a `concurrency_limit` the controller finds by itself how many run; floors are then fractions of
     the cores, and nothing is reserved.
     """
-    slots = max(1, int(concurrency_limit)) if concurrency_limit is not None else settings.cores
-    reserved = 0
-    if concurrency_limit is not None and _any_arrived_recently(low_cost, activity, now_s):
-        reserved = min(slots - 1, max(1, math.ceil(slots * LOW_COST_RESERVE)))
-    floors = [
-        max(floor, reserved) if request_class.name in low_cost else floor
-        for floor, request_class in zip(_class_floors(slots, settings), settings.classes, strict=True)
-    ]
-    if concurrency_limit is not None:
-        cap = slots
-    else:
+    if concurrency_limit is None:
+        slots = settings.cores
+        total = UNLIMITED
         cap = max(slots, int(settings.cores * settings.collapse_multiple))
+        reserved = 0
+    else:
+        slots = total = cap = max(1, int(concurrency_limit))
+        reserved = _low_cost_reserve(slots, low_cost, activity, now_s)
+    reserves = [reserved if known.name in low_cost else 0 for known in settings.classes]
     return ConcurrencyLimits(
-        total=UNLIMITED if concurrency_limit is None else slots,
-        class_floors=tuple(floors),
-        class_caps=tuple(
-            cap if request_class.name in low_cost else cap - reserved for request_class in settings.classes
-        ),
+        total=total,
+        class_floors=tuple(map(max, _class_floors(slots, settings), reserves)),
+        class_caps=tuple(cap - reserved + own_reserve for own_reserve in reserves),
         expensive=max(1, int(slots * LOW_PRIORITY_LANE)) if low_priority_lane else UNLIMITED,
     )
 
 
-def _any_arrived_recently(
-    names: AbstractSet[str], activity: Mapping[str, ClassActivity], now_s: float
-) -> bool:
-    return any(
-        now_s - activity[name].last_arrival_s <= LOW_COST_RESERVE_S for name in names if name in activity
-    )
+def _low_cost_reserve(
+    slots: int, low_cost: AbstractSet[str], activity: Mapping[str, ClassActivity], now_s: float
+) -> int:
+    """Slots that only low-cost classes may use: some while one of these has come lately, else none."""
+    recent = (activity[name].last_arrival_s for name in low_cost if name in activity)
+    if not any(now_s - arrival_s <= LOW_COST_RESERVE_S for arrival_s in recent):
+        return 0
+    return min(slots - 1, max(1, math.ceil(slots * LOW_COST_RESERVE)))
 
 
 def _class_floors(slots: int, settings: AdmissionSettings) -> Sequence[int]:
     """Slots for each class: at least one where there are as many slots as classes, else none for anybody."""
-    fractions = [
-        KEYED_CLASS_FLOOR if request_class.idempotency is Idempotency.KEYED else CLASS_FLOOR
-        for request_class in settings.classes
-    ]
+    classes = settings.classes
+    fractions = [KEYED_FLOOR if known.idempotency is Idempotency.KEYED else CLASS_FLOOR for known in classes]
     scale = min(1.0, MAX_FLOORS / max(1e-9, sum(fractions)))
     floors = [max(1, int(slots * fraction * scale)) for fraction in fractions]
     while sum(floors) > slots and max(floors) > 1:
--- a/ochrehoist/overload/early_rejection.py
+++ b/ochrehoist/overload/early_rejection.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from ochrehoist.admission.settings import AdmissionSettings, Idempotency
-from ochrehoist.core.tenants import Tenants, first
+from ochrehoist.core.tenants import TenantTable, initial_table
 from ochrehoist.overload.overload_detector import OverloadDetector
 from ochrehoist.overload.weighted_allocation import AllocationRequest, allocate
 
@@ -59,7 +59,7 @@
         detector: OverloadDetector,
         settings: AdmissionSettings,
         seed: int,
-        tenants: Tenants | None = None,
+        tenants: TenantTable | None = None,
     ) -> None:
         self.counts = AdmissionCounts()  # of all intervals that are over
         self.interval_counts = AdmissionCounts()  # of the current one
@@ -71,38 +71,37 @@
         self._shared_tokens = 0.0  # for callers without a bucket
         self.configure(settings, tenants)
 
-    def configure(self, settings: AdmissionSettings, tenants: Tenants | None = None) -> None:
+    def configure(self, settings: AdmissionSettings, tenants: TenantTable | None = None) -> None:
         """Takes new classes and tenants; requests that were admitted are not concerned."""
-        weights = sorted({known.priority_weight for known in settings.classes}, reverse=True)
-        self._ranks = {known.name: weights.index(known.priority_weight) for known in settings.classes}
-        self._idempotent = {
-            known.name: known.idempotency is Idempotency.IDEMPOTENT for known in settings.classes
-        }
-        self._objectives_ns = {known.name: known.latency_objective_ns for known in settings.classes}
-        self._tenants = tenants if tenants is not None else first(settings.tenants)
+        classes = settings.classes
+        weights = sorted({known.priority_weight for known in classes}, reverse=True)
+        self._ranks = {known.name: weights.index(known.priority_weight) for known in classes}
+        self._idempotent = {known.name: known.idempotency is Idempotency.IDEMPOTENT for known in classes}
+        self._objectives_ns = {known.name: known.latency_objective_ns for known in classes}
+        self._tenants = tenants if tenants is not None else initial_table(settings.tenants)
 
     def may_reject(self, class_name: str) -> bool:
         """Whether requests of this class may be rejected here: not filings, nor what may run only once."""
         return self._idempotent.get(class_name, False)
 
-    def admits(self, cls: str, tenant: str | None, caller: int, age: int) -> int | None:
+    def admits(self, class_name: str, tenant: str | None, caller: int, age_ns: int) -> int | None:
         """None where the request is admitted; else the Retry-After (ns) that its caller gets.
 
         Args:
-            cls: the name of its class.
+            class_name: the name of its class.
             tenant: the name of its tenant.
             caller: tells the callers of a tenant apart.
-            age: ns since it reached the machine.
+            age_ns: since it reached the machine.
         """
-        key = (cls, tenant, caller)
+        key = (class_name, tenant, caller)
         self._arrivals[key] += 1
-        if not self._detector.overloaded or not self.may_reject(cls):
+        if not self._detector.overloaded or not self.may_reject(class_name):
             self.interval_counts.admitted += 1
             return None
-        if age >= MAX_AGE_OF_OBJECTIVE * self._objectives_ns[cls]:
-            return self._reject(cls, RejectionReason.READ_TOO_LATE)
+        if age_ns >= MAX_AGE_OF_OBJECTIVE * self._objectives_ns[class_name]:
+            return self._reject(class_name, RejectionReason.READ_TOO_LATE)
         if not self._take_token(key):
-            return self._reject(cls, RejectionReason.OVERLOADED)
+            return self._reject(class_name, RejectionReason.OVERLOADED)
         self.interval_counts.admitted += 1
         return None
 
@@ -196,5 +195,5 @@
         return claims
 
     def _tenant_weight(self, name: str | None) -> float:
-        tenant = self._tenants.of(name)
+        tenant = self._tenants.get(name)
         return max(MIN_TENANT_SHARE, tenant.share) if tenant is not None else 1.0
--- a/ochrehoist/overload/limiter.py
+++ b/ochrehoist/overload/limiter.py
@@ -22,7 +22,9 @@
 
 NS_PER_S = 1_000_000_000
 OVER_BUDGET_BACKOFF_NS = NS_PER_S  # that a caller over its retry budget gets, before jitter
-MAX_REPORTED_MULTIPLE = 4.0  # of the usual that the module hears of a run: rare ones must not teach a class
+MAX_REPORTED_MULTIPLE = (
+    4.0  # of the usual that the controller hears of a run: rare ones must not teach a class
+)
 COLLAPSE_MARGIN = 0.8  # of the concurrency that the cores survive, up to which a limit goes by default
 NO_ALGORITHM = "module"  # the configured controller that leaves the limit to the admission controller
 
@@ -30,7 +32,7 @@
 class AdaptiveLimiter:
     """The core's ConcurrencyLimiter: tells the admission controller its limits, and rejects excess retries.
 
-    It never blocks and has no clock: `now` is in ns by the core's clock.
+    It never blocks and has no clock: times are in ns by the core's clock.
     """
 
     def __init__(self, config: OverloadConfig, settings: AdmissionSettings, seed: int) -> None:
@@ -66,9 +68,9 @@
         self.activity = {name: self.activity.get(name, ClassActivity()) for name in names}
         self._announced = None
 
-    def check_arrival(self, request: InboundRequest, now: int) -> Rejection | None:
+    def check_arrival(self, request: InboundRequest, now_ns: int) -> Rejection | None:
         """Whether a request that never ran is rejected before the admission controller hears of it."""
-        now_s = self._advance(now)
+        now_s = self._advance(now_ns)
         activity = self.activity.get(request.request_class.name)
         if activity is not None:
             activity.last_arrival_s = now_s
@@ -83,68 +85,68 @@
             return None
         return Rejection(self.retry_budget.jittered(OVER_BUDGET_BACKOFF_NS))
 
-    def estimate_cost(self, request: InboundRequest, now: int) -> float:
+    def estimate_cost(self, request: InboundRequest, now_ns: int) -> float:
         """How many times the usual the request will cost."""
         if not self.config.low_priority_lane:
             return 1.0
-        return self.cost_predictor.cost_multiple(request, now / NS_PER_S)
+        return self.cost_predictor.cost_multiple(request, now_ns / NS_PER_S)
 
-    def run_started(self, request: InboundRequest, now: int) -> None:
+    def run_started(self, request: InboundRequest, now_ns: int) -> None:
         """A run was started."""
-        self._advance(now)
+        self._advance(now_ns)
         self.running += 1
         activity = self.activity.get(request.request_class.name)
         if activity is not None:
             activity.running += 1
 
-    def run_ended(self, request: InboundRequest, now: int, took: int, outcome: Outcome) -> int:
-        """Learns from a run that took so long (ns); gives the duration that the module is to hear."""
-        now_s = self._advance(now)
+    def run_ended(self, request: InboundRequest, now_ns: int, duration_ns: int, outcome: Outcome) -> int:
+        """Learns from a run that has ended; gives the duration (ns) that the controller is to learn from."""
+        now_s = self._advance(now_ns)
         contention = max(1.0, self.running / max(1, self.settings.cores))
         self.running = max(0, self.running - 1)
         activity = self.activity.get(request.request_class.name)
         if activity is not None:
             activity.running = max(0, activity.running - 1)
-        if outcome is not Outcome.OK or took <= 0:
-            return took
-        cost_multiple = self.cost_predictor.learn(request, now_s, took / NS_PER_S, contention)
+        if outcome is not Outcome.OK or duration_ns <= 0:
+            return duration_ns
+        cost_multiple = self.cost_predictor.learn(request, now_s, duration_ns / NS_PER_S, contention)
         self._learn_class_cost(request.request_class.name, activity)
-        self._windows.record_completion(now_s, self._work_done(request, cost_multiple), took / NS_PER_S)
+        self._windows.record_completion(
+            now_s, self._work_done(request, cost_multiple), duration_ns / NS_PER_S
+        )
         if (
             self.config.low_priority_lane
             and request.cost_multiple <= 1
             and cost_multiple > MAX_REPORTED_MULTIPLE
         ):
             self._mispredicted += 1
-            return int(took * MAX_REPORTED_MULTIPLE / cost_multiple)
-        return took
+            return int(duration_ns * MAX_REPORTED_MULTIPLE / cost_multiple)
+        return duration_ns
 
-    def request_rejected(self, request: InboundRequest, backoff: int, now: int) -> int:
+    def request_rejected(self, request: InboundRequest, retry_after_ns: int, now_ns: int) -> int:
         """A request was rejected; gives the backoff (ns) that its caller is to hear."""
         if not self.config.retry_budget:
-            return backoff
-        self.retry_budget.record_rejection(self._signature(request), now / NS_PER_S)
-        return self.retry_budget.jittered(backoff)
+            return retry_after_ns
+        self.retry_budget.record_rejection(self._signature(request), now_ns / NS_PER_S)
+        return self.retry_budget.jittered(retry_after_ns)
 
-    def evaluate(self, now: int, held: Mapping[str, int]) -> ConcurrencyLimits | None:
-        """The limits to keep to from now on, where they have changed; `held` are requests by class."""
-        now_s = self._advance(now)
+    def evaluate(self, now_ns: int, waiting: Mapping[str, int]) -> ConcurrencyLimits | None:
+        """The limits to keep to from now on, where they have changed.
+
+        `waiting`: requests by class that are neither started nor answered.
+        """
+        now_s = self._advance(now_ns)
         for name, activity in self.activity.items():
-            activity.queued = held.get(name, 0)
+            activity.queued = waiting.get(name, 0)
         if not self.config.bulkheads:
             return None
         window = self._windows.close(now_s)
         if window is not None:
             self.algorithm.update(window)
         self.low_cost = low_cost_classes(self.activity)
-        limits = bulkhead_limits(
-            None if self.config.controller == NO_ALGORITHM else self.algorithm.limit,
-            self.settings,
-            self.activity,
-            now_s,
-            self.low_cost,
-            self.config.low_priority_lane,
-        )
+        limit = None if self.config.controller == NO_ALGORITHM else self.algorithm.limit
+        lane = self.config.low_priority_lane
+        limits = bulkhead_limits(limit, self.settings, self.activity, now_s, self.low_cost, lane)
         if limits == self._announced:
             return None
         self._announced = limits
@@ -174,9 +176,9 @@
             },
         }
 
-    def _advance(self, now: int) -> float:
+    def _advance(self, now_ns: int) -> float:
         """Counts the time since the last event with what ran in it; gives `now` in seconds."""
-        now_s = now / NS_PER_S
+        now_s = now_ns / NS_PER_S
         span_s = max(0.0, now_s - self._updated_s) if self._updated_s else 0.0
         self._windows.record_concurrency(span_s, self.running)
         self._updated_s = now_s
--- a/ochrehoist/overload/overload_control.py
+++ b/ochrehoist/overload/overload_control.py
@@ -2,7 +2,7 @@
 
 from ochrehoist.admission.settings import AdmissionSettings
 from ochrehoist.config.schema import OverloadConfig
-from ochrehoist.core.tenants import Tenants
+from ochrehoist.core.tenants import TenantTable
 from ochrehoist.overload.early_rejection import EarlyRejection
 from ochrehoist.overload.limiter import AdaptiveLimiter
 from ochrehoist.overload.overload_detector import OverloadDetector
@@ -22,7 +22,9 @@
             self.early_rejection = EarlyRejection(self.detector, settings, seed)
         self.timings = StageTimings()
 
-    def configure(self, settings: AdmissionSettings, config: OverloadConfig | None, tenants: Tenants) -> None:
+    def configure(
+        self, settings: AdmissionSettings, config: OverloadConfig | None, tenants: TenantTable
+    ) -> None:
         """Takes reloaded settings. What was off at the start stays off, and the other way round."""
         self.limiter.configure(settings, config if config is not None else self.limiter.config)
         if self.early_rejection is not None:
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -66,7 +66,7 @@
         self.addCleanup(self.program.close)
         self.kernel = self.program.kernel
 
-    def reload(self, site, event="settings changed"):
+    def reload(self, site, event="settings_changed"):
         return self.program.reload("config.json", json.dumps(self.program.config | {"settings": site}), event)
 
     def test_classes_come_and_go_while_open_requests_and_keys_stay(self):
@@ -79,7 +79,9 @@
         joined = router.invoke("filing", b"doc", token="t1", again="1")
         held = router.invoke("filing", b"held", token="t2")  # two cores, both taken
         router.ping()
-        self.assertEqual(self.reload(site(("new", 1500, KEYED), ("read", 1700, {})))["gone"], ["filing"])
+        self.assertEqual(
+            self.reload(site(("new", 1500, KEYED), ("read", 1700, {})))["removed_classes"], ["filing"]
+        )
         # Of a class that is gone, what ran is answered for its whole window, and nothing else is begun.
         self.assertEqual(router.call("filing", b"done", token="t0", again="1"), ("Answer", {}, b"before"))
         self.assertEqual(router.call("filing", b"other", token="t0", again="1")[0], "Broken")
@@ -166,7 +168,7 @@
         new.took_over()
         old.process.send_signal(signal.SIGTERM)
         without = json.dumps(new.config | {"settings": site(("read", 1700, {}))})
-        new.reload("config.json", without, "settings changed")
+        new.reload("config.json", without, "settings_changed")
         late = router.invoke("filing", b"doc", token="t", again="1")  # to the old one; its class is gone
         other = router.invoke("filing", b"other", token="u")
         self.assertEqual(router.answer(other)[0], "Throttled")
