--- a/ochrehoist/app/operator_api.py
+++ b/ochrehoist/app/operator_api.py
@@ -87,7 +87,7 @@
             "failed": metrics.total(RequestCounter.FAILED),
             "keys": len(core.idempotency.runs),
             "result_bytes": core.idempotency.bytes,
-            "log_dropped": self._sink.dropped,
+            "log_dropped": self._sink.dropped_lines,
             "connections": {type(front).__name__: len(front.connections) for front in self._fronts},
         }
         for section in STATUS_SECTIONS:
--- a/ochrehoist/app/worker.py
+++ b/ochrehoist/app/worker.py
@@ -69,7 +69,7 @@
         # some supervisors leave SIGHUP ignored, and a worker deaf to it would serve an old configuration.
         loop = self.parts.loop
         loop.on_signal(signal.SIGTERM, self._ending.leave)
-        loop.on_signal(signal.SIGHUP, self.parts.reloading.order)
+        loop.on_signal(signal.SIGHUP, self.parts.reloading.request_reload)
         if signal.getsignal(signal.SIGINT) is not signal.SIG_IGN:  # ignored by a shell for background jobs
             loop.on_signal(signal.SIGINT, self._ending.leave)
 
--- a/ochrehoist/app/worker_parts.py
+++ b/ochrehoist/app/worker_parts.py
@@ -12,9 +12,11 @@
 from collections.abc import Callable, Mapping
 from typing import TYPE_CHECKING, Any
 
+from ochrehoist.app.kernel_link_supervisor import KernelLinkSupervisor
 from ochrehoist.app.logs import LogSink, start_log
 from ochrehoist.app.operator_api import OperatorApi
-from ochrehoist.app.reload import Part, Reloading, switch_only
+from ochrehoist.app.reload import ConfigReloader
+from ochrehoist.app.reload_change import Participant, commit_only
 from ochrehoist.app.resource_limits import (
     BODY_MEMORY_FRACTION,
     BYTES_PER_MB,
@@ -42,9 +44,9 @@
     from ochrehoist.capture.taker import Capture
     from ochrehoist.core.protocols import AdmissionFilter
     from ochrehoist.net.peers import Peers
-    from ochrehoist.net.recovery import Recovery
+    from ochrehoist.net.recovery import RecoveryMonitor
     from ochrehoist.net.self_monitoring import SelfMonitor
-    from ochrehoist.net.sites import Sites
+    from ochrehoist.net.sites import SiteService
     from ochrehoist.overload.overload_control import OverloadControl
     from ochrehoist.store.journal import Journal
 
@@ -104,7 +106,7 @@
         self.loop = Loop(self.log)
         self.fronts: list[ThriftFront | AjpFront] = []
         self.listeners: list[Listener] = []
-        self._reloadable: list[Part] = []  # take a configuration read again; read at each reload
+        self._reloadable: list[Participant] = []  # take a configuration read again; read at each reload
         self._kernel_is_shared: Callable[[], bool] = lambda: False
         self.overload_control = self._build_overload_control()
         self.core = self._build_core()
@@ -193,7 +195,7 @@
         )
         self._add_front(front)
         self._reloadable += [
-            switch_only(lambda new, _: servers.configure(new.ajp)),
+            commit_only(lambda new, _: servers.configure(new.ajp)),
             lambda new, _: front.prepare(new.ajp, new.settings),
         ]
         return servers
@@ -213,7 +215,7 @@
         )
         self.tasks.append(kernel.run)
         self.operator_api.add_status("kernel", kernel)
-        self._reloadable.append(switch_only(lambda new, _: kernel.move(new.kernel_address, new.gauges)))
+        self._reloadable.append(commit_only(lambda new, _: kernel.move(new.kernel_address, new.gauges)))
         sock = self.inherited.get(config.listen)
         if config.inherited_fd is not None:
             sock = socket.socket(fileno=config.inherited_fd)
@@ -228,7 +230,7 @@
             sock,
             self._admission_filter,
         )
-        self._reloadable.append(switch_only(lambda new, _: front.configure(new.settings)))
+        self._reloadable.append(commit_only(lambda new, _: front.configure(new.settings)))
         self._add_front(front)
         return kernel
 
@@ -246,7 +248,7 @@
         members = None
         if config.membership_address:
             members = Members(self.loop, self.core, config.membership_address, config.name, self.log)
-            self._reloadable.append(switch_only(lambda new, _: members.move(new.membership_address)))
+            self._reloadable.append(commit_only(lambda new, _: members.move(new.membership_address)))
             self.core.register_listener(members)
         for front in self.fronts:
             self.core.register_listener(front)
@@ -267,28 +269,29 @@
     def _operator_calls(self) -> Mapping[str, Mapping[str, Callable[[], Answer]]]:
         calls = self.operator_api.calls()
         if self.config.recovery:
-            from ochrehoist.recovery.stages import STAGES
+            from ochrehoist.recovery.startup_progress import StartupStage
 
-            calls |= {f"/recovery/skip/{stage}": {"POST": self._skip_call(stage)} for stage in STAGES}
+            calls |= {f"/recovery/skip/{stage}": {"POST": self._skip_call(stage)} for stage in StartupStage}
         if not self.config.sites:
             return calls
-        from ochrehoist.net.sites import Calls
+        from ochrehoist.net.sites import SiteCommandRoutes
 
-        return Calls(calls, lambda site, command: self.sites.order(site, command))
+        return SiteCommandRoutes(calls, lambda site, kind: self.sites.issue_command(site, kind))
 
     def _skip_call(self, stage: str) -> Callable[[], Answer]:
         return lambda: said({"said": self.recovery.skip(stage)})
 
     # ---- configuration
-    def _build_reloading(self, path: str | None) -> Reloading:
-        reloading = Reloading(
+    def _build_reloading(self, path: str | None) -> ConfigReloader:
+        reloading = ConfigReloader(
             self.loop, self.core, self.config, path, self._reloadable, self.kernel, self.log
         )
         self.operator_api.add_status("configuration", reloading)
         if self.config.ajp:  # the platform's worker keeps to the fixed names
             self.operator_api.add_metrics("configuration", reloading)
         if self.kernel:
-            self.tasks.append(reloading.watch_link)
+            supervisor = KernelLinkSupervisor(self.loop, self.core, self.kernel, reloading, self.log)
+            self.tasks.append(supervisor.run)
         return reloading
 
     # ---- what only some workers have
@@ -318,7 +321,7 @@
 
         capture = Capture(self.loop, self.core, self.config, self.log)
         self.core.register_observer(capture)
-        self._reloadable.append(switch_only(lambda new, _: capture.configure(new)))
+        self._reloadable.append(commit_only(lambda new, _: capture.configure(new)))
         self.operator_api.add_status("capture", capture)
         return capture
 
@@ -330,7 +333,7 @@
 
         monitor = SelfMonitor(self.loop, self.core, control, self.fronts, self.log)
         self._reloadable.append(
-            switch_only(lambda new, tenants: control.configure(new.settings, new.overload, tenants))
+            commit_only(lambda new, tenants: control.configure(new.settings, new.overload, tenants))
         )
         self._add_to_operator_api("overload", monitor)
         return monitor
@@ -348,24 +351,26 @@
         self._add_to_operator_api("peers", peers)
         return peers
 
-    def _build_sites(self) -> Sites | None:
+    def _build_sites(self) -> SiteService | None:
         if not self.config.sites:
             return None
-        from ochrehoist.net.sites import Sites
+        from ochrehoist.net.sites import SiteService
 
-        sites = Sites(
+        sites = SiteService(
             self.loop, self.core, self.config, self.peers, not self.inherited.replaces_process, self.log
         )
-        self._reloadable.append(switch_only(sites.configure))
+        self._reloadable.append(commit_only(sites.configure))
         self._add_to_operator_api("sites", sites)
         return sites
 
-    def _build_recovery(self) -> Recovery | None:
+    def _build_recovery(self) -> RecoveryMonitor | None:
         if not self.config.recovery:
             return None
-        from ochrehoist.net.recovery import Recovery
+        from ochrehoist.net.recovery import RecoveryMonitor
 
-        recovery = Recovery(self.loop, self.core, self.config, self, self.log)
+        recovery = RecoveryMonitor(
+            self.loop, self.core, self.config, self.journal, self.peers, self.ajp_servers, self.log
+        )
         self._add_to_operator_api("recovery", recovery)
         return recovery
 
--- a/ochrehoist/overload/concurrency_limits.py
+++ b/ochrehoist/overload/concurrency_limits.py
@@ -13,6 +13,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
+from ochrehoist.config.schema import LimitController
 from ochrehoist.overload.completion_window import CompletionWindow
 
 MIN_UTILISATION = 0.8  # of the limit that must run for a window to say anything about it
@@ -242,12 +243,12 @@
         self._centre = self.bounds.clamp(self._centre * math.exp(move))
 
 
-# By the name that the configuration gives; every other name stands for a fixed limit.
-LIMIT_ALGORITHMS: dict[str, type[LimitAlgorithm]] = {
-    "seek": ExtremumSeekingLimit,
-    "steps": HillClimbingLimit,
-    "gradient": GradientLimit,
-    "vegas": VegasLimit,
-    "aimd": AimdLimit,
-    "fixed": FixedLimit,
+# Every other controller of the configuration stands for a fixed limit.
+LIMIT_ALGORITHMS: dict[LimitController, type[LimitAlgorithm]] = {
+    LimitController.SEEK: ExtremumSeekingLimit,
+    LimitController.STEPS: HillClimbingLimit,
+    LimitController.GRADIENT: GradientLimit,
+    LimitController.VEGAS: VegasLimit,
+    LimitController.AIMD: AimdLimit,
+    LimitController.FIXED: FixedLimit,
 }
--- a/ochrehoist/overload/limiter.py
+++ b/ochrehoist/overload/limiter.py
@@ -6,7 +6,7 @@
 
 from ochrehoist.admission.events import ConcurrencyLimits, Outcome
 from ochrehoist.admission.settings import AdmissionSettings
-from ochrehoist.config.schema import OverloadConfig
+from ochrehoist.config.schema import LimitController, OverloadConfig
 from ochrehoist.core.request import InboundRequest
 from ochrehoist.core.results import Rejection
 from ochrehoist.overload.bulkheads import ClassActivity, bulkhead_limits, low_cost_classes
@@ -26,7 +26,6 @@
     4.0  # of the usual that the controller hears of a run: rare ones must not teach a class
 )
 COLLAPSE_MARGIN = 0.8  # of the concurrency that the cores survive, up to which a limit goes by default
-NO_ALGORITHM = "module"  # the configured controller that leaves the limit to the admission controller
 
 
 class AdaptiveLimiter:
@@ -64,8 +63,8 @@
         else:
             self.algorithm.bounds = bounds
             self.algorithm.limit = bounds.clamp(self.algorithm.limit)
-        names = {request_class.name for request_class in settings.classes}
-        self.activity = {name: self.activity.get(name, ClassActivity()) for name in names}
+        before = self.activity
+        self.activity = {known.name: before.get(known.name, ClassActivity()) for known in settings.classes}
         self._announced = None
 
     def check_arrival(self, request: InboundRequest, now_ns: int) -> Rejection | None:
@@ -144,7 +143,7 @@
         if window is not None:
             self.algorithm.update(window)
         self.low_cost = low_cost_classes(self.activity)
-        limit = None if self.config.controller == NO_ALGORITHM else self.algorithm.limit
+        limit = None if self.config.controller is LimitController.MODULE else self.algorithm.limit
         lane = self.config.low_priority_lane
         limits = bulkhead_limits(limit, self.settings, self.activity, now_s, self.low_cost, lane)
         if limits == self._announced:
@@ -158,7 +157,9 @@
         floors = self._announced.class_floors if self._announced else ()
         predicted = Counter({str(basis): count for basis, count in self.cost_predictor.predicted.items()})
         return {
-            "limit": None if self.config.controller == NO_ALGORITHM else round(self.algorithm.limit, 1),
+            "limit": None
+            if self.config.controller is LimitController.MODULE
+            else round(self.algorithm.limit, 1),
             "controller": self.config.controller,
             "running": self.running,
             "cheap": sorted(self.low_cost),
