--- a/ochrehoist/app/worker_parts.py
+++ b/ochrehoist/app/worker_parts.py
@@ -357,7 +357,13 @@
         from ochrehoist.net.sites import SiteService
 
         sites = SiteService(
-            self.loop, self.core, self.config, self.peers, not self.inherited.replaces_process, self.log
+            self.loop,
+            self.core,
+            self.config.name,
+            self.config.sites,
+            self.peers,
+            not self.inherited.replaces_process,
+            self.log,
         )
         self._reloadable.append(commit_only(sites.configure))
         self._add_to_operator_api("sites", sites)
@@ -369,7 +375,15 @@
         from ochrehoist.net.recovery import RecoveryMonitor
 
         recovery = RecoveryMonitor(
-            self.loop, self.core, self.config, self.journal, self.peers, self.ajp_servers, self.log
+            self.loop,
+            self.core,
+            self.config.name,
+            self.config.recovery,
+            self.config.state,
+            self.journal,
+            self.peers,
+            self.ajp_servers,
+            self.log,
         )
         self._add_to_operator_api("recovery", recovery)
         return recovery
