--- a/benchmarks/limit_choice.py
+++ b/benchmarks/limit_choice.py
@@ -1,5 +1,5 @@
-"""Which way to find the running limit, and what pools, lane and budgets do: fleets on virtual time with the
-real core and module, each case with and without, on the same draws.
+"""Which algorithm to find the concurrency limit by, and what bulkheads, lane and retry budgets do: fleets on
+virtual time with the real core and module, each case with and without, on the same draws.
 
 `python -m benchmarks.limit_choice [--seeds N] [--seconds N] [--jobs N] [CASE ...]`. Goodput, and that of
 the class that the case is about.
@@ -16,7 +16,7 @@
 
 from ochrehoist.config.fleet_description import parse
 from ochrehoist.config.schema import LimitController, OverloadConfig
-from ochrehoist.overload.limiter import Limiter
+from ochrehoist.overload.limiter import AdaptiveLimiter
 from ochrehoist.plan.cores import Cores
 from ochrehoist.plan.events import Simulation
 
@@ -80,7 +80,7 @@
             w.machine = dataclasses.replace(w.machine, cores=real.cores)
             w.cores = Cores(w.machine, 0.0, False)
         if WAYS[way] is not None:
-            w.owner.register_limiter(Limiter(WAYS[way], w.owner.settings, seed))
+            w.owner.register_limiter(AdaptiveLimiter(WAYS[way], w.owner.settings, seed))
         if unstated:
             plain = w._inbound
 
--- a/ochrehoist/lab/sitestorm.py
+++ b/ochrehoist/lab/sitestorm.py
@@ -102,13 +102,13 @@
     def acquire(self, now: float) -> float:
         """Seconds for which it is held from now on; 0: not held."""
         self.release()
-        self._ticket = self._node.group.use(STEP_LEASE_BUDGET, now)
+        self._ticket = self._node.group.leases.acquire(STEP_LEASE_BUDGET, now)
         return STEP_LEASE_DURATION_S if self._ticket is not None else 0.0
 
     def release(self) -> None:
         """Lets another site have it at once."""
         if self._ticket is not None:
-            self._node.group.done(STEP_LEASE_BUDGET, self._ticket)
+            self._node.group.leases.release(STEP_LEASE_BUDGET, self._ticket)
             self._ticket = None
 
 
@@ -166,7 +166,7 @@
         s = self.stations[node.name] = Station(node, coordinator, cores, module)
         s.born = self.now
         self._tell(s, InstanceStarted())
-        node.group.extensions[TOPIC] = coordinator
+        node.group.add_extension(TOPIC, coordinator)
 
     def _beaten(self, node: Node) -> None:
         s = self.stations[node.name]
--- a/ochrehoist/net/sites.py
+++ b/ochrehoist/net/sites.py
@@ -76,7 +76,7 @@
             BudgetStepLease(peers.group),
         )
         self._was_evacuated = False
-        peers.group.extensions[TOPIC] = self._coordinator
+        peers.group.add_extension(TOPIC, self._coordinator)
         owner.register_fleet_admission(self._coordinator.gate)
         owner.register_observer(self._coordinator.gate)
         owner.set_load_fraction(self._coordinator.load_fraction)
--- a/ochrehoist/sites/coordinator.py
+++ b/ochrehoist/sites/coordinator.py
@@ -10,7 +10,7 @@
 from ochrehoist.admission.settings import AdmissionSettings
 from ochrehoist.core.tenants import TenantTable
 from ochrehoist.errors import OchrehoistError
-from ochrehoist.peers.wire import Life
+from ochrehoist.peers.wire import Incarnation
 from ochrehoist.sites.admission_gate import AdmissionGate
 from ochrehoist.sites.load_pacing import LoadPacing
 from ochrehoist.sites.operator_commands import CommandKind, OperatorCommands
@@ -145,7 +145,7 @@
             fields: dict[str, object] = {
                 "site": change.site,
                 "state": str(change.state),
-                "why": change.reason,
+                "reason": change.reason,
             }
             self._events.append(SiteEvent(SiteEventName.SITE_STATE_CHANGED, fields))
 
@@ -230,6 +230,6 @@
         """Messages to members, as name, topic and data."""
         return self.playbooks.queries(self.peers)
 
-    def took(self, sender: Life, topic: str, data: bytes, now: float) -> list[tuple[str, bytes]]:  # noqa: ARG002
+    def took(self, sender: Incarnation, topic: str, data: bytes, now: float) -> list[tuple[str, bytes]]:  # noqa: ARG002
         """Handles one message, and gives the answers to its sender as topic and data."""
         return self.playbooks.handle(sender.name, topic, data)
--- a/ochrehoist/store/journal_metrics.py
+++ b/ochrehoist/store/journal_metrics.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from hdrh.histogram import HdrHistogram
+from hdrh.histogram import HdrHistogram  # type: ignore[import-untyped]
 
 MAX_LATENCY_US = 60_000_000  # longer commits count as this one
 SIGNIFICANT_DIGITS = 2
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -20,7 +20,7 @@
 from ochrehoist.core.results import RunResult
 from ochrehoist.net.members import Members
 from ochrehoist.peers import wire
-from ochrehoist.peers.counts import Ledger
+from ochrehoist.peers.counters import ReplicatedCounters
 from ochrehoist.store.operations import DeleteIntent, PutIntent, PutResult, coalesce
 from ochrehoist.store.records import IntentRecord, ResultRecord, encode_key, encode_record
 
@@ -254,25 +254,27 @@
 
 
 class BetweenMembers(unittest.TestCase):
-    def _ledger(self, number, tenants):
-        ledger = Ledger(wire.Life(f"worker-{number:04}", 1 << 40, 1 << 61), 3000)
+    def _counters(self, number, tenants):
+        counters = ReplicatedCounters(wire.Incarnation(f"worker-{number:04}", 1 << 40, 1 << 61), 3000)
         for n in range(tenants):
             for word in ("answered", "deferred", "errored"):
-                ledger.add(f"tenant/tenant-{n:06}/{word}", 1000)
-        return ledger
+                counters.add(f"tenant/tenant-{n:06}/{word}", 1000)
+        return counters
 
     def _answer(self, tenants, members):
-        mine = self._ledger(1, tenants)
+        mine = self._counters(1, tenants)
         for n in range(members):
-            mine.learn(self._ledger(n + 2, tenants).to_tell(0.0)[0], 0, 0)
-        return len(wire._encode([wire.Ack(1 << 61, "", [], [], mine.to_tell(1.0))]))
+            mine.merge_snapshot(self._counters(n + 2, tenants).snapshots(0.0)[0], 0, 0)
+        return len(wire._encode([wire.Ack(1 << 61, "", [], [], mine.snapshots(1.0))]))
 
     def test_counts_in_an_answer_do_not_grow_with_the_fleet(self):
         self.assertEqual(len({self._answer(10, n) for n in (4, 100, 400)}), 1)
 
     def test_an_answer_fits_a_datagram_whatever_tenants_were_answered(self):
         sizes = {n: self._answer(n, 4) for n in SIZES}
-        self.assertLess(max(sizes.values()), 0.8 * wire.MOST, sizes)  # the rest is for states and statuses
+        self.assertLess(
+            max(sizes.values()), 0.8 * wire.MAX_DATAGRAM_BYTES, sizes
+        )  # the rest is for states and statuses
 
 
 if __name__ == "__main__":
