--- a/tests/test_config_at_size.py
+++ b/tests/test_config_at_size.py
@@ -1,8 +1,8 @@
 """Configurations read in steps: equal to reading them afresh, and the work by what is new."""
 
+import ast
 import json
 import os
-import re
 import subprocess
 import sys
 import tempfile
@@ -565,16 +565,24 @@
             loaded.append("ochrehoist.config.toml_reader" in done.stdout.split())
         self.assertEqual(loaded, [False, True])
 
+    @staticmethod
+    def imported(path):
+        """Names of the package's modules that a file imports, anywhere in it and in any form."""
+        found = set()
+        for node in ast.walk(ast.parse(path.read_text())):
+            if isinstance(node, ast.ImportFrom) and node.module == "ochrehoist.config":
+                found |= {alias.name for alias in node.names}
+            elif isinstance(node, ast.ImportFrom):
+                found.add((node.module or "").removeprefix("ochrehoist.config."))
+            elif isinstance(node, ast.Import):
+                found |= {alias.name.removeprefix("ochrehoist.config.") for alias in node.names}
+        return found
+
     def test_no_module_of_the_configuration_needs_one_that_needs_it(self):
         package = Path(ROOT, "ochrehoist", "config")
         names = {path.stem for path in package.glob("*.py")} - {"__init__"}
         self.assertGreaterEqual(len(names), 8)
-        imported = re.compile(
-            r"^\s*(?:from ochrehoist\.config\.(\w+) import|from ochrehoist\.config import (\w+))",
-            re.MULTILINE,
-        )
-        needs = {name: set(imported.findall(Path(package, f"{name}.py").read_text())) for name in names}
-        needs = {name: {a or b for a, b in found} & names for name, found in needs.items()}
+        needs = {name: self.imported(Path(package, f"{name}.py")) & names for name in names}
         while needs:
             free = {name for name, others in needs.items() if not others & needs.keys()}
             self.assertTrue(free, needs)
