--- a/benchmarks/routes.py
+++ b/benchmarks/routes.py
@@ -58,7 +58,7 @@
     found[name] = [took[len(took) // 2] / 1000, took[len(took) * 99 // 100] / 1000]
 out = {"found": found}
 try:
-    from ochrehoist.routes import RouteIndex
+    from ochrehoist.net.route_index import RouteIndex
 except ImportError:
     RouteIndex = None
 if RouteIndex is not None:
--- a/ochrehoist/net/ajp_front.py
+++ b/ochrehoist/net/ajp_front.py
@@ -25,8 +25,8 @@
 from ochrehoist.net.ajp_server import AjpPayload, read_packet
 from ochrehoist.net.listener import Listening, Pace, close_least
 from ochrehoist.net.loop import Loop
+from ochrehoist.net.route_index import RouteIndex
 from ochrehoist.net.stream import ConnectionClosedError, Stream, StreamTimeoutError
-from ochrehoist.routes import RouteIndex
 from ochrehoist.steps import run_to_completion
 
 S = 1_000_000_000
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -13,7 +13,7 @@
 from ochrehoist.config.schema import AjpRoute
 from ochrehoist.net import ajp
 from ochrehoist.net.ajp_front import AjpReader, Rejected
-from ochrehoist.routes import RouteIndex
+from ochrehoist.net.route_index import RouteIndex
 from ochrehoist.steps import run_to_completion
 
 SIZES = (38, 380, 3800)
