--- a/ochrehoist/net/route_index.py
+++ b/ochrehoist/net/route_index.py
@@ -75,8 +75,8 @@
     def find(self, method: str, path: str) -> AjpRoute | None:  # noqa: C901, PLR0912
         """The first route that matches, None where none does.
 
-        One function, since it is run for each request: split by literal, prefix and suffix it took about twice
-        as long.
+        One function, since it is run for each request: split by literal, prefix and suffix it took about
+        twice as long.
         """
         size = len(path)
         found: AjpRoute | None = None
