--- a/ochrehoist/config/schema.py
+++ b/ochrehoist/config/schema.py
@@ -45,7 +45,7 @@
     """Which site an address lies in, by the fleet's description."""
 
     @property
-    def names(self) -> Sequence[str]:
+    def site_names(self) -> Sequence[str]:
         """The names of all sites."""
 
     def site_of(self, host: str) -> str | None:
