--- a/ochrehoist/app/kernel_link_supervisor.py
+++ b/ochrehoist/app/kernel_link_supervisor.py
@@ -1,12 +1,12 @@
 """Watches the link to the kernel: health turns bad without it, and the configuration is reloaded."""
 
 import time
-from typing import Any
 
 from ochrehoist.app.reload import ConfigReloader
 from ochrehoist.core.actor import CoreActor
 from ochrehoist.core.kernel_link_monitor import KernelLinkMonitor
 from ochrehoist.core.messages import KernelLinkChanged
+from ochrehoist.core.protocols import Logger
 from ochrehoist.net.kernel import Kernel
 from ochrehoist.net.loop import Loop
 
@@ -17,7 +17,7 @@
     """Tells the core whether the kernel is within reach, and has a worker that is cut off look for it."""
 
     def __init__(
-        self, loop: Loop, core: CoreActor, kernel: Kernel, reloader: ConfigReloader, log: Any
+        self, loop: Loop, core: CoreActor, kernel: Kernel, reloader: ConfigReloader, log: Logger
     ) -> None:
         self._loop = loop
         self._core = core
--- a/ochrehoist/app/reload.py
+++ b/ochrehoist/app/reload.py
@@ -9,7 +9,6 @@
 import time
 from collections.abc import Generator, Sequence
 from functools import partial
-from typing import Any
 
 from ochrehoist.app.reload_change import ConfigChange, Participant, prepare_in_steps
 from ochrehoist.app.reload_status import ReloadStatus
@@ -17,6 +16,7 @@
 from ochrehoist.core.actor import CoreActor
 from ochrehoist.core.messages import ConfigurationSwitched
 from ochrehoist.core.metrics import ReloadCounter
+from ochrehoist.core.protocols import Logger
 from ochrehoist.errors import InvalidInputError
 from ochrehoist.net.kernel import Kernel
 from ochrehoist.net.loop import Loop, Signal
@@ -43,7 +43,7 @@
         path: str | None,
         participants: Sequence[Participant],
         kernel: Kernel | None,
-        log: Any,
+        log: Logger,
     ) -> None:
         self._loop = loop
         self._core = core
@@ -73,7 +73,7 @@
             self.reading = True
             self._loop.spawn(self._reload_once_if_new)
 
-    def view(self) -> dict[str, Any]:
+    def view(self) -> dict[str, object]:
         """The part `configuration` of /status."""
         return self.status.view(reading=self.reading)
 
@@ -225,5 +225,5 @@
         counts = self.status.counts_since_switch()
         self._log.info("config_outcome", state=self._core.state, **counts, **self._kernel_view())
 
-    def _kernel_view(self) -> dict[str, Any]:
+    def _kernel_view(self) -> dict[str, object]:
         return {} if self._kernel is None else {"kernel": self._kernel.view()}
--- a/ochrehoist/app/reload_status.py
+++ b/ochrehoist/app/reload_status.py
@@ -2,7 +2,6 @@
 
 import time
 from enum import StrEnum
-from typing import Any
 
 from ochrehoist.core.metrics import Metrics, RequestCounter, format_samples
 
@@ -66,7 +65,7 @@
         """Requests by outcome since the version in force came into it."""
         return {key: count - self._counts_at_switch[key] for key, count in self._counts().items()}
 
-    def view(self, *, reading: bool) -> dict[str, Any]:
+    def view(self, *, reading: bool) -> dict[str, object]:
         """The part `configuration` of /status. `reading`: a file is being read."""
         reason = {"why": self._reason} if self._reason else {}
         return {
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -172,7 +172,7 @@
         steps, switches = {}, {}
         for count, routes in ((3, 3), (2000, 130), (20_000, 1300)):
             worker, steps[count], switches[count] = self.change(count, routes, change)
-        # The longest steps parse a stretch of elements, of the same length at most; what the switch takes
+        # The longest steps parse a chunk of elements, of the same length at most; what the switch takes
         # more at times is what falls due in the core. A look at each tenant would be more than either.
         self.assertLess(max(steps.values()), 12_000, steps)
         for count, lines in switches.items():
--- a/tests/test_config_at_size.py
+++ b/tests/test_config_at_size.py
@@ -86,7 +86,7 @@
 
 
 class Configurations(Files):
-    """Small texts are read as large ones, in parts."""
+    """Small texts are read as large ones, in chunks."""
 
     def setUp(self):
         super().setUp()
@@ -440,7 +440,7 @@
 
 
 class Unusual(Files):
-    """What is not parted is read by a thread."""
+    """What cannot be split is read by a thread."""
 
     def forms(self):
         text = large(5_000, 300)
@@ -548,7 +548,7 @@
             loaded & {"tomli", "tomllib", "ochrehoist.config.toml_reader", "ochrehoist.config.fleet"}
         )
 
-    def test_a_short_file_does_not_load_the_reader_in_parts(self):
+    def test_a_short_file_does_not_load_the_chunk_reader(self):
         code = (
             "import sys; from ochrehoist.config import loader; loader.load(sys.argv[1], {}); "
             "print(*sys.modules)"
