--- a/tests/make_golden.py
+++ b/tests/make_golden.py
@@ -65,7 +65,8 @@
     assert first.ended() == 0
     first.close()
     second = Program(**how)
-    submit(second.ajp(), "begun", b"document that was begun")
+    client = second.ajp()  # kept: a caller that leaves takes its request back
+    submit(client, "begun", b"document that was begun")
     second.server.next()
     wait_for_operations(second, 1)
     second.process.kill()
@@ -96,7 +97,8 @@
     router.invoke("filing", b"running document", token="running")
     router.invoke("filing", b"running document", token="running")
     program.kernel.next()
-    submit(program.ajp(), "running-ajp", b"running document")
+    waiting = program.ajp()  # kept: a caller that leaves takes its request back
+    submit(waiting, "running-ajp", b"running document")
     program.server.next()
     router.invoke("filing", b"held document", token="held")
     router.invoke("read", b"held read")
