--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -558,6 +558,17 @@
         return self.got.get(timeout=PATIENCE)
 
 
+def default_signals():
+    """For `preexec_fn`: gives a process the dispositions of a terminal, whatever the tests' parent ignores.
+
+    A shell starts background jobs with SIGINT ignored, `nohup` with SIGHUP, and children inherit that.
+    """
+    signals = (signal.SIGINT, signal.SIGTERM, signal.SIGHUP)
+    for number in signals:
+        signal.signal(number, signal.SIG_DFL)
+    signal.pthread_sigmask(signal.SIG_UNBLOCK, signals)
+
+
 def run(*arguments, env=None):
     return subprocess.run(
         [sys.executable, "-m", "ochrehoist", *arguments],
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,5 +1,6 @@
 """Scale runs: a small one with real workers, its bounds, its ends, and what it makes of sizes."""
 
+import contextlib
 import json
 import os
 import signal
@@ -14,7 +15,7 @@
 from unittest import mock
 
 from click.testing import CliRunner
-from stand_ins import PATIENCE, ROOT
+from stand_ins import PATIENCE, ROOT, default_signals
 
 from ochrehoist.cli.lab import lab
 from ochrehoist.lab import hollow, scale, scale_report
@@ -41,22 +42,38 @@
         self.addCleanup(self.none_left)
 
     def none_left(self):
-        """Within a while: a process that was killed is there until it is waited for."""
+        """Within a while: a process that was killed is there until it is waited for.
+
+        What is left all the same fails the test, and is ended, so that nothing runs on behind it.
+        """
         until = time.monotonic() + PATIENCE
         while marked(self.mark) and time.monotonic() < until:
             time.sleep(0.05)
-        self.assertEqual(marked(self.mark), [])
+        left = marked(self.mark)
+        for pid in left:
+            with contextlib.suppress(ProcessLookupError):
+                os.kill(pid, signal.SIGKILL)
+        self.assertEqual(left, [])
 
     def begin(self, *arguments):
         name, _, value = self.mark.partition("=")
-        return subprocess.Popen(
+        process = subprocess.Popen(
             [sys.executable, "-m", "ochrehoist", "lab", "scale", *map(str, arguments)],
             cwd=ROOT,
             env=os.environ | {name: value},
             stdout=subprocess.PIPE,
             stderr=subprocess.PIPE,
             text=True,
+            preexec_fn=default_signals,
         )
+        self.addCleanup(self.end, process)  # before `none_left`
+        return process
+
+    def end(self, process):
+        """Of a test that failed midway; its children end with it."""
+        if process.poll() is None:
+            process.kill()
+        process.communicate()
 
     def run_whole(self, *arguments):
         process = self.begin(*arguments)
