--- a/tests/make_golden.py
+++ b/tests/make_golden.py
@@ -12,10 +12,12 @@
 those of 000e6de.
 """
 
+import io
 import json
 import signal
 import socket
 import sys
+import tempfile
 import time
 from pathlib import Path
 
@@ -202,7 +204,131 @@
     (out / "datagrams.json").write_text(json.dumps(plain, indent=1) + "\n")
 
 
-KINDS = {"store": store, "handover": handover, "datagrams": datagrams}
+def simulator(out):
+    """A script for two instances of the simulator's adapter, made as they answer, and the answers."""
+    import random
+
+    from ochrehoist.wirehost import Host
+    from stand_ins import settings
+
+    source, answers, errors, script = random.Random(20_261_202), io.StringIO(), io.StringIO(), []
+    host, now_ns, batch, jobs = Host(answers, errors), S, 0, 0
+    running, alarms, open_jobs = {1: [], 2: []}, {}, {1: [], 2: []}
+
+    def play(lines):
+        nonlocal batch
+        batch += 1
+        at = answers.tell()
+        for line in [f"BATCH {now_ns} {batch}", *lines, "EOF_BATCH"]:
+            script.append(line)
+            host.line(line)
+        answers.seek(at)
+        heard = answers.read().splitlines()
+        instance = None
+        for line in heard:
+            name, *rest = line.split(" ")
+            if name == "INSTANCE":
+                instance = int(rest[0])
+            elif name == "PROCESS":
+                running[instance].append((now_ns + source.randint(5, 40) * MS, rest[0]))
+            elif name in ("PUSH_BACK", "LOSE", "ATTACH"):
+                open_jobs[instance] = [job for job in open_jobs[instance] if job != rest[0]]
+            elif name == "WAKE_AT":
+                alarms[instance, rest[1]] = now_ns + int(rest[0])
+
+    text = json.dumps(settings(), separators=(",", ":"))
+    play([line for n in (1, 2) for line in (f"TARGET_INSTANCE {n}", f"CREATE {n + 6} {text}")])
+    for step in range(500):
+        now_ns += 4 * MS
+        lines = []
+        for n in (1, 2):
+            lines.append(f"TARGET_INSTANCE {n}")
+            busy = min(1.0, len(running[n]) / 2)
+            for (instance, token), due_ns in sorted(alarms.items()):
+                if instance == n and due_ns <= now_ns:
+                    del alarms[instance, token]
+                    lines.append(f"BELL {token} cpu_busy:{busy},runnable:{len(running[n])}")
+            for due_ns, job in list(running[n]):
+                if due_ns <= now_ns:
+                    running[n].remove((due_ns, job))
+                    open_jobs[n] = [other for other in open_jobs[n] if other != job]
+                    verdict = source.choice(["Ok"] * 12 + ["Failed", "TimedOut"])
+                    lines.append(f"COMPLETED {job} {verdict} {source.randint(5, 40) * MS}")
+            for _ in range(source.choice((0, 0, 1, 1, 2) if step % 200 < 120 else (0, 0, 0, 0, 1))):
+                jobs += 1
+                job, kind = f"job-{jobs}", source.choice(("read", "read", "filing"))
+                bits = source.choice((1, 1, 3)) | (4 if kind == "filing" else 0)
+                lines.append(
+                    f"INCOMING {job} {kind} {source.choice(('acme', '-'))} k:{jobs % 40} "
+                    f"{source.randint(300, 9000) * MS} {source.randint(5, 40) * MS} "
+                    f"{source.randint(10, 80)}.5 0.{source.randint(0, 9)} {bits} {source.randint(1, 4)} "
+                    f"{source.randint(0, 30) * MS} -"
+                )
+                open_jobs[n].append(job)
+            waiting = [job for job in open_jobs[n] if job not in {job for _, job in running[n]}]
+            if waiting and source.random() < 0.03:
+                gone = source.choice(waiting)
+                open_jobs[n].remove(gone)
+                lines.append(f"EXPIRED {gone}")
+        play(lines)
+    now_ns += MS
+    play(["TARGET_INSTANCE 1", f"RETIRE_SOON {2 * S}", "TARGET_INSTANCE 2", "DETACH"])
+    assert not errors.getvalue(), errors.getvalue()
+    (out / "simulator").mkdir(parents=True)
+    (out / "simulator" / "script.txt").write_text("".join(line + "\n" for line in script))
+    (out / "simulator" / "answers.txt").write_text(answers.getvalue())
+
+
+def all_tables(base):
+    """The text of deploy/recovery.toml with [overload], [capture], and addresses and folders of its own."""
+    import re
+
+    text = Path("deploy/recovery.toml").read_text()
+    text = re.sub(r'(?m)^(admin|listen|agent_check) = "127.0.0.1:[0-9]+"', r'\1 = "127.0.0.1:0"', text)
+    text = re.sub(r'(?m)^(register-[23]|address) = "([0-9.]+):[0-9]+"', r'\1 = "\2:9"', text)
+    text = text.replace('folder = "/var/lib/ochrehoist"', f'folder = "{base}/state"')
+    return f'{text}\n[overload]\n\n[capture]\nfolder = "{base}/capture"\n'
+
+
+def types_by_path(value, path="", found=None):
+    """The JSON types below a value, by path; the elements of a list have one path."""
+    found = {} if found is None else found
+    found.setdefault(path, set()).add(type(value).__name__)
+    if isinstance(value, dict):
+        for name, inner in value.items():
+            types_by_path(inner, f"{path}/{name}", found)
+    elif isinstance(value, list):
+        for inner in value:
+            types_by_path(inner, f"{path}[]", found)
+    return found
+
+
+def status(out):
+    """The keys and types of /status, and the names of metrics with their labels, with all tables on."""
+    from stand_ins import Program
+
+    with tempfile.TemporaryDirectory() as base:
+        program = Program(thrift=False, ajp=True, peers={}, appliance=all_tables(base))
+        found, names = {}, set()
+        until = time.monotonic() + 10
+        while time.monotonic() < until:
+            for path, types in types_by_path(json.loads(program.operator()[1])).items():
+                found.setdefault(path, set()).update(types)
+            metrics = program.operator(path="/status/metrics")[1].splitlines()
+            names |= {line.rpartition(" ")[0] for line in metrics if line and not line.startswith("#")}
+            time.sleep(0.1)
+        program.close()
+    told = {"status": {path: sorted(types) for path, types in found.items()}, "metrics": sorted(names)}
+    (out / "status.json").write_text(json.dumps(told, indent=1) + "\n")
+
+
+KINDS = {
+    "store": store,
+    "handover": handover,
+    "datagrams": datagrams,
+    "simulator": simulator,
+    "status": status,
+}
 
 
 def main(out, *names):
