--- a/ochrehoist/net/intent_replication.py
+++ b/ochrehoist/net/intent_replication.py
@@ -13,7 +13,7 @@
 from ochrehoist.config.schema import RecoveryConfig
 from ochrehoist.core.actor import CoreActor
 from ochrehoist.core.protocols import IntentReplicator
-from ochrehoist.peers.wire import Life
+from ochrehoist.peers.wire import Incarnation
 from ochrehoist.recovery.intent_log import IntentLog
 from ochrehoist.recovery.messages import (
     IntentPage,
@@ -87,7 +87,7 @@
         self._expired_at = now
         self._sent_at: dict[str, float] = {}  # by request id
         if peers is not None:
-            peers.group.extensions[TOPIC] = self
+            peers.group.add_extension(TOPIC, self)
         self._journal: Any = journal
         if journal is not None and config.witnesses:
             journal.replicate_intents_to(self)
@@ -138,7 +138,7 @@
         intents = [(name, WitnessTopic.RECORD_INTENT, data) for name, data in self._pending_messages(now)]
         return [*queries, *intents]
 
-    def took(self, sender: Life, topic: str, data: bytes, now: float) -> list[tuple[str, bytes]]:
+    def took(self, sender: Incarnation, topic: str, data: bytes, now: float) -> list[tuple[str, bytes]]:
         """Handles one message, and gives the answers to its sender as topic and data."""
         message = decode(topic, data)
         if isinstance(message, RecordIntent):
@@ -184,7 +184,7 @@
     def _send_pending(self, now: float) -> None:
         assert self._peers is not None  # witnesses are members: the configuration asks for [peers]
         for name, data in self._pending_messages(now):
-            self._peers.say(name, f"{TOPIC}/{WitnessTopic.RECORD_INTENT}", data)
+            self._peers.send_to_extension(name, f"{TOPIC}/{WitnessTopic.RECORD_INTENT}", data)
 
     # What the witnesses' answers prove.
 
@@ -198,7 +198,7 @@
         self.history_known = True
         if self._journal.is_history_uncertain():
             self._journal.hold_unknown_keys_until(self._owner.clock() + int(hold_s * NS_PER_S))
-        counts = {"known": len(report.expiry_by_digest), "not_on_record": len(self.missing_runs)}
+        counts = {"known_runs": len(report.expiry_by_digest), "missing_runs": len(self.missing_runs)}
         self._log.info("witness_quorum_answered", hold_s=self._hold_s(), **counts)
         if self.missing_runs:
             self._log.error("store_records_missing", **counts)
@@ -213,7 +213,7 @@
             self._journal.hold_unknown_keys_until(max(self._journal.hold_until, window_end_ns))
         self._log.warning(
             "witness_quorum_unavailable",
-            of=len(self._config.witnesses),
+            witnesses=len(self._config.witnesses),
             hold_s=self._hold_s(),
             answered=report.complete_witnesses(),
         )
--- a/ochrehoist/net/thrift_front.py
+++ b/ochrehoist/net/thrift_front.py
@@ -40,6 +40,9 @@
 FAREWELL = thrift.message(thrift.ONEWAY, b"farewell", 0, thrift.END)
 
 
+ReadRequest = Callable[..., InboundRequest]  # of a front: reads one request for the core
+
+
 @dataclass(slots=True, frozen=True)
 class Payload:
     """What the kernel gets of a request, as it came."""
@@ -293,7 +296,7 @@
             if self.front.admission is not None and self._ask_admission(m.seqid, values):
                 return
             responder = ThriftResponder(self, m.seqid)
-            request = self.front.reader.request(values, body, responder)
+            request = self.front.read_request(values, body, responder)
         except thrift.InvalidArgumentsError as error:
             self._write(thrift.application_exception(INVOKE, m.seqid, thrift.PROTOCOL_ERROR, str(error)))
             method = (values or {}).get(b"method", b"").decode("latin-1")
@@ -362,13 +365,15 @@
         max_unsent: int,
         log: Any,
         sock: socket.socket | None = None,
+        admission: AdmissionFilter | None = None,
     ) -> None:
         self.loop, self.owner, self.log = loop, owner, log
         self.reader = ThriftReader(owner, executor)
         self.connections: set[Connection] = set()
         self.max_unsent = max_unsent  # bytes of all answers that are not taken yet
         self.draining = False
-        self.admission: AdmissionFilter | None = None
+        self.admission = admission
+        self.read_request = self.reader.request
         self.names: dict[bytes, str] = {}  # classes by what is on the wire
         self.configure(owner.settings)
         self.idle: float = owner.settings.idle_timeout_ns / 1e9
@@ -380,6 +385,10 @@
         self.reader.configure(settings)
         self.names = {name.encode(): name for name in self.reader.classes}
 
+    def instrument_reading(self, wrap: Callable[[ReadRequest], ReadRequest]) -> None:
+        """Puts a wrapper, such as a timer, around the reading of each request."""
+        self.read_request = wrap(self.read_request)
+
     def _accepted(self, sock: socket.socket) -> Callable[[], None]:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER)
         connection = Connection(self, Stream(self.loop, sock))
--- a/ochrehoist/sites/step_lease.py
+++ b/ochrehoist/sites/step_lease.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING, NamedTuple, Protocol
 
-from ochrehoist.peers.rights import Budget
+from ochrehoist.peers.budget import Budget
 from ochrehoist.sites.peer_workers import PeerWorkers
 from ochrehoist.sites.site_health import ABSENT_STATES, SiteState
 from ochrehoist.sites.site_report import SiteObservation
@@ -18,21 +18,21 @@
 AFTER_LOSS_STATES = ABSENT_STATES - {SiteState.AWAY}
 
 
-def step_lease_budget(voters: tuple[str, ...]) -> Budget:
+def step_lease_budget(grantors: tuple[str, ...]) -> Budget:
     """A budget of one run at a time.
 
-    Its lease is short, or voters that come back themselves, and wait for what they may have granted before,
+    Its lease is short, or grantors that come back themselves, and wait for what they may have granted before,
     would hold up the return.
     """
     return Budget(
         STEP_LEASE_BUDGET,
         1,
-        voters,
-        runs=True,
+        grantors,
+        concurrent=True,
         lease_s=0.5,
-        floor=0.0,
+        floor_fraction=0.0,
         floor_lease_s=0.5,
-        longest_s=STEP_LEASE_DURATION_S,
+        max_run_s=STEP_LEASE_DURATION_S,
     )
 
 
@@ -73,7 +73,7 @@
         if now - self._renewed_at >= STEP_LEASE_RENEW_INTERVAL_S:
             self._renewed_at = now
             self.release()
-            self._ticket = self._group.use(STEP_LEASE_BUDGET, now)
+            self._ticket = self._group.leases.acquire(STEP_LEASE_BUDGET, now)
             if self._ticket is not None:
                 self._held_until = now + STEP_LEASE_DURATION_S
         return max(0.0, self._held_until - now)
@@ -81,7 +81,7 @@
     def release(self) -> None:
         """Lets another site have it at once."""
         if self._ticket is not None:
-            self._group.done(STEP_LEASE_BUDGET, self._ticket)
+            self._group.leases.release(STEP_LEASE_BUDGET, self._ticket)
             self._ticket = None
 
 
--- a/tests/golden/test_datagrams.py
+++ b/tests/golden/test_datagrams.py
@@ -22,9 +22,9 @@
 @pytest.mark.parametrize("golden", GOLDEN["datagrams"], ids=lambda golden: golden["name"])
 def test_a_datagram_is_read_and_written_as_before(golden):
     data = bytes.fromhex(golden["datagram"])
-    message = wire.unpacked(data, (SECRET,), GROUP)
+    message = wire.decode_datagram(data, (SECRET,), GROUP)
     assert plain(message) == golden["values"]
-    assert wire.packed(message, SECRET) == data
+    assert wire.encode_datagram(message, SECRET) == data
 
 
 def test_a_status_is_read_and_written_as_before():
