--- a/ochrehoist/lab/virtual.py
+++ b/ochrehoist/lab/virtual.py
@@ -10,9 +10,11 @@
 from random import Random
 
 from ochrehoist.errors import OchrehoistError
-from ochrehoist.peers.group import Group, Send, Terms
-from ochrehoist.peers.rights import DRIFT, Budget
-from ochrehoist.peers.wire import Life, Message, packed, unpacked
+from ochrehoist.peers.budget import CLOCK_DRIFT, Budget
+from ochrehoist.peers.fleet_settings import FleetSettings
+from ochrehoist.peers.group import Group
+from ochrehoist.peers.outbound import OutgoingMessage
+from ochrehoist.peers.wire import Incarnation, Message, decode_datagram, encode_datagram
 
 BEAT = 0.05
 SECRET = b"a secret of the laboratory"
@@ -35,7 +37,7 @@
 
     def used(self, name: str, at: float, lasts: float = 0.0) -> None:
         b = self.budgets[name]
-        if b.runs:
+        if b.concurrent:
             now = self.ends.setdefault(name, [])
             while now and now[0] <= at:
                 heappop(now)
@@ -136,11 +138,11 @@
         inc = inc - 500_000 if set_back else max(inc, self.incs.get(name, 0) + 1)
         self.incs[name] = max(inc, self.incs.get(name, 0))
         address = self.address(name) + ("'" if twin else "")
-        # Voters are known by address in any case: on that their one vote rests.
-        known = self.names if self.known else sorted({v for b in self.budgets for v in b.voters})
+        # Grantors are known by address in any case: on that their one vote rests.
+        known = self.names if self.known else sorted({v for b in self.budgets for v in b.grantors})
         addresses = {n: self.address(n) for n in known if n != name}
         start = tuple(self.address(n) for n in self.names[:2] if n != name)
-        terms = Terms(
+        terms = FleetSettings(
             "lab",
             address,
             self.sites.get(name, ""),
@@ -152,9 +154,9 @@
             0.5,
             self.most_per_s,
         )
-        rate = 1 + clocks.uniform(-DRIFT, DRIFT) / 4
+        rate = 1 + clocks.uniform(-CLOCK_DRIFT, CLOCK_DRIFT) / 4
         node = Node(name, None, rate, clocks.uniform(0, 1e6), address)
-        life = Life(name, inc, clocks.getrandbits(62))
+        life = Incarnation(name, inc, clocks.getrandbits(62))
         node.group = self.factory(terms, life, node.clock(self.now), self.rng["groups"].getrandbits(60))
         self.nodes[address] = node
         if self.on_start is not None:
@@ -186,7 +188,7 @@
         if node.dead:
             return
         if not node.paused:
-            self._send(node, node.group.beat(node.clock(self.now)))
+            self._send(node, node.group.tick(node.clock(self.now)))
             if self.on_use is not None:
                 self.on_use(node)
         late = self.rng["net"].uniform(0, 0.004)
@@ -196,13 +198,15 @@
     def link(self, a: str, b: str) -> Link:
         return self.links.setdefault((a, b), Link())
 
-    def _send(self, node: Node, sends: list[Send]) -> None:
+    def _send(self, node: Node, sends: list[OutgoingMessage]) -> None:
         for s in sends:
             node.seq += 1
-            message = Message("lab", node.group.life, s.to, s.to_inc, node.seq, s.items)
+            message = Message(
+                "lab", node.group.incarnation, s.recipient, s.recipient_number, node.seq, s.payloads
+            )
             node.sent += 1
             if self.encoded:
-                data = packed(message, SECRET)
+                data = encode_datagram(message, SECRET)
                 node.bytes_out += len(data)
             else:
                 data = message
@@ -236,8 +240,8 @@
         if node.paused:
             node.backlog.append((data, source))
             return
-        message = unpacked(data, (SECRET,), "lab") if self.encoded else data
-        self._send(node, node.group.took(message, source, node.clock(self.now)))
+        message = decode_datagram(data, (SECRET,), "lab") if self.encoded else data
+        self._send(node, node.group.receive(message, source, node.clock(self.now)))
 
     # ---- faults
     def cut(self, a: set[str], b: set[str], span: float, one_way: bool = False, held: bool = False) -> None:
@@ -267,16 +271,18 @@
                 link.loss, link.repeat, link.delay = loss, repeat, delay
 
     def retune(self, node: Node, budgets: tuple[Budget, ...]) -> None:
-        node.group.retune(replace(node.group.terms, budgets=budgets), node.clock(self.now))
+        node.group.reconfigure(replace(node.group.settings, budgets=budgets), node.clock(self.now))
 
     # ---- use
     def use(self, node: Node, budget: str, lasts: float = 0.0) -> bool:
-        ticket = node.group.use(budget, node.clock(self.now))
+        ticket = node.group.leases.acquire(budget, node.clock(self.now))
         if ticket is None:
             return False
         self.oracle.used(budget, self.now, lasts)
-        if self.oracle.budgets[budget].runs:
-            self.at(self.now + lasts, lambda: None if node.dead else node.group.done(budget, ticket))
+        if self.oracle.budgets[budget].concurrent:
+            self.at(
+                self.now + lasts, lambda: None if node.dead else node.group.leases.release(budget, ticket)
+            )
         return True
 
 
@@ -348,10 +354,18 @@
             rng.choice((7, 24, 60)),
             voters,
             lease_s=rng.choice((0.8, 2.0)),
-            floor=rng.choice((0.0, 0.25, 0.5)),
+            floor_fraction=rng.choice((0.0, 0.25, 0.5)),
             floor_lease_s=rng.choice((1.5, 5.0)),
         ),
-        Budget("runs", rng.choice((5, 12)), voters, runs=True, lease_s=0.8, floor_lease_s=2.0, longest_s=0.6),
+        Budget(
+            "runs",
+            rng.choice((5, 12)),
+            voters,
+            concurrent=True,
+            lease_s=0.8,
+            floor_lease_s=2.0,
+            max_run_s=0.6,
+        ),
     )
     world = World(seed, budgets)
     world.factory, world.known = factory, rng.random() < 0.6
--- a/ochrehoist/sites/peer_workers.py
+++ b/ochrehoist/sites/peer_workers.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, NamedTuple
 
-from ochrehoist.peers.members import ALIVE, LEFT, SUSPECT
+from ochrehoist.peers.wire import MemberState
 from ochrehoist.sites.site_report import TOPIC, SiteObservation, SiteReport, decode
 
 if TYPE_CHECKING:
@@ -29,17 +29,17 @@
     @property
     def is_alive(self) -> bool:
         """Whether membership hears it."""
-        return self.state == ALIVE
+        return self.state == MemberState.ALIVE
 
     @property
     def may_be_alive(self) -> bool:
         """Whether membership has not given it up."""
-        return self.state in (ALIVE, SUSPECT)
+        return self.state in (MemberState.ALIVE, MemberState.SUSPECT)
 
     @property
     def has_left(self) -> bool:
         """Whether it left on purpose."""
-        return self.state == LEFT
+        return self.state == MemberState.LEFT
 
     @property
     def is_recovering(self) -> bool:
@@ -157,7 +157,7 @@
     `site_of` gives the site of a host, where a description of the fleet tells; else it is what the worker
     says itself.
     """
-    statuses = group.told(TOPIC)
+    statuses = group.extension_data(TOPIC)
     peers = []
     for name, member in group.members.members.items():
         age_s, data = statuses.get(name, (0.0, b""))
