--- a/ochrehoist/peers/lease_assignment.py
+++ b/ochrehoist/peers/lease_assignment.py
@@ -13,7 +13,7 @@
 HEADROOM = 1.25  # times the recent demand, that a worker keeps for itself
 
 
-@dataclass(frozen=True)
+@dataclass(slots=True)
 class PeerDemand:
     """What is known of another worker's part in a budget; `fresh`: it was reported lately."""
 
--- a/ochrehoist/peers/member.py
+++ b/ochrehoist/peers/member.py
@@ -5,7 +5,7 @@
 
 from ochrehoist.peers.wire import Incarnation, MemberState, MemberUpdate
 
-PRESENT = frozenset({MemberState.ALIVE, MemberState.SUSPECT})  # not known to be gone
+PRESENT_STATES = (MemberState.ALIVE, MemberState.SUSPECT)  # not known to be gone
 NO_STATUS_AGE_MS = -1
 
 
@@ -29,7 +29,7 @@
     @property
     def is_present(self) -> bool:
         """Whether it is not known to be gone."""
-        return self.state in PRESENT
+        return self.state in PRESENT_STATES
 
     def status_update(self, now: float) -> MemberUpdate:
         """Everything that is known of it, with its status."""
--- a/ochrehoist/peers/membership.py
+++ b/ochrehoist/peers/membership.py
@@ -10,7 +10,7 @@
 from random import Random
 
 from ochrehoist.peers.gossip import MAX_UPDATES, GossipQueue
-from ochrehoist.peers.member import Death, Member
+from ochrehoist.peers.member import PRESENT_STATES, Death, Member
 from ochrehoist.peers.probing import Probe, ProbeAction, ProbeSchedule
 from ochrehoist.peers.wire import Incarnation, MemberState, MemberUpdate
 
@@ -74,7 +74,7 @@
     # ---- what is known
     def live_names(self) -> list[str]:
         """Names of other members that are not known to be gone."""
-        return [name for name, member in self.members.items() if member.is_present]
+        return [name for name, member in self.members.items() if member.state in PRESENT_STATES]
 
     @property
     def ack_timeout_s(self) -> float:
--- a/ochrehoist/peers/outlier_detection.py
+++ b/ochrehoist/peers/outlier_detection.py
@@ -52,9 +52,6 @@
     SLOW_START = "back"
 
 
-EJECTED_STATES = frozenset({EjectionState.EJECTED, EjectionState.TRIAL})
-
-
 @dataclass(slots=True, frozen=True)
 class StateChange:
     """One change of a service's ejection state."""
@@ -93,13 +90,11 @@
     @property
     def is_ejected(self) -> bool:
         """Whether it gets trial calls only."""
-        return self.ejection in EJECTED_STATES
+        return self.ejection is EjectionState.EJECTED or self.ejection is EjectionState.TRIAL
 
     @property
-    def load_fraction(self) -> float:
-        """The fraction of its load that it takes during a slow start, else 1."""
-        if self.ejection != EjectionState.SLOW_START:
-            return 1.0
+    def slow_start_fraction(self) -> float:
+        """The fraction of its load that it takes during a slow start."""
         return SLOW_START_FRACTIONS[min(self.slow_start_stage, len(SLOW_START_FRACTIONS) - 1)]
 
 
@@ -338,10 +333,13 @@
         """
         if len(self.services) == 1:
             return list(self.services)
-        usable, ejected = [], []
+        usable: list[tuple[float, float, str]] = []
+        ejected: list[tuple[float, float, str]] = []
         for name, service in self.services.items():
-            if not service.is_ejected:
-                load = (busy.get(name, 0) + 1) / service.load_fraction
+            if service.ejection is EjectionState.IN:
+                usable.append((busy.get(name, 0) + 1, self._rng.random(), name))
+            elif service.ejection is EjectionState.SLOW_START:
+                load = (busy.get(name, 0) + 1) / service.slow_start_fraction
                 usable.append((load, self._rng.random(), name))
             elif self._takes_trial(service, now):
                 usable.append((0, self._rng.random(), name))
--- a/ochrehoist/peers/peer_status.py
+++ b/ochrehoist/peers/peer_status.py
@@ -4,6 +4,7 @@
 
 from ochrehoist.peers.fleet_settings import FleetSettings
 from ochrehoist.peers.lease_assignment import PeerDemand
+from ochrehoist.peers.member import PRESENT_STATES
 from ochrehoist.peers.membership import Membership
 from ochrehoist.peers.remote_health import RemoteReport
 from ochrehoist.peers.wire import (
@@ -83,11 +84,6 @@
         self.decoded[name] = (member.version, status)
         return status
 
-    def age_s(self, name: str, now: float) -> float:
-        """Upper bound of the age of a member's status; infinite where there is none."""
-        as_of = self._membership.members[name].status_as_of
-        return now - as_of if as_of is not None else float("inf")
-
     def leaving_names(self) -> set[str]:
         """Members that have announced to leave."""
         return {
@@ -99,30 +95,30 @@
     def demands(self, budget: str, now: float) -> dict[str, PeerDemand]:
         """What the members that are there hold and want of a budget, as far as it is known."""
         demands = {}
-        for name in self._membership.live_names():
-            status = self.status_of(name)
-            if status is None:
+        for name, member in self._membership.members.items():
+            status = self.status_of(name) if member.state in PRESENT_STATES else None
+            if status is None or member.status_as_of is None:
                 continue
-            fresh = self.age_s(name, now) <= FRESH_DEMAND_S and not status.leaving
             for demand in status.demands:
                 if demand.budget == budget:
+                    fresh = now - member.status_as_of <= FRESH_DEMAND_S and not status.leaving
                     demands[name] = PeerDemand(demand.held_slots, demand.wanted, demand.denied, fresh)
         return demands
 
     def health_reports(self, now: float) -> dict[str, RemoteReport]:
         """What the members that are there have observed of services."""
         reports = {}
-        for name in self._membership.live_names():
-            status = self.status_of(name)
-            if status is not None and status.observations:
-                reports[name] = RemoteReport(self.age_s(name, now), status.observations)
+        for name, member in self._membership.members.items():
+            status = self.status_of(name) if member.state in PRESENT_STATES else None
+            if status is not None and status.observations and member.status_as_of is not None:
+                reports[name] = RemoteReport(now - member.status_as_of, status.observations)
         return reports
 
     def extension_data(self, topic: str, now: float) -> dict[str, tuple[float, bytes]]:
         """What members report under the topic of an extension, each with the most that it can be old (s)."""
         data = {}
-        for name in self._membership.members:
+        for name, member in self._membership.members.items():
             status = self.status_of(name)
-            if status is not None and topic in status.extensions:
-                data[name] = self.age_s(name, now), status.extensions[topic]
+            if status is not None and topic in status.extensions and member.status_as_of is not None:
+                data[name] = now - member.status_as_of, status.extensions[topic]
         return data
--- a/ochrehoist/peers/remote_health.py
+++ b/ochrehoist/peers/remote_health.py
@@ -15,7 +15,7 @@
 MIN_OBSERVERS = 2
 
 
-@dataclass(slots=True, frozen=True)
+@dataclass(slots=True)
 class RemoteReport:
     """The observations of one other worker, which are at most `age_s` old beyond their own age."""
 
@@ -30,7 +30,7 @@
 RemoteReports = Mapping[str, RemoteReport]  # by member
 
 
-@dataclass(slots=True, frozen=True)
+@dataclass(slots=True)
 class RemoteConsensus:
     """What other workers agree on: None where they do not; and who says what, as `member:status`."""
 
--- a/ochrehoist/peers/service_health.py
+++ b/ochrehoist/peers/service_health.py
@@ -30,7 +30,7 @@
     return latency_s > SLOW_RATIO * baseline_s and latency_s > baseline_s + SLOW_MARGIN_S
 
 
-@dataclass(slots=True, frozen=True)
+@dataclass(slots=True)
 class MeanLatency:
     """The mean latency of a class at one service, and the samples it rests on."""
 
@@ -63,15 +63,14 @@
 
     def record(self, service: str, request_class: str, latency_s: float, baseline_s: float | None) -> None:
         """Adds the latency of a successful call."""
-        means = self._means[service]
-        before = means.get(request_class, MeanLatency())
-        count = min(before.sample_count + 1, BASELINE_WINDOW)
+        mean = self._means[service].setdefault(request_class, MeanLatency())
+        mean.sample_count = min(mean.sample_count + 1, BASELINE_WINDOW)
         # A slow one moves the mean little: where all are slow, all are found so before it has moved.
-        weight = BASELINE_WINDOW if is_slow(latency_s, baseline_s) else count
-        means[request_class] = MeanLatency(before.mean_s + (latency_s - before.mean_s) / weight, count)
+        weight = BASELINE_WINDOW if is_slow(latency_s, baseline_s) else mean.sample_count
+        mean.mean_s += (latency_s - mean.mean_s) / weight
 
 
-@dataclass(slots=True, frozen=True)
+@dataclass(slots=True)
 class CallResult:
     """One completed call, and the baseline of its class at that time."""
 
@@ -86,7 +85,7 @@
         return is_slow(self.latency_s, self.baseline_s)
 
 
-@dataclass(slots=True, frozen=True)
+@dataclass(slots=True)
 class OpenCall:
     """One call that waits for its answer."""
 
--- a/ochrehoist/peers/usage.py
+++ b/ochrehoist/peers/usage.py
@@ -19,7 +19,7 @@
     denied: int
 
 
-@dataclass(slots=True, frozen=True)
+@dataclass(slots=True)
 class DemandSample:
     """One wish for a use."""
 
