--- a/ochrehoist/net/ajp_front.py
+++ b/ochrehoist/net/ajp_front.py
@@ -25,8 +25,8 @@
 from ochrehoist.net.ajp_server import AjpPayload, read_packet
 from ochrehoist.net.listener import Listening, Pace, close_least
 from ochrehoist.net.loop import Loop
+from ochrehoist.net.route_index import RouteIndex
 from ochrehoist.net.stream import ConnectionClosedError, Stream, StreamTimeoutError
-from ochrehoist.routes import RouteIndex
 from ochrehoist.steps import run_to_completion
 
 S = 1_000_000_000
@@ -37,6 +37,9 @@
 WHOLE = 2.5  # s for a packet that was begun, and for the first of a new connection
 
 
+ReadRequest = Callable[..., InboundRequest]  # of a front: reads one request for the core
+
+
 class Rejected(OchrehoistError):
     """Answered by the front itself: the request never becomes one of the core's."""
 
@@ -295,7 +298,7 @@
                     self.front.config.body_timeout_s,
                 )
             return
-        request = self.front.reader.request(f, checked, body, arrived, responder)
+        request = self.front.read_request(f, checked, body, arrived, responder)
         self.front.owner.post(RequestArrived(request))
         while not responder.done:
             self.stream.watch(lambda: responder.done)
@@ -381,6 +384,7 @@
         max_bytes: int,
         log: Any,
         sock: socket.socket | None = None,
+        admission: AdmissionFilter | None = None,
     ) -> None:
         self.loop, self.owner, self.config, self.log = loop, owner, config, log
         self.max_bytes = max_bytes  # for all bodies coming in, and as much for all responses not yet sent
@@ -388,7 +392,8 @@
         self.connections: set[AjpConnection] = set()
         self.body_bytes = 0  # of all connections
         self.draining = False
-        self.admission: AdmissionFilter | None = None
+        self.admission = admission
+        self.read_request = self.reader.request
         self.numbers = itertools.count(1)
         self.listening = Listening(
             loop, config.listen, self._accepted, max_connections, log, sock, self._make_room
@@ -412,6 +417,10 @@
         self.config = config
         self.reader.configure(config, settings)
 
+    def instrument_reading(self, wrap: Callable[[ReadRequest], ReadRequest]) -> None:
+        """Puts a wrapper, such as a timer, around the reading of each request."""
+        self.read_request = wrap(self.read_request)
+
     def _accepted(self, sock: socket.socket) -> Callable[[], None]:
         # Room for one response and some: a client that reads slowly holds up nobody else.
         stream = Stream(self.loop, sock, self.config.max_response * 2 + 65536)
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -121,8 +121,8 @@
 
 
 def brought_into_force(worker, change):
-    worker.reloading.commit(change)
-    worker.owner.step()
+    worker.parts.reloading.commit(change)
+    worker.parts.core.step()
 
 
 class Growth(unittest.TestCase):
@@ -134,9 +134,9 @@
         path = appliance(folder.name, range(count), routes)
         worker = Worker(load(path), path)
         self.addCleanup(self.close, worker)
-        worker.owner.step()
+        worker.parts.core.step()
         change(folder.name, count, routes)
-        steps, longest, lines = worker.reloading.prepare_in_steps(only_new=False), 0, 0
+        steps, longest, lines = worker.parts.reloading.prepare_in_steps(only_new=False), 0, 0
 
         def count_lines(frame, event, argument):
             nonlocal lines
@@ -163,16 +163,16 @@
         return worker, longest, lines
 
     def close(self, worker):
-        for front in worker.fronts:
+        for front in worker.parts.fronts:
             front.listening.sock.close()
-        worker.measures.close()
+        worker.parts.self_monitor.close()
 
     def flat(self, change, for_each=0):
         """Gives the worker of the largest size. `for_each`: lines that the switch may run for each tenant."""
         steps, switches = {}, {}
         for count, routes in ((3, 3), (2000, 130), (20_000, 1300)):
             worker, steps[count], switches[count] = self.change(count, routes, change)
-        # The longest steps parse a stretch of elements, of the same length at most; what the switch takes
+        # The longest steps parse a chunk of elements, of the same length at most; what the switch takes
         # more at times is what falls due in the core. A look at each tenant would be more than either.
         self.assertLess(max(steps.values()), 12_000, steps)
         for count, lines in switches.items():
@@ -183,14 +183,14 @@
         worker = self.flat(
             lambda folder, count, routes: appliance(folder, [n for n in range(count + 1) if n != 1], routes)
         )
-        table = worker.owner.tenants
+        table = worker.parts.core.tenants
         self.assertEqual((table.position("t20000"), table.retired), (20_000, {"t1": 1}))
-        self.assertEqual(len(worker.owner.controller.settings.tenants), 20_001)
+        self.assertEqual(len(worker.parts.core.controller.settings.tenants), 20_001)
 
     def test_one_route_changed_does_as_well_and_the_module_hears_nothing_of_it(self):
         worker = self.flat(lambda folder, count, routes: appliance(folder, range(count), routes + 1))
-        self.assertEqual(len(worker.fronts[0].config.routes), 1301)
-        self.assertIs(worker.owner.controller.settings.tenants, worker.owner.tenants.by_position)
+        self.assertEqual(len(worker.parts.fronts[0].config.routes), 1301)
+        self.assertIs(worker.parts.core.controller.settings.tenants, worker.parts.core.tenants.by_position)
 
     def test_each_tenant_changed_and_a_class_too_is_a_fresh_module_that_looks_at_each_once(self):
         def change(folder, count, routes):
@@ -198,8 +198,8 @@
             appliance(folder, range(count), routes, 2.0, Classes=[*base, base[0] | {"Name": "more"}])
 
         worker = self.flat(change, for_each=1)  # its quota, as it was at first
-        self.assertEqual(worker.owner.controller.settings.tenants[7].quota_per_s, 2.0)
-        self.assertIn("more", worker.owner.class_indices)
+        self.assertEqual(worker.parts.core.controller.settings.tenants[7].quota_per_s, 2.0)
+        self.assertIn("more", worker.parts.core.class_indices)
 
 
 class Fleet(unittest.TestCase):
@@ -222,13 +222,13 @@
         path = written(range(5), {"b1": "t1"})
         worker = Worker(load(path), path)
         self.addCleanup(Growth.close, self, worker)
-        worker.owner.step()
+        worker.parts.core.step()
 
         def follow():
-            told = worker.owner.controller.settings.tenants
+            told = worker.parts.core.controller.settings.tenants
             return {t.name: t._budget for t in told if isinstance(t, FleetTenant)}
 
-        module = worker.owner.controller
+        module = worker.parts.core.controller
         self.assertEqual(follow(), {"t1": "b1"})
         for numbers, budgets, expected in (
             ((0, 2, 3, 4), {}, {}),  # both go: who is gone has the quota of the file for what is open
@@ -236,12 +236,14 @@
             (range(6), {"b4": "t1", "b3": "t5"}, {"t1": "b4", "t5": "b3"}),
         ):  # budgets alone
             written(numbers, budgets)
-            brought_into_force(worker, run_to_completion(worker.reloading.prepare_in_steps(only_new=False)))
+            brought_into_force(
+                worker, run_to_completion(worker.parts.reloading.prepare_in_steps(only_new=False))
+            )
             self.assertEqual(follow(), expected)
             self.assertEqual([t.name for t in module.settings.tenants][:5], [f"t{n}" for n in range(5)])
-            self.assertEqual(worker.owner.tenants["t0"], 0)
-        self.assertIs(worker.owner.controller, module)
-        self.assertEqual(worker.owner.tenants["t5"], 5)
+            self.assertEqual(worker.parts.core.tenants["t0"], 0)
+        self.assertIs(worker.parts.core.controller, module)
+        self.assertEqual(worker.parts.core.tenants["t5"], 5)
         for tenant in module.settings.tenants:  # each can be asked: no budget that is gone is meant
             self.assertGreaterEqual(tenant.quota_per_s, 0.0)
 
@@ -507,7 +509,7 @@
         path = appliance(folder.name, range(MIN_RETIRED_PLACES + 50), 1)
         worker = Worker(load(path), path)
         self.addCleanup(Growth.close, self, worker)
-        owner, reloading = worker.owner, worker.reloading
+        owner, reloading = worker.parts.core, worker.parts.reloading
         owner.step()
         owner.idempotency.run_started(("t40", "filing", "key"), "first", owner.clock() + 60 * 10**9, None)
         module = owner.controller
@@ -537,15 +539,15 @@
         path = appliance(folder.name, range(3), 1)
         self.worker = Worker(load(path), path)
         self.addCleanup(Growth.close, self, self.worker)
-        self.worker.owner.step()
-        self.worker.owner.freeze()
-        self.worker.loop.spawn(self.worker.owner.run)
+        self.worker.parts.core.step()
+        self.worker.parts.core.freeze()
+        self.worker.parts.loop.spawn(self.worker.parts.core.run)
         appliance(folder.name, range(4), 1)
-        self.worker.reloading.request_reload()
+        self.worker.parts.reloading.request_reload()
 
     def run_until(self, done):
         """The loop; whether it was done in time."""
-        loop, seen = self.worker.loop, []
+        loop, seen = self.worker.parts.loop, []
 
         def look():
             if done():
@@ -563,26 +565,30 @@
         """All that is left is the switch."""
         rounds = []
         self.assertTrue(self.run_until(lambda: rounds.append(1) or len(rounds) > 20))
-        self.assertEqual((self.worker.reloading.reading, len(self.worker.owner.tenants)), (True, 3))
+        self.assertEqual(
+            (self.worker.parts.reloading.reading, len(self.worker.parts.core.tenants)), (True, 3)
+        )
 
     def test_a_change_waits_until_that_is_over_and_is_then_in_force(self):
         self.prepared()
-        self.worker.owner.thaw()
-        self.assertTrue(self.run_until(lambda: not self.worker.reloading.reading))
-        self.assertEqual((len(self.worker.owner.tenants), self.worker.reloading.status.outcome), (4, "taken"))
+        self.worker.parts.core.thaw()
+        self.assertTrue(self.run_until(lambda: not self.worker.parts.reloading.reading))
+        self.assertEqual(
+            (len(self.worker.parts.core.tenants), self.worker.parts.reloading.status.outcome), (4, "taken")
+        )
 
     def test_once_the_other_process_decides_nothing_is_taken_and_no_order_kept(self):
         self.prepared()
-        reloading, rounds = self.worker.reloading, []
+        reloading, rounds = self.worker.parts.reloading, []
         reloading.request_reload()  # one more, which came before
-        self.worker.owner.hand_over(lambda line: True, None)
+        self.worker.parts.core.hand_over(lambda line: True, None)
         self.assertTrue(self.run_until(lambda: not reloading.reading))
-        self.worker.loop.meter = lambda took, late: rounds.append(took)
+        self.worker.parts.loop.observe_iterations(lambda took, late: rounds.append(took))
         until = time.monotonic() + 0.05
         self.assertTrue(self.run_until(lambda: time.monotonic() > until))
         self.assertLess(len(rounds), 100)  # it has nothing to do but what is looked at now and then
         self.assertFalse(reloading.reading)
-        self.assertEqual((len(self.worker.owner.tenants), reloading.status.outcome), (3, "start"))
+        self.assertEqual((len(self.worker.parts.core.tenants), reloading.status.outcome), (3, "start"))
 
 
 if __name__ == "__main__":
