--- a/tests/make_golden.py
+++ b/tests/make_golden.py
@@ -335,7 +335,42 @@
     (out / "status.json").write_text(json.dumps(told, indent=1) + "\n")
 
 
+def capture(out):
+    """The file that a worker's capture leaves, of served, failed and cancelled requests, and its values."""
+    import msgspec
+    from stand_ins import Program, settings
+
+    from ochrehoist.capture.records import Damage, records
+
+    with tempfile.TemporaryDirectory() as base:
+        values = settings()
+        program = Program(thrift=False, ajp=True, site=values, capture={"folder": f"{base}/load"})
+        client = program.ajp()
+        for number in range(5):
+            client.request("GET", f"/reads/{number}", {"X-Tenant": "acme"})
+            program.server.next()[2](data=b"read")
+            assert client.answer()[0] == 200
+            submit(client, f"key-{number}", b"document %d" % number)
+            program.server.next()[2](status=200 if number else 500, data=b"result")
+            client.answer()
+        leaving = program.ajp()
+        leaving.request("GET", "/reads/leaving")
+        respond = program.server.next()[2]
+        leaving.close()
+        program.wait_for(lambda status: status["in_hand"] == "0")
+        respond(data=b"too late")
+        program.process.send_signal(signal.SIGTERM)
+        assert program.ended() == 0
+        program.close()
+        (found,) = Path(base, "load").glob("*.ochrecap")
+        data = found.read_bytes()
+    (out / "load.ochrecap").write_bytes(data)
+    values = [msgspec.to_builtins(record) for record in records(data, Damage())]
+    (out / "load.json").write_text(json.dumps(values, indent=1) + "\n")
+
+
 KINDS = {
+    "capture": capture,
     "store": store,
     "handover": handover,
     "datagrams": datagrams,
