--- a/ochrehoist/lab/explore.py
+++ b/ochrehoist/lab/explore.py
@@ -150,7 +150,7 @@
         h = s.holders[n]
         h.request(0, s.now)
         h.begin_round(s.now)
-        s.flying += [("claim", v, s.lives[n], h.round_number) for v in range(bounds.voters)]
+        s.flying += [("request", v, s.lives[n], h.round_number) for v in range(bounds.voters)]
     elif word == "gift":
         n = int(rest[0])
         s.left["gift"] -= 1
@@ -161,10 +161,10 @@
         b, n = _budget(bounds), int(rest[1])
         if rest[0] == "voter":  # and at once there again, without a memory
             s.grantors[n] = LeaseGrantor(b, s.now)
-            s.flying = [m for m in s.flying if m[0] == "vouched" or m[1] != n]
+            s.flying = [m for m in s.flying if m[0] == "granted" or m[1] != n]
         else:
             s.holders[n] = LeaseHolder(b)
-            s.flying = [m for m in s.flying if m[0] != "vouched" or m[2] != s.lives[n]]
+            s.flying = [m for m in s.flying if m[0] != "granted" or m[2] != s.lives[n]]
             s.lives[n] = Incarnation(s.lives[n].name, s.lives[n].number + 1, 1)
     else:
         m = s.flying[int(rest[0])]
@@ -177,10 +177,10 @@
 
 def _take(s: State, m: tuple) -> None:
     kind, voter, life, round_ = m
-    if kind == "claim":
+    if kind == "request":
         terms = s.grantors[voter].budget.terms_digest
         if s.grantors[voter].grant(life, terms, round_, [0], s.now):
-            s.flying.append(("vouched", voter, life, round_))
+            s.flying.append(("granted", voter, life, round_))
     elif kind == "released":
         s.grantors[voter].release(life, round_, [0])
     elif life in s.lives:  # of a life that is over nobody hears
--- a/ochrehoist/peers/membership.py
+++ b/ochrehoist/peers/membership.py
@@ -311,7 +311,7 @@
         if update.refutations < member.refutations:
             return  # an accusation that it has answered
         if update.state in (MemberState.SUSPECT, MemberState.DEAD) and member.is_present:
-            # One that answered this worker a moment ago is not suspected on hearsay.
+            # One that answered this worker a moment ago is not suspected on gossip alone.
             answered_lately = (
                 member.last_ack_at is not None and now - member.last_ack_at <= 2 * self.ack_timeout_s
             )
--- a/tests/test_peers_counts.py
+++ b/tests/test_peers_counts.py
@@ -230,16 +230,16 @@
 
 class PingOfBefore(msgspec.Struct, tag="p", array_like=True):
     nonce: int
-    know: list[tuple[str, int, int]] = []
-    rumours: list[MemberUpdate] = []
+    known_versions: list[tuple[str, int, int]] = []
+    gossip: list[MemberUpdate] = []
 
 
 class AckOfBefore(msgspec.Struct, tag="a", array_like=True):
     nonce: int
-    of: str = ""
-    entries: list[MemberUpdate] = []
-    rumours: list[MemberUpdate] = []
-    tallies: list[CounterSnapshot] = []
+    subject: str = ""
+    updates: list[MemberUpdate] = []
+    gossip: list[MemberUpdate] = []
+    snapshots: list[CounterSnapshot] = []
 
 
 class Mixed(unittest.TestCase):
@@ -252,7 +252,7 @@
         ack = encode(Ack(5, deltas=[CounterDelta(A, 0, "", "", 1, 0, False, 0, {"k": 1})]))
         self.assertEqual(msgspec.msgpack.decode(ack, type=AckOfBefore), AckOfBefore(5))
         back = msgspec.msgpack.decode(
-            encode(AckOfBefore(5, tallies=[CounterSnapshot(A, 1, 0, False, {})])), type=Ack
+            encode(AckOfBefore(5, snapshots=[CounterSnapshot(A, 1, 0, False, {})])), type=Ack
         )
         self.assertEqual((back.deltas, back.snapshots[0].incarnation), ([], A))
 
