--- a/ochrehoist/app/worker.py
+++ b/ochrehoist/app/worker.py
@@ -100,7 +100,7 @@
             if not self._serving:
                 self._serve()
 
-        journal.when_restored.append(serve_once)
+        journal.register_restored_listener(serve_once)
         self.parts.loop.call_later(MAX_RESTORE_WAIT_S, serve_once)
         journal.open()
 
--- a/ochrehoist/app/worker_parts.py
+++ b/ochrehoist/app/worker_parts.py
@@ -41,7 +41,7 @@
 from ochrehoist.net.thrift_front import ThriftFront
 
 if TYPE_CHECKING:
-    from ochrehoist.capture.taker import Capture
+    from ochrehoist.capture.recorder import LoadRecorder
     from ochrehoist.core.protocols import AdmissionFilter
     from ochrehoist.net.peers import Peers
     from ochrehoist.net.recovery import RecoveryMonitor
@@ -314,12 +314,12 @@
         self._add_to_operator_api("store", journal)
         return journal
 
-    def _build_capture(self) -> Capture | None:
+    def _build_capture(self) -> LoadRecorder | None:
         if not self.config.capture:
             return None
-        from ochrehoist.capture.taker import Capture
+        from ochrehoist.capture.recorder import LoadRecorder
 
-        capture = Capture(self.loop, self.core, self.config, self.log)
+        capture = LoadRecorder(self.loop, self.core, self.config, self.log)
         self.core.register_observer(capture)
         self._reloadable.append(commit_only(lambda new, _: capture.configure(new)))
         self.operator_api.add_status("capture", capture)
--- a/ochrehoist/net/intent_replication.py
+++ b/ochrehoist/net/intent_replication.py
@@ -40,15 +40,18 @@
 
 
 class ReplicatedJournal(Protocol):
-    """What replication needs of the journal; `hold_until` is by the core's clock (ns)."""
+    """What replication needs of the journal; its times are ns of the core's clock."""
 
-    hold_until: int
     restored: bool
 
+    @property
+    def hold_until_ns(self) -> int:
+        """Until when unknown idempotency keys are rejected."""
+
     def replicate_intents_to(self, replicator: IntentReplicator) -> None:
-        """From now on a run begins only once `replicator` has said so by `witnessed`."""
+        """From now on a run begins only once `replicator` has said so by `replication_ended`."""
 
-    def witnessed(self, request_id: str, ok: bool) -> None:
+    def replication_ended(self, request_id: str, confirmed: bool) -> None:
         """Whether enough witnesses recorded the intent in time."""
 
     def hold_unknown_keys_until(self, until_ns: int) -> None:
@@ -102,7 +105,7 @@
         return until is not None and until > time.monotonic()
 
     def begin(self, request_id: str, key: bytes, window_left_s: float) -> None:
-        """The journal hears by `witnessed`, soon, or with False once `witness_timeout_ms` is over."""
+        """The journal hears by `replication_ended`, soon, or with False once `witness_timeout_ms` is over."""
         now = time.monotonic()
         max_wait_s = self._config.witness_timeout_ms / 1000
         self.pending.add(request_id, key, window_left_s + WINDOW_MARGIN_S, max_wait_s, now)
@@ -149,7 +152,7 @@
             return self._add_page(sender.name, message, now)
         if isinstance(message, int):
             for request_id in self.pending.acknowledge(sender.name, message, now):
-                self._journal.witnessed(request_id, True)
+                self._journal.replication_ended(request_id, True)
         return []
 
     def _record(self, worker: str, message: RecordIntent, now: float) -> list[tuple[str, bytes]]:
@@ -210,7 +213,7 @@
         self.history_known = True
         if self._journal.is_history_uncertain():
             window_end_ns = self._owner.clock() + int(report.window_s * NS_PER_S)
-            self._journal.hold_unknown_keys_until(max(self._journal.hold_until, window_end_ns))
+            self._journal.hold_unknown_keys_until(max(self._journal.hold_until_ns, window_end_ns))
         self._log.warning(
             "witness_quorum_unavailable",
             witnesses=len(self._config.witnesses),
@@ -219,7 +222,7 @@
         )
 
     def _hold_s(self) -> float:
-        left_ns: int = self._journal.hold_until - self._owner.clock()
+        left_ns: int = self._journal.hold_until_ns - self._owner.clock()
         return round(max(0.0, left_ns / NS_PER_S), 1)
 
     def assume_history_known(self) -> None:
@@ -235,7 +238,7 @@
         if self._report is not None and not self.history_known:
             self._conclude_without_quorum(self._report, now)
         for request_id in self.pending.give_up(now):
-            self._journal.witnessed(request_id, False)
+            self._journal.replication_ended(request_id, False)
         if now - self._expired_at >= EXPIRY_INTERVAL_S:
             self._expired_at = now
             self.intent_log.remove_expired(now)
