--- a/ochrehoist/config/fleet.py
+++ b/ochrehoist/config/fleet.py
@@ -208,10 +208,8 @@
     file = table.text("fleet", None)
     if file is None:
         return None
-    from ochrehoist.config.site_map import (
-        FleetSiteMap,
-        SiteMapError,
-    )  # its libraries are for those who want them
+    # Its libraries are for those who have a description of the fleet.
+    from ochrehoist.config.site_map import FleetSiteMap, SiteMapError
 
     try:
         return FleetSiteMap.load(Path(file))
