--- a/ochrehoist/core/protocols.py
+++ b/ochrehoist/core/protocols.py
@@ -179,7 +179,7 @@
         ...
 
     def begin(self, request_id: str, key: bytes, window_left_s: float) -> None:
-        """Records the intent at the replicas; the journal's `witnessed` follows."""
+        """Records the intent at the replicas; the journal's `replication_ended` follows."""
         ...
 
     def drop(self, key: bytes) -> None:
--- a/ochrehoist/net/recovery.py
+++ b/ochrehoist/net/recovery.py
@@ -83,7 +83,7 @@
     def _hold_s(self) -> float | None:
         if self._journal is None:
             return None
-        hold_s = max(0.0, (self._journal.hold_until - self._owner.clock()) / NS_PER_S)
+        hold_s = max(0.0, (self._journal.hold_until_ns - self._owner.clock()) / NS_PER_S)
         if self._journal.restored and not self._replication.history_known:
             return max(hold_s, MIN_UNKNOWN_HOLD_S)
         return hold_s
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -16,7 +16,14 @@
 
 from ochrehoist.admission.settings import RequestClass, Tenant
 from ochrehoist.app.worker import Worker
-from ochrehoist.capture.records import Damage, Head, head_block, records, start, told
+from ochrehoist.capture.encoding import (
+    CaptureDamage,
+    decode_records,
+    encode_header,
+    encode_tenants,
+    file_prefix,
+)
+from ochrehoist.capture.records import CaptureHeader
 from ochrehoist.config.loader import load
 from ochrehoist.core.tenants import MIN_RETIRED_PLACES, compacted_table, initial_table, updated_table
 from ochrehoist.net.peers import FleetTenant
@@ -28,13 +35,13 @@
 
 OPENS_ONCE = """
 import os, time
-from ochrehoist.store.journal import Journal
-opened = Journal._open
-def waits(self, longest):
+from ochrehoist.store.folder_session import FolderSession
+opened = FolderSession.open
+def waits(self, longest_window_ns, clock_ns):
     while os.path.exists({!r}):
         time.sleep(0.005)
-    return opened(self, longest)
-Journal._open = waits
+    return opened(self, longest_window_ns, clock_ns)
+FolderSession.open = waits
 """  # the disk does not answer as long as there is a file of this name
 RUNS_OUT = """
 from ochrehoist.config import loader as config
@@ -282,10 +289,10 @@
     def test_a_head_of_thousands_of_tenants_in_pieces_reads_as_one_that_is_written_whole(self):
         for count in (0, 3, 70_000):
             of = tuple((f"t{n}", float(n)) for n in range(count))
-            head = Head("n1", 5, 1.0, 4, 1000.0, (("read", 1, 2, 1.0, 0.0),), of)
-            pieces = [told(of[n : n + 500]) for n in range(0, count, 500)]
-            data = start() + head_block(msgspec.structs.replace(head, tenants=()), count, pieces)
-            self.assertEqual(list(records(data, Damage())), [head])
+            header = CaptureHeader("n1", 5, 1.0, 4, 1000.0, (("read", 1, 2, 1.0, 0.0),), of)
+            parts = [encode_tenants(of[n : n + 500]) for n in range(0, count, 500)]
+            data = file_prefix() + encode_header(msgspec.structs.replace(header, tenants=()), count, parts)
+            self.assertEqual(list(decode_records(data, CaptureDamage())), [header])
 
 
 class Appliance(ProgramCase):
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -7,7 +7,8 @@
 
 from ochrehoist.admission import learned_state
 from ochrehoist.admission.actions import RejectRequest, StartRun
-from ochrehoist.store.ageing import Stamp, aged
+from ochrehoist.store.expiry import expire_learned_state
+from ochrehoist.store.timestamps import Timestamp
 
 
 class Sizes(unittest.TestCase):
@@ -64,8 +65,8 @@
     def test_it_is_in_the_snapshot_and_one_of_an_older_program_is_restored_too(self):
         d = self.taught()
         learned = learned_state.snapshot(d.controller)
-        now = Stamp(d.now, 0, "b")
-        kept = aged(learned, now, now, 3600 * S, False)
+        now = Timestamp(d.now, 0, "b")
+        kept = expire_learned_state(learned, now, now, 3600 * S, False)
         for told in (learned, kept):
             fresh = Driver(marks_retries=False)
             learned_state.restore(fresh.controller, told, fresh.now)
@@ -79,7 +80,7 @@
             )
         older = {name: value for name, value in learned.items() if name not in ("stated", "tells")}
         learned_state.restore(Driver(marks_retries=False).controller, older, d.now)
-        self.assertNotIn("stated", aged(older, now, now, 3600 * S, False))
+        self.assertNotIn("stated", expire_learned_state(older, now, now, 3600 * S, False))
 
 
 if __name__ == "__main__":
--- a/tests/test_tenants_at_size.py
+++ b/tests/test_tenants_at_size.py
@@ -25,7 +25,8 @@
 from ochrehoist.core.handover_snapshot import snapshot_lines
 from ochrehoist.core.idempotency_table import IdempotencyTable
 from ochrehoist.core.snapshot import CoreSnapshot
-from ochrehoist.store.ageing import Stamp, aged
+from ochrehoist.store.expiry import expire_learned_state
+from ochrehoist.store.timestamps import Timestamp
 
 BEAT = 100 * MS
 FADE = exp(-0.1 / 20)
@@ -379,15 +380,15 @@
                 self.assertGreater(fresh.probe(0)[0] / fresh.probe(0)[1], fresh.probe(30)[0] * 0.5)
 
     def test_on_record_both_forms_fade(self):
-        then, hour = Stamp(0), 3600 * S
-        later = Stamp(60 * S)
+        then, hour = Timestamp(0), 3600 * S
+        later = Timestamp(60 * S)
         for lesson in (learned_state.snapshot(self.active().c), self.older(0.5, 139)):
-            kept = aged(lesson, then, later, 60 * S, False)
+            kept = expire_learned_state(lesson, then, later, 60 * S, False)
             fresh = Module(tenants(50, 30.0))
             learned_state.restore(fresh.c, kept, fresh.now)
             first = fresh.c.activity.of_tenant(0).asked
             fresh = Module(tenants(50, 30.0))
-            learned_state.restore(fresh.c, aged(lesson, then, then, hour, False), fresh.now)
+            learned_state.restore(fresh.c, expire_learned_state(lesson, then, then, hour, False), fresh.now)
             self.assertAlmostEqual(first, fresh.c.activity.of_tenant(0).asked / 2, places=6)
             self.assertLess(fresh.c.activity.of_tenant(30).asked, 0.9)
 
