--- a/tests/golden/test_capture.py
+++ b/tests/golden/test_capture.py
@@ -5,27 +5,31 @@
 
 import msgspec
 
-from ochrehoist.capture import records
+from ochrehoist.capture import encoding
 
 FOLDER = Path(__file__).parent.parent / "fixtures" / "000e6de"
 GOLDEN = (FOLDER / "load.ochrecap").read_bytes()
 
 
 def test_it_is_read_to_the_same_values():
-    damage = records.Damage()
-    values = [msgspec.to_builtins(record) for record in records.records(GOLDEN, damage)]
+    damage = encoding.CaptureDamage()
+    values = [msgspec.to_builtins(record) for record in encoding.decode_records(GOLDEN, damage)]
     assert json.loads(json.dumps(values)) == json.loads((FOLDER / "load.json").read_text())
-    assert damage == records.Damage()
+    assert damage == encoding.CaptureDamage()
 
 
 def test_it_is_written_to_the_same_bytes():
-    head, *rest = records.records(GOLDEN, records.Damage())
-    written = records.start() + records.head_block(head, len(head.tenants), [records.told(head.tenants)])
+    header, *rest = encoding.decode_records(GOLDEN, encoding.CaptureDamage())
+    written = encoding.file_prefix() + encoding.encode_header(
+        header, len(header.tenants), [encoding.encode_tenants(header.tenants)]
+    )
     assert GOLDEN.startswith(written)
     left = GOLDEN[len(written) :]
     while left:
         size = 12 + int.from_bytes(left[:4], "big")
-        of_block = list(records.records(records.start() + left[:size], records.Damage()))
-        assert records.block(of_block) == left[:size]
+        of_block = list(
+            encoding.decode_records(encoding.file_prefix() + left[:size], encoding.CaptureDamage())
+        )
+        assert encoding.encode_block(of_block) == left[:size]
         rest, left = rest[len(of_block) :], left[size:]
     assert rest == []
