--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -1,6 +1,7 @@
 """The real program as a process, and small stand-ins for all it talks to. Every wait ends by itself."""
 
 import base64
+import gc
 import http.client
 import json
 import os
@@ -251,7 +252,7 @@
 
 def interpreter_steps(call, unit="opcode"):
     """How many bytecodes, or lines of Python (`unit="line"`), a call runs with all that it calls: the same on
-    any machine."""
+    any machine. The collector, and what it calls for libraries, would come in at any time."""
     count = 0
 
     def step(frame, event, _):
@@ -263,12 +264,17 @@
         frame.f_trace_opcodes, frame.f_trace_lines = unit == "opcode", unit == "line"
         return step
 
-    before = sys.gettrace()
+    before, collects, callbacks = sys.gettrace(), gc.isenabled(), gc.callbacks[:]
+    gc.disable()
+    gc.callbacks.clear()
     sys.settrace(enter)
     try:
         call()
     finally:
         sys.settrace(before)
+        gc.callbacks[:] = callbacks
+        if collects:
+            gc.enable()
     return count
 
 
--- a/tests/test_sites_fleet.py
+++ b/tests/test_sites_fleet.py
@@ -43,7 +43,8 @@
 
 class OverProcesses(unittest.TestCase):
     def test_a_site_is_lost_known_to_be_and_comes_back_by_steps(self):
-        v = play([{"at": 7.0, "kind": "kill", "who": ["antwerp"], "lasts": 4.0}], seconds=16.0)
+        # On a busy machine the killed workers take up to 4 s to start, and then need time for a stage.
+        v = play([{"at": 7.0, "kind": "kill", "who": ["antwerp"], "lasts": 4.0}], seconds=22.0)
         self.assertEqual(v["broken"], [])
         self.assertLessEqual(
             {"w0", "w1", "w2"},
