--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -75,6 +75,7 @@
             asked.setdefault(name, []).append((router, router.invoke("filing", name.encode(), token=name)))
         router.ping()
         client.request()  # a read over AJP, queued behind the runs
+        old.wait_for(lambda status: status["in_hand"] == "6")  # it was read by the old process
         new = Program(ajp=True, before=old, peers=tables[0], server=servers[0]).took_over()
         second = Thrift(new.at["ThriftFront"])
         for name in ("one", "two", "held", "late"):
