--- a/Makefile
+++ b/Makefile
@@ -40,6 +40,7 @@
 lint: build
 	$(VENV)/bin/ruff format --check .
 	$(VENV)/bin/ruff check ochrehoist tests benchmarks
+	$(VENV)/bin/mypy
 
 test: lint
 	$(VENV)/bin/python tests/known_red.py -q -n $(JOBS)
--- a/ochrehoist/sites/site_events.py
+++ b/ochrehoist/sites/site_events.py
@@ -5,7 +5,7 @@
 
 
 class SiteEventName(StrEnum):
-    """Names of log events; docs/log-events-recsites.md says what each means."""
+    """Names of log events; docs/on-call.md says what each means."""
 
     SITE_STATE_CHANGED = "site_state_changed"
     OPERATOR_COMMAND_RECEIVED = "operator_command_received"
