--- a/tests/test_doubts.py
+++ b/tests/test_doubts.py
@@ -93,7 +93,7 @@
     return SimpleNamespace(
         id=f"r{number}",
         lag=lag,
-        cls=SimpleNamespace(idempotency=Idempotency.KEYED if keyed else Idempotency.IDEMPOTENT),
+        request_class=SimpleNamespace(idempotency=Idempotency.KEYED if keyed else Idempotency.IDEMPOTENT),
     )
 
 
