--- a/Makefile
+++ b/Makefile
@@ -46,7 +46,7 @@
 	$(VENV)/bin/python tests/known_red.py -q -n $(JOBS)
 
 stress: build
-	RELOADS=$(RELOADS) SEED=$(SEED) $(VENV)/bin/python -m pytest -q tests/test_reload_stress.py
+	RELOADS=$(RELOADS) SEED=$(SEED) $(VENV)/bin/python -m pytest -q tests/app/test_reload_stress.py
 
 kills: build
 	$(VENV)/bin/python -m benchmarks.state_kills $(KILLS)
--- a/tests/test_size.py
+++ b/tests/admission/test_file_sizes.py
@@ -3,7 +3,7 @@
 import tomllib
 from pathlib import Path
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 MAX_LINES, MAX_COLUMNS = 400, 110
 # What of the package decides nothing: the types of its border, and what was learned as it is stored.
 NO_DECISIONS = {"__init__.py", "actions.py", "events.py", "learned_state.py", "settings.py"}
--- a/tests/test_faults.py
+++ b/tests/app/test_faults.py
@@ -8,9 +8,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 from stand_ins import Program, hasty
-from test_thrift_front import DUE
 
 from ochrehoist.net import ajp, thrift
+from tests.net.test_thrift_front import DUE
 
 FAULT = """
 from ochrehoist.admission import controller, events
--- a/tests/test_ready.py
+++ b/tests/app/test_readiness.py
@@ -1,6 +1,6 @@
 """Many processes restarted at one moment: each is ready when it says so, and soon (RESTARTED=30 for many).
 
-RESTARTED=30 python -m pytest -q -s tests/test_ready.py
+RESTARTED=30 python -m pytest -q -s tests/app/test_readiness.py
 """
 
 import os
--- a/tests/test_fleet.py
+++ b/tests/lab/test_fleet_scenarios.py
@@ -18,7 +18,7 @@
 from ochrehoist.peers.service_health import UNHEALTHY
 
 logging.getLogger("asyncio").setLevel(logging.CRITICAL)
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 WORKERS = ["w0", "w1", "w2", "w3", "w4"]
 AGAIN = {"name": "again", "use": "repeats", "amount": 8, "floor_lease_s": 1.0}
 REGISTER = {"name": "register", "use": "server", "of": "s1", "amount": 10, "floor_lease_s": 1.0}
--- a/tests/test_sites_fleet.py
+++ b/tests/lab/test_site_scenarios.py
@@ -16,7 +16,7 @@
 from ochrehoist.net.operators import ask
 
 logging.getLogger("asyncio").setLevel(logging.CRITICAL)
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 TWO = {"brussels": ["w0", "w1", "w2"], "antwerp": ["w3", "w4", "w5"]}
 CLASSES = [
     {"name": "read", "share": 0.8, "work_ms": 200},
--- a/tests/test_ajp_front.py
+++ b/tests/net/test_ajp_front.py
@@ -9,7 +9,8 @@
 import unittest
 
 from stand_ins import AjpServer, Dribble, ajp_packet, hasty
-from test_thrift_front import DUE, Case
+
+from tests.net.test_thrift_front import DUE, Case
 
 
 class AjpCase(Case):
--- a/tests/test_plan_answers.py
+++ b/tests/plan/test_plan_answers.py
@@ -8,7 +8,6 @@
 from pathlib import Path
 
 from stand_ins import run
-from test_plan import fleet, quiet
 
 from ochrehoist.capture.reader import Capture, CapturedRequest, read_capture
 from ochrehoist.capture.records import UNKNOWN_SPAN_NS, CaptureHeader, RequestOutcome, RequestRecord
@@ -30,6 +29,7 @@
     size,
     without_strongest,
 )
+from tests.plan.test_plan import fleet, quiet
 
 MS = 1_000_000
 LOADS = re.compile(r"(?:src|href)=\"(?!#)[^\"]*\"|url\((?!#)[^)]*\)|@import")  # from elsewhere
--- a/tests/test_plan_restart.py
+++ b/tests/plan/test_rolling_restart.py
@@ -9,7 +9,7 @@
 from ochrehoist.plan.questions import UnanswerableQuestionError
 from ochrehoist.plan.restart import by_figures, restart, spread
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 
 
 class Restarts(unittest.TestCase):
--- a/tests/test_recovery.py
+++ b/tests/recovery/test_recovery.py
@@ -28,7 +28,7 @@
 from ochrehoist.recovery.witness_quorum import WitnessQuorumReport, missing_from_store
 
 logging.getLogger("asyncio").setLevel(logging.CRITICAL)
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 WINDOW = 20.0
 
 
--- a/tests/test_known_red.py
+++ b/tests/repository/test_known_red.py
@@ -7,7 +7,7 @@
 import unittest
 from pathlib import Path
 
-RUNNER = Path(__file__).with_name("known_red.py")
+RUNNER = Path(__file__).parents[1] / "known_red.py"
 TESTS = """
 def test_good(): pass
 def test_bad(): assert False
--- a/tests/test_readme.py
+++ b/tests/repository/test_readme.py
@@ -5,7 +5,7 @@
 import sys
 from pathlib import Path
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 
 
 def test_the_example_runs_as_printed():
--- a/tests/test_sites.py
+++ b/tests/sites/test_sites.py
@@ -32,7 +32,7 @@
 from ochrehoist.sites.step_lease import StepArbiter, StepPermission
 
 S = 1_000_000_000
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 READ = RequestClass(
     name="read", latency_objective_ns=2 * S, deadline_ns=5 * S, idempotency=Idempotency.IDEMPOTENT
 )
--- a/tests/test_store_disk.py
+++ b/tests/store/test_store_disk.py
@@ -300,7 +300,7 @@
 
 
 class Older(Folder):
-    FIXTURE = Path(__file__).parent / "fixtures" / "format-1"  # as format 1 was written
+    FIXTURE = Path(__file__).parents[1] / "fixtures" / "format-1"  # as format 1 was written
 
     def test_a_store_of_format_1_is_taken_over_aged_and_kept(self):
         shutil.copytree(self.FIXTURE, self.folder, dirs_exist_ok=True)
