--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -315,6 +315,7 @@
     def test_a_tenant_that_goes_with_a_filing_open_is_answered_and_its_repeats_meet_the_first(self):
         program = self.begin()
         first_try, again, later = program.ajp(), program.ajp(), program.ajp()
+        self.assertTrue(again.cping() and later.cping())  # a new connection may not stay silent
         self.ask(first_try, "acme")
         _, _, respond = program.server.next()
         said = program.reload("ajp.toml", self.change(program, {"other": 5.0}))
@@ -344,6 +345,7 @@
     def test_a_route_that_shadows_another_and_a_class_and_a_tenant_in_one_change(self):
         program = self.begin()
         old, new = program.ajp(), program.ajp()
+        self.assertTrue(new.cping())  # a new connection may not stay silent
         old.request(uri="/reads/1", headers={"X-Tenant": "acme"})
         respond = program.server.next()[2]
         classes = [*self.site["Classes"], self.site["Classes"][0] | {"Name": "more"}]
--- a/tests/test_changes_processes.py
+++ b/tests/test_changes_processes.py
@@ -274,6 +274,7 @@
         program, rng = self.start(), random.Random(SEED)
         loads = [Load(program, n) for n in range(4)]
         web = program.ajp()
+        self.assertEqual(self.asked(web, "t1", "/reads/1"), 200)  # a new connection may not stay silent
         for number in range(1, 61):
             self.replace(program, self.version(program, number))
             for _ in range(rng.randrange(1, 4)):
@@ -297,6 +298,7 @@
         self.order(program)
         self.in_force(program, 0)
         web, kinds = program.ajp(), Counter()
+        self.assertEqual(self.asked(web, "v0", "/v0/x"), 200)  # a new connection may not stay silent
         for number in range(1, 13):
             self.replace(program, self.version(program, number))
             self.order(program)
@@ -344,6 +346,7 @@
         program.reload("ajp.toml", self.version(program, 1))
         version = self.configuration(program).get("version")
         load, web = Load(program, 1), program.ajp()
+        self.assertEqual(self.asked(web, "v1", "/v1/x"), 200)  # a new connection may not stay silent
         # Of inline tables: no part of it is a whole file by TOML's grammar.
         whole = tomllib.loads(self.version(program, 2))
         content = "\n".join(f"{key} = {toml(value)}" for key, value in whole.items()).encode()
@@ -364,6 +367,7 @@
         """By TOML's grammar it may be a whole file of fewer tenants."""
         program, rng = self.start(), random.Random(SEED)
         load, web = Load(program, 1), program.ajp()
+        self.assertEqual(self.asked(web, "t1", "/reads/1"), 200)  # a new connection may not stay silent
         content = self.version(program, 1)
         first = content.index("[[settings.Tenants]]")
         for cut in (rng.randrange(first + 2000, len(content)) for _ in range(12)):
@@ -387,17 +391,24 @@
     def test_one_bad_tenant_or_rule_among_thousands_is_named_with_its_place(self):
         program = self.start()
         web = program.ajp()
+        self.serves_as_begun(web)
         for n, key, value in ((2999, "QuotaPerS", "many"), (1500, "Name", 7), (2998, "Name", None)):
             bad = site("v1")
             bad["Tenants"][n] = {k: v for k, v in (bad["Tenants"][n] | {key: value}).items() if v is not None}
             why = self.turned_down(program, toml_file(program.appliance | {"settings": bad}))
             self.assertIn(f"Tenants[{n}]", why)
             self.assertIn(key, why)
+            self.serves_as_begun(web)
         twice = site("t17")
         why = self.turned_down(program, toml_file(program.appliance | {"settings": twice}))
         self.assertIn("'t17'", why)
+        self.serves_as_begun(web)
         rules = [{"uri": f"/r{n}/*", "class": "read" if n != 700 else "none"} for n in range(800)]
         self.assertIn("rules[702].class", self.turned_down(program, self.text(program, rules=rules)))
+        self.serves_as_begun(web)
+
+    def serves_as_begun(self, web):
+        """Also keeps the connection: the front ends a new one that sends nothing for 2.5 s."""
         self.assertEqual([self.asked(web, "t17", "/reads/1"), self.asked(web, "v1", "/reads/1")], [200, 400])
 
 
@@ -427,9 +438,10 @@
         for number in range(1, 5):
             program = self.start(server=server, state=state, appliance=appliance)
             program.wait_for(lambda status: status["state"] == "up")
-            web = program.ajp()
             if appliance is not None:
                 self.in_force(program, number - 1)
+            web = program.ajp()
+            if appliance is not None:
                 self.assertEqual(self.asked(web, f"v{number}", f"/v{number}/x"), 404)
             for key, body in filed:
                 self.assertEqual(self.file(web, key)[::2], (200, body))
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -210,6 +210,7 @@
         other = AjpServer()
         self.addCleanup(other.close)
         client, late = program.ajp(), program.ajp()
+        self.assertTrue(late.cping())  # a new connection may not stay silent
         client.request()
         _, _, respond = program.server.next()
         whole = program.appliance
