--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -3,6 +3,7 @@
 The stated slopes are those of docs/CAPACITY.md. What does not grow is compared for equality at three sizes.
 """
 
+import gc
 import json
 import logging
 import unittest
@@ -36,6 +37,25 @@
     def test_the_same_call_counts_the_same(self):
         self.assertEqual(*(interpreter_steps(lambda: sum(x for x in range(50))) for _ in "ab"))
 
+    def test_neither_the_collector_nor_its_callbacks_count(self):
+        def call():
+            return [[] for _ in range(50)]  # at a threshold of one object, the collector comes in for each
+
+        alone, seen = interpreter_steps(call), []
+
+        def callback(phase, info):
+            seen.append(phase)
+
+        self.addCleanup(gc.set_threshold, *gc.get_threshold())
+        self.addCleanup(gc.callbacks.remove, callback)
+        gc.callbacks.append(callback)
+        gc.set_threshold(1)
+        call()
+        self.assertGreater(len(seen), 0)  # such as Hypothesis leaves there
+        self.assertEqual(interpreter_steps(call), alone)
+        self.assertIn(callback, gc.callbacks)
+        self.assertTrue(gc.isenabled())
+
 
 class Runs:
     """An executor that keeps what it is given; a responder that is told; a waker that nobody waits for."""
