--- a/tests/test_ajp_front.py
+++ b/tests/test_ajp_front.py
@@ -383,16 +383,18 @@
         self.assertEqual(web.answer()[2], b"another's")
 
     def test_every_rule_holds_over_both_at_once(self):
-        kernel_ran, server_ran, done = [], [], threading.Event()
+        kernel_ran, server_ran = [], []
 
-        def run_kernel():  # both executors serve what comes, until the last phase
-            while not done.is_set():
+        def run_kernel():  # both executors serve what comes, up to the last body: from then on nothing ends
+            body = None
+            while body != b"last":
                 rid, _, body = self.kernel.next()
                 kernel_ran.append(body)
                 self.kernel.reap(rid, body=b"kernel " + body)
 
         def run_server():
-            while not done.is_set():
+            body = None
+            while body != b"last":
                 _, body, respond = self.server.next()
                 server_ran.append(body)
                 respond(200, b"server " + body)
@@ -423,17 +425,18 @@
                 self.assertEqual((by_thrift, by_ajp), (b"kernel " + body, b"server " + body))
         ran = [body for body in kernel_ran + server_ran if int(body) % 2]
         self.assertEqual(sorted(ran), sorted(b"%d" % n for n in range(1, 24, 2)))
-        done.set()  # each takes one more, and from then on nothing that is started ends
         last = router.invoke(body=b"last")
         self.assertEqual(router.answer(last)[2], b"kernel last")
         self.assertEqual(web.call("POST", "/reads/1", body=b"last")[2], b"server last")
         for worker in workers:
             worker.join()
         # The notice to leave finds requests running and held on both fronts.
-        began, webs = time.time(), [self.program.ajp() for _ in range(6)]
+        webs = [self.program.ajp() for _ in range(6)]
         open_ = [router.invoke(body=b"%d" % n) for n in range(6)]
         for web in webs:
             web.request()
+        self.program.wait_for(lambda status: status["in_hand"] == "12")
+        began = time.time()
         self.program.process.send_signal(signal.SIGTERM)
         self.assertLessEqual({router.answer(seqid)[0] for seqid in open_}, {"Throttled", "Broken"})
         self.assertLessEqual({web.answer()[0] for web in webs}, {503, 504})
