--- a/ochrehoist/cli/lab.py
+++ b/ochrehoist/cli/lab.py
@@ -19,12 +19,12 @@
 def _told(error: BaseException) -> None:
     if isinstance(error, ModuleNotFoundError):
         end("the laboratory's libraries are missing: install them by `pip install 'ochrehoist[plan]'`", WRONG)
+    from ochrehoist.lab.errors import RunAbortedError
     from ochrehoist.lab.scenario import ScenarioError
-    from ochrehoist.lab.workers import Failed
 
     if isinstance(error, ScenarioError):
         end(str(error), WRONG)
-    if isinstance(error, Failed | OSError):
+    if isinstance(error, RunAbortedError | OSError):
         end(str(error), NO)
     if isinstance(error, KeyboardInterrupt):
         end("broken off; all processes of the play are ended", NO)
--- a/ochrehoist/cli/scale.py
+++ b/ochrehoist/cli/scale.py
@@ -14,12 +14,11 @@
 def _told(error: BaseException) -> None:
     if isinstance(error, ModuleNotFoundError):
         end("the laboratory's libraries are missing: install them by `pip install 'ochrehoist[plan]'`", WRONG)
-    from ochrehoist.lab.scale import Bound
-    from ochrehoist.lab.workers import Failed
+    from ochrehoist.lab.errors import InvalidRunError, RunAbortedError
 
-    if isinstance(error, Bound):
+    if isinstance(error, InvalidRunError):
         end(str(error), WRONG)
-    if isinstance(error, Failed | OSError):
+    if isinstance(error, RunAbortedError | OSError):
         end(str(error), NO)
     if isinstance(error, KeyboardInterrupt):
         end("broken off; all processes of the run are ended", NO)
@@ -133,13 +132,17 @@
     from rich.console import Console
     from rich.progress import Progress
 
-    from ochrehoist.lab import scale as scales
-    from ochrehoist.lab import scale_report
+    from ochrehoist.lab.scale import report
+    from ochrehoist.lab.scale.calibration import run_calibration
+    from ochrehoist.lab.scale.run import ScaleRun
+    from ochrehoist.lab.scale.slopes import comparison, slopes
+    from ochrehoist.lab.scale.spec import FaultKind, ScaleSpec
     from ochrehoist.lab.workers import ROOT
 
-    kinds = () if faults == "none" else tuple(faults.split(","))
-    if set(kinds) - set(scales.FAULTS):
-        end(f"--faults: there are {', '.join(scales.FAULTS)}", WRONG)
+    words = [] if faults == "none" else faults.split(",")
+    if set(words) - set(FaultKind):
+        end(f"--faults: there are {', '.join(FaultKind)}", WRONG)
+    kinds = tuple(FaultKind(word) for word in words)
     other = _runs(against) if against is not None else None
     runs = _runs(out) if out is not None and out.exists() else []
     new = []
@@ -152,31 +155,27 @@
             def tell(share: float, what: str, n: int = n, count: int = count) -> None:
                 progress.update(task, completed=n + share, description=f"{count} members: {what}")
 
-            one = scales.Spec(members=count, seed=seed, faults=kinds, **spec)
+            one = ScaleSpec(members=count, seed=seed, faults=kinds, **spec)
             root = (tree or ROOT).absolute()
-            new.append(scales.checked(one, root, tell) if check else scales.Scale(one, root).run(tell))
+            new.append(run_calibration(one, root, tell) if check else ScaleRun(one, root).run(tell))
             runs.append(new[-1])
             if out is not None:
                 out.parent.mkdir(parents=True, exist_ok=True)
                 out.write_text(json.dumps({"what": "scale", "runs": runs}, indent=1))
-            for line in scale_report.lines(new[-1]):
+            for line in report.run_lines(new[-1]):
                 click.echo(line)
     if not check:
-        for line in scale_report.told_factor(runs):
+        for line in report.calibration_lines(runs):
             click.echo(line)
-    fits = scale_report.slopes(runs)
-    for name, fit in fits.items():
-        click.echo(
-            f"{name}: {fit['at_none']:.4g} + {fit['per_member']:.4g} for each member, residual "
-            f"{fit['residual']:.3g}, {fit['runs']} runs from {fit['from']:g} to {fit['to']:g}"
-        )
+    for line in report.slope_lines(slopes(runs)):
+        click.echo(line)
     if other is not None:
-        _, heads, rows = scale_report.against(runs, other)
+        _, heads, rows = comparison(runs, other)
         for row in [heads, *rows]:
             click.echo(
                 "  ".join("-" if x is None else f"{x:.4g}" if isinstance(x, float) else str(x) for x in row)
             )
     if html is not None:
         made = f"ochrehoist lab scale, {runs[-1]['date']}, version {runs[-1]['version']}"
-        html.write_text(scale_report.report(runs, made, other))
+        html.write_text(report.html_page(runs, made, other))
     ctx.exit(0 if all(r["ended"] == "whole" for r in new) else NO)
--- a/ochrehoist/lab/workers.py
+++ b/ochrehoist/lab/workers.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 from typing import Any
 
-from ochrehoist.errors import OchrehoistError
+from ochrehoist.lab.errors import RunAbortedError
 from ochrehoist.lab.scenario import Scenario
 from ochrehoist.lab.toml import toml_file
 
@@ -35,10 +35,6 @@
 """
 
 
-class Failed(OchrehoistError):
-    """The play can't go on; the text says why."""
-
-
 def settings(s: Scenario) -> dict[str, Any]:
     classes = [
         {"Name": c.name, "Slo": int(c.aim_ms * MS), "Deadline": int(c.deadline_ms * MS), "Gain": c.worth}
@@ -172,7 +168,7 @@
             stdout=subprocess.DEVNULL,
         )
         if await process.wait():
-            raise Failed(f"the store of {self.name} could not be made")
+            raise RunAbortedError.store_not_initialized(self.name)
 
     async def start(self, now: float) -> None:
         self.write()
@@ -225,7 +221,7 @@
                 return  # by a fault that came before it was up
             if not up.is_set() and (process.poll() is not None or loop.time() > until):
                 said = (self.folder / f"{self.name}.log").read_text().splitlines()[-1:]
-                raise Failed(f"worker {self.name} did not come up: {' '.join(said) or 'it says nothing'}")
+                raise RunAbortedError.worker_not_started(self.name, " ".join(said))
 
     # ---- what is done to it
     def signal(self, number: int) -> None:
--- a/tests/test_plan_answers.py
+++ b/tests/test_plan_answers.py
@@ -12,7 +12,7 @@
 
 from ochrehoist.capture.reader import Capture, CapturedRequest, read_capture
 from ochrehoist.capture.records import UNKNOWN_SPAN_NS, CaptureHeader, RequestOutcome, RequestRecord
-from ochrehoist.lab import scale_report
+from ochrehoist.lab.scale.slopes import slope
 from ochrehoist.plan import pictures, report
 from ochrehoist.plan.captures import side_by_side
 from ochrehoist.plan.demand import Streams, captured
@@ -79,7 +79,7 @@
             "events": [[3.0, "one lost"]],
         }
         yield "measure", {"measured": one, "forecast": one}
-        fit = scale_report.slope([(20, 1.0), (50, 2.0), (100, 3.0)])
+        fit = slope([(20, 1.0), (50, 2.0), (100, 3.0)])
         yield (
             "scale",
             {
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -18,7 +18,12 @@
 from stand_ins import PATIENCE, ROOT, default_signals
 
 from ochrehoist.cli.lab import lab
-from ochrehoist.lab import hollow, scale, scale_report
+from ochrehoist.lab.hollow.network import PartitionedNetwork, PartitionedSocket
+from ochrehoist.lab.scale import report, slopes
+from ochrehoist.lab.scale.calibration import run_calibration
+from ochrehoist.lab.scale.run import ScaleRun
+from ochrehoist.lab.scale.spec import FaultKind, ScaleSpec
+from ochrehoist.lab.scale.topology import Topology
 
 LONG = 8 * PATIENCE  # a run on a crowded machine
 
@@ -175,9 +180,9 @@
         then, now = Path(self.folder, "then.json"), Path(self.folder, "now.json")
         then.write_text(json.dumps({"runs": [one]}))
         with mock.patch.object(
-            scale.Scale,
+            ScaleRun,
             "run",
-            lambda self, tell: one | {"version": "now", "rest": {"hollow": {}, "cpu_share": 0.01}},
+            lambda self, report: one | {"version": "now", "rest": {"hollow": {}, "cpu_share": 0.01}},
         ):
             done = CliRunner().invoke(lab, ["scale", "--json", str(now), "--against", str(then)])
         self.assertEqual(done.exit_code, 0, done.output)
@@ -198,18 +203,18 @@
         runs = [made(n, 0.01 + 0.0002 * n) for n in (20, 50, 100)]
         runs += [made(400, 9.0, ended="memory: over"), made(800, 9.0, trusted=False)]
         runs += [made(200, 0.05) | {"spec": {"members": 200, "seed": 1, "real": 20}}]
-        fit = scale_report.slopes(runs)["processor"]
+        fit = slopes.slopes(runs)["processor"]
         self.assertAlmostEqual(fit["per_member"], 0.02)
         self.assertAlmostEqual(fit["at_none"], 1.0)
         self.assertAlmostEqual(fit["residual"], 0.0)
         self.assertEqual((fit["from"], fit["to"], fit["runs"]), (20, 100, 3))
-        off = scale_report.slope([(0, 0.0), (1, 3.0), (2, 0.0)])
+        off = slopes.slope([(0, 0.0), (1, 3.0), (2, 0.0)])
         self.assertAlmostEqual(off["residual"], 2**0.5)
-        self.assertIsNone(scale_report.slope([(1, 1.0), (1, 2.0), (2, 3.0)]))
+        self.assertIsNone(slopes.slope([(1, 1.0), (1, 2.0), (2, 3.0)]))
 
     def test_slopes_stand_side_by_side(self):
         before, now = ([made(n, slope * n) for n in (20, 50, 100)] for slope in (0.0004, 0.0001))
-        _, _, rows = scale_report.against(now, before)
+        _, _, rows = slopes.comparison(now, before)
         (row,) = (r for r in rows if r[0].startswith("processor"))
         self.assertAlmostEqual(row[1], 0.04)
         self.assertAlmostEqual(row[3], 0.01)
@@ -227,24 +232,24 @@
         }
         for late, valid in ((0, True), (20, True), (21, False)):
             run = made(40, 0) | {"rest": rest | {"was_late": late}, "join": {"all_s": 1.0}, "notes": []}
-            with mock.patch.object(scale.Scale, "run", lambda self, tell, run=run: run):
-                told = scale.checked(scale.Spec(members=40, real=20), ROOT, lambda *_: None)
+            with mock.patch.object(ScaleRun, "run", lambda self, report, run=run: run):
+                told = run_calibration(ScaleSpec(members=40, real=20), ROOT, lambda *_: None)
             self.assertEqual(told["check_valid"], valid)
         self.assertTrue(told["check"]["sent_per_s"]["within"])
         self.assertAlmostEqual(told["check"]["peers_cpu_s"]["factor"], 1.5)
         self.assertAlmostEqual(told["check"]["cpu_share"]["hollow"], 0.013)
         self.assertFalse(told["check"]["cpu_share"]["within"])
-        self.assertIn("not checked", scale_report.told_factor([told])[0])
+        self.assertIn("not checked", report.calibration_lines([told])[0])
 
 
 class Parts(unittest.TestCase):
     def test_nothing_passes_between_the_two_sides_of_a_cut(self):
-        network, a, b, c = hollow.Network(), ("127.0.0.1", 1), ("127.0.0.1", 2), ("127.0.0.1", 3)
-        network.cuts.append(frozenset((a, b)))
+        network, a, b, c = PartitionedNetwork(), ("127.0.0.1", 1), ("127.0.0.1", 2), ("127.0.0.1", 3)
+        network.partitions.append(frozenset((a, b)))
         self.assertTrue(network.passes(a, b))
         self.assertFalse(network.passes(a, c) or network.passes(c, b))
         sent = []
-        link = hollow.Link(
+        link = PartitionedSocket(
             SimpleNamespace(fileno=0, close=0, getsockname=0, sendto=lambda data, to: sent.append(to)),
             network,
             a,
@@ -254,13 +259,12 @@
         self.assertEqual(sent, [b])
 
     def test_zones_lie_in_regions_and_a_rack_is_a_twentieth(self):
-        run = scale.Scale(scale.Spec(members=240, regions=3))
-        names = [f"w{n:04d}" for n in range(240)]
-        run.places, run.zones = dict.fromkeys(names, ""), run.zoned(names)
-        self.assertEqual(len(set(run.zones.values())), 8)
-        self.assertEqual(len({z.split("/")[0] for z in run.zones.values()}), 3)
-        self.assertEqual([len(run.struck(kind)) for kind in ("rack", "zone", "restart")], [12, 30, 24])
-        self.assertEqual(len(run.struck("region")), 90)
+        topology = Topology(ScaleSpec(members=240, regions=3))
+        self.assertEqual(len(set(topology.zones.values())), 8)
+        self.assertEqual(len({z.split("/")[0] for z in topology.zones.values()}), 3)
+        kinds = (FaultKind.RACK, FaultKind.ZONE, FaultKind.RESTART)
+        self.assertEqual([len(topology.fault_targets(kind)) for kind in kinds], [12, 30, 24])
+        self.assertEqual(len(topology.fault_targets(FaultKind.REGION)), 90)
 
 
 if __name__ == "__main__":
