--- a/tests/repository/test_pages.py
+++ b/tests/repository/test_pages.py
@@ -1,6 +1,7 @@
 """What the pages name exists: files, links, modules, code, make targets, commands and log events."""
 
 import ast
+import json
 import re
 import unittest
 from collections.abc import Iterator
@@ -75,6 +76,12 @@
 
 
 class Pages(unittest.TestCase):
+    # Names out of the configuration of the worker whose status is compared, and stages of its start.
+    example_names = frozenset(
+        {"again", "boekhoud-net", "register-runs", "sites.return", "register-db", "settings", "lost", "peers"}
+        | {"company-read", "extract-refresh", "filing-submit"}
+    )
+
     @classmethod
     def setUpClass(cls):
         cls.source = "\n".join(path.read_text(encoding="utf-8") for path in SOURCES)
@@ -182,6 +189,28 @@
                 listed = module in decisions or any(fnmatch(module, name) for name in named)
                 self.assertTrue(listed, "add it to docs/modules.md, of admission/ to docs/design.md")
 
+    def test_the_reference_has_all_keys_of_the_status_and_all_metrics(self):
+        shown = json.loads(
+            (ROOT / "tests" / "fixtures" / "000e6de" / "status.json").read_text(encoding="utf-8")
+        )
+        page = ROOT / "docs" / "reference.md"
+        sections = re.split(r"^## ", page.read_text(encoding="utf-8"), flags=re.M)
+        by_title = {section.partition("\n")[0].strip("`"): section for section in sections}
+        for path in filter(None, shown["status"]):
+            section, *keys = path.strip("/").replace("[]", "").split("/")
+            if section in by_title:
+                # Below these the keys are names out of the configuration or stages, or a budget's own.
+                keys = [key for key in keys if key not in self.example_names]
+            else:
+                section, keys = "Worker", [section]
+            for key in keys:
+                with self.subTest(path=path):
+                    self.assertRegex(by_title[section], rf"[`.]{key}[`.]")
+        for metric in shown["metrics"]:
+            name = re.split(r"[{ ]", metric)[0]
+            with self.subTest(metric=name):
+                self.assertRegex(by_title["Metrics"], rf"`{name}[`{{]")
+
     def test_the_table_of_log_events_is_complete(self):
         page = (ROOT / "docs" / "on-call.md").read_text(encoding="utf-8")
         rows = re.findall(r"^\| `([a-z_]+)`", page[page.index("## Log events") :], re.M)
