--- a/benchmarks/limit_choice.py
+++ b/benchmarks/limit_choice.py
@@ -15,7 +15,7 @@
 import joblib
 
 from ochrehoist.config.fleet_description import parse
-from ochrehoist.config.schema import LimitController, OverloadConfig
+from ochrehoist.config.tables import LimitController, OverloadConfig
 from ochrehoist.overload.limiter import AdaptiveLimiter
 from ochrehoist.plan.cores import Cores
 from ochrehoist.plan.events import Simulation
--- a/benchmarks/routes.py
+++ b/benchmarks/routes.py
@@ -27,7 +27,7 @@
 import json, sys, time, tracemalloc
 from types import SimpleNamespace as Plain
 from ochrehoist.admission import settings as i
-from ochrehoist.config.schema import AjpRoute
+from ochrehoist.config.tables import AjpRoute
 from ochrehoist.net import ajp
 from ochrehoist.net.ajp_front import AjpReader, Rejected
 task = json.load(sys.stdin)
--- a/ochrehoist/app/reload_change.py
+++ b/ochrehoist/app/reload_change.py
@@ -4,16 +4,22 @@
 and gives a commit, which must be short and is called when all are prepared.
 """
 
+from __future__ import annotations
+
 from collections.abc import Callable, Generator, Sequence
 from dataclasses import dataclass, replace
+from typing import TYPE_CHECKING
 
 from ochrehoist.admission.settings import AdmissionSettings
 from ochrehoist.config import comparison, loader
-from ochrehoist.config.schema import BudgetConfig, Config
+from ochrehoist.config.schema import Config
 from ochrehoist.core.actor import CoreActor
 from ochrehoist.core.messages import SettingsChanged, TenantsChanged
 from ochrehoist.core.tenants import NAMES_PER_STEP, TenantTable, compacted_table, updated_table
 
+if TYPE_CHECKING:
+    from ochrehoist.config.tables import BudgetConfig
+
 Commit = Callable[[], None]
 Participant = Callable[[Config, TenantTable], Generator[None, None, Commit]]
 CoreChange = SettingsChanged | TenantsChanged
--- a/ochrehoist/app/worker.py
+++ b/ochrehoist/app/worker.py
@@ -11,7 +11,6 @@
 from ochrehoist.core.metrics import RequestCounter
 from ochrehoist.errors import InvalidInputError
 from ochrehoist.net.ending import Ending
-from ochrehoist.net.operators import Operators
 
 if TYPE_CHECKING:
     from ochrehoist.store.journal import Journal
@@ -76,7 +75,7 @@
     def _announce_listeners(self) -> None:
         for listener in self.parts.listeners:
             address = listener.listening.address
-            if isinstance(listener, Operators) and address not in self.parts.inherited_addresses:
+            if listener is self.parts.operators and address not in self.parts.inherited_addresses:
                 listener.listening.start()  # it says from the start that the worker is not ready
             self.parts.log.info("started", part=type(listener).__name__, listen=address)
 
--- a/ochrehoist/app/worker_parts.py
+++ b/ochrehoist/app/worker_parts.py
@@ -10,11 +10,10 @@
 import sys
 import time
 from collections.abc import Callable, Mapping
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 from ochrehoist.app.kernel_link_supervisor import KernelLinkSupervisor
 from ochrehoist.app.logs import LogSink, start_log
-from ochrehoist.app.operator_api import OperatorApi
 from ochrehoist.app.reload import ConfigReloader
 from ochrehoist.app.reload_change import Participant, commit_only
 from ochrehoist.app.resource_limits import (
@@ -27,22 +26,23 @@
     memory_bytes,
 )
 from ochrehoist.config.schema import Config
+from ochrehoist.config.values import Address
 from ochrehoist.core.actor import CoreActor
 from ochrehoist.core.messages import ExecutorReady
-from ochrehoist.net.agent import AgentCheck
-from ochrehoist.net.ajp import ReplyCodec
-from ochrehoist.net.ajp_front import AjpFront
-from ochrehoist.net.ajp_server import AjpServers
 from ochrehoist.net.kernel import Kernel
 from ochrehoist.net.link import predecessors_sockets
 from ochrehoist.net.loop import Loop, Signal, steady_clock
 from ochrehoist.net.members import Members
-from ochrehoist.net.operators import Answer, Operators, said
 from ochrehoist.net.thrift_front import ThriftFront
 
 if TYPE_CHECKING:
+    from ochrehoist.app.operator_api import MetricsSource, OperatorApi, StatusSource
     from ochrehoist.capture.recorder import LoadRecorder
     from ochrehoist.core.protocols import AdmissionFilter
+    from ochrehoist.net.agent import AgentCheck
+    from ochrehoist.net.ajp_front import AjpFront
+    from ochrehoist.net.ajp_server import AjpServers
+    from ochrehoist.net.operators import Answer, Operators
     from ochrehoist.net.peers import Peers
     from ochrehoist.net.recovery import RecoveryMonitor
     from ochrehoist.net.self_monitoring import SelfMonitor
@@ -50,8 +50,7 @@
     from ochrehoist.overload.overload_control import OverloadControl
     from ochrehoist.store.journal import Journal
 
-Address = tuple[str, int]
-Listener = ThriftFront | AjpFront | AgentCheck | Operators
+    Listener = ThriftFront | AjpFront | AgentCheck | Operators
 
 
 class InheritedSockets:
@@ -111,14 +110,14 @@
         self.overload_control = self._build_overload_control()
         self.core = self._build_core()
         self.tasks: list[Callable[[], None]] = [self.core.run]
-        self.operator_api = OperatorApi(config.name, self.core, self.sink, self.fronts, is_serving)
+        self.operator_api = self._build_operator_api(is_serving)
         self.inherited = InheritedSockets(config.handover_path)
         limits = connection_limits(config)
         self.ajp_servers = self._build_ajp(limits)
         self.kernel = self._build_thrift(limits)
         self.members = self._build_membership()
         self._build_agent_check()
-        self._build_operators()
+        self.operators = self._build_operators()
         self.inherited_addresses = self.inherited.close_unused(self.listeners)
         self.reloading = self._build_reloading(path)
         self.journal = self._build_store()
@@ -180,6 +179,9 @@
         ajp = self.config.ajp
         if not ajp:
             return None
+        from ochrehoist.net.ajp_front import AjpFront
+        from ochrehoist.net.ajp_server import AjpServers
+
         body_bytes = memory_bytes(self.config.memory_mb, BODY_MEMORY_FRACTION)
         servers = AjpServers(self.loop, self.core, ajp, body_bytes, self.log)
         front = AjpFront(
@@ -214,7 +216,7 @@
             is_shared=lambda: self._kernel_is_shared(),
         )
         self.tasks.append(kernel.run)
-        self.operator_api.add_status("kernel", kernel)
+        self._add_status("kernel", kernel)
         self._reloadable.append(commit_only(lambda new, _: kernel.move(new.kernel_address, new.gauges)))
         sock = self.inherited.get(config.listen)
         if config.inherited_fd is not None:
@@ -257,17 +259,40 @@
     def _build_agent_check(self) -> None:
         address = self.config.agent_check_address
         if address:
+            from ochrehoist.net.agent import AgentCheck
+
             sock = self.inherited.get(address)
             self.listeners.append(AgentCheck(self.loop, self.core, address, self.log, sock))
 
-    def _build_operators(self) -> None:
+    def _build_operator_api(self, is_serving: Callable[[], bool]) -> OperatorApi | None:
+        if self.config.admin_address is None:
+            return None
+        from ochrehoist.app.operator_api import OperatorApi
+
+        return OperatorApi(self.config.name, self.core, self.sink, self.fronts, is_serving)
+
+    def _add_status(self, section: str, source: StatusSource) -> None:
+        if self.operator_api:
+            self.operator_api.add_status(section, source)
+
+    def _add_metrics(self, section: str, source: MetricsSource) -> None:
+        if self.operator_api:
+            self.operator_api.add_metrics(section, source)
+
+    def _build_operators(self) -> Operators | None:
         address = self.config.admin_address
-        if address:
-            sock = self.inherited.get(address)
-            self.listeners.append(Operators(self.loop, address, self._operator_calls(), self.log, sock))
+        if self.operator_api is None or address is None:
+            return None
+        from ochrehoist.net.operators import Operators
 
-    def _operator_calls(self) -> Mapping[str, Mapping[str, Callable[[], Answer]]]:
-        calls = self.operator_api.calls()
+        operators = Operators(
+            self.loop, address, self._operator_calls(self.operator_api), self.log, self.inherited.get(address)
+        )
+        self.listeners.append(operators)
+        return operators
+
+    def _operator_calls(self, api: OperatorApi) -> Mapping[str, Mapping[str, Callable[[], Answer]]]:
+        calls = api.calls()
         if self.config.recovery:
             from ochrehoist.recovery.startup_progress import StartupStage
 
@@ -279,6 +304,8 @@
         return SiteCommandRoutes(calls, lambda site, kind: self.sites.issue_command(site, kind))
 
     def _skip_call(self, stage: str) -> Callable[[], Answer]:
+        from ochrehoist.net.operators import said
+
         return lambda: said({"said": self.recovery.skip(stage)})
 
     # ---- configuration
@@ -286,9 +313,9 @@
         reloading = ConfigReloader(
             self.loop, self.core, self.config, path, self._reloadable, self.kernel, self.log
         )
-        self.operator_api.add_status("configuration", reloading)
+        self._add_status("configuration", reloading)
         if self.config.ajp:  # the platform's worker keeps to the fixed names
-            self.operator_api.add_metrics("configuration", reloading)
+            self._add_metrics("configuration", reloading)
         if self.kernel:
             supervisor = KernelLinkSupervisor(self.loop, self.core, self.kernel, reloading, self.log)
             self.tasks.append(supervisor.run)
@@ -299,6 +326,7 @@
         config = self.config
         if not config.state:
             return None
+        from ochrehoist.net.ajp import ReplyCodec
         from ochrehoist.store.journal import Journal
 
         journal = Journal(
@@ -311,7 +339,8 @@
             self.inherited.replaces_process,
         )
         self.core.register_journal(journal)
-        self._add_to_operator_api("store", journal)
+        self._add_status("store", journal)
+        self._add_metrics("store", journal)
         return journal
 
     def _build_capture(self) -> LoadRecorder | None:
@@ -322,7 +351,7 @@
         capture = LoadRecorder(self.loop, self.core, self.config, self.log)
         self.core.register_observer(capture)
         self._reloadable.append(commit_only(lambda new, _: capture.configure(new)))
-        self.operator_api.add_status("capture", capture)
+        self._add_status("capture", capture)
         return capture
 
     def _build_self_monitor(self) -> SelfMonitor | None:
@@ -335,7 +364,8 @@
         self._reloadable.append(
             commit_only(lambda new, tenants: control.configure(new.settings, new.overload, tenants))
         )
-        self._add_to_operator_api("overload", monitor)
+        self._add_status("overload", monitor)
+        self._add_metrics("overload", monitor)
         return monitor
 
     def _build_peers(self) -> Peers | None:
@@ -348,7 +378,8 @@
         self._reloadable.append(peers.prepare)
         if self.ajp_servers:
             self.ajp_servers.use_advisor(peers)
-        self._add_to_operator_api("peers", peers)
+        self._add_status("peers", peers)
+        self._add_metrics("peers", peers)
         return peers
 
     def _build_sites(self) -> SiteService | None:
@@ -366,7 +397,8 @@
             self.log,
         )
         self._reloadable.append(commit_only(sites.configure))
-        self._add_to_operator_api("sites", sites)
+        self._add_status("sites", sites)
+        self._add_metrics("sites", sites)
         return sites
 
     def _build_recovery(self) -> RecoveryMonitor | None:
@@ -385,9 +417,6 @@
             self.ajp_servers,
             self.log,
         )
-        self._add_to_operator_api("recovery", recovery)
+        self._add_status("recovery", recovery)
+        self._add_metrics("recovery", recovery)
         return recovery
-
-    def _add_to_operator_api(self, section: str, part: Any) -> None:
-        self.operator_api.add_status(section, part)
-        self.operator_api.add_metrics(section, part)
--- a/ochrehoist/capture/writer.py
+++ b/ochrehoist/capture/writer.py
@@ -9,7 +9,7 @@
 from ochrehoist.capture.batching import file_is_complete, files_to_delete
 from ochrehoist.capture.encoding import encode_block, encode_header, encode_tenants, file_prefix
 from ochrehoist.capture.records import FILE_SUFFIX, CaptureHeader, NoCaptureFileError, Record
-from ochrehoist.config.schema import CaptureConfig
+from ochrehoist.config.tables import CaptureConfig
 
 FILE_MODE = 0o600
 TENANTS_PER_PART = 500  # of a header, encoded in one go
--- a/ochrehoist/config/ajp_tables.py
+++ b/ochrehoist/config/ajp_tables.py
@@ -5,7 +5,7 @@
 from ochrehoist.admission.settings import AdmissionSettings
 from ochrehoist.config.object_reader import ObjectReader
 from ochrehoist.config.routes import RouteReader
-from ochrehoist.config.schema import AjpConfig, AjpServer
+from ochrehoist.config.tables import AjpConfig, AjpServer
 from ochrehoist.config.values import address, header_name
 
 MIN_PACKET_BYTES = 8192  # of AJP/1.3
--- a/ochrehoist/config/appliance_file.py
+++ b/ochrehoist/config/appliance_file.py
@@ -2,15 +2,14 @@
 
 import re
 import secrets
-from collections.abc import Generator
+from collections.abc import Generator, Sequence
 from dataclasses import dataclass, replace
 
 from ochrehoist.config import json_reader
 from ochrehoist.config.common import (
-    ROUTES_PATH,
     TENANTS_PATH,
-    ElementReaders,
     read_common_in_steps,
+    tenant_reader,
     version_of,
 )
 from ochrehoist.config.environment import AJP_FILE, Environment, apply_overrides, handover_path
@@ -20,10 +19,12 @@
 from ochrehoist.config.routes import RouteReader
 from ochrehoist.config.schema import Config
 from ochrehoist.config.source import ConfigSource, FileText, ParsedFile, read_text_in_steps
+from ochrehoist.config.tables import AjpRoute
 from ochrehoist.config.tenants import TenantReader
 from ochrehoist.config.values import optional_address
 from ochrehoist.errors import InvalidInputError
 
+ROUTES_PATH = ("ajp", "rules")
 SEED_BITS = 64
 
 _TABLES = (
@@ -44,6 +45,29 @@
 _LARGE_ARRAY_ELEMENT = re.compile(r"(?:(ajp\.rules)|Tenants)\[(\d+)\]")
 
 
+@dataclass(slots=True, frozen=True)
+class ElementReaders:
+    """The readers of the large arrays, which know the elements in force."""
+
+    tenants: TenantReader
+    routes: RouteReader
+
+    @classmethod
+    def knowing(cls, current: Config | None) -> "ElementReaders":
+        """Readers that give the elements of `current` again where they did not change."""
+        return cls(tenant_reader(current), route_reader(current))
+
+
+def route_reader(current: Config | None) -> RouteReader:
+    """A reader of routes that gives those of `current` again where they did not change."""
+    if current is None:
+        return RouteReader()
+    routes: Sequence[AjpRoute] = current.ajp.routes if current.ajp is not None else ()
+    if current.source is not None and ROUTES_PATH in current.source.arrays:
+        routes = current.source.arrays[ROUTES_PATH].elements
+    return RouteReader(tuple(routes))
+
+
 @dataclass(slots=True, frozen=True)
 class ApplianceFile:
     """A file that was parsed, its values not yet checked."""
@@ -91,9 +115,13 @@
 
 
 def read_second_front_in_steps(
-    path: str, config: Config, digest: bytes, routes: RouteReader
+    path: str, config: Config, digest: bytes, current: Config | None
 ) -> Generator[None, None, Config]:
-    """`config`, read from a file of `digest`, with the tables of an appliance's file."""
+    """`config`, read from a file of `digest`, with the tables of an appliance's file.
+
+    `current`: the configuration in force.
+    """
+    routes = route_reader(current)
     file = yield from read_file_in_steps(path, ElementReaders(TenantReader(), routes), None)
     try:
         tables = yield from read_operator_tables_in_steps(
--- a/ochrehoist/config/common.py
+++ b/ochrehoist/config/common.py
@@ -1,37 +1,26 @@
 """What the platform's file and an appliance's have in common."""
 
-from collections.abc import Generator
-from dataclasses import dataclass
+from collections.abc import Generator, Sequence
 from hashlib import sha256
 
+from ochrehoist.admission.settings import Tenant
 from ochrehoist.config.object_reader import ObjectReader
-from ochrehoist.config.routes import RouteReader
 from ochrehoist.config.schema import Config
 from ochrehoist.config.settings import settings_in_steps
 from ochrehoist.config.tenants import TenantReader
 
 TENANTS_PATH = ("settings", "Tenants")
-ROUTES_PATH = ("ajp", "rules")
 VERSION_CHARS = 12
 
 
-@dataclass(slots=True, frozen=True)
-class ElementReaders:
-    """The readers of the large arrays, which know the elements in force."""
-
-    tenants: TenantReader
-    routes: RouteReader
-
-    @classmethod
-    def knowing(cls, current: Config | None) -> "ElementReaders":
-        """Readers that give the elements of `current` again where they did not change."""
-        if current is None:
-            return cls(TenantReader(), RouteReader())
-        arrays = current.source.arrays if current.source is not None else {}
-        tenants = arrays[TENANTS_PATH].elements if TENANTS_PATH in arrays else current.settings.tenants
-        current_routes = current.ajp.routes if current.ajp is not None else ()
-        routes = arrays[ROUTES_PATH].elements if ROUTES_PATH in arrays else current_routes
-        return cls(TenantReader(tuple(tenants), current.tenant_positions), RouteReader(tuple(routes)))
+def tenant_reader(current: Config | None) -> TenantReader:
+    """A reader of tenants that gives those of `current` again where they did not change."""
+    if current is None:
+        return TenantReader()
+    tenants: Sequence[Tenant] = current.settings.tenants
+    if current.source is not None and TENANTS_PATH in current.source.arrays:
+        tenants = current.source.arrays[TENANTS_PATH].elements
+    return TenantReader(tuple(tenants), current.tenant_positions)
 
 
 def read_common_in_steps(
--- a/ochrehoist/config/comparison.py
+++ b/ochrehoist/config/comparison.py
@@ -1,12 +1,17 @@
 """A configuration read again, compared with the one in force: what can change while the worker runs."""
 
+from __future__ import annotations
+
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, fields, replace
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
-from ochrehoist.config.schema import AjpConfig, Config, PeersConfig
+from ochrehoist.config.schema import Config
 from ochrehoist.errors import InvalidInputError
 
+if TYPE_CHECKING:
+    from ochrehoist.config.tables import AjpConfig, PeersConfig
+
 CHANGEABLE = frozenset(
     {"kernel_address", "membership_address", "settings", "gauges", "overload", "peers", "sites"}
 )
--- a/ochrehoist/config/environment.py
+++ b/ochrehoist/config/environment.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 from ochrehoist.config.object_reader import ObjectReader
-from ochrehoist.config.schema import Address
+from ochrehoist.config.values import Address
 from ochrehoist.errors import InvalidInputError
 
 CONFIG_FILE = "EDGE_CONFIG"
--- a/ochrehoist/config/fleet.py
+++ b/ochrehoist/config/fleet.py
@@ -6,8 +6,7 @@
 
 from ochrehoist.admission.settings import AdmissionSettings
 from ochrehoist.config.object_reader import REQUIRED, ObjectReader
-from ochrehoist.config.schema import (
-    Address,
+from ochrehoist.config.tables import (
     AjpConfig,
     BudgetConfig,
     BudgetKind,
@@ -17,7 +16,7 @@
     SitesConfig,
     StateConfig,
 )
-from ochrehoist.config.values import address, optional_address, parsed_address
+from ochrehoist.config.values import Address, address, optional_address, parsed_address
 from ochrehoist.errors import InvalidInputError
 
 if TYPE_CHECKING:
--- a/ochrehoist/config/operator_tables.py
+++ b/ochrehoist/config/operator_tables.py
@@ -7,8 +7,7 @@
 from ochrehoist.config.ajp_tables import read_ajp_in_steps
 from ochrehoist.config.object_reader import ObjectReader
 from ochrehoist.config.routes import RouteReader
-from ochrehoist.config.schema import (
-    Address,
+from ochrehoist.config.tables import (
     AjpConfig,
     CaptureConfig,
     LimitController,
@@ -19,7 +18,7 @@
     SitesConfig,
     StateConfig,
 )
-from ochrehoist.config.values import optional_address
+from ochrehoist.config.values import Address, optional_address
 
 FLEET_TABLES = frozenset({"peers", "sites", "recovery"})
 
--- a/ochrehoist/config/platform_file.py
+++ b/ochrehoist/config/platform_file.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from ochrehoist.config import json_reader
-from ochrehoist.config.common import TENANTS_PATH, ElementReaders, read_common_in_steps, version_of
+from ochrehoist.config.common import TENANTS_PATH, read_common_in_steps, tenant_reader, version_of
 from ochrehoist.config.environment import (
     AJP_FILE,
     CONFIG_FILE,
@@ -30,17 +30,15 @@
 
     EDGE_NAME, EDGE_LISTEN and EDGE_ADMIN go before the file. Raises InvalidInputError.
     """
-    readers = ElementReaders.knowing(current)
+    tenants = tenant_reader(current)
     try:
         text = yield from read_text_in_steps(path)
-        data = yield from _parsed_in_steps(
-            text, readers.tenants, current.source if current is not None else None
-        )
+        data = yield from _parsed_in_steps(text, tenants, current.source if current is not None else None)
     except (OSError, ValueError) as error:
         raise InvalidInputError.in_setting(CONFIG_FILE, str(error)) from None
     top = ObjectReader(dict(data) if isinstance(data, dict) else data, "")
     apply_overrides(top, environment, *OVERRIDES)
-    common = yield from read_common_in_steps(top, _seed(top), readers.tenants)
+    common = yield from read_common_in_steps(top, _seed(top), tenants)
     listen = address(top, "listen")
     config = replace(
         common,
@@ -59,11 +57,7 @@
         return config
     from ochrehoist.config import appliance_file  # only for those who have a second front
 
-    return (
-        yield from appliance_file.read_second_front_in_steps(
-            second_front, config, text.digest, readers.routes
-        )
-    )
+    return (yield from appliance_file.read_second_front_in_steps(second_front, config, text.digest, current))
 
 
 def _parsed_in_steps(
--- a/ochrehoist/config/routes.py
+++ b/ochrehoist/config/routes.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from ochrehoist.config.object_reader import ObjectReader
-from ochrehoist.config.schema import AjpRoute
+from ochrehoist.config.tables import AjpRoute
 from ochrehoist.errors import InvalidInputError
 from ochrehoist.steps import concatenated_in_steps
 
--- a/ochrehoist/config/values.py
+++ b/ochrehoist/config/values.py
@@ -3,11 +3,12 @@
 import ipaddress
 
 from ochrehoist.config.object_reader import ObjectReader
-from ochrehoist.config.schema import Address
 
 MAX_PORT = 65535
 MAX_PORT_DIGITS = 9
 
+Address = tuple[str, int]  # IPv4 address and port
+
 
 def optional_address(table: ObjectReader, key: str, *, loopback: bool = False) -> Address | None:
     """The IPv4 address and port below `key`, None where the key is absent.
--- a/ochrehoist/net/ajp_front.py
+++ b/ochrehoist/net/ajp_front.py
@@ -13,7 +13,7 @@
 
 from ochrehoist.admission.events import Outcome
 from ochrehoist.admission.settings import AdmissionSettings, Idempotency, RequestClass
-from ochrehoist.config.schema import AjpConfig
+from ochrehoist.config.tables import AjpConfig
 from ochrehoist.core.actor import CoreActor
 from ochrehoist.core.messages import CallerDisconnected, RequestArrived
 from ochrehoist.core.metrics import RequestCounter
--- a/ochrehoist/net/ajp_server.py
+++ b/ochrehoist/net/ajp_server.py
@@ -10,7 +10,7 @@
 from typing import Any, Protocol
 
 from ochrehoist.admission.events import Outcome
-from ochrehoist.config.schema import AjpConfig, AjpServer
+from ochrehoist.config.tables import AjpConfig, AjpServer
 from ochrehoist.core.actor import CoreActor
 from ochrehoist.core.messages import GaugesMeasured, RunCompleted
 from ochrehoist.core.request import InboundRequest
--- a/ochrehoist/net/intent_replication.py
+++ b/ochrehoist/net/intent_replication.py
@@ -10,7 +10,7 @@
 import time
 from typing import TYPE_CHECKING, Any, Protocol
 
-from ochrehoist.config.schema import RecoveryConfig
+from ochrehoist.config.tables import RecoveryConfig
 from ochrehoist.core.actor import CoreActor
 from ochrehoist.core.protocols import IntentReplicator
 from ochrehoist.peers.wire import Incarnation
--- a/ochrehoist/net/peer_settings.py
+++ b/ochrehoist/net/peer_settings.py
@@ -1,6 +1,7 @@
 """The settings of one worker's part in its fleet, from the configuration."""
 
-from ochrehoist.config.schema import BudgetConfig, BudgetKind, Config, PeersConfig
+from ochrehoist.config.schema import Config
+from ochrehoist.config.tables import BudgetConfig, BudgetKind, PeersConfig
 from ochrehoist.peers.budget import Budget
 from ochrehoist.peers.fleet_settings import FleetSettings
 
--- a/ochrehoist/net/peers.py
+++ b/ochrehoist/net/peers.py
@@ -8,7 +8,8 @@
 from typing import Any, cast
 
 from ochrehoist.admission.settings import Tenant
-from ochrehoist.config.schema import BudgetKind, Config, PeersConfig
+from ochrehoist.config.schema import Config
+from ochrehoist.config.tables import BudgetKind, PeersConfig
 from ochrehoist.core.actor import CoreActor
 from ochrehoist.core.request import InboundRequest
 from ochrehoist.core.tenants import TenantTable
--- a/ochrehoist/net/recovery.py
+++ b/ochrehoist/net/recovery.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from ochrehoist.config.schema import RecoveryConfig, StateConfig
+from ochrehoist.config.tables import RecoveryConfig, StateConfig
 from ochrehoist.core.actor import CoreActor
 from ochrehoist.core.metrics import RequestCounter, format_samples
 from ochrehoist.core.request import InboundRequest
--- a/ochrehoist/net/route_index.py
+++ b/ochrehoist/net/route_index.py
@@ -13,7 +13,7 @@
 from fnmatch import translate
 from typing import NamedTuple
 
-from ochrehoist.config.schema import AjpRoute
+from ochrehoist.config.tables import AjpRoute
 
 ROUTES_PER_STEP = 50  # about 0.2 ms; a route that needs a regular expression ends its step
 _WILDCARD = re.compile(r"[][*?]")  # one that turns out to be none only shortens a prefix or suffix
--- a/ochrehoist/net/sites.py
+++ b/ochrehoist/net/sites.py
@@ -9,7 +9,8 @@
 from http import HTTPStatus
 from typing import Any
 
-from ochrehoist.config.schema import Config, SitesConfig
+from ochrehoist.config.schema import Config
+from ochrehoist.config.tables import SitesConfig
 from ochrehoist.core.actor import CoreActor
 from ochrehoist.core.messages import StandbyChanged
 from ochrehoist.core.metrics import format_samples
--- a/ochrehoist/overload/concurrency_limits.py
+++ b/ochrehoist/overload/concurrency_limits.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from ochrehoist.config.schema import LimitController
+from ochrehoist.config.tables import LimitController
 from ochrehoist.overload.completion_window import CompletionWindow
 
 MIN_UTILISATION = 0.8  # of the limit that must run for a window to say anything about it
--- a/ochrehoist/overload/limiter.py
+++ b/ochrehoist/overload/limiter.py
@@ -6,7 +6,7 @@
 
 from ochrehoist.admission.events import ConcurrencyLimits, Outcome
 from ochrehoist.admission.settings import AdmissionSettings
-from ochrehoist.config.schema import LimitController, OverloadConfig
+from ochrehoist.config.tables import LimitController, OverloadConfig
 from ochrehoist.core.request import InboundRequest
 from ochrehoist.core.results import Rejection
 from ochrehoist.overload.bulkheads import ClassActivity, bulkhead_limits, low_cost_classes
--- a/ochrehoist/overload/overload_control.py
+++ b/ochrehoist/overload/overload_control.py
@@ -1,7 +1,7 @@
 """All overload control of one worker: what the core, its fronts and the self-monitoring share."""
 
 from ochrehoist.admission.settings import AdmissionSettings
-from ochrehoist.config.schema import OverloadConfig
+from ochrehoist.config.tables import OverloadConfig
 from ochrehoist.core.tenants import TenantTable
 from ochrehoist.overload.early_rejection import EarlyRejection
 from ochrehoist.overload.limiter import AdaptiveLimiter
--- a/ochrehoist/store/damage.py
+++ b/ochrehoist/store/damage.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from ochrehoist.config.schema import LossPolicy
+from ochrehoist.config.tables import LossPolicy
 from ochrehoist.store.records import CommitSummary, DataLossRecord
 from ochrehoist.store.timestamps import Timestamp, remaining_window_ns
 
--- a/ochrehoist/store/folder_session.py
+++ b/ochrehoist/store/folder_session.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from ochrehoist.config.schema import StateConfig
+from ochrehoist.config.tables import StateConfig
 from ochrehoist.store import failpoints, files
 from ochrehoist.store.errors import StoreNotOpenError
 from ochrehoist.store.failpoints import Failpoint
--- a/ochrehoist/store/journal.py
+++ b/ochrehoist/store/journal.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from ochrehoist.admission.events import Outcome
-from ochrehoist.config.schema import StateConfig
+from ochrehoist.config.tables import StateConfig
 from ochrehoist.core.actor import CoreActor
 from ochrehoist.core.idempotency_table import IdempotentRun
 from ochrehoist.core.messages import DuplicateResolved, IntentRecorded, StateRestored
--- a/tests/test_overload_parts.py
+++ b/tests/test_overload_parts.py
@@ -12,7 +12,7 @@
 from ochrehoist.admission.actions import FailRequest, RejectRequest, StartRun
 from ochrehoist.admission.events import UNLIMITED, ConcurrencyLimits, Outcome
 from ochrehoist.admission.settings import AdmissionSettings, Idempotency, RequestClass, Tenant
-from ochrehoist.config.schema import OverloadConfig
+from ochrehoist.config.tables import OverloadConfig
 from ochrehoist.core.request import InboundRequest
 from ochrehoist.overload.bulkheads import (
     LOW_COST_RESERVE_S,
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -10,7 +10,7 @@
 
 from ochrehoist.admission.settings import RequestClass
 from ochrehoist.config.loader import load_appliance
-from ochrehoist.config.schema import AjpRoute
+from ochrehoist.config.tables import AjpRoute
 from ochrehoist.net import ajp
 from ochrehoist.net.ajp_front import AjpReader, Rejected
 from ochrehoist.net.route_index import RouteIndex
--- a/tests/test_store_decisions.py
+++ b/tests/test_store_decisions.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from ochrehoist.config.schema import LossPolicy
+from ochrehoist.config.tables import LossPolicy
 from ochrehoist.store import records
 from ochrehoist.store.damage import FolderInspection, StoreCondition, assess_damage, remaining_hold_ns
 from ochrehoist.store.errors import FailureKind
