--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""What holds for all tests: Hypothesis sets no time limit on an example, so that no verdict rests on the machine."""
+"""What holds for all tests: Hypothesis sets no time limit, so that no verdict rests on the machine."""
 
 from hypothesis import settings
 
