--- a/ochrehoist/app/reload_change.py
+++ b/ochrehoist/app/reload_change.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Callable, Generator, Sequence
 from dataclasses import dataclass, replace
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, TypeVar
 
 from ochrehoist.admission.settings import AdmissionSettings
 from ochrehoist.config import comparison, loader
@@ -16,6 +16,7 @@
 from ochrehoist.core.actor import CoreActor
 from ochrehoist.core.messages import SettingsChanged, TenantsChanged
 from ochrehoist.core.tenants import NAMES_PER_STEP, TenantTable, compacted_table, updated_table
+from ochrehoist.errors import OchrehoistError
 
 if TYPE_CHECKING:
     from ochrehoist.config.tables import BudgetConfig
@@ -23,6 +24,21 @@
 Commit = Callable[[], None]
 Participant = Callable[[Config, TenantTable], Generator[None, None, Commit]]
 CoreChange = SettingsChanged | TenantsChanged
+T = TypeVar("T")
+
+
+class MissingPartError(OchrehoistError):
+    """A part was used that the configuration has no table for: a fault of the program."""
+
+    def __init__(self) -> None:
+        super().__init__("a part is missing that the configuration must have")
+
+
+def required(value: T | None) -> T:
+    """A part, or the setting of one, that this worker has: no reload takes it away (config/comparison.py)."""
+    if value is None:
+        raise MissingPartError
+    return value
 
 
 def commit_only(configure: Callable[[Config, TenantTable], None]) -> Participant:
--- a/ochrehoist/app/worker_parts.py
+++ b/ochrehoist/app/worker_parts.py
@@ -12,10 +12,11 @@
 from collections.abc import Callable, Mapping
 from typing import TYPE_CHECKING
 
+from ochrehoist.app.inherited_sockets import InheritedSockets, Listener
 from ochrehoist.app.kernel_link_supervisor import KernelLinkSupervisor
 from ochrehoist.app.logs import LogSink, start_log
 from ochrehoist.app.reload import ConfigReloader
-from ochrehoist.app.reload_change import Participant, commit_only
+from ochrehoist.app.reload_change import Participant, commit_only, required
 from ochrehoist.app.resource_limits import (
     BODY_MEMORY_FRACTION,
     BYTES_PER_MB,
@@ -26,11 +27,9 @@
     memory_bytes,
 )
 from ochrehoist.config.schema import Config
-from ochrehoist.config.values import Address
 from ochrehoist.core.actor import CoreActor
 from ochrehoist.core.messages import ExecutorReady
 from ochrehoist.net.kernel import Kernel
-from ochrehoist.net.link import predecessors_sockets
 from ochrehoist.net.loop import Loop, Signal, steady_clock
 from ochrehoist.net.members import Members
 from ochrehoist.net.thrift_front import ThriftFront
@@ -39,7 +38,6 @@
     from ochrehoist.app.operator_api import MetricsSource, OperatorApi, StatusSource
     from ochrehoist.capture.recorder import LoadRecorder
     from ochrehoist.core.protocols import AdmissionFilter
-    from ochrehoist.net.agent import AgentCheck
     from ochrehoist.net.ajp_front import AjpFront
     from ochrehoist.net.ajp_server import AjpServers
     from ochrehoist.net.operators import Answer, Operators
@@ -50,33 +48,6 @@
     from ochrehoist.overload.overload_control import OverloadControl
     from ochrehoist.store.journal import Journal
 
-    Listener = ThriftFront | AjpFront | AgentCheck | Operators
-
-
-class InheritedSockets:
-    """Listening sockets that the process before this one has handed over, by address."""
-
-    def __init__(self, handover_path: str | None) -> None:
-        sockets = predecessors_sockets(handover_path) if handover_path else None
-        self.replaces_process = sockets is not None
-        self._sockets: Mapping[Address, socket.socket] = sockets or {}
-
-    def get(self, address: Address) -> socket.socket | None:
-        """The socket that listens at the address, where there is one."""
-        return self._sockets.get(address)
-
-    def close_unused(self, listeners: list[Listener]) -> set[Address]:
-        """Closes those that no listener uses; gives the addresses of those in use.
-
-        What waits in the queue of an unused one is for the process that listens there.
-        """
-        inherited = set(self._sockets.values())
-        used = {listener.listening.address for listener in listeners if listener.listening.sock in inherited}
-        for address, sock in self._sockets.items():
-            if address not in used:
-                sock.close()
-        return used
-
 
 class WorkerParts:
     """All parts of one worker; an optional one is None where the configuration has no table for it.
@@ -197,8 +168,8 @@
         )
         self._add_front(front)
         self._reloadable += [
-            commit_only(lambda new, _: servers.configure(new.ajp)),
-            lambda new, _: front.prepare(new.ajp, new.settings),
+            commit_only(lambda new, _: servers.configure(required(new.ajp))),
+            lambda new, _: front.prepare(required(new.ajp), new.settings),
         ]
         return servers
 
@@ -210,14 +181,16 @@
         kernel = Kernel(
             self.loop,
             self.core,
-            config.kernel_address,
+            required(config.kernel_address),
             config.gauges,
             self.log,
             is_shared=lambda: self._kernel_is_shared(),
         )
         self.tasks.append(kernel.run)
         self._add_status("kernel", kernel)
-        self._reloadable.append(commit_only(lambda new, _: kernel.move(new.kernel_address, new.gauges)))
+        self._reloadable.append(
+            commit_only(lambda new, _: kernel.move(required(new.kernel_address), new.gauges))
+        )
         sock = self.inherited.get(config.listen)
         if config.inherited_fd is not None:
             sock = socket.socket(fileno=config.inherited_fd)
@@ -250,7 +223,9 @@
         members = None
         if config.membership_address:
             members = Members(self.loop, self.core, config.membership_address, config.name, self.log)
-            self._reloadable.append(commit_only(lambda new, _: members.move(new.membership_address)))
+            self._reloadable.append(
+                commit_only(lambda new, _: members.move(required(new.membership_address)))
+            )
             self.core.register_listener(members)
         for front in self.fronts:
             self.core.register_listener(front)
@@ -301,12 +276,12 @@
             return calls
         from ochrehoist.net.sites import SiteCommandRoutes
 
-        return SiteCommandRoutes(calls, lambda site, kind: self.sites.issue_command(site, kind))
+        return SiteCommandRoutes(calls, lambda site, kind: required(self.sites).issue_command(site, kind))
 
     def _skip_call(self, stage: str) -> Callable[[], Answer]:
         from ochrehoist.net.operators import said
 
-        return lambda: said({"said": self.recovery.skip(stage)})
+        return lambda: said({"said": required(self.recovery).skip(stage)})
 
     # ---- configuration
     def _build_reloading(self, path: str | None) -> ConfigReloader:
@@ -392,7 +367,7 @@
             self.core,
             self.config.name,
             self.config.sites,
-            self.peers,
+            required(self.peers),
             not self.inherited.replaces_process,
             self.log,
         )
