--- a/benchmarks/changes.py
+++ b/benchmarks/changes.py
@@ -31,13 +31,13 @@
 from typing import Any
 
 ROOT = Path(__file__).parent.parent
-sys.path.insert(0, str(ROOT / "tests"))
-
-from instant import InstantServer  # noqa: E402
-from stand_ins import Ajp, settings  # noqa: E402
+sys.path.append(str(ROOT))
 
 from benchmarks.read_cost import used  # noqa: E402
 from ochrehoist.lab.toml import toml  # noqa: E402
+from tests.stand_ins.ajp_client import AjpClient  # noqa: E402
+from tests.stand_ins.ajp_server import InstantServer  # noqa: E402
+from tests.support.site_settings import site_settings  # noqa: E402
 
 SIZES = "3/3,1000/65,10000/655,58000/3800"
 READY_S = 60.0  # after which a start is given up
@@ -54,7 +54,7 @@
 
     def __init__(self, tenants: int, routes: int, server: str) -> None:
         self.rng, self.number = random.Random(tenants), 0
-        site = settings()
+        site = site_settings()
         site["FamilyInfo"] |= {"Cores": 16, "HeapKb": 90e6}
         del site["Tenants"]
         self.top = {
@@ -121,7 +121,7 @@
     """Sends reads at a steady rate, each when it is due, and notes how long after that it was answered."""
 
     def __init__(self, address: tuple, rate: float) -> None:
-        self.idle = deque(Ajp(address) for _ in range(CONNECTIONS))
+        self.idle = deque(AjpClient(address) for _ in range(CONNECTIONS))
         self.rate, self.poll = rate, select.poll()
         self.by_fd = {c.sock.fileno(): c for c in self.idle}
         for fd in self.by_fd:
@@ -281,7 +281,7 @@
     """Asks on one connection whether a change is in force."""
 
     def __init__(self, address: tuple) -> None:
-        self.address, self.web = address, Ajp(address)
+        self.address, self.web = address, AjpClient(address)
 
     def until(self, wanted: dict[str, str], began: float) -> tuple[float, float] | None:
         before = began
--- a/benchmarks/config_reading.py
+++ b/benchmarks/config_reading.py
@@ -32,13 +32,13 @@
     """The file of each kind of change."""
     from ochrehoist.lab.toml import toml_file
 
-    sys.path.insert(0, str(ROOT / "tests"))
-    from stand_ins import settings
+    sys.path.append(str(ROOT))
+    from tests.support.site_settings import site_settings
 
     def text(kind: str) -> str:
         step = max(1, tenants // 100)
         changed = {"one tenant": {tenants // 2}, "100 tenants": set(range(0, tenants, step))}.get(kind, ())
-        site = settings(
+        site = site_settings(
             Tenants=[
                 {
                     "Name": f"tenant-{at:05d}",
--- a/benchmarks/flood.py
+++ b/benchmarks/flood.py
@@ -20,13 +20,14 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
-sys.path.insert(0, str(ROOT / "tests"))
-
-from instant import InstantKernel  # noqa: E402
-from stand_ins import Program, Thrift, hasty  # noqa: E402
+sys.path.append(str(ROOT))
 
 from benchmarks.read_cost import used  # noqa: E402
 from ochrehoist.net import thrift  # noqa: E402
+from tests.stand_ins.kernel import InstantKernel  # noqa: E402
+from tests.stand_ins.thrift_router import ThriftRouter  # noqa: E402
+from tests.support.site_settings import short_deadline_settings  # noqa: E402
+from tests.support.worker_process import WorkerProcess  # noqa: E402
 
 CONNECTIONS, OPEN = 16, 32
 RUN_S = 0.1  # of each run, on two cores: hardly any of the flood can be run
@@ -123,19 +124,21 @@
 
 
 def play(root: Path, overload: dict | None, seconds: float, busy: int) -> dict:
-    site = hasty()
+    site = short_deadline_settings()
     site["FamilyInfo"] |= {"Cores": 2, "HeapKb": 90e6}
-    program = Program(site=site, kernel=InstantKernel(after=RUN_S), root=root, overload=overload, sockets=512)
+    program = WorkerProcess(
+        site=site, kernel=InstantKernel(after=RUN_S), root=root, overload=overload, sockets=512
+    )
     os.sched_setaffinity(program.process.pid, {0})
     try:
-        address = tuple(program.at["ThriftFront"])
+        address = tuple(program.addresses["ThriftFront"])
         out = multiprocessing.Queue()
         jobs = [
             multiprocessing.Process(target=flooder, args=(address, seconds, n + 1, out)) for n in range(4)
         ]
         jobs += [multiprocessing.Process(target=burner, args=(seconds + 1,)) for _ in range(busy)]
         checks, filings = [], []
-        pinger, filer = program.thrift(), Thrift(address)
+        pinger, filer = program.thrift_router(), ThriftRouter(address)
         numbers = iter(range(10**9))
 
         def file():
@@ -153,7 +156,7 @@
         for job in (*threads, *jobs):
             job.join()
         cpu = used(program.process.pid) - cpu
-        status = json.loads(program.operator()[1])
+        status = json.loads(program.operator_call()[1])
         answered = sum(n for n, _ in results)
         waits = sorted(t for _, some in results for t in some)
         ping, filed = sorted(t for t, _ in checks), sorted(t for t, _ in filings)
--- a/benchmarks/read_cost.py
+++ b/benchmarks/read_cost.py
@@ -20,10 +20,12 @@
 from typing import Any
 
 ROOT = Path(__file__).parent.parent
-sys.path.insert(0, str(ROOT / "tests"))
+sys.path.append(str(ROOT))
 
-from instant import InstantKernel, InstantServer  # noqa: E402
-from stand_ins import Program, settings  # noqa: E402
+from tests.stand_ins.ajp_server import InstantServer  # noqa: E402
+from tests.stand_ins.kernel import InstantKernel  # noqa: E402
+from tests.support.site_settings import site_settings  # noqa: E402
+from tests.support.worker_process import WorkerProcess  # noqa: E402
 
 WARM = 300  # reads before the ones that count
 CHUNK = 50
@@ -61,7 +63,7 @@
 def in_fleet(reads: int, count: int) -> float:
     """Of one worker whose fleet has so many more, which are idle."""
     first, *rest = fleet(count)
-    others = [Program(thrift=False, ajp=True, peers=t, name=f"n{n + 2}") for n, t in enumerate(rest)]
+    others = [WorkerProcess(thrift=False, ajp=True, peers=t, name=f"n{n + 2}") for n, t in enumerate(rest)]
     try:
         return cost(ROOT, "ajp", reads, peers=first)
     finally:
@@ -69,13 +71,13 @@
             program.close()
 
 
-def started(root: Path, front: str, **more: Any) -> Program:
+def started(root: Path, front: str, **more: Any) -> WorkerProcess:
     """One program with three tenants, before servers that answer at once."""
-    site = settings()
+    site = site_settings()
     site["FamilyInfo"] |= {"Cores": 16, "HeapKb": 90e6}
     site["Tenants"] = [{"Name": name, "QuotaPerS": 1e4, "Fraction": 1 / 3} for name in ("acme", "b", "c")]
     how = {"thrift": front == "thrift", "ajp": front == "ajp"}
-    return Program(
+    return WorkerProcess(
         **how, site=site, server=InstantServer(), kernel=InstantKernel(b"a small page"), root=root, **more
     )
 
@@ -91,7 +93,7 @@
     """Microseconds of processor time for one read."""
     program = started(root, front, capture=capture, peers=peers)
     try:
-        client = program.thrift() if front == "thrift" else program.ajp()
+        client = program.thrift_router() if front == "thrift" else program.ajp_client()
         read(front, client, WARM)
         began = used(program.process.pid)
         read(front, client, reads)
@@ -108,7 +110,7 @@
 def side_by_side(before: Path, front: str, args: argparse.Namespace) -> None:
     programs = [started(root, front) for root in (before, ROOT)]
     try:
-        clients = [p.thrift() if front == "thrift" else p.ajp() for p in programs]
+        clients = [p.thrift_router() if front == "thrift" else p.ajp_client() for p in programs]
         for client in clients:
             read(front, client, WARM)
         spent: list[list[float]] = [[], []]
--- a/benchmarks/slopes/connections.py
+++ b/benchmarks/slopes/connections.py
@@ -65,18 +65,20 @@
     """The program of a tree, with stand-ins behind it, and so many connections that are open and known."""
 
     def __init__(self, front: str, size: int) -> None:
-        sys.path.insert(0, str(ROOT / "tests"))
-        from instant import InstantKernel, InstantServer
-        from stand_ins import Program, settings
+        sys.path.append(str(ROOT))
+        from tests.stand_ins.ajp_server import InstantServer
+        from tests.stand_ins.kernel import InstantKernel
+        from tests.support.site_settings import site_settings
+        from tests.support.worker_process import WorkerProcess
 
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
         resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
-        site = settings()
+        site = site_settings()
         site["FamilyInfo"] |= {"Cores": 16, "HeapKb": 90e6, "Idle": 600_000 * 10**6}
         how = {"thrift": front == "thrift", "ajp": front == "ajp"}
         more = {"max_connections": 19000, "idle_s": 600} if front == "ajp" else {}
         self.front = front
-        self.program = Program(
+        self.program = WorkerProcess(
             **how,
             site=site,
             server=InstantServer(),
@@ -99,7 +101,7 @@
         self.bytes = resident(self.pid) - before
 
     def _client(self) -> Any:
-        return self.program.thrift() if self.front == "thrift" else self.program.ajp()
+        return self.program.thrift_router() if self.front == "thrift" else self.program.ajp_client()
 
     def _one(self, client: Any, n: int) -> None:
         answer = client.call(obj=f"{n % 50}") if self.front == "thrift" else client.call("GET", f"/reads/{n}")
@@ -133,19 +135,20 @@
 
 def at_rest(size: int, seed: int) -> Measures:
     """A real appliance that nobody asks, with so many tenants, and routes in proportion."""
-    sys.path.insert(0, str(ROOT / "tests"))
-    from stand_ins import Program, settings
+    sys.path.append(str(ROOT))
+    from tests.support.site_settings import site_settings
+    from tests.support.worker_process import WorkerProcess
 
-    site = settings()
+    site = site_settings()
     site["FamilyInfo"] |= {"Cores": 16, "HeapKb": 90e6}
     site["Tenants"] = [
         {"Name": f"tenant-{n:06}", "QuotaPerS": 100.0, "Fraction": 1 / size} for n in range(size)
     ]
     rules = [{"uri": f"/route-{n:04}/*", "class": "read"} for n in range(max(1, size * 3800 // 58000))]
     began = time.monotonic()
-    program = Program(thrift=False, ajp=True, site=site, rules=rules)
+    program = WorkerProcess(thrift=False, ajp=True, site=site, rules=rules)
     try:
-        program.ajp().cping()
+        program.ajp_client().cping()
         ready, pid = time.monotonic() - began, program.process.pid
         time.sleep(1.0)
         before, at = used(pid), time.monotonic()
--- a/benchmarks/slopes/tallies.py
+++ b/benchmarks/slopes/tallies.py
@@ -10,16 +10,17 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent.parent
-sys.path.insert(0, str(ROOT / "tests"))
-
-from instant import InstantServer  # noqa: E402
-from stand_ins import MS, Program, settings  # noqa: E402
+sys.path.append(str(ROOT))
 
 from benchmarks.read_cost import fleet  # noqa: E402
+from tests.stand_ins.ajp_server import InstantServer  # noqa: E402
+from tests.support.environment import MS  # noqa: E402
+from tests.support.site_settings import site_settings  # noqa: E402
+from tests.support.worker_process import WorkerProcess  # noqa: E402
 
 
 def site(tenants: int) -> dict:
-    s = settings()
+    s = site_settings()
     s["FamilyInfo"] |= {"Cores": 16, "HeapKb": 90e6, "Idle": 600_000 * MS}
     s["Tenants"] = [
         {"Name": f"tenant-{n:06}", "QuotaPerS": 1000.0, "Fraction": 1 / tenants} for n in range(tenants)
@@ -30,7 +31,7 @@
 def run(root: Path, members: int, tenants: int, seconds: float) -> dict:
     """What the members say of each other, and of messages too long, once each tenant was answered at each."""
     programs = [
-        Program(
+        WorkerProcess(
             thrift=False,
             ajp=True,
             peers=table,
@@ -44,14 +45,14 @@
     try:
         time.sleep(3.0)
         for program in programs:
-            client = program.ajp()
+            client = program.ajp_client()
             for n in range(tenants):
                 status = client.call("GET", f"/reads/{n}", {"X-Tenant": f"tenant-{n:06}"})[0]
                 assert status == 200, status
         time.sleep(seconds)
-        views = [json.loads(p.operator()[1])["peers"] for p in programs]
+        views = [json.loads(p.operator_call()[1])["peers"] for p in programs]
         states = [m["state"] for v in views for m in v["members"].values()]
-        long = sum("too long" in line["event"] for p in programs for line in p.lines)
+        long = sum("too long" in line["event"] for p in programs for line in p.log)
         return {
             "tenants": tenants,
             "members": members,
--- a/benchmarks/state_kills.py
+++ b/benchmarks/state_kills.py
@@ -14,23 +14,23 @@
 from concurrent.futures import ProcessPoolExecutor
 from pathlib import Path
 
-sys.path.insert(0, str(Path(__file__).parent.parent / "tests"))
+sys.path.append(str(Path(__file__).parent.parent))
 
-from filing_clerk import Kills  # noqa: E402
+from tests.support.crash_load import CrashLoad  # noqa: E402
 
 
 def lives(seed: int, kills: int, state: bool) -> dict:
     folder = Path(tempfile.mkdtemp())
     try:
-        harness = Kills(folder / "state", seed, state=state)
+        harness = CrashLoad(folder / "state", seed, state=state)
         harness.run(kills)
         return {
             "kills": kills,
-            "filings": len(harness.office.runs),
-            "twice": len(harness.twice),
+            "filings": len(harness.server.runs),
+            "twice": len(harness.run_twice),
             "wrong": harness.wrong,
             "losses": harness.losses,
-            "ends": dict(harness.ends),
+            "ends": dict(harness.outcomes),
         }
     finally:
         shutil.rmtree(folder)
--- a/benchmarks/state_load.py
+++ b/benchmarks/state_load.py
@@ -12,11 +12,7 @@
 import time
 from pathlib import Path
 
-sys.path.insert(0, str(Path(__file__).parent.parent / "tests"))
-
-from filing_clerk import site  # noqa: E402
-from instant import InstantServer  # noqa: E402
-from stand_ins import Program  # noqa: E402
+sys.path.append(str(Path(__file__).parent.parent))
 
 from ochrehoist.store import files  # noqa: E402
 from ochrehoist.store.database import create_store  # noqa: E402
@@ -24,6 +20,9 @@
 from ochrehoist.store.records import IntentRecord, ResultRecord, encode_key, encode_record  # noqa: E402
 from ochrehoist.store.store_repair import open_store  # noqa: E402
 from ochrehoist.store.timestamps import current_timestamp  # noqa: E402
+from tests.stand_ins.ajp_server import InstantServer  # noqa: E402
+from tests.support.site_settings import long_window_settings  # noqa: E402
+from tests.support.worker_process import WorkerProcess  # noqa: E402
 
 WINDOW = 900 * 10**9
 FILED = 100_000
@@ -37,9 +36,9 @@
     """Latencies (s) of filings and of CPings beside them, and filings a second."""
     folder = Path(tempfile.mkdtemp(dir="."))
     server = InstantServer()
-    settings = site()
+    settings = long_window_settings()
     settings["FamilyInfo"] |= {"Cores": 16, "HeapKb": 90e6}
-    program = Program(
+    program = WorkerProcess(
         thrift=False,
         ajp=True,
         site=settings,
@@ -49,7 +48,7 @@
     until, took, pings, lock = time.monotonic() + seconds, [], [], threading.Lock()
 
     def file(number):
-        client, n, mine = program.ajp(), 0, []
+        client, n, mine = program.ajp_client(), 0, []
         while (began := time.monotonic()) < until:
             n += 1
             status, _, _ = client.call(
@@ -63,7 +62,7 @@
             took.extend(mine)
 
     def ping():
-        client = program.ajp()
+        client = program.ajp_client()
         while (began := time.monotonic()) < until:
             client.cping()
             pings.append(time.monotonic() - began)
@@ -131,8 +130,8 @@
             ended.append((key, encode_record(key, ResultRecord("OK", True, bytes(300)))))
         create_store(where / files.store_file_name(), 1, begun, ended, {})
     began = time.monotonic()
-    program = Program(thrift=False, ajp=True, site=site(), state={"folder": str(where)})
-    program.ajp().cping()
+    program = WorkerProcess(thrift=False, ajp=True, site=long_window_settings(), state={"folder": str(where)})
+    program.ajp_client().cping()
     took = time.monotonic() - began
     status = Path(f"/proc/{program.process.pid}/status").read_text()
     memory = int(status.split("VmRSS:")[1].split()[0]) / 1024
--- a/benchmarks/warm_start.py
+++ b/benchmarks/warm_start.py
@@ -20,13 +20,14 @@
 import time
 from pathlib import Path
 
-sys.path.insert(0, str(Path(__file__).parent.parent / "tests"))
-
-from machine import Address  # noqa: E402
-from stand_ins import MS, Program, settings  # noqa: E402
+sys.path.append(str(Path(__file__).parent.parent))
 
 from ochrehoist.store import files  # noqa: E402
 from ochrehoist.store.database import LEARNED_STATE_NAME, Database  # noqa: E402
+from tests.stand_ins.moving_kernel import KernelAddress  # noqa: E402
+from tests.support.environment import MS  # noqa: E402
+from tests.support.site_settings import site_settings  # noqa: E402
+from tests.support.worker_process import WorkerProcess  # noqa: E402
 
 CORES, CROWD, WORK, OVERLOAD = 2, 10, 0.020, 1.5
 SENDERS, STEADY, FIRST = 3, 12.0, 10.0
@@ -41,7 +42,7 @@
         self.notices, self.known, self.runs, self.out = [], set(), [], None
         self.opened, self.notices_read, self.ended = queue.Queue(), 0, False
         self.clock, self.at_time = 0.0, time.monotonic()  # work done for each run so far
-        self.at = Address(self)
+        self.at = KernelAddress(self)
         threading.Thread(target=self._run, daemon=True).start()
 
     @property
@@ -62,7 +63,7 @@
         with self.lock:
             self.notices, self.runs, self.known, self.out = [], [], set(), None
 
-    def hear(self, sock, m):
+    def handle(self, sock, m):
         with self.lock:
             self._advance()
             if m["cmd"] == "OPEN":
@@ -116,7 +117,7 @@
 
 
 def site():
-    base = settings()
+    base = site_settings()
     base["Classes"] = [
         {"Name": "small", "Slo": 200 * MS, "Deadline": 800 * MS, "Gain": 1.0, "Repeat": "idempotent"},
         {"Name": "large", "Slo": 500 * MS, "Deadline": 1200 * MS, "Gain": 1.0, "Repeat": "idempotent"},
@@ -142,9 +143,9 @@
 
     def __init__(self, program, seed, rate, seconds):
         super().__init__(daemon=True)
-        self.router, self.random = program.thrift(), random.Random(seed)
+        self.router, self.random = program.thrift_router(), random.Random(seed)
         self.rate, self.seconds, self.good, self.sent = rate, seconds, 0, 0
-        self.router.early = Timed()
+        self.router.replies = Timed()
 
     def run(self):
         open_, began = {}, time.monotonic()
@@ -154,7 +155,7 @@
         while due < began + self.seconds:
             time.sleep(max(0.0, due - time.monotonic()))
             method = "large" if self.random.random() < 0.25 else "small"
-            seqid = self.router.seqid + 1
+            seqid = self.router.sequence_id + 1
             open_[seqid] = (time.monotonic(), 0.2 if method == "small" else 0.5)
             self.router.invoke(method, b"x", est=str(20 * SPREAD[method]))
             self.sent += 1
@@ -171,7 +172,7 @@
                     time.sleep(0.001)
                 kind = self.router.answer(seqid)[0]
                 since, aim = open_.pop(seqid)
-                self.good += kind == "Answer" and self.router.early.at[seqid] - since <= aim
+                self.good += kind == "Answer" and self.router.replies.at[seqid] - since <= aim
         except (OSError, EOFError):
             pass
 
@@ -198,7 +199,7 @@
             "rules": [],
             "state": {"folder": str(folder / "state"), "learned_every_s": 1},
         }
-        first = Program(**how)
+        first = WorkerProcess(**how)
         steady = goodput(first, seed, STEADY)
         first.process.kill()
         first.close()
@@ -207,7 +208,7 @@
             db.connection.execute("DELETE FROM named WHERE name = ?", (LEARNED_STATE_NAME,))
             db.close()
         cores.fresh()
-        second = Program(**how)
+        second = WorkerProcess(**how)
         after = goodput(second, seed + 1000, FIRST)
         second.close()
         return steady, after
--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -0,0 +1,1 @@
+"""Tests, laid out like the packages they test."""
--- a/tests/admission/test_caller_timeouts.py
+++ b/tests/admission/test_caller_timeouts.py
@@ -1,9 +1,8 @@
 """How long callers wait is learned from what they take back, and from nothing else."""
 
-from helpers import MS, Driver, S
-
 from ochrehoist.admission.actions import RejectRequest
 from ochrehoist.admission.events import RequestAbandoned, TimerFired
+from tests.admission.controller_driver import MS, Driver, S
 
 
 def driver(waits, gave_up=True):
--- a/tests/admission/test_controller.py
+++ b/tests/admission/test_controller.py
@@ -1,7 +1,6 @@
 """The guards of the four rules, without the bench."""
 
 import pytest
-from helpers import CLASSES, MS, Driver, S
 
 from ochrehoist.admission.actions import (
     AttachDuplicate,
@@ -39,6 +38,7 @@
     RequestClass,
     Tenant,
 )
+from tests.admission.controller_driver import CLASSES, MS, Driver, S
 
 READ, WRITE, PAY, RICH = range(4)
 
--- a/tests/admission/test_file_sizes.py
+++ b/tests/admission/test_file_sizes.py
@@ -1,9 +1,9 @@
 """Each decision module that the deploy file names stays short enough to be read on call."""
 
 import tomllib
-from pathlib import Path
 
-ROOT = Path(__file__).parents[2]
+from tests.support.environment import ROOT
+
 MAX_LINES, MAX_COLUMNS = 400, 110
 # What of the package decides nothing: the types of its border, and what was learned as it is stored.
 NO_DECISIONS = {"__init__.py", "actions.py", "events.py", "learned_state.py", "settings.py"}
--- a/tests/admission/test_idle_cores.py
+++ b/tests/admission/test_idle_cores.py
@@ -1,8 +1,7 @@
 """A crowd that has gone must not keep work away from idle cores."""
 
-from helpers import MS, Driver
-
 from ochrehoist.admission.actions import StartRun
+from tests.admission.controller_driver import MS, Driver
 
 
 def test_times_learned_under_contention_do_not_keep_out_work_once_cores_are_idle():
--- a/tests/admission/test_random_events.py
+++ b/tests/admission/test_random_events.py
@@ -1,6 +1,5 @@
 """The four rules on random sequences of events; no model of a server's speed."""
 
-from helpers import CLASSES, MS, Driver, S
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -22,6 +21,7 @@
     RequestAbandoned,
 )
 from ochrehoist.admission.settings import BackpressureSignal, DownstreamScope, Idempotency
+from tests.admission.controller_driver import CLASSES, MS, Driver, S
 
 STEP = st.one_of(
     st.tuples(
--- a/tests/admission/test_short_runs.py
+++ b/tests/admission/test_short_runs.py
@@ -2,10 +2,9 @@
 
 import unittest
 
-from helpers import CLASSES, MS, Driver, request_class
-
 from ochrehoist.admission.actions import StartRun
 from ochrehoist.admission.events import TimerFired
+from tests.admission.controller_driver import CLASSES, MS, Driver, request_class
 
 SHORT = (request_class(latency_objective_ns=450 * MS, deadline_ns=1500 * MS),)
 
--- a/tests/admission/test_stated_work.py
+++ b/tests/admission/test_stated_work.py
@@ -3,12 +3,11 @@
 import unittest
 from random import Random
 
-from helpers import MS, Driver, S
-
 from ochrehoist.admission import learned_state
 from ochrehoist.admission.actions import RejectRequest, StartRun
 from ochrehoist.store.expiry import expire_learned_state
 from ochrehoist.store.timestamps import Timestamp
+from tests.admission.controller_driver import MS, Driver, S
 
 
 class Sizes(unittest.TestCase):
--- a/tests/admission/test_tenants_at_size.py
+++ b/tests/admission/test_tenants_at_size.py
@@ -6,9 +6,6 @@
 from functools import partial
 from math import exp
 
-from helpers import CLASSES, MS, S, settings
-from stand_ins import interpreter_steps
-
 from ochrehoist.admission import learned_state
 from ochrehoist.admission.actions import FailRequest, RejectRequest, StartRun
 from ochrehoist.admission.controller import AdmissionController
@@ -27,6 +24,8 @@
 from ochrehoist.core.snapshot import CoreSnapshot
 from ochrehoist.store.expiry import expire_learned_state
 from ochrehoist.store.timestamps import Timestamp
+from tests.admission.controller_driver import CLASSES, MS, S, settings
+from tests.support.instruction_count import count_instructions
 
 BEAT = 100 * MS
 FADE = exp(-0.1 / 20)
@@ -194,7 +193,7 @@
 
     def cost(self, module, call):
         Looked.times = 0
-        steps = interpreter_steps(call)
+        steps = count_instructions(call)
         return steps, Looked.times
 
     def quiet(self, size):
--- a/tests/app/test_faults.py
+++ b/tests/app/test_faults.py
@@ -7,10 +7,11 @@
 
 from hypothesis import given
 from hypothesis import strategies as st
-from stand_ins import Program, hasty
 
 from ochrehoist.net import ajp, thrift
-from tests.net.test_thrift_front import DUE
+from tests.support.environment import DUE_WITHIN_S
+from tests.support.site_settings import short_deadline_settings
+from tests.support.worker_process import WorkerProcess
 
 FAULT = """
 from ochrehoist.admission import controller, events
@@ -28,20 +29,20 @@
 
 class Module(unittest.TestCase):
     def test_a_fault_is_logged_with_its_trace_and_each_request_still_gets_one_answer(self):
-        program = Program(fault=FAULT, site=hasty())
+        program = WorkerProcess(fault=FAULT, site=short_deadline_settings())
         self.addCleanup(program.close)
-        router, began = program.thrift(), time.time()
+        router, began = program.thrift_router(), time.time()
         seqid = router.invoke(obj="fault")
         self.assertEqual(router.answer(seqid)[0], "Broken")
         self.assertLess(time.time() - began, 1.0)
         served, late = router.invoke(body=b"good"), router.invoke(body=b"late")
-        runs = {body: rid for rid, _, body in (program.kernel.next(), program.kernel.next())}
+        runs = {body: rid for rid, _, body in (program.kernel.next_run(), program.kernel.next_run())}
         program.kernel.reap(runs[b"good"], body=b"served")
         self.assertEqual(router.answer(served)[2], b"served")
         self.assertEqual(router.answer(late)[0], "Broken")  # alarms rang on after the three that failed
-        self.assertLess(time.time() - began, DUE)
+        self.assertLess(time.time() - began, DUE_WITHIN_S)
         self.assertEqual(router.ping()[0], "Answer")
-        faults = program.said("controller_fault")
+        faults = program.logged("controller_fault")
         self.assertEqual(len(faults), 4)
         self.assertTrue(all("Traceback" in fault["exception"] for fault in faults))
 
@@ -78,43 +79,43 @@
 
 class Surroundings(unittest.TestCase):
     def test_no_call_is_made_that_the_platform_refuses_and_a_refused_socket_costs_replacement_only(self):
-        program = Program(fault=NARROW)
+        program = WorkerProcess(fault=NARROW)
         self.addCleanup(program.close)
-        router = program.thrift()
+        router = program.thrift_router()
         for kind in ("read", "filing"):
             seqid = router.invoke(kind, b"doc", token=kind)
-            program.kernel.reap(program.kernel.next()[0], body=b"made")
+            program.kernel.reap(program.kernel.next_run().request_id, body=b"made")
             self.assertEqual(router.answer(seqid)[2], b"made")
         program.reload("config.json", json.dumps(program.config | {"stop_ms": 2400}))
-        self.assertEqual(program.operator("POST", "/standby")[0], 200)
+        self.assertEqual(program.operator_call("POST", "/standby")[0], 200)
         program.process.send_signal(signal.SIGTERM)
         router.farewell()
-        self.assertEqual(program.ended(), 0)
-        self.assertEqual(program.said("refused a call"), [])
-        self.assertEqual(len(program.said("this process can't be replaced without loss")), 1)
+        self.assertEqual(program.wait_for_exit(), 0)
+        self.assertEqual(program.logged("refused a call"), [])
+        self.assertEqual(len(program.logged("this process can't be replaced without loss")), 1)
 
     def test_a_clock_that_is_set_back_puts_off_no_answer(self):
-        program = Program(fault=CLOCK, site=hasty())
+        program = WorkerProcess(fault=CLOCK, site=short_deadline_settings())
         self.addCleanup(program.close)
-        router = program.thrift()
+        router = program.thrift_router()
         self.assertEqual(router.ping()[0], "Answer")
-        program.file("set", "")
+        program.write_file("set", "")
         began = time.time()
         seqid = router.invoke(t0=str(int((began - 3600) * 1000)))
-        program.kernel.next()  # it was in time, by the clock as it is now
+        program.kernel.next_run()  # it was in time, by the clock as it is now
         self.assertEqual(router.answer(seqid)[0], "Broken")
         self.assertGreater(time.time() - began, 1.0)
-        self.assertLess(time.time() - began, DUE)
+        self.assertLess(time.time() - began, DUE_WITHIN_S)
 
     def test_a_log_that_nobody_reads_holds_up_no_one(self):
-        program = Program(stall_log=True)
+        program = WorkerProcess(stall_log=True)
         self.addCleanup(program.close)
         for _ in range(1200):  # a line of the log each, far more than a pipe takes
-            bad = program.thrift()
+            bad = program.thrift_router()
             bad.sock.sendall(b"\0\0\0\4junk")
             self.assertEqual(bad.sock.recv(1), b"")
             bad.close()
-        self.assertEqual(program.thrift().ping()[0], "Answer")
+        self.assertEqual(program.thrift_router().ping()[0], "Answer")
 
 
 FORWARD = b"".join(
--- a/tests/app/test_operator_api.py
+++ b/tests/app/test_operator_api.py
@@ -5,31 +5,24 @@
 import time
 import unittest
 
-from stand_ins import PATIENCE, Program, Thrift
+from tests.stand_ins.thrift_router import ThriftRouter
+from tests.support.environment import WAIT_LIMIT_S
+from tests.support.worker_cases import RunningWorkerTestCase
+from tests.support.worker_process import WorkerProcess
 
 
-class Case(unittest.TestCase):
-    how = {}
-
-    def setUp(self):
-        self.program = Program(**self.how)
-        self.addCleanup(self.program.close)
-        self.kernel = self.program.kernel
-
+class OperatorTestCase(RunningWorkerTestCase):
     def raw(self, data, pieces=False):
         """The status line of what is answered to these bytes, sent at once or one by one."""
-        with socket.create_connection(tuple(self.program.at["Operators"]), timeout=PATIENCE) as sock:
+        with socket.create_connection(
+            tuple(self.program.addresses["Operators"]), timeout=WAIT_LIMIT_S
+        ) as sock:
             for piece in (data[n : n + 1] for n in range(len(data))) if pieces else (data,):
                 sock.sendall(piece)
             return sock.makefile("rb").readline().decode().split(" ")[1]
 
-    def served(self, router, method="read", **fields):
-        seqid = router.invoke(method, b"doc", **fields)
-        self.kernel.reap(self.kernel.next()[0], body=b"served")
-        self.assertEqual(router.answer(seqid), ("Answer", {}, b"served"))
-
 
-class Calls(Case):
+class Calls(OperatorTestCase):
     def test_each_call_and_what_is_none(self):
         for method, path, status in (
             ("GET", "/status", 200),
@@ -47,7 +40,7 @@
             ("POST", "/drain", 404),
         ):
             with self.subTest(method=method, path=path):
-                self.assertEqual(self.program.operator(method, path)[0], status)
+                self.assertEqual(self.program.operator_call(method, path)[0], status)
         for call in (
             b"hello\r\n\r\n",
             b"\x16\x03\x01\x00",
@@ -65,87 +58,87 @@
         self.assertEqual(self.raw(b"GET /" + b"x" * 9000), "431")
         whole = b"POST /standby HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\n{}"
         self.assertEqual(self.raw(whole, pieces=True), "200")
-        self.assertEqual(self.program.operator()[0], 503)
+        self.assertEqual(self.program.operator_call()[0], 503)
 
     def test_the_silent_and_half_sent_keep_no_one_out(self):
-        at, held = tuple(self.program.at["Operators"]), []
+        at, held = tuple(self.program.addresses["Operators"]), []
         for number in range(40):
             held.append(socket.create_connection(at))
             held[-1].sendall(b"GET /status HTT" if number % 2 else b"")
         began = time.monotonic()
-        self.assertEqual(self.program.operator()[0], 200)
+        self.assertEqual(self.program.operator_call()[0], 200)
         self.assertLess(time.monotonic() - began, 1.0)
         for sock in held:
-            sock.settimeout(PATIENCE)
+            sock.settimeout(WAIT_LIMIT_S)
             self.assertEqual(sock.recv(100), b"")
             sock.close()
 
 
-class Standby(Case):
+class Standby(OperatorTestCase):
     def test_checks_and_reports_turn_bad_at_once_and_good_again_while_requests_are_decided_as_ever(self):
-        check, router = self.program.thrift(), self.program.thrift()
+        check, router = self.program.thrift_router(), self.program.thrift_router()
         self.program.members.wait_for("UP")
         self.assertTrue(check.ping()[1] == {} and check.good)
         for _ in range(2):
-            self.assertEqual(self.program.operator("POST", "/standby")[0], 200)
+            self.assertEqual(self.program.operator_call("POST", "/standby")[0], 200)
         self.program.members.wait_for("OUT")
         check.ping()
         self.assertFalse(check.good)
-        self.served(router)
-        self.served(router, "filing", token="t")
+        self.program.serve_one(router)
+        self.program.serve_one(router, method="filing", token="t")
         for _ in range(2):
-            self.assertEqual(self.program.operator("POST", "/active")[0], 200)
+            self.assertEqual(self.program.operator_call("POST", "/active")[0], 200)
         self.program.members.wait_for("UP")
         check.ping()
         self.assertTrue(check.good)
-        changes = self.program.said("standby_changed")
+        changes = self.program.logged("standby_changed")
         self.assertEqual([line["enabled"] for line in changes], [True, False])
 
     def test_a_worker_on_standby_drains_and_ends_on_the_notice_and_active_does_not_undo_it(self):
-        self.program.operator("POST", "/standby")
-        router = self.program.thrift()
+        self.program.operator_call("POST", "/standby")
+        router = self.program.thrift_router()
         seqid = router.invoke(body=b"last")
-        rid = self.kernel.next()[0]
+        rid = self.kernel.next_run().request_id
         self.program.process.send_signal(signal.SIGTERM)
         self.program.wait_for(lambda status: status["state"] == "leaving")
-        self.program.operator("POST", "/active")
+        self.program.operator_call("POST", "/active")
         router.ping()
         self.assertFalse(router.good)
         self.kernel.reap(rid, body=b"answered")
         self.assertEqual(router.answer(seqid), ("Answer", {}, b"answered"))
         router.close()
-        self.assertEqual(self.program.ended(), 0)
+        self.assertEqual(self.program.wait_for_exit(), 0)
 
 
-class Figures(Case):
+class Figures(OperatorTestCase):
     def test_every_counter_starts_at_0_and_each_request_counts_once_as_it_was_answered(self):
         counters = ("answered_total", "deferred_total", "errored_total", "sends_total")
 
         def figures():
             return {
-                (name, group): self.program.figure(name, group)
+                (name, group): self.program.metric(name, group)
                 for name in counters
                 for group in ("read", "filing")
             }
 
         self.assertEqual(set(figures().values()), {0})
         for name in ("current", "conf_loaded_total", "conf_invalid_total"):
-            self.assertEqual(self.program.figure(name), 0)
-        router, other = self.program.thrift(), self.program.thrift()
-        self.served(router)
-        self.served(router, "filing", token="t")
+            self.assertEqual(self.program.metric(name), 0)
+        router, other = self.program.thrift_router(), self.program.thrift_router()
+        self.program.serve_one(router)
+        self.program.serve_one(router, method="filing", token="t")
         self.assertEqual(router.call("filing", b"doc", token="t", again="1")[0], "Answer")  # not run again
         self.assertEqual(router.call("filing", b"other", token="t")[0], "Broken")
         self.assertEqual(router.call(t0="1")[0], "Broken")  # too late
         self.assertEqual(router.call(mem="x")[0], "Exception")  # answered by the front itself
         failing = router.invoke()
-        self.kernel.reap(self.kernel.next()[0], "ERROR")
+        self.kernel.reap(self.kernel.next_run().request_id, "ERROR")
         self.assertEqual(router.answer(failing)[0], "Broken")
         running = router.invoke()
-        rid = self.kernel.next()[0]
+        rid = self.kernel.next_run().request_id
         twice = other.invoke(rid=rid)
         self.assertEqual(other.answer(twice)[0], "Broken")
-        self.assertEqual(self.program.figure("current"), 1)
+        self.assertEqual(self.program.metric("current"), 1)
         self.kernel.reap(rid)
         self.assertEqual(router.answer(running)[0], "Answer")
         crowd = [other.invoke() for _ in range(30)]  # some are refused, some begun and never ended
@@ -159,16 +152,16 @@
         self.assertEqual(now["errored_total", "read"], 4 + failed)
         self.assertEqual(now["sends_total", "read"], 3 + begun)
         self.assertEqual([now[name, "filing"] for name in counters], [2, 0, 1, 1])
-        self.assertEqual(self.program.figure("current"), 0)
+        self.assertEqual(self.program.metric("current"), 0)
 
 
 class NotUp(unittest.TestCase):
     def test_a_worker_whose_kernel_is_not_up_is_not_ready_and_counts_what_it_turns_away(self):
-        program = Program(boot=False)
+        program = WorkerProcess(boot=False)
         self.addCleanup(program.close)
-        self.assertEqual(program.operator()[0], 503)
-        self.assertEqual(Thrift(program.at["ThriftFront"]).call()[0], "Throttled")
-        self.assertEqual(program.figure("deferred_total", "read"), 1)
+        self.assertEqual(program.operator_call()[0], 503)
+        self.assertEqual(ThriftRouter(program.addresses["ThriftFront"]).call()[0], "Throttled")
+        self.assertEqual(program.metric("deferred_total", "read"), 1)
 
 
 if __name__ == "__main__":
--- a/tests/app/test_readiness.py
+++ b/tests/app/test_readiness.py
@@ -11,7 +11,8 @@
 import threading
 import time
 
-from stand_ins import Members, ProgramCase
+from tests.stand_ins.membership_service import MembershipService
+from tests.support.worker_cases import WorkerTestCase
 
 COUNT = int(os.environ.get("RESTARTED", "4"))
 NINE_IN_TEN, EACH = 10.0, 30.0  # s from the start of a process
@@ -28,7 +29,7 @@
 """
 
 
-class Restarted(ProgramCase):
+class Restarted(WorkerTestCase):
     def restarted(self, lost=False, stores=False, **how):
         """All start, are killed at one moment and started again, with stores or without; those, and the least
         time that one took."""
@@ -39,7 +40,7 @@
                 more["state"] = {"folder": store}
             began = time.monotonic()
             program = self.start(**how, **more)
-            while program.operator()[0] != 200:
+            while program.operator_call()[0] != 200:
                 self.assertLess(time.monotonic() - began, EACH)
             took.append(time.monotonic() - began)
             return program, store
@@ -74,17 +75,17 @@
         return again, took[0]
 
     def test_workers_of_the_platform_while_the_list_is_down_serve_once_they_say_so(self):
-        down = Members()
+        down = MembershipService()
         down.refuse()
         for program in self.restarted(members=down)[0]:
-            program.served(program.thrift())
+            program.serve_one(program.thrift_router())
 
     def web(self, **how):
         programs, least = self.restarted(thrift=False, ajp=True, stores=True, **how)
         for program in programs:
-            client = program.ajp()
+            client = program.ajp_client()
             client.request()
-            program.server.next()[2](data=b"served")
+            program.server.next_request().respond(data=b"served")
             self.assertEqual(client.answer()[2], b"served")
         return least
 
--- a/tests/app/test_reload.py
+++ b/tests/app/test_reload.py
@@ -4,39 +4,45 @@
 import signal
 import unittest
 
-from stand_ins import MS, PATIENCE, AjpServer, Kernel, Members, Program, settings, toml_file
+from ochrehoist.lab.toml import toml_file
+from tests.stand_ins.ajp_server import AjpServer
+from tests.stand_ins.kernel import Kernel
+from tests.stand_ins.membership_service import MembershipService
+from tests.support.environment import MS, WAIT_LIMIT_S
+from tests.support.site_settings import site_settings
+from tests.support.worker_process import WorkerProcess
 
 BAD = "config_invalid"
 
 
 class Platform(unittest.TestCase):
     def setUp(self):
-        self.program = Program()
+        self.program = WorkerProcess()
         self.addCleanup(self.program.close)
 
     def move(self, old, **changes):
         """A new kernel that knows what the old one noticed; the old one's link goes silent but stays open."""
-        kernel, members = Kernel(old), Members()
+        kernel, members = Kernel(old), MembershipService()
         self.addCleanup(kernel.close)
         self.addCleanup(members.close)
         old.refuse()
         new = self.program.config | {"kernel": kernel.address, "members": members.address} | changes
         said = self.program.reload("config.json", json.dumps(new))
-        self.assertEqual(kernel.opened.get(timeout=PATIENCE), 1)
+        self.assertEqual(kernel.opened.get(timeout=WAIT_LIMIT_S), 1)
         members.wait_for("UP")
         return kernel, said
 
     def test_runs_keys_offset_and_connections_go_on_over_two_moves_with_a_bad_file_between(self):
-        router, first = self.program.thrift(), self.program.kernel
+        router, first = self.program.thrift_router(), self.program.kernel
         done = router.invoke("filing", b"done", token="t0")
-        first.reap(first.next()[0], body=b"before")
+        first.reap(first.next_run().request_id, body=b"before")
         self.assertEqual(router.answer(done)[2], b"before")
         filing, read = router.invoke("filing", b"doc", token="t1"), router.invoke(body=b"read")
-        runs = {body: rid for rid, _, body in (first.next(), first.next())}
+        runs = {body: rid for rid, _, body in (first.next_run(), first.next_run())}
         second, _ = self.move(first)
         for bad in ("{", "[]", json.dumps(self.program.config | {"kernel": "nowhere"})):
             self.assertIn("setting", self.program.reload("config.json", bad, BAD)["reason"])
-        second.reap(runs[b"doc"], body=b"filed", say=False)  # told on the next link
+        second.reap(runs[b"doc"], body=b"filed", send=False)  # told on the next link
         third, said = self.move(second, name="n2", stop_ms=9)
         self.assertEqual(said["restart_keys"], ["name", "stop_ms"])
         self.assertEqual(router.answer(filing), ("Answer", {}, b"filed"))
@@ -48,7 +54,7 @@
 
 def site(*classes):
     """Settings with these classes; each is (name, deadline in ms, changes)."""
-    base = settings()
+    base = site_settings()
     read, filing = base["Classes"]
     base["Classes"] = [
         (filing if "Window" in more else read) | {"Name": name, "Deadline": deadline * MS} | more
@@ -62,7 +68,7 @@
 
 class Settings(unittest.TestCase):
     def setUp(self):
-        self.program = Program()
+        self.program = WorkerProcess()
         self.addCleanup(self.program.close)
         self.kernel = self.program.kernel
 
@@ -70,12 +76,12 @@
         return self.program.reload("config.json", json.dumps(self.program.config | {"settings": site}), event)
 
     def test_classes_come_and_go_while_open_requests_and_keys_stay(self):
-        router = self.program.thrift()
+        router = self.program.thrift_router()
         done = router.invoke("filing", b"done", token="t0")
-        self.kernel.reap(self.kernel.next()[0], body=b"before")
+        self.kernel.reap(self.kernel.next_run().request_id, body=b"before")
         router.answer(done)
         running, read = router.invoke("filing", b"doc", token="t1"), router.invoke(body=b"read")
-        runs = {body: rid for rid, _, body in (self.kernel.next(), self.kernel.next())}
+        runs = {body: rid for rid, _, body in (self.kernel.next_run(), self.kernel.next_run())}
         joined = router.invoke("filing", b"doc", token="t1", again="1")
         held = router.invoke("filing", b"held", token="t2")  # two cores, both taken
         router.ping()
@@ -89,7 +95,7 @@
         again = router.invoke("filing", b"doc", token="t1", again="1")
         for body in (b"read", b"doc"):
             self.kernel.reap(runs[body], body=b"made of " + body)
-        rid, method, body = self.kernel.next()
+        rid, method, body = self.kernel.next_run()
         self.assertEqual((method, body), ("filing", b"held"))  # open: it keeps its class
         self.kernel.reap(rid, body=b"made of held")
         for number, body in (
@@ -101,7 +107,7 @@
         ):
             self.assertEqual(router.answer(number), ("Answer", {}, b"made of " + body))
         fresh = router.invoke("new", b"doc", token="t1")  # another class: another filing
-        rid, method, _ = self.kernel.next()
+        rid, method, _ = self.kernel.next_run()
         self.assertEqual(method, "new")
         self.kernel.reap(rid, body=b"new")
         self.assertEqual(router.answer(fresh)[2], b"new")
@@ -110,8 +116,8 @@
         self.assertEqual(router.call("new", b"doc", token="t1", again="1"), ("Answer", {}, b"new"))
         for group, counts in (("filing", [7, 3]), ("new", [2, 1])):
             names = ("answered_total", "sends_total")
-            self.assertEqual([self.program.figure(name, group) for name in names], counts)
-        self.assertEqual(self.program.figure("conf_loaded_total"), 2)
+            self.assertEqual([self.program.metric(name, group) for name in names], counts)
+        self.assertEqual(self.program.metric("conf_loaded_total"), 2)
 
     def test_a_file_that_is_not_whole_and_good_changes_nothing_and_is_counted(self):
         whole = self.program.config | {"settings": site(("new", 1500, {}))}
@@ -132,22 +138,22 @@
         for content in bad:
             with self.subTest(content[:60]):
                 self.assertIn("setting", self.program.reload("config.json", content, BAD)["reason"])
-        self.assertEqual(self.program.figure("conf_invalid_total"), len(bad))
-        self.assertEqual(self.program.figure("conf_loaded_total"), 0)
-        router = self.program.thrift()
+        self.assertEqual(self.program.metric("conf_invalid_total"), len(bad))
+        self.assertEqual(self.program.metric("conf_loaded_total"), 0)
+        router = self.program.thrift_router()
         self.assertEqual(router.call("new")[0], "Exception")
         seqid = router.invoke(body=b"as before")
-        self.kernel.reap(self.kernel.next()[0], body=b"served")
+        self.kernel.reap(self.kernel.next_run().request_id, body=b"served")
         self.assertEqual(router.answer(seqid)[2], b"served")
 
     def test_settings_change_on_standby_and_after_the_notice_to_leave_and_neither_is_undone(self):
-        router = self.program.thrift()
-        self.program.operator("POST", "/standby")
+        router = self.program.thrift_router()
+        self.program.operator_call("POST", "/standby")
         self.reload(site(("read", 1700, {}), ("new", 1500, {})))
         router.ping()
         self.assertFalse(router.good)
         seqid = router.invoke("new", b"new")
-        rid = self.kernel.next()[0]
+        rid = self.kernel.next_run().request_id
         self.program.process.send_signal(signal.SIGTERM)
         self.program.wait_for(lambda status: status["state"] == "leaving")
         self.reload(site(("read", 1600, {})))
@@ -156,16 +162,16 @@
         self.kernel.reap(rid, body=b"served")
         self.assertEqual(router.answer(seqid)[2], b"served")
         router.close()
-        self.assertEqual(self.program.ended(), 0)
+        self.assertEqual(self.program.wait_for_exit(), 0)
 
     def test_a_process_that_took_over_takes_new_settings_and_keeps_the_old_ones_requests(self):
         old = self.program
-        router = old.thrift()
+        router = old.thrift_router()
         running = router.invoke("filing", b"doc", token="t")
-        rid = old.kernel.next()[0]
-        new = Program(before=old)
+        rid = old.kernel.next_run().request_id
+        new = WorkerProcess(before=old)
         self.addCleanup(new.close)
-        new.took_over()
+        new.wait_until_took_over()
         old.process.send_signal(signal.SIGTERM)
         without = json.dumps(new.config | {"settings": site(("read", 1700, {}))})
         new.reload("config.json", without, "settings_changed")
@@ -195,24 +201,24 @@
     def test_signals_inherited_as_ignored_or_blocked_are_heard_all_the_same(self):
         for inherits in (ignored, blocked):
             with self.subTest(inherits.__name__):
-                program = Program(inherits=inherits)
+                program = WorkerProcess(inherits=inherits)
                 self.addCleanup(program.close)
                 new = json.dumps(program.config | {"settings": site(("new", 1500, {}))})
                 program.reload("config.json", new)  # whether the kernel is up yet or not
                 program.process.send_signal(signal.SIGTERM)
-                self.assertEqual(program.ended(), 0)
+                self.assertEqual(program.wait_for_exit(), 0)
 
 
 class Appliance(unittest.TestCase):
     def test_servers_and_rules_change_while_a_request_runs_on_the_old_server(self):
-        program = Program(thrift=False, ajp=True)
+        program = WorkerProcess(thrift=False, ajp=True)
         self.addCleanup(program.close)
         other = AjpServer()
         self.addCleanup(other.close)
-        client, late = program.ajp(), program.ajp()
+        client, late = program.ajp_client(), program.ajp_client()
         self.assertTrue(late.cping())  # a new connection may not stay silent
         client.request()
-        _, _, respond = program.server.next()
+        _, _, respond = program.server.next_request()
         whole = program.appliance
         front = whole["ajp"] | {
             "servers": [{"address": other.address}],
@@ -223,7 +229,7 @@
             program.reload("ajp.toml", toml_file(whole | {"ajp": front}))["restart_keys"], ["ajp.listen"]
         )
         late.request(uri="/new/1")
-        other.next()[2](data=b"by the new server")
+        other.next_request().respond(data=b"by the new server")
         self.assertEqual(late.answer()[2], b"by the new server")
         self.assertEqual(late.call()[0], 404)
         respond(data=b"by the old one")
--- a/tests/app/test_reload_at_size.py
+++ b/tests/app/test_reload_at_size.py
@@ -12,7 +12,6 @@
 import msgspec
 from hypothesis import given
 from hypothesis import strategies as st
-from stand_ins import MEMORY, PATIENCE, ProgramCase, settings, toml_file
 
 from ochrehoist.admission.settings import RequestClass, Tenant
 from ochrehoist.app.worker import Worker
@@ -26,12 +25,16 @@
 from ochrehoist.capture.records import CaptureHeader
 from ochrehoist.config.loader import load
 from ochrehoist.core.tenants import MIN_RETIRED_PLACES, compacted_table, initial_table, updated_table
+from ochrehoist.lab.toml import toml_file
 from ochrehoist.net.peers import FleetTenant
 from ochrehoist.peers import wire
 from ochrehoist.peers.counters import ReplicatedCounters
 from ochrehoist.peers.wire import Incarnation, Message
 from ochrehoist.sites.shedding_order import MAX_REPORTED_TENANTS, SheddingOrder
 from ochrehoist.steps import run_to_completion
+from tests.support.environment import MEMORY_FOLDER, WAIT_LIMIT_S
+from tests.support.site_settings import site_settings
+from tests.support.worker_cases import WorkerTestCase
 
 OPENS_ONCE = """
 import os, time
@@ -108,7 +111,7 @@
 
 def appliance(folder, numbers, routes, quota=1.0, peers=None, **changes):
     """A configuration with so many tenants and routes."""
-    site = settings(
+    site = site_settings(
         Tenants=[{"Name": f"t{n}", "QuotaPerS": quota, "Fraction": 0.1} for n in numbers], **changes
     )
     rules = [{"uri": f"/r{n}/*", "class": "read"} for n in range(routes)]
@@ -201,7 +204,7 @@
 
     def test_each_tenant_changed_and_a_class_too_is_a_fresh_module_that_looks_at_each_once(self):
         def change(folder, count, routes):
-            base = settings()["Classes"]
+            base = site_settings()["Classes"]
             appliance(folder, range(count), routes, 2.0, Classes=[*base, base[0] | {"Name": "more"}])
 
         worker = self.flat(change, for_each=1)  # its quota, as it was at first
@@ -295,9 +298,9 @@
             self.assertEqual(list(decode_records(data, CaptureDamage())), [header])
 
 
-class Appliance(ProgramCase):
+class Appliance(WorkerTestCase):
     def begin(self, **more):
-        self.site = settings()
+        self.site = site_settings()
         return self.start(thrift=False, ajp=True, site=self.site, **more)
 
     def change(self, program, names, rules=None, **changes):
@@ -310,17 +313,17 @@
         web.request("POST", "/filings", {"X-Tenant": tenant, "Idempotency-Key": key}, body)
 
     def configuration(self, program):
-        return json.loads(program.operator()[1])["configuration"]
+        return json.loads(program.operator_call()[1])["configuration"]
 
     def test_a_tenant_that_goes_with_a_filing_open_is_answered_and_its_repeats_meet_the_first(self):
         program = self.begin()
-        first_try, again, later = program.ajp(), program.ajp(), program.ajp()
+        first_try, again, later = program.ajp_client(), program.ajp_client(), program.ajp_client()
         self.assertTrue(again.cping() and later.cping())  # a new connection may not stay silent
         self.ask(first_try, "acme")
-        _, _, respond = program.server.next()
+        _, _, respond = program.server.next_request()
         said = program.reload("ajp.toml", self.change(program, {"other": 5.0}))
         self.assertEqual(said["version"], self.configuration(program)["version"])
-        figures = program.operator(path="/status/metrics")[1]
+        figures = program.operator_call(path="/status/metrics")[1]
         self.assertIn(f'app_conf_info{{version="{said["version"]}"}} 1', figures)
         self.ask(again, "acme")  # while it runs
         self.assertEqual(later.call("GET", "/reads/1", {"X-Tenant": "acme"})[0], 400)
@@ -337,35 +340,35 @@
         self.ask(later, "acme")
         self.assertEqual(later.answer()[2], b"filed")
         self.ask(later, "acme", key="new")
-        program.server.next()[2](data=b"new")
+        program.server.next_request().respond(data=b"new")
         self.assertEqual(later.answer()[2], b"new")
-        self.assertTrue(program.server.got.empty())
-        self.assertEqual(program.said("settings_changed"), [])  # nothing open was told anew
+        self.assertTrue(program.server.received.empty())
+        self.assertEqual(program.logged("settings_changed"), [])  # nothing open was told anew
 
     def test_a_route_that_shadows_another_and_a_class_and_a_tenant_in_one_change(self):
         program = self.begin()
-        old, new = program.ajp(), program.ajp()
+        old, new = program.ajp_client(), program.ajp_client()
         self.assertTrue(new.cping())  # a new connection may not stay silent
         old.request(uri="/reads/1", headers={"X-Tenant": "acme"})
-        respond = program.server.next()[2]
+        respond = program.server.next_request().respond
         classes = [*self.site["Classes"], self.site["Classes"][0] | {"Name": "more"}]
         rules = [{"uri": "/reads/*", "class": "more"}, *program.appliance["ajp"]["rules"]]
         program.reload("ajp.toml", self.change(program, {"zeta": 1.0, "acme": 1.0}, rules, Classes=classes))
         new.request(uri="/reads/1", headers={"X-Tenant": "zeta"})
-        program.server.next()[2](data=b"by the new")
+        program.server.next_request().respond(data=b"by the new")
         self.assertEqual(new.answer()[2], b"by the new")
         respond(data=b"by the old")
         self.assertEqual(old.answer()[2], b"by the old")
         program.wait_for(lambda status: status["in_hand"] == "0")
-        self.assertEqual([program.figure("answered_total", c) for c in ("read", "more")], [1, 1])
+        self.assertEqual([program.metric("answered_total", c) for c in ("read", "more")], [1, 1])
 
     def test_ten_orders_at_once_leave_the_newest_in_force_and_as_many_readings_at_most(self):
         program = self.begin()
         for n in range(10):
-            new = program.file("new", self.change(program, {f"v{n}": 1.0}))
+            new = program.write_file("new", self.change(program, {f"v{n}": 1.0}))
             os.replace(new, Path(program.folder.name, "ajp.toml"))
             program.process.send_signal(signal.SIGHUP)
-        web, until = program.ajp(), time.monotonic() + PATIENCE
+        web, until = program.ajp_client(), time.monotonic() + WAIT_LIMIT_S
         while (
             web.call("GET", "/none", {"X-Tenant": "v9"})[0] != 404
             or self.configuration(program)["reading"]
@@ -373,12 +376,12 @@
         ):
             self.assertLess(time.monotonic(), until)
         self.assertFalse(self.known(program, "v8"))
-        self.assertIn(program.figure("conf_loaded_total"), range(1, 11))
-        self.assertEqual(program.figure("conf_invalid_total"), 0)
+        self.assertIn(program.metric("conf_loaded_total"), range(1, 11))
+        self.assertEqual(program.metric("conf_invalid_total"), 0)
 
     def known(self, program, tenant):
         """Its filing gets past the reader, to be told that it has no key."""
-        web = program.ajp()
+        web = program.ajp_client()
         web.request("POST", "/filings", {"X-Tenant": tenant}, b"doc")
         body = web.answer()[2]
         web.close()
@@ -398,53 +401,53 @@
         base = self.site["Classes"]
         more = [*base, base[0] | {"Name": "more"}]
         program.reload("ajp.toml", self.change(program, {"other": 1.0}, rules, Classes=more))
-        until = time.monotonic() + PATIENCE
+        until = time.monotonic() + WAIT_LIMIT_S
         while files() < 2:  # another thread writes them, in the order in which they were begun
             self.assertLess(time.monotonic(), until)
         program.process.send_signal(signal.SIGTERM)
-        self.assertEqual((program.ended(), files()), (0, 2))
+        self.assertEqual((program.wait_for_exit(), files()), (0, 2))
 
     def test_a_change_while_the_store_still_opens_is_in_force_and_what_is_on_record_is_known(self):
-        folder = tempfile.TemporaryDirectory(dir=MEMORY)
+        folder = tempfile.TemporaryDirectory(dir=MEMORY_FOLDER)
         self.addCleanup(folder.cleanup)
         state, shut = {"folder": str(Path(folder.name, "state"))}, Path(folder.name, "shut")
         program = self.begin(state=state)
-        web = program.ajp()
+        web = program.ajp_client()
         self.ask(web, "acme")
-        program.server.next()[2](data=b"filed")
+        program.server.next_request().respond(data=b"filed")
         self.assertEqual(web.answer()[2], b"filed")
         program.process.send_signal(signal.SIGTERM)
         web.close()
-        self.assertEqual(program.ended(), 0)
+        self.assertEqual(program.wait_for_exit(), 0)
         shut.touch()
         program = self.begin(state=state, fault=OPENS_ONCE.format(str(shut)))
         said = program.reload("ajp.toml", self.change(program, {"other": 5.0}))
-        self.assertFalse(json.loads(program.operator()[1])["store"]["open"])
+        self.assertFalse(json.loads(program.operator_call()[1])["store"]["open"])
         self.assertEqual(said["version"], self.configuration(program)["version"])
         shut.unlink()
         program.wait_for(lambda status: "'open': True" in status["store"])
-        web = program.ajp()
+        web = program.ajp_client()
         self.ask(web, "acme")  # gone, and on record
         self.assertEqual(web.answer()[2], b"filed")
         self.ask(web, "acme", key="new")
         self.assertEqual(web.answer()[0], 400)
         self.ask(web, "other")
-        program.server.next()[2](data=b"of the other")
+        program.server.next_request().respond(data=b"of the other")
         self.assertEqual(web.answer()[2], b"of the other")
 
     def test_a_reading_that_runs_out_of_memory_changes_nothing_is_told_of_and_can_be_ordered_again(self):
         program = self.begin(fault=RUNS_OUT)
         before = self.configuration(program)
-        web = program.ajp()
+        web = program.ajp_client()
         web.request(headers={"X-Tenant": "acme"})
         program.process.send_signal(signal.SIGHUP)
-        program.wait_said("fault in a task")
+        program.wait_until_logged("fault in a task")
         after = self.configuration(program)
         self.assertEqual(
             (after["version"], after["last"], after["reading"]), (before["version"], "turned down", False)
         )
-        self.assertEqual(program.figure("conf_invalid_total"), 1)
-        program.server.next()[2](data=b"as before")
+        self.assertEqual(program.metric("conf_invalid_total"), 1)
+        program.server.next_request().respond(data=b"as before")
         self.assertEqual(web.answer()[2], b"as before")
         said = program.reload("ajp.toml", self.change(program, {"other": 1.0}))
         self.assertEqual(self.configuration(program)["version"], said["version"])
@@ -460,12 +463,12 @@
         self.assertLess(sizes[-1] - max(sizes[5:20]), 1 << 20, sizes)
 
 
-class Platform(ProgramCase):
+class Platform(WorkerTestCase):
     def content(self, program, **changes):
-        return json.dumps(program.config | {"settings": settings(**changes)})
+        return json.dumps(program.config | {"settings": site_settings(**changes)})
 
     def replace(self, program, content):
-        os.replace(program.file("new", content), Path(program.folder.name, "config.json"))
+        os.replace(program.write_file("new", content), Path(program.folder.name, "config.json"))
         program.process.send_signal(signal.SIGHUP)
 
     def test_a_change_before_the_kernel_is_up_is_in_force_once_it_is(self):
@@ -475,39 +478,39 @@
             self.content(program, Tenants=[{"Name": "later", "QuotaPerS": 1.0, "Fraction": 1.0}]),
         )
         program.kernel.boots = True
-        program.kernel.drop_links()
-        program.kernel.opened.get(timeout=PATIENCE)
+        program.kernel.drop_connections()
+        program.kernel.opened.get(timeout=WAIT_LIMIT_S)
         program.wait_for(lambda status: status["state"] == "up")
-        program.served(program.thrift(), acct="later")
-        status = json.loads(program.operator()[1])["configuration"]
+        program.serve_one(program.thrift_router(), acct="later")
+        status = json.loads(program.operator_call()[1])["configuration"]
         self.assertEqual((status["version"], status["last"]), (said["version"], "taken"))
 
     def test_tenants_that_go_stay_known_to_the_thrift_front_and_no_module_is_made_for_it(self):
         program = self.start()
-        router = program.thrift()
+        router = program.thrift_router()
         filing = router.invoke("filing", b"doc", token="t")
-        rid = program.kernel.next()[0]
+        rid = program.kernel.next_run().request_id
         program.reload(
             "config.json",
             self.content(program, Tenants=[{"Name": "other", "QuotaPerS": 1.0, "Fraction": 1.0}]),
         )
         again = router.invoke("filing", b"doc", token="t", again="1")
-        program.served(router, acct="other")
+        program.serve_one(router, acct="other")
         program.kernel.reap(rid, body=b"filed")
         self.assertEqual([router.answer(n)[2] for n in (filing, again)], [b"filed", b"filed"])
-        self.assertEqual(program.said("settings_changed"), [])
+        self.assertEqual(program.logged("settings_changed"), [])
 
     def test_an_order_is_for_the_process_that_decides(self):
         old = self.start()
-        old.thrift().invoke("filing", b"doc", token="t")  # which keeps it from ending meanwhile
-        old.kernel.next()
-        version = json.loads(old.operator()[1])["configuration"]["version"]
+        old.thrift_router().invoke("filing", b"doc", token="t")  # which keeps it from ending meanwhile
+        old.kernel.next_run()
+        version = json.loads(old.operator_call()[1])["configuration"]["version"]
         new = self.start(before=old)
-        new.took_over()
+        new.wait_until_took_over()
         self.replace(old, self.content(old, Tenants=[{"Name": "new", "QuotaPerS": 1.0, "Fraction": 1.0}]))
         new.process.send_signal(signal.SIGHUP)
         new.wait_for(lambda status: "'last': 'taken'" in status["configuration"])
-        configuration = json.loads(old.operator()[1])["configuration"]
+        configuration = json.loads(old.operator_call()[1])["configuration"]
         self.assertEqual((configuration["version"], configuration["last"]), (version, "start"))
 
 
@@ -565,7 +568,7 @@
             loop.call_later(0.01, look)
 
         look()
-        loop.call_later(PATIENCE, loop.stop)
+        loop.call_later(WAIT_LIMIT_S, loop.stop)
         loop.run()
         loop.stopped = False
         return bool(seen)
--- a/tests/app/test_reload_processes.py
+++ b/tests/app/test_reload_processes.py
@@ -14,10 +14,11 @@
 from collections import Counter
 from pathlib import Path
 
-from instant import InstantServer
-from stand_ins import MS, PATIENCE, AjpServer, Program, settings, toml_file
-
-from ochrehoist.lab.toml import toml
+from ochrehoist.lab.toml import toml, toml_file
+from tests.stand_ins.ajp_server import AjpServer, InstantServer
+from tests.support.environment import MS, WAIT_LIMIT_S
+from tests.support.site_settings import site_settings
+from tests.support.worker_process import WorkerProcess
 
 TENANTS = 3000
 OPEN = 300
@@ -28,7 +29,7 @@
 
 def site(*more, count=TENANTS, **changes):
     """Settings of so many tenants, and those named behind; cores for all that a test keeps open."""
-    base = settings(**changes)
+    base = site_settings(**changes)
     base["FamilyInfo"] |= {"Cores": OPEN + 20, "HeapKb": 90e6}
     base["Rules"] |= {"TipMultiple": 1.0}
     for cls in base["Classes"]:
@@ -56,7 +57,7 @@
         if "before" not in how:
             self.addCleanup(server.close)
             how["servers"] = [{"address": server.address, "reply_ms": 90_000}]
-        program = Program(**how)
+        program = WorkerProcess(**how)
         self.addCleanup(program.close)
         return program
 
@@ -85,16 +86,16 @@
 
     def in_force(self, program, number):
         """Waits until a request that needs both the tenant and the route of this version is served."""
-        web, until = program.ajp(), time.monotonic() + PATIENCE
+        web, until = program.ajp_client(), time.monotonic() + WAIT_LIMIT_S
         while self.asked(web, f"v{number}", f"/v{number}/x") != 200:
-            self.assertLess(time.monotonic(), until, program.lines[-3:])
+            self.assertLess(time.monotonic(), until, program.log[-3:])
         web.close()
 
     def configuration(self, program):
-        return json.loads(program.operator()[1])["configuration"]
+        return json.loads(program.operator_call()[1])["configuration"]
 
     def wait(self, holds):
-        until = time.monotonic() + PATIENCE
+        until = time.monotonic() + WAIT_LIMIT_S
         while not (got := holds()):
             self.assertLess(time.monotonic(), until)
         return got
@@ -111,7 +112,7 @@
 
     def run(self):
         try:
-            web = self.program.ajp()
+            web = self.program.ajp_client()
             while self.going:
                 self.asked += 1
                 self.kinds[web.call("GET", f"/reads/{self.number}", {"X-Tenant": f"t{self.number}"})[0]] += 1
@@ -121,7 +122,7 @@
 
     def end(self):
         self.going = False
-        self.join(PATIENCE)
+        self.join(WAIT_LIMIT_S)
         return self
 
 
@@ -132,23 +133,23 @@
         """So many clients, each with a request that runs, or is held until another ends."""
         webs = []
         for n in range(OPEN):
-            webs.append(program.ajp())
+            webs.append(program.ajp_client())
             webs[-1].request("GET", f"/reads/{n}", {"X-Tenant": f"t{n}"})
             if n % 25 == 24:  # no more at once than may wait to be accepted by the server
                 program.wait_for(lambda status, n=n: status["in_hand"] == str(n + 1))
-                running = int(json.loads(program.operator()[1])["running"])
-                self.wait(lambda running=running: server.got.qsize() >= running)
+                running = int(json.loads(program.operator_call()[1])["running"])
+                self.wait(lambda running=running: server.received.qsize() >= running)
         return webs
 
     def answer(self, webs, server):
         """Each is answered once. What ran, ran once, and its answer is its own; of those held some may be
         turned away, but then they never run."""
-        running, ran = server.got.qsize(), Counter()
+        running, ran = server.received.qsize(), Counter()
         self.assertGreater(running, OPEN // 2)
 
         def serve():
             while True:
-                packet, _, respond = server.got.get()
+                packet, _, respond = server.received.get()
                 uri = re.search(rb"/reads/(\d+)\0", packet)
                 if uri is None:
                     return
@@ -165,8 +166,8 @@
                 self.assertEqual(body, b"of %d" % n)
             else:
                 self.assertEqual((status, int(headers["Retry-After"]) >= 1), (503, True), n)
-        server.got.put((b"no more", b"", None))
-        serving.join(PATIENCE)
+        server.received.put((b"no more", b"", None))
+        serving.join(WAIT_LIMIT_S)
         self.assertEqual(ran, Counter(served))
         for web in webs:  # one answer: nothing more is on its way
             web.sock.setblocking(False)
@@ -183,8 +184,8 @@
         changed["Tenants"] = [t | {"QuotaPerS": 7.0} for t in changed["Tenants"][OPEN // 3 :]]
         front = program.appliance["ajp"] | {"rules": [FILINGS, READS | {"uri": "/other/*"}]}
         program.reload("ajp.toml", toml_file(program.appliance | {"ajp": front, "settings": changed}))
-        self.assertEqual(json.loads(program.operator()[1])["in_hand"], OPEN)
-        late = program.ajp()
+        self.assertEqual(json.loads(program.operator_call()[1])["in_hand"], OPEN)
+        late = program.ajp_client()
         self.assertEqual(self.asked(late, "t200", "/reads/1"), 404)
         self.assertEqual(self.asked(late, "t0", "/other/1"), 400)
         program.process.send_signal(signal.SIGTERM)
@@ -193,37 +194,37 @@
         self.order(program)
         program.wait_for(lambda status: status["state"] == "leaving")
         self.answer(webs, server)
-        self.assertEqual(program.ended(), 0)
-        self.assertTrue(server.got.empty())
+        self.assertEqual(program.wait_for_exit(), 0)
+        self.assertTrue(server.received.empty())
 
     def test_a_change_and_a_replacement_with_300_requests_open(self):
         server = AjpServer()
         old = self.start(server=server)
         webs = self.opened(old, server)
         old.reload("ajp.toml", self.version(old, 1))
-        at = {part: f"{host}:{port}" for part, (host, port) in old.at.items()}
+        at = {part: f"{host}:{port}" for part, (host, port) in old.addresses.items()}
         old.appliance |= {
             "admin": at["Operators"],
             "console": {"agent_check": at["AgentCheck"]},
             "ajp": old.appliance["ajp"] | {"listen": at["AjpFront"]},
         }
         new = self.start(server=server, before=old, appliance=self.version(old, 2))
-        new.took_over()
+        new.wait_until_took_over()
         old.process.send_signal(signal.SIGTERM)
         new.reload("ajp.toml", self.version(old, 3))
         self.order(old)  # the file is for the process that decides now
-        fresh = new.ajp()
+        fresh = new.ajp_client()
         self.assertEqual([self.asked(fresh, "v3", "/v2/x"), self.asked(fresh, "v2", "/v3/x")], [404, 400])
-        self.assertEqual(json.loads(new.operator()[1])["in_hand"], OPEN)
+        self.assertEqual(json.loads(new.operator_call()[1])["in_hand"], OPEN)
         self.answer(webs, server)
         for web in webs:
             web.close()
-        self.assertEqual(old.ended(), 0)
+        self.assertEqual(old.wait_for_exit(), 0)
         fresh.request("GET", "/v3/x", {"X-Tenant": "v3"})
-        server.next()[2](200, b"by the new one")
+        server.next_request().respond(200, b"by the new one")
         self.assertEqual(fresh.answer()[::2], (200, b"by the new one"))
         new.wait_for(lambda status: status["in_hand"] == "0")
-        self.assertTrue(server.got.empty())
+        self.assertTrue(server.received.empty())
 
     def test_bodies_still_coming_when_the_change_comes(self):
         """They were checked by the version before, and keep the class that they were checked with."""
@@ -237,10 +238,10 @@
         )
 
         def begun(uri, tenant):
-            web = program.ajp()
+            web = program.ajp_client()
             web.forward("POST", uri, {"X-Tenant": tenant, "Idempotency-Key": "k"}, length=9000)
             web.chunk(b"x" * 8186)
-            self.assertEqual(web.asked_for(), 814)
+            self.assertEqual(web.requested_chunk_bytes(), 814)
             return web
 
         kept = {
@@ -258,7 +259,7 @@
         )
         for uri, web in kept.items():
             web.chunk(b"y" * 814)
-            packet, body, respond = server.next()
+            packet, body, respond = server.next_request()
             self.assertEqual((uri.encode() in packet, body), (True, b"x" * 8186 + b"y" * 814))
             respond(200, uri.encode())
             self.assertEqual(web.answer()[::2], (200, uri.encode()))
@@ -266,14 +267,14 @@
         of_gone.chunk(b"y" * 814)
         status, headers, _ = of_gone.answer()
         self.assertEqual((status, int(headers["Retry-After"]) >= 1), (503, True))
-        self.assertTrue(server.got.empty())
+        self.assertTrue(server.received.empty())
 
 
 class Storm(Changes):
     def test_under_a_storm_of_orders_the_newest_is_in_force_and_each_request_has_one_answer(self):
         program, rng = self.start(), random.Random(SEED)
         loads = [Load(program, n) for n in range(4)]
-        web = program.ajp()
+        web = program.ajp_client()
         self.assertEqual(self.asked(web, "t1", "/reads/1"), 200)  # a new connection may not stay silent
         for number in range(1, 61):
             self.replace(program, self.version(program, number))
@@ -286,8 +287,8 @@
             load.end()
             self.assertEqual((load.fault, load.kinds), (None, Counter({200: load.asked})))
             self.assertGreater(load.asked, 0)
-        self.assertEqual(program.figure("conf_invalid_total"), 0)
-        self.assertEqual(json.loads(program.operator()[1])["in_hand"], 0)
+        self.assertEqual(program.metric("conf_invalid_total"), 0)
+        self.assertEqual(json.loads(program.operator_call()[1])["in_hand"], 0)
         # Nothing waits to be read that would undo it: one more is told of as ever.
         program.reload("ajp.toml", self.version(program, 61))
         self.in_force(program, 61)
@@ -297,12 +298,12 @@
         self.replace(program, self.version(program, 0))
         self.order(program)
         self.in_force(program, 0)
-        web, kinds = program.ajp(), Counter()
+        web, kinds = program.ajp_client(), Counter()
         self.assertEqual(self.asked(web, "v0", "/v0/x"), 200)  # a new connection may not stay silent
         for number in range(1, 13):
             self.replace(program, self.version(program, number))
             self.order(program)
-            until = time.monotonic() + PATIENCE
+            until = time.monotonic() + WAIT_LIMIT_S
             while self.asked(web, f"v{number}", f"/v{number}/x") != 200:
                 self.assertLess(time.monotonic(), until)
                 for tenant, route in ((number, number - 1), (number - 1, number)):
@@ -345,7 +346,7 @@
         program, rng = self.start(), random.Random(SEED)
         program.reload("ajp.toml", self.version(program, 1))
         version = self.configuration(program).get("version")
-        load, web = Load(program, 1), program.ajp()
+        load, web = Load(program, 1), program.ajp_client()
         self.assertEqual(self.asked(web, "v1", "/v1/x"), 200)  # a new connection may not stay silent
         # Of inline tables: no part of it is a whole file by TOML's grammar.
         whole = tomllib.loads(self.version(program, 2))
@@ -356,7 +357,7 @@
                 self.assertIn("setting", self.turned_down(program, content[:cut].decode()))
                 self.assertEqual([self.asked(web, "v1", "/v1/x"), self.asked(web, "v2", "/v2/x")], [200, 404])
                 self.assertEqual(self.configuration(program).get("version"), version)
-        self.assertEqual(program.figure("conf_invalid_total"), len(cuts))
+        self.assertEqual(program.metric("conf_invalid_total"), len(cuts))
         program.reload("ajp.toml", content.decode())
         self.in_force(program, 2)
         self.assertNotEqual(self.configuration(program).get("version"), version)
@@ -366,7 +367,7 @@
     def test_a_file_of_a_table_each_cut_at_any_byte_is_turned_down_or_taken_as_it_stands(self):
         """By TOML's grammar it may be a whole file of fewer tenants."""
         program, rng = self.start(), random.Random(SEED)
-        load, web = Load(program, 1), program.ajp()
+        load, web = Load(program, 1), program.ajp_client()
         self.assertEqual(self.asked(web, "t1", "/reads/1"), 200)  # a new connection may not stay silent
         content = self.version(program, 1)
         first = content.index("[[settings.Tenants]]")
@@ -390,7 +391,7 @@
 
     def test_one_bad_tenant_or_rule_among_thousands_is_named_with_its_place(self):
         program = self.start()
-        web = program.ajp()
+        web = program.ajp_client()
         self.serves_as_begun(web)
         for n, key, value in ((2999, "QuotaPerS", "many"), (1500, "Name", 7), (2998, "Name", None)):
             bad = site("v1")
@@ -412,7 +413,7 @@
         self.assertEqual([self.asked(web, "t17", "/reads/1"), self.asked(web, "v1", "/reads/1")], [200, 400])
 
 
-class Numbering(AjpServer):
+class NumberingServer(AjpServer):
     """Answers each request at once, by the number of its run."""
 
     def __init__(self):
@@ -422,7 +423,7 @@
 
     def _serve(self):
         while True:
-            respond = self.got.get()[2]
+            respond = self.received.get().respond
             self.runs += 1
             respond(200, b"run %d" % self.runs)
 
@@ -430,7 +431,7 @@
 class Killed(Changes):
     def test_killed_in_the_middle_of_a_change_it_starts_with_the_file_as_it_is_then(self):
         """And what was filed before is known: a repeat gets its result, and runs nothing."""
-        rng, server = random.Random(SEED), Numbering()
+        rng, server = random.Random(SEED), NumberingServer()
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         state, filed = {"folder": str(Path(folder.name, "state")), "stall_ms": 10_000}, []
@@ -440,7 +441,7 @@
             program.wait_for(lambda status: status["state"] == "up")
             if appliance is not None:
                 self.in_force(program, number - 1)
-            web = program.ajp()
+            web = program.ajp_client()
             if appliance is not None:
                 self.assertEqual(self.asked(web, f"v{number}", f"/v{number}/x"), 404)
             for key, body in filed:
@@ -457,7 +458,7 @@
                 self.asked(web, "t1", "/reads/1")
             program.process.kill()
             program.process.wait()
-        self.assertTrue(server.got.empty())
+        self.assertTrue(server.received.empty())
 
     def file(self, web, key):
         return web.call("POST", "/filings", {"Idempotency-Key": key, "X-Tenant": "t1"}, b"doc")
--- a/tests/app/test_reload_stress.py
+++ b/tests/app/test_reload_stress.py
@@ -13,8 +13,11 @@
 from collections import Counter
 from pathlib import Path
 
-from machine import Machine
-from stand_ins import PATIENCE, Members, Program, settings
+from tests.stand_ins.membership_service import MembershipService
+from tests.stand_ins.moving_kernel import MovingKernel
+from tests.support.environment import WAIT_LIMIT_S
+from tests.support.site_settings import site_settings
+from tests.support.worker_process import WorkerProcess
 
 RELOADS = int(os.environ.get("RELOADS", "30"))
 SEED = int(os.environ.get("SEED", "1"))
@@ -23,7 +26,7 @@
 
 def classes(extra):
     """Settings that have one class more, or not."""
-    base = settings()
+    base = site_settings()
     if extra:
         base["Classes"] = [*base["Classes"], base["Classes"][0] | {"Name": "extra"}]
     return base
@@ -38,7 +41,7 @@
         self.ends, self.late, self.wrong = Counter(), [], []
 
     def run(self):
-        router, n = self.program.thrift(), 0
+        router, n = self.program.thrift_router(), 0
         while not self.stop.is_set():
             n += 1
             method = "filing" if n % 3 == 0 else "read"
@@ -59,9 +62,9 @@
 
 class Stress(unittest.TestCase):
     def setUp(self):
-        self.random, self.machine = random.Random(SEED), Machine(SEED)
+        self.random, self.machine = random.Random(SEED), MovingKernel(SEED)
         self.addCleanup(self.machine.close)
-        self.program = Program(kernel=self.machine)
+        self.program = WorkerProcess(kernel=self.machine)
         self.addCleanup(self.program.close)
         self.config, self.members = dict(self.program.config), [self.program.members]
 
@@ -70,13 +73,13 @@
         Path(self.program.folder.name, "config.json").write_text(content)
 
     def replace(self, content):
-        os.replace(self.program.file("new", content), Path(self.program.folder.name, "config.json"))
+        os.replace(self.program.write_file("new", content), Path(self.program.folder.name, "config.json"))
 
     def signal(self):
         self.program.process.send_signal(signal.SIGHUP)
 
     def status(self):
-        return json.loads(self.program.operator()[1])
+        return json.loads(self.program.operator_call()[1])
 
     # ---- what may happen
     def moved(self):
@@ -106,12 +109,12 @@
             self.moved()
 
     def back_to_back_with_a_cut_link(self):
-        self.machine.at.drop_links()
+        self.machine.current.drop_connections()
         self.moved()
-        self.machine.at.drop_links()
+        self.machine.current.drop_connections()
 
     def members_moved(self):
-        self.members.append(Members())
+        self.members.append(MembershipService())
         self.addCleanup(self.members[-1].close)
         self.config["members"] = self.members[-1].address
         self.members[-2].refuse()
@@ -121,7 +124,7 @@
 
     def in_force(self):
         """Waits until the newest address is linked and answers; gives the status."""
-        until = time.monotonic() + PATIENCE
+        until = time.monotonic() + WAIT_LIMIT_S
         while True:
             status = self.status()
             kernel = status["kernel"]
@@ -133,7 +136,7 @@
         loads = [Load(n, self.program) for n in range(3)]
         for load in loads:
             load.start()
-        probe = self.program.thrift()
+        probe = self.program.thrift_router()
         self.in_force()
         descriptors = f"/proc/{self.program.process.pid}/fd"
         before = len(os.listdir(descriptors))
@@ -148,7 +151,7 @@
         for load in loads:
             load.stop.set()
         for load in loads:
-            load.join(PATIENCE)
+            load.join(WAIT_LIMIT_S)
             self.assertFalse(load.is_alive())
             self.assertEqual((load.late, load.wrong), ([], []))
         total = sum((load.ends for load in loads), Counter())
@@ -156,10 +159,10 @@
         twice = {body: n for body, n in self.machine.runs.items() if body.startswith(b"filing") and n > 1}
         self.assertEqual(twice, {})
         probe.close()
-        until = time.monotonic() + PATIENCE
+        until = time.monotonic() + WAIT_LIMIT_S
         while len(os.listdir(descriptors)) > before:  # closed connections are noticed in a moment
             self.assertLess(time.monotonic(), until, os.listdir(descriptors))
-        faults = [line for line in self.program.lines if line["event"].startswith("fault")]
+        faults = [line for line in self.program.log if line["event"].startswith("fault")]
         self.assertEqual(faults, [])
 
 
@@ -167,45 +170,45 @@
     """The kernel moved and nobody said so, or said so with a file that could not be used."""
 
     def setUp(self):
-        self.machine = Machine(SEED)
+        self.machine = MovingKernel(SEED)
         self.addCleanup(self.machine.close)
-        self.program = Program(kernel=self.machine)
+        self.program = WorkerProcess(kernel=self.machine)
         self.addCleanup(self.program.close)
 
     def test_health_turns_bad_and_a_mended_file_is_found_without_a_signal(self):
-        program, router = self.program, self.program.thrift()
+        program, router = self.program, self.program.thrift_router()
         self.assertEqual(router.call("read", b"before")[0], "Answer")
         program.reload("config.json", "{", "config_invalid")
         address = self.machine.move(0.0)
         program.wait_for(lambda status: status["state"] == "cut off")
-        self.assertEqual(program.operator()[0], 503)
+        self.assertEqual(program.operator_call()[0], 503)
         router.ping()
         self.assertFalse(router.good)
         program.members.wait_for("OUT")
-        self.assertIn("turned down", program.operator()[1])
+        self.assertIn("turned down", program.operator_call()[1])
         os.replace(
-            program.file("new", json.dumps(program.config | {"kernel": address})),
+            program.write_file("new", json.dumps(program.config | {"kernel": address})),
             Path(program.folder.name, "config.json"),
         )
         program.wait_for(lambda status: status["state"] == "up")
         program.members.wait_for("UP")
         self.assertEqual(router.call("read", b"after")[0], "Answer")
-        self.assertEqual(program.figure("conf_loaded_total"), 0)  # nobody ordered it
-        status = json.loads(program.operator()[1])
+        self.assertEqual(program.metric("conf_loaded_total"), 0)  # nobody ordered it
+        status = json.loads(program.operator_call()[1])
         self.assertEqual((status["kernel"]["address"], status["configuration"]["last"]), (address, "taken"))
-        self.assertTrue(program.said("config_reloaded_while_cut_off"))
+        self.assertTrue(program.logged("config_reloaded_while_cut_off"))
 
     def test_what_has_come_of_a_reload_is_shown_and_logged(self):
-        program, router = self.program, self.program.thrift()
+        program, router = self.program, self.program.thrift_router()
         for _ in range(3):
             router.call("read", b"before")
         program.reload("config.json", json.dumps(program.config | {"settings": classes(True)}))
         self.assertEqual(router.call("extra", b"after")[0], "Answer")
-        view = json.loads(program.operator()[1])
+        view = json.loads(program.operator_call()[1])
         self.assertEqual(view["configuration"]["since"], {"served": 1, "refused": 0, "failed": 0})
         program.wait_for(lambda status: "'gauges_age_s': 0.0" in status["kernel"])
-        until = time.monotonic() + PATIENCE
-        while not (said := program.said("config_outcome")):
+        until = time.monotonic() + WAIT_LIMIT_S
+        while not (said := program.logged("config_outcome")):
             self.assertLess(time.monotonic(), until)
         self.assertEqual((said[0]["served"], said[0]["kernel"]["link"]), (1, "up"))
 
--- a/tests/benchmarks/test_slopes.py
+++ b/tests/benchmarks/test_slopes.py
@@ -3,8 +3,6 @@
 import random
 import unittest
 
-from stand_ins import ROOT  # noqa: F401 - the tree is on the path from here on
-
 from benchmarks.slopes import points
 from benchmarks.slopes.__main__ import measured
 from benchmarks.slopes.fit import crossing, line
--- a/tests/capture/test_capture.py
+++ b/tests/capture/test_capture.py
@@ -10,8 +10,6 @@
 import msgspec
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from stand_ins import MEMORY, MS, PATIENCE, Program, hasty, run, toml_file
-from stand_ins import settings as site_settings
 
 from ochrehoist.capture.batching import BatchWindow, SubjectSampler, file_is_complete, files_to_delete
 from ochrehoist.capture.encoding import (
@@ -31,6 +29,10 @@
     RequestOutcome,
     RequestRecord,
 )
+from ochrehoist.lab.toml import toml_file
+from tests.support.environment import MEMORY_FOLDER, MS, WAIT_LIMIT_S
+from tests.support.site_settings import short_deadline_settings, site_settings
+from tests.support.worker_process import WorkerProcess, run_command
 
 HEADER = CaptureHeader("n1", 10**18, 1.0, 4, 1000.0, (("read", 1, 2, 1.0, 0.0),), (("acme", 10.0),))
 
@@ -155,30 +157,30 @@
 
 class Recorded(unittest.TestCase):
     def setUp(self):
-        self.folder = Path(tempfile.mkdtemp(dir=MEMORY))
+        self.folder = Path(tempfile.mkdtemp(dir=MEMORY_FOLDER))
         self.addCleanup(shutil.rmtree, self.folder)
 
     def program(self, capture, **how):
         capture = {"folder": str(self.folder / "load")} | capture
-        program = Program(thrift=False, ajp=True, capture=capture, **how)
+        program = WorkerProcess(thrift=False, ajp=True, capture=capture, **how)
         self.addCleanup(program.close)
         return program
 
     def ended(self, program):
         program.process.terminate()
-        self.assertEqual(program.ended(), 0)
+        self.assertEqual(program.wait_for_exit(), 0)
         return read_capture([self.folder / "load"])
 
     def test_each_request_is_on_record_with_how_it_ended_and_no_name_in_clear(self):
-        program = self.program({}, site=hasty())
-        web = program.ajp()
+        program = self.program({}, site=short_deadline_settings())
+        web = program.ajp_client()
         key = {"Idempotency-Key": "secret-key", "X-Tenant": "acme"}
         for _ in range(2):  # a repeat gets the result of the run
             web.request("POST", "/filings", key, b"doc")
             if _ == 0:
-                program.server.next()[2](data=b"one")
+                program.server.next_request().respond(data=b"one")
             self.assertEqual(web.answer()[2], b"one")
-        crowd = [program.ajp() for _ in range(20)]
+        crowd = [program.ajp_client() for _ in range(20)]
         for each in crowd:
             each.request("GET", "/reads/1", {"X-Retry": "1"})
         ends = [each.answer()[0] for each in crowd]
@@ -203,10 +205,10 @@
 
     def test_new_classes_and_full_files_make_new_ones_and_a_bad_disk_costs_records_only(self):
         program = self.program({"file_mb": 0.01})
-        web = program.ajp()
+        web = program.ajp_client()
         for n in range(30):
             web.request("GET", f"/reads/{n}")
-            program.server.next()[2](data=b"page")
+            program.server.next_request().respond(data=b"page")
             web.answer()
         load = self.folder / "load"
         shutil.rmtree(load)
@@ -217,15 +219,15 @@
         load.mkdir()
         self.trouble(program, False)
         web.request("GET", "/reads/last")
-        program.server.next()[2](data=b"page")
+        program.server.next_request().respond(data=b"page")
         self.assertEqual(web.answer()[2], b"page")
         capture = self.ended(program)
         self.assertGreaterEqual(len(capture.requests), 1)
-        self.assertTrue(program.said("capture_unavailable"))
+        self.assertTrue(program.logged("capture_unavailable"))
 
     def trouble(self, program, wanted):
-        until = time.monotonic() + PATIENCE
-        while bool(json.loads(program.operator()[1])["capture"]["trouble"]) is not wanted:
+        until = time.monotonic() + WAIT_LIMIT_S
+        while bool(json.loads(program.operator_call()[1])["capture"]["trouble"]) is not wanted:
             self.assertLess(time.monotonic(), until)
 
     def test_a_folder_that_cannot_be_is_named(self):
@@ -238,7 +240,7 @@
             ({"folder": "x", "sampel": 1}, "capture.sampel"),
         ):
             path.write_text(toml_file(top | {"capture": capture}))
-            done = run("--config", str(path), "run")
+            done = run_command("--config", str(path), "run")
             self.assertEqual((done.returncode, key in done.stderr), (2, True), done.stderr)
 
 
@@ -248,11 +250,11 @@
             'import atexit, sys\natexit.register(lambda: print(\'{"event": "loaded", "names": "\''
             " + ' '.join(m for m in sys.modules) + '\"}', file=sys.stderr))"
         )
-        program = Program(fault=loaded)
+        program = WorkerProcess(fault=loaded)
         self.addCleanup(program.close)
         program.process.terminate()
-        program.ended()
-        names = program.said("loaded")[0]["names"].split()
+        program.wait_for_exit()
+        names = program.logged("loaded")[0]["names"].split()
         self.assertIn("ochrehoist.net.kernel", names)
         self.assertEqual([n for n in names if "capture" in n or "zstandard" in n or "msgspec" in n], [])
         self.assertNotIn("capture", json.loads(json.dumps(program.config)))
--- a/tests/cli/test_configuration_errors.py
+++ b/tests/cli/test_configuration_errors.py
@@ -6,7 +6,10 @@
 import unittest
 from pathlib import Path
 
-from stand_ins import ROOT, run, settings, toml_file
+from ochrehoist.lab.toml import toml_file
+from tests.support.environment import ROOT
+from tests.support.site_settings import site_settings
+from tests.support.worker_process import run_command
 
 
 class Configuration(unittest.TestCase):
@@ -14,10 +17,10 @@
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder, name)
             path.write_text(content)
-            return run("check", str(path))
+            return run_command("check", str(path))
 
     def test_the_file_in_deploy_is_good_and_an_appliance(self):
-        done = run("check", "deploy/ajp.toml")
+        done = run_command("check", "deploy/ajp.toml")
         self.assertEqual((done.returncode, done.stderr), (0, ""))
         self.assertIn("fronts: AJP", done.stdout)
 
@@ -56,7 +59,7 @@
             "listen": "127.0.0.1:1",
             "kernel": "127.0.0.1:2",
             "seed": "f",
-            "settings": settings(),
+            "settings": site_settings(),
         }
         self.assertEqual(self.check(json.dumps(whole), "a.json").returncode, 0)
         for named, change in (
@@ -65,7 +68,7 @@
             ("listen", {"listen": "a:b"}),
             ("settings", {"settings": None}),
             ("limits.sockets", {"limits": {"sockets": 1}}),
-            ("Rules.Cold", {"settings": settings(Rules={})}),
+            ("Rules.Cold", {"settings": site_settings(Rules={})}),
         ):
             with self.subTest(named):
                 done = self.check(json.dumps(whole | change), "a.json")
--- a/tests/config/test_config_at_size.py
+++ b/tests/config/test_config_at_size.py
@@ -15,8 +15,6 @@
 import tomli
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from stand_ins import ROOT, run, toml_file
-from stand_ins import settings as site
 
 from ochrehoist.app import simulator_adapter
 from ochrehoist.config import comparison, json_reader, toml_reader
@@ -25,8 +23,11 @@
 from ochrehoist.config import tenants as tenants_module
 from ochrehoist.config.tenants import TenantReader
 from ochrehoist.errors import InvalidInputError
-from ochrehoist.lab.toml import toml
+from ochrehoist.lab.toml import toml, toml_file
 from ochrehoist.steps import run_to_completion
+from tests.support.environment import ROOT
+from tests.support.site_settings import site_settings
+from tests.support.worker_process import run_command
 
 
 def tenant(at, **changes):
@@ -39,7 +40,12 @@
 
 def appliance(tenants, rules, **more):
     ajp = {"listen": "127.0.0.1:0", "rules": rules, "servers": [{"address": "127.0.0.1:9"}]}
-    return {"name": "n1", "admin": "127.0.0.1:0", "ajp": ajp, "settings": site(Tenants=tenants)} | more
+    return {
+        "name": "n1",
+        "admin": "127.0.0.1:0",
+        "ajp": ajp,
+        "settings": site_settings(Tenants=tenants),
+    } | more
 
 
 def platform(tenants):
@@ -48,7 +54,7 @@
         "listen": "127.0.0.1:0",
         "kernel": "127.0.0.1:9",
         "seed": "1f",
-        "settings": site(Tenants=tenants),
+        "settings": site_settings(Tenants=tenants),
     }
 
 
@@ -511,7 +517,7 @@
         out, err = StringIO(), StringIO()
 
         def create():
-            message = f"CREATE 1 {json.dumps(site(Tenants=listed))}"
+            message = f"CREATE 1 {json.dumps(site_settings(Tenants=listed))}"
             return simulator_adapter.main(["BATCH 0 1", "TARGET_INSTANCE 0", message, "EOF_BATCH"], out, err)
 
         self.assertEqual(create(), 0)
@@ -526,10 +532,10 @@
 class Program(Files):
     def test_check_tells_the_version_and_says_where_a_form_is_read_as_a_whole(self):
         text = large(600, 30)
-        done = run("check", self.file(text))
+        done = run_command("check", self.file(text))
         self.assertIn(f"version {self.load(text).version}, 600 tenants, 30 routes", done.stdout)
         self.assertNotIn("as a whole", done.stdout)
-        done = run("check", self.file(text + '# """\n'))
+        done = run_command("check", self.file(text + '# """\n'))
         self.assertEqual(done.returncode, 0)
         self.assertIn("as a whole", done.stdout)
 
--- a/tests/core/test_growth.py
+++ b/tests/core/test_growth.py
@@ -8,8 +8,6 @@
 import unittest
 from unittest import mock
 
-from stand_ins import MS, interpreter_steps, settings
-
 from ochrehoist.admission.events import Outcome
 from ochrehoist.config.settings import settings_from
 from ochrehoist.core.actor import CoreActor
@@ -23,6 +21,9 @@
 from ochrehoist.peers.counters import ReplicatedCounters
 from ochrehoist.store.operations import DeleteIntent, PutIntent, PutResult, coalesce
 from ochrehoist.store.records import IntentRecord, ResultRecord, encode_key, encode_record
+from tests.support.environment import MS
+from tests.support.instruction_count import count_instructions
+from tests.support.site_settings import site_settings
 
 SIZES = 3, 300, 3000
 LEARNED = 85  # bytes a tenant, of what was learned, before there is much to tell
@@ -30,11 +31,11 @@
 
 class Counted(unittest.TestCase):
     def test_a_loop_within_a_call_counts(self):
-        few, many = (interpreter_steps(lambda n=n: [x + 1 for x in range(n)]) for n in (10, 110))
+        few, many = (count_instructions(lambda n=n: [x + 1 for x in range(n)]) for n in (10, 110))
         self.assertGreater(many - few, 100)
 
     def test_the_same_call_counts_the_same(self):
-        self.assertEqual(*(interpreter_steps(lambda: sum(x for x in range(50))) for _ in "ab"))
+        self.assertEqual(*(count_instructions(lambda: sum(x for x in range(50))) for _ in "ab"))
 
 
 class Runs:
@@ -67,7 +68,7 @@
     """A core on a clock of its own."""
 
     def __init__(self, tenants=3, classes=2):
-        site = settings()
+        site = site_settings()
         site["FamilyInfo"] |= {"Cores": 700, "HeapKb": 90e9}
         site["Rules"] |= {"TipMultiple": 1.3}
         site["Classes"] = [dict(site["Classes"][n > 0], Name=f"class-{n}") for n in range(classes)]
@@ -128,7 +129,7 @@
     for _ in range(3):
         core.goes_through()
     core.owner.last_expiry_ns = core.now
-    return interpreter_steps(core.goes_through)
+    return count_instructions(core.goes_through)
 
 
 class RequestsWay(unittest.TestCase):
--- a/tests/make_golden.py
+++ b/tests/golden/make_golden.py
@@ -6,7 +6,7 @@
 
     git worktree add /tmp/release 000e6de
     cd /tmp/release
-    PYTHON /path/to/tests/make_golden.py OUTPUT [KIND ...]
+    PYTHON /path/to/tests/golden/make_golden.py OUTPUT [KIND ...]
 
 KIND is one of the functions in `KINDS`; without any, all are written. The names imported below are
 those of 000e6de.
@@ -21,6 +21,8 @@
 import time
 from pathlib import Path
 
+from status_shape import appliance_with_all_tables, metric_names, types_by_path  # beside this file
+
 MS, S = 10**6, 10**9
 IDEMPOTENCY_WINDOW_S = 50 * 365 * 86_400  # so that filings are still within their window when tests read them
 SECRET = b"a secret for the golden datagrams"
@@ -279,44 +281,13 @@
     (out / "simulator" / "answers.txt").write_text(answers.getvalue())
 
 
-def all_tables(base):
-    """The text of deploy/recovery.toml with [overload], [capture], and addresses and folders of its own."""
-    import re
-
-    text = Path("deploy/recovery.toml").read_text()
-    text = re.sub(r'(?m)^(admin|listen|agent_check) = "127.0.0.1:[0-9]+"', r'\1 = "127.0.0.1:0"', text)
-    text = re.sub(r'(?m)^(register-[23]|address) = "([0-9.]+):[0-9]+"', r'\1 = "\2:9"', text)
-    text = text.replace('folder = "/var/lib/ochrehoist"', f'folder = "{base}/state"')
-    return f'{text}\n[overload]\n\n[capture]\nfolder = "{base}/capture"\n'
-
-
-def types_by_path(value, path="", found=None):
-    """The JSON types below a value, by path; the elements of a list have one path."""
-    found = {} if found is None else found
-    found.setdefault(path, set()).add(type(value).__name__)
-    if isinstance(value, dict):
-        for name, inner in value.items():
-            types_by_path(inner, f"{path}/{name}", found)
-    elif isinstance(value, list):
-        for inner in value:
-            types_by_path(inner, f"{path}[]", found)
-    return found
-
-
 def worker_with_all_tables(base):
     """With an empty store of its own: of a folder that never was, filings are held for a window."""
     from stand_ins import Program, run
 
     done = run("state", "init", "--folder", f"{base}/state")
     assert done.returncode == 0, done.stderr
-    return Program(thrift=False, ajp=True, peers={}, appliance=all_tables(base))
-
-
-def metric_names(text):
-    """Names with labels; the version of a configuration depends on its folders."""
-    lines = [line for line in text.splitlines() if line and not line.startswith("#")]
-    names = {line.rpartition(" ")[0] for line in lines}
-    return {name.partition("=")[0] if name.startswith("app_conf_info{") else name for name in names}
+    return Program(thrift=False, ajp=True, peers={}, appliance=appliance_with_all_tables(base))
 
 
 def status(out):
--- a/tests/golden/test_datagrams.py
+++ b/tests/golden/test_datagrams.py
@@ -1,7 +1,6 @@
 """Datagrams as 000e6de sent them: read to the same values, and written to the same bytes."""
 
 import json
-from pathlib import Path
 
 import msgspec
 import pytest
@@ -9,8 +8,9 @@
 from ochrehoist.peers import wire
 from ochrehoist.recovery import messages as witness
 from ochrehoist.sites import site_report
+from tests.support.environment import FIXTURES
 
-GOLDEN = json.loads((Path(__file__).parent.parent / "fixtures" / "000e6de" / "datagrams.json").read_text())
+GOLDEN = json.loads((FIXTURES / "000e6de" / "datagrams.json").read_text())
 SECRET, GROUP = GOLDEN["secret"].encode(), GOLDEN["group"]
 
 
--- a/tests/golden/test_golden_capture.py
+++ b/tests/golden/test_golden_capture.py
@@ -1,13 +1,13 @@
 """A capture that a worker of 000e6de wrote: read to the same values, and written to the same bytes."""
 
 import json
-from pathlib import Path
 
 import msgspec
 
 from ochrehoist.capture import encoding
+from tests.support.environment import FIXTURES
 
-FOLDER = Path(__file__).parent.parent / "fixtures" / "000e6de"
+FOLDER = FIXTURES / "000e6de"
 GOLDEN = (FOLDER / "load.ochrecap").read_bytes()
 
 
--- a/tests/golden/test_handover.py
+++ b/tests/golden/test_handover.py
@@ -1,12 +1,12 @@
 """The lines that a worker of 000e6de hands to its successor: read, and written again byte for byte."""
 
 import json
-from pathlib import Path
 
 from ochrehoist.core.handover_snapshot import SnapshotReader, snapshot_lines
 from ochrehoist.net.ajp import ReplyCodec
+from tests.support.environment import FIXTURES
 
-GOLDEN = Path(__file__).parent.parent / "fixtures" / "000e6de" / "handover" / "lines.jsonl"
+GOLDEN = FIXTURES / "000e6de" / "handover" / "lines.jsonl"
 MAX_RESULT_BYTES = 1 << 20
 
 
--- a/tests/golden/test_simulator.py
+++ b/tests/golden/test_simulator.py
@@ -2,11 +2,10 @@
 
 import subprocess
 import sys
-from pathlib import Path
 
-from stand_ins import PATIENCE, ROOT
+from tests.support.environment import FIXTURES, ROOT, WAIT_LIMIT_S
 
-GOLDEN = Path(__file__).parent.parent / "fixtures" / "000e6de" / "simulator"
+GOLDEN = FIXTURES / "000e6de" / "simulator"
 
 
 def test_the_same_script_gets_the_same_answers():
@@ -16,7 +15,7 @@
             cwd=ROOT,
             stdin=script,
             capture_output=True,
-            timeout=PATIENCE,
+            timeout=WAIT_LIMIT_S,
         )
     assert (done.returncode, done.stderr) == (0, b"")
     assert done.stdout.splitlines() == (GOLDEN / "answers.txt").read_bytes().splitlines()
--- a/tests/golden/test_status.py
+++ b/tests/golden/test_status.py
@@ -3,24 +3,27 @@
 import json
 import tempfile
 import time
-import unittest
-from pathlib import Path
 
-from make_golden import metric_names, types_by_path, worker_with_all_tables
-from stand_ins import PATIENCE
+from tests.golden.status_shape import appliance_with_all_tables, metric_names, types_by_path
+from tests.support.environment import FIXTURES, WAIT_LIMIT_S
+from tests.support.worker_cases import WorkerTestCase
+from tests.support.worker_process import run_command
 
-GOLDEN = json.loads((Path(__file__).parent.parent / "fixtures" / "000e6de" / "status.json").read_text())
+GOLDEN = json.loads((FIXTURES / "000e6de" / "status.json").read_text())
 
 
-class GoldenStatus(unittest.TestCase):
+class GoldenStatus(WorkerTestCase):
     def setUp(self):
         base = self.enterContext(tempfile.TemporaryDirectory())
-        self.program = worker_with_all_tables(base)
-        self.addCleanup(self.program.close)
+        # An empty store of its own: of a folder that never was, filings are held for a window.
+        done = run_command("state", "init", "--folder", f"{base}/state")
+        self.assertEqual(done.returncode, 0, done.stderr)
+        appliance = appliance_with_all_tables(base)
+        self.program = self.start(thrift=False, ajp=True, peers={}, appliance=appliance)
 
     def gather(self, look, wanted):
         """What is seen until all that is wanted was seen; nothing else may be."""
-        seen, until = set(), time.monotonic() + PATIENCE
+        seen, until = set(), time.monotonic() + WAIT_LIMIT_S
         while seen != wanted:
             seen |= look()
             self.assertEqual(seen - wanted, set())
@@ -29,7 +32,7 @@
 
     def test_status_has_the_same_keys_with_the_same_types(self):
         def look():
-            found = types_by_path(json.loads(self.program.operator()[1]))
+            found = types_by_path(json.loads(self.program.operator_call()[1]))
             for path, types in found.items():
                 self.assertLessEqual(types, set(GOLDEN["status"].get(path, ())), path)
             return set(found)
@@ -38,6 +41,6 @@
 
     def test_metrics_have_the_same_names_and_labels(self):
         def look():
-            return metric_names(self.program.operator(path="/status/metrics")[1])
+            return metric_names(self.program.operator_call(path="/status/metrics")[1])
 
         self.gather(look, set(GOLDEN["metrics"]))
--- a/tests/golden/test_store.py
+++ b/tests/golden/test_store.py
@@ -7,14 +7,16 @@
 import unittest
 from pathlib import Path
 
-from stand_ins import Program, run, settings
+from tests.support.environment import FIXTURES
+from tests.support.site_settings import site_settings
+from tests.support.worker_process import WorkerProcess, run_command
 
-GOLDEN = Path(__file__).parent.parent / "fixtures" / "000e6de" / "store"
-IDEMPOTENCY_WINDOW_NS = 50 * 365 * 86_400 * 10**9  # as tests/make_golden.py has it
+GOLDEN = FIXTURES / "000e6de" / "store"
+IDEMPOTENCY_WINDOW_NS = 50 * 365 * 86_400 * 10**9  # as tests/golden/make_golden.py has it
 
 
 def long_lived_settings():
-    values = settings()
+    values = site_settings()
     values["Classes"][1]["Window"] = IDEMPOTENCY_WINDOW_NS
     return values
 
@@ -26,7 +28,7 @@
         shutil.copytree(GOLDEN / "folder", self.folder)
 
     def state(self, *arguments, folder=None):
-        done = run("state", *arguments, "--folder", str(folder or self.folder))
+        done = run_command("state", *arguments, "--folder", str(folder or self.folder))
         self.assertEqual(done.returncode, 0, done.stderr)
         return done.stdout
 
@@ -60,11 +62,11 @@
         self.assertEqual(sorted(self.exported(other)[1:]), sorted(self.lines(GOLDEN / "export.jsonl")[1:]))
 
     def test_a_worker_serves_it_and_leaves_the_learned_state_under_the_same_names(self):
-        program = Program(
+        program = WorkerProcess(
             thrift=False, ajp=True, site=long_lived_settings(), state={"folder": str(self.folder)}
         )
         self.addCleanup(program.close)
-        client = program.ajp()
+        client = program.ajp_client()
 
         def submit(key, body):
             client.request("POST", "/filings", {"Idempotency-Key": key, "X-Tenant": "acme"}, body)
@@ -78,9 +80,9 @@
             submit("failed", b"document of the failed one")[::2], (500, b"refused by the server")
         )
         self.assertEqual(submit("begun", b"document that was begun")[0], 502)
-        self.assertEqual(program.server.got.qsize(), 0)
+        self.assertEqual(program.server.received.qsize(), 0)
         program.process.send_signal(signal.SIGTERM)
-        self.assertEqual(program.ended(), 0)
+        self.assertEqual(program.wait_for_exit(), 0)
         then, now = (
             next(json.loads(line) for line in lines if b'"kind":"learned"' in line)
             for lines in (self.lines(GOLDEN / "export.jsonl")[1:], self.exported()[1:])
--- a/tests/lab/test_fleet_scenarios.py
+++ b/tests/lab/test_fleet_scenarios.py
@@ -10,15 +10,16 @@
 import unittest
 from pathlib import Path
 
-from stand_ins import Program, run, settings, toml_file
-
 from ochrehoist.lab.play import Play
 from ochrehoist.lab.scenario import parse
+from ochrehoist.lab.toml import toml_file
 from ochrehoist.peers.outlier_detection import OWN_REASON_SUFFIX
 from ochrehoist.peers.service_health import UNHEALTHY
+from tests.support.environment import ROOT
+from tests.support.site_settings import site_settings
+from tests.support.worker_process import WorkerProcess, run_command
 
 logging.getLogger("asyncio").setLevel(logging.CRITICAL)
-ROOT = Path(__file__).parents[2]
 WORKERS = ["w0", "w1", "w2", "w3", "w4"]
 AGAIN = {"name": "again", "use": "repeats", "amount": 8, "floor_lease_s": 1.0}
 REGISTER = {"name": "register", "use": "server", "of": "s1", "amount": 10, "floor_lease_s": 1.0}
@@ -178,7 +179,7 @@
     """What the file switches on, and what a worker says of it."""
 
     def worker(self, peers=None, **more):
-        p = Program(thrift=False, ajp=True, peers=peers, **more)
+        p = WorkerProcess(thrift=False, ajp=True, peers=peers, **more)
         self.addCleanup(p.close)
         return p
 
@@ -195,13 +196,13 @@
 
     def test_the_command_tells_what_there_is(self):
         p = self.worker(self.table(members={"n2": "127.0.0.1:9"}))
-        shown = p.console("peers", "show")
+        shown = p.run_operator_command("peers", "show")
         self.assertEqual((shown.returncode, shown.stderr), (0, ""))
         self.assertIn("n1 of group g", shown.stdout)
-        plain = json.loads(p.console("peers", "show", "--json").stdout)
+        plain = json.loads(p.run_operator_command("peers", "show", "--json").stdout)
         self.assertEqual(plain["name"], "n1")
-        self.assertIn("app_peers_alone_seconds", p.operator(path="/status/metrics")[1])
-        self.assertEqual(self.worker().console("peers", "show").returncode, 1)
+        self.assertIn("app_peers_alone_seconds", p.operator_call(path="/status/metrics")[1])
+        self.assertEqual(self.worker().run_operator_command("peers", "show").returncode, 1)
 
     def test_faulty_keys_are_named(self):
         budget = {"name": "x", "use": "tenant", "of": "acme", "amount": 5}
@@ -232,12 +233,12 @@
                 {
                     "name": "n1",
                     "peers": table,
-                    "settings": settings(),
+                    "settings": site_settings(),
                     "ajp": {"listen": "127.0.0.1:0", "rules": [], "servers": [{"address": "127.0.0.1:9"}]},
                 }
             )
         )
-        done = run("check", str(path))
+        done = run_command("check", str(path))
         self.assertEqual(done.returncode, 2, done.stdout)
         return done.stderr
 
@@ -255,9 +256,9 @@
 
     def test_a_process_that_replaces_another_is_the_same_member(self):
         first = self.worker(self.table(), stop_ms=8000)
-        second = Program(thrift=False, ajp=True, peers=self.table(), before=first, server=first.server)
+        second = WorkerProcess(thrift=False, ajp=True, peers=self.table(), before=first, server=first.server)
         self.addCleanup(second.close)
-        second.took_over()
+        second.wait_until_took_over()
         first.process.terminate()
-        self.assertEqual(first.ended(), 0)
-        self.assertIsNone(json.loads(second.operator()[1])["peers"]["duplicate"])
+        self.assertEqual(first.wait_for_exit(), 0)
+        self.assertIsNone(json.loads(second.operator_call()[1])["peers"]["duplicate"])
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -15,12 +15,13 @@
 from unittest import mock
 
 from click.testing import CliRunner
-from stand_ins import PATIENCE, ROOT, default_signals
 
 from ochrehoist.cli.lab import lab
 from ochrehoist.lab import hollow, scale, scale_report
+from tests.support.environment import ROOT, WAIT_LIMIT_S
+from tests.support.worker_process import restore_default_signals
 
-LONG = 8 * PATIENCE  # a run on a crowded machine
+LONG = 8 * WAIT_LIMIT_S  # a run on a crowded machine
 
 
 def marked(mark):
@@ -46,7 +47,7 @@
 
         What is left all the same fails the test, and is ended, so that nothing runs on behind it.
         """
-        until = time.monotonic() + PATIENCE
+        until = time.monotonic() + WAIT_LIMIT_S
         while marked(self.mark) and time.monotonic() < until:
             time.sleep(0.05)
         left = marked(self.mark)
@@ -64,7 +65,7 @@
             stdout=subprocess.PIPE,
             stderr=subprocess.PIPE,
             text=True,
-            preexec_fn=default_signals,
+            preexec_fn=restore_default_signals,
         )
         self.addCleanup(self.end, process)  # before `none_left`
         return process
@@ -83,7 +84,7 @@
     def with_children(self, count, *arguments):
         """A run that has started so many processes."""
         process = self.begin(*arguments)
-        until = time.monotonic() + PATIENCE
+        until = time.monotonic() + WAIT_LIMIT_S
         while len(marked(self.mark)) < 1 + count:
             self.assertLess(time.monotonic(), until)
             self.assertIsNone(process.poll())
@@ -149,14 +150,14 @@
     def test_ctrl_c_ends_all_of_it(self):
         process = self.with_children(1, "--members", 10, "--seconds", 600)
         process.send_signal(signal.SIGINT)
-        _, err = process.communicate(timeout=PATIENCE)
+        _, err = process.communicate(timeout=WAIT_LIMIT_S)
         self.assertEqual(process.returncode, 1)
         self.assertIn("all processes of the run are ended", err)
 
     def test_children_end_with_a_run_that_is_killed(self):
         process = self.with_children(4, "--members", 12, "--real", 2, "--seconds", 600)  # two of each kind
         process.kill()
-        process.communicate(timeout=PATIENCE)  # what is left is looked at when the test is over
+        process.communicate(timeout=WAIT_LIMIT_S)  # what is left is looked at when the test is over
 
     def test_a_run_is_told_against_another(self):
         one = {
--- a/tests/lab/test_site_scenarios.py
+++ b/tests/lab/test_site_scenarios.py
@@ -9,14 +9,13 @@
 import unittest
 from pathlib import Path
 
-from stand_ins import Program, run
-
 from ochrehoist.lab.play import Play
 from ochrehoist.lab.scenario import parse
 from ochrehoist.net.operators import ask
+from tests.support.environment import ROOT
+from tests.support.worker_process import WorkerProcess, run_command
 
 logging.getLogger("asyncio").setLevel(logging.CRITICAL)
-ROOT = Path(__file__).parents[2]
 TWO = {"brussels": ["w0", "w1", "w2"], "antwerp": ["w3", "w4", "w5"]}
 CLASSES = [
     {"name": "read", "share": 0.8, "work_ms": 200},
@@ -100,7 +99,7 @@
             "site": "a",
             "voters": ["n1"],
         } | peers
-        p = Program(thrift=False, ajp=True, peers=table, sites=sites)
+        p = WorkerProcess(thrift=False, ajp=True, peers=table, sites=sites)
         self.addCleanup(p.close)
         return p
 
@@ -125,17 +124,17 @@
                 self.assertIn(old, base)
                 file = folder / "s.toml"
                 file.write_text(base.replace(old, new))
-                done = run("check", str(file))
+                done = run_command("check", str(file))
                 self.assertEqual((done.returncode, key in done.stderr), (2, True), done.stderr)
         file.write_text(base)
-        self.assertEqual(run("check", str(file)).returncode, 0)
+        self.assertEqual(run_command("check", str(file)).returncode, 0)
 
     def test_operators_see_sites_and_call_by_name(self):
         p = self.worker({})
         for site, yes in (("nowhere", False), ("a", True)):
-            good, text = ask(p.at["Operators"], "POST", f"/sites/evacuate/{site}")
+            good, text = ask(p.addresses["Operators"], "POST", f"/sites/evacuate/{site}")
             self.assertEqual(good, yes, text)
-        _, body = ask(p.at["Operators"], "GET", "/status")
+        _, body = ask(p.addresses["Operators"], "GET", "/status")
         view = json.loads(body)["sites"]
         self.assertEqual((view["site"], view["orders"]["a"]["word"]), ("a", "evacuate"))
         self.assertIsNone(view["leaving"])  # nobody else is there: it goes on
--- a/tests/net/test_route_index.py
+++ b/tests/net/test_route_index.py
@@ -6,7 +6,6 @@
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from stand_ins import ROOT, interpreter_steps
 
 from ochrehoist.admission.settings import RequestClass
 from ochrehoist.config.loader import load_appliance
@@ -15,6 +14,8 @@
 from ochrehoist.net.ajp_front import AjpReader, Rejected
 from ochrehoist.net.route_index import RouteIndex
 from ochrehoist.steps import run_to_completion
+from tests.support.environment import ROOT
+from tests.support.instruction_count import count_instructions
 
 SIZES = (38, 380, 3800)
 
@@ -211,7 +212,7 @@
 def lines(call):
     """Lines of Python that a call takes; those of a pattern's own search by a compiled expression count as
     one."""
-    return interpreter_steps(call, "line")
+    return count_instructions(call, "line")
 
 
 class Growth(unittest.TestCase):
--- a/tests/net/test_thrift_front.py
+++ b/tests/net/test_thrift_front.py
@@ -5,46 +5,37 @@
 import socket
 import struct
 import time
-import unittest
 
-from stand_ins import PATIENCE, Program, Thrift, hasty, settings
+from tests.stand_ins.thrift_router import ThriftRouter
+from tests.support.environment import DUE_WITHIN_S, WAIT_LIMIT_S
+from tests.support.site_settings import short_deadline_settings, site_settings
+from tests.support.worker_cases import RunningWorkerTestCase
 
-DUE = 1.8 + 3.0  # s: what is due after 1.8, and what a crowded machine may take besides
 
-
-class Case(unittest.TestCase):
-    how = {}
-
-    def setUp(self):
-        self.program = Program(**self.how)
-        self.addCleanup(self.program.close)
-        self.kernel = self.program.kernel
-
-    def tearDown(self):
-        faults = [line for line in self.program.lines if "exception" in line]
-        self.assertEqual(faults, [])
-
-
-class Serving(Case):
+class Serving(RunningWorkerTestCase):
     def test_a_request_runs_with_its_bytes_unchanged_and_gets_the_kernels_result(self):
-        router, body, result = self.program.thrift(), bytes(range(256)) * 8, bytes(reversed(range(256))) * 16
+        router, body, result = (
+            self.program.thrift_router(),
+            bytes(range(256)) * 8,
+            bytes(reversed(range(256))) * 16,
+        )
         seqid = router.invoke("read", body)
-        rid, method, payload = self.kernel.next()
+        rid, method, payload = self.kernel.next_run()
         self.assertEqual((method, payload), ("read", body))
         self.kernel.reap(rid, body=result)
         self.assertEqual(router.answer(seqid), ("Answer", {}, result))
 
     def test_answers_come_as_runs_end_and_a_failed_run_is_broken(self):
-        router = self.program.thrift()
+        router = self.program.thrift_router()
         first, second = router.invoke(body=b"1"), router.invoke(body=b"2")
-        runs = {body: rid for rid, _, body in (self.kernel.next(), self.kernel.next())}
+        runs = {body: rid for rid, _, body in (self.kernel.next_run(), self.kernel.next_run())}
         self.kernel.reap(runs[b"2"], "ERROR")
         self.assertEqual(router.answer(second)[0], "Broken")
         self.kernel.reap(runs[b"1"], body=b"one")
         self.assertEqual(router.answer(first), ("Answer", {}, b"one"))
 
     def test_what_cannot_end_in_time_is_refused_at_once_with_backoff(self):
-        router, began = self.program.thrift(), time.monotonic()
+        router, began = self.program.thrift_router(), time.monotonic()
         open_ = [router.invoke() for _ in range(30)]
         for seqid in open_[15:]:  # the first ones run or wait
             kind, fields, _ = router.answer(seqid)
@@ -53,24 +44,24 @@
         self.assertLess(time.monotonic() - began, 9.0)  # its aim, half of the time it is due by
 
     def test_an_id_that_comes_again_while_the_first_is_in_hand_runs_once(self):
-        router = self.program.thrift()
+        router = self.program.thrift_router()
         first, again = router.invoke(rid="0123456789abcdef"), router.invoke(rid="0123456789abcdef")
         self.assertEqual(router.answer(again)[0], "Broken")
-        self.kernel.reap(self.kernel.next()[0], body=b"one")
+        self.kernel.reap(self.kernel.next_run().request_id, body=b"one")
         self.assertEqual(router.answer(first)[2], b"one")
         self.assertTrue(self.kernel.scheduled.empty())
 
     def test_more_than_32_open_on_one_connection(self):
-        router = self.program.thrift()
+        router = self.program.thrift_router()
         filings = [router.invoke("filing", token="t") for _ in range(33)]  # one runs, the rest wait for it
         self.assertEqual(router.answer(filings[32])[0], "Exception")
-        self.kernel.reap(self.kernel.next()[0], body=b"filed")
+        self.kernel.reap(self.kernel.next_run().request_id, body=b"filed")
         self.assertEqual({router.answer(seqid)[2] for seqid in filings[:32]}, {b"filed"})
 
     def test_a_held_request_that_is_aborted_never_runs(self):
-        router = self.program.thrift()
+        router = self.program.thrift_router()
         running = [router.invoke(body=b"run") for _ in range(3)]
-        rids = [self.kernel.next()[0] for _ in range(2)]
+        rids = [self.kernel.next_run().request_id for _ in range(2)]
         held = router.invoke(body=b"held")
         router.abort(running[2])
         router.abort(held)
@@ -78,16 +69,16 @@
         for rid in rids:
             self.kernel.reap(rid, body=b"done")
         last = router.invoke(body=b"last")
-        self.assertEqual(self.kernel.next()[2], b"last")
+        self.assertEqual(self.kernel.next_run().body, b"last")
         self.assertEqual(router.answer(running[0])[2], b"done")
         router.abort(last)
 
 
-class Filings(Case):
+class Filings(RunningWorkerTestCase):
     def test_a_repeat_waits_for_the_run_and_later_ones_get_its_result(self):
-        router, other = self.program.thrift(), self.program.thrift()
+        router, other = self.program.thrift_router(), self.program.thrift_router()
         first = router.invoke("filing", b"doc", token="t1")
-        rid, _, _ = self.kernel.next()
+        rid, _, _ = self.kernel.next_run()
         second = other.invoke("filing", b"doc", token="t1", again="1")
         other.ping()
         self.kernel.reap(rid, body=b"filed")
@@ -97,85 +88,85 @@
         self.assertTrue(self.kernel.scheduled.empty())
 
     def test_a_result_that_came_too_late_is_kept_for_the_repeat(self):
-        router = self.program.thrift()
+        router = self.program.thrift_router()
         self.assertEqual(router.call("filing", b"doc", token="t2")[0], "Broken")
-        self.kernel.reap(self.kernel.next()[0], body=b"filed late")
+        self.kernel.reap(self.kernel.next_run().request_id, body=b"filed late")
         self.assertEqual(router.call("filing", b"doc", token="t2", again="1"), ("Answer", {}, b"filed late"))
         self.assertTrue(self.kernel.scheduled.empty())
 
     def test_a_failed_filing_is_not_run_again_nor_refused(self):
-        router = self.program.thrift()
+        router = self.program.thrift_router()
         seqid = router.invoke("filing", b"doc", token="t3")
-        self.kernel.reap(self.kernel.next()[0], "ERROR")
+        self.kernel.reap(self.kernel.next_run().request_id, "ERROR")
         self.assertEqual(router.answer(seqid)[0], "Broken")
         self.assertEqual(router.call("filing", b"doc", token="t3", again="1")[0], "Broken")
         self.assertTrue(self.kernel.scheduled.empty())
 
 
-class DueTimes(Case):
-    how = {"site": hasty()}
+class DueTimes(RunningWorkerTestCase):
+    options = {"site": short_deadline_settings()}
 
     def test_a_run_that_does_not_end_is_answered_by_its_due_time(self):
-        router, t0 = self.program.thrift(), time.time()
+        router, t0 = self.program.thrift_router(), time.time()
         kind = router.call()[0]
         self.assertEqual(kind, "Broken")
-        self.assertLess(time.time() - t0, DUE)
+        self.assertLess(time.time() - t0, DUE_WITHIN_S)
 
     def test_a_time_to_come_does_not_put_off_the_due_time(self):
-        router, began = self.program.thrift(), time.time()
+        router, began = self.program.thrift_router(), time.time()
         self.assertEqual(router.call(t0="999999999999999")[0], "Broken")
-        self.assertLess(time.time() - began, DUE)
+        self.assertLess(time.time() - began, DUE_WITHIN_S)
 
 
-class KernelLink(Case):
+class KernelLink(RunningWorkerTestCase):
     def test_a_new_link_replays_and_only_what_is_safe_and_missing_is_sent_again(self):
-        router = self.program.thrift()
+        router = self.program.thrift_router()
         reaped, lost = router.invoke(body=b"reaped"), router.invoke(body=b"lost")
-        runs = {body: rid for rid, _, body in (self.kernel.next(), self.kernel.next())}
-        self.kernel.reap(runs[b"reaped"], body=b"replayed", say=False)
-        self.kernel.drop_links()
-        self.assertEqual(self.kernel.opened.get(timeout=PATIENCE), 0)
+        runs = {body: rid for rid, _, body in (self.kernel.next_run(), self.kernel.next_run())}
+        self.kernel.reap(runs[b"reaped"], body=b"replayed", send=False)
+        self.kernel.drop_connections()
+        self.assertEqual(self.kernel.opened.get(timeout=WAIT_LIMIT_S), 0)
         self.assertEqual(router.answer(reaped), ("Answer", {}, b"replayed"))
-        self.assertEqual(self.kernel.next(), (runs[b"lost"], "read", b"lost"))
+        self.assertEqual(self.kernel.next_run(), (runs[b"lost"], "read", b"lost"))
         self.kernel.reap(runs[b"lost"], body=b"found")
         self.assertEqual(router.answer(lost), ("Answer", {}, b"found"))
         self.assertTrue(self.kernel.scheduled.empty())
 
     def test_a_filing_is_never_scheduled_twice(self):
-        router = self.program.thrift()
+        router = self.program.thrift_router()
         filing = router.invoke("filing", b"doc", token="t")
-        rid = self.kernel.next()[0]
-        self.kernel.drop_links()
-        self.kernel.opened.get(timeout=PATIENCE)
+        rid = self.kernel.next_run().request_id
+        self.kernel.drop_connections()
+        self.kernel.opened.get(timeout=WAIT_LIMIT_S)
         read = router.invoke(body=b"read")
-        self.assertEqual(self.kernel.next()[2], b"read")  # in order: nothing was sent again before it
+        self.assertEqual(self.kernel.next_run().body, b"read")  # in order: nothing was sent again before it
         self.kernel.reap(rid, body=b"filed")
         self.assertEqual(router.answer(filing), ("Answer", {}, b"filed"))
         router.abort(read)
 
     def test_a_filing_lost_with_the_link_is_found_and_runs(self):
-        router = self.program.thrift()
+        router = self.program.thrift_router()
         seqid = router.invoke("filing", b"doc", token="t")
-        run = self.kernel.next()
+        run = self.kernel.next_run()
         self.kernel.runnable = 0.0  # nothing runs: the command never came
-        self.kernel.drop_links()
-        self.assertEqual(self.kernel.next(), run)
+        self.kernel.drop_connections()
+        self.assertEqual(self.kernel.next_run(), run)
         self.kernel.reap(run[0], body=b"filed")
         self.assertEqual(router.answer(seqid), ("Answer", {}, b"filed"))
 
     def test_a_filing_that_ended_among_notices_that_are_kept_no_more_is_not_run_again(self):
-        router = self.program.thrift()
+        router = self.program.thrift_router()
         read = router.invoke(body=b"read")
-        rid = self.kernel.next()[0]
+        rid = self.kernel.next_run().request_id
         self.kernel.wait_for_questions(3)  # the read is known to run
         filing = router.invoke("filing", b"doc", token="t")
-        ended = self.kernel.next()[0]
-        self.kernel.reap(ended, body=b"filed", say=False)
-        self.kernel.notice(say=False, cmd="DMESG", result="the first that is still kept")
+        ended = self.kernel.next_run().request_id
+        self.kernel.reap(ended, body=b"filed", send=False)
+        self.kernel.notice(send=False, cmd="DMESG", result="the first that is still kept")
         self.kernel.forgotten = 1
-        self.kernel.drop_links()
-        self.assertEqual(self.kernel.next()[0], rid)  # a read may run twice
-        self.assertEqual(len(self.program.wait_said("the kernel's notices have a gap")), 1)
+        self.kernel.drop_connections()
+        self.assertEqual(self.kernel.next_run().request_id, rid)  # a read may run twice
+        self.assertEqual(len(self.program.wait_until_logged("the kernel's notices have a gap")), 1)
         self.kernel.wait_for_questions(3)
         self.assertTrue(self.kernel.scheduled.empty())
         self.assertEqual(router.answer(filing)[0], "Broken")
@@ -184,74 +175,74 @@
         self.assertTrue(self.kernel.scheduled.empty())
 
     def test_what_was_given_long_before_a_break_is_not_given_again(self):
-        router = self.program.thrift()
+        router = self.program.thrift_router()
         read, filing = router.invoke(body=b"read"), router.invoke("filing", b"doc", token="t")
-        runs = {body: rid for rid, _, body in (self.kernel.next(), self.kernel.next())}
+        runs = {body: rid for rid, _, body in (self.kernel.next_run(), self.kernel.next_run())}
         self.kernel.runnable = 0.0  # as if it did not run: it is known to all the same
         self.kernel.wait_for_questions(4)
-        self.kernel.drop_links()
+        self.kernel.drop_connections()
         self.kernel.wait_for_questions(3)
         self.assertTrue(self.kernel.scheduled.empty())
-        self.assertEqual([line["doubtful"] for line in self.program.said("kernel link lost")], [0])
+        self.assertEqual([line["doubtful"] for line in self.program.logged("kernel link lost")], [0])
         for body, seqid in ((b"read", read), (b"doc", filing)):
             self.kernel.reap(runs[body], body=body)
             self.assertEqual(router.answer(seqid)[2], body)
 
     def test_cut_repeated_missed_and_unreadable_notices_and_remarks_lose_no_run(self):
-        router = self.program.thrift()
+        router = self.program.thrift_router()
         for number, damage in enumerate(("cut", "repeated", "missed", "unreadable", "pieces")):
             with self.subTest(damage):
                 seqid = router.invoke("filing", b"doc", token=damage)
                 self.kernel.notice(cmd="DMESG", result="\u20ac a remark")
-                self.kernel.reap(self.kernel.next()[0], body=b"%d" % number, say=False)
+                self.kernel.reap(self.kernel.next_run().request_id, body=b"%d" % number, send=False)
                 line = json.dumps(self.kernel.notices[-1]).encode() + b"\n"
                 if damage == "cut":
-                    self.kernel.say_raw(line[: len(line) // 2])
-                    self.kernel.drop_links()
+                    self.kernel.send_raw(line[: len(line) // 2])
+                    self.kernel.drop_connections()
                 elif damage == "repeated":
-                    self.kernel.say_raw(line * 3)
+                    self.kernel.send_raw(line * 3)
                 elif damage == "missed":
                     self.kernel.notice(cmd="DMESG", result="its offset is one too far")
                 elif damage == "unreadable":
-                    self.kernel.say_raw(b"{]\n")
+                    self.kernel.send_raw(b"{]\n")
                 else:
                     for byte in line:
-                        self.kernel.say_raw(bytes((byte,)))
+                        self.kernel.send_raw(bytes((byte,)))
                 self.assertEqual(router.answer(seqid), ("Answer", {}, b"%d" % number))
         self.assertTrue(self.kernel.scheduled.empty())
 
     def test_a_silent_link_is_made_anew_and_loses_nothing(self):
-        router = self.program.thrift()
+        router = self.program.thrift_router()
         filing, read = router.invoke("filing", b"doc", token="t"), router.invoke(body=b"read")
-        runs = {body: rid for rid, _, body in (self.kernel.next(), self.kernel.next())}
+        runs = {body: rid for rid, _, body in (self.kernel.next_run(), self.kernel.next_run())}
         self.kernel.wait_for_questions(2)
         self.kernel.silent = True
         for body in (b"doc", b"read"):
-            self.kernel.reap(runs[body], body=body, say=False)  # told on the next link
-        self.assertEqual(self.kernel.opened.get(timeout=PATIENCE), 0)
+            self.kernel.reap(runs[body], body=body, send=False)  # told on the next link
+        self.assertEqual(self.kernel.opened.get(timeout=WAIT_LIMIT_S), 0)
         for number, body in ((filing, b"doc"), (read, b"read")):
             self.assertEqual(router.answer(number), ("Answer", {}, body))
         self.assertTrue(self.kernel.scheduled.empty())
-        self.assertEqual(len(self.program.said("the kernel's link is silent")), 1)
+        self.assertEqual(len(self.program.logged("the kernel's link is silent")), 1)
 
     def test_what_starts_without_a_link_is_scheduled_once_there_is_one(self):
-        router = self.program.thrift()
+        router = self.program.thrift_router()
         self.kernel.refuse()
-        self.kernel.drop_links()
-        while not self.program.said("kernel link lost"):
+        self.kernel.drop_connections()
+        while not self.program.logged("kernel link lost"):
             router.ping()
         seqid = router.invoke(body=b"early")
         router.ping()
         self.kernel.come_back()
-        rid, _, body = self.kernel.next()
+        rid, _, body = self.kernel.next_run()
         self.assertEqual(body, b"early")
         self.kernel.reap(rid, body=b"ran")
         self.assertEqual(router.answer(seqid), ("Answer", {}, b"ran"))
 
 
-class MalformedInput(Case):
+class MalformedInput(RunningWorkerTestCase):
     def test_a_bad_frame_ends_its_own_connection_only(self):
-        good = self.program.thrift()
+        good = self.program.thrift_router()
         for frame in (
             b"\xff\xff\xff\xff",
             b"\0\0\0\x04junk",
@@ -259,13 +250,13 @@
             struct.pack(">I", 19) + b"\x80\x01\0\x01\0\0\0\x06invoke\0\0\0\x01\x0d",
             struct.pack(">I", 4) + b"\0\0\0\x01",
         ):
-            bad = self.program.thrift()
+            bad = self.program.thrift_router()
             bad.sock.sendall(frame)
             self.assertEqual(bad.sock.recv(1), b"")
         self.assertEqual(good.ping()[0], "Answer")
 
     def test_bad_and_missing_fields_get_an_application_exception(self):
-        router = self.program.thrift()
+        router = self.program.thrift_router()
         for fields in (
             {"method": "none"},
             {"rid": "short"},
@@ -291,7 +282,7 @@
         self.assertTrue(self.kernel.scheduled.empty())
 
     def test_a_reader_that_takes_nothing_holds_up_no_one(self):
-        slow, quick = self.program.thrift(), self.program.thrift()
+        slow, quick = self.program.thrift_router(), self.program.thrift_router()
         quick.ping()  # one that says nothing would be closed
         slow.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         junk = struct.pack(">I", 0x80010001) + b"\0\0\x27\x10" + b"x" * 10000 + b"\0\0\0\x01\0"
@@ -305,9 +296,9 @@
         junk = struct.pack(">I", 0x80010001) + b"\0\0\x27\x10" + b"x" * 10000 + b"\0\0\0\x01\0"
         frame, slow = struct.pack(">I", len(junk)) + junk, []
         for _ in range(30):
-            slow.append(self.program.thrift())
+            slow.append(self.program.thrift_router())
             slow[-1].sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        quick = self.program.thrift()
+        quick = self.program.thrift_router()
         quick.ping()
         for connection in slow:  # less for each than the bound of one
             try:
@@ -320,48 +311,48 @@
         self.assertEqual(quick.ping()[0], "Answer")
 
 
-class Draining(Case):
+class Draining(RunningWorkerTestCase):
     def test_all_that_was_read_is_answered_then_the_program_ends_well(self):
-        idle, busy = self.program.thrift(), self.program.thrift()
+        idle, busy = self.program.thrift_router(), self.program.thrift_router()
         self.assertTrue(idle.ping())
         self.assertEqual(self.program.members.wait_for("UP"), ("/members/n1", "UP"))
         idle_seqid = idle.invoke()
-        self.kernel.reap(self.kernel.next()[0])
+        self.kernel.reap(self.kernel.next_run().request_id)
         idle.answer(idle_seqid)
         seqid = busy.invoke(body=b"last")
-        rid = self.kernel.next()[0]
+        rid = self.kernel.next_run().request_id
         self.program.process.send_signal(signal.SIGTERM)
         self.program.members.wait_for("OUT")
         idle.farewell()
         self.kernel.reap(rid, body=b"answered")
         self.assertEqual(busy.answer(seqid), ("Answer", {}, b"answered"))
         busy.farewell()
-        self.assertEqual(self.program.ended(), 0)
+        self.assertEqual(self.program.wait_for_exit(), 0)
 
     def test_a_run_that_never_ends_does_not_hold_up_the_end(self):
-        router = self.program.thrift()
+        router = self.program.thrift_router()
         seqid = router.invoke("filing", b"doc", token="t")
-        self.kernel.next()
+        self.kernel.next_run()
         self.program.process.send_signal(signal.SIGTERM)
         self.assertEqual(router.answer(seqid)[0], "Broken")
-        self.assertEqual(self.program.ended(), 0)
+        self.assertEqual(self.program.wait_for_exit(), 0)
 
 
-class MembersOutage(Case):
+class MembersOutage(RunningWorkerTestCase):
     def test_an_outage_blocks_nothing_and_reports_go_on_after_it(self):
         self.program.members.wait_for("UP")
         self.program.members.close()
-        router = self.program.thrift()
+        router = self.program.thrift_router()
         seqid = router.invoke()
-        self.kernel.reap(self.kernel.next()[0], body=b"served")
+        self.kernel.reap(self.kernel.next_run().request_id, body=b"served")
         self.assertEqual(router.answer(seqid)[2], b"served")
-        while not [line for line in self.program.said("membership reports") if not line["accepted"]]:
+        while not [line for line in self.program.logged("membership reports") if not line["accepted"]]:
             router.ping()
         self.program.members.come_back()
         self.program.members.wait_for("UP")
 
 
-class MembersSilence(Case):
+class MembersSilence(RunningWorkerTestCase):
     def test_reports_without_an_answer_go_on_at_their_pace_and_a_change_does_not_wait_for_one(self):
         members = self.program.members
         members.wait_for("UP")
@@ -374,16 +365,16 @@
         self.program.process.send_signal(signal.SIGTERM)
         members.wait_for("OUT")
         self.assertLess(time.monotonic() - began, 0.5)
-        self.assertEqual([line["accepted"] for line in self.program.said("membership reports")], [True])
+        self.assertEqual([line["accepted"] for line in self.program.logged("membership reports")], [True])
 
 
-class KeepAlive(Case):
-    how = {"site": settings(FamilyInfo=settings()["FamilyInfo"] | {"Callers": 10_000})}
+class KeepAlive(RunningWorkerTestCase):
+    options = {"site": site_settings(FamilyInfo=site_settings()["FamilyInfo"] | {"Callers": 10_000})}
 
     def test_idle_connections_are_ended_by_farewell_where_few_come_back(self):
-        router = self.program.thrift()
+        router = self.program.thrift_router()
         seqid = router.invoke()
-        self.kernel.reap(self.kernel.next()[0])
+        self.kernel.reap(self.kernel.next_run().request_id)
         router.answer(seqid)
         router.farewell()
-        self.assertEqual(Thrift(self.program.at["ThriftFront"]).ping()[0], "Answer")
+        self.assertEqual(ThriftRouter(self.program.addresses["ThriftFront"]).ping()[0], "Answer")
--- a/tests/overload/test_overload_parts.py
+++ b/tests/overload/test_overload_parts.py
@@ -5,7 +5,6 @@
 import unittest
 from random import Random
 
-from helpers import Driver as Plain
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -29,6 +28,7 @@
 from ochrehoist.overload.retry_budget import RetryBudget
 from ochrehoist.overload.stage_timings import StageTimings
 from ochrehoist.overload.weighted_allocation import AllocationRequest, allocate
+from tests.admission.controller_driver import Driver as Plain
 
 S, MS = 10**9, 10**6
 READ = RequestClass(
--- a/tests/overload/test_overloaded_worker.py
+++ b/tests/overload/test_overloaded_worker.py
@@ -9,11 +9,15 @@
 import unittest
 from pathlib import Path
 
-from instant import InstantKernel, InstantServer
-from stand_ins import PATIENCE, ROOT, Program, Thrift, hasty, run, settings, toml_file
-
 from ochrehoist.config.loader import load_appliance
 from ochrehoist.errors import InvalidInputError
+from ochrehoist.lab.toml import toml_file
+from tests.stand_ins.ajp_server import InstantServer
+from tests.stand_ins.kernel import InstantKernel
+from tests.stand_ins.thrift_router import ThriftRouter
+from tests.support.environment import ROOT, WAIT_LIMIT_S
+from tests.support.site_settings import short_deadline_settings, site_settings
+from tests.support.worker_process import WorkerProcess, run_command
 
 # Run at the start of the interpreter: each decision takes 3 ms more, on whatever machine.
 SLOW = """
@@ -41,7 +45,7 @@
 
     def _run(self, address, each):
         try:
-            client = Thrift(address)
+            client = ThriftRouter(address)
             open_ones = [client.invoke(obj=f"{n}") for n in range(each)]
             count = each
             while open_ones:
@@ -60,21 +64,23 @@
     def end(self):
         self.going = False
         for thread in self.threads:
-            thread.join(PATIENCE)
+            thread.join(WAIT_LIMIT_S)
         return self
 
 
 class Overloaded(unittest.TestCase):
     def program(self, **how):
-        program = Program(site=hasty(), kernel=InstantKernel(), **({"overload": {}, "fault": SLOW} | how))
+        program = WorkerProcess(
+            site=short_deadline_settings(), kernel=InstantKernel(), **({"overload": {}, "fault": SLOW} | how)
+        )
         self.addCleanup(program.close)
         return program
 
     def status(self, program):
-        return json.loads(program.operator()[1])
+        return json.loads(program.operator_call()[1])
 
     def until(self, program, good):
-        end = time.monotonic() + PATIENCE
+        end = time.monotonic() + WAIT_LIMIT_S
         while not good(status := self.status(program)):
             self.assertLess(time.monotonic(), end, status)
             time.sleep(0.02)
@@ -82,9 +88,9 @@
 
     def test_a_flood_is_rejected_early_filings_are_served_and_it_is_over_once_the_flood_ends(self):
         program = self.program()
-        flood = Flood(program.at["ThriftFront"])
+        flood = Flood(program.addresses["ThriftFront"])
         self.until(program, lambda s: s["overload"]["admission"]["shed"])
-        client, served = program.thrift(), 0
+        client, served = program.thrift_router(), 0
         for n in range(12):
             kind = client.call(method="filing", token=f"{n:032x}")[0]
             served += kind == "Answer"
@@ -103,21 +109,21 @@
         self.assertEqual(after["in_hand"], 0)
         counted = after["served"] + after["refused"] + after["failed"]
         self.assertEqual(counted, flood.sent + 12)
-        self.assertEqual(program.thrift().call()[0], "Answer")
-        self.assertTrue(program.said("overload_detected"))
-        self.assertTrue(program.said("overload_ended"))
-        text = program.operator(path="/status/metrics")[1]
+        self.assertEqual(program.thrift_router().call()[0], "Answer")
+        self.assertTrue(program.logged("overload_detected"))
+        self.assertTrue(program.logged("overload_ended"))
+        text = program.operator_call(path="/status/metrics")[1]
         for name in ("app_loop_delay_seconds", "app_behind 0", 'app_shed_total{group="read",reason='):
             self.assertIn(name, text)
 
     def test_both_fronts_share_early_rejection_and_a_retry_of_what_ran_gets_its_result(self):
         program = self.program(ajp=True, server=InstantServer())
-        first = program.thrift().call(method="filing", token="0" * 31 + "1")
+        first = program.thrift_router().call(method="filing", token="0" * 31 + "1")
         self.assertEqual(first[0], "Answer")
-        flood = Flood(program.at["ThriftFront"])
+        flood = Flood(program.addresses["ThriftFront"])
         self.until(program, lambda s: s["overload"]["admission"]["shed"])
-        web, refused = program.ajp(), 0
-        end = time.monotonic() + PATIENCE
+        web, refused = program.ajp_client(), 0
+        end = time.monotonic() + WAIT_LIMIT_S
         while not refused and time.monotonic() < end:
             status, headers, _ = web.call("GET", "/reads/1")
             refused += status == 503
@@ -127,7 +133,7 @@
             status, _, _ = web.call("POST", "/reads/1", body=b"x" * 9000, rest=b"x" * 814)
             self.assertIn(status, (200, 503, 504))  # the last: its time was over
         self.assertTrue(refused)
-        again = program.thrift().call(method="filing", token="0" * 31 + "1")
+        again = program.thrift_router().call(method="filing", token="0" * 31 + "1")
         self.assertEqual((again[0], again[2]), ("Answer", first[2]))
         flood.end()
         self.assertEqual(flood.faults, [])
@@ -135,12 +141,12 @@
 
     def test_a_graceful_shutdown_while_overloaded_answers_all_that_was_read_and_ends(self):
         program = self.program()
-        flood = Flood(program.at["ThriftFront"], connections=2, each=20)
+        flood = Flood(program.addresses["ThriftFront"], connections=2, each=20)
         self.until(program, lambda s: s["overload"]["loop"]["behind"])
         flood.going = False
         program.process.terminate()
         flood.end()
-        self.assertEqual(program.process.wait(PATIENCE), 0)
+        self.assertEqual(program.process.wait(WAIT_LIMIT_S), 0)
         self.assertEqual(flood.faults, [])
         self.assertEqual(sum(flood.kinds.values()), flood.sent)
 
@@ -155,18 +161,20 @@
             event="config_invalid",
         )
         self.assertEqual(self.status(program)["overload"]["running"]["controller"], "seek")
-        self.assertEqual(program.thrift().call()[0], "Answer")
+        self.assertEqual(program.thrift_router().call()[0], "Answer")
 
     def test_a_replaced_process_goes_on_with_limits_of_its_own(self):
         before = self.program(fault=None)
-        client = before.thrift()
+        client = before.thrift_router()
         token = "a" * 32
         self.assertEqual(client.call(method="filing", token=token)[0], "Answer")
-        after = Program(site=hasty(), before=before, kernel=before.kernel, overload={})
+        after = WorkerProcess(
+            site=short_deadline_settings(), before=before, kernel=before.kernel, overload={}
+        )
         self.addCleanup(after.close)
-        after.took_over()
-        self.assertEqual(after.thrift().call(method="filing", token=token)[2], b"one")
-        self.assertEqual(after.thrift().call()[0], "Answer")
+        after.wait_until_took_over()
+        self.assertEqual(after.thrift_router().call(method="filing", token=token)[2], b"one")
+        self.assertEqual(after.thrift_router().call()[0], "Answer")
         self.assertFalse(self.status(after)["overload"]["loop"]["behind"])
 
 
@@ -177,15 +185,15 @@
             cwd=ROOT,
             capture_output=True,
             text=True,
-            timeout=PATIENCE,
+            timeout=WAIT_LIMIT_S,
         )
         loaded = done.stdout.split()
         self.assertIn("ochrehoist.core.actor", loaded)
         self.assertEqual([m for m in loaded if m.startswith(("ochrehoist.overload", "hdrh"))], [])
-        program = Program(site=settings(), kernel=InstantKernel())
+        program = WorkerProcess(site=site_settings(), kernel=InstantKernel())
         self.addCleanup(program.close)
-        self.assertNotIn("overload", json.loads(program.operator()[1]))
-        self.assertNotIn("app_loop_delay", program.operator(path="/status/metrics")[1])
+        self.assertNotIn("overload", json.loads(program.operator_call()[1]))
+        self.assertNotIn("app_loop_delay", program.operator_call(path="/status/metrics")[1])
 
     def test_each_fault_is_named_by_its_key(self):
         whole = (ROOT / "deploy/ajp.toml").read_text()
@@ -224,7 +232,7 @@
         return str(path)
 
     def test_the_example_is_good(self):
-        done = run("check", str(ROOT / "deploy/overload.toml"))
+        done = run_command("check", str(ROOT / "deploy/overload.toml"))
         self.assertEqual(done.returncode, 0, done.stderr)
 
 
--- a/tests/plan/test_plan.py
+++ b/tests/plan/test_plan.py
@@ -10,7 +10,6 @@
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from stand_ins import ROOT, run
 
 from ochrehoist.capture.reader import Capture, CapturedRequest
 from ochrehoist.capture.records import CaptureHeader, RequestRecord
@@ -26,6 +25,8 @@
 from ochrehoist.plan.questions import UnanswerableQuestionError, forecast, lose, ranged, size, with_workers
 from ochrehoist.plan.routing import Answer, Call, Next, Router, after, rendezvous
 from ochrehoist.plan.worker_settings import admission_settings, platform_settings
+from tests.support.environment import ROOT
+from tests.support.worker_process import run_command
 
 EXAMPLE = tomllib.loads((ROOT / "deploy/fleet.toml").read_text())
 
@@ -421,9 +422,9 @@
 class Commands(unittest.TestCase):
     def test_a_forecast_from_the_shell_and_faults_in_a_line_each(self):
         example = str(ROOT / "deploy/fleet.toml")
-        done = run("plan", "check", example)
+        done = run_command("plan", "check", example)
         self.assertEqual((done.returncode, "14 workers (brussels 7, antwerp 7)" in done.stdout), (0, True))
-        done = run("plan", "forecast", example, "--seeds", "1", "--seconds", "12", "--json")
+        done = run_command("plan", "forecast", example, "--seeds", "1", "--seconds", "12", "--json")
         self.assertEqual(done.returncode, 0, done.stderr)
         self.assertGreater(json.loads(done.stdout)["goodput"]["mean"], 0.8)
         for words, code, said in (
@@ -431,7 +432,7 @@
             (("size", example, "--kind", "huge"), 2, "no such kind"),
             (("check", "/nowhere.toml"), 2, "/nowhere.toml"),
         ):
-            done = run("plan", *words)
+            done = run_command("plan", *words)
             self.assertEqual((done.returncode, said in done.stderr), (code, True), done.stderr)
 
     def test_the_worker_imports_nothing_of_it(self):
--- a/tests/plan/test_plan_answers.py
+++ b/tests/plan/test_plan_answers.py
@@ -7,8 +7,6 @@
 import unittest
 from pathlib import Path
 
-from stand_ins import run
-
 from ochrehoist.capture.reader import Capture, CapturedRequest, read_capture
 from ochrehoist.capture.records import UNKNOWN_SPAN_NS, CaptureHeader, RequestOutcome, RequestRecord
 from ochrehoist.lab import scale_report
@@ -30,6 +28,7 @@
     without_strongest,
 )
 from tests.plan.test_plan import fleet, quiet
+from tests.support.worker_process import run_command
 
 MS = 1_000_000
 LOADS = re.compile(r"(?:src|href)=\"(?!#)[^\"]*\"|url\((?!#)[^)]*\)|@import")  # from elsewhere
@@ -113,7 +112,7 @@
     def test_a_page_and_its_pictures_from_the_shell(self):
         with tempfile.TemporaryDirectory() as folder:
             page = Path(folder, "page.html")
-            done = run(
+            done = run_command(
                 "plan",
                 "forecast",
                 "deploy/fleet.toml",
--- a/tests/plan/test_rolling_restart.py
+++ b/tests/plan/test_rolling_restart.py
@@ -1,15 +1,13 @@
 """How many may restart at once: what the planner says, and what rolling plays are made of."""
 
 import unittest
-from pathlib import Path
 
 from ochrehoist.config.fleet_description import load
 from ochrehoist.lab.drill import rolling_of, scenario_of
 from ochrehoist.lab.scenario import ScenarioError
 from ochrehoist.plan.questions import UnanswerableQuestionError
 from ochrehoist.plan.restart import by_figures, restart, spread
-
-ROOT = Path(__file__).parents[2]
+from tests.support.environment import ROOT
 
 
 class Restarts(unittest.TestCase):
--- a/tests/recovery/test_recovery.py
+++ b/tests/recovery/test_recovery.py
@@ -13,7 +13,6 @@
 from hypothesis import example, given
 from hypothesis import settings as limits
 from hypothesis import strategies as st
-from stand_ins import Program, run
 
 from ochrehoist.lab.play import Play
 from ochrehoist.lab.scenario import parse
@@ -26,9 +25,10 @@
 from ochrehoist.recovery.service_level import ServiceLevelMonitor, ServiceOutcome
 from ochrehoist.recovery.startup_progress import MAX_IDLE_S, ReadinessFacts, StartupProgress, StartupStage
 from ochrehoist.recovery.witness_quorum import WitnessQuorumReport, missing_from_store
+from tests.support.environment import ROOT
+from tests.support.worker_process import WorkerProcess, run_command
 
 logging.getLogger("asyncio").setLevel(logging.CRITICAL)
-ROOT = Path(__file__).parents[2]
 WINDOW = 20.0
 
 
@@ -283,14 +283,14 @@
     def test_a_start_is_told_stage_by_stage_and_leaves_a_line_on_record(self):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
-        p = Program(thrift=False, ajp=True, state={"folder": folder.name}, recovery={})
+        p = WorkerProcess(thrift=False, ajp=True, state={"folder": folder.name}, recovery={})
         self.addCleanup(p.close)
-        good, text = ask(p.at["Operators"], "POST", "/recovery/skip/warming")
+        good, text = ask(p.addresses["Operators"], "POST", "/recovery/skip/warming")
         self.assertTrue(good, text)
         p.wait_for(lambda s: "'stage': 'full'" in s["recovery"])
-        view = json.loads(ask(p.at["Operators"], "GET", "/status")[1])["recovery"]
+        view = json.loads(ask(p.addresses["Operators"], "GET", "/status")[1])["recovery"]
         self.assertEqual([s["stage"] for s in view["stages"]][0], "settings")
-        p.wait_said("startup_complete")
+        p.wait_until_logged("startup_complete")
 
     def test_a_file_that_cannot_hold_is_refused_by_its_key(self):
         with tempfile.TemporaryDirectory() as folder:
@@ -308,7 +308,7 @@
                 with self.subTest(new):
                     self.assertIn(old, text)
                     file.write_text(text.replace(old, new))
-                    done = run("check", str(file))
+                    done = run_command("check", str(file))
                     self.assertEqual((done.returncode, key in done.stderr), (2, True), done.stderr)
             file.write_text(text)
-            self.assertEqual(run("check", str(file)).returncode, 0)
+            self.assertEqual(run_command("check", str(file)).returncode, 0)
--- a/tests/repository/test_known_red.py
+++ b/tests/repository/test_known_red.py
@@ -7,7 +7,9 @@
 import unittest
 from pathlib import Path
 
-RUNNER = Path(__file__).parents[1] / "known_red.py"
+from tests.support.environment import ROOT
+
+RUNNER = ROOT / "tests" / "known_red.py"
 TESTS = """
 def test_good(): pass
 def test_bad(): assert False
--- a/tests/repository/test_readme.py
+++ b/tests/repository/test_readme.py
@@ -3,9 +3,8 @@
 import re
 import subprocess
 import sys
-from pathlib import Path
 
-ROOT = Path(__file__).parents[2]
+from tests.support.environment import ROOT
 
 
 def test_the_example_runs_as_printed():
--- a/tests/sites/test_sites.py
+++ b/tests/sites/test_sites.py
@@ -3,7 +3,6 @@
 
 import math
 import unittest
-from pathlib import Path
 from unittest import mock
 
 from hypothesis import given
@@ -30,9 +29,9 @@
 from ochrehoist.sites.site_health import LoadSample, SiteHealthTracker, SiteMembership, SiteState
 from ochrehoist.sites.site_report import CommandEntry, SiteReport
 from ochrehoist.sites.step_lease import StepArbiter, StepPermission
+from tests.support.environment import ROOT
 
 S = 1_000_000_000
-ROOT = Path(__file__).parents[2]
 READ = RequestClass(
     name="read", latency_objective_ns=2 * S, deadline_ns=5 * S, idempotency=Idempotency.IDEMPOTENT
 )
--- a/tests/store/test_store_disk.py
+++ b/tests/store/test_store_disk.py
@@ -9,8 +9,6 @@
 from pathlib import Path
 
 import apsw
-from fault_disk import Disk
-from stand_ins import MEMORY
 
 from ochrehoist.store import database, files
 from ochrehoist.store.damage import StoreCondition
@@ -28,6 +26,8 @@
 )
 from ochrehoist.store.store_repair import open_store, rebuild_store
 from ochrehoist.store.timestamps import NS_PER_S, Timestamp
+from tests.stand_ins.power_loss_disk import PowerLossDisk
+from tests.support.environment import FIXTURES, MEMORY_FOLDER
 
 SEEDS = int(os.environ.get("SEEDS", "120"))
 NOW = Timestamp(10**18, "boot", 10**14)
@@ -73,7 +73,7 @@
 
 class Folder(unittest.TestCase):
     def setUp(self):
-        self.folder = Path(tempfile.mkdtemp(dir=MEMORY))
+        self.folder = Path(tempfile.mkdtemp(dir=MEMORY_FOLDER))
         self.addCleanup(shutil.rmtree, self.folder)
         self.path = self.folder / files.store_file_name()
 
@@ -93,7 +93,7 @@
         if close:
             opened.database.close()
         else:  # as a process that is killed leaves it: the log has not been moved into the database
-            other = Path(tempfile.mkdtemp(dir=MEMORY))
+            other = Path(tempfile.mkdtemp(dir=MEMORY_FOLDER))
             self.addCleanup(shutil.rmtree, other)
             shutil.copytree(self.folder, other, dirs_exist_ok=True)
             opened.database.close()
@@ -120,7 +120,7 @@
                 cut.append(operation)
                 raise apsw.IOError("the power fails")
 
-        power = Disk(fails)
+        power = PowerLossDisk(fails)
         db = Database(self.path, vfs=power.name)
         self.addCleanup(power.unregister)
         db.read_contents()
@@ -300,7 +300,7 @@
 
 
 class Older(Folder):
-    FIXTURE = Path(__file__).parents[1] / "fixtures" / "format-1"  # as format 1 was written
+    FIXTURE = FIXTURES / "format-1"  # as format 1 was written
 
     def test_a_store_of_format_1_is_taken_over_aged_and_kept(self):
         shutil.copytree(self.FIXTURE, self.folder, dirs_exist_ok=True)
@@ -344,7 +344,7 @@
 class Errors(Folder):
     def under(self, fails):
         self.open().database.close()
-        self.bad = Disk(fails)
+        self.bad = PowerLossDisk(fails)
         self.addCleanup(self.bad.unregister)
         db = Database(self.path, vfs=self.bad.name)
         self.addCleanup(db.close)
--- a/tests/store/test_worker_state.py
+++ b/tests/store/test_worker_state.py
@@ -9,11 +9,13 @@
 import unittest
 from pathlib import Path
 
-from filing_clerk import Kills, site
-from machine import Machine
-from stand_ins import MEMORY, MS, PATIENCE, Program, run, settings, toml_file
-
+from ochrehoist.lab.toml import toml_file
 from ochrehoist.store.failpoints import HANDOVER_FAILPOINTS, REQUEST_FAILPOINTS
+from tests.stand_ins.moving_kernel import MovingKernel
+from tests.support.crash_load import CrashLoad
+from tests.support.environment import MEMORY_FOLDER, MS, WAIT_LIMIT_S
+from tests.support.site_settings import long_window_settings, site_settings
+from tests.support.worker_process import WorkerProcess, run_command
 
 KILLS = int(os.environ.get("KILLS", "12"))
 KILL_AT = """
@@ -67,7 +69,7 @@
 
 class State(unittest.TestCase):
     how = {"thrift": False, "ajp": True}
-    where = MEMORY
+    where = MEMORY_FOLDER
     patience: dict = {}
 
     def setUp(self):
@@ -77,7 +79,7 @@
 
     def start(self, state=None, **more):
         values = {"folder": str(self.folder)} | self.patience | (state or {})
-        program = Program(**self.how | {"site": site(), "state": values} | more)
+        program = WorkerProcess(**self.how | {"site": long_window_settings(), "state": values} | more)
         self.addCleanup(program.close)
         return program
 
@@ -89,15 +91,15 @@
         client.request("POST", "/filings", {"Idempotency-Key": key, "X-Tenant": "acme"}, body)
 
     def store(self, program):
-        return json.loads(program.operator()[1])["store"]
+        return json.loads(program.operator_call()[1])["store"]
 
     def recorded(self, program, operations):
-        until = time.monotonic() + PATIENCE
+        until = time.monotonic() + WAIT_LIMIT_S
         while self.store(program)["operations"] < operations:
             self.assertLess(time.monotonic(), until, self.store(program))
 
     def until(self, holds):
-        until = time.monotonic() + PATIENCE
+        until = time.monotonic() + WAIT_LIMIT_S
         while not holds():
             self.assertLess(time.monotonic(), until)
             time.sleep(0.002)
@@ -111,20 +113,20 @@
 
     def test_ends_are_given_again_what_began_is_not_run_and_what_did_not_is(self):
         first = self.start()
-        client, other = first.ajp(), first.ajp()
+        client, other = first.ajp_client(), first.ajp_client()
         self.file(client, "done")
-        first.server.next()[2](data=b"result")
+        first.server.next_request().respond(data=b"result")
         self.assertEqual(client.answer()[2], b"result")
         self.file(client, "begun")
-        first.server.next()
+        first.server.next_request()
         self.file(other, "begun too")
-        first.server.next()
-        third = first.ajp()
+        first.server.next_request()
+        third = first.ajp_client()
         self.file(third, "held")  # two cores, both taken: it never begins
         self.recorded(first, 4)
         self.kill(first)
         second = self.start()
-        client = second.ajp()
+        client = second.ajp_client()
         for _ in range(2):
             self.file(client, "done")
             self.assertEqual(client.answer()[::2], (200, b"result"))
@@ -132,53 +134,53 @@
             self.assertEqual(client.answer()[0], 502)
         self.file(client, "done", b"other content")
         self.assertEqual(client.answer()[0], 422)
-        self.assertEqual(second.server.got.qsize(), 0)
+        self.assertEqual(second.server.received.qsize(), 0)
         self.file(client, "held")
-        second.server.next()[2](data=b"now")
+        second.server.next_request().respond(data=b"now")
         self.assertEqual(client.answer()[2], b"now")
 
     def test_a_drained_worker_leaves_all_on_record_and_what_it_learned(self):
         first = self.start()
-        client = first.ajp()
+        client = first.ajp_client()
         for n in range(5):
             self.file(client, f"k{n}")
-            first.server.next()[2](data=b"result %d" % n)
+            first.server.next_request().respond(data=b"result %d" % n)
             client.answer()
         first.process.send_signal(signal.SIGTERM)
-        self.assertEqual(first.ended(), 0)
-        shown = run("state", "show", "--json", "--folder", str(self.folder))
+        self.assertEqual(first.wait_for_exit(), 0)
+        shown = run_command("state", "show", "--json", "--folder", str(self.folder))
         self.assertTrue(json.loads(shown.stdout)["learned"])
         second = self.start()
-        client = second.ajp()
+        client = second.ajp_client()
         for n in range(5):
             self.file(client, f"k{n}")
             self.assertEqual(client.answer()[2], b"result %d" % n)
-        self.assertEqual(second.server.got.qsize(), 0)
+        self.assertEqual(second.server.received.qsize(), 0)
 
     def test_a_window_lasts_as_long_as_it_would_without_a_restart(self):
-        brief = site()
+        brief = long_window_settings()
         brief["Classes"][1]["Window"] = 30_000 * MS
         first = self.start(site=brief)
-        client = first.ajp()
+        client = first.ajp_client()
         self.file(client, "k")
-        first.server.next()[2](data=b"one")
+        first.server.next_request().respond(data=b"one")
         client.answer()
         self.recorded(first, 2)
         self.kill(first)
         second = self.start(site=brief, fault=TIME_PASSES.format(opening=10, later=20))
-        client = second.ajp()
+        client = second.ajp_client()
         self.file(client, "k")
         self.assertEqual(client.answer()[2], b"one")
-        second.file("later", "")  # so 30 s have passed, 10 of them while the store was opened
+        second.write_file("later", "")  # so 30 s have passed, 10 of them while the store was opened
         self.file(client, "k")
-        second.server.next()[2](data=b"two")
+        second.server.next_request().respond(data=b"two")
         self.assertEqual(client.answer()[2], b"two")
 
     def test_the_clock_may_be_set_while_the_worker_is_down(self):
         first = self.start()
-        client = first.ajp()
+        client = first.ajp_client()
         self.file(client, "k")
-        first.server.next()[2](data=b"one")
+        first.server.next_request().respond(data=b"one")
         client.answer()
         self.recorded(first, 2)
         self.kill(first)
@@ -187,10 +189,10 @@
                 f"import time\nreal = time.time_ns\ntime.time_ns = lambda: real() + {hours} * 3600 * 10**9\n"
             )
             program = self.start(fault=set_clock)
-            client = program.ajp()
+            client = program.ajp_client()
             self.file(client, "k")
             self.assertEqual(client.answer()[2], b"one")
-            self.assertEqual(program.server.got.qsize(), 0)
+            self.assertEqual(program.server.received.qsize(), 0)
             self.kill(program)
 
 
@@ -198,54 +200,54 @@
     how = {"thrift": True, "ajp": True}
 
     def test_tries_by_either_front_are_one_filing_before_and_after_a_kill(self):
-        machine = Machine(1)
+        machine = MovingKernel(1)
         self.addCleanup(machine.close)
         first = self.start(kernel=machine)
-        router = first.thrift()
+        router = first.thrift_router()
         self.assertEqual(router.call("filing", b"doc", token="k")[2], b"made of doc")
         self.recorded(first, 2)
         self.kill(first)
         second = self.start(kernel=machine)
-        client, router = second.ajp(), second.thrift()
+        client, router = second.ajp_client(), second.thrift_router()
         self.file(client, "k")
         self.assertEqual(client.answer()[2], b"made of doc")
         self.assertEqual(router.call("filing", b"doc", token="k", again="1")[2], b"made of doc")
-        self.assertEqual((machine.runs[b"doc"], second.server.got.qsize()), (1, 0))
+        self.assertEqual((machine.runs[b"doc"], second.server.received.qsize()), (1, 0))
 
 
 class KilledAt(State):
     def test_at_every_point_nothing_runs_twice_or_is_refused_once_run(self):
         for point in REQUEST_FAILPOINTS:
             with self.subTest(point):
-                kills = Kills(self.base / point, clerks=2)
+                kills = CrashLoad(self.base / point, clients=2)
                 for nth in (1, 2, 5):
                     kills.file(12)
-                    program = kills.life(None, fault=KILL_AT.format(point=point, nth=nth))
-                    program.process.wait(PATIENCE)
+                    program = kills.run_worker(None, fault=KILL_AT.format(point=point, nth=nth))
+                    program.process.wait(WAIT_LIMIT_S)
                     kills.stop(program)
                 kills.finish()
-                self.assertEqual((kills.twice, kills.wrong, kills.losses), ({}, [], []))
-                self.assertGreater(kills.ends[200], 10)
+                self.assertEqual((kills.run_twice, kills.wrong, kills.losses), ({}, [], []))
+                self.assertGreater(kills.outcomes[200], 10)
 
     def test_at_random_moments_under_load(self):
-        kills = Kills(self.folder, seed=KILLS)
+        kills = CrashLoad(self.folder, seed=KILLS)
         kills.run(KILLS)
-        self.assertEqual((kills.twice, kills.wrong, kills.losses), ({}, [], []))
-        self.assertGreater(kills.ends[200], KILLS)
+        self.assertEqual((kills.run_twice, kills.wrong, kills.losses), ({}, [], []))
+        self.assertGreater(kills.outcomes[200], KILLS)
 
     def test_without_a_store_filings_do_run_twice(self):
         """That the harness sees it."""
-        kills = Kills(self.folder, seed=1, state=False)
+        kills = CrashLoad(self.folder, seed=1, state=False)
         kills.run(6)
-        self.assertNotEqual(kills.twice, {})
+        self.assertNotEqual(kills.run_twice, {})
 
 
 class DataLossRecord(State):
     def lose(self):
         first = self.start()
-        client = first.ajp()
+        client = first.ajp_client()
         self.file(client, "k")
-        first.server.next()[2](data=b"one")
+        first.server.next_request().respond(data=b"one")
         client.answer()
         self.recorded(first, 2)
         self.kill(first)
@@ -257,22 +259,22 @@
     def test_filings_are_refused_with_the_time_that_is_left_and_reads_served(self):
         self.lose()
         second = self.start()
-        client = second.ajp()
+        client = second.ajp_client()
         self.file(client, "k")
         status, headers, _ = client.answer()
         self.assertEqual(status, 503)
         wait = next(int(v) for n, v in headers.items() if n == "Retry-After")
         self.assertTrue(800 < wait <= 901, headers)
         client.request()
-        second.server.next()[2](data=b"read")
+        second.server.next_request().respond(data=b"read")
         self.assertEqual(client.answer()[2], b"read")
         view = self.store(second)
         self.assertEqual((view["losses"], len(view["set_aside"])), (1, 1))
         self.assertTrue((self.folder / view["set_aside"][0]).exists())
-        self.assertTrue(second.said("damaged_store_set_aside"))
+        self.assertTrue(second.logged("damaged_store_set_aside"))
         self.kill(second)
         third = self.start()
-        client = third.ajp()
+        client = third.ajp_client()
         self.file(client, "new")
         self.assertEqual(client.answer()[0], 503)  # the hold outlives a restart
         self.assertEqual(self.store(third)["losses"], 0)
@@ -280,24 +282,24 @@
     def test_who_takes_the_risk_serves_and_says_so(self):
         self.lose()
         second = self.start(state={"on_loss": "serve"})
-        client = second.ajp()
+        client = second.ajp_client()
         self.file(client, "k")
-        second.server.next()[2](data=b"again")
+        second.server.next_request().respond(data=b"again")
         self.assertEqual(client.answer()[2], b"again")
-        self.assertEqual(second.said("store_data_lost")[0]["on_loss"], "serve")
+        self.assertEqual(second.logged("store_data_lost")[0]["on_loss"], "serve")
 
 
 class Unmounted(State):
     def test_a_store_that_must_exist_is_waited_for_and_none_is_made_in_its_place(self):
         volume = self.base / "volume"
-        done = run("state", "init", "--folder", str(volume))
+        done = run_command("state", "init", "--folder", str(volume))
         self.assertEqual(done.returncode, 0, done.stderr)
-        self.assertEqual(run("state", "init", "--folder", str(volume)).returncode, 1)  # there is one
+        self.assertEqual(run_command("state", "init", "--folder", str(volume)).returncode, 1)  # there is one
         volume.rename(self.folder)
         first = self.start(state={"must_exist": True})
-        client = first.ajp()
+        client = first.ajp_client()
         self.file(client, "k")
-        first.server.next()[2](data=b"one")
+        first.server.next_request().respond(data=b"one")
         self.assertEqual(client.answer()[2], b"one")
         self.recorded(first, 2)
         self.kill(first)
@@ -306,11 +308,11 @@
             if there:
                 self.folder.mkdir()
             second = self.start(state={"must_exist": True})
-            client, reader = second.ajp(), second.ajp()
+            client, reader = second.ajp_client(), second.ajp_client()
             self.file(client, "k")
             self.assertEqual(client.answer()[0], 502)  # it may have run: neither run nor refused
             reader.request()
-            second.server.next()[2](data=b"read")
+            second.server.next_request().respond(data=b"read")
             self.assertEqual(reader.answer()[2], b"read")
             self.assertIn("mounted", self.store(second)["trouble"])
             self.assertEqual(list(self.folder.iterdir()) if there else [], [])
@@ -321,7 +323,7 @@
         self.until(lambda: self.store(second)["open"])
         self.file(client, "k")
         self.assertEqual(client.answer()[2], b"one")
-        self.assertEqual(second.server.got.qsize(), 0)
+        self.assertEqual(second.server.received.qsize(), 0)
 
 
 class BadDisk(State):
@@ -329,7 +331,7 @@
         super().setUp()
         self.words = self.base / "words"
         self.program = self.start(fault=BAD_DISK.format(file=str(self.words)))
-        self.client, self.reader = self.program.ajp(), self.program.ajp()
+        self.client, self.reader = self.program.ajp_client(), self.program.ajp_client()
 
     def say(self, words):
         other = self.base / "other"
@@ -338,7 +340,7 @@
 
     def read(self):
         self.reader.request()
-        self.program.server.next()[2](data=b"read")
+        self.program.server.next_request().respond(data=b"read")
         began = time.monotonic()
         self.assertEqual(self.reader.answer()[2], b"read")
         return time.monotonic() - began
@@ -347,7 +349,7 @@
         self.words.unlink()
         self.until(lambda: not self.store(self.program)["refuses"])
         self.file(self.client, key)
-        self.program.server.next()[2](data=b"fine")
+        self.program.server.next_request().respond(data=b"fine")
         self.assertEqual(self.client.answer()[2], b"fine")
 
     def test_a_disk_that_stalls_delays_filings_only_and_begins_none_of_them(self):
@@ -364,13 +366,13 @@
         self.assertLess(self.read(), 1.0)
         self.good_again()
         self.file(self.client, "k")
-        self.program.server.next()[2](data=b"first run")
+        self.program.server.next_request().respond(data=b"first run")
         self.assertEqual(self.client.answer()[2], b"first run")
-        self.assertEqual(self.program.server.got.qsize(), 0)
+        self.assertEqual(self.program.server.received.qsize(), 0)
 
     def test_a_disk_that_fails_refuses_filings_and_recovers_by_itself(self):
         self.file(self.client, "before")
-        self.program.server.next()[2](data=b"kept")
+        self.program.server.next_request().respond(data=b"kept")
         self.client.answer()
         self.recorded(self.program, 2)
         for error in ("FULL", "READ_ONLY", "SYNC", "IO"):
@@ -385,13 +387,13 @@
                 self.good_again(f"after {error}")
         self.kill(self.program)
         second = self.start()
-        client = second.ajp()
+        client = second.ajp_client()
         self.file(client, "before")
         self.assertEqual(client.answer()[2], b"kept")
         self.file(client, "k SYNC")  # it was refused, so it never began
-        second.server.next()[2](data=b"now")
+        second.server.next_request().respond(data=b"now")
         self.assertEqual(client.answer()[2], b"now")
-        self.assertEqual(second.said("store_data_lost"), [])
+        self.assertEqual(second.logged("store_data_lost"), [])
 
 
 class Owner(State):
@@ -400,7 +402,7 @@
         config = self.base / "second.toml"
         config.write_text(toml_file(first.appliance))
         env = {k: v for k, v in first.env.items() if k not in ("TMPDIR", "OCHREHOIST_AJP")}
-        done = run("--config", str(config), "run", env=env)
+        done = run_command("--config", str(config), "run", env=env)
         self.assertEqual(done.returncode, 2, done.stderr)
         self.assertIn("setting state.folder", done.stderr)
         self.assertIn(f"process {first.process.pid} (n1)", done.stderr)
@@ -410,11 +412,11 @@
         whole = {
             "name": "n",
             "ajp": {"listen": "127.0.0.1:0", "rules": [], "servers": [{"address": "127.0.0.1:1"}]},
-            "settings": settings(),
+            "settings": site_settings(),
             "state": {"folder": "/nowhere/at/all"},
         }
         config.write_text(toml_file(whole))
-        done = run("--config", str(config), "run")
+        done = run_command("--config", str(config), "run")
         self.assertEqual(done.returncode, 2)
         self.assertIn("setting state.folder: /nowhere/at/all", done.stderr)
         for key, value in (
@@ -425,7 +427,7 @@
             ("learned_half_life_s", 0),
         ):
             config.write_text(toml_file(whole | {"state": {"folder": str(self.base)} | {key: value}}))
-            done = run("check", str(config))
+            done = run_command("check", str(config))
             self.assertEqual(done.returncode, 2)
             self.assertIn(f"setting state.{key}", done.stderr)
 
@@ -439,27 +441,27 @@
 class Replaced(State):
     def test_the_store_goes_over_with_the_keys_and_the_next_one_has_it_all(self):
         old = self.start()
-        client, busy = old.ajp(), old.ajp()
+        client, busy = old.ajp_client(), old.ajp_client()
         self.file(client, "done")
-        old.server.next()[2](data=b"by the old")
+        old.server.next_request().respond(data=b"by the old")
         client.answer()
         self.file(busy, "running")
-        respond = old.server.next()[2]
+        respond = old.server.next_request().respond
         new = self.start(before=old, server=old.server)
-        new.took_over()
+        new.wait_until_took_over()
         self.until(lambda: self.store(new)["open"])
         old.process.send_signal(signal.SIGTERM)
         respond(data=b"ended at the old")
         self.assertEqual(busy.answer()[2], b"ended at the old")
-        client = new.ajp()
+        client = new.ajp_client()
         self.file(client, "new")
-        new.server.next()[2](data=b"by the new")
+        new.server.next_request().respond(data=b"by the new")
         self.assertEqual(client.answer()[2], b"by the new")
-        self.assertEqual(old.ended(), 0)
+        self.assertEqual(old.wait_for_exit(), 0)
         self.until(lambda: self.store(new)["waiting"] == 0)
         self.kill(new)
         third = self.start()
-        client = third.ajp()
+        client = third.ajp_client()
         for key, result in (
             ("done", b"by the old"),
             ("running", b"ended at the old"),
@@ -467,30 +469,30 @@
         ):
             self.file(client, key)
             self.assertEqual(client.answer()[2], result)
-        self.assertEqual(third.server.got.qsize(), 0)
+        self.assertEqual(third.server.received.qsize(), 0)
 
     def test_either_may_die_at_once_and_no_filing_runs_twice(self):
         for dies in ("old", "new", "both"):
             with self.subTest(dies):
                 shutil.rmtree(self.folder, ignore_errors=True)
                 old = self.start()
-                busy = old.ajp()
+                busy = old.ajp_client()
                 self.file(busy, "running")
-                old.server.next()
+                old.server.next_request()
                 new = self.start(before=old, server=old.server)
-                new.took_over()
+                new.wait_until_took_over()
                 for program in (old, new):
                     if dies in ("both", "old" if program is old else "new"):
                         self.kill(program)
                 for program in (old, new):
                     if program.process.poll() is None:
                         program.process.send_signal(signal.SIGTERM)
-                        program.process.wait(PATIENCE)
+                        program.process.wait(WAIT_LIMIT_S)
                 third = self.start(server=old.server)
-                client = third.ajp()
+                client = third.ajp_client()
                 self.file(client, "running")
                 self.assertEqual(client.answer()[0], 502)
-                self.assertEqual(old.server.got.qsize(), 0)
+                self.assertEqual(old.server.received.qsize(), 0)
 
     def test_either_may_die_at_each_moment_of_handing_the_store_over(self):
         for point in HANDOVER_FAILPOINTS:
@@ -499,22 +501,22 @@
                 shutil.rmtree(self.folder, ignore_errors=True)
                 fault = {"fault": KILL_AT.format(point=point, nth=1)}
                 old = self.start(**(fault if dying == "old" else {}))
-                client, busy = old.ajp(), old.ajp()
+                client, busy = old.ajp_client(), old.ajp_client()
                 self.file(client, "done")
-                old.server.next()[2](data=b"by the old")
+                old.server.next_request().respond(data=b"by the old")
                 client.answer()
                 self.file(busy, "running")
-                old.server.next()
+                old.server.next_request()
                 self.recorded(old, 3)
                 # One file serves both as they start: what the old one has read stays with it.
                 Path(old.folder.name, "sitecustomize.py").unlink(missing_ok=True)
                 new = self.start(before=old, server=old.server, **(fault if dying == "new" else {}))
                 gone, left = (old, new) if dying == "old" else (new, old)
-                self.assertEqual(gone.process.wait(PATIENCE), -signal.SIGKILL)
+                self.assertEqual(gone.process.wait(WAIT_LIMIT_S), -signal.SIGKILL)
                 if left is new:
-                    new.took_over()
+                    new.wait_until_took_over()
                     self.until(lambda new=new: self.store(new)["open"])
-                    client = new.ajp()
+                    client = new.ajp_client()
                     self.file(client, "done")
                     self.assertEqual(client.answer()[2], b"by the old")
                     self.file(client, "running")
@@ -522,24 +524,24 @@
                 self.kill(left)
                 Path(old.folder.name, "sitecustomize.py").unlink(missing_ok=True)
                 third = self.start(server=old.server)
-                client = third.ajp()
+                client = third.ajp_client()
                 self.file(client, "done")
                 self.assertEqual(client.answer()[2], b"by the old")
                 self.file(client, "running")
                 self.assertEqual(client.answer()[0], 502)
-                self.assertEqual(old.server.got.qsize(), 0)
+                self.assertEqual(old.server.received.qsize(), 0)
 
 
 class Tools(State):
     def state(self, *words):
-        return run("state", *words, "--folder", str(self.folder))
+        return run_command("state", *words, "--folder", str(self.folder))
 
     def test_show_and_check_work_beside_a_running_worker_and_the_rest_on_a_stopped_one(self):
         program = self.start()
-        client = program.ajp()
+        client = program.ajp_client()
         for n in range(3):
             self.file(client, f"k{n}")
-            program.server.next()[2](data=b"result %d" % n)
+            program.server.next_request().respond(data=b"result %d" % n)
             client.answer()
         self.recorded(program, 6)
         shown = json.loads(self.state("show", "--json").stdout)
@@ -559,7 +561,7 @@
         done = self.state("import", moved)
         self.assertEqual((done.returncode, done.stdout), (0, "0 filings before, 3 now\n"), done.stderr)
         second = self.start()
-        client = second.ajp()
+        client = second.ajp_client()
         for n in range(3):
             self.file(client, f"k{n}")
             self.assertEqual(client.answer()[2], b"result %d" % n)
@@ -574,12 +576,12 @@
     def test_damage_ends_with_three_and_no_folder_with_one(self):
         self.assertEqual(self.state("show").returncode, 1)
         program = self.start()
-        client = program.ajp()
+        client = program.ajp_client()
         self.file(client, "k")
-        program.server.next()[2](data=b"result")
+        program.server.next_request().respond(data=b"result")
         client.answer()
         program.process.send_signal(signal.SIGTERM)
-        program.ended()
+        program.wait_for_exit()
         path = next(p for p in self.folder.iterdir() if p.suffix == ".db")
         data = bytearray(path.read_bytes())
         at = data.find(b"OK")
@@ -592,7 +594,7 @@
 
 class Lean(unittest.TestCase):
     def test_a_worker_without_a_store_loads_nothing_of_it(self):
-        program = Program()
+        program = WorkerProcess()
         self.addCleanup(program.close)
         maps = Path(f"/proc/{program.process.pid}/maps").read_text()
         for library in ("apsw", "msgspec", "xxhash", "sqlite"):
