--- a/benchmarks/configuration/appliance.py
+++ b/benchmarks/configuration/appliance.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from benchmarks.shared.process_usage import MemoryUsage, memory_usage, reset_peak_memory
-from benchmarks.shared.stand_ins import Address, ajp_client
+from benchmarks.shared.stand_ins import Address, AjpClient
 from benchmarks.shared.workers import large_machine_settings
 from ochrehoist.lab.toml import toml
 
@@ -212,7 +212,7 @@
     """Asks on one connection whether a change is in force."""
 
     def __init__(self, address: Address) -> None:
-        self._client = ajp_client(address)
+        self._client = AjpClient(address)
 
     def wait_until_served(self, request: ProbeRequest, began_s: float) -> ChangeInForce | None:
         """Ask until the request is served; None where it was not in time. `began_s` is monotonic."""
--- a/benchmarks/configuration/steady_client.py
+++ b/benchmarks/configuration/steady_client.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from benchmarks.configuration.appliance import STABLE_ENTRIES
-from benchmarks.shared.stand_ins import Address, AjpClient, ajp_client, instant_ajp_server
+from benchmarks.shared.stand_ins import Address, AjpClient, InstantServer
 
 CONNECTIONS = 24  # each with one request at a time
 RECEIVE_BYTES = 65536
@@ -73,7 +73,7 @@
 
     def __init__(self, address: Address, requests_per_s: float) -> None:
         self._interval_s = 1 / requests_per_s
-        self._idle: deque[AjpClient] = deque(ajp_client(address) for _ in range(CONNECTIONS))
+        self._idle: deque[AjpClient] = deque(AjpClient(address) for _ in range(CONNECTIONS))
         self._by_descriptor = {client.sock.fileno(): client for client in self._idle}
         self._poll = select.poll()
         for descriptor in self._by_descriptor:
@@ -181,7 +181,7 @@
 
 
 def _run_server(pipe: Connection) -> None:
-    pipe.send(instant_ajp_server().address)
+    pipe.send(InstantServer().address)
     pipe.recv()  # until the process is killed
 
 
--- a/benchmarks/scaling/connection_probes.py
+++ b/benchmarks/scaling/connection_probes.py
@@ -13,7 +13,7 @@
 from benchmarks.scaling.timing import cpu_us, with_memory_growth
 from benchmarks.shared.process_usage import cpu_s, resident_bytes
 from benchmarks.shared.samples import US_PER_S
-from benchmarks.shared.stand_ins import Worker, start_worker
+from benchmarks.shared.stand_ins import WorkerProcess
 from benchmarks.shared.workers import (
     Front,
     ReadClient,
@@ -95,9 +95,9 @@
         for number in range(max(1, size * LARGE_ROUTES // ALL_TENANTS))
     ]
     began_s = time.monotonic()
-    worker = start_worker(thrift=False, ajp=True, site=settings, rules=routes, root=root)
+    worker = WorkerProcess(thrift=False, ajp=True, site=settings, rules=routes, root=root)
     with closing(worker):
-        worker.ajp().cping()
+        worker.ajp_client().cping()
         ready_s = time.monotonic() - began_s
         time.sleep(SETTLE_S)
         return {
@@ -114,7 +114,7 @@
     return hard
 
 
-def _rest_percent(worker: Worker) -> float:
+def _rest_percent(worker: WorkerProcess) -> float:
     """Processor time of a worker that nobody asks, in percent of one core."""
     began_cpu_s, began_s = cpu_s(worker.process.pid), time.monotonic()
     time.sleep(REST_S)
--- a/benchmarks/shared/workers.py
+++ b/benchmarks/shared/workers.py
@@ -7,12 +7,11 @@
 
 from benchmarks.shared.revisions import ROOT
 from benchmarks.shared.stand_ins import (
+    InstantKernel,
+    InstantServer,
     Settings,
-    Worker,
-    instant_ajp_server,
-    instant_kernel,
+    WorkerProcess,
     site_settings,
-    start_worker,
 )
 
 LARGE_MACHINE_CORES = 16
@@ -44,17 +43,17 @@
     return [{"Name": name, "QuotaPerS": quota_per_s, "Fraction": 1 / len(listed)} for name in listed]
 
 
-def start_instant_worker(front: Front, settings: Settings, root: Path = ROOT, **more: Any) -> Worker:
+def start_instant_worker(front: Front, settings: Settings, root: Path = ROOT, **more: Any) -> WorkerProcess:
     """Start the program of a tree with one front, before servers that answer at once.
 
     `more`: further arguments of the tests' worker, as tables of the configuration.
     """
-    return start_worker(
+    return WorkerProcess(
         thrift=front is Front.THRIFT,
         ajp=front is Front.AJP,
         site=settings,
-        server=instant_ajp_server(),
-        kernel=instant_kernel(b"a small page"),
+        server=InstantServer(),
+        kernel=InstantKernel(b"a small page"),
         root=root,
         **more,
     )
@@ -63,11 +62,11 @@
 class ReadClient:
     """A client that sends reads to one front of a worker, one after the other."""
 
-    def __init__(self, worker: Worker, front: Front) -> None:
+    def __init__(self, worker: WorkerProcess, front: Front) -> None:
         """Open a connection."""
         self._front = front
-        self._thrift = worker.thrift() if front is Front.THRIFT else None
-        self._ajp = worker.ajp() if front is Front.AJP else None
+        self._thrift = worker.thrift_router() if front is Front.THRIFT else None
+        self._ajp = worker.ajp_client() if front is Front.AJP else None
 
     def read(self, number: int) -> None:
         """Send one read and wait for its answer; RuntimeError where it is not served."""
