--- a/tests/test_thrift_front.py
+++ b/tests/test_thrift_front.py
@@ -175,7 +175,7 @@
         self.kernel.forgotten = 1
         self.kernel.drop_links()
         self.assertEqual(self.kernel.next()[0], rid)  # a read may run twice
-        self.assertEqual(len(self.program.wait_said("the kernel's notices have a gap")), 1)
+        self.assertEqual(len(self.program.wait_said("kernel_notices_missing")), 1)
         self.kernel.wait_for_questions(3)
         self.assertTrue(self.kernel.scheduled.empty())
         self.assertEqual(router.answer(filing)[0], "Broken")
@@ -192,7 +192,7 @@
         self.kernel.drop_links()
         self.kernel.wait_for_questions(3)
         self.assertTrue(self.kernel.scheduled.empty())
-        self.assertEqual([line["doubtful"] for line in self.program.said("kernel link lost")], [0])
+        self.assertEqual([line["outcome_unknown"] for line in self.program.said("kernel_link_lost")], [0])
         for body, seqid in ((b"read", read), (b"doc", filing)):
             self.kernel.reap(runs[body], body=body)
             self.assertEqual(router.answer(seqid)[2], body)
@@ -232,13 +232,13 @@
         for number, body in ((filing, b"doc"), (read, b"read")):
             self.assertEqual(router.answer(number), ("Answer", {}, body))
         self.assertTrue(self.kernel.scheduled.empty())
-        self.assertEqual(len(self.program.said("the kernel's link is silent")), 1)
+        self.assertEqual(len(self.program.said("kernel_link_silent")), 1)
 
     def test_what_starts_without_a_link_is_scheduled_once_there_is_one(self):
         router = self.program.thrift()
         self.kernel.refuse()
         self.kernel.drop_links()
-        while not self.program.said("kernel link lost"):
+        while not self.program.said("kernel_link_lost"):
             router.ping()
         seqid = router.invoke(body=b"early")
         router.ping()
@@ -355,7 +355,7 @@
         seqid = router.invoke()
         self.kernel.reap(self.kernel.next()[0], body=b"served")
         self.assertEqual(router.answer(seqid)[2], b"served")
-        while not [line for line in self.program.said("membership reports") if not line["accepted"]]:
+        while not [line for line in self.program.said("membership_reports_changed") if not line["accepted"]]:
             router.ping()
         self.program.members.come_back()
         self.program.members.wait_for("UP")
@@ -374,7 +374,9 @@
         self.program.process.send_signal(signal.SIGTERM)
         members.wait_for("OUT")
         self.assertLess(time.monotonic() - began, 0.5)
-        self.assertEqual([line["accepted"] for line in self.program.said("membership reports")], [True])
+        self.assertEqual(
+            [line["accepted"] for line in self.program.said("membership_reports_changed")], [True]
+        )
 
 
 class KeepAlive(Case):
