--- a/ochrehoist/net/ajp_reader.py
+++ b/ochrehoist/net/ajp_reader.py
@@ -3,7 +3,7 @@
 import hmac
 import itertools
 import secrets
-from collections.abc import Callable, Generator
+from collections.abc import Callable, Generator, Mapping
 from hashlib import sha256
 from http import HTTPStatus
 from typing import NamedTuple
@@ -47,48 +47,56 @@
     idempotency_key: str | None
 
 
+class ReadingRules(NamedTuple):
+    """What a configuration comes to for the reader; it is replaced as a whole."""
+
+    config: AjpConfig
+    route_index: RouteIndex
+    classes: Mapping[str, RequestClass]
+    longest_secret_bytes: int
+
+
 class AjpReader:
     """Checks Forward Requests, and builds the core's requests.
 
     Attributes:
-        config: The configuration in force.
-        index: Finds the route of a request.
+        rules: Those in force.
     """
 
     def __init__(self, core: CoreActor, executor: Executor, config: AjpConfig) -> None:
         self.core = core
-        self.config = config
-        self.index = RouteIndex()
         self._executor = executor
-        self._classes: dict[str, RequestClass] = {}
-        self._longest_secret_bytes = 0
         self._request_numbers = itertools.count(1)
         # Request ids must differ from those of a process that this one replaces.
         self._process_id = secrets.token_hex(4)
-        self._indexed_routes: object = None
-        self.configure(config, core.settings)
+        self.rules = run_to_completion(self._build_rules(config, core.settings, None))
 
     def prepare(
         self, config: AjpConfig, settings: AdmissionSettings
     ) -> Generator[None, None, Callable[[], None]]:
         """Prepares a changed configuration, in steps well under 1 ms each; the call it returns commits it."""
-        index = self.index
-        if config.routes is not self._indexed_routes:
+        rules = yield from self._build_rules(config, settings, self.rules)
+
+        def commit() -> None:
+            self.rules = rules
+
+        return commit
+
+    @staticmethod
+    def _build_rules(
+        config: AjpConfig, settings: AdmissionSettings, before: ReadingRules | None
+    ) -> Generator[None, None, ReadingRules]:
+        """The index of `before` is kept where the routes are the same."""
+        if before is not None and config.routes is before.config.routes:
+            index = before.route_index
+        else:
             index = yield from RouteIndex.in_steps(config.routes)
         classes = {request_class.name: request_class for request_class in settings.classes}
-        longest_secret_bytes = max(
+        secrets_bytes = (
             len(server.secret.encode()) + SECRET_OVERHEAD_BYTES if server.secret else 0
             for server in config.servers
         )
-
-        def commit() -> None:
-            self.config = config
-            self.index = index
-            self._indexed_routes = config.routes
-            self._classes = classes
-            self._longest_secret_bytes = longest_secret_bytes
-
-        return commit
+        return ReadingRules(config, index, classes, max(secrets_bytes))
 
     def configure(self, config: AjpConfig, settings: AdmissionSettings) -> None:
         """Takes a configuration at once."""
@@ -100,25 +108,28 @@
         Raises:
             RequestRejectedError: the request can't be taken.
         """
-        secret = self.config.secret
+        rules = self.rules
+        secret = rules.config.secret
         if secret is not None and not hmac.compare_digest(secret.encode(), forward.secret or b""):
             raise RequestRejectedError(HTTPStatus.FORBIDDEN, "wrong secret")
         path = forward.uri.split(b"?")[0].split(b";")[0].decode("latin-1")
-        route = self.index.find(forward.method, path)
+        route = rules.route_index.find(forward.method, path)
         if route is None:
             raise RequestRejectedError(HTTPStatus.NOT_FOUND, "no class for this request")
-        request_class = self._classes[route.request_class]
+        request_class = rules.classes[route.request_class]
         try:
-            return self._check_class(forward, request_class)
+            return self._check_class(forward, request_class, rules)
         except RequestRejectedError as error:
             error.class_name = request_class.name
             raise
 
-    def _check_class(self, forward: ajp.ForwardRequest, request_class: RequestClass) -> CheckedRequest:
-        config = self.config
+    def _check_class(
+        self, forward: ajp.ForwardRequest, request_class: RequestClass, rules: ReadingRules
+    ) -> CheckedRequest:
+        config = rules.config
         if forward.length > config.max_body:
             raise RequestRejectedError(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "body too large")
-        if len(forward.packet) + self._longest_secret_bytes > config.packet_size - ajp.HEADER_BYTES:
+        if len(forward.packet) + rules.longest_secret_bytes > config.packet_size - ajp.HEADER_BYTES:
             raise RequestRejectedError(
                 HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "no room for the server's secret"
             )
@@ -153,6 +164,7 @@
         responder: Responder,
     ) -> InboundRequest:
         """The core's request for a whole body; `arrived_ns` is Unix time."""
+        config = self.rules.config
         request_class, tenant, key = checked
         idempotency_key = fingerprint = None
         if key:
@@ -172,9 +184,9 @@
             idempotency_key=idempotency_key,
             fingerprint=fingerprint,
             subject_hash=crc32(forward.remote_address, crc32(forward.uri)) or 1,
-            memory_kb=self.config.memory_kb + (len(forward.packet) + len(body)) / BYTES_PER_KB,
+            memory_kb=config.memory_kb + (len(forward.packet) + len(body)) / BYTES_PER_KB,
             rank=RANK,
-            is_retry=forward.headers.get(self.config.retry_header, b"") not in NO_RETRY_HEADER,
+            is_retry=forward.headers.get(config.retry_header, b"") not in NO_RETRY_HEADER,
             is_write=request_class.idempotency is not Idempotency.IDEMPOTENT,
         )
 
--- a/ochrehoist/net/ajp_server.py
+++ b/ochrehoist/net/ajp_server.py
@@ -210,12 +210,10 @@
 
     def configure(self, config: AjpConfig) -> None:
         """Takes a changed configuration: servers that stay keep their connections, what runs goes on."""
-        before = {pool.server: pool for pool in self._pools}
         self._config = config
-        self._pools = [
-            before.pop(server) if server in before else ServerPool(server) for server in config.servers
-        ]
-        for pool in before.values():  # those that are gone
+        before: dict[AjpServer, ServerPool | None] = {pool.server: pool for pool in self._pools}
+        self._pools = [before.pop(server, None) or ServerPool(server) for server in config.servers]
+        for pool in filter(None, before.values()):  # those that are gone
             pool.close_idle(math.inf)
 
     def start(self, request: InboundRequest) -> None:
--- a/ochrehoist/net/front.py
+++ b/ochrehoist/net/front.py
@@ -5,7 +5,7 @@
 import time
 from abc import ABC, abstractmethod
 from collections.abc import Callable
-from typing import Any, Generic, Protocol, TypeVar
+from typing import Generic, Protocol, TypeVar
 
 from ochrehoist.core.actor import CoreActor
 from ochrehoist.core.protocols import AdmissionFilter, Logger
@@ -119,7 +119,7 @@
         """Whether closing it now would lose no request that is here or is being answered."""
 
     @abstractmethod
-    def _eviction_rank(self, connection: ConnectionT, now_s: float) -> tuple[Any, float]:
+    def _eviction_rank(self, connection: ConnectionT, now_s: float) -> tuple[int, float]:
         """Connections of the lowest rank are closed first."""
 
     def _accept(self, sock: socket.socket) -> Callable[[], None]:
--- a/ochrehoist/net/intent_replication.py
+++ b/ochrehoist/net/intent_replication.py
@@ -12,7 +12,7 @@
 
 from ochrehoist.config.schema import RecoveryConfig
 from ochrehoist.core.actor import CoreActor
-from ochrehoist.core.protocols import IntentReplicator
+from ochrehoist.core.protocols import IntentReplicator, Logger
 from ochrehoist.peers.wire import Incarnation
 from ochrehoist.recovery.intent_log import IntentLog
 from ochrehoist.recovery.messages import (
@@ -74,7 +74,7 @@
         config: RecoveryConfig,
         journal: ReplicatedJournal | None,
         peers: Peers | None,
-        log: Any,
+        log: Logger,
     ) -> None:
         self._core = core
         self._config = config
--- a/ochrehoist/net/listener.py
+++ b/ochrehoist/net/listener.py
@@ -5,7 +5,7 @@
 import time
 from abc import ABC, abstractmethod
 from collections.abc import Callable
-from typing import Any, TypeVar
+from typing import TypeVar
 
 from ochrehoist.core.protocols import Logger
 from ochrehoist.net.loop import Loop
@@ -56,7 +56,7 @@
 
 def evict_one(
     candidates: list[ConnectionT],
-    eviction_rank: Callable[[ConnectionT], Any],
+    eviction_rank: Callable[[ConnectionT], tuple[float, ...]],
     stream_of: Callable[[ConnectionT], Stream],
 ) -> bool:
     """Closes the candidate with the lowest rank on which nothing has arrived at this moment.
--- a/ochrehoist/net/loop.py
+++ b/ochrehoist/net/loop.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 from contextlib import suppress
 from heapq import heappop, heappush
-from typing import Any, Protocol
+from typing import Protocol
 
 from greenlet import GreenletExit, getcurrent, greenlet  # type: ignore[import-untyped]
 
@@ -34,11 +34,11 @@
 class Poll(Protocol):
     """What is needed of select.poll."""
 
-    def register(self, fd: int, events: int, /) -> Any:
+    def register(self, fd: int, events: int, /) -> object:
         """Watches a descriptor, or changes what it is watched for."""
         ...
 
-    def unregister(self, fd: int, /) -> Any:
+    def unregister(self, fd: int, /) -> object:
         """Watches it no longer; KeyError where it was not watched."""
         ...
 
@@ -52,9 +52,9 @@
 
     __slots__ = ("call", "due_s")
 
-    def __init__(self, due_s: float, call: Callable[[], None]) -> None:
+    def __init__(self, due_s: float, call: Callable[[], object]) -> None:
         self.due_s = due_s
-        self.call: Callable[[], None] | None = call
+        self.call: Callable[[], object] | None = call
 
     def cancel(self) -> None:
         """The call is not made."""
@@ -79,22 +79,22 @@
         self._poll: Poll = select.poll() if poll is None else poll
         self._readers: dict[int, Callable[[], None]] = {}
         self._writers: dict[int, Callable[[], None]] = {}
-        self._ready: deque[Callable[[], Any]] = deque()
+        self._ready: deque[Callable[[], object]] = deque()
         self._timers: list[Timer] = []
         self._hub = getcurrent()
         # Descriptors closed in this iteration: their numbers may be in use again already.
         self._closed_fds: set[int] = set()
-        self._signal_handlers: dict[int, Callable[[], Any]] = {}
+        self._signal_handlers: dict[int, Callable[[], object]] = {}
         self._iteration_observer: Callable[[float, float], None] | None = None
 
     # ---- tasks
-    def spawn(self, run: Callable[..., Any], *args: Any) -> greenlet:
+    def spawn(self, run: Callable[..., object], *args: object) -> greenlet:
         """Starts a task in the next iteration."""
         task = greenlet(lambda: self._run_task(run, args), parent=self._hub)
         self._ready.append(task.switch)
         return task
 
-    def _run_task(self, run: Callable[..., Any], args: tuple[Any, ...]) -> None:
+    def _run_task(self, run: Callable[..., object], args: tuple[object, ...]) -> None:
         try:
             run(*args)
         except GreenletExit:
@@ -107,7 +107,7 @@
         self.call_later(seconds, getcurrent().switch)
         self._hub.switch()
 
-    def call_later(self, seconds: float, call: Callable[[], Any]) -> Timer:
+    def call_later(self, seconds: float, call: Callable[[], object]) -> Timer:
         """Calls it on the hub after so many seconds, unless the timer is cancelled. It must not wait."""
         timer = Timer(time.monotonic() + max(0.0, seconds), call)
         heappush(self._timers, timer)
@@ -148,7 +148,7 @@
             self._poll.unregister(fd)
 
     # ---- signals
-    def on_signal(self, number: int, call: Callable[[], Any]) -> None:
+    def on_signal(self, number: int, call: Callable[[], object]) -> None:
         """Calls it on the hub for each signal of this number.
 
         One that was inherited as ignored or blocked no longer is. A pipe wakes the poll, which the handler
@@ -235,7 +235,7 @@
                 self._call(timer.call)
         return delay_s
 
-    def _call(self, call: Callable[[], Any] | None) -> None:
+    def _call(self, call: Callable[[], object] | None) -> None:
         if call is None:
             return
         try:
@@ -252,7 +252,7 @@
     def __init__(self, loop: Loop) -> None:
         self._loop = loop
         self._is_set = False
-        self._waiter: Callable[[], Any] | None = None
+        self._waiter: Callable[[], object] | None = None
 
     def set(self) -> None:
         """Wakes the task in the next iteration."""
--- a/ochrehoist/net/peer_log.py
+++ b/ochrehoist/net/peer_log.py
@@ -1,7 +1,6 @@
 """Log events about the fleet: each change of a member, a service, or of this worker's own place in it."""
 
-from typing import Any
-
+from ochrehoist.core.protocols import Logger
 from ochrehoist.peers.group import Group
 from ochrehoist.peers.outlier_detection import EjectionState
 from ochrehoist.peers.wire import MemberState
@@ -10,7 +9,7 @@
 class PeerEventLog:
     """Compares a group with how it was seen last, and logs what has changed."""
 
-    def __init__(self, log: Any) -> None:
+    def __init__(self, log: Logger) -> None:
         self._log = log
         self._isolated = False
         self._has_duplicate = False
--- a/ochrehoist/net/peer_transport.py
+++ b/ochrehoist/net/peer_transport.py
@@ -7,6 +7,7 @@
 from collections.abc import Callable, Iterable
 from typing import Any, Protocol
 
+from ochrehoist.core.protocols import Logger
 from ochrehoist.net.loop import Loop
 from ochrehoist.net.peer_settings import Address, format_address, parse_address
 from ochrehoist.peers.outbound import OutgoingMessage
@@ -75,7 +76,7 @@
         secrets: tuple[bytes, ...],
         on_opened: Callable[[], None],
         on_message: Callable[[Message, str], None],
-        log: Any,
+        log: Logger,
         open_socket: Callable[[Address], DatagramSocket] = open_datagram_socket,
     ) -> None:
         self.secrets = secrets  # the first one signs; any of them is believed
--- a/ochrehoist/net/peers.py
+++ b/ochrehoist/net/peers.py
@@ -10,6 +10,7 @@
 from ochrehoist.admission.settings import Tenant
 from ochrehoist.config.schema import BudgetKind, Config, PeersConfig
 from ochrehoist.core.actor import CoreActor
+from ochrehoist.core.protocols import Logger
 from ochrehoist.core.request import InboundRequest
 from ochrehoist.core.tenants import TenantTable
 from ochrehoist.errors import OchrehoistError
@@ -101,7 +102,7 @@
         loop: Loop,
         core: CoreActor,
         config: Config,
-        log: Any,
+        log: Logger,
         open_socket: Callable[[Address], DatagramSocket] = open_datagram_socket,
     ) -> None:
         if config.peers is None:
--- a/ochrehoist/net/process_shutdown.py
+++ b/ochrehoist/net/process_shutdown.py
@@ -2,7 +2,7 @@
 
 import time
 from collections.abc import Callable, Collection, Mapping, Sequence
-from typing import Any, Protocol
+from typing import Protocol
 
 from ochrehoist.core.actor import CoreActor
 from ochrehoist.core.forwarder import Forwarder
@@ -144,7 +144,7 @@
     def _has_connections(self) -> bool:
         return any(front.connections for front in self._fronts)
 
-    def _open_connections(self) -> list[Any]:
+    def _open_connections(self) -> list[FrontConnection]:
         return [connection for front in self._fronts for connection in front.connections]
 
     def _close_all(self) -> None:
--- a/ochrehoist/net/recovery.py
+++ b/ochrehoist/net/recovery.py
@@ -10,6 +10,7 @@
 from ochrehoist.config.schema import RecoveryConfig, StateConfig
 from ochrehoist.core.actor import CoreActor
 from ochrehoist.core.metrics import RequestCounter, format_samples
+from ochrehoist.core.protocols import Logger
 from ochrehoist.core.request import InboundRequest
 from ochrehoist.net.blocking_calls import BlockingCallThread
 from ochrehoist.net.intent_replication import NS_PER_S, IntentReplicationService, ReplicatedJournal
@@ -40,7 +41,7 @@
         journal: ReplicatedJournal | None,
         peers: Peers | None,
         servers: AjpServers | None,
-        log: Any,
+        log: Logger,
     ) -> None:
         self._loop = loop
         self._core = core
--- a/ochrehoist/net/self_monitoring.py
+++ b/ochrehoist/net/self_monitoring.py
@@ -14,6 +14,7 @@
 
 from ochrehoist.core.actor import CoreActor
 from ochrehoist.core.metrics import RequestCounter, format_samples
+from ochrehoist.core.protocols import Logger
 from ochrehoist.net.ajp_front import AjpFront
 from ochrehoist.net.loop import Loop
 from ochrehoist.net.thrift_front import ThriftFront
@@ -39,7 +40,7 @@
         core: CoreActor,
         control: OverloadControl,
         fronts: Sequence[ThriftFront | AjpFront],
-        log: Any,
+        log: Logger,
     ) -> None:
         self.control = control
         self._loop = loop
--- a/ochrehoist/net/sites.py
+++ b/ochrehoist/net/sites.py
@@ -13,6 +13,7 @@
 from ochrehoist.core.actor import CoreActor
 from ochrehoist.core.messages import StandbyChanged
 from ochrehoist.core.metrics import format_samples
+from ochrehoist.core.protocols import Logger
 from ochrehoist.core.tenants import TenantTable
 from ochrehoist.net.loop import Loop
 from ochrehoist.net.operator_server import Answer, json_answer
@@ -58,7 +59,7 @@
         config: SitesConfig,
         peers: Peers,
         cold_start: bool,
-        log: Any,
+        log: Logger,
     ) -> None:
         self._loop = loop
         self._core = core
