--- a/ochrehoist/net/kernel_link.py
+++ b/ochrehoist/net/kernel_link.py
@@ -24,7 +24,6 @@
     KernelLogged,
     MalformedNoticeError,
     MalformedResultError,
-    RunEnd,
     RunEnded,
     UnknownNotice,
     open_command,
@@ -129,7 +128,6 @@
         self._requery_pending = False
         self._handlers: dict[type, Callable[[Any], None]] = {
             GaugesReported: self._handle_gauges,
-            RunEnded: self._handle_run_ended,
             KernelLogged: self._handle_logged,
             CommandRejected: self._handle_rejected,
             UnknownNotice: self._handle_unknown,
@@ -251,7 +249,7 @@
     def _fail_unknown(self, run: KernelRun) -> None:
         if run.outcome_unknown and self._runs.is_open(run):
             duration_ns = int(UNKNOWN_OUTCOME_TIMEOUT_S * NS_PER_S)
-            self._end_run(RunEnd(run.request.id, RunResult(Outcome.FAILED), duration_ns))
+            self._end_run(RunCompleted(run.request.id, RunResult(Outcome.FAILED), duration_ns))
 
     def _receive_notices(self, stream: Stream) -> None:
         stream.write(open_command(self._offset))
@@ -263,7 +261,9 @@
             line = stream.read_line(MAX_LINE_BYTES, deadline_s)
             try:
                 notice = parse_notice(line)
-                if isinstance(notice, KernelBooted):
+                if isinstance(notice, RunEnded):
+                    self._handle_run_ended(notice)
+                elif isinstance(notice, KernelBooted):
                     self._handle_booted(notice, stream)
                 else:
                     self._handlers[type(notice)](notice)
@@ -298,7 +298,7 @@
 
     def _send_or_drop(self, stream: Stream, run: KernelRun) -> None:
         if run.request.answered:  # nobody waits for it any more
-            self._end_run(RunEnd(run.request.id, RunResult(Outcome.NOT_STARTED), 0))
+            self._end_run(RunCompleted(run.request.id, RunResult(Outcome.NOT_STARTED), 0))
         else:
             self._schedule(stream, run)
 
@@ -348,23 +348,24 @@
         if not self._is_new(notice.offset):
             return
         try:
-            end = notice.run_end()
-        except MalformedResultError:
+            completed = notice.run_completed()
+        except MalformedResultError as error:
             if self._skipped_offset != self._offset:
                 raise
-            end = RunEnd(notice.request_id, RunResult(Outcome.FAILED), 0)  # repeated, and no better
+            # It was repeated, and is no better.
+            completed = RunCompleted(error.request_id, RunResult(Outcome.FAILED), 0)
         self._offset = notice.offset  # one that can't be read does not count as received: it is repeated
-        self._end_run(end)
+        self._end_run(completed)
 
     def _handle_rejected(self, notice: CommandRejected) -> None:
         # A request that the kernel was never given: some client's invention, and nothing was begun.
         self._log.warning("kernel_command_rejected", command=notice.command, id=notice.request_id)
         if notice.request_id is not None:
-            self._end_run(RunEnd(notice.request_id, RunResult(Outcome.NOT_STARTED), 0))
+            self._end_run(RunCompleted(notice.request_id, RunResult(Outcome.NOT_STARTED), 0))
 
     def _handle_unknown(self, notice: UnknownNotice) -> None:
         self._log.warning("kernel_notice_unknown", command=notice.command)
 
-    def _end_run(self, end: RunEnd) -> None:
-        if self._runs.end(end.request_id) is not None:
-            self._core.post(RunCompleted(end.request_id, end.result, end.duration_ns))
+    def _end_run(self, completed: RunCompleted) -> None:
+        if self._runs.end(completed.id) is not None:
+            self._core.post(completed)
--- a/ochrehoist/net/kernel_protocol.py
+++ b/ochrehoist/net/kernel_protocol.py
@@ -7,6 +7,7 @@
 from typing import Any, NamedTuple
 
 from ochrehoist.admission.events import Outcome
+from ochrehoist.core.messages import RunCompleted
 from ochrehoist.core.results import RunResult
 from ochrehoist.core.units import NS_PER_MS
 from ochrehoist.errors import OchrehoistError
@@ -28,15 +29,11 @@
 
 
 class MalformedResultError(MalformedNoticeError):
-    """The notice says that a run has ended, but its result can't be read."""
+    """The notice says that the run of a request has ended, but its result can't be read."""
 
-
-class RunEnd(NamedTuple):
-    """How a run ended; `duration_ns` is by the kernel's clock."""
-
-    request_id: str
-    result: RunResult
-    duration_ns: int
+    def __init__(self, cause: Exception, request_id: str) -> None:
+        super().__init__(cause)
+        self.request_id = request_id
 
 
 class KernelBooted(NamedTuple):
@@ -59,29 +56,25 @@
     offset: int
     fields: Mapping[str, Any]
 
-    @property
-    def request_id(self) -> str:
-        """Raises MalformedNoticeError."""
-        try:
-            request_id: str = self.fields["req"]
-        except KeyError as error:
-            raise MalformedNoticeError(error) from None
-        return request_id
+    def run_completed(self) -> RunCompleted:
+        """What it says, with the duration by the kernel's clock.
 
-    def run_end(self) -> RunEnd:
-        """Raises MalformedResultError where body or duration can't be read, else MalformedNoticeError."""
+        Raises:
+            MalformedResultError: body or duration can't be read.
+            MalformedNoticeError: another field can't be read.
+        """
         fields = self.fields
-        request_id = self.request_id
-        try:
-            body = base64.b64decode(fields.get("payload") or "", validate=True)
-            duration_ns = int(fields.get("elapsed_ms", 0) * NS_PER_MS)
-        except (ValueError, TypeError) as error:
-            raise MalformedResultError(error) from None
         try:
+            request_id = fields["req"]
+            try:
+                body = base64.b64decode(fields.get("payload") or "", validate=True)
+                duration_ns = int(fields.get("elapsed_ms", 0) * NS_PER_MS)
+            except (ValueError, TypeError) as error:
+                raise MalformedResultError(error, request_id) from None
             outcome = OUTCOMES.get(fields["result"], Outcome.FAILED)
         except (KeyError, TypeError) as error:
             raise MalformedNoticeError(error) from None
-        return RunEnd(request_id, RunResult(outcome, body), duration_ns)
+        return RunCompleted(request_id, RunResult(outcome, body), duration_ns)
 
 
 class KernelLogged(NamedTuple):
