--- a/ochrehoist/app/worker.py
+++ b/ochrehoist/app/worker.py
@@ -10,7 +10,6 @@
 from ochrehoist.config.schema import Config
 from ochrehoist.core.metrics import RequestCounter
 from ochrehoist.errors import InvalidInputError
-from ochrehoist.net.operator_server import OperatorServer
 from ochrehoist.net.process_shutdown import ProcessShutdown
 
 if TYPE_CHECKING:
@@ -78,7 +77,7 @@
     def _announce_listeners(self) -> None:
         for listener in self.parts.listeners:
             address = listener.acceptor.address
-            if isinstance(listener, OperatorServer) and address not in self.parts.inherited_addresses:
+            if listener is self.parts.operators and address not in self.parts.inherited_addresses:
                 listener.acceptor.start()  # it says from the start that the worker is not ready
             self.parts.log.info("started", part=listener.PART_NAME, listen=address)
 
--- a/ochrehoist/net/ajp_connection.py
+++ b/ochrehoist/net/ajp_connection.py
@@ -7,7 +7,7 @@
 
 from ochrehoist.admission.events import Outcome
 from ochrehoist.admission.settings import RequestClass
-from ochrehoist.config.schema import AjpConfig
+from ochrehoist.config.tables import AjpConfig
 from ochrehoist.core.messages import CallerDisconnected, RequestArrived
 from ochrehoist.core.metrics import RequestCounter
 from ochrehoist.core.protocols import Logger
--- a/ochrehoist/net/ajp_front.py
+++ b/ochrehoist/net/ajp_front.py
@@ -5,7 +5,7 @@
 from enum import IntEnum
 
 from ochrehoist.admission.settings import AdmissionSettings
-from ochrehoist.config.schema import AjpConfig
+from ochrehoist.config.tables import AjpConfig
 from ochrehoist.core.actor import CoreActor
 from ochrehoist.core.protocols import AdmissionFilter, Executor, Logger
 from ochrehoist.net.ajp_connection import AjpConnection
--- a/ochrehoist/net/ajp_reader.py
+++ b/ochrehoist/net/ajp_reader.py
@@ -10,7 +10,7 @@
 from zlib import crc32
 
 from ochrehoist.admission.settings import AdmissionSettings, Idempotency, RequestClass
-from ochrehoist.config.schema import AjpConfig
+from ochrehoist.config.tables import AjpConfig
 from ochrehoist.core.actor import CoreActor
 from ochrehoist.core.protocols import Executor, Responder
 from ochrehoist.core.request import InboundRequest
--- a/ochrehoist/net/ajp_server.py
+++ b/ochrehoist/net/ajp_server.py
@@ -13,7 +13,7 @@
 from typing import NamedTuple, Protocol
 
 from ochrehoist.admission.events import Outcome
-from ochrehoist.config.schema import AjpConfig, AjpServer
+from ochrehoist.config.tables import AjpConfig, AjpServer
 from ochrehoist.core.actor import CoreActor
 from ochrehoist.core.messages import GaugesMeasured, RunCompleted
 from ochrehoist.core.protocols import Logger
--- a/ochrehoist/net/peers.py
+++ b/ochrehoist/net/peers.py
@@ -5,10 +5,11 @@
 import time
 from collections.abc import Callable, Generator, Mapping
 from dataclasses import dataclass
-from typing import Any, cast
+from typing import TYPE_CHECKING, Any, cast
 
 from ochrehoist.admission.settings import Tenant
-from ochrehoist.config.schema import BudgetKind, Config, PeersConfig
+from ochrehoist.config.schema import Config
+from ochrehoist.config.tables import BudgetKind, PeersConfig
 from ochrehoist.core.actor import CoreActor
 from ochrehoist.core.protocols import Logger
 from ochrehoist.core.request import InboundRequest
@@ -24,6 +25,9 @@
 from ochrehoist.peers.status_view import status_view
 from ochrehoist.peers.wire import HealthStatus, Incarnation, Message
 
+if TYPE_CHECKING:
+    from ochrehoist.net.ajp_server import CallOutcome
+
 TICK_S = 0.05
 MAX_BOOT_ID_BITS = 62
 NS_PER_MS = 1_000_000
@@ -253,12 +257,12 @@
         self.group.outliers.call_started(server, self._last_ticket, request_class, now)
         return self._last_ticket
 
-    def end_call(self, ticket: int, status: str) -> None:
-        """The call of this ticket has ended; `status` is a value of HealthStatus."""
+    def end_call(self, ticket: int, outcome: "CallOutcome") -> None:
+        """The call of this ticket has ended."""
         call = self._calls.pop(ticket)
         if call.budget is not None and call.budget_ticket is not None:
             self.group.leases.release(call.budget, call.budget_ticket)
-        self.group.outliers.call_completed(call.server, ticket, HealthStatus(status), time.monotonic())
+        self.group.outliers.call_completed(call.server, ticket, HealthStatus(outcome), time.monotonic())
 
     def max_call_s(self, server: str) -> float | None:
         """How long a run at this server may take (s), where a budget of concurrent runs rests on it."""
