--- a/benchmarks/requests/flood_load.py
+++ b/benchmarks/requests/flood_load.py
@@ -62,7 +62,7 @@
         self.buffer += data
         latencies_s = []
         while (frame := self._next_frame()) is not None:
-            latencies_s.append(time.monotonic() - self.sent_at.pop(thrift.parse(frame).seqid))
+            latencies_s.append(time.monotonic() - self.sent_at.pop(thrift.parse_message(frame).seqid))
         return latencies_s
 
     def _next_frame(self) -> bytes | None:
@@ -88,11 +88,13 @@
         "prio": "0.5",
         "obj": f"{request_number % KEYS:x}",
     }
-    packed = thrift.strings({name.encode(): value.encode() for name, value in values.items()})
+    packed = thrift.encode_string_map({name.encode(): value.encode() for name, value in values.items()})
     arguments = (
-        thrift.field(thrift.MAP, 1, packed) + thrift.field(thrift.STRING, 2, thrift.string(b"x")) + thrift.END
+        thrift.encode_field(thrift.MAP, 1, packed)
+        + thrift.encode_field(thrift.STRING, 2, thrift.encode_string(b"x"))
+        + thrift.STRUCT_END
     )
-    return thrift.message(thrift.CALL, b"invoke", seqid, arguments)
+    return thrift.encode_message(thrift.CALL, b"invoke", seqid, arguments)
 
 
 def run_router(
--- a/benchmarks/scaling/connection_probes.py
+++ b/benchmarks/scaling/connection_probes.py
@@ -8,6 +8,8 @@
 from functools import partial
 from pathlib import Path
 
+import structlog
+
 from benchmarks.scaling.admission_probes import ALL_TENANTS
 from benchmarks.scaling.probe import Limit, Measures, Probe
 from benchmarks.scaling.timing import cpu_us, with_memory_growth
@@ -40,7 +42,7 @@
 def loop_turn_by_descriptors(size: int, seed: int) -> Measures:  # noqa: ARG001 - every probe gets a seed
     """A turn of the loop in which one of so many connections asks and is answered."""
     raise_descriptor_limit()
-    loop = Loop(None)
+    loop = Loop(structlog.get_logger())
     streams, streams_bytes = with_memory_growth(lambda: _open_echoing_streams(loop, size))
     near, far = socket.socketpair()
     far.setblocking(True)
@@ -135,7 +137,7 @@
 def _echo(stream: Stream) -> None:
     with suppress(ConnectionClosedError):
         while True:
-            stream.fill()
+            stream.read_more()
             stream.write(bytes(stream.buffer))
             stream.buffer.clear()
 
--- a/ochrehoist/app/inherited_sockets.py
+++ b/ochrehoist/app/inherited_sockets.py
@@ -2,23 +2,25 @@
 
 import socket
 from collections.abc import Mapping, Sequence
-from typing import Any, Protocol
+from typing import Protocol
 
 from ochrehoist.config.values import Address
-from ochrehoist.net.link import predecessors_sockets
+from ochrehoist.net.handover_link import receive_listening_sockets
+from ochrehoist.net.listener import Acceptor
 
 
 class Listener(Protocol):
     """A front, the agent check or the operators' address."""
 
-    listening: Any
+    PART_NAME: str
+    acceptor: Acceptor
 
 
 class InheritedSockets:
     """Listening sockets that the process before this one has handed over, by address."""
 
     def __init__(self, handover_path: str | None) -> None:
-        sockets = predecessors_sockets(handover_path) if handover_path else None
+        sockets = receive_listening_sockets(handover_path) if handover_path else None
         self.replaces_process = sockets is not None
         self._sockets: Mapping[Address, socket.socket] = sockets or {}
 
@@ -32,7 +34,7 @@
         What waits in the queue of an unused one is for the process that listens there.
         """
         inherited = set(self._sockets.values())
-        used = {listener.listening.address for listener in listeners if listener.listening.sock in inherited}
+        used = {listener.acceptor.address for listener in listeners if listener.acceptor.sock in inherited}
         for address, sock in self._sockets.items():
             if address not in used:
                 sock.close()
--- a/ochrehoist/lab/hollow/worker.py
+++ b/ochrehoist/lab/hollow/worker.py
@@ -19,12 +19,12 @@
 from ochrehoist.core.metrics import RequestCounter
 from ochrehoist.lab.hollow.network import PartitionedNetwork, PartitionedSocket
 from ochrehoist.lab.hollow.protocol import Address, MemberIntroduction, WorkerSample
-from ochrehoist.net.ajp_front import AjpReader
-from ochrehoist.net.ajp_server import AjpServers
+from ochrehoist.net.ajp_reader import AjpReader
+from ochrehoist.net.ajp_server import AjpServers, CallOutcome
 from ochrehoist.net.loop import Loop, Signal, steady_clock
 from ochrehoist.net.peer_transport import open_datagram_socket
 from ochrehoist.net.peers import TICK_S, Peers
-from ochrehoist.peers.wire import CounterSnapshot, HealthStatus, Incarnation, MemberState, MemberUpdate
+from ochrehoist.peers.wire import CounterSnapshot, Incarnation, MemberState, MemberUpdate
 
 BYTES_PER_MB = 1e6
 MEASURED_TICKS = 256  # of the admission controller, whose cost is kept
@@ -193,15 +193,15 @@
             tenant=self._random.choice(settings.tenants).name if settings.tenants else None,
         )
         self.peers.request_arrived(request)
-        server = self.peers.order({})[0]
-        ticket = self.peers.began(server, request.request_class.name)
+        server = self.peers.rank_servers({})[0]
+        ticket = self.peers.begin_call(server, request.request_class.name)
         self._loop.call_later(SIMULATED_RUN_S, lambda: self._complete_request(request, ticket))
         next_s = interval_s * self._random.uniform(0.5, 1.5)
         self._loop.call_later(next_s, lambda: self._simulate_requests(interval_s))
 
     def _complete_request(self, request: Any, ticket: int | None) -> None:
         if ticket is not None:
-            self.peers.ended(ticket, HealthStatus.OK)
+            self.peers.end_call(ticket, CallOutcome.OK)
         self.peers.request_answered(request, RequestCounter.ANSWERED, 0)
 
     # What others learn of it, and it of others.
--- a/tests/lab/test_site_scenarios.py
+++ b/tests/lab/test_site_scenarios.py
@@ -11,7 +11,7 @@
 
 from ochrehoist.lab.play import Play
 from ochrehoist.lab.scenario import parse
-from ochrehoist.net.operators import ask
+from ochrehoist.net.operator_server import call_operator_api
 from tests.support.environment import ROOT
 from tests.support.worker_process import WorkerProcess, run_command
 
@@ -132,9 +132,9 @@
     def test_operators_see_sites_and_call_by_name(self):
         p = self.worker({})
         for site, yes in (("nowhere", False), ("a", True)):
-            good, text = ask(p.addresses["Operators"], "POST", f"/sites/evacuate/{site}")
+            good, text = call_operator_api(p.addresses["Operators"], "POST", f"/sites/evacuate/{site}")
             self.assertEqual(good, yes, text)
-        _, body = ask(p.addresses["Operators"], "GET", "/status")
+        _, body = call_operator_api(p.addresses["Operators"], "GET", "/status")
         view = json.loads(body)["sites"]
         self.assertEqual((view["site"], view["orders"]["a"]["word"]), ("a", "evacuate"))
         self.assertIsNone(view["leaving"])  # nobody else is there: it goes on
