--- a/tests/store/test_store_disk.py
+++ b/tests/store/test_store_disk.py
@@ -361,7 +361,7 @@
         db = self.under(fails)
         record = filing(1)
         for room in range(1, 6):
-            full[:] = [self.bad.done + room]
+            full[:] = [self.bad.operations + room]
             big = PutResult(encode_key(filing(2).idempotency_key), ResultRecord("OK", True, bytes(30_000)))
             with self.assertRaises(StoreFailedError) as failed:
                 db.commit([PutIntent(record.request_id, encode_key(record.idempotency_key), record), big])
