--- a/ochrehoist/capture/recorder.py
+++ b/ochrehoist/capture/recorder.py
@@ -31,12 +31,18 @@
 FINAL_FLUSH_S = 1.0  # the longest that the last writes are waited for
 FOLDER_MODE = 0o700
 SALT_BITS = 64
+OUTCOMES = {  # by the counter of the request, None where its caller disconnected; all others are failures
+    RequestCounter.ANSWERED: RequestOutcome.SERVED,
+    RequestCounter.REJECTED: RequestOutcome.REJECTED,
+    None: RequestOutcome.CALLER_GONE,
+}
 
 
 class OpenRequest(msgspec.Struct, gc=False):
     """A sampled request that is not answered yet, and the load when it came."""
 
     request: InboundRequest
+    subject: bytes | None  # what it is about, as its caller names it
     read_at_ns: int  # by the core's clock
     running_requests: int
     queued_requests: int
@@ -85,10 +91,11 @@
         if subject is not None and not self._sampler.includes(subject):
             return
         controller = self._owner.controller
-        running, queued = (
-            (0, 0) if controller is None else (controller.concurrency.running, len(controller.queue.jobs))
-        )
-        self._open_requests[request.id] = OpenRequest(request, self._owner.now_ns, running, queued)
+        running = queued = 0
+        if controller is not None:
+            running = controller.concurrency.running
+            queued = len(controller.queue.jobs)
+        self._open_requests[request.id] = OpenRequest(request, subject, self._owner.now_ns, running, queued)
 
     def request_answered(
         self, request: InboundRequest, counter: RequestCounter | None, retry_after_ns: int
@@ -98,14 +105,16 @@
         if opened is None or opened.request is not request:  # not sampled, or it has the id of another
             return
         del self._open_requests[request.id]
-        self._waiting.append(self._record(opened, _outcome(counter), retry_after_ns))
+        self._waiting.append(self._record(opened, counter, retry_after_ns))
         if self._batches.is_full(len(self._waiting)):
             self._flush()
 
-    def _record(self, opened: OpenRequest, outcome: RequestOutcome, retry_after_ns: int) -> RequestRecord:
+    def _record(
+        self, opened: OpenRequest, counter: RequestCounter | None, retry_after_ns: int
+    ) -> RequestRecord:
         request, now_ns = opened.request, self._owner.now_ns
         started_ns = request.started_ns
-        subject = _subject(request)
+        subject = opened.subject
         front, address = request.responder.origin()
         return RequestRecord(  # by position, which costs less for each request
             max(0, request.arrived_ns - self._started_unix_ns),
@@ -117,7 +126,7 @@
             request.caller,
             address,
             request.is_retry,
-            outcome,
+            OUTCOMES.get(counter, RequestOutcome.FAILED),
             max(0, opened.read_at_ns - request.arrived_ns),  # read_delay_ns
             started_ns - opened.read_at_ns if started_ns else UNKNOWN_SPAN_NS,  # queue_ns
             now_ns - started_ns if started_ns else UNKNOWN_SPAN_NS,  # run_ns
@@ -224,12 +233,3 @@
     """What a request is about, as its caller names it."""
     subject = request.idempotency_key[2] if request.idempotency_key else request.routing_key
     return None if subject is None else subject.encode()
-
-
-def _outcome(counter: RequestCounter | None) -> RequestOutcome:
-    """The outcome by the counter of the request; None: its caller disconnected."""
-    if counter is None:
-        return RequestOutcome.CALLER_GONE
-    if counter == RequestCounter.ANSWERED:
-        return RequestOutcome.SERVED
-    return RequestOutcome.REJECTED if counter == RequestCounter.REJECTED else RequestOutcome.FAILED
