--- a/ochrehoist/store/database.py
+++ b/ochrehoist/store/database.py
@@ -201,7 +201,7 @@
             return
         placeholders = f"({', '.join('?' * len(keys))})"
         delete_intents = f"DELETE FROM begun WHERE key IN {placeholders} RETURNING data"
-        deleted = cast(list[tuple[bytes]], self.connection.execute(delete_intents, keys).fetchall())
+        deleted = cast("list[tuple[bytes]]", self.connection.execute(delete_intents, keys).fetchall())
         for (data,) in deleted:
             self.summary = self.summary.without_intent(stored_checksum(data))
         self.connection.execute(f"DELETE FROM finished WHERE key IN {placeholders}", keys)
--- a/ochrehoist/store/operations.py
+++ b/ochrehoist/store/operations.py
@@ -1,7 +1,7 @@
 """Operations on the store, and what a group of them amounts to. No I/O."""
 
 from collections.abc import Iterable
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 
 from ochrehoist.store.records import IntentRecord, NamedRecord, ResultRecord
 
@@ -63,20 +63,24 @@
 class NetChanges:
     """What a group of operations amounts to: one change for each key, one record for each name."""
 
-    by_key: dict[bytes, KeyChange] = field(default_factory=dict)
-    named: dict[str, NamedRecord] = field(default_factory=dict)
+    by_key: dict[bytes, KeyChange]
+    named: dict[str, NamedRecord]
 
 
 def coalesce(operations: Iterable[Operation]) -> NetChanges:
     """The changes that leave the store as it would be after all operations in their order."""
-    changes = NetChanges()
+    by_key: dict[bytes, KeyChange] = {}
+    named: dict[str, NamedRecord] = {}
     for operation in operations:
         if isinstance(operation, PutNamed):
-            changes.named[operation.name] = operation.record
+            named[operation.name] = operation.record
         elif isinstance(operation, PutResult):
-            changes.by_key.setdefault(operation.key, KeyChange()).result = operation.record
+            change = by_key.get(operation.key)
+            if change is None:
+                change = by_key[operation.key] = KeyChange()
+            change.result = operation.record
         elif isinstance(operation, PutIntent):
-            changes.by_key[operation.key] = KeyChange(True, operation.record)
+            by_key[operation.key] = KeyChange(True, operation.record)
         else:
-            changes.by_key[operation.key] = KeyChange(True)
-    return changes
+            by_key[operation.key] = KeyChange(True)
+    return NetChanges(by_key, named)
