--- a/ochrehoist/admission/learned_state.py
+++ b/ochrehoist/admission/learned_state.py
@@ -136,15 +136,20 @@
     return value
 
 
+def _numbers(values: list[Any]) -> list[float]:
+    """As `_number`, of many at once."""
+    if set(map(type, values)) <= {int, float} and all(map(math.isfinite, values)):
+        return list(values)
+    return [_number(value) for value in values]
+
+
 def _restore_curve(controller: AdmissionController, data: Snapshot) -> None:
     """Takes the curve over where it is of the same cores and the same maximum."""
     curve = controller.curve
     cores, max_concurrency, peak, observed_s, completions = data["curve"]
     same = (cores, max_concurrency) == (controller.settings.cores, curve.max_concurrency)
     if same and len(observed_s) == len(curve.observed_s) == len(completions):
-        curve.restore(
-            _number(peak), [_number(value) for value in observed_s], [_number(v) for v in completions]
-        )
+        curve.restore(_number(peak), _numbers(observed_s), _numbers(completions))
         controller.policy.restore_floor(int(data["floor"]))
 
 
--- a/ochrehoist/admission/mpl_policy.py
+++ b/ochrehoist/admission/mpl_policy.py
@@ -32,7 +32,8 @@
 
     `rates[n]` is the service rate with n running, for n up to `max_running` + 1.
     """
-    share = zero_size_share
+    one_more, two_more = 1 - zero_size_share, (1 - zero_size_share) ** 2
+    both_zero = zero_size_share * zero_size_share
     costs = [_costs_without_queue(rates, max_running)]
     table = [[START_NONE] * (max_running + 1)]
     for queued in range(1, max_queued + 1):
@@ -40,15 +41,16 @@
         after_two = costs[queued - 2]  # read from two queued on
         row_costs = [0.0] * (max_running + 1)
         row = [START_ONE] * (max_running + 1)
-        for running in range(1, max_running + 1):
-            jobs = queued + running - 1
-            choices = [(jobs / rates[running] * (1 - share) + after_one[running], START_ONE)]
-            if running > 1:
-                choices.append((jobs / rates[running - 1] + row_costs[running - 1], START_NONE))
+        # `jobs` are those in the system beside the one started; of equal costs fewer starts are taken.
+        for running, jobs in enumerate(range(queued, queued + max_running), start=1):
+            cost = jobs / rates[running] * one_more + after_one[running]
             if queued > 1 and running < max_running:
-                remaining = (1 - share * share) * after_two[running + 1] + share * share * after_two[running]
-                choices.append(((1 - share) ** 2 * jobs / rates[running + 1] + remaining, START_TWO))
-            row_costs[running], row[running] = min(choices)
+                remaining = (1 - both_zero) * after_two[running + 1] + both_zero * after_two[running]
+                if (two_cost := two_more * jobs / rates[running + 1] + remaining) < cost:
+                    cost, row[running] = two_cost, START_TWO
+            if running > 1 and (none_cost := jobs / rates[running - 1] + row_costs[running - 1]) <= cost:
+                cost, row[running] = none_cost, START_NONE
+            row_costs[running] = cost
         costs.append(row_costs)
         table.append(row)
     return table
