--- a/ochrehoist/admission/arrivals.py
+++ b/ochrehoist/admission/arrivals.py
@@ -4,7 +4,8 @@
 
 from ochrehoist.admission.decaying_mean import DecayingMean
 from ochrehoist.admission.events import RequestReceived
-from ochrehoist.admission.timing import NS_PER_S, TICK_INTERVAL_NS
+from ochrehoist.admission.timing import TICK_INTERVAL_NS
+from ochrehoist.units import NS_PER_S
 
 RATE_MEMORY_S = 5.0
 DECAY_PER_TICK = exp(-TICK_INTERVAL_NS / NS_PER_S / RATE_MEMORY_S)
--- a/ochrehoist/admission/backpressure.py
+++ b/ochrehoist/admission/backpressure.py
@@ -8,7 +8,8 @@
 from ochrehoist.admission.concurrency import ConcurrencyTracker
 from ochrehoist.admission.mpl_policy import MplPolicy
 from ochrehoist.admission.settings import AdmissionSettings, BackpressureSignal
-from ochrehoist.admission.timing import NS_PER_S, TICK_INTERVAL_NS
+from ochrehoist.admission.timing import TICK_INTERVAL_NS
+from ochrehoist.units import NS_PER_S
 
 TARGET_LATENCY_SHARE = (
     0.5  # of the mean objective that requests may spend here before callers should send less
--- a/ochrehoist/admission/caller_activity.py
+++ b/ochrehoist/admission/caller_activity.py
@@ -8,7 +8,7 @@
 from typing import NamedTuple
 
 from ochrehoist.admission.job import Job
-from ochrehoist.admission.timing import NS_PER_S
+from ochrehoist.units import NS_PER_S
 
 CALLER_MEMORY_NS = 10.0 * NS_PER_S  # a caller counts as sending to us for so long after its last request
 CANCELLATIONS_KEPT = 12  # by caller, the newest
--- a/ochrehoist/admission/decaying_mean.py
+++ b/ochrehoist/admission/decaying_mean.py
@@ -2,7 +2,7 @@
 
 from math import exp
 
-from ochrehoist.admission.timing import NS_PER_S
+from ochrehoist.units import NS_PER_S
 
 
 class DecayingMean:
--- a/ochrehoist/admission/load_shedding.py
+++ b/ochrehoist/admission/load_shedding.py
@@ -12,7 +12,7 @@
 from ochrehoist.admission.run_time import RunTimeModel, contention
 from ochrehoist.admission.settings import AdmissionSettings
 from ochrehoist.admission.tenant_activity import ActivityTracker
-from ochrehoist.admission.timing import NS_PER_S
+from ochrehoist.units import NS_PER_S
 
 SAFETY_FACTOR = 1.4  # mean run times left before the objective of what is started: three in four end in time
 RETRY_AFTER_SHARE = 0.25  # of its objective that a rejected request waits at most: later retries end too late
--- a/ochrehoist/admission/mpl_policy.py
+++ b/ochrehoist/admission/mpl_policy.py
@@ -11,7 +11,7 @@
 """
 
 from ochrehoist.admission.service_rate import ServiceRateCurve
-from ochrehoist.admission.timing import NS_PER_S
+from ochrehoist.units import NS_PER_S
 
 # Entries of the table: starts beyond the one that keeps K.
 START_NONE = -1
--- a/ochrehoist/admission/request_queue.py
+++ b/ochrehoist/admission/request_queue.py
@@ -5,7 +5,7 @@
 from ochrehoist.admission.concurrency import ConcurrencyTracker
 from ochrehoist.admission.job import Job
 from ochrehoist.admission.priority import PriorityModel
-from ochrehoist.admission.timing import NS_PER_S
+from ochrehoist.units import NS_PER_S
 
 SHORT_QUEUE = 8  # requests; a queue up to this length is evaluated as a whole at every event
 EVALUATION_INTERVAL_NS = NS_PER_S // 200  # between two evaluations of a longer queue as a whole
--- a/ochrehoist/admission/run_observer.py
+++ b/ochrehoist/admission/run_observer.py
@@ -7,7 +7,7 @@
 from ochrehoist.admission.mpl_policy import MplPolicy
 from ochrehoist.admission.run_time import RunTimeModel, contention
 from ochrehoist.admission.service_rate import ServiceRateCurve
-from ochrehoist.admission.timing import NS_PER_S
+from ochrehoist.units import NS_PER_S
 
 
 class RunObserver:
--- a/ochrehoist/admission/service_rate.py
+++ b/ochrehoist/admission/service_rate.py
@@ -3,7 +3,8 @@
 from math import exp
 
 from ochrehoist.admission.settings import AdmissionSettings
-from ochrehoist.admission.timing import MEMORY_S, NS_PER_S
+from ochrehoist.admission.timing import MEMORY_S
+from ochrehoist.units import NS_PER_S
 
 SURVIVABLE_SHARE = 0.8  # of the concurrency at which the instance collapses; returns from calls come on top
 FIRST_RUN_SHARE = 4  # a run is taken to last 1/4 of the mean objective until one was seen
--- a/ochrehoist/admission/tenant_activity.py
+++ b/ochrehoist/admission/tenant_activity.py
@@ -9,7 +9,8 @@
 from typing import NamedTuple
 
 from ochrehoist.admission.settings import AdmissionSettings, Tenant
-from ochrehoist.admission.timing import MEMORY_S, NS_PER_S, TICK_INTERVAL_NS
+from ochrehoist.admission.timing import MEMORY_S, TICK_INTERVAL_NS
+from ochrehoist.units import NS_PER_S
 
 TICK_DECAY = exp(-TICK_INTERVAL_NS / NS_PER_S / MEMORY_S)  # what a tick leaves of a count
 MIN_COUNT = 0.1  # a count of requests falls no further
--- a/ochrehoist/admission/timing.py
+++ b/ochrehoist/admission/timing.py
@@ -1,5 +1,6 @@
-"""The units and periods that all parts of the decisions share."""
+"""The periods that all parts of the decisions share."""
+
+from ochrehoist.units import NS_PER_S
 
-NS_PER_S = 1_000_000_000
 TICK_INTERVAL_NS = NS_PER_S // 10  # between two checks of deadlines, backpressure and health
 MEMORY_S = 20.0  # after which an observation counts for 1/e
--- a/ochrehoist/capture/writer.py
+++ b/ochrehoist/capture/writer.py
@@ -10,12 +10,12 @@
 from ochrehoist.capture.encoding import encode_block, encode_header, encode_tenants, file_prefix
 from ochrehoist.capture.records import FILE_SUFFIX, CaptureHeader, NoCaptureFileError, Record
 from ochrehoist.config.tables import CaptureConfig
+from ochrehoist.units import NS_PER_MS
 
 FILE_MODE = 0o600
 TENANTS_PER_PART = 500  # of a header, encoded in one go
 PAUSE_BETWEEN_PARTS_S = 0.0005  # for the loop's thread
 BYTES_PER_MB = 1e6
-NS_PER_MS = 1_000_000
 
 
 class CaptureFile:
--- a/ochrehoist/core/actor.py
+++ b/ochrehoist/core/actor.py
@@ -28,7 +28,7 @@
 from ochrehoist.core.request import InboundRequest
 from ochrehoist.core.results import FailureReason, RunResult
 from ochrehoist.core.snapshot import CoreSnapshot
-from ochrehoist.core.units import NS_PER_MS, NS_PER_S
+from ochrehoist.units import NS_PER_MS, NS_PER_S
 
 LIMITS_PERIOD_NS = 100 * NS_PER_MS  # between two evaluations of the limits, where there are any
 EXPIRY_PERIOD_NS = NS_PER_S  # between two searches for idempotent runs that have expired
--- a/ochrehoist/core/context.py
+++ b/ochrehoist/core/context.py
@@ -26,7 +26,7 @@
 from ochrehoist.core.response_tracker import ResponseTracker
 from ochrehoist.core.results import FailureReason
 from ochrehoist.core.tenants import TenantTable, initial_table
-from ochrehoist.core.units import NS_PER_MS, NS_PER_S
+from ochrehoist.units import NS_PER_MS, NS_PER_S
 
 # So long before the process is stopped, whatever is still open is failed.
 SHUTDOWN_ANSWER_MARGIN_NS = 150 * NS_PER_MS
--- a/ochrehoist/core/deadlines.py
+++ b/ochrehoist/core/deadlines.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 from heapq import heappop, heappush
 
-from ochrehoist.core.units import NS_PER_MS
+from ochrehoist.units import NS_PER_MS
 
 # A timer fires so long after it was due at the latest, with or without fresh gauges.
 GAUGES_WAIT_NS = 25 * NS_PER_MS
--- a/ochrehoist/core/forwarder.py
+++ b/ochrehoist/core/forwarder.py
@@ -29,7 +29,7 @@
 from ochrehoist.core.request import InboundRequest
 from ochrehoist.core.response_tracker import ResponseTracker
 from ochrehoist.core.results import FailureReason, RunResult
-from ochrehoist.core.units import NS_PER_MS
+from ochrehoist.units import NS_PER_MS
 
 # So long past its due time a request is answered here, whatever the other process does.
 ANSWER_GRACE_NS = 25 * NS_PER_MS
--- a/ochrehoist/core/idempotent_runs.py
+++ b/ochrehoist/core/idempotent_runs.py
@@ -20,7 +20,7 @@
 from ochrehoist.core.results import FailureReason, RunResult
 from ochrehoist.core.snapshot import LearnedState
 from ochrehoist.core.tenants import TenantTable
-from ochrehoist.core.units import NS_PER_S
+from ochrehoist.units import NS_PER_S
 
 RESULT_OVERHEAD_BYTES = 600  # that one remembered run takes beyond its result
 
--- a/ochrehoist/core/state_transfer.py
+++ b/ochrehoist/core/state_transfer.py
@@ -5,7 +5,7 @@
 from ochrehoist.core.context import CoreContext
 from ochrehoist.core.request import InboundRequest
 from ochrehoist.core.snapshot import CoreSnapshot, LearnedState
-from ochrehoist.core.units import NS_PER_S
+from ochrehoist.units import NS_PER_S
 
 
 def take_snapshot(core: CoreContext) -> CoreSnapshot:
--- a/ochrehoist/net/intent_replication.py
+++ b/ochrehoist/net/intent_replication.py
@@ -26,6 +26,7 @@
 )
 from ochrehoist.recovery.pending_intents import RESEND_INTERVAL_S, OutgoingMessage, PendingIntents
 from ochrehoist.recovery.witness_quorum import WitnessQuorumReport, missing_from_store
+from ochrehoist.units import NS_PER_S
 
 if TYPE_CHECKING:
     from ochrehoist.net.peers import Peers
@@ -36,7 +37,6 @@
 WINDOW_MARGIN_S = 1.0  # over the longest idempotency window, for messages on their way
 SPARE_SEND_TIMES = 64  # kept of requests that no longer wait
 QUERY_NUMBER_BITS = 40
-NS_PER_S = 1_000_000_000
 
 
 class ReplicatedJournal(Protocol):
--- a/ochrehoist/net/peers.py
+++ b/ochrehoist/net/peers.py
@@ -23,10 +23,10 @@
 from ochrehoist.peers.outbound import OutgoingMessage
 from ochrehoist.peers.status_view import status_view
 from ochrehoist.peers.wire import HealthStatus, Incarnation, Message
+from ochrehoist.units import NS_PER_MS
 
 TICK_S = 0.05
 MAX_BOOT_ID_BITS = 62
-NS_PER_MS = 1_000_000
 
 
 class PeersNotConfiguredError(OchrehoistError):
--- a/ochrehoist/net/recovery.py
+++ b/ochrehoist/net/recovery.py
@@ -11,11 +11,12 @@
 from ochrehoist.core.actor import CoreActor
 from ochrehoist.core.metrics import RequestCounter, format_samples
 from ochrehoist.core.request import InboundRequest
-from ochrehoist.net.intent_replication import NS_PER_S, IntentReplicationService, ReplicatedJournal
+from ochrehoist.net.intent_replication import IntentReplicationService, ReplicatedJournal
 from ochrehoist.net.loop import Loop
 from ochrehoist.net.offloop import OffLoop
 from ochrehoist.recovery.service_level import ServiceLevelMonitor, ServiceOutcome
 from ochrehoist.recovery.startup_progress import ReadinessFacts, StartupProgress, StartupStage
+from ochrehoist.units import NS_PER_S
 
 if TYPE_CHECKING:  # loaded only where their tables are
     from ochrehoist.net.ajp_server import AjpServers
--- a/ochrehoist/overload/limiter.py
+++ b/ochrehoist/overload/limiter.py
@@ -19,8 +19,8 @@
 )
 from ochrehoist.overload.cost_prediction import EXPENSIVE_MULTIPLE, MIN_COMPLETIONS, CostPredictor
 from ochrehoist.overload.retry_budget import RetryBudget
+from ochrehoist.units import NS_PER_S
 
-NS_PER_S = 1_000_000_000
 OVER_BUDGET_BACKOFF_NS = NS_PER_S  # that a caller over its retry budget gets, before jitter
 MAX_REPORTED_MULTIPLE = (
     4.0  # of the usual that the controller hears of a run: rare ones must not teach a class
--- a/ochrehoist/sites/admission_gate.py
+++ b/ochrehoist/sites/admission_gate.py
@@ -26,8 +26,8 @@
     SheddingOrder,
 )
 from ochrehoist.sites.site_health import SiteHealthTracker
+from ochrehoist.units import NS_PER_S
 
-NS_PER_S = 1_000_000_000
 MAX_THRESHOLD_LEAD = 0.3  # by which a worker may admit more of the order than the others
 ARRIVAL_RATE_SPAN_S = 1.0
 RETRY_AFTER_S = 0.4  # told where others may admit it: at least,
--- a/ochrehoist/store/expiry.py
+++ b/ochrehoist/store/expiry.py
@@ -5,7 +5,8 @@
 
 from ochrehoist.admission.learned_state import CLASS_MEAN_KEYS
 from ochrehoist.admission.tenant_activity import MIN_COUNT, TICK_DECAY
-from ochrehoist.store.timestamps import NS_PER_S, Timestamp, elapsed_ns
+from ochrehoist.store.timestamps import Timestamp, elapsed_ns
+from ochrehoist.units import NS_PER_S
 
 # Upper limits on the weight of times and rates from before a restart: caches may be cold now, and what was
 # measured on a warm machine would admit more than a cold one can do. A few new results then outweigh them.
--- a/ochrehoist/store/journal.py
+++ b/ochrehoist/store/journal.py
@@ -40,8 +40,9 @@
 from ochrehoist.store.operations import DeleteIntent, PutIntent, PutNamed, PutResult
 from ochrehoist.store.records import IntentRecord, LearnedStateRecord, ResultRecord, encode_key
 from ochrehoist.store.store_repair import OpenStore
-from ochrehoist.store.timestamps import NS_PER_S, current_timestamp
+from ochrehoist.store.timestamps import current_timestamp
 from ochrehoist.store.write_queue import WriteQueue
+from ochrehoist.units import NS_PER_S
 
 FOLDER_SETTING = "state.folder"
 FINAL_FLUSH_S = 1.0  # the longest that queued operations are waited for at the end of the process
--- a/ochrehoist/store/learned_state_records.py
+++ b/ochrehoist/store/learned_state_records.py
@@ -6,7 +6,8 @@
 from ochrehoist.admission.controller import AdmissionController
 from ochrehoist.store.expiry import LearnedState, expire_learned_state
 from ochrehoist.store.records import LearnedStateRecord
-from ochrehoist.store.timestamps import NS_PER_S, current_timestamp
+from ochrehoist.store.timestamps import current_timestamp
+from ochrehoist.units import NS_PER_S
 
 
 def learned_state_record(controller: AdmissionController) -> LearnedStateRecord:
--- a/ochrehoist/store/maintenance.py
+++ b/ochrehoist/store/maintenance.py
@@ -23,7 +23,8 @@
 from ochrehoist.store.lock import FolderLock, lock_holder
 from ochrehoist.store.records import ResultRecord, decode_record, encode_key, encode_record
 from ochrehoist.store.store_repair import open_store
-from ochrehoist.store.timestamps import NS_PER_S, Timestamp, remaining_window_ns
+from ochrehoist.store.timestamps import Timestamp, remaining_window_ns
+from ochrehoist.units import NS_PER_S
 
 LOCK_NAME = "the state command"  # shown to others while a command has the folder
 
--- a/ochrehoist/store/store_repair.py
+++ b/ochrehoist/store/store_repair.py
@@ -34,7 +34,8 @@
     IntentRecord,
     LearnedStateRecord,
 )
-from ochrehoist.store.timestamps import NS_PER_S, Timestamp, remaining_window_ns
+from ochrehoist.store.timestamps import Timestamp, remaining_window_ns
+from ochrehoist.units import NS_PER_S
 
 HOLD_MARGIN_NS = NS_PER_S  # that a hold exceeds the longest window, for requests that were on their way
 
--- a/ochrehoist/store/timestamps.py
+++ b/ochrehoist/store/timestamps.py
@@ -5,7 +5,6 @@
 
 import msgspec
 
-NS_PER_S = 1_000_000_000
 BOOT_ID_FILE = Path("/proc/sys/kernel/random/boot_id")
 
 
--- a/tests/store/test_store_decisions.py
+++ b/tests/store/test_store_decisions.py
@@ -25,13 +25,14 @@
     encode_key,
     encode_record,
 )
-from ochrehoist.store.timestamps import NS_PER_S, Timestamp, elapsed_ns, remaining_window_ns
+from ochrehoist.store.timestamps import Timestamp, elapsed_ns, remaining_window_ns
 from ochrehoist.store.write_queue import (
     FIRST_RETRY_DELAY_S,
     MAX_GROUP_OPERATIONS,
     MAX_QUEUED_RESULT_BYTES,
     WriteQueue,
 )
+from ochrehoist.units import NS_PER_S
 
 DAY, HOUR = 86_400 * NS_PER_S, 3_600 * NS_PER_S
 TOKEN = ("acme", "filing", "k1")
--- a/tests/store/test_store_disk.py
+++ b/tests/store/test_store_disk.py
@@ -27,7 +27,8 @@
     encode_key,
 )
 from ochrehoist.store.store_repair import open_store, rebuild_store
-from ochrehoist.store.timestamps import NS_PER_S, Timestamp
+from ochrehoist.store.timestamps import Timestamp
+from ochrehoist.units import NS_PER_S
 
 SEEDS = int(os.environ.get("SEEDS", "120"))
 NOW = Timestamp(10**18, "boot", 10**14)
