--- a/benchmarks/requests/read_cost.py
+++ b/benchmarks/requests/read_cost.py
@@ -22,7 +22,7 @@
 from benchmarks.shared.process_usage import cpu_s, main_thread_cpu_s
 from benchmarks.shared.revisions import ROOT, checked_out
 from benchmarks.shared.samples import US_PER_S
-from benchmarks.shared.stand_ins import Worker, start_worker
+from benchmarks.shared.stand_ins import WorkerProcess
 from benchmarks.shared.workers import (
     Front,
     ReadClient,
@@ -89,7 +89,7 @@
     with ExitStack() as stack:
         for number, table in enumerate(other_tables):
             stack.enter_context(
-                closing(start_worker(thrift=False, ajp=True, peers=table, name=f"n{number + 2}"))
+                closing(WorkerProcess(thrift=False, ajp=True, peers=table, name=f"n{number + 2}"))
             )
         return read_cost_us(ROOT, Front.AJP, reads, peers=own_table)
 
@@ -106,13 +106,13 @@
     )
 
 
-def _start(root: Path, front: Front, **tables: Any) -> Worker:
+def _start(root: Path, front: Front, **tables: Any) -> WorkerProcess:
     settings = large_machine_settings()
     settings["Tenants"] = equal_tenants(TENANTS, TENANT_QUOTA_PER_S)
     return start_instant_worker(front, settings, root, **tables)
 
 
-def _turn_of(worker: Worker, front: Front) -> Cost:
+def _turn_of(worker: WorkerProcess, front: Front) -> Cost:
     """A turn of a worker that is warm: processor time of a read in us."""
     client = ReadClient(worker, front)
     client.read_many(WARMUP_READS)
--- a/tests/benchmarks/test_slopes.py
+++ b/tests/benchmarks/test_slopes.py
@@ -4,8 +4,6 @@
 import random
 import unittest
 
-from stand_ins import ROOT  # noqa: F401 - the tree is on the path from here on
-
 from benchmarks.scaling.fit import Crossing, fitted_line, limit_crossing
 from benchmarks.scaling.probe import Limit, Probe
 from benchmarks.scaling.slopes import Slope, measured_slope
