--- a/ochrehoist/net/kernel_protocol.py
+++ b/ochrehoist/net/kernel_protocol.py
@@ -9,8 +9,8 @@
 from ochrehoist.admission.events import Outcome
 from ochrehoist.core.messages import RunCompleted
 from ochrehoist.core.results import RunResult
-from ochrehoist.core.units import NS_PER_MS
 from ochrehoist.errors import OchrehoistError
+from ochrehoist.units import NS_PER_MS
 
 OUTCOMES = {
     "OK": Outcome.OK,
--- a/ochrehoist/net/recovery.py
+++ b/ochrehoist/net/recovery.py
@@ -13,10 +13,11 @@
 from ochrehoist.core.protocols import Logger
 from ochrehoist.core.request import InboundRequest
 from ochrehoist.net.blocking_calls import BlockingCallThread
-from ochrehoist.net.intent_replication import NS_PER_S, IntentReplicationService, ReplicatedJournal
+from ochrehoist.net.intent_replication import IntentReplicationService, ReplicatedJournal
 from ochrehoist.net.loop import Loop
 from ochrehoist.recovery.service_level import ServiceLevelMonitor, ServiceOutcome
 from ochrehoist.recovery.startup_progress import ReadinessFacts, StartupProgress, StartupStage
+from ochrehoist.units import NS_PER_S
 
 if TYPE_CHECKING:  # loaded only where their tables are
     from ochrehoist.net.ajp_server import AjpServers
--- a/ochrehoist/net/thrift_front.py
+++ b/ochrehoist/net/thrift_front.py
@@ -9,12 +9,12 @@
 from ochrehoist.core.actor import CoreActor
 from ochrehoist.core.messages import CallerDisconnected
 from ochrehoist.core.protocols import AdmissionFilter, Executor, Logger
-from ochrehoist.core.units import NS_PER_S
 from ochrehoist.net.front import FRESH_S, MESSAGE_TIMEOUT_S, SILENT_S, SLOW_START_S, STALLED_S, Front
 from ochrehoist.net.loop import Loop
 from ochrehoist.net.stream import Stream
 from ochrehoist.net.thrift_connection import ThriftConnection
 from ochrehoist.net.thrift_reader import ThriftReader
+from ochrehoist.units import NS_PER_S
 
 SOCKET_SEND_BUFFER_BYTES = 64 * 1024  # for each connection: for a slow reader it would grow to megabytes
 FIRST_SWEEP_DELAY_S = 0.1
--- a/ochrehoist/net/thrift_reader.py
+++ b/ochrehoist/net/thrift_reader.py
@@ -9,8 +9,8 @@
 from ochrehoist.core.actor import CoreActor
 from ochrehoist.core.protocols import Executor, Responder
 from ochrehoist.core.request import InboundRequest
-from ochrehoist.core.units import NS_PER_MS
 from ochrehoist.net.thrift import InvalidArgumentsError
+from ochrehoist.units import NS_PER_MS
 
 MAX_BODY_BYTES = 2048
 MAX_DIGITS = 15  # of a whole number
