--- a/benchmarks/overload/limit_algorithms.py
+++ b/benchmarks/overload/limit_algorithms.py
@@ -16,7 +16,7 @@
 
 import joblib
 
-from ochrehoist.config.schema import LimitController
+from ochrehoist.config.tables import LimitController
 from ochrehoist.overload.completion_window import WindowAggregator
 from ochrehoist.overload.concurrency_limits import (
     LIMIT_ALGORITHMS,
--- a/benchmarks/overload/policies.py
+++ b/benchmarks/overload/policies.py
@@ -17,7 +17,7 @@
 
 from benchmarks.planner.fleets import Description, base_description, changed_fleet, retry_storm
 from ochrehoist.config.fleet_description import Fleet
-from ochrehoist.config.schema import LimitController, OverloadConfig
+from ochrehoist.config.tables import LimitController, OverloadConfig
 from ochrehoist.core.request import InboundRequest
 from ochrehoist.overload.limiter import AdaptiveLimiter
 from ochrehoist.plan import events
--- a/benchmarks/requests/route_lookup_task.py
+++ b/benchmarks/requests/route_lookup_task.py
@@ -25,7 +25,7 @@
     forms, size, calls = task["forms"], task["size"], task["calls"]
     uris = [forms[number % len(forms)].format(number) for number in range(size)]
     route_type = import_any(
-        "ochrehoist.config.schema:AjpRoute", "ochrehoist.config_types:AjpRule", "ochrehoist.config:AjpRule"
+        "ochrehoist.config.tables:AjpRoute", "ochrehoist.config_types:AjpRule", "ochrehoist.config:AjpRule"
     )
     routes = tuple(route_type(uri, frozenset(), "read") for uri in uris)
     check = _request_check(routes)
