--- a/Makefile
+++ b/Makefile
@@ -61,7 +61,7 @@
 	$(VENV)/bin/python -m ochrehoist lab sites --count $(SITE_SCHEDULES) --jobs $(JOBS)
 
 restarts: build
-	$(VENV)/bin/python -m benchmarks witnesses restarts $(RESTARTS) --jobs $(JOBS)
+	$(VENV)/bin/python -m benchmarks recovery restarts $(RESTARTS) --jobs $(JOBS)
 
 orders: build
 	$(VENV)/bin/python -m ochrehoist lab orders
--- a/benchmarks/catalog.py
+++ b/benchmarks/catalog.py
@@ -113,8 +113,8 @@
         "share of requests in time, s",
     ),
     Benchmark(
-        "witnesses",
-        "benchmarks.fleet.witnesses",
+        "recovery",
+        "benchmarks.fleet.recovery",
         "what witnesses cost a filing, and restarts with stores kept, lost and older",
         "ms, broken invariants",
     ),
--- a/benchmarks/configuration/reload.py
+++ b/benchmarks/configuration/reload.py
@@ -15,7 +15,7 @@
 import time
 from collections.abc import Iterator
 from contextlib import closing, contextmanager
-from dataclasses import dataclass
+from dataclasses import asdict, dataclass
 from pathlib import Path
 from typing import Any
 
@@ -45,8 +45,6 @@
 MOST_AFTER_CHANGE_S = 0.5
 MEMORY_SAMPLES = 10  # over the run of many changes
 
-Report = dict[str, Any]
-
 
 @dataclass(frozen=True)
 class ConfigurationSize:
@@ -65,6 +63,99 @@
         return f"{self.tenants}/{self.routes}"
 
 
+@dataclass(frozen=True)
+class LatencySummary:
+    """Percentiles of latencies in ms; None where nothing was measured."""
+
+    count: int
+    p50: float | None
+    p99: float | None
+    p999: float | None
+    worst: float | None
+
+    @classmethod
+    def of(cls, samples_s: list[float]) -> "LatencySummary":
+        """Of samples in seconds."""
+        shares = (MEDIAN, P99, P999, 1.0)
+        return cls(len(samples_s), *(rounded_percentile_ms(samples_s, share, digits=3) for share in shares))
+
+
+@dataclass(frozen=True)
+class SteadyFigures:
+    """What the client saw without changes, and the appliance's processor time in percent of a core."""
+
+    steady_ms: LatencySummary
+    steady_answers: dict[int, int]
+    steady_cpu_percent: float
+
+
+@dataclass(frozen=True)
+class ChangeFigures:
+    """What the client saw during changes, and for as long after each.
+
+    `in_force_ms`: from the signal until a change was in force, seen late by up to `seen_late_by_ms`.
+    `configuration`: what `/status` says of it in the end.
+    """
+
+    in_force_ms: LatencySummary
+    seen_late_by_ms: LatencySummary
+    changing_ms: LatencySummary
+    worst_of_each_ms: LatencySummary
+    calm_ms: LatencySummary
+    worst_of_each_calm_ms: LatencySummary
+    changing_answers: dict[int, int]
+    changing_mb: MemoryUsage
+    configuration: dict[str, Any]
+
+
+@dataclass(frozen=True)
+class NotReady:
+    """The appliance was not ready in time: how long it was waited for, processor time, memory."""
+
+    gave_up_after_s: float
+    cpu_s: float
+    memory: MemoryUsage
+
+
+@dataclass(frozen=True)
+class SpacedFigures:
+    """One tree at one size, with pauses between its changes."""
+
+    ready_s: float
+    at_rest_percent: float
+    memory: MemoryUsage
+    steady: SteadyFigures
+    changes: ChangeFigures
+    unanswered: int
+    events: dict[str, int]
+
+
+@dataclass(frozen=True)
+class ManyFigures:
+    """One tree at one size, through many changes without a pause; memory is sampled over the run."""
+
+    changes: int
+    not_in_force: int
+    took_s: float
+    in_force_ms: LatencySummary
+    client_ms: LatencySummary
+    answers: dict[int, int]
+    unanswered: int
+    sent: int
+    memory: list[MemoryUsage]
+    events: dict[str, int]
+
+
+@dataclass(frozen=True)
+class Report:
+    """What is printed of one tree at one size."""
+
+    tree: str
+    size: str
+    load: float
+    figures: SpacedFigures | ManyFigures | NotReady
+
+
 def add_arguments(parser: argparse.ArgumentParser) -> None:
     """Declare the benchmark's arguments."""
     parser.add_argument(
@@ -85,8 +176,8 @@
     """Measure each size and tree, print each as a line of JSON, and keep them where asked to."""
     reports = []
     for report in _reports(arguments):
-        reports.append(report)
-        print(json.dumps(report), flush=True)
+        reports.append(asdict(report))
+        print(json.dumps(reports[-1]), flush=True)
         if arguments.json:
             arguments.json.write_text(json.dumps(reports, indent=1))
     return 0
@@ -96,40 +187,48 @@
     trees = arguments.root or [Tree(NOW, ROOT)]
     for size in arguments.sizes:
         for tree in trees:
-            yield _head(tree, size) | spaced_changes(tree.root, size, arguments)
+            yield _report(tree, size, spaced_changes(tree.root, size, arguments))
     if arguments.many:
         for tree in trees:
-            yield _head(tree, arguments.many_size) | many_changes(tree.root, arguments.many_size, arguments)
+            figures = many_changes(tree.root, arguments.many_size, arguments)
+            yield _report(tree, arguments.many_size, figures)
 
 
-def spaced_changes(root: Path, size: ConfigurationSize, arguments: argparse.Namespace) -> Report:
+def spaced_changes(
+    root: Path, size: ConfigurationSize, arguments: argparse.Namespace
+) -> SpacedFigures | NotReady:
     """One tree at one size: at rest, without changes, and with changes that have pauses between them."""
     with _started(root, size) as appliance:
         ready_s = appliance.wait_until_ready()
         if ready_s is None:
-            return {
-                "ready_s": None,
-                "gave_up_after_s": READY_TIMEOUT_S,
-                "cpu_s": cpu_s(appliance.pid),
-                "mb": _memory_report(appliance.take_memory()),
-            }
+            return _not_ready(appliance)
         time.sleep(SETTLE_S)
-        report: Report = {"ready_s": ready_s, "at_rest_%": _cpu_percent(appliance, REST_S)}
-        report["mb"] = _memory_report(appliance.take_memory())
+        at_rest_percent = _cpu_percent(appliance, REST_S)
+        memory = appliance.take_memory()
         with client_process(appliance.front_address, arguments.rate) as client:
             time.sleep(CLIENT_START_S)
             client.report()
-            report |= _without_changes(appliance, client, arguments.seconds)
-            report |= _with_changes(appliance, client, arguments.changes)
+            steady = _without_changes(appliance, client, arguments.seconds)
+            changes = _with_changes(appliance, client, arguments.changes)
             last = client.end()
-        return report | {"unanswered": last.unanswered + last.cut_off, "events": appliance.logged_events}
-
-
-def many_changes(root: Path, size: ConfigurationSize, arguments: argparse.Namespace) -> Report:
+        return SpacedFigures(
+            ready_s,
+            at_rest_percent,
+            memory,
+            steady,
+            changes,
+            unanswered=last.unanswered + last.cut_off,
+            events=appliance.logged_events,
+        )
+
+
+def many_changes(
+    root: Path, size: ConfigurationSize, arguments: argparse.Namespace
+) -> ManyFigures | NotReady:
     """One tree at one size: many changes in one run, the next as soon as one is in force."""
     with _started(root, size) as appliance:
         if appliance.wait_until_ready() is None:
-            return {"ready_s": None}
+            return _not_ready(appliance)
         memory, in_force_s, seen = [appliance.take_memory()], [], ClientReport()
         missed = 0
         with client_process(appliance.front_address, arguments.rate) as client:
@@ -144,19 +243,20 @@
                     memory.append(appliance.take_memory())
                     seen.add(client.report())
                     _print_progress(number, time.monotonic() - began_s, memory[-1])
+            took_s = time.monotonic() - began_s
             seen.add(client.end())
-        return {
-            "changes": len(in_force_s),
-            "not_in_force": missed,
-            "took_s": time.monotonic() - began_s,
-            "in_force_ms": _latency_report(in_force_s),
-            "client_ms": _latency_report(seen.latencies_s),
-            "answers": _answer_report(seen),
-            "unanswered": seen.unanswered + seen.cut_off,
-            "sent": seen.sent,
-            "mb": [_memory_report(usage) for usage in memory],
-            "events": appliance.logged_events,
-        }
+        return ManyFigures(
+            changes=len(in_force_s),
+            not_in_force=missed,
+            took_s=took_s,
+            in_force_ms=LatencySummary.of(in_force_s),
+            client_ms=LatencySummary.of(seen.latencies_s),
+            answers=dict(seen.answers),
+            unanswered=seen.unanswered + seen.cut_off,
+            sent=seen.sent,
+            memory=memory,
+            events=appliance.logged_events,
+        )
 
 
 @contextmanager
@@ -168,17 +268,21 @@
             yield appliance
 
 
-def _without_changes(appliance: Appliance, client: ClientProcess, duration_s: float) -> Report:
+def _report(tree: Tree, size: ConfigurationSize, figures: SpacedFigures | ManyFigures | NotReady) -> Report:
+    return Report(tree.name, str(size), os.getloadavg()[0], figures)
+
+
+def _not_ready(appliance: Appliance) -> NotReady:
+    return NotReady(READY_TIMEOUT_S, cpu_s(appliance.pid), appliance.take_memory())
+
+
+def _without_changes(appliance: Appliance, client: ClientProcess, duration_s: float) -> SteadyFigures:
     cpu_percent = _cpu_percent(appliance, duration_s)
     seen = client.report()
-    return {
-        "steady_ms": _latency_report(seen.latencies_s),
-        "steady_answers": _answer_report(seen),
-        "steady_cpu_%": cpu_percent,
-    }
+    return SteadyFigures(LatencySummary.of(seen.latencies_s), dict(seen.answers), cpu_percent)
 
 
-def _with_changes(appliance: Appliance, client: ClientProcess, count: int) -> Report:
+def _with_changes(appliance: Appliance, client: ClientProcess, count: int) -> ChangeFigures:
     """Changes one after the other, and after each as long a time without one, to compare with."""
     prober = ChangeProber(appliance.front_address)
     changes: list[ChangeInForce] = []
@@ -198,18 +302,18 @@
         calm.add(after)
         changing_worst_s.append(during.worst_s)
         calm_worst_s.append(after.worst_s)
-    status = appliance.configuration_status()
-    return {
-        "in_force_ms": _latency_report([change.after_s for change in changes]),
-        "seen_late_by_ms": _latency_report([change.uncertainty_s for change in changes]),
-        "changing_ms": _latency_report(changing.latencies_s),
-        "worst_of_each_ms": _latency_report(changing_worst_s),
-        "calm_ms": _latency_report(calm.latencies_s),
-        "worst_of_each_calm_ms": _latency_report(calm_worst_s),
-        "changing_answers": {str(status): n for status, n in (changing.answers + calm.answers).items()},
-        "changing_mb": _memory_report(appliance.take_memory()),
-        "configuration": status,
-    }
+    configuration = appliance.configuration_status()
+    return ChangeFigures(
+        in_force_ms=LatencySummary.of([change.after_s for change in changes]),
+        seen_late_by_ms=LatencySummary.of([change.uncertainty_s for change in changes]),
+        changing_ms=LatencySummary.of(changing.latencies_s),
+        worst_of_each_ms=LatencySummary.of(changing_worst_s),
+        calm_ms=LatencySummary.of(calm.latencies_s),
+        worst_of_each_calm_ms=LatencySummary.of(calm_worst_s),
+        changing_answers=dict(changing.answers + calm.answers),
+        changing_mb=appliance.take_memory(),
+        configuration=configuration,
+    )
 
 
 def _cpu_percent(appliance: Appliance, duration_s: float) -> float:
@@ -220,31 +324,6 @@
     return round(100 * used_s / (time.monotonic() - began_s), 2)
 
 
-def _head(tree: Tree, size: ConfigurationSize) -> Report:
-    return {"tree": tree.name, "size": str(size), "load": os.getloadavg()[0]}
-
-
-def _latency_report(samples_s: list[float]) -> Report:
-    """Percentiles in ms; empty where nothing was measured."""
-    if not samples_s:
-        return {}
-    return {
-        "p50": rounded_percentile_ms(samples_s, MEDIAN, digits=3),
-        "p99": rounded_percentile_ms(samples_s, P99, digits=3),
-        "p99.9": rounded_percentile_ms(samples_s, P999, digits=3),
-        "worst": rounded_percentile_ms(samples_s, 1.0, digits=3),
-        "count": len(samples_s),
-    }
-
-
-def _answer_report(seen: ClientReport) -> Report:
-    return {str(status): count for status, count in seen.answers.items()}
-
-
-def _memory_report(usage: MemoryUsage) -> Report:
-    return {"now": usage.resident_mb, "peak": usage.peak_mb}
-
-
 def _print_progress(changes: int, elapsed_s: float, memory: MemoryUsage) -> None:
     print(f"  {changes} changes in {elapsed_s:.0f} s, {memory.resident_mb:.1f} MB", flush=True)
 
--- a/benchmarks/fleet/witnesses.py
+++ b/benchmarks/fleet/recovery.py
@@ -1,8 +1,8 @@
 """What witnesses cost a filing, and many restarts with stores kept, removed and older.
 
-`latency`: filings with none, one, two and three witnesses, and with one of three that answers slowly, in
-one run. `restarts N`: so many restarts of real workers; the exit code is 1 where an invariant was broken,
-as by a filing that ran twice.
+`witness-latency`: filings with none, one, two and three witnesses, and with one of three that answers
+slowly, in one run. `restarts N`: so many restarts of real workers; the exit code is 1 where an invariant
+was broken, as by a filing that ran twice.
 """
 
 import argparse
@@ -70,7 +70,7 @@
 def add_arguments(parser: argparse.ArgumentParser) -> None:
     """Declare the benchmark's arguments."""
     kinds = parser.add_subparsers(dest="kind", required=True, metavar="KIND")
-    kinds.add_parser("latency", help="of filings, by witnesses")
+    kinds.add_parser("witness-latency", help="of filings, by witnesses")
     restarts = kinds.add_parser("restarts", help="of workers, with their stores kept, removed and older")
     restarts.add_argument("count", nargs="?", type=int, default=2000)
     restarts.add_argument("--jobs", type=int, default=4)
@@ -79,7 +79,7 @@
 def run(arguments: argparse.Namespace) -> int:
     """Measure what was asked for and print it; 1 where restarts broke an invariant."""
     logging.getLogger("asyncio").setLevel(logging.CRITICAL)
-    if arguments.kind == "latency":
+    if arguments.kind == "witness-latency":
         for case in WITNESS_CASES:
             print_latencies(case, filing_latencies(case))
         return 0
--- a/benchmarks/scaling/admission_driver.py
+++ b/benchmarks/scaling/admission_driver.py
@@ -8,6 +8,7 @@
 from benchmarks.scaling.timing import cpu_us, median_cpu_us, short_call_cpu_us
 from ochrehoist.admission.controller import AdmissionController
 from ochrehoist.admission.events import (
+    Event,
     InstanceStarted,
     Outcome,
     RequestCompleted,
@@ -83,7 +84,7 @@
         self._numbers = count()
         self.dispatch(InstanceStarted())
 
-    def dispatch(self, event: Any) -> None:
+    def dispatch(self, event: Event) -> None:
         """Hand an event to the controller."""
         self.controller.handle(self.now_ns, event)
 
--- a/benchmarks/shared/stand_ins.py
+++ b/benchmarks/shared/stand_ins.py
@@ -143,15 +143,6 @@
         """Kill so many workers, and let the last one complete what is open."""
 
 
-class SocketListener(Protocol):
-    """The listening side of an emulated kernel."""
-
-    address: str
-
-    def close(self) -> None:
-        """Stop listening."""
-
-
 _workers: Any = import_module("stand_ins")
 _instant: Any = import_module("instant")
 _filing: Any = import_module("filing_clerk")
@@ -167,4 +158,4 @@
 instant_kernel: Callable[..., Server] = _instant.InstantKernel
 instant_ajp_server: Callable[[], Server] = _instant.InstantServer
 kill_harness: Callable[..., KillHarness] = _filing.Kills
-socket_listener: Callable[[Any], SocketListener] = _machine.Address
+socket_listener: Callable[[Any], Server] = _machine.Address
