--- a/benchmarks/configuration/appliance.py
+++ b/benchmarks/configuration/appliance.py
@@ -69,7 +69,7 @@
         self._routes = [self._route_table(f"/svc{number}/*") for number in range(routes)]
 
     def change(self) -> ProbeRequest:
-        """Replace one tenant or one route by another, by turns; what is served only afterwards."""
+        """Replace one tenant or one route by another, in alternation; what is served only afterwards."""
         self._change_count += 1
         number = self._change_count
         if number % 2:
--- a/benchmarks/configuration/loading.py
+++ b/benchmarks/configuration/loading.py
@@ -1,4 +1,4 @@
-"""What reading a configuration takes, at several sizes, beside an earlier revision by turns.
+"""What reading a configuration takes, at several sizes, beside an earlier revision in alternation.
 
 For each size, with routes in proportion (3,800 at 58,000 tenants), as an appliance's TOML and as the
 platform's JSON: the first reading, and from that a change of one tenant, of one route, of 100 tenants
--- a/benchmarks/configuration/steady_client.py
+++ b/benchmarks/configuration/steady_client.py
@@ -1,6 +1,6 @@
 """A client that sends reads over AJP at a steady rate, and the AJP server behind the appliance.
 
-Both run in processes of their own, and are told what to do through a pipe.
+Both run in processes of their own, and get their commands through a pipe.
 """
 
 import multiprocessing
@@ -27,7 +27,7 @@
 
 
 class Command(Enum):
-    """What a client is told: report what came since the last report, or end once all is answered."""
+    """A command to a client: report what came since the last report, or end once all is answered."""
 
     REPORT = auto()
     END = auto()
@@ -84,7 +84,7 @@
         self._report = ClientReport()
 
     def run(self, commands: Connection) -> None:
-        """Send until told to end; each command is answered by a report."""
+        """Send until the command to end; each command is answered by a report."""
         began_s, due_count, sending = time.monotonic(), 0, True
         while sending or self._open or self._due_s:
             now_s, next_due_s = time.monotonic(), began_s + due_count * self._interval_s
--- a/benchmarks/decisions/cost.py
+++ b/benchmarks/decisions/cost.py
@@ -2,11 +2,11 @@
 
     python -m benchmarks decision-cost 000e6de
 
-Both run in one process, by turns, each with the types of its own tree. A tick is timed alone, in processor
-time of the thread (us). A request is its arrival and its end together, in short rounds in which each
-revision goes first every other time: the median of the rounds, and of the ratio within each. Memory is what
-the controller takes beyond its settings, as tracemalloc counts it. `active` tenants have asked before and
-were served, at `lacking` ones it failed; the others never asked.
+Both run in one process, in alternation, each with the types of its own tree. A tick is timed alone, in
+processor time of the thread (us). A request is its arrival and its end together, in short rounds in which
+each revision goes first every other time: the median of the rounds, and of the ratio within each. Memory is
+what the controller takes beyond its settings, as tracemalloc counts it. `active` tenants sent requests
+before and were served; those of `unanswered` ones failed; the others sent nothing.
 """
 
 import argparse
@@ -33,7 +33,9 @@
 RUN_NS = 20 * MS
 MAX_REQUESTS_A_TICK = 20
 NO_QUEUE, LONG_QUEUE = 0, 24  # requests that wait while others are measured
-BLOCKS = 4  # of ticks, by turns: a revision finds its own data in the caches, as in a process of its own
+BLOCKS = (
+    4  # of ticks, in alternation: a revision finds its own data in the caches, as in a process of its own
+)
 TICKS_A_BLOCK = 500
 REQUESTS_A_ROUND = 60
 REQUEST_ROUNDS = 150
@@ -48,7 +50,7 @@
 
     tenants: int
     active: int
-    lacking: bool = False
+    unanswered: bool = False
 
 
 POPULATIONS = (
@@ -59,7 +61,7 @@
     Population(10_000, 0),
     Population(58_000, 0),
     Population(58_000, 2000),
-    Population(58_000, 2000, lacking=True),
+    Population(58_000, 2000, unanswered=True),
     Population(58_000, 8000),
 )
 
@@ -108,7 +110,7 @@
         self._request_count = 0
         self._running: list[str] = []
         self._queue_length = NO_QUEUE
-        self._outcome = api.outcomes[FAILED if population.lacking else OK]
+        self._outcome = api.outcomes[FAILED if population.unanswered else OK]
         self.tick_times_ns: list[int] = []
         tracemalloc.start()
         allocated_before = tracemalloc.get_traced_memory()[0]
@@ -199,7 +201,7 @@
 
 
 def population_cost(apis: Pair[DecisionApi], population: Population, scale: float) -> PopulationCost:
-    """Measure both revisions with one population, by turns."""
+    """Measure both revisions with one population, in alternation."""
     before, now = (DrivenController(api, population) for api in (apis.before, apis.now))
     for _ in range(BLOCKS):
         for controller in (before, now):
@@ -215,7 +217,7 @@
 
 
 def small_beside_large(api: DecisionApi, scale: float) -> dict[str, object]:
-    """A tick of one revision with few and with many tenants, none active, in short blocks by turns."""
+    """A tick of one revision with few and with many tenants, none active, in short blocks in alternation."""
     small, large = (DrivenController(api, Population(size, 0)) for size in (SMALL_TENANTS, LARGE_TENANTS))
     for _ in range(int(scale * BLOCKS_SIDE_BY_SIDE)):
         small.ticks(TICKS_SIDE_BY_SIDE)
@@ -234,7 +236,7 @@
     return {
         "tenants": cost.population.tenants,
         "active": cost.population.active,
-        "lacking": cost.population.lacking,
+        "unanswered": cost.population.unanswered,
         BEFORE: _version_report(cost.tick_before, cost.request.before_us, cost.queued_request.before_us),
         NOW: _version_report(cost.tick_now, cost.request.now_us, cost.queued_request.now_us),
         "tick_ratio": round(cost.tick_now.p50_us / cost.tick_before.p50_us, 3),
--- a/benchmarks/decisions/equivalence.py
+++ b/benchmarks/decisions/equivalence.py
@@ -95,7 +95,7 @@
     for line_before, line_now in itertools.zip_longest(*transcripts):
         if line_before != line_now:
             return f"was {line_before}, is {line_now}"
-    return "no difference when played again"
+    return "no difference when run again"
 
 
 def print_comparison(revision: str, options: HistoryOptions, comparison: Comparison) -> None:
@@ -109,7 +109,7 @@
 
 
 def _start_histories(tree: Path, options: HistoryOptions, *more: str) -> subprocess.Popen[str]:
-    """Start the process that plays the histories to the controller of a tree."""
+    """Start the process that runs the histories on the controller of a tree."""
     command = [sys.executable, "-m", "benchmarks", "decision-histories", str(tree)]
     command += [*options.command_line(), *more]
     return subprocess.Popen(command, cwd=ROOT, stdout=subprocess.PIPE, text=True)
--- a/benchmarks/decisions/histories.py
+++ b/benchmarks/decisions/histories.py
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True)
 class HistoryOptions:
-    """Which histories are played. `tenants`: 0 stands for 1 to 6, by the seed."""
+    """Which histories are run. `tenants`: 0 stands for 1 to 6, by the seed."""
 
     histories: int
     seed: int
@@ -73,20 +73,20 @@
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Play the histories and print a line, or the transcript, of each."""
+    """Run the histories and print a line, or the transcript, of each."""
     api = DecisionApi(arguments.tree)
     options = history_options(arguments)
     if arguments.transcript:
-        for history, _ in played_histories(api, options):
+        for history, _ in run_histories(api, options):
             print("\n".join(history.transcript))
         return 0
-    for _, summary in played_histories(api, options):
+    for _, summary in run_histories(api, options):
         print(json.dumps(asdict(summary)), flush=True)
     return 0
 
 
-def played_histories(api: DecisionApi, options: HistoryOptions) -> Iterator[tuple[History, HistorySummary]]:
-    """Each history once it was played, and its summary."""
+def run_histories(api: DecisionApi, options: HistoryOptions) -> Iterator[tuple[History, HistorySummary]]:
+    """Each history once it was run, and its summary."""
     for seed in range(options.seed, options.seed + options.histories):
         tenant_count = options.tenants or 1 + seed % MAX_DRAWN_TENANTS
         began_s = time.process_time()
--- a/benchmarks/decisions/history.py
+++ b/benchmarks/decisions/history.py
@@ -90,7 +90,7 @@
         self.transcript: list[str] = []
 
     def run(self) -> None:
-        """Play the whole history; `counts` and `transcript` are complete afterwards."""
+        """Run the complete history; `counts` and `transcript` are complete afterwards."""
         rng = self._rng
         self._draw_load()
         self._dispatch("InstanceStarted")
--- a/benchmarks/fleet/outlier_ejection.py
+++ b/benchmarks/fleet/outlier_ejection.py
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True)
 class EjectionFigures:
-    """One play: goodput before, during and after the fault, runs, and when workers ejected the server."""
+    """One scenario: goodput before, during and after the fault, runs, and when workers ejected the server."""
 
     quiet_goodput: float
     fault_goodput: float
@@ -37,17 +37,19 @@
     broken_invariants: int
 
 
-def plays(trees: tuple[Tree, Tree], seeds: int) -> Iterator[tuple[str, int, Tree, EjectionFigures]]:
-    """Play each fault with each seed on each tree; the fault, the seed, the tree and what came of it."""
+def ejection_figures(
+    trees: tuple[Tree, Tree], seeds: int
+) -> Iterator[tuple[str, int, Tree, EjectionFigures]]:
+    """Run each fault with each seed on each tree; the fault, the seed, the tree and what came of it."""
     logging.getLogger("asyncio").setLevel(logging.CRITICAL)
     for fault in FAULTS:
         for seed in range(1, seeds + 1):
             for tree in trees:
-                yield fault, seed, tree, played(fault, seed, tree)
+                yield fault, seed, tree, measured_ejection(fault, seed, tree)
 
 
-def played(fault: str, seed: int, tree: Tree) -> EjectionFigures:
-    """Play one fault: this tree as a fleet with a retry budget, an earlier one without."""
+def measured_ejection(fault: str, seed: int, tree: Tree) -> EjectionFigures:
+    """Run one fault: this tree as a fleet with a retry budget, an earlier one without."""
     with_peers = tree.name == NOW
     scenario = parse(
         {
--- a/benchmarks/fleet/peers.py
+++ b/benchmarks/fleet/peers.py
@@ -2,7 +2,7 @@
 
 On virtual time: `network-load` of one worker by the size of the fleet, `failure-detection`, `budget-use`,
 `counter-error`. `ejection REVISION`: real workers with one server of three 20 times slower, and with one
-gone, beside an earlier revision by turns.
+gone, beside an earlier revision in alternation.
 """
 
 import argparse
@@ -59,8 +59,8 @@
             _print_counter_errors(arguments.seeds)
         case Measurement.EJECTION:
             with before_and_now(arguments.revision) as trees:
-                for play in outlier_ejection.plays(trees, arguments.seeds):
-                    print_ejection(*play)
+                for measured in outlier_ejection.ejection_figures(trees, arguments.seeds):
+                    print_ejection(*measured)
     return 0
 
 
@@ -74,7 +74,7 @@
 
 
 def print_ejection(fault: str, seed: int, tree: Tree, figures: EjectionFigures) -> None:
-    """Print the line of one play."""
+    """Print the line of one scenario."""
     print(
         f"{fault} seed {seed} {tree.name}: goodput quiet {figures.quiet_goodput:.3f}, "
         f"fault {figures.fault_goodput:.3f}, after {figures.after_goodput:.3f}; "
--- a/benchmarks/fleet/recovery.py
+++ b/benchmarks/fleet/recovery.py
@@ -23,10 +23,10 @@
     {"name": "filing", "share": 0.9, "work_ms": WORK_MS, "keyed": True, "window_s": WINDOW_S},
     {"name": "read", "share": 0.1, "work_ms": WORK_MS},
 ]
-WARMUP_S = 2  # of a play, in which filings do not count
+WARMUP_S = 2  # of a scenario, in which filings do not count
 MEASURED_WORKER, WITNESS = "w0", "w1"
 SLOW_WITNESS = {"at": 0.5, "kind": "delay", "who": [WITNESS], "lasts": 11.0, "amount": 0.4}
-RESTART_ROUNDS = 3  # in one play
+RESTART_ROUNDS = 3  # in one scenario
 FIRST_KILL_S, KILL_INTERVAL_S = 7.0, 3
 RESTARTED_WORKERS = ("w0", "w1", "w2")  # the fourth stays
 STORES = ("removed", "kept", "older")
@@ -59,8 +59,8 @@
 
 
 @dataclass(frozen=True)
-class RestartPlay:
-    """One play with restarts: what was broken, and how many workers were restarted."""
+class RestartOutcome:
+    """One scenario with restarts: what was broken, and how many workers were restarted."""
 
     seed: int
     broken_invariants: list[str]
@@ -87,8 +87,8 @@
 
 
 def filing_latencies(case: WitnessCase) -> FilingLatencies:
-    """Play with so many witnesses; the filings of one worker, whose witness is the one that may be slow."""
-    play, verdict = _played(1, case.witnesses, case.faults)
+    """Run with so many witnesses; the filings of one worker, whose witness is the one that may be slow."""
+    play, verdict = _run_scenario(1, case.witnesses, case.faults)
     latencies_s = [
         attempt.ended - attempt.at
         for call in play.callers.calls
@@ -99,19 +99,19 @@
     return FilingLatencies(latencies_s, len(verdict["broken"]))
 
 
-def restart_plays(count: int, jobs: int) -> Iterator[RestartPlay]:
-    """Play until so many workers were restarted."""
+def restart_outcomes(count: int, jobs: int) -> Iterator[RestartOutcome]:
+    """Run scenarios until so many workers were restarted."""
     restarted = seed = 0
     with ProcessPoolExecutor(jobs) as pool:
         while restarted < count:
-            for play in pool.map(restart_play, range(seed, seed + jobs)):
-                restarted += play.restarts
-                yield play
+            for outcome in pool.map(restart_outcome, range(seed, seed + jobs)):
+                restarted += outcome.restarts
+                yield outcome
             seed += jobs
 
 
-def restart_play(seed: int) -> RestartPlay:
-    """One play of three rounds: one to three of four workers are killed at one moment."""
+def restart_outcome(seed: int) -> RestartOutcome:
+    """One scenario of three rounds: one to three of four workers are killed at one moment."""
     faults: list[dict[str, Any]] = [
         {
             "at": FIRST_KILL_S + KILL_INTERVAL_S * number,
@@ -123,9 +123,9 @@
         for number in range(RESTART_ROUNDS)
     ]
     load = {"rate": 60.0, "tries": 15, "wait_ms": 150}
-    _, verdict = _played(seed, 2, faults, seconds=18.0, load=load)
+    _, verdict = _run_scenario(seed, 2, faults, seconds=18.0, load=load)
     restarts = sum(len(fault["who"]) for fault in faults)
-    return RestartPlay(seed, verdict["broken"], restarts)
+    return RestartOutcome(seed, verdict["broken"], restarts)
 
 
 def print_latencies(case: WitnessCase, latencies: FilingLatencies) -> None:
@@ -140,19 +140,20 @@
 
 def _restart(count: int, jobs: int) -> int:
     """Print what was broken and how far it is; the exit code."""
-    restarted = plays_with_broken = 0
-    for play in restart_plays(count, jobs):
-        restarted += play.restarts
-        plays_with_broken += bool(play.broken_invariants)
-        for line in play.broken_invariants:
-            print(f"seed {play.seed}: {line}", flush=True)
+    restarted = scenarios_with_broken = 0
+    for outcome in restart_outcomes(count, jobs):
+        restarted += outcome.restarts
+        scenarios_with_broken += bool(outcome.broken_invariants)
+        for line in outcome.broken_invariants:
+            print(f"seed {outcome.seed}: {line}", flush=True)
         print(
-            f"{restarted} of {count} restarts, {plays_with_broken} plays with a broken invariant", flush=True
+            f"{restarted} of {count} restarts, {scenarios_with_broken} scenarios with a broken invariant",
+            flush=True,
         )
-    return 1 if plays_with_broken else 0
+    return 1 if scenarios_with_broken else 0
 
 
-def _played(
+def _run_scenario(
     seed: int, witnesses: int, faults: list[dict[str, Any]], **more: Any
 ) -> tuple[Play, dict[str, Any]]:
     values = {
--- a/benchmarks/fleet/site_loss.py
+++ b/benchmarks/fleet/site_loss.py
@@ -1,7 +1,7 @@
 """What the loss of a site costs, and its return, with [sites] and without.
 
 `virtual`: on virtual time, also without the recovery ramp and without the admission gate. `processes
-REVISION`: real workers, half of them killed, beside an earlier revision by turns.
+REVISION`: real workers, half of them killed, beside an earlier revision in alternation.
 """
 
 import argparse
@@ -36,7 +36,7 @@
 ]
 WORKERS = {"brussels": ["w0", "w1", "w2"], LOST_SITE: ["w3", "w4", "w5"]}
 CAPACITY_PER_S = 120  # of all servers
-KILLED_AT_S, KILLED_S, PLAY_S = 6, 12, 34
+KILLED_AT_S, KILLED_S, SCENARIO_S = 6, 12, 34
 FIRST_SECONDS = 3  # after the kill, of which the worst is printed
 
 
@@ -65,8 +65,8 @@
 
 
 @dataclass(frozen=True)
-class ProcessPlay:
-    """One play of real workers: `possible` is the goodput that the servers that were left allow."""
+class ProcessLoss:
+    """One loss of real workers: `possible` is the goodput that the servers that were left allow."""
 
     tree: Tree
     seed: int
@@ -87,29 +87,29 @@
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Play what was asked for and print each play."""
+    """Run what was asked for and print each run."""
     if arguments.kind == "virtual":
-        for load, missing, figures in virtual_plays(arguments.seeds):
+        for load, missing, figures in virtual_losses(arguments.seeds):
             _print_virtual(load, missing, figures)
         return 0
     logging.getLogger("asyncio").setLevel(logging.CRITICAL)
     with before_and_now(arguments.revision) as trees:
         for seed in range(1, arguments.seeds + 1):
             for tree in trees:
-                _print_processes(process_play(tree, seed, arguments.load))
+                _print_processes(process_loss(tree, seed, arguments.load))
     return 0
 
 
-def virtual_plays(seeds: int) -> Iterator[tuple[float, Missing, SiteLossFigures]]:
+def virtual_losses(seeds: int) -> Iterator[tuple[float, Missing, SiteLossFigures]]:
     """Lose a site at each load, with parts of [sites] switched off; means over the seeds."""
     with ProcessPoolExecutor() as pool:
         for load in VIRTUAL_LOADS:
             for missing in Missing:
-                played = pool.map(virtual_play, range(seeds), repeat(load), repeat(missing))
-                yield load, missing, _mean(list(played))
+                losses = pool.map(virtual_loss, range(seeds), repeat(load), repeat(missing))
+                yield load, missing, _mean(list(losses))
 
 
-def virtual_play(seed: int, load: float, missing: Missing) -> SiteLossFigures:
+def virtual_loss(seed: int, load: float, missing: Missing) -> SiteLossFigures:
     """Lose a site on virtual time."""
     with ExitStack() as switched_off:
         if missing is not Missing.NOTHING:
@@ -132,7 +132,7 @@
         )
 
 
-def process_play(tree: Tree, seed: int, load: float) -> ProcessPlay:
+def process_loss(tree: Tree, seed: int, load: float) -> ProcessLoss:
     """Kill half of the real workers of a tree; only this tree has [sites]."""
     scenario = _scenario(tree, load)
     play = Play(scenario, seed, tree.root)
@@ -148,7 +148,7 @@
         recovered_s=judge.whole_again(calls, returned_s, verdict["goodput"]["quiet"]["all"]),
     )
     possible = foretold(scenario, LOST_SITE)["worth"]
-    return ProcessPlay(tree, seed, possible, figures, len(verdict["broken"]))
+    return ProcessLoss(tree, seed, possible, figures, len(verdict["broken"]))
 
 
 def _scenario(tree: Tree, load: float) -> Scenario:
@@ -156,7 +156,7 @@
     return parse(
         {
             "name": tree.name,
-            "seconds": PLAY_S,
+            "seconds": SCENARIO_S,
             "workers": 6,
             "sites": WORKERS,
             "classes": CLASSES,
@@ -170,17 +170,17 @@
     )
 
 
-def _mean(plays: list[SiteLossFigures]) -> SiteLossFigures:
+def _mean(losses: list[SiteLossFigures]) -> SiteLossFigures:
     """The means; what never recovered counts as recovering at the end."""
     never_s = END_S - RETURNED_AT_S
     return SiteLossFigures(
-        during=fmean(play.during for play in plays),
-        filings=fmean(play.filings for play in plays),
-        worst_second=fmean(play.worst_second for play in plays),
-        returning=fmean(play.returning for play in plays),
-        attempts=fmean(play.attempts for play in plays),
-        recovered_s=fmean(never_s if play.recovered_s is None else play.recovered_s for play in plays),
-        least_returning=fmean(play.least_returning or 0.0 for play in plays),
+        during=fmean(loss.during for loss in losses),
+        filings=fmean(loss.filings for loss in losses),
+        worst_second=fmean(loss.worst_second for loss in losses),
+        returning=fmean(loss.returning for loss in losses),
+        attempts=fmean(loss.attempts for loss in losses),
+        recovered_s=fmean(never_s if loss.recovered_s is None else loss.recovered_s for loss in losses),
+        least_returning=fmean(loss.least_returning or 0.0 for loss in losses),
     )
 
 
@@ -194,12 +194,12 @@
     )
 
 
-def _print_processes(play: ProcessPlay) -> None:
-    figures = play.figures
+def _print_processes(loss: ProcessLoss) -> None:
+    figures = loss.figures
     print(
-        f"{play.tree.name} seed {play.seed}: meanwhile {figures.during:.3f} of {play.possible:.3f} possible, "
+        f"{loss.tree.name} seed {loss.seed}: meanwhile {figures.during:.3f} of {loss.possible:.3f} possible, "
         f"filings {figures.filings:.3f}, worst second {figures.worst_second:.2f}, "
         f"first {RETURN_S} s of the return {figures.returning:.3f}, recovered after {figures.recovered_s} s, "
-        f"{figures.attempts:.2f} attempts, broken {play.broken_invariants}",
+        f"{figures.attempts:.2f} attempts, broken {loss.broken_invariants}",
         flush=True,
     )
--- a/benchmarks/fleet/upgrade.py
+++ b/benchmarks/fleet/upgrade.py
@@ -67,7 +67,7 @@
 def run(arguments: argparse.Namespace) -> int:
     """Replace the worker and print what was counted; UpgradeError where it went wrong."""
     with checked_out(arguments.revision) as earlier:
-        figures = Upgrade().play(earlier)
+        figures = Upgrade().replace(earlier)
     print(f"{arguments.revision} replaced by this tree: {figures.answers} answers, {figures.runs} runs")
     return 0
 
@@ -80,7 +80,7 @@
         self._filings: list[SentFiling] = []
         self._runs: list[str] = []  # the names of filings that ran
 
-    def play(self, earlier: Path) -> UpgradeFigures:
+    def replace(self, earlier: Path) -> UpgradeFigures:
         """Replace a worker of the tree `earlier` by one of this tree."""
         with self._resources:
             server, witness_server = self._server(), self._server()
--- a/benchmarks/overload/limit_algorithms.py
+++ b/benchmarks/overload/limit_algorithms.py
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True)
 class LimitFigures:
-    """The second half of a play: work done a second, mean time of a run in s, mean limit."""
+    """The second half of a simulation: work done a second, mean time of a run in s, mean limit."""
 
     work_per_s: float
     run_s: float
@@ -100,7 +100,7 @@
         self._runs_ended = 0
         self._limit_seconds = 0.0
 
-    def play(self) -> LimitFigures:
+    def run(self) -> LimitFigures:
         """Run to the end."""
         while self._now_s < self._duration_s:
             self._start_runs()
@@ -149,17 +149,17 @@
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
     """Declare the benchmark's arguments."""
-    parser.add_argument("--seconds", type=float, default=240.0, help="of a play, on its own clock")
+    parser.add_argument("--seconds", type=float, default=240.0, help="of a simulation, on its own clock")
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Play all cases and print a line for each machine and first limit."""
+    """Simulate all cases and print a line for each machine and first limit."""
     duration_s = arguments.seconds
     best = joblib.Parallel(n_jobs=-1)(joblib.delayed(best_fixed_limit)(case, duration_s) for case in CASES)
-    plays = list(product(CASES, LIMIT_ALGORITHMS, FIRST_LIMITS, SEEDS))
-    figures = joblib.Parallel(n_jobs=-1)(joblib.delayed(played)(*play, duration_s) for play in plays)
+    simulations = list(product(CASES, LIMIT_ALGORITHMS, FIRST_LIMITS, SEEDS))
+    figures = joblib.Parallel(n_jobs=-1)(joblib.delayed(simulated)(*one, duration_s) for one in simulations)
     by_start: dict[tuple[str, LimitController, int], list[LimitFigures]] = {}
-    for (case, algorithm, first_limit, _), one in zip(plays, figures, strict=True):
+    for (case, algorithm, first_limit, _), one in zip(simulations, figures, strict=True):
         by_start.setdefault((case, algorithm, first_limit), []).append(one)
     print(f"{'':18}{'best':>6}" + "".join(f"{algorithm:>24}" for algorithm in LIMIT_ALGORITHMS))
     for case, best_limit in zip(CASES, best, strict=True):
@@ -170,13 +170,13 @@
     return 0
 
 
-def played(
+def simulated(
     case: str, algorithm: LimitController, first_limit: int, seed: int, duration_s: float
 ) -> LimitFigures:
     """One algorithm on one machine, from one limit."""
     bounds = LimitBounds(1, CASES[case].machine.cores * MAX_LIMIT_A_CORE)
     limit = LIMIT_ALGORITHMS[algorithm](float(min(first_limit, bounds.maximum)), bounds)
-    return MachineSimulation(CASES[case], limit, seed, duration_s).play()
+    return MachineSimulation(CASES[case], limit, seed, duration_s).run()
 
 
 def best_fixed_limit(case: str, duration_s: float) -> BestLimit:
@@ -202,6 +202,6 @@
 
 def _fixed_limit_work_per_s(case: str, limit: int, duration_s: float) -> float:
     return fmean(
-        MachineSimulation(CASES[case], FixedLimit(limit), seed, duration_s).play().work_per_s
+        MachineSimulation(CASES[case], FixedLimit(limit), seed, duration_s).run().work_per_s
         for seed in FIXED_LIMIT_SEEDS
     )
--- a/benchmarks/overload/policies.py
+++ b/benchmarks/overload/policies.py
@@ -40,8 +40,9 @@
 class Case:
     """A load in parts of the capacity, and what differs from the small fleet.
 
-    `cores_factor`: how many times the real cores workers are told. `states_work`: whether requests say how
-    much work they are. `class_name`: the class that the case is about. `prints_attempts`: of each call.
+    `cores_factor`: how many times the real cores workers are configured with. `states_work`: whether
+    requests say how much work they are. `class_name`: the class that the case is about. `prints_attempts`:
+    of each call.
     """
 
     demand: float
@@ -57,9 +58,9 @@
     "120%": Case(1.2),
     "150%": Case(1.5),
     "200%": Case(2.0),
-    "twice the cores told, 120%": Case(1.2, cores_factor=2),
-    "twice the cores told, 200%": Case(2.0, cores_factor=2),
-    "half the cores told, 120%": Case(1.2, cores_factor=0.5),
+    "twice the cores configured, 120%": Case(1.2, cores_factor=2),
+    "twice the cores configured, 200%": Case(2.0, cores_factor=2),
+    "half the cores configured, 120%": Case(1.2, cores_factor=0.5),
     "cheap calls, 150%": Case(1.5, CHEAP_CALLS, class_name="lookup"),
     "cheap calls, 200%": Case(2.0, CHEAP_CALLS, class_name="lookup"),
     "heavy tail, 85%": Case(0.85, HEAVY_TAIL),
@@ -133,12 +134,14 @@
 
 
 def _simulation(fleet: Fleet, cores_factor: float, seed: int, duration_s: float) -> Simulation:
-    """A simulation whose workers are told `cores_factor` times the cores that they run on."""
+    """A simulation whose workers are configured with `cores_factor` times the cores that they run on."""
     if cores_factor == 1:
         return Simulation(fleet, seed, duration_s, settle=SETTLE_S)
     real = fleet.kinds[0]
-    told = real.model_copy(update={"cores": int(real.cores * cores_factor)})
-    simulation = Simulation(fleet.model_copy(update={"kinds": [told]}), seed, duration_s, settle=SETTLE_S)
+    configured = real.model_copy(update={"cores": int(real.cores * cores_factor)})
+    simulation = Simulation(
+        fleet.model_copy(update={"kinds": [configured]}), seed, duration_s, settle=SETTLE_S
+    )
     for worker in simulation.workers:
         worker.machine = dataclasses.replace(worker.machine, cores=real.cores)
         worker.cores = Cores(worker.machine, 0.0, False)
--- a/benchmarks/requests/flood.py
+++ b/benchmarks/requests/flood.py
@@ -1,4 +1,4 @@
-"""A flood at admission, beside an earlier revision by turns.
+"""A flood at admission, beside an earlier revision in alternation.
 
 What a rejection costs in processor time, how long health checks and filings wait meanwhile, and how late
 the worker's loop runs. The worker has a processor of its own, or shares it with `--busy` processes. Routers
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True)
 class FloodFigures:
-    """What one play measured, as it is printed."""
+    """What one run measured, as it is printed."""
 
     answers_per_s: int
     cpu_us_each: int
@@ -70,27 +70,29 @@
     """Declare the benchmark's arguments."""
     parser.add_argument("revision", nargs="?", default=DEFAULT_REVISION, help="the earlier one")
     parser.add_argument("--rounds", type=int, default=3)
-    parser.add_argument("--seconds", type=float, default=6.0, help="of a play")
+    parser.add_argument("--seconds", type=float, default=6.0, help="of a flood")
     parser.add_argument("--busy", type=int, default=0, help="busy processes on the worker's processor")
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Play both revisions by turns; print each play, and the ratio of their costs."""
+    """Flood both revisions in alternation; print each run, and the ratio of their costs."""
     with checked_out(arguments.revision) as before:
 
-        def play_before() -> FloodFigures:
-            return _played(BEFORE, before, None, arguments)
+        def run_before() -> FloodFigures:
+            return _run_and_print(BEFORE, before, None, arguments)
 
-        def play_now() -> FloodFigures:
-            return _played(NOW, ROOT, {}, arguments)
+        def run_now() -> FloodFigures:
+            return _run_and_print(NOW, ROOT, {}, arguments)
 
-        pairs = list(paired_rounds(arguments.rounds, play_before, play_now))
+        pairs = list(paired_rounds(arguments.rounds, run_before, run_now))
     costs = [Pair(float(pair.before.cpu_us_each), float(pair.now.cpu_us_each)) for pair in pairs]
     print(f"processor time of an answer, now/before: {ratio_summary(costs)}")
     return 0
 
 
-def play(root: Path, overload: dict[str, Any] | None, duration_s: float, busy_processes: int) -> FloodFigures:
+def run_flood(
+    root: Path, overload: dict[str, Any] | None, duration_s: float, busy_processes: int
+) -> FloodFigures:
     """Flood a worker of a tree for some time; `overload` is its table of that name, or None."""
     settings = short_deadline_settings()
     settings["FamilyInfo"] |= {"Cores": CORES, "HeapKb": HEAP_KB}
@@ -101,10 +103,10 @@
         return _flooded(worker, duration_s, busy_processes)
 
 
-def _played(
+def _run_and_print(
     name: str, root: Path, overload: dict[str, Any] | None, options: argparse.Namespace
 ) -> FloodFigures:
-    figures = play(root, overload, options.seconds, options.busy)
+    figures = run_flood(root, overload, options.seconds, options.busy)
     print(name, json.dumps(asdict(figures)), flush=True)
     return figures
 
--- a/benchmarks/requests/read_cost.py
+++ b/benchmarks/requests/read_cost.py
@@ -1,10 +1,10 @@
 """What one small read costs in processor time on each front, beside an earlier revision.
 
-`python -m benchmarks read-cost REVISION` compares the revision with this tree by turns. With `--capture`
-instead of a revision: AJP reads of this tree without and with its load captured; with `--peers N`: alone
-and in a fleet with N more workers, which are idle. With `--side-by-side` both revisions run all the while
-and take turns of a few reads, for a machine that is busy with other things; each figure is then of all its
-turns together.
+`python -m benchmarks read-cost REVISION` compares the revision with this tree in alternation. With
+`--capture` instead of a revision: AJP reads of this tree without and with its load captured; with `--peers
+N`: alone and in a fleet with N more workers, which are idle. With `--side-by-side` both revisions run all
+the while and take turns of a few reads, for a machine that is busy with other things; each figure is then
+of all its turns together.
 """
 
 import argparse
@@ -95,7 +95,7 @@
 
 
 def side_by_side_cost(before: Path, front: Front, turns: int) -> SideBySideCost:
-    """Processor time of a read in us, of both revisions running at once and reading by turns."""
+    """Processor time of a read in us, of both revisions running at once and reading in alternation."""
     with closing(_start(before, front)) as earlier, closing(_start(ROOT, front)) as present:
         pairs = list(paired_rounds(turns, _turn_of(earlier, front), _turn_of(present, front)))
     return SideBySideCost(
@@ -152,7 +152,7 @@
 
 
 def _compare(front: Front, arguments: argparse.Namespace, before: Cost, now: Cost) -> None:
-    """Measure both by turns; print each round, and the ratio of all."""
+    """Measure both in alternation; print each round, and the ratio of all."""
     pairs: list[Pair[float]] = []
     for pair in paired_rounds(arguments.rounds, before, now):
         pairs.append(pair)
--- a/benchmarks/requests/route_lookup.py
+++ b/benchmarks/requests/route_lookup.py
@@ -53,7 +53,9 @@
     parser.add_argument("revision", nargs="?", default=DEFAULT_REVISION, help="the earlier one")
     parser.add_argument("--root", type=Path, help="the earlier tree, instead of a revision")
     parser.add_argument("--calls", type=int, default=2000, help="checks timed at each position")
-    parser.add_argument("--rounds", type=int, default=3, help="by turns; the least of each figure counts")
+    parser.add_argument(
+        "--rounds", type=int, default=3, help="in alternation; the least of each figure counts"
+    )
     parser.add_argument("--json", type=Path, metavar="FILE", help="keep the figures in this file too")
 
 
--- a/benchmarks/shared/paired_runs.py
+++ b/benchmarks/shared/paired_runs.py
@@ -1,4 +1,4 @@
-"""Runs of two versions by turns, so that what else the machine does meets both."""
+"""Runs of two versions in alternation, so that what else the machine does meets both."""
 
 import statistics
 from collections.abc import Callable, Iterator, Sequence
--- a/benchmarks/store/emulated_kernel.py
+++ b/benchmarks/store/emulated_kernel.py
@@ -17,7 +17,7 @@
 CORES = 2
 CROWDING_RUNS = 10  # so many runs beyond the cores halve the speed of all
 MEAN_WORK_S = 0.020
-WORK_FACTORS = {"small": 0.3, "large": 4.0}  # by request class; the worker is not told
+WORK_FACTORS = {"small": 0.3, "large": 4.0}  # by request class; unknown to the worker
 BOOT_MS = 60_000
 REPORTED_RUN_MS = 20
 
--- a/benchmarks/store/load.py
+++ b/benchmarks/store/load.py
@@ -1,6 +1,6 @@
 """What the store costs: a filing's latency, filings a second, CPings beside them, and a long start.
 
-Each load is measured with the store and without, in one run, by turns.
+Each load is measured with the store and without, in one run, in alternation.
 """
 
 import argparse
--- a/benchmarks/store/warm_start.py
+++ b/benchmarks/store/warm_start.py
@@ -44,7 +44,7 @@
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Restart with the learned state and without, by turns; print each restart and the means."""
+    """Restart with the learned state and without, in alternation; print each restart and the means."""
     warm, cold = [], []
     for seed in range(arguments.rounds):
         warm.append(restart_goodput(seed, keep_learned_state=True))
