--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -13,7 +13,7 @@
 from benchmarks.earlier import versions
 from ochrehoist.lab.play import Play
 from ochrehoist.lab.scenario import parse
-from ochrehoist.lab.virtual import World
+from ochrehoist.lab.virtual.world import World
 from ochrehoist.peers.budget import Budget
 from ochrehoist.peers.wire import MemberState
 
@@ -33,14 +33,14 @@
     """Load of one worker at several sizes: datagrams, bytes and processor time a second."""
     for count in (5, 20, 200):
         world = World(1, budget(count), encoded=True)
-        nodes = world.fleet(count)
+        nodes = world.start_fleet(count)
         world.run(8.0)
-        before = [(n.sent, n.bytes_out) for n in nodes]
+        before = [(n.sent_count, n.sent_bytes) for n in nodes]
         began, span = time.process_time(), 4.0 if count > 50 else 10.0
         world.run(8.0 + span)
         spent = time.process_time() - began
-        sent = sorted((n.sent - b[0]) / span for n, b in zip(nodes, before, strict=True))
-        size = sorted((n.bytes_out - b[1]) / span for n, b in zip(nodes, before, strict=True))
+        sent = sorted((n.sent_count - b[0]) / span for n, b in zip(nodes, before, strict=True))
+        size = sorted((n.sent_bytes - b[1]) / span for n, b in zip(nodes, before, strict=True))
         print(
             f"{count} members: {statistics.median(sent):.0f} datagrams/s ({sent[-1]:.0f} at the most), "
             f"{statistics.median(size) / 1000:.1f} kB/s ({size[-1] / 1000:.1f}), "
@@ -54,9 +54,9 @@
     noticed, false, hours = [], 0, 0.0
     for seed in range(fleets):
         world = World(seed, ())
-        nodes = world.fleet(6)
+        nodes = world.start_fleet(6)
         world.run(2.0)
-        world.weather(0.2, 0.0, (0.001, 0.02))
+        world.set_network_conditions(0.2, 0.0, (0.001, 0.02))
         for at in (3.0, 9.0, 15.0):
             world.at(at, lambda at=at, nodes=nodes, world=world: world.pause(nodes[int(at) % 5], 1.0))
         world.run(22.0)
@@ -81,9 +81,9 @@
 
 
 def used(world: World, since: float, until: float) -> float:
-    before = world.oracle.total.get("rate", 0)
+    before = world.oracle.use_counts["rate"]
     world.run(until)
-    return (world.oracle.total.get("rate", 0) - before) / (until - since) / BUDGET
+    return (world.oracle.use_counts["rate"] - before) / (until - since) / BUDGET
 
 
 def budgets(fleets: int) -> None:
@@ -93,15 +93,17 @@
     for seed in range(fleets):
         for word in ("all want", "one wants"):
             world = World(seed, budget(5))
-            nodes = world.fleet(5)
+            nodes = world.start_fleet(5)
             hungry = nodes if word == "all want" else nodes[1:2]
-            world.on_use = lambda node, world=world, hungry=hungry: (
-                [world.use(node, "rate") for _ in range(6)] if node in hungry else None
+            world.observe_ticks(
+                lambda node, world=world, hungry=hungry: (
+                    [world.use_budget(node, "rate") for _ in range(6)] if node in hungry else None
+                )
             )
             world.run(14.0)
             figures[word].append(used(world, 14.0, 20.0))
             if word == "all want":
-                world.cut({"w004"}, set(world.names) - {"w004"}, 10.0)
+                world.partition({"w004"}, set(world.names) - {"w004"}, 10.0)
                 world.run(20.0)
                 figures["cut"].append(used(world, 20.0, 30.0))
                 healed = 30.0
@@ -116,21 +118,22 @@
     """True error of a reading against the bound that it states."""
     errors, bounds, over = [], [], 0
     for seed in range(fleets):
-        world = World(seed, (), most_per_s=60.0)
-        nodes = world.fleet(6)
+        world = World(seed, (), max_rate_per_s=60.0)
+        nodes = world.start_fleet(6)
         true = 0
 
         def count(node: Any, world: World = world) -> None:
             nonlocal true
             if world.now > 1:
-                n = world.rng["use"].randint(0, 3)  # 20 beats a second
+                n = world.random.usage.randint(0, 3)  # 20 beats a second
                 node.group.counters.add("served", n)
                 true += n
 
-        world.on_use = count
-        world.weather(0.2, 0.3, (0.001, 0.1))
+        world.observe_ticks(count)
+        world.set_network_conditions(0.2, 0.3, (0.001, 0.1))
         world.at(
-            6.0, lambda world=world: world.cut({"w004", "w005"}, set(world.names) - {"w004", "w005"}, 4.0)
+            6.0,
+            lambda world=world: world.partition({"w004", "w005"}, set(world.names) - {"w004", "w005"}, 4.0),
         )
         for step in range(24):
             world.run(3.0 + step * 0.5)
--- a/benchmarks/sites.py
+++ b/benchmarks/sites.py
@@ -16,7 +16,8 @@
 from ochrehoist.lab.drill import foretold
 from ochrehoist.lab.play import Play
 from ochrehoist.lab.scenario import parse
-from ochrehoist.lab.sitestorm import Sites
+from ochrehoist.lab.virtual.site_measurements import goodput, measure_loss
+from ochrehoist.lab.virtual.site_world import SiteWorld
 from ochrehoist.sites.admission_gate import AdmissionGate
 from ochrehoist.sites.recovery_ramp import RecoveryRamp
 
@@ -37,11 +38,11 @@
     for p in patches:
         p.start()
     try:
-        world = Sites(seed, {"brussels": 3, "antwerp": 3}, load)
-        world.at(AT, lambda: world.lose("antwerp"))
-        world.at(BACK, lambda: world.bring_back("antwerp"))
+        world = SiteWorld(seed, {"brussels": 3, "antwerp": 3}, load)
+        world.at(AT, lambda: world.lose_site("antwerp"))
+        world.at(BACK, lambda: world.restore_site("antwerp"))
         world.run(END)
-        return world.figures(AT, BACK) | {"first": world.gained(BACK, BACK + 6)}
+        return measure_loss(world, AT, BACK) | {"first": goodput(world, BACK, BACK + 6)}
     finally:
         for p in patches:
             p.stop()
--- a/ochrehoist/cli/lab.py
+++ b/ochrehoist/cli/lab.py
@@ -163,16 +163,16 @@
 @stops(_told)
 def seeds(ctx: click.Context, count: int, first: int, jobs: int) -> None:
     """Seeded schedules of faults for the fleet's pure parts, on virtual time."""
-    from ochrehoist.lab.virtual import verdict
+    from ochrehoist.lab.virtual.budget_sweep import check_seed
 
     bad = uses = 0
     with _progress("schedules", count) as tell, ProcessPoolExecutor(jobs) as pool:
-        for n, (seed, why, used) in enumerate(pool.map(verdict, range(first, first + count), chunksize=8), 1):
+        for n, result in enumerate(pool.map(check_seed, range(first, first + count), chunksize=8), 1):
             tell(n)
-            uses += used
-            if why is not None:
+            uses += result.use_count
+            if result.violation is not None:
                 bad += 1
-                click.echo(f"seed {seed}: {why}")
+                click.echo(f"seed {result.seed}: {result.violation}")
     click.echo(f"{count} schedules, {uses} uses of budgets, {bad} broken")
     ctx.exit(NO if bad else 0)
 
@@ -185,18 +185,18 @@
 @stops(_told)
 def sites_(ctx: click.Context, count: int, first: int, jobs: int) -> None:
     """Seeded losses, cuts, pauses and evacuations of sites, on virtual time: missed, invented, at once."""
-    from ochrehoist.lab.sitestorm import verdict
+    from ochrehoist.lab.virtual.site_fault_sweep import check_seed
 
     bad = losses = 0
     known: list[float] = []
     with _progress("schedules", count) as tell, ProcessPoolExecutor(jobs) as pool:
-        for n, (seed, broken, f) in enumerate(pool.map(verdict, range(first, first + count), chunksize=4), 1):
+        for n, result in enumerate(pool.map(check_seed, range(first, first + count), chunksize=4), 1):
             tell(n)
-            losses += f["losses"]
-            known += f["known"]
-            bad += bool(broken)
-            for line in broken:
-                click.echo(f"seed {seed}: {line}")
+            losses += result.loss_count
+            known += result.detection_times_s
+            bad += bool(result.violations)
+            for line in result.violations:
+                click.echo(f"seed {result.seed}: {line}")
     known.sort()
     click.echo(f"{count} schedules, {losses} losses, {bad} schedules broken")
     if known:
--- a/ochrehoist/lab/callers.py
+++ b/ochrehoist/lab/callers.py
@@ -62,8 +62,8 @@
         now."""
         self.scenario, self.seed, self.now, self.askers, self.life = scenario, seed, now, askers, life
         self.checks, self.factor = checks, 1.0
-        self.rng = {s: Random(f"{seed}/{s}") for s in ("calls", "tries", "balancer")}
-        self.balancer = Balancer(askers, scenario.balancer, self.rng["balancer"])
+        self.rng = {s: Random(f"{seed}/{s}") for s in ("calls", "tries")}
+        self.balancer = Balancer(askers, scenario.balancer)
         self.calls: list[CallMade] = []
         self.weights: list[tuple[float, str, int]] = []  # when the balancer learned which weight of whom
 
@@ -122,7 +122,7 @@
                 t.status = await asyncio.wait_for(self.askers[name].ask(call, attempt, work), left)
             except ConnectionRefusedError:
                 t.status = judge.UNREACHED
-                self.balancer.refused(name)
+                self.balancer.connection_refused(name)
                 refused.append(name)
             except (OSError, TimeoutError):
                 pass
@@ -137,12 +137,12 @@
         agent, front = self.checks[name]
         while True:
             line, well = await asyncio.gather(self._line(agent), self._reached(front))
-            before = self.balancer.backends[name].weight
+            before = self.balancer.weight(name)
             if line is not None:
-                self.balancer.told(name, line)
-            self.balancer.checked(name, well)
-            if self.balancer.backends[name].weight != before:
-                self.weights.append((self.now(), name, self.balancer.backends[name].weight))
+                self.balancer.agent_reported(name, line)
+            self.balancer.health_checked(name, well)
+            if self.balancer.weight(name) != before:
+                self.weights.append((self.now(), name, self.balancer.weight(name)))
             await asyncio.sleep(self.scenario.balancer.check_s)
 
     @staticmethod
--- a/ochrehoist/lab/scenario.py
+++ b/ochrehoist/lab/scenario.py
@@ -14,7 +14,7 @@
     fault_lines,
 )
 from ochrehoist.errors import OchrehoistError
-from ochrehoist.lab.balancer import Habits
+from ochrehoist.lab.balancer import BalancerSettings
 
 Links = Literal["peers", "fronts", "servers", "checks", "all"]
 KINDS = (
@@ -123,7 +123,7 @@
     voters: Annotated[int, Field(ge=0, le=40)] = 0  # 0: all
     form: Literal["appliance", "platform"] = "appliance"
     sites: dict[str, list[str]] = {}  # workers by site
-    balancer: Habits = Habits()
+    balancer: BalancerSettings = BalancerSettings()
     tables: dict[str, dict[str, Any]] = {}  # further tables of every worker's file
     peers: bool = True
     probe_ms: Annotated[int, Field(ge=20)] = 100
--- /dev/null
+++ b/ochrehoist/lab/virtual/site_measurements.py
@@ -0,0 +1,143 @@
+"""What a run of several sites on virtual time shows: goodput, detection of losses, recovery steps."""
+
+import math
+from typing import Any
+
+from ochrehoist.lab.virtual.site_world import LossAlarm, SiteLoss, SiteWorld
+from ochrehoist.sites.site_health import BURST_FACTOR, EVIDENCE_THRESHOLD
+from ochrehoist.sites.step_lease import STEP_LEASE_DURATION_S
+
+LOAD_SHIFT_S = 3.5  # until all have seen the silence of a site, and its load has moved
+DETECTION_MARGIN = 3  # times the expected time until the evidence suffices
+SETTLED_S = 5.0  # after the start of a worker, from which on it is to find losses
+RETURN_GRACE_S = 3.0  # after a return, in which an alarm is not yet false
+RECOVERED_FRACTION = 0.95
+RECOVERY_CHECK_S = 0.5
+WARM_UP_S = 3  # at the start of a run, whose calls do not count
+WORST_SPAN_S = 4
+RETURN_SPAN_S = 15
+
+
+def goodput(world: SiteWorld, since_s: float, until_s: float, *, filing: bool | None = None) -> float:
+    """The weight of calls that succeeded, as a fraction of all that were made in the span; 1 for none.
+
+    `filing`: only filings, or only reads.
+    """
+    calls = [
+        call for call in world.calls if since_s <= call.at_s < until_s and filing in (None, call.is_filing)
+    ]
+    weight = sum(call.weight for call in calls)
+    return sum(call.weight for call in calls if call.succeeded) / weight if weight else 1.0
+
+
+def goodput_by_second(world: SiteWorld, since_s: float, until_s: float) -> list[float]:
+    """The goodput of each second of the span."""
+    return [round(goodput(world, second, second + 1), 2) for second in range(int(since_s), int(until_s))]
+
+
+def recovery_time_s(world: SiteWorld, since_s: float, level: float) -> float | None:
+    """When two seconds in a row first had nearly this goodput, after `since_s`; None where none had."""
+    at_s = since_s
+    while at_s + 2 < world.now:
+        lower = min(goodput(world, at_s, at_s + 1), goodput(world, at_s + 1, at_s + 2))
+        if lower >= RECOVERED_FRACTION * level:
+            return at_s - since_s
+        at_s += RECOVERY_CHECK_S
+    return None
+
+
+def detection_limit_s(world: SiteWorld, site: str) -> float:
+    """The time in which a loss is to be found: with so few requests, evidence takes a while."""
+    total = len(world.sites)
+    lost = len(world.members_of(site))
+    increase = total / (total - lost) - 1
+    usual_rate = world.calls_per_s / total * (total - lost)
+    evidence_per_s = usual_rate * ((1 + increase) * math.log1p(increase) - increase) / BURST_FACTOR
+    return LOAD_SHIFT_S + DETECTION_MARGIN * EVIDENCE_THRESHOLD / evidence_per_s
+
+
+def missed_losses(world: SiteWorld) -> list[str]:
+    """Losses that lasted long enough, and that a worker in another site did not find; a line each."""
+    missed: list[str] = []
+    for site, losses in world.losses.items():
+        limit_s = detection_limit_s(world, site)
+        for loss in losses:
+            if min(loss.until_s, world.now) - loss.since_s < limit_s:
+                continue
+            missed += [
+                f"{name} did not find {site} lost from {loss.since_s:.1f} s on, in {limit_s:.1f} s"
+                for name, worker in world.workers.items()
+                if world.sites[name] != site
+                and worker.started_at_s < loss.since_s - SETTLED_S
+                and not _found(world, name, site, loss, limit_s)
+            ]
+    return missed
+
+
+def _found(world: SiteWorld, worker: str, site: str, loss: SiteLoss, limit_s: float) -> bool:
+    return any(
+        alarm.worker == worker and alarm.site == site and loss.since_s <= alarm.at_s <= loss.since_s + limit_s
+        for alarm in world.loss_alarms
+    )
+
+
+def false_alarms(world: SiteWorld) -> list[LossAlarm]:
+    """Sites declared lost that were not, nor had been a moment before."""
+    return [
+        alarm
+        for alarm in world.loss_alarms
+        if not any(
+            loss.since_s <= alarm.at_s <= loss.until_s + RETURN_GRACE_S
+            for loss in world.losses.get(alarm.site, ())
+        )
+    ]
+
+
+def interleaved_steps(world: SiteWorld) -> list[str]:
+    """Steps of one site between two steps of another within one step lease; a line each."""
+    found = []
+    for position, step in enumerate(world.recovery_steps):
+        following = [
+            later
+            for later in world.recovery_steps[position + 1 :]
+            if later.at_s - step.at_s < STEP_LEASE_DURATION_S / 2
+        ]
+        others = [later.at_s for later in following if later.site != step.site]
+        if others and any(later.at_s > others[0] and later.site == step.site for later in following):
+            found.append(f"another site stepped at {others[0]:.2f} s, amid the steps of {step.site}")
+    return found
+
+
+def all_at_full_service(world: SiteWorld) -> bool:
+    """Whether all workers have their full load again."""
+    return all(
+        worker.coordinator.report(worker.node.clock(world.now)).is_full_service
+        for worker in world.workers.values()
+    )
+
+
+def detection_times_s(world: SiteWorld) -> list[float]:
+    """How long after each loss workers declared it, for alarms within the limit."""
+    return [
+        alarm.at_s - loss.since_s
+        for site, losses in world.losses.items()
+        for loss in losses
+        for alarm in world.loss_alarms
+        if alarm.site == site and 0 <= alarm.at_s - loss.since_s <= detection_limit_s(world, site)
+    ]
+
+
+def measure_loss(world: SiteWorld, lost_at_s: float, restored_at_s: float) -> dict[str, Any]:
+    """The figures of a benchmark of one loss and its return."""
+    level = goodput(world, WARM_UP_S, lost_at_s)
+    rejected = sum(call.gate_rejections > 0 for call in world.calls)
+    return {
+        "before": level,
+        "during": goodput(world, lost_at_s, restored_at_s),
+        "filings": goodput(world, lost_at_s, restored_at_s, filing=True),
+        "worst": min(goodput_by_second(world, lost_at_s, lost_at_s + WORST_SPAN_S)),
+        "whole": recovery_time_s(world, restored_at_s, level),
+        "least": min(goodput_by_second(world, restored_at_s, restored_at_s + RETURN_SPAN_S), default=1.0),
+        "tries": sum(call.attempts for call in world.calls) / len(world.calls),
+        "won": sum(call.served_after_rejection for call in world.calls) / max(1, rejected),
+    }
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -5,8 +5,10 @@
 from collections import deque
 from unittest import mock
 
-from ochrehoist.lab import explore, virtual
+from ochrehoist.lab import explore
 from ochrehoist.lab.explore import Bounds
+from ochrehoist.lab.virtual.budget_oracle import BudgetExceededError
+from ochrehoist.lab.virtual.budget_sweep import run_schedule
 from ochrehoist.peers import membership
 from ochrehoist.peers.budget import Budget
 from ochrehoist.peers.leases import HeldLease, LeaseGrantor, LeaseHolder, RequestRound
@@ -21,13 +23,15 @@
     def test_no_budget_is_over_under_seeded_storms(self):
         for seed in range(24):
             with self.subTest(seed):
-                world = virtual.schedule(seed, 10.0)
-                self.assertGreater(sum(world.oracle.total.values()), 0)
+                world = run_schedule(seed, 10.0)
+                self.assertGreater(sum(world.oracle.use_counts.values()), 0)
 
     def test_a_seed_makes_the_same_events_every_time(self):
-        one, two = virtual.schedule(7, 8.0), virtual.schedule(7, 8.0)
-        self.assertEqual(one.oracle.total, two.oracle.total)
-        self.assertEqual([n.sent for n in one.nodes.values()], [n.sent for n in two.nodes.values()])
+        one, two = run_schedule(7, 8.0), run_schedule(7, 8.0)
+        self.assertEqual(one.oracle.use_counts, two.oracle.use_counts)
+        self.assertEqual(
+            [n.sent_count for n in one.nodes.values()], [n.sent_count for n in two.nodes.values()]
+        )
 
 
 class Orders(unittest.TestCase):
@@ -126,7 +130,7 @@
 
 def storms(seeds=range(1000, 1060)):
     for seed in seeds:
-        virtual.schedule(seed, 10.0)
+        run_schedule(seed, 10.0)
 
 
 class Defects(unittest.TestCase):
@@ -150,7 +154,7 @@
         """By one of some storms, none of which breaks a rule without the defect."""
 
         def check():
-            with self.assertRaises(virtual.Broken):
+            with self.assertRaises(BudgetExceededError):
                 storms()
 
         self.with_defect(defect, check)
--- a/tests/test_growth_messages.py
+++ b/tests/test_growth_messages.py
@@ -6,7 +6,7 @@
 import unittest
 from unittest import mock
 
-from ochrehoist.lab.virtual import World
+from ochrehoist.lab.virtual.world import World
 from ochrehoist.peers import membership, ping_exchange, probing
 from ochrehoist.peers.budget import Budget
 from ochrehoist.peers.wire import MemberState
@@ -24,9 +24,9 @@
 
 def world(count, seed=1):
     voters = tuple(f"w{n:03d}" for n in range(min(count, 3)))
-    w = World(seed, (Budget("rate", 60, voters, floor_lease_s=4.0),), encoded=True)
-    w.known = False  # but for voters, addresses are learned: as in a large fleet
-    w.fleet(count)
+    w = World(seed, (Budget("rate", 60, voters, floor_lease_s=4.0),), encoded=True, addresses_known=False)
+    # But for voters, addresses are learned: as in a large fleet.
+    w.start_fleet(count)
     return w
 
 
@@ -75,10 +75,10 @@
         w = world(count, seed)
         w.run(REST_S)
         plain = list(w.nodes.values())[3:]
-        before = [(n.sent, n.bytes_out) for n in plain]
+        before = [(n.sent_count, n.sent_bytes) for n in plain]
         w.run(REST_S + SPAN_S)
-        sent = sorted((n.sent - b[0]) / SPAN_S for n, b in zip(plain, before, strict=True))
-        out = sorted((n.bytes_out - b[1]) / SPAN_S for n, b in zip(plain, before, strict=True))
+        sent = sorted((n.sent_count - b[0]) / SPAN_S for n, b in zip(plain, before, strict=True))
+        out = sorted((n.sent_bytes - b[1]) / SPAN_S for n, b in zip(plain, before, strict=True))
         self.count, self.sent, self.bytes = count, sent[len(sent) // 2], out[len(out) // 2]
         self.state = max(state(n) for n in plain)
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ochrehoist.lab.virtual import World
+from ochrehoist.lab.virtual.world import World
 from ochrehoist.peers import lease_assignment, wire
 from ochrehoist.peers.budget import CLOCK_DRIFT, GRANT_GUARD_S, RATE_WINDOW_S, Budget
 from ochrehoist.peers.counters import MAX_INCARNATIONS, ReplicatedCounters
@@ -505,9 +505,8 @@
     """Whole groups on virtual time, in quiet."""
 
     def test_members_find_each_other_from_one_address_and_counts_agree(self):
-        world = World(3, (), encoded=True)
-        world.known = False
-        nodes = world.fleet(8)
+        world = World(3, (), encoded=True, addresses_known=False)
+        nodes = world.start_fleet(8)
         world.run(3.0)
         for n, node in enumerate(nodes):
             self.assertEqual(len(node.group.members.live_names()), 7)
@@ -521,8 +520,10 @@
     def test_a_rate_that_one_worker_wants_goes_there(self):
         names = tuple(f"w{n:03d}" for n in range(5))
         world = World(4, (Budget("rate", 40, names, floor_fraction=0.0, floor_lease_s=2.0),))
-        nodes = world.fleet(5)
-        world.on_use = lambda node: [world.use(node, "rate") for _ in range(5)] if node is nodes[2] else None
+        nodes = world.start_fleet(5)
+        world.observe_ticks(
+            lambda node: [world.use_budget(node, "rate") for _ in range(5)] if node is nodes[2] else None
+        )
         world.run(15.0)
         self.assertGreaterEqual(nodes[2].group.shares["rate"].holder.amount(nodes[2].clock(15.0)), 36)
 
@@ -530,20 +531,19 @@
         sent = {}
         for count in (5, 40):
             world = World(5, ())
-            nodes = world.fleet(count)
+            nodes = world.start_fleet(count)
             world.run(3.0)
-            before = sum(n.sent for n in nodes)
+            before = sum(n.sent_count for n in nodes)
             world.run(6.0)
-            sent[count] = (sum(n.sent for n in nodes) - before) / count
+            sent[count] = (sum(n.sent_count for n in nodes) - before) / count
         self.assertLess(sent[40], 1.3 * sent[5])
 
     def test_a_second_process_of_a_name_that_others_follow_ends_the_leases_of_the_first(self):
         names = ("w000", "w001", "w002")
-        world = World(6, (Budget("rate", 12, names, floor_lease_s=2.0),))
-        world.known = False
-        nodes = world.fleet(4)
+        world = World(6, (Budget("rate", 12, names, floor_lease_s=2.0),), addresses_known=False)
+        nodes = world.start_fleet(4)
         world.run(4.0)
-        world.start("w003", twin=True)
+        world.start("w003", duplicate=True)
         world.run(8.0)
         self.assertTrue(nodes[3].group.yielded)
         self.assertEqual(nodes[3].group.shares["rate"].holder.held_slots(nodes[3].clock(8.0)), [])
@@ -553,9 +553,9 @@
     def test_a_death_is_told_from_a_pause_and_a_cut_of_messages(self, seed):
         """A fifth of the messages is lost, and members pause for 1 s: nobody is called dead for it."""
         world = World(seed, ())
-        nodes = world.fleet(5)
+        nodes = world.start_fleet(5)
         world.run(2.0)
-        world.weather(0.2, 0.0, (0.001, 0.02))
+        world.set_network_conditions(0.2, 0.0, (0.001, 0.02))
         world.at(3.0, lambda: world.pause(nodes[1], 1.0))
         world.run(8.0)
         self.assertEqual([n.group.members.deaths for n in nodes], [[]] * 5)
--- a/tests/test_peers_counts.py
+++ b/tests/test_peers_counts.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from ochrehoist.lab.virtual import World
+from ochrehoist.lab.virtual.world import World
 from ochrehoist.peers import own_counters, ping_exchange, wire
 from ochrehoist.peers.budget import CLOCK_DRIFT
 from ochrehoist.peers.counter_encoding import MAX_DELTA_BYTES, MAX_OWN_BYTES
@@ -302,10 +302,10 @@
     """Whole groups on virtual time, each message encoded: one that is too long breaks the run."""
 
     def fleet(self, count, tenants, loss=0.0, kind="tenant"):
-        w = World(1, (), encoded=True, most_per_s=20_000.0)
-        nodes = w.fleet(count)
+        w = World(1, (), encoded=True, max_rate_per_s=20_000.0)
+        nodes = w.start_fleet(count)
         w.run(4.0)
-        w.weather(loss, 0.1 if loss else 0.0, (0.0002, 0.002))
+        w.set_network_conditions(loss, 0.1 if loss else 0.0, (0.0002, 0.002))
         for node in nodes:
             for t in range(tenants):
                 node.group.counters.add(f"{kind}/customer-{t:05d}/served")
@@ -329,7 +329,7 @@
             with self.subTest(count=count, tenants=tenants, loss=loss):
                 w, nodes = self.fleet(count, tenants, loss, kind)
                 began, rounds = w.now, (2 + parts_of(nodes[0].group.counters)) * (3 if loss else 1)
-                within = rounds * (count - 1) * w.period * 1.25  # a probe waits for a beat
+                within = rounds * (count - 1) * w.period_s * 1.25  # a probe waits for a beat
                 while not self.whole(w, nodes, count * tenants):
                     self.assertLess(w.now - began, within)
                     w.run(w.now + 0.5)
@@ -346,10 +346,10 @@
                     for t in range(tenants):
                         node.group.counters.add(f"tenant/customer-{t:05d}/served")
                 w.run(w.now + 0.1)
-            began = [(n.sent, n.bytes_out) for n in nodes]
+            began = [(n.sent_count, n.sent_bytes) for n in nodes]
             w.run(w.now + 4.0)
             sent[tenants] = tuple(
-                sum(x[i] for x in [(n.sent, n.bytes_out) for n in nodes]) - sum(b[i] for b in began)
+                sum(x[i] for x in [(n.sent_count, n.sent_bytes) for n in nodes]) - sum(b[i] for b in began)
                 for i in (0, 1)
             )
         for tenants in (100, 2000):
--- a/tests/test_peers_suspicion.py
+++ b/tests/test_peers_suspicion.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from ochrehoist.lab.virtual import World
+from ochrehoist.lab.virtual.world import World
 from ochrehoist.peers.budget import Budget
 from ochrehoist.peers.membership import Membership
 from ochrehoist.peers.wire import Incarnation, MemberState, MemberUpdate
@@ -134,9 +134,13 @@
     WITHIN_S = 30.0
 
     def after(self, count, fault, lasts):
-        w = World(1, (Budget("rate", 60, ("w000", "w001", "w002"), floor_lease_s=4.0),), encoded=True)
-        w.known = False
-        w.fleet(count)
+        w = World(
+            1,
+            (Budget("rate", 60, ("w000", "w001", "w002"), floor_lease_s=4.0),),
+            encoded=True,
+            addresses_known=False,
+        )
+        w.start_fleet(count)
         w.run(10.0)
         self.assertEqual(self.wrong(w, count), [])
         fault(w, w.nodes[w.address("w004")])
@@ -178,16 +182,15 @@
         self.after(20, fault, 1.0)
 
     def test_after_a_cut_of_one(self):
-        self.after(20, lambda w, node: w.cut({node.name}, set(w.names) - {node.name}, 3.0), 3.0)
+        self.after(20, lambda w, node: w.partition({node.name}, set(w.names) - {node.name}, 3.0), 3.0)
 
     def test_after_a_cut_into_halves(self):
-        w = self.after(20, lambda w, node: w.cut(set(w.names[:10]), set(w.names[10:]), 8.0), 8.0)
+        w = self.after(20, lambda w, node: w.partition(set(w.names[:10]), set(w.names[10:]), 8.0), 8.0)
         self.assertTrue(any(n.group.members.deaths for n in w.nodes.values()))
 
     def test_a_death_is_called_one_by_all_and_is_not_taken_back(self):
-        w = World(2, (), encoded=True)
-        w.known = False
-        nodes = w.fleet(20)
+        w = World(2, (), encoded=True, addresses_known=False)
+        nodes = w.start_fleet(20)
         w.run(10.0)
         w.kill(nodes[4])
         w.run(25.0)
