--- a/ochrehoist/lab/virtual/site_measurements.py
+++ b/ochrehoist/lab/virtual/site_measurements.py
@@ -1,7 +1,7 @@
 """What a run of several sites on virtual time shows: goodput, detection of losses, recovery steps."""
 
 import math
-from typing import Any
+from dataclasses import dataclass
 
 from ochrehoist.lab.virtual.site_world import LossAlarm, SiteLoss, SiteWorld
 from ochrehoist.sites.site_health import BURST_FACTOR, EVIDENCE_THRESHOLD
@@ -127,17 +127,37 @@
     ]
 
 
-def measure_loss(world: SiteWorld, lost_at_s: float, restored_at_s: float) -> dict[str, Any]:
-    """The figures of a benchmark of one loss and its return."""
+@dataclass(frozen=True)
+class SiteLossFigures:
+    """Goodput and attempts through the loss of a site and its return.
+
+    `recovered_s`: from the return until goodput is as before; None where it never was.
+    """
+
+    before: float
+    during: float
+    filings: float  # the goodput of filings alone, during the loss
+    worst_second: float  # of the first ones after the loss
+    recovered_s: float | None
+    least_after_return: float  # the worst second of the first ones after it
+    attempts_per_call: float
+    served_after_rejection: float  # of the calls that a gate had rejected
+
+
+def measure_loss(world: SiteWorld, lost_at_s: float, restored_at_s: float) -> SiteLossFigures:
+    """The figures of one loss and its return."""
     level = goodput(world, WARM_UP_S, lost_at_s)
+    first_seconds = goodput_by_second(world, lost_at_s, lost_at_s + WORST_SPAN_S)
+    return_seconds = goodput_by_second(world, restored_at_s, restored_at_s + RETURN_SPAN_S)
     rejected = sum(call.gate_rejections > 0 for call in world.calls)
-    return {
-        "before": level,
-        "during": goodput(world, lost_at_s, restored_at_s),
-        "filings": goodput(world, lost_at_s, restored_at_s, filing=True),
-        "worst": min(goodput_by_second(world, lost_at_s, lost_at_s + WORST_SPAN_S)),
-        "whole": recovery_time_s(world, restored_at_s, level),
-        "least": min(goodput_by_second(world, restored_at_s, restored_at_s + RETURN_SPAN_S), default=1.0),
-        "tries": sum(call.attempts for call in world.calls) / len(world.calls),
-        "won": sum(call.served_after_rejection for call in world.calls) / max(1, rejected),
-    }
+    served = sum(call.served_after_rejection for call in world.calls)
+    return SiteLossFigures(
+        before=level,
+        during=goodput(world, lost_at_s, restored_at_s),
+        filings=goodput(world, lost_at_s, restored_at_s, filing=True),
+        worst_second=min(first_seconds),
+        recovered_s=recovery_time_s(world, restored_at_s, level),
+        least_after_return=min(return_seconds, default=1.0),
+        attempts_per_call=sum(call.attempts for call in world.calls) / len(world.calls),
+        served_after_rejection=served / max(1, rejected),
+    )
--- a/ochrehoist/lab/virtual/world.py
+++ b/ochrehoist/lab/virtual/world.py
@@ -100,6 +100,7 @@
         sites: Mapping[str, str] | None = None,
     ) -> None:
         super().__init__()
+        self.seed = seed
         self.random = RandomStreams.from_seed(seed)
         self.period_s = PROTOCOL_PERIOD_S
         self.names: list[str] = []
