--- a/benchmarks/fleet/virtual_fleets.py
+++ b/benchmarks/fleet/virtual_fleets.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from ochrehoist.lab.virtual import Node, World
+from ochrehoist.lab.virtual.world import Node, World
 from ochrehoist.peers.budget import Budget
 from ochrehoist.peers.wire import MemberState
 
@@ -77,16 +77,16 @@
 def network_load(members: int) -> NetworkLoad:
     """Run a fleet that nobody asks."""
     world = World(1, _budget(members), encoded=True)
-    nodes = world.fleet(members)
+    nodes = world.start_fleet(members)
     world.run(SETTLE_S)
-    before = [(node.sent, node.bytes_out) for node in nodes]
+    before = [(node.sent_count, node.sent_bytes) for node in nodes]
     span_s = LARGE_FLEET_SPAN_S if members > LARGE_FLEET else SPAN_S
     began_s = time.process_time()
     world.run(SETTLE_S + span_s)
     spent_s = time.process_time() - began_s
     return NetworkLoad(
-        [(node.sent - sent) / span_s for node, (sent, _) in zip(nodes, before, strict=True)],
-        [(node.bytes_out - size) / span_s for node, (_, size) in zip(nodes, before, strict=True)],
+        [(node.sent_count - sent) / span_s for node, (sent, _) in zip(nodes, before, strict=True)],
+        [(node.sent_bytes - size) / span_s for node, (_, size) in zip(nodes, before, strict=True)],
         spent_s / span_s / members * 1000,
     )
 
@@ -99,9 +99,9 @@
     figures = DetectionFigures()
     for seed in range(fleets):
         world = World(seed, ())
-        nodes = world.fleet(6)
+        nodes = world.start_fleet(6)
         world.run(2.0)
-        world.weather(LOSS, 0.0, DELAY_S)
+        world.set_network_conditions(LOSS, 0.0, DELAY_S)
         for at_s in PAUSES_AT_S:
             _pause_at(world, nodes[int(at_s) % 5], at_s)
         world.run(2.0 + WATCHED_S)
@@ -120,7 +120,7 @@
         _use_budget(world, nodes)
         world.run(14.0)
         use.by_all.append(_used_share(world, 20.0))
-        world.cut({"w004"}, set(world.names) - {"w004"}, PARTITION_S)
+        world.partition({"w004"}, set(world.names) - {"w004"}, PARTITION_S)
         world.run(20.0)
         use.in_partition.append(_used_share(world, 20.0 + PARTITION_S))
         use.recovered_s.append(_recovery_s(world))
@@ -135,11 +135,11 @@
     """Read a counter at one of six members, with losses, repeats, delays and a partition."""
     figures = CounterErrors()
     for seed in range(fleets):
-        world = World(seed, (), most_per_s=COUNTER_RATE_PER_S)
-        nodes = world.fleet(6)
+        world = World(seed, (), max_rate_per_s=COUNTER_RATE_PER_S)
+        nodes = world.start_fleet(6)
         counted = _CountedUses(world)
-        world.on_use = counted.add
-        world.weather(LOSS, COUNTER_REPEATS, COUNTER_DELAY_S)
+        world.observe_ticks(counted.add)
+        world.set_network_conditions(LOSS, COUNTER_REPEATS, COUNTER_DELAY_S)
         _partition_at(world, {"w004", "w005"}, 6.0, 4.0)
         for reading in range(READINGS):
             world.run(3.0 + reading * READING_INTERVAL_S)
@@ -162,7 +162,7 @@
         """Count what one member served since its last tick."""
         if self._world.now <= 1:
             return
-        count = self._world.rng["use"].randint(0, COUNTS_A_TICK)
+        count = self._world.random.usage.randint(0, COUNTS_A_TICK)
         node.group.counters.add(COUNTER, count)
         self.total += count
 
@@ -174,7 +174,7 @@
 
 def _budget_world(seed: int) -> tuple[World, list[Node]]:
     world = World(seed, _budget(5))
-    return world, world.fleet(5)
+    return world, world.start_fleet(5)
 
 
 def _use_budget(world: World, users: list[Node]) -> None:
@@ -183,16 +183,16 @@
     def use(node: Node) -> None:
         if node in users:
             for _ in range(USES_A_TICK):
-                world.use(node, BUDGET_NAME)
+                world.use_budget(node, BUDGET_NAME)
 
-    world.on_use = use
+    world.observe_ticks(use)
 
 
 def _used_share(world: World, until_s: float) -> float:
     """Run until a time; the share of the budget that was used."""
-    since_s, before = world.now, world.oracle.total.get(BUDGET_NAME, 0)
+    since_s, before = world.now, world.oracle.use_counts[BUDGET_NAME]
     world.run(until_s)
-    used = world.oracle.total.get(BUDGET_NAME, 0) - before
+    used = world.oracle.use_counts[BUDGET_NAME] - before
     return used / (until_s - since_s) / BUDGET_PER_S
 
 
@@ -210,7 +210,7 @@
 
 
 def _partition_at(world: World, names: set[str], at_s: float, span_s: float) -> None:
-    world.at(at_s, lambda: world.cut(names, set(world.names) - names, span_s))
+    world.at(at_s, lambda: world.partition(names, set(world.names) - names, span_s))
 
 
 def _detection_times_s(world: World, watchers: list[Node], victim: str) -> Iterator[float]:
