--- a/ochrehoist/lab/hollow/worker.py
+++ b/ochrehoist/lab/hollow/worker.py
@@ -178,7 +178,7 @@
         """Ends it as SIGKILL would: no member is notified."""
         self.ended = True
         self.peers.transport.close()
-        self._waker.waiter = None
+        self._waker.forget_waiter()
         self._task.throw()  # GreenletExit
 
     # Requests, of which its parts are only notified.
--- a/ochrehoist/net/loop.py
+++ b/ochrehoist/net/loop.py
@@ -247,6 +247,10 @@
             self._loop._ready.append(self._waiter)
             self._waiter = None
 
+    def forget_waiter(self) -> None:
+        """The task that waits is no longer woken: it is about to be ended by GreenletExit."""
+        self._waiter = None
+
     def wait(self, timeout: float | None = None) -> bool:
         """Waits until it is set, or for `timeout` seconds; returns whether it was set, and clears it.
 
