--- a/benchmarks/scaling/peer_probes.py
+++ b/benchmarks/scaling/peer_probes.py
@@ -59,8 +59,8 @@
         tenant = f"tenant-{number:06}"
         coordinator.gate.order.record_arrival((tenant, "class-0", number), "class-0", tenant, False, 1.0)
     return {
-        "datagram_bytes": len(coordinator.status(1.5)),
-        "report_us": median_cpu_us(lambda: coordinator.status(1.5)),
+        "datagram_bytes": len(coordinator.status_report(1.5)),
+        "report_us": median_cpu_us(lambda: coordinator.status_report(1.5)),
         "tick_us": median_cpu_us(lambda: coordinator.tick(1.6, [])),
     }
 
--- a/ochrehoist/app/kernel_link_supervisor.py
+++ b/ochrehoist/app/kernel_link_supervisor.py
@@ -46,6 +46,6 @@
     def _report_change(self) -> None:
         self._core.post(KernelLinkChanged(self._healthy))
         if self._healthy:
-            self._log.info("kernel_reachable", kernel=self._kernel.view())
+            self._log.info("kernel_reachable", kernel=self._kernel.status_section())
         else:
-            self._log.error("kernel_unreachable", kernel=self._kernel.view())
+            self._log.error("kernel_unreachable", kernel=self._kernel.status_section())
--- a/ochrehoist/app/operator_api.py
+++ b/ochrehoist/app/operator_api.py
@@ -21,7 +21,7 @@
 class StatusSource(Protocol):
     """A part that operators see a section of /status about."""
 
-    def view(self) -> dict[str, Any]:
+    def status_section(self) -> dict[str, Any]:
         """Plain values for JSON."""
         ...
 
@@ -29,7 +29,7 @@
 class MetricsSource(Protocol):
     """A part that has metrics beside the platform's fixed names."""
 
-    def figures(self) -> str:
+    def metrics_text(self) -> str:
         """Lines of the exposition format."""
         ...
 
@@ -92,7 +92,7 @@
         }
         for section in STATUS_SECTIONS:
             if section in self._status_sources:
-                values[section] = self._status_sources[section].view()
+                values[section] = self._status_sources[section].status_section()
         ready = core.ready and self._is_serving()
         return said(values, HTTPStatus.OK if ready else HTTPStatus.SERVICE_UNAVAILABLE)
 
@@ -100,7 +100,7 @@
         """The platform's fixed names, then those of the parts."""
         text = self._core.metrics.text(self._core.own_unanswered)
         text += "".join(
-            self._metrics_sources[section].figures()
+            self._metrics_sources[section].metrics_text()
             for section in METRICS_SECTIONS
             if section in self._metrics_sources
         )
--- a/ochrehoist/app/reload.py
+++ b/ochrehoist/app/reload.py
@@ -73,13 +73,13 @@
             self.reading = True
             self._loop.spawn(self._reload_once_if_new)
 
-    def view(self) -> dict[str, object]:
+    def status_section(self) -> dict[str, object]:
         """The part `configuration` of /status."""
-        return self.status.view(reading=self.reading)
+        return self.status.status_section(reading=self.reading)
 
-    def figures(self) -> str:
+    def metrics_text(self) -> str:
         """Metrics beside those with fixed names."""
-        return self.status.figures()
+        return self.status.metrics_text()
 
     def _start_task(self) -> None:
         if not self.reading and self._core.forwarder is None:
@@ -226,4 +226,4 @@
         self._log.info("config_outcome", state=self._core.state, **counts, **self._kernel_view())
 
     def _kernel_view(self) -> dict[str, object]:
-        return {} if self._kernel is None else {"kernel": self._kernel.view()}
+        return {} if self._kernel is None else {"kernel": self._kernel.status_section()}
--- a/ochrehoist/app/reload_status.py
+++ b/ochrehoist/app/reload_status.py
@@ -65,7 +65,7 @@
         """Requests by outcome since the version in force came into it."""
         return {key: count - self._counts_at_switch[key] for key, count in self._counts().items()}
 
-    def view(self, *, reading: bool) -> dict[str, object]:
+    def status_section(self, *, reading: bool) -> dict[str, object]:
         """The part `configuration` of /status. `reading`: a file is being read."""
         reason = {"why": self._reason} if self._reason else {}
         return {
@@ -81,7 +81,7 @@
             "held_ms": round(1000 * self.longest_hold_s, 3),
         }
 
-    def figures(self) -> str:
+    def metrics_text(self) -> str:
         """Metrics of the version in force, and of what reading it has cost."""
         return format_samples(
             {
--- a/ochrehoist/capture/recorder.py
+++ b/ochrehoist/capture/recorder.py
@@ -213,7 +213,7 @@
         if not self._thread.close(FINAL_FLUSH_S):
             self._log.error("capture_records_lost_at_exit")
 
-    def view(self) -> dict[str, Any]:
+    def status_section(self) -> dict[str, Any]:
         """The part `capture` of the status, by its documented names."""
         return {
             "folder": str(self._writer.folder),
--- a/ochrehoist/lab/hollow/worker.py
+++ b/ochrehoist/lab/hollow/worker.py
@@ -193,15 +193,15 @@
             tenant=self._random.choice(settings.tenants).name if settings.tenants else None,
         )
         self.peers.request_arrived(request)
-        server = self.peers.order({})[0]
-        ticket = self.peers.began(server, request.request_class.name)
+        server = self.peers.rank_servers({})[0]
+        ticket = self.peers.call_started(server, request.request_class.name)
         self._loop.call_later(SIMULATED_RUN_S, lambda: self._complete_request(request, ticket))
         next_s = interval_s * self._random.uniform(0.5, 1.5)
         self._loop.call_later(next_s, lambda: self._simulate_requests(interval_s))
 
     def _complete_request(self, request: Any, ticket: int | None) -> None:
         if ticket is not None:
-            self.peers.ended(ticket, HealthStatus.OK)
+            self.peers.call_completed(ticket, HealthStatus.OK)
         self.peers.request_answered(request, RequestCounter.ANSWERED, 0)
 
     # What others learn of it, and it of others.
--- a/ochrehoist/net/ajp_server.py
+++ b/ochrehoist/net/ajp_server.py
@@ -31,21 +31,21 @@
 class Advisor(Protocol):
     """What a fleet knows of the servers, by their names. It never blocks."""
 
-    def order(self, busy: Mapping[str, int]) -> list[str]:
+    def rank_servers(self, busy: Mapping[str, int]) -> list[str]:
         """The servers, the best first; `busy`: requests that this worker has open at each."""
         ...
 
-    def began(self, server: str, cls: str) -> int | None:
-        """A ticket for one try, or None where none may run there now; one `ended` follows."""
+    def call_started(self, server: str, cls: str) -> int | None:
+        """A ticket for one try, or None where none may run there now; one `call_completed` follows."""
         ...
 
-    def ended(self, ticket: int, verdict: str) -> None: ...
+    def call_completed(self, ticket: int, verdict: str) -> None: ...
 
-    def longest(self, server: str) -> float | None:
+    def max_run_s(self, server: str) -> float | None:
         """s that a run there may take at the most, where that is bounded."""
         ...
 
-    def may_repeat(self, server: str) -> bool:
+    def may_retry(self, server: str) -> bool:
         """Whether a request that failed elsewhere may be sent to this one, asked at the moment of use."""
         ...
 
@@ -123,7 +123,7 @@
         may be run again, is in time, and the fleet's budget of repeats gives one."""
         result, sent = RunResult(Outcome.UNREACHABLE, success=False), False
         by_name = {pool.server.name: pool for pool in self.pools}
-        for name in advisor.order({p.server.name: p.busy for p in self.pools}):
+        for name in advisor.rank_servers({p.server.name: p.busy for p in self.pools}):
             pool = by_name.get(name)
             left = (request.due_ns - self.owner.clock()) / 1e9
             if pool is None:
@@ -133,10 +133,10 @@
                 or request.idempotency_key is not None
                 or request.answered
                 or left <= 0
-                or not advisor.may_repeat(name)
+                or not advisor.may_retry(name)
             ):
                 break
-            ticket = advisor.began(name, request.request_class.name)
+            ticket = advisor.call_started(name, request.request_class.name)
             if ticket is None:
                 continue
             verdict = "failing"
@@ -147,14 +147,14 @@
                     verdict, pool.failed_at = "gone", time.monotonic()
                     continue
                 sent = True
-                result = self._exchange(pool, stream, request.payload, advisor.longest(name))
+                result = self._exchange(pool, stream, request.payload, advisor.max_run_s(name))
                 if result.outcome is Outcome.OK or result.detail is not None and result.detail.status < 500:
                     verdict = "ok"
                 if result.detail is not None or result.outcome is Outcome.TIMED_OUT:
                     break  # it answered, or may answer still
             finally:
                 pool.busy -= 1
-                advisor.ended(ticket, verdict)
+                advisor.call_completed(ticket, verdict)
         return result
 
     def _ask(self, request: InboundRequest) -> RunResult:
--- a/ochrehoist/net/intent_replication.py
+++ b/ochrehoist/net/intent_replication.py
@@ -131,17 +131,19 @@
 
     # The extension of the peers' protocol.
 
-    def status(self, now: float) -> bytes:  # noqa: ARG002
+    def status_report(self, now: float) -> bytes:  # noqa: ARG002
         """Nothing that all peers need."""
         return b""
 
-    def sends(self, now: float) -> list[tuple[str, str, bytes]]:
+    def messages_to_send(self, now: float) -> list[tuple[str, str, bytes]]:
         """Queries and intents that are due, as name, topic and data."""
         queries = [(name, WitnessTopic.QUERY_INTENTS, data) for name, data in self._queries(now)]
         intents = [(name, WitnessTopic.RECORD_INTENT, data) for name, data in self._pending_messages(now)]
         return [*queries, *intents]
 
-    def took(self, sender: Incarnation, topic: str, data: bytes, now: float) -> list[tuple[str, bytes]]:
+    def message_received(
+        self, sender: Incarnation, topic: str, data: bytes, now: float
+    ) -> list[tuple[str, bytes]]:
         """Handles one message, and gives the answers to its sender as topic and data."""
         message = decode(topic, data)
         if isinstance(message, RecordIntent):
@@ -243,7 +245,7 @@
             self._expired_at = now
             self.intent_log.remove_expired(now)
 
-    def view(self) -> dict[str, Any]:
+    def status_section(self) -> dict[str, Any]:
         """For `/status`."""
         samples = sorted(self.pending.wait_samples_s)
         quantiles = (("p50", 0.5), ("p99", 0.99)) if samples else ()
--- a/ochrehoist/net/kernel.py
+++ b/ochrehoist/net/kernel.py
@@ -123,7 +123,7 @@
             if self.link is not None:
                 self.link.close()
 
-    def view(self) -> dict[str, Any]:
+    def status_section(self) -> dict[str, Any]:
         """For operators: the link's address and state, and how much waits for it."""
         now = time.monotonic()
         state = "down" if self.booted else "starting"
--- a/ochrehoist/net/peers.py
+++ b/ochrehoist/net/peers.py
@@ -238,11 +238,11 @@
         return tuple(by_position)
 
     # ---- what the AJP servers' executor asks
-    def order(self, busy: Mapping[str, int]) -> list[str]:
+    def rank_servers(self, busy: Mapping[str, int]) -> list[str]:
         """The servers to try, the best first; `busy` counts this worker's open calls at each."""
         return self.group.outliers.rank_services(busy, time.monotonic())
 
-    def began(self, server: str, request_class: str) -> int | None:
+    def call_started(self, server: str, request_class: str) -> int | None:
         """A ticket for a call, or None where the budget of that server gives none now."""
         now = time.monotonic()
         budget = self._budgets.by_server.get(server)
@@ -256,19 +256,19 @@
         self.group.outliers.call_started(server, self._last_ticket, request_class, now)
         return self._last_ticket
 
-    def ended(self, ticket: int, status: str) -> None:
+    def call_completed(self, ticket: int, status: str) -> None:
         """The call of this ticket has ended; `status` is a value of HealthStatus."""
         call = self._calls.pop(ticket)
         if call.budget is not None and call.budget_ticket is not None:
             self.group.leases.release(call.budget, call.budget_ticket)
         self.group.outliers.call_completed(call.server, ticket, _HEALTH_STATUSES[status], time.monotonic())
 
-    def longest(self, server: str) -> float | None:
+    def max_run_s(self, server: str) -> float | None:
         """How long a run at this server may take (s), where a budget of concurrent runs rests on it."""
         budget = self._budgets.by_server.get(server)
         return self.group.shares[budget].holder.budget.max_run_s if budget is not None else None
 
-    def may_repeat(self, server: str) -> bool:
+    def may_retry(self, server: str) -> bool:
         """Whether a retry may go to this server now; it uses the fleet's retry budget."""
         budget = self._budgets.by_retried_server.get(server) or self._budgets.by_retried_server.get(None)
         return budget is not None and self.group.leases.acquire(budget, time.monotonic()) is not None
@@ -279,7 +279,7 @@
         """Processor time spent on peers."""
         return self._tick_cpu_s + self.transport.receive_cpu_s
 
-    def view(self) -> dict[str, Any]:
+    def status_section(self) -> dict[str, Any]:
         """This worker's view of the fleet, for `/status`."""
         rejected = {reason.value: count for reason, count in self.transport.rejected_counts.items()}
         return status_view(self.group, time.monotonic()) | {
@@ -291,6 +291,6 @@
             "pid": os.getpid(),
         }
 
-    def figures(self) -> str:
+    def metrics_text(self) -> str:
         """The metrics, as text."""
         return peer_metrics(self.group, self.transport, time.monotonic())
--- a/ochrehoist/net/recovery.py
+++ b/ochrehoist/net/recovery.py
@@ -149,7 +149,7 @@
         self._log.warning("startup_stage_skipped", stage=str(stage))
         return f"{stage} is skipped"
 
-    def view(self) -> dict[str, Any]:
+    def status_section(self) -> dict[str, Any]:
         """For `/status`."""
         now = time.monotonic()
         current = self._progress.current
@@ -163,11 +163,11 @@
             ],
             "so_far": self._progress.summary(now),
             "in_time": self._service_level.good_ratio(),
-            "witnesses": self._replication.view(),
+            "witnesses": self._replication.status_section(),
             "remembers": self._replication.intent_log.counts(),
         }
 
-    def figures(self) -> str:
+    def metrics_text(self) -> str:
         """The metrics as text."""
         now = time.monotonic()
         current = self._progress.current.stage
--- a/ochrehoist/net/self_monitoring.py
+++ b/ochrehoist/net/self_monitoring.py
@@ -62,21 +62,21 @@
         loop.observe_iterations(self._record_iteration)
         loop.call_later(SAMPLE_INTERVAL_S, self._sample)
 
-    def view(self) -> dict[str, Any]:
+    def status_section(self) -> dict[str, Any]:
         """For operators, under the published status keys."""
         control = self.control
         values = {
-            "loop": control.detector.view(),
-            "running": control.limiter.view(),
+            "loop": control.detector.status_section(),
+            "running": control.limiter.status_section(),
             "time_s": {stage: round(spent_s, 3) for stage, spent_s in control.timings.spent_s.items()},
             "memory_bytes": self._memory_by_owner(),
         }
         if control.early_rejection is not None:
-            values["admission"] = control.early_rejection.view()
+            values["admission"] = control.early_rejection.status_section()
             values["door"] = values["admission"]  # its older name: tools may read it
         return values
 
-    def figures(self) -> str:
+    def metrics_text(self) -> str:
         """Lines of the metrics page, beside the platform's fixed names."""
         detector = self.control.detector
         affordable = detector.affordable_per_s
@@ -183,7 +183,7 @@
         self._log.warning(
             "overload_detected" if overloaded else "overload_ended",
             rejected=rejection.counts.rejected_total if rejection is not None else 0,
-            **self.control.detector.view(),
+            **self.control.detector.status_section(),
         )
 
     def _memory_by_owner(self) -> dict[str, int]:
--- a/ochrehoist/net/sites.py
+++ b/ochrehoist/net/sites.py
@@ -116,11 +116,11 @@
         except UnknownSiteError as error:
             return said({"error": str(error)}, HTTPStatus.NOT_FOUND)
 
-    def view(self) -> dict[str, Any]:
+    def status_section(self) -> dict[str, Any]:
         """For `/status`."""
         return status_view(self._coordinator, time.monotonic())
 
-    def figures(self) -> str:
+    def metrics_text(self) -> str:
         """The metrics as text."""
         coordinator = self._coordinator
         now = time.monotonic()
--- a/ochrehoist/overload/early_rejection.py
+++ b/ochrehoist/overload/early_rejection.py
@@ -118,7 +118,7 @@
             self._tokens.clear()
         return ended
 
-    def view(self) -> dict[str, Any]:
+    def status_section(self) -> dict[str, Any]:
         """For operators, under the published status keys."""
         return {
             "let_in": self.counts.admitted,
--- a/ochrehoist/overload/limiter.py
+++ b/ochrehoist/overload/limiter.py
@@ -151,7 +151,7 @@
         self._announced = limits
         return limits
 
-    def view(self) -> dict[str, Any]:
+    def status_section(self) -> dict[str, Any]:
         """For operators, in plain values, under the published status keys."""
         classes = [request_class.name for request_class in self.settings.classes]
         floors = self._announced.class_floors if self._announced else ()
--- a/ochrehoist/overload/overload_detector.py
+++ b/ochrehoist/overload/overload_detector.py
@@ -164,7 +164,7 @@
             self.changed_s = sample.at_s
             self.delay_gain = 1.0
 
-    def view(self) -> dict[str, Any]:
+    def status_section(self) -> dict[str, Any]:
         """For operators, in plain values, under the published status keys."""
         return {
             "behind": self.overloaded,
--- a/ochrehoist/peers/group.py
+++ b/ochrehoist/peers/group.py
@@ -39,15 +39,17 @@
 class Extension(Protocol):
     """Something else that workers share; times as the group's."""
 
-    def status(self, now: float) -> bytes:
+    def status_report(self, now: float) -> bytes:
         """What all others are to know of this worker; small, as it travels with each answer."""
         ...
 
-    def sends(self, now: float) -> list[tuple[str, str, bytes]]:
+    def messages_to_send(self, now: float) -> list[tuple[str, str, bytes]]:
         """Messages to members: name, topic, data. Asked for at each tick."""
         ...
 
-    def took(self, sender: Incarnation, topic: str, data: bytes, now: float) -> list[tuple[str, bytes]]:
+    def message_received(
+        self, sender: Incarnation, topic: str, data: bytes, now: float
+    ) -> list[tuple[str, bytes]]:
         """One that was received; answers to its sender, as topic and data."""
         ...
 
@@ -175,13 +177,13 @@
 
     def _renew_status(self, now: float) -> None:
         demands = self.leases.demands(now)
-        extensions = {topic: extension.status(now) for topic, extension in self._extensions.items()}
+        extensions = {topic: extension.status_report(now) for topic, extension in self._extensions.items()}
         self.own_status.renew(now, self.outliers.observations(now), demands, extensions)
 
     def _extension_messages(self, now: float) -> list[OutgoingMessage]:
         messages = []
         for prefix, extension in self._extensions.items():
-            for name, topic, data in extension.sends(now):
+            for name, topic, data in extension.messages_to_send(now):
                 messages += self.send_to_extension(name, f"{prefix}/{topic}", data)
         return messages
 
@@ -253,7 +255,7 @@
         if extension is None:
             return []
         messages = []
-        for answer_topic, data in extension.took(sender, topic, message.data, now):
+        for answer_topic, data in extension.message_received(sender, topic, message.data, now):
             messages += self.send_to_extension(sender.name, f"{prefix}/{answer_topic}", data)
         return messages
 
--- a/ochrehoist/sites/coordinator.py
+++ b/ochrehoist/sites/coordinator.py
@@ -222,14 +222,20 @@
             evidence=round(health.evidence, 2),
         )
 
-    def status(self, now: float) -> bytes:
+    def status_report(self, now: float) -> bytes:
         """What all others are to know of this worker."""
         return encode(self.report(now))
 
-    def sends(self, now: float) -> list[tuple[str, str, bytes]]:  # noqa: ARG002
+    def messages_to_send(self, now: float) -> list[tuple[str, str, bytes]]:  # noqa: ARG002
         """Messages to members, as name, topic and data."""
         return self.playbooks.queries(self.peers)
 
-    def took(self, sender: Incarnation, topic: str, data: bytes, now: float) -> list[tuple[str, bytes]]:  # noqa: ARG002
+    def message_received(
+        self,
+        sender: Incarnation,
+        topic: str,
+        data: bytes,
+        now: float,  # noqa: ARG002
+    ) -> list[tuple[str, bytes]]:
         """Handles one message, and gives the answers to its sender as topic and data."""
         return self.playbooks.handle(sender.name, topic, data)
--- a/ochrehoist/store/journal.py
+++ b/ochrehoist/store/journal.py
@@ -371,7 +371,7 @@
 
     # For operators.
 
-    def view(self) -> dict[str, Any]:
+    def status_section(self) -> dict[str, Any]:
         """The part `store` of the status, by its documented names."""
         now = time.monotonic()
         hold_ns = max(0, self._hold_until_ns - self._owner.clock())
@@ -394,6 +394,6 @@
             "set_aside": [] if store is None else store.set_aside,
         }
 
-    def figures(self) -> str:
+    def metrics_text(self) -> str:
         """Metrics in the Prometheus text format."""
-        return self._metrics.exposition(self.view())
+        return self._metrics.exposition(self.status_section())
--- a/tests/sites/test_sites.py
+++ b/tests/sites/test_sites.py
@@ -409,14 +409,14 @@
         a = SiteCoordinator("w0", "brussels", settings, self.book, 0.0, False)
         b = SiteCoordinator("w1", "antwerp", settings, younger, 0.0, False)
         a.tick(0.1, [PeerWorker("w1", "antwerp", "alive", 0.1, b.report(0.1))])
-        ((to, topic, data),) = a.sends(0.1)
+        ((to, topic, data),) = a.messages_to_send(0.1)
         self.assertEqual((to, topic), ("w1", PlaybookTopic.QUERY))
-        for answer_topic, answer in b.took(mock.Mock(), topic, data, 0.1):
-            a.took(mock.Mock(), answer_topic, answer, 0.1)
+        for answer_topic, answer in b.message_received(mock.Mock(), topic, data, 0.1):
+            a.message_received(mock.Mock(), answer_topic, answer, 0.1)
         self.assertEqual(a.playbooks.current.digest, younger.digest)
         a.configure(settings, self.book)  # its file is read again, and is as old as ever
         self.assertEqual(a.playbooks.current.digest, younger.digest)
-        a.took(mock.Mock(), PlaybookTopic.DOCUMENT, b"\x93garbled", 0.3)
+        a.message_received(mock.Mock(), PlaybookTopic.DOCUMENT, b"\x93garbled", 0.3)
         self.assertEqual(a.playbooks.current.digest, younger.digest)
 
 
