--- a/ochrehoist/net/peers.py
+++ b/ochrehoist/net/peers.py
@@ -5,12 +5,13 @@
 import time
 from collections.abc import Callable, Generator, Mapping
 from dataclasses import dataclass
-from typing import Any, cast
+from typing import TYPE_CHECKING, Any, cast
 
 from ochrehoist.admission.settings import Tenant
 from ochrehoist.config.schema import Config
 from ochrehoist.config.tables import BudgetKind, PeersConfig
 from ochrehoist.core.actor import CoreActor
+from ochrehoist.core.protocols import Logger
 from ochrehoist.core.request import InboundRequest
 from ochrehoist.core.tenants import TenantTable
 from ochrehoist.errors import OchrehoistError
@@ -25,6 +26,9 @@
 from ochrehoist.peers.wire import HealthStatus, Incarnation, Message
 from ochrehoist.units import NS_PER_MS
 
+if TYPE_CHECKING:
+    from ochrehoist.net.ajp_server import CallOutcome
+
 TICK_S = 0.05
 MAX_BOOT_ID_BITS = 62
 
@@ -103,16 +107,16 @@
     def __init__(
         self,
         loop: Loop,
-        owner: CoreActor,
+        core: CoreActor,
         config: Config,
-        log: Any,
+        log: Logger,
         open_socket: Callable[[Address], DatagramSocket] = open_datagram_socket,
     ) -> None:
         if config.peers is None:
             raise PeersNotConfiguredError
         self.config = config.peers
         self.loop = loop
-        self.owner = owner
+        self.core = core
         self._tick_cpu_s = 0.0
         number = time.time_ns() // NS_PER_MS
         incarnation = Incarnation(config.name, number, secrets.randbits(MAX_BOOT_ID_BITS))
@@ -132,8 +136,8 @@
         self._live_tenants: LiveTenants | None = None
         self._calls: dict[int, ServerCall] = {}  # by ticket
         self._last_ticket = 0
-        owner.register_observer(self)
-        owner.register_tenant_quotas(self.live_tenants)
+        core.register_observer(self)
+        core.register_tenant_quotas(self.live_tenants)
 
     def prepare(self, config: Config, tenants: TenantTable) -> Generator[None, None, Callable[[], None]]:
         """What a configuration read again comes to; nothing changes before the call that it gives."""
@@ -242,7 +246,7 @@
         """The servers to try, the best first; `busy` counts this worker's open calls at each."""
         return self.group.outliers.rank_services(busy, time.monotonic())
 
-    def call_started(self, server: str, request_class: str) -> int | None:
+    def begin_call(self, server: str, request_class: str) -> int | None:
         """A ticket for a call, or None where the budget of that server gives none now."""
         now = time.monotonic()
         budget = self._budgets.by_server.get(server)
@@ -256,14 +260,14 @@
         self.group.outliers.call_started(server, self._last_ticket, request_class, now)
         return self._last_ticket
 
-    def call_completed(self, ticket: int, status: str) -> None:
-        """The call of this ticket has ended; `status` is a value of HealthStatus."""
+    def end_call(self, ticket: int, outcome: "CallOutcome") -> None:
+        """The call of this ticket has ended."""
         call = self._calls.pop(ticket)
         if call.budget is not None and call.budget_ticket is not None:
             self.group.leases.release(call.budget, call.budget_ticket)
-        self.group.outliers.call_completed(call.server, ticket, _HEALTH_STATUSES[status], time.monotonic())
+        self.group.outliers.call_completed(call.server, ticket, _HEALTH_STATUSES[outcome], time.monotonic())
 
-    def max_run_s(self, server: str) -> float | None:
+    def max_call_s(self, server: str) -> float | None:
         """How long a run at this server may take (s), where a budget of concurrent runs rests on it."""
         budget = self._budgets.by_server.get(server)
         return self.group.shares[budget].holder.budget.max_run_s if budget is not None else None
--- a/tests/app/test_replacement.py
+++ b/tests/app/test_replacement.py
@@ -164,7 +164,7 @@
         new = self.start(before=old).wait_until_took_over()
         new.process.kill()
         new.process.wait()
-        while not old.logged("the link to another process ended"):
+        while not old.logged("handover_link_ended"):
             router.ping()
         self.assertEqual(router.call("filing", b"doc", token="t")[0], "Broken")  # a refusal would be no proof
         old.kernel.reap(rid, body=b"filed")
@@ -180,7 +180,7 @@
         self.assertTrue(Path(path).exists())
         new = self.start(before=old)
         new.wait_for(lambda status: status["state"] == "up")
-        self.assertEqual([line["requests"] for line in new.logged("took over")], [])
+        self.assertEqual([line["requests"] for line in new.logged("took_over")], [])
         self.assertEqual(ThriftRouter(new.addresses["ThriftFront"]).ping()[0], "Answer")
 
 
--- a/tests/capture/test_capture.py
+++ b/tests/capture/test_capture.py
@@ -255,7 +255,7 @@
         program.process.terminate()
         program.wait_for_exit()
         names = program.logged("loaded")[0]["names"].split()
-        self.assertIn("ochrehoist.net.kernel", names)
+        self.assertIn("ochrehoist.net.kernel_link", names)
         self.assertEqual([n for n in names if "capture" in n or "zstandard" in n or "msgspec" in n], [])
         self.assertNotIn("capture", json.loads(json.dumps(program.config)))
 
--- a/tests/net/test_ajp_front.py
+++ b/tests/net/test_ajp_front.py
@@ -342,8 +342,10 @@
             respond(data=b"page", sock=ByteAtATimeSocket(self.server.connections[-1]))
             self.assertEqual(web.answer()[::2], (200, b"page"))
             member.wait_for("UP")  # answered by the byte
-        self.assertEqual(self.program.logged("kernel link lost"), [])
-        self.assertEqual([line["accepted"] for line in self.program.logged("membership reports")], [True])
+        self.assertEqual(self.program.logged("kernel_link_lost"), [])
+        self.assertEqual(
+            [line["accepted"] for line in self.program.logged("membership_reports_changed")], [True]
+        )
 
     def test_a_filing_that_ran_for_thrift_serves_its_repeats_on_ajp(self):
         router, web = self.program.thrift_router(), self.program.ajp_client()
--- a/tests/net/test_thrift_front.py
+++ b/tests/net/test_thrift_front.py
@@ -166,7 +166,7 @@
         self.kernel.forgotten = 1
         self.kernel.drop_connections()
         self.assertEqual(self.kernel.next_run().request_id, rid)  # a read may run twice
-        self.assertEqual(len(self.program.wait_until_logged("the kernel's notices have a gap")), 1)
+        self.assertEqual(len(self.program.wait_until_logged("kernel_notices_missing")), 1)
         self.kernel.wait_for_questions(3)
         self.assertTrue(self.kernel.scheduled.empty())
         self.assertEqual(router.answer(filing)[0], "Broken")
@@ -183,7 +183,7 @@
         self.kernel.drop_connections()
         self.kernel.wait_for_questions(3)
         self.assertTrue(self.kernel.scheduled.empty())
-        self.assertEqual([line["doubtful"] for line in self.program.logged("kernel link lost")], [0])
+        self.assertEqual([line["outcome_unknown"] for line in self.program.logged("kernel_link_lost")], [0])
         for body, seqid in ((b"read", read), (b"doc", filing)):
             self.kernel.reap(runs[body], body=body)
             self.assertEqual(router.answer(seqid)[2], body)
@@ -223,13 +223,13 @@
         for number, body in ((filing, b"doc"), (read, b"read")):
             self.assertEqual(router.answer(number), ("Answer", {}, body))
         self.assertTrue(self.kernel.scheduled.empty())
-        self.assertEqual(len(self.program.logged("the kernel's link is silent")), 1)
+        self.assertEqual(len(self.program.logged("kernel_link_silent")), 1)
 
     def test_what_starts_without_a_link_is_scheduled_once_there_is_one(self):
         router = self.program.thrift_router()
         self.kernel.refuse()
         self.kernel.drop_connections()
-        while not self.program.logged("kernel link lost"):
+        while not self.program.logged("kernel_link_lost"):
             router.ping()
         seqid = router.invoke(body=b"early")
         router.ping()
@@ -346,7 +346,9 @@
         seqid = router.invoke()
         self.kernel.reap(self.kernel.next_run().request_id, body=b"served")
         self.assertEqual(router.answer(seqid)[2], b"served")
-        while not [line for line in self.program.logged("membership reports") if not line["accepted"]]:
+        while not [
+            line for line in self.program.logged("membership_reports_changed") if not line["accepted"]
+        ]:
             router.ping()
         self.program.members.come_back()
         self.program.members.wait_for("UP")
@@ -365,7 +367,9 @@
         self.program.process.send_signal(signal.SIGTERM)
         members.wait_for("OUT")
         self.assertLess(time.monotonic() - began, 0.5)
-        self.assertEqual([line["accepted"] for line in self.program.logged("membership reports")], [True])
+        self.assertEqual(
+            [line["accepted"] for line in self.program.logged("membership_reports_changed")], [True]
+        )
 
 
 class KeepAlive(RunningWorkerTestCase):
--- a/tests/support/worker_process.py
+++ b/tests/support/worker_process.py
@@ -219,7 +219,7 @@
         """Waits until it has: then the program before it gets its notice, as on the platform."""
         self.wait_for(lambda status: status["state"] in ("up", "standby"))
         until = time.monotonic() + WAIT_LIMIT_S
-        while not self.logged("took over"):
+        while not self.logged("took_over"):
             assert time.monotonic() < until, self.log
             time.sleep(POLL_INTERVAL_S)
         return self
