--- a/benchmarks/fleet/upgrade.py
+++ b/benchmarks/fleet/upgrade.py
@@ -18,12 +18,9 @@
 from benchmarks.shared.revisions import checked_out
 from benchmarks.shared.stand_ins import (
     AjpClient,
-    ManualAjpServer,
-    ThriftClient,
-    Worker,
-    manual_ajp_server,
-    start_worker,
-    thrift_client,
+    AjpServer,
+    ThriftRouter,
+    WorkerProcess,
 )
 
 EARLIER_RELEASE = "000e6de"
@@ -55,7 +52,7 @@
     """A filing that was sent on a router's connection."""
 
     name: str
-    router: ThriftClient
+    router: ThriftRouter
     seqid: int
 
 
@@ -91,9 +88,9 @@
             old = self._worker(passed=True, root=earlier, peers=own_table, server=server)
             wait_for_member(witness, REPLACED_NAME)
             wait_for_member(old, WITNESS_NAME)
-            router, web_server = old.thrift(), old.ajp()
+            router, web_server = old.thrift_router(), old.ajp_client()
             run_ids = self._fill(old, router, web_server)
-            new = self._worker(before=old, peers=own_table, server=server).took_over()
+            new = self._worker(before=old, peers=own_table, server=server).wait_until_took_over()
             self._send_again(new)
             old.process.send_signal(signal.SIGTERM)
             self._complete_runs(old, new, run_ids)
@@ -102,31 +99,31 @@
             self._check_runs(old, new)
             router.close()
             web_server.close()
-            _require(old.ended() == 0, "the replaced process did not exit with 0")
+            _require(old.wait_for_exit() == 0, "the replaced process did not exit with 0")
             wait_for_member(witness, REPLACED_NAME)
             wait_for_member(new, WITNESS_NAME)
-            duplicate = json.loads(new.operator()[1])["peers"]["duplicate"]
+            duplicate = json.loads(new.operator_call()[1])["peers"]["duplicate"]
             _require(duplicate is None, f"a duplicate member was seen: {duplicate}")
             return UpgradeFigures(answers=len(self._filings) + 1, runs=len(self._runs) + 1)
 
-    def _server(self) -> ManualAjpServer:
-        return self._resources.enter_context(closing(manual_ajp_server()))
+    def _server(self) -> AjpServer:
+        return self._resources.enter_context(closing(AjpServer()))
 
-    def _worker(self, ajp_only: bool = False, **arguments: Any) -> Worker:
-        worker = start_worker(thrift=not ajp_only, ajp=True, **arguments)
+    def _worker(self, ajp_only: bool = False, **arguments: Any) -> WorkerProcess:
+        worker = WorkerProcess(thrift=not ajp_only, ajp=True, **arguments)
         return self._resources.enter_context(closing(worker))
 
-    def _send(self, name: str, router: ThriftClient) -> None:
+    def _send(self, name: str, router: ThriftRouter) -> None:
         seqid = router.invoke("filing", name.encode(), token=name)
         self._filings.append(SentFiling(name, router, seqid))
 
-    def _fill(self, old: Worker, router: ThriftClient, web_server: AjpClient) -> dict[str, str]:
+    def _fill(self, old: WorkerProcess, router: ThriftRouter, web_server: AjpClient) -> dict[str, str]:
         """Open six requests at the replaced process; the ids of the runs by filing."""
         for name in RUNNING:
             self._send(name, router)
         run_ids = {}
         for _ in RUNNING:
-            run_id, _, body = old.kernel.next()
+            run_id, _, body = old.kernel.next_run()
             run_ids[body.decode()] = run_id
         for name in (*RUNNING, QUEUED):  # attached to a run, and queued
             self._send(name, router)
@@ -135,26 +132,25 @@
         old.wait_for(lambda status: status["in_hand"] == OPEN_REQUESTS)
         return run_ids
 
-    def _send_again(self, new: Worker) -> None:
+    def _send_again(self, new: WorkerProcess) -> None:
         """Repeat all filings at the new process, and send one more."""
-        router = thrift_client(new.at["ThriftFront"])
+        router = ThriftRouter(new.addresses["ThriftFront"])
         for name in (*RUNNING, QUEUED, LATE):
             self._send(name, router)
         router.ping()
 
-    def _complete_runs(self, old: Worker, new: Worker, run_ids: dict[str, str]) -> None:
+    def _complete_runs(self, old: WorkerProcess, new: WorkerProcess, run_ids: dict[str, str]) -> None:
         for name, run_id in run_ids.items():
             old.kernel.reap(run_id, body=_result(name))
             self._runs.append(name)
         for worker, name in ((old, QUEUED), (new, LATE)):
-            run_id, _, body = worker.kernel.next()
+            run_id, _, body = worker.kernel.next_run()
             _require(body == name.encode(), f"{body!r} ran where {name!r} was due")
             worker.kernel.reap(run_id, body=_result(name))
             self._runs.append(name)
 
-    def _check_read(self, server: ManualAjpServer, web_server: AjpClient) -> None:
-        respond = server.next()[2]
-        respond(data=READ_BODY)
+    def _check_read(self, server: AjpServer, web_server: AjpClient) -> None:
+        server.next_request().respond(data=READ_BODY)
         status, _, body = web_server.answer()
         _require((status, body) == (200, READ_BODY), f"the read was answered {status}, {body!r}")
 
@@ -164,13 +160,13 @@
             served = (kind, fields, body) == ("Answer", {}, _result(filing.name))
             _require(served, f"filing {filing.name!r} was answered {kind}, {fields}, {body!r}")
 
-    def _check_runs(self, old: Worker, new: Worker) -> None:
+    def _check_runs(self, old: WorkerProcess, new: WorkerProcess) -> None:
         _require(len(set(self._runs)) == len(self._runs), f"a filing ran twice: {self._runs}")
         more = not (old.kernel.scheduled.empty() and new.kernel.scheduled.empty())
         _require(not more, "more runs were scheduled than filings sent")
 
 
-def wait_for_member(worker: Worker, name: str) -> None:
+def wait_for_member(worker: WorkerProcess, name: str) -> None:
     """Wait until a worker sees another one alive; UpgradeError where it does not in time."""
     end_s = time.monotonic() + TIMEOUT_S
     while (state := _member_state(worker, name)) != "alive":
@@ -178,8 +174,8 @@
         time.sleep(POLL_S)
 
 
-def _member_state(worker: Worker, name: str) -> str:
-    members = json.loads(worker.operator()[1])["peers"]["members"]
+def _member_state(worker: WorkerProcess, name: str) -> str:
+    members = json.loads(worker.operator_call()[1])["peers"]["members"]
     state: str = members.get(name, {}).get("state", "absent")
     return state
 
--- a/benchmarks/requests/flood.py
+++ b/benchmarks/requests/flood.py
@@ -24,11 +24,10 @@
 from benchmarks.shared.revisions import BEFORE, NOW, ROOT, checked_out
 from benchmarks.shared.samples import MEDIAN, P99, US_PER_S, rounded_percentile_ms
 from benchmarks.shared.stand_ins import (
-    Worker,
-    instant_kernel,
+    InstantKernel,
+    ThriftRouter,
+    WorkerProcess,
     short_deadline_settings,
-    start_worker,
-    thrift_client,
 )
 
 DEFAULT_REVISION = "8710529"
@@ -94,8 +93,10 @@
     """Flood a worker of a tree for some time; `overload` is its table of that name, or None."""
     settings = short_deadline_settings()
     settings["FamilyInfo"] |= {"Cores": CORES, "HeapKb": HEAP_KB}
-    kernel = instant_kernel(after=RUN_DURATION_S)
-    worker = start_worker(site=settings, kernel=kernel, root=root, overload=overload, sockets=MAX_DESCRIPTORS)
+    kernel = InstantKernel(after=RUN_DURATION_S)
+    worker = WorkerProcess(
+        site=settings, kernel=kernel, root=root, overload=overload, sockets=MAX_DESCRIPTORS
+    )
     with closing(worker):
         os.sched_setaffinity(worker.process.pid, {WORKER_CPU})
         return _flooded(worker, duration_s, busy_processes)
@@ -109,8 +110,8 @@
     return figures
 
 
-def _flooded(worker: Worker, duration_s: float, busy_processes: int) -> FloodFigures:
-    address = worker.at["ThriftFront"]
+def _flooded(worker: WorkerProcess, duration_s: float, busy_processes: int) -> FloodFigures:
+    address = worker.addresses["ThriftFront"]
     reports: multiprocessing.Queue[RouterReport] = multiprocessing.Queue()
     jobs: list[multiprocessing.Process | threading.Thread] = [
         multiprocessing.Process(target=run_router, args=(tuple(address), duration_s, number + 1, reports))
@@ -135,7 +136,7 @@
 
 
 def _figures(
-    worker: Worker,
+    worker: WorkerProcess,
     duration_s: float,
     spent_s: float,
     routers: list[RouterReport],
@@ -146,7 +147,7 @@
     latencies_s = [latency_s for router in routers for latency_s in router.latencies_s]
     check_latencies_s = [probe.latency_s for probe in checks]
     filing_latencies_s = [probe.latency_s for probe in filings]
-    status = json.loads(worker.operator()[1])
+    status = json.loads(worker.operator_call()[1])
     return FloodFigures(
         answers_per_s=round(answered / duration_s),
         cpu_us_each=round(spent_s / max(1, answered) * US_PER_S),
@@ -163,8 +164,8 @@
     )
 
 
-def _health_check(worker: Worker) -> Callable[[], str]:
-    client = worker.thrift()
+def _health_check(worker: WorkerProcess) -> Callable[[], str]:
+    client = worker.thrift_router()
 
     def check() -> str:
         return str(client.ping())
@@ -172,9 +173,9 @@
     return check
 
 
-def _filing(worker: Worker) -> Callable[[], str]:
+def _filing(worker: WorkerProcess) -> Callable[[], str]:
     """A filing with a new idempotency key at each call; the kind of its answer."""
-    client = thrift_client(worker.at["ThriftFront"])
+    client = ThriftRouter(worker.addresses["ThriftFront"])
     numbers = iter(range(10**9))
 
     def file() -> str:
--- a/benchmarks/scaling/connection_probes.py
+++ b/benchmarks/scaling/connection_probes.py
@@ -8,12 +8,14 @@
 from functools import partial
 from pathlib import Path
 
+import structlog
+
 from benchmarks.scaling.admission_probes import ALL_TENANTS
 from benchmarks.scaling.probe import Limit, Measures, Probe
 from benchmarks.scaling.timing import cpu_us, with_memory_growth
 from benchmarks.shared.process_usage import cpu_s, resident_bytes
 from benchmarks.shared.samples import US_PER_S
-from benchmarks.shared.stand_ins import Worker, start_worker
+from benchmarks.shared.stand_ins import WorkerProcess
 from benchmarks.shared.workers import (
     Front,
     ReadClient,
@@ -40,7 +42,7 @@
 def loop_turn_by_descriptors(size: int, seed: int) -> Measures:  # noqa: ARG001 - every probe gets a seed
     """A turn of the loop in which one of so many connections asks and is answered."""
     raise_descriptor_limit()
-    loop = Loop(None)
+    loop = Loop(structlog.get_logger())
     streams, streams_bytes = with_memory_growth(lambda: _open_echoing_streams(loop, size))
     near, far = socket.socketpair()
     far.setblocking(True)
@@ -95,9 +97,9 @@
         for number in range(max(1, size * LARGE_ROUTES // ALL_TENANTS))
     ]
     began_s = time.monotonic()
-    worker = start_worker(thrift=False, ajp=True, site=settings, rules=routes, root=root)
+    worker = WorkerProcess(thrift=False, ajp=True, site=settings, rules=routes, root=root)
     with closing(worker):
-        worker.ajp().cping()
+        worker.ajp_client().cping()
         ready_s = time.monotonic() - began_s
         time.sleep(SETTLE_S)
         return {
@@ -114,7 +116,7 @@
     return hard
 
 
-def _rest_percent(worker: Worker) -> float:
+def _rest_percent(worker: WorkerProcess) -> float:
     """Processor time of a worker that nobody asks, in percent of one core."""
     began_cpu_s, began_s = cpu_s(worker.process.pid), time.monotonic()
     time.sleep(REST_S)
@@ -135,7 +137,7 @@
 def _echo(stream: Stream) -> None:
     with suppress(ConnectionClosedError):
         while True:
-            stream.fill()
+            stream.read_more()
             stream.write(bytes(stream.buffer))
             stream.buffer.clear()
 
--- a/benchmarks/scaling/peer_tenants.py
+++ b/benchmarks/scaling/peer_tenants.py
@@ -10,7 +10,7 @@
 
 from benchmarks.shared.peer_tables import peer_tables
 from benchmarks.shared.revisions import ROOT
-from benchmarks.shared.stand_ins import Settings, Worker, instant_ajp_server, start_worker
+from benchmarks.shared.stand_ins import InstantServer, Settings, WorkerProcess
 from benchmarks.shared.workers import equal_tenants, large_machine_settings
 
 DEFAULT_TENANTS = (20, 60, 90, 130, 250)
@@ -68,7 +68,7 @@
         for worker in workers:
             _answer_each_tenant(worker, tenants)
         time.sleep(wait_s)
-        views = [json.loads(worker.operator()[1])["peers"] for worker in workers]
+        views = [json.loads(worker.operator_call()[1])["peers"] for worker in workers]
         states = [member["state"] for view in views for member in view["members"].values()]
         return FleetFigures(
             tenants=tenants,
@@ -76,21 +76,21 @@
             pairs=len(states),
             not_alive=sum(state != "alive" for state in states),
             messages_too_long=sum(
-                line["event"] == NOT_SENT_EVENT for worker in workers for line in worker.lines
+                line["event"] == NOT_SENT_EVENT for worker in workers for line in worker.log
             ),
             held=[view["budgets"]["again"]["held"] for view in views],
         )
 
 
-def _start_member(root: Path, number: int, table: dict[str, Any], tenants: int) -> Worker:
-    return start_worker(
+def _start_member(root: Path, number: int, table: dict[str, Any], tenants: int) -> WorkerProcess:
+    return WorkerProcess(
         thrift=False,
         ajp=True,
         peers=table,
         name=f"n{number + 1}",
         site=_settings(tenants),
         root=root,
-        server=instant_ajp_server(),
+        server=InstantServer(),
     )
 
 
@@ -102,9 +102,9 @@
     return settings
 
 
-def _answer_each_tenant(worker: Worker, tenants: int) -> None:
+def _answer_each_tenant(worker: WorkerProcess, tenants: int) -> None:
     """Send a read of each tenant; RuntimeError where one is not served."""
-    client = worker.ajp()
+    client = worker.ajp_client()
     for number in range(tenants):
         status = client.call("GET", f"/reads/{number}", {"X-Tenant": f"tenant-{number:06}"})[0]
         if status != HTTP_OK:
--- a/benchmarks/store/kills.py
+++ b/benchmarks/store/kills.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from typing import Any
 
-from benchmarks.shared.stand_ins import kill_harness
+from benchmarks.shared.stand_ins import CrashLoad
 
 MAX_PRINTED_VIOLATIONS = 10
 
@@ -68,14 +68,14 @@
 def kills_on_one_folder(seed: int, kills: int, with_store: bool) -> KillFigures:
     """Kill workers on one folder, at moments of the seed."""
     with tempfile.TemporaryDirectory() as folder:
-        harness = kill_harness(Path(folder, "state"), seed, state=with_store)
+        harness = CrashLoad(Path(folder, "state"), seed, state=with_store)
         harness.run(kills)
         return KillFigures(
             kills=kills,
-            filings=len(harness.office.runs),
-            filings_run_twice=len(harness.twice),
+            filings=len(harness.server.runs),
+            filings_run_twice=len(harness.run_twice),
             violations=[*harness.wrong, *harness.losses],
-            ends=harness.ends,
+            ends=harness.outcomes,
         )
 
 
--- a/benchmarks/store/load.py
+++ b/benchmarks/store/load.py
@@ -13,7 +13,7 @@
 
 from benchmarks.shared.process_usage import memory_usage
 from benchmarks.shared.samples import MEDIAN, P99, percentile_ms
-from benchmarks.shared.stand_ins import Worker, filing_settings, instant_ajp_server, start_worker
+from benchmarks.shared.stand_ins import InstantServer, WorkerProcess, long_window_settings
 from benchmarks.shared.workers import large_machine_settings
 from ochrehoist.store import files
 from ochrehoist.store.database import create_store
@@ -86,10 +86,10 @@
 def measured_load(load: Load, with_store: bool, duration_s: float) -> LoadFigures:
     """Put one worker under a load for some time."""
     figures = LoadFigures(duration_s)
-    with tempfile.TemporaryDirectory(dir=".") as folder, closing(instant_ajp_server()) as server:
+    with tempfile.TemporaryDirectory(dir=".") as folder, closing(InstantServer()) as server:
         state = {"folder": str(Path(folder, "state"))} if with_store else None
-        settings = large_machine_settings(filing_settings())
-        worker = start_worker(thrift=False, ajp=True, site=settings, server=server, state=state)
+        settings = large_machine_settings(long_window_settings())
+        worker = WorkerProcess(thrift=False, ajp=True, site=settings, server=server, state=state)
         with closing(worker):
             end_s = time.monotonic() + duration_s
             threads = [
@@ -131,11 +131,11 @@
         if filings:
             _write_store(store_folder, filings)
         began_s = time.monotonic()
-        worker = start_worker(
-            thrift=False, ajp=True, site=filing_settings(), state={"folder": str(store_folder)}
+        worker = WorkerProcess(
+            thrift=False, ajp=True, site=long_window_settings(), state={"folder": str(store_folder)}
         )
         with closing(worker):
-            worker.ajp().cping()
+            worker.ajp_client().cping()
             ready_s = time.monotonic() - began_s
             return StartFigures(ready_s, memory_usage(worker.process.pid).resident_mb)
 
@@ -152,9 +152,9 @@
     )
 
 
-def _file(worker: Worker, load: Load, client_number: int, end_s: float, figures: LoadFigures) -> None:
+def _file(worker: WorkerProcess, load: Load, client_number: int, end_s: float, figures: LoadFigures) -> None:
     """File with new idempotency keys, one after the other, until the time is up."""
-    client, number = worker.ajp(), 0
+    client, number = worker.ajp_client(), 0
     interval_s = load.clients / load.filings_per_s if load.filings_per_s else 0.0
     while (began_s := time.monotonic()) < end_s:
         number += 1
@@ -166,8 +166,8 @@
         time.sleep(max(0.0, interval_s - latency_s))
 
 
-def _cping(worker: Worker, end_s: float, figures: LoadFigures) -> None:
-    client = worker.ajp()
+def _cping(worker: WorkerProcess, end_s: float, figures: LoadFigures) -> None:
+    client = worker.ajp_client()
     while (began_s := time.monotonic()) < end_s:
         client.cping()
         figures.cping_s.append(time.monotonic() - began_s)
--- a/benchmarks/store/open_loop_router.py
+++ b/benchmarks/store/open_loop_router.py
@@ -5,7 +5,7 @@
 import time
 from dataclasses import dataclass
 
-from benchmarks.shared.stand_ins import Worker
+from benchmarks.shared.stand_ins import ThriftReply, WorkerProcess
 from benchmarks.store.emulated_kernel import WORK_FACTORS
 
 SMALL, LARGE = "small", "large"
@@ -22,7 +22,7 @@
     objective_s: float
 
 
-class _TimedAnswers(dict[int, object]):
+class _TimedAnswers(dict[int, ThriftReply]):
     """Answers by sequence number, and when each came.
 
     They come in any order, and are read in that of the requests: the client puts here those that came early.
@@ -32,7 +32,7 @@
         super().__init__()
         self.received_s: dict[int, float] = {}
 
-    def __setitem__(self, seqid: int, answer: object) -> None:
+    def __setitem__(self, seqid: int, answer: ThriftReply) -> None:
         self.received_s[seqid] = time.monotonic()
         super().__setitem__(seqid, answer)
 
@@ -40,7 +40,7 @@
 class OpenLoopRouter(threading.Thread):
     """Sends requests of two classes for some time; `good` of `sent` were answered within their objective."""
 
-    def __init__(self, worker: Worker, seed: int, requests_per_s: float, duration_s: float) -> None:
+    def __init__(self, worker: WorkerProcess, seed: int, requests_per_s: float, duration_s: float) -> None:
         super().__init__(daemon=True)
         self.good = 0
         self.sent = 0
@@ -48,8 +48,8 @@
         self._requests_per_s = requests_per_s
         self._duration_s = duration_s
         self._answers = _TimedAnswers()
-        self._client = worker.thrift()
-        self._client.early = self._answers
+        self._client = worker.thrift_router()
+        self._client.replies = self._answers
         self._open: dict[int, _SentRequest] = {}
 
     def run(self) -> None:
@@ -65,7 +65,7 @@
         self._client.close()
 
     def _send(self, method: str) -> None:
-        self._open[self._client.seqid + 1] = _SentRequest(time.monotonic(), OBJECTIVE_S[method])
+        self._open[self._client.sequence_id + 1] = _SentRequest(time.monotonic(), OBJECTIVE_S[method])
         self._client.invoke(method, b"x", est=str(ESTIMATED_WORK_MS * WORK_FACTORS[method]))
         self.sent += 1
 
--- a/ochrehoist/app/worker_parts.py
+++ b/ochrehoist/app/worker_parts.py
@@ -12,10 +12,11 @@
 from collections.abc import Callable, Mapping
 from typing import TYPE_CHECKING
 
+from ochrehoist.app.inherited_sockets import InheritedSockets, Listener
 from ochrehoist.app.kernel_link_supervisor import KernelLinkSupervisor
 from ochrehoist.app.logs import LogSink, start_log
 from ochrehoist.app.reload import ConfigReloader
-from ochrehoist.app.reload_change import Participant, commit_only
+from ochrehoist.app.reload_change import Participant, commit_only, required
 from ochrehoist.app.resource_limits import (
     BODY_MEMORY_FRACTION,
     BYTES_PER_MB,
@@ -26,23 +27,20 @@
     memory_bytes,
 )
 from ochrehoist.config.schema import Config
-from ochrehoist.config.values import Address
 from ochrehoist.core.actor import CoreActor
 from ochrehoist.core.messages import ExecutorReady
-from ochrehoist.net.kernel import Kernel
-from ochrehoist.net.link import predecessors_sockets
+from ochrehoist.net.kernel_link import KernelLink
 from ochrehoist.net.loop import Loop, Signal, steady_clock
-from ochrehoist.net.members import Members
+from ochrehoist.net.membership_heartbeat import MembershipHeartbeat
 from ochrehoist.net.thrift_front import ThriftFront
 
 if TYPE_CHECKING:
     from ochrehoist.app.operator_api import MetricsSource, OperatorApi, StatusSource
     from ochrehoist.capture.recorder import LoadRecorder
     from ochrehoist.core.protocols import AdmissionFilter
-    from ochrehoist.net.agent import AgentCheck
     from ochrehoist.net.ajp_front import AjpFront
     from ochrehoist.net.ajp_server import AjpServers
-    from ochrehoist.net.operators import Answer, Operators
+    from ochrehoist.net.operator_server import Answer, OperatorServer
     from ochrehoist.net.peers import Peers
     from ochrehoist.net.recovery import RecoveryMonitor
     from ochrehoist.net.self_monitoring import SelfMonitor
@@ -50,33 +48,6 @@
     from ochrehoist.overload.overload_control import OverloadControl
     from ochrehoist.store.journal import Journal
 
-    Listener = ThriftFront | AjpFront | AgentCheck | Operators
-
-
-class InheritedSockets:
-    """Listening sockets that the process before this one has handed over, by address."""
-
-    def __init__(self, handover_path: str | None) -> None:
-        sockets = predecessors_sockets(handover_path) if handover_path else None
-        self.replaces_process = sockets is not None
-        self._sockets: Mapping[Address, socket.socket] = sockets or {}
-
-    def get(self, address: Address) -> socket.socket | None:
-        """The socket that listens at the address, where there is one."""
-        return self._sockets.get(address)
-
-    def close_unused(self, listeners: list[Listener]) -> set[Address]:
-        """Closes those that no listener uses; gives the addresses of those in use.
-
-        What waits in the queue of an unused one is for the process that listens there.
-        """
-        inherited = set(self._sockets.values())
-        used = {listener.listening.address for listener in listeners if listener.listening.sock in inherited}
-        for address, sock in self._sockets.items():
-            if address not in used:
-                sock.close()
-        return used
-
 
 class WorkerParts:
     """All parts of one worker; an optional one is None where the configuration has no table for it.
@@ -115,7 +86,7 @@
         limits = connection_limits(config)
         self.ajp_servers = self._build_ajp(limits)
         self.kernel = self._build_thrift(limits)
-        self.members = self._build_membership()
+        self.membership = self._build_membership()
         self._build_agent_check()
         self.operators = self._build_operators()
         self.inherited_addresses = self.inherited.close_unused(self.listeners)
@@ -197,27 +168,29 @@
         )
         self._add_front(front)
         self._reloadable += [
-            commit_only(lambda new, _: servers.configure(new.ajp)),
-            lambda new, _: front.prepare(new.ajp, new.settings),
+            commit_only(lambda new, _: servers.configure(required(new.ajp))),
+            lambda new, _: front.prepare(required(new.ajp), new.settings),
         ]
         return servers
 
-    def _build_thrift(self, limits: ConnectionLimits) -> Kernel | None:
+    def _build_thrift(self, limits: ConnectionLimits) -> KernelLink | None:
         config = self.config
         if not config.listen:
             self.core.post(ExecutorReady(None, 0))
             return None
-        kernel = Kernel(
+        kernel = KernelLink(
             self.loop,
             self.core,
-            config.kernel_address,
+            required(config.kernel_address),
             config.gauges,
             self.log,
             is_shared=lambda: self._kernel_is_shared(),
         )
         self.tasks.append(kernel.run)
         self._add_status("kernel", kernel)
-        self._reloadable.append(commit_only(lambda new, _: kernel.move(new.kernel_address, new.gauges)))
+        self._reloadable.append(
+            commit_only(lambda new, _: kernel.move(required(new.kernel_address), new.gauges))
+        )
         sock = self.inherited.get(config.listen)
         if config.inherited_fd is not None:
             sock = socket.socket(fileno=config.inherited_fd)
@@ -245,24 +218,28 @@
         self.listeners.append(front)
 
     # ---- membership, health checks and operators
-    def _build_membership(self) -> Members | None:
+    def _build_membership(self) -> MembershipHeartbeat | None:
         config = self.config
-        members = None
+        membership = None
         if config.membership_address:
-            members = Members(self.loop, self.core, config.membership_address, config.name, self.log)
-            self._reloadable.append(commit_only(lambda new, _: members.move(new.membership_address)))
-            self.core.register_listener(members)
+            membership = MembershipHeartbeat(
+                self.loop, self.core, config.membership_address, config.name, self.log
+            )
+            self._reloadable.append(
+                commit_only(lambda new, _: membership.move(required(new.membership_address)))
+            )
+            self.core.register_listener(membership)
         for front in self.fronts:
             self.core.register_listener(front)
-        return members
+        return membership
 
     def _build_agent_check(self) -> None:
         address = self.config.agent_check_address
         if address:
-            from ochrehoist.net.agent import AgentCheck
+            from ochrehoist.net.agent_check import AgentCheckServer
 
             sock = self.inherited.get(address)
-            self.listeners.append(AgentCheck(self.loop, self.core, address, self.log, sock))
+            self.listeners.append(AgentCheckServer(self.loop, self.core, address, self.log, sock))
 
     def _build_operator_api(self, is_serving: Callable[[], bool]) -> OperatorApi | None:
         if self.config.admin_address is None:
@@ -279,13 +256,13 @@
         if self.operator_api:
             self.operator_api.add_metrics(section, source)
 
-    def _build_operators(self) -> Operators | None:
+    def _build_operators(self) -> OperatorServer | None:
         address = self.config.admin_address
         if self.operator_api is None or address is None:
             return None
-        from ochrehoist.net.operators import Operators
+        from ochrehoist.net.operator_server import OperatorServer
 
-        operators = Operators(
+        operators = OperatorServer(
             self.loop, address, self._operator_calls(self.operator_api), self.log, self.inherited.get(address)
         )
         self.listeners.append(operators)
@@ -301,12 +278,12 @@
             return calls
         from ochrehoist.net.sites import SiteCommandRoutes
 
-        return SiteCommandRoutes(calls, lambda site, kind: self.sites.issue_command(site, kind))
+        return SiteCommandRoutes(calls, lambda site, kind: required(self.sites).issue_command(site, kind))
 
     def _skip_call(self, stage: str) -> Callable[[], Answer]:
-        from ochrehoist.net.operators import said
+        from ochrehoist.net.operator_server import json_answer
 
-        return lambda: said({"said": self.recovery.skip(stage)})
+        return lambda: json_answer({"said": required(self.recovery).skip(stage)})
 
     # ---- configuration
     def _build_reloading(self, path: str | None) -> ConfigReloader:
@@ -392,7 +369,7 @@
             self.core,
             self.config.name,
             self.config.sites,
-            self.peers,
+            required(self.peers),
             not self.inherited.replaces_process,
             self.log,
         )
--- a/ochrehoist/lab/hollow/worker.py
+++ b/ochrehoist/lab/hollow/worker.py
@@ -19,12 +19,12 @@
 from ochrehoist.core.metrics import RequestCounter
 from ochrehoist.lab.hollow.network import PartitionedNetwork, PartitionedSocket
 from ochrehoist.lab.hollow.protocol import Address, MemberIntroduction, WorkerSample
-from ochrehoist.net.ajp_front import AjpReader
-from ochrehoist.net.ajp_server import AjpServers
+from ochrehoist.net.ajp_reader import AjpReader
+from ochrehoist.net.ajp_server import AjpServers, CallOutcome
 from ochrehoist.net.loop import Loop, Signal, steady_clock
 from ochrehoist.net.peer_transport import open_datagram_socket
 from ochrehoist.net.peers import TICK_S, Peers
-from ochrehoist.peers.wire import CounterSnapshot, HealthStatus, Incarnation, MemberState, MemberUpdate
+from ochrehoist.peers.wire import CounterSnapshot, Incarnation, MemberState, MemberUpdate
 
 BYTES_PER_MB = 1e6
 MEASURED_TICKS = 256  # of the admission controller, whose cost is kept
@@ -87,6 +87,16 @@
         return self._socket.received_count if self._socket is not None else 0
 
 
+class KillableSignal(Signal):
+    """A signal whose waiting task may be killed."""
+
+    __slots__ = ()
+
+    def forget_waiter(self) -> None:
+        """The task that waits, if any, is not woken any more, by a timeout neither."""
+        self._waiter = None
+
+
 class MeteredCoreActor(CoreActor):
     """The core's actor; `tick_cpu_s` has the cost of the controller's last ticks, in s of this thread."""
 
@@ -124,7 +134,7 @@
     ) -> None:
         self._loop = loop
         self._random = Random(f"{seed}/{config.name}")
-        self._waker = Signal(loop)
+        self._waker = KillableSignal(loop)
         self.name = config.name
         self.ended = False
         memory_bytes = int(config.memory_mb * BYTES_PER_MB)
@@ -178,7 +188,7 @@
         """Ends it as SIGKILL would: no member is notified."""
         self.ended = True
         self.peers.transport.close()
-        self._waker.waiter = None
+        self._waker.forget_waiter()
         self._task.throw()  # GreenletExit
 
     # Requests, of which its parts are only notified.
@@ -193,15 +203,15 @@
             tenant=self._random.choice(settings.tenants).name if settings.tenants else None,
         )
         self.peers.request_arrived(request)
-        server = self.peers.order({})[0]
-        ticket = self.peers.began(server, request.request_class.name)
+        server = self.peers.rank_servers({})[0]
+        ticket = self.peers.begin_call(server, request.request_class.name)
         self._loop.call_later(SIMULATED_RUN_S, lambda: self._complete_request(request, ticket))
         next_s = interval_s * self._random.uniform(0.5, 1.5)
         self._loop.call_later(next_s, lambda: self._simulate_requests(interval_s))
 
     def _complete_request(self, request: Any, ticket: int | None) -> None:
         if ticket is not None:
-            self.peers.ended(ticket, HealthStatus.OK)
+            self.peers.end_call(ticket, CallOutcome.OK)
         self.peers.request_answered(request, RequestCounter.ANSWERED, 0)
 
     # What others learn of it, and it of others.
--- a/ochrehoist/lab/stand_in_service.py
+++ b/ochrehoist/lab/stand_in_service.py
@@ -43,7 +43,7 @@
 
 async def read_packet(reader: asyncio.StreamReader) -> bytes:
     """The payload of the next AJP packet. Raises asyncio.IncompleteReadError."""
-    head = await reader.readexactly(ajp.HEAD)
+    head = await reader.readexactly(ajp.HEADER_BYTES)
     return await reader.readexactly(int.from_bytes(head[2:], "big"))
 
 
@@ -96,7 +96,7 @@
         if packet[:1] == CPING_PACKET:
             writer.write(ajp.PONG_PACKET)
             return True
-        request = ajp.forward(packet)
+        request = ajp.parse_forward(packet)
         await self._read_body(request.length, reader, writer)
         return await self._serve(request, writer)
 
@@ -104,11 +104,11 @@
     async def _read_body(length: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         remaining = length
         while remaining > 0:
-            remaining -= len(ajp.body(await read_packet(reader)))
+            remaining -= len(ajp.parse_request_chunk(await read_packet(reader)))
             if remaining > 0:
-                writer.write(ajp.get_body(min(remaining, PACKET_BYTES - BODY_REQUEST_OVERHEAD_BYTES)))
+                writer.write(ajp.encode_get_body(min(remaining, PACKET_BYTES - BODY_REQUEST_OVERHEAD_BYTES)))
 
-    async def _serve(self, request: ajp.Forward, writer: asyncio.StreamWriter) -> bool:
+    async def _serve(self, request: ajp.ForwardRequest, writer: asyncio.StreamWriter) -> bool:
         """Runs a request and answers it; whether the connection is kept."""
         headers = request.headers
         run = ServiceRun(
@@ -131,7 +131,9 @@
                 (ajp.CONTENT_LENGTH, b"2"),
                 (b"X-Served-By", self._name.encode()),
             ]
-            writer.write(ajp.response(ajp.headers(200, "OK", fields), b"ok", PACKET_BYTES, True))
+            writer.write(
+                ajp.encode_response(ajp.encode_headers(200, "OK", fields), b"ok", PACKET_BYTES, True)
+            )
             return True
         finally:
             self._open_count -= 1
--- a/ochrehoist/lab/worker_client.py
+++ b/ochrehoist/lab/worker_client.py
@@ -48,14 +48,14 @@
         fields["content-length"] = str(len(body))
     payload = bytes((ajp.FORWARD, ajp.METHODS.index(method)))
     payload += b"".join(
-        ajp.string(text) for text in (b"HTTP/1.1", uri.encode(), b"127.0.0.1", b"lab", b"lab")
+        ajp.encode_string(text) for text in (b"HTTP/1.1", uri.encode(), b"127.0.0.1", b"lab", b"lab")
     )
     payload += struct.pack(">HBH", SERVER_PORT, 0, len(fields))
     payload += b"".join(
-        ajp.string(name.encode()) + ajp.string(value.encode()) for name, value in fields.items()
+        ajp.encode_string(name.encode()) + ajp.encode_string(value.encode()) for name, value in fields.items()
     )
-    data = ajp.packet(ajp.TO_CONTAINER, payload + bytes((ajp.A_END,)))
-    return data + (ajp.body_packet(body) if body else b"")
+    data = ajp.encode_packet(ajp.TO_CONTAINER, payload + bytes((ajp.ATTRIBUTES_END,)))
+    return data + (ajp.encode_request_chunk(body) if body else b"")
 
 
 class AjpConnectionPool:
--- /dev/null
+++ b/ochrehoist/net/kernel_protocol.py
@@ -0,0 +1,138 @@
+"""The kernel's JSON lines: the commands to it and its notices, without I/O."""
+
+import base64
+import json
+from collections.abc import Mapping
+from operator import index
+from typing import Any, NamedTuple
+
+from ochrehoist.admission.events import Outcome
+from ochrehoist.core.messages import RunCompleted
+from ochrehoist.core.results import RunResult
+from ochrehoist.core.units import NS_PER_MS
+from ochrehoist.errors import OchrehoistError
+
+OUTCOMES = {
+    "OK": Outcome.OK,
+    "ERROR": Outcome.FAILED,
+    "STOPPED": Outcome.CANCELLED,
+    "MOOT": Outcome.NOT_STARTED,
+}
+UNREADABLE = (ValueError, KeyError, TypeError, AttributeError)
+
+
+class MalformedNoticeError(OchrehoistError):
+    """A notice that can't be read, because of `cause`."""
+
+    def __init__(self, cause: Exception) -> None:
+        super().__init__(f"a notice that can't be read: {cause!r}")
+
+
+class MalformedResultError(MalformedNoticeError):
+    """The notice says that the run of a request has ended, but its result can't be read."""
+
+    def __init__(self, cause: Exception, request_id: str) -> None:
+        super().__init__(cause)
+        self.request_id = request_id
+
+
+class KernelBooted(NamedTuple):
+    """The kernel takes commands on this link; `duration_ns`: what its start took."""
+
+    is_cold: bool
+    duration_ns: int
+
+
+class GaugesReported(NamedTuple):
+    """The answer to the query of this token: the gauges, in their configured order."""
+
+    token: str
+    load: tuple[float, ...]
+
+
+class RunEnded(NamedTuple):
+    """A numbered notice that a run has ended; its fields are read only once it is not a repetition."""
+
+    offset: int
+    fields: Mapping[str, Any]
+
+    def run_completed(self) -> RunCompleted:
+        """What it says, with the duration by the kernel's clock.
+
+        Raises:
+            MalformedResultError: body or duration can't be read.
+            MalformedNoticeError: another field can't be read.
+        """
+        fields = self.fields
+        try:
+            request_id = fields["req"]
+            try:
+                body = base64.b64decode(fields.get("payload") or "", validate=True)
+                duration_ns = int(fields.get("elapsed_ms", 0) * NS_PER_MS)
+            except (ValueError, TypeError) as error:
+                raise MalformedResultError(error, request_id) from None
+            outcome = OUTCOMES.get(fields["result"], Outcome.FAILED)
+        except (KeyError, TypeError) as error:
+            raise MalformedNoticeError(error) from None
+        return RunCompleted(request_id, RunResult(outcome, body), duration_ns)
+
+
+class KernelLogged(NamedTuple):
+    """A numbered notice that concerns no run."""
+
+    offset: int
+
+
+class CommandRejected(NamedTuple):
+    """The kernel did not carry out a command; `request_id` is None where it concerned no run."""
+
+    command: str | None
+    request_id: str | None
+
+
+class UnknownNotice(NamedTuple):
+    """A notice of a kind that is not known here."""
+
+    command: str
+
+
+Notice = KernelBooted | GaugesReported | RunEnded | KernelLogged | CommandRejected | UnknownNotice
+
+
+def parse_notice(line: bytes) -> Notice:
+    """Reads a line of the kernel; raises MalformedNoticeError."""
+    try:
+        fields = json.loads(line)
+        command = fields["cmd"]
+        if command == "REAP":
+            return RunEnded(index(fields["offset"]), fields)
+        if command == "INFO":
+            return GaugesReported(fields["token"], tuple(float(value) for value in fields["load"]))
+        if command == "DMESG":
+            return KernelLogged(index(fields["offset"]))
+        if command == "BOOTED":
+            return KernelBooted(fields["result"] == "COLD", int(fields["elapsed_ms"] * NS_PER_MS))
+        if command == "EINVAL":
+            return CommandRejected(fields.get("result"), fields.get("req"))
+    except UNREADABLE as error:
+        raise MalformedNoticeError(error) from None
+    return UnknownNotice(command)
+
+
+def _command(**fields: Any) -> bytes:
+    return json.dumps(fields, separators=(",", ":")).encode() + b"\n"
+
+
+def open_command(offset: int) -> bytes:
+    """Opens the link; the kernel repeats all notices after this offset."""
+    return _command(cmd="OPEN", offset=offset)
+
+
+def query_gauges_command(token: str) -> bytes:
+    """Asks for the gauges; the answer carries the token."""
+    return _command(cmd="SYSINFO", token=token)
+
+
+def schedule_command(request_id: str, method: str, body: bytes) -> bytes:
+    """Starts a run."""
+    return _command(cmd="SCHED", req=request_id, method=method, payload=base64.b64encode(body).decode())
