--- a/ochrehoist/lab/drill.py
+++ b/ochrehoist/lab/drill.py
@@ -7,8 +7,7 @@
 from ochrehoist.config.fleet_description import Fleet
 from ochrehoist.lab.fault_schedule import FaultKind
 from ochrehoist.lab.goodput import goodput, recovery_time_s
-from ochrehoist.lab.outcomes import Call
-from ochrehoist.lab.run_report import RunRecord
+from ochrehoist.lab.outcomes import Call, RunRecord
 from ochrehoist.lab.scenario import Scenario, ScenarioError, parse
 
 LOSS_AT_S = 8.0
--- a/ochrehoist/lab/load_generator.py
+++ b/ochrehoist/lab/load_generator.py
@@ -143,9 +143,11 @@
         target = self._targets[worker]
         attempt = Attempt(worker, target.process_count() - 1, self._clock())
         call.attempts.append(attempt)
-        timeout_s = call.patience_s + 2 * ANSWER_MARGIN_S
+        answer_timeout_s = call.timeout_s + 2 * ANSWER_MARGIN_S
         try:
-            attempt.status = await asyncio.wait_for(target.client.send(call, number, work_s), timeout_s)
+            attempt.status = await asyncio.wait_for(
+                target.client.send(call, number, work_s), answer_timeout_s
+            )
         except ConnectionRefusedError:
             attempt.status = CONNECTION_REFUSED
         except (OSError, TimeoutError):
--- a/ochrehoist/lab/outcomes.py
+++ b/ochrehoist/lab/outcomes.py
@@ -4,9 +4,12 @@
 """
 
 from dataclasses import dataclass, field
+from typing import Any
 
 from ochrehoist.lab.fault_schedule import FaultKind
 
+RunRecord = dict[str, Any]  # the result of one run, as its file has it
+
 # The status of an attempt: that of its answer, or why there is none.
 SERVED = 200
 FAILED = 502
@@ -56,7 +59,7 @@
         )
 
     @property
-    def patience_s(self) -> float:
+    def timeout_s(self) -> float:
         """How long a caller waits."""
         return self.due_s - self.started_s
 
--- a/ochrehoist/lab/run_report.py
+++ b/ochrehoist/lab/run_report.py
@@ -1,6 +1,6 @@
 """The result of a run of a scenario: its violations and figures, as the result file has them. No I/O."""
 
-from typing import Any
+from typing import Any, NamedTuple, TypedDict
 
 from ochrehoist.lab import invariants, site_invariants
 from ochrehoist.lab.deployment import Deployment
@@ -9,10 +9,10 @@
 from ochrehoist.lab.goodput import figures_record, peak_count, retry_times, runs_by_worker
 from ochrehoist.lab.load_generator import ANSWER_MARGIN_S, LoadGenerator
 from ochrehoist.lab.observation import Observer, Status
+from ochrehoist.lab.outcomes import RunRecord
 from ochrehoist.lab.scenario import Budget
-from ochrehoist.lab.site_invariants import RecoveryStep
+from ochrehoist.lab.site_invariants import ObservedStatus, RecoveryStep
 
-RunRecord = dict[str, Any]  # one run as JSON
 Span = tuple[float, float]
 
 FIRST_SECOND_S = 1.0  # from which on calls count as undisturbed
@@ -22,6 +22,33 @@
 FAULT_EVENT_PREFIX = "fault"
 
 
+class BudgetUse(TypedDict):
+    """The most that was used of a budget, as the result file has it."""
+
+    amount: int
+    most: int
+
+
+class Ejection(NamedTuple):
+    """A worker ejected a service or took it back."""
+
+    at_s: float
+    worker: str
+    service: str
+    state: str
+    reason: str
+
+
+class SiteStateChange(NamedTuple):
+    """What a worker made of another site."""
+
+    at_s: float
+    worker: str
+    site: str
+    state: str
+    reason: str
+
+
 class RunReport:
     """Judges one run that has ended, `ended_s` after its begin."""
 
@@ -44,11 +71,11 @@
 
     def record(self) -> RunRecord:
         """All of it."""
-        budgets, over_budget = self._check_budgets()
+        budgets = self._budget_uses()
         steps = self._recovery_steps()
         violations = [
             *invariants.violations(self._evidence()),
-            *over_budget,
+            *self._exceeded_budgets(budgets),
             *invariants.doubly_held_slots(self._observer.slot_holdings),
             *self._site_violations(steps),
             *self._worker_faults(),
@@ -89,17 +116,21 @@
             runs_known=runs_known,
         )
 
-    def _check_budgets(self) -> tuple[dict[str, dict[str, int]], list[str]]:
-        """The most that was used of each budget, and a line for each that was exceeded."""
-        peaks: dict[str, dict[str, int]] = {}
-        exceeded: list[str] = []
+    def _budget_uses(self) -> dict[str, BudgetUse]:
+        return {
+            budget.name: BudgetUse(amount=budget.amount, most=self._peak_use(budget))
+            for budget in self._scenario.budgets
+        }
+
+    def _exceeded_budgets(self, uses: dict[str, BudgetUse]) -> list[str]:
+        """A line for each budget of which more was used than may be."""
+        found = []
         for budget in self._scenario.budgets:
-            peak = self._peak_use(budget)
+            peak = uses[budget.name]["most"]
             allowed = self._allowed_use(budget)
-            peaks[budget.name] = {"amount": budget.amount, "most": peak}
             if peak > allowed:
-                exceeded.append(f"budget {budget.name}: {peak} where {allowed:.1f} are allowed")
-        return peaks, exceeded
+                found.append(f"budget {budget.name}: {peak} where {allowed:.1f} are allowed")
+        return found
 
     def _peak_use(self, budget: Budget) -> int:
         if budget.use == "repeats":
@@ -157,25 +188,23 @@
         keys = ("sites", "recovery", "store")
         return {name: {key: status.get(key) for key in keys} for name, status in self._final_statuses.items()}
 
-    def _ejections(self) -> list[tuple[float, str, str, str, str]]:
-        """When workers ejected a service or took it back: time, worker, service, state, reason."""
+    def _ejections(self) -> list[Ejection]:
         return sorted(
-            (round(self._ended_s - ago_s, 2), name, service, state, reason)
+            Ejection(round(self._ended_s - ago_s, 2), name, service, state, reason)
             for name, status in self._final_statuses.items()
             for ago_s, service, state, reason in (status.get("peers") or {}).get("judged", ())
         )
 
-    def _site_changes(self) -> list[tuple[float, str, str, str, str]]:
-        """What workers made of the other sites: time, worker, site, state, reason."""
+    def _site_changes(self) -> list[SiteStateChange]:
+        """Each change once: statuses tell of it again and again."""
         changes = {
-            (
-                round(observed.at_s - change["ago_s"], 1),
-                observed.worker,
-                change["site"],
-                change["state"],
-                change["why"],
-            )
+            _site_change(observed, change)
             for observed in self._observer.statuses
             for change in observed.sites.get("changes", ())
         }
         return sorted(changes)
+
+
+def _site_change(observed: ObservedStatus, change: dict[str, Any]) -> SiteStateChange:
+    at_s = round(observed.at_s - change["ago_s"], 1)
+    return SiteStateChange(at_s, observed.worker, change["site"], change["state"], change["why"])
--- a/ochrehoist/lab/scale/experiments.py
+++ b/ochrehoist/lab/scale/experiments.py
@@ -44,8 +44,10 @@
     recovery = await cluster.wait_until_complete(spec.heal_s)
     after = await cluster.sample()
     duration_s = (after.at_s - before.at_s) * spec.pace
-    earlier, later = before.workers(), after.workers()
-    byte_rate, message_rate = rest.hollow["bytes_out_per_s"], rest.hollow["sent_per_s"]
+    earlier = before.workers()
+    later = after.workers()
+    byte_rate = rest.hollow["bytes_out_per_s"]
+    message_rate = rest.hollow["sent_per_s"]
     bytes_out = traffic(earlier, later, lambda worker: worker.bytes_out, byte_rate, duration_s)
     sent = traffic(earlier, later, lambda worker: worker.sent, message_rate, duration_s)
     return FaultFigures(
@@ -94,7 +96,9 @@
 def reader_notes(spec: ScaleSpec, figures: RunFigures) -> list[str]:
     """What a reader of the figures of a run that went through must know."""
     notes: list[str] = []
-    join, rest, at_end = figures.join, figures.rest, figures.at_end
+    join = figures.join
+    rest = figures.rest
+    at_end = figures.at_end
     assert join is not UNSET
     assert rest is not UNSET
     assert at_end is not UNSET
--- a/ochrehoist/lab/scale/measurements.py
+++ b/ochrehoist/lab/scale/measurements.py
@@ -6,8 +6,7 @@
 from msgspec import UNSET, Struct, UnsetType
 
 from ochrehoist.lab.hollow.protocol import ProcessSample, WorkerSample
-from ochrehoist.lab.scale.processes import RealWorkerSample
-from ochrehoist.lab.scale.results import RestFigures, Spread, spread
+from ochrehoist.lab.scale.results import RealWorkerSample, RestFigures, Spread, spread
 from ochrehoist.net.peers import TICK_S
 
 KB_PER_MB = 1024
--- a/ochrehoist/lab/scale/processes.py
+++ b/ochrehoist/lab/scale/processes.py
@@ -14,6 +14,7 @@
 from ochrehoist.lab.errors import RunAbortedError
 from ochrehoist.lab.hollow.protocol import Answer, Command, NumberedCommand, ProcessDescription
 from ochrehoist.lab.process_info import cpu_s, die_with_parent, resident_kb
+from ochrehoist.lab.scale.results import RealWorkerSample
 from ochrehoist.lab.worker_configuration import FixedConfiguration
 from ochrehoist.lab.worker_process import WorkerProcess
 
@@ -127,18 +128,6 @@
             self._reading.cancel()
 
 
-class RealWorkerSample(msgspec.Struct, frozen=True):
-    """Counters of a real worker since its start; `cpu_s` is of all that the process does."""
-
-    bytes_out: int
-    bytes_in: int
-    sent: int
-    received: int
-    peers_cpu_s: float
-    cpu_s: float
-    resident_kb: int
-
-
 class RealWorker(WorkerProcess[FixedConfiguration]):
     """The program itself as a process, in the same group as hollow workers; it ends with this process."""
 
--- a/ochrehoist/lab/scale/results.py
+++ b/ochrehoist/lab/scale/results.py
@@ -56,6 +56,18 @@
     )
 
 
+class RealWorkerSample(Struct, frozen=True):
+    """Counters of a real worker since its start; `cpu_s` is of all that the process does."""
+
+    bytes_out: int
+    bytes_in: int
+    sent: int
+    received: int
+    peers_cpu_s: float
+    cpu_s: float
+    resident_kb: int
+
+
 class ClusterView(Struct, frozen=True):
     """What the hollow workers believe of the group, and what they hold of the budget together."""
 
--- a/ochrehoist/lab/scenario_runner.py
+++ b/ochrehoist/lab/scenario_runner.py
@@ -9,8 +9,8 @@
 from ochrehoist.lab.load_generator import LoadGenerator, ReportProgress
 from ochrehoist.lab.machine_cores import RunClock
 from ochrehoist.lab.observation import Observer
-from ochrehoist.lab.outcomes import Call
-from ochrehoist.lab.run_report import RunRecord, RunReport
+from ochrehoist.lab.outcomes import Call, RunRecord
+from ochrehoist.lab.run_report import RunReport
 from ochrehoist.lab.scenario import Scenario
 from ochrehoist.lab.worker_process import ROOT
 
--- a/ochrehoist/lab/virtual/scheduler.py
+++ b/ochrehoist/lab/virtual/scheduler.py
@@ -9,13 +9,13 @@
 
     def __init__(self) -> None:
         self.now = 0.0
-        self.event_count = 0  # of all calls that were scheduled
+        self._call_count = 0
         self._queue: list[tuple[float, int, Callable[[], None]]] = []
 
     def at(self, when: float, call: Callable[[], None]) -> None:
         """Schedules a call; one in the past is made next."""
-        self.event_count += 1
-        heappush(self._queue, (when, self.event_count, call))
+        self._call_count += 1
+        heappush(self._queue, (when, self._call_count, call))
 
     def run(self, until: float) -> None:
         """Makes all calls that are due up to this time."""
--- a/ochrehoist/lab/virtual/world.py
+++ b/ochrehoist/lab/virtual/world.py
@@ -273,9 +273,8 @@
             if source != recipient
         ]
         links += [] if one_way else [(recipient, source) for source, recipient in links]
-        begin, end = self._network.cut, self._network.heal
-        if hold:
-            begin, end = self._network.hold, self._network.release
+        begin = self._network.hold if hold else self._network.cut
+        end = self._network.release if hold else self._network.heal
         begin(links)
         self.at(self.now + duration_s, lambda: end(links))
 
