--- a/ochrehoist/net/self_monitoring.py
+++ b/ochrehoist/net/self_monitoring.py
@@ -14,6 +14,7 @@
 
 from ochrehoist.core.actor import CoreActor
 from ochrehoist.core.metrics import RequestCounter, format_samples
+from ochrehoist.core.protocols import Logger
 from ochrehoist.net.ajp_front import AjpFront
 from ochrehoist.net.loop import Loop
 from ochrehoist.net.thrift_front import ThriftFront
@@ -39,7 +40,7 @@
         core: CoreActor,
         control: OverloadControl,
         fronts: Sequence[ThriftFront | AjpFront],
-        log: Any,
+        log: Logger,
     ) -> None:
         self.control = control
         self._loop = loop
@@ -69,7 +70,7 @@
             "loop": control.detector.view(),
             "running": control.limiter.view(),
             "time_s": {stage: round(spent_s, 3) for stage, spent_s in control.timings.spent_s.items()},
-            "memory_bytes": self._memory_by_owner(),
+            "memory_bytes": self._memory_by_use(),
         }
         if control.early_rejection is not None:
             values["admission"] = control.early_rejection.view()
@@ -186,7 +187,7 @@
             **self.control.detector.view(),
         )
 
-    def _memory_by_owner(self) -> dict[str, int]:
+    def _memory_by_use(self) -> dict[str, int]:
         """Bytes by what holds them, as far as each knows its own, and some counts."""
         connections = [connection for front in self._fronts for connection in front.connections]
         core = self._core
--- a/tests/test_overload_parts.py
+++ b/tests/overload/test_overload_parts.py
@@ -5,14 +5,13 @@
 import unittest
 from random import Random
 
-from helpers import Driver as Plain
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
 from ochrehoist.admission.actions import FailRequest, RejectRequest, StartRun
 from ochrehoist.admission.events import UNLIMITED, ConcurrencyLimits, Outcome
 from ochrehoist.admission.settings import AdmissionSettings, Idempotency, RequestClass, Tenant
-from ochrehoist.config.schema import OverloadConfig
+from ochrehoist.config.tables import OverloadConfig
 from ochrehoist.core.request import InboundRequest
 from ochrehoist.overload.bulkheads import (
     LOW_COST_RESERVE_S,
@@ -29,6 +28,7 @@
 from ochrehoist.overload.retry_budget import RetryBudget
 from ochrehoist.overload.stage_timings import StageTimings
 from ochrehoist.overload.weighted_allocation import AllocationRequest, allocate
+from tests.admission.controller_driver import Driver as Plain
 
 S, MS = 10**9, 10**6
 READ = RequestClass(
--- a/tests/test_plan_answers.py
+++ b/tests/plan/test_plan_answers.py
@@ -7,12 +7,9 @@
 import unittest
 from pathlib import Path
 
-from stand_ins import run
-from test_plan import fleet, quiet
-
 from ochrehoist.capture.reader import Capture, CapturedRequest, read_capture
 from ochrehoist.capture.records import UNKNOWN_SPAN_NS, CaptureHeader, RequestOutcome, RequestRecord
-from ochrehoist.lab import scale_report
+from ochrehoist.lab.scale.slopes import slope
 from ochrehoist.plan import pictures, report
 from ochrehoist.plan.captures import side_by_side
 from ochrehoist.plan.demand import Streams, captured
@@ -30,6 +27,8 @@
     size,
     without_strongest,
 )
+from tests.plan.test_plan import fleet, quiet
+from tests.support.worker_process import run_command
 
 MS = 1_000_000
 LOADS = re.compile(r"(?:src|href)=\"(?!#)[^\"]*\"|url\((?!#)[^)]*\)|@import")  # from elsewhere
@@ -79,7 +78,7 @@
             "events": [[3.0, "one lost"]],
         }
         yield "measure", {"measured": one, "forecast": one}
-        fit = scale_report.slope([(20, 1.0), (50, 2.0), (100, 3.0)])
+        fit = slope([(20, 1.0), (50, 2.0), (100, 3.0)])
         yield (
             "scale",
             {
@@ -113,7 +112,7 @@
     def test_a_page_and_its_pictures_from_the_shell(self):
         with tempfile.TemporaryDirectory() as folder:
             page = Path(folder, "page.html")
-            done = run(
+            done = run_command(
                 "plan",
                 "forecast",
                 "deploy/fleet.toml",
