--- a/ochrehoist/net/loop.py
+++ b/ochrehoist/net/loop.py
@@ -271,10 +271,6 @@
         was_set, self._is_set = self._is_set, False
         return was_set
 
-    def forget_waiter(self) -> None:
-        """Never wakes the task that waits: it is ended by whoever calls this."""
-        self._waiter = None
-
     def _time_out(self) -> None:
         if self._waiter is not None:
             waiter, self._waiter = self._waiter, None
