--- a/benchmarks/fleet/upgrade.py
+++ b/benchmarks/fleet/upgrade.py
@@ -18,12 +18,9 @@
 from benchmarks.shared.revisions import checked_out
 from benchmarks.shared.stand_ins import (
     AjpClient,
-    ManualAjpServer,
-    ThriftClient,
-    Worker,
-    manual_ajp_server,
-    start_worker,
-    thrift_client,
+    AjpServer,
+    ThriftRouter,
+    WorkerProcess,
 )
 
 EARLIER_RELEASE = "000e6de"
@@ -55,7 +52,7 @@
     """A filing that was sent on a router's connection."""
 
     name: str
-    router: ThriftClient
+    router: ThriftRouter
     seqid: int
 
 
@@ -109,18 +106,18 @@
             _require(duplicate is None, f"a duplicate member was seen: {duplicate}")
             return UpgradeFigures(answers=len(self._filings) + 1, runs=len(self._runs) + 1)
 
-    def _server(self) -> ManualAjpServer:
-        return self._resources.enter_context(closing(manual_ajp_server()))
+    def _server(self) -> AjpServer:
+        return self._resources.enter_context(closing(AjpServer()))
 
-    def _worker(self, ajp_only: bool = False, **arguments: Any) -> Worker:
-        worker = start_worker(thrift=not ajp_only, ajp=True, **arguments)
+    def _worker(self, ajp_only: bool = False, **arguments: Any) -> WorkerProcess:
+        worker = WorkerProcess(thrift=not ajp_only, ajp=True, **arguments)
         return self._resources.enter_context(closing(worker))
 
-    def _send(self, name: str, router: ThriftClient) -> None:
+    def _send(self, name: str, router: ThriftRouter) -> None:
         seqid = router.invoke("filing", name.encode(), token=name)
         self._filings.append(SentFiling(name, router, seqid))
 
-    def _fill(self, old: Worker, router: ThriftClient, web_server: AjpClient) -> dict[str, str]:
+    def _fill(self, old: WorkerProcess, router: ThriftRouter, web_server: AjpClient) -> dict[str, str]:
         """Open six requests at the replaced process; the ids of the runs by filing."""
         for name in RUNNING:
             self._send(name, router)
@@ -135,14 +132,14 @@
         old.wait_for(lambda status: status["in_hand"] == OPEN_REQUESTS)
         return run_ids
 
-    def _send_again(self, new: Worker) -> None:
+    def _send_again(self, new: WorkerProcess) -> None:
         """Repeat all filings at the new process, and send one more."""
-        router = thrift_client(new.addresses["ThriftFront"])
+        router = ThriftRouter(new.addresses["ThriftFront"])
         for name in (*RUNNING, QUEUED, LATE):
             self._send(name, router)
         router.ping()
 
-    def _complete_runs(self, old: Worker, new: Worker, run_ids: dict[str, str]) -> None:
+    def _complete_runs(self, old: WorkerProcess, new: WorkerProcess, run_ids: dict[str, str]) -> None:
         for name, run_id in run_ids.items():
             old.kernel.reap(run_id, body=_result(name))
             self._runs.append(name)
@@ -152,9 +149,8 @@
             worker.kernel.reap(run_id, body=_result(name))
             self._runs.append(name)
 
-    def _check_read(self, server: ManualAjpServer, web_server: AjpClient) -> None:
-        respond = server.next_request().respond
-        respond(data=READ_BODY)
+    def _check_read(self, server: AjpServer, web_server: AjpClient) -> None:
+        server.next_request().respond(data=READ_BODY)
         status, _, body = web_server.answer()
         _require((status, body) == (200, READ_BODY), f"the read was answered {status}, {body!r}")
 
@@ -164,13 +160,13 @@
             served = (kind, fields, body) == ("Answer", {}, _result(filing.name))
             _require(served, f"filing {filing.name!r} was answered {kind}, {fields}, {body!r}")
 
-    def _check_runs(self, old: Worker, new: Worker) -> None:
+    def _check_runs(self, old: WorkerProcess, new: WorkerProcess) -> None:
         _require(len(set(self._runs)) == len(self._runs), f"a filing ran twice: {self._runs}")
         more = not (old.kernel.scheduled.empty() and new.kernel.scheduled.empty())
         _require(not more, "more runs were scheduled than filings sent")
 
 
-def wait_for_member(worker: Worker, name: str) -> None:
+def wait_for_member(worker: WorkerProcess, name: str) -> None:
     """Wait until a worker sees another one alive; UpgradeError where it does not in time."""
     end_s = time.monotonic() + TIMEOUT_S
     while (state := _member_state(worker, name)) != "alive":
@@ -178,7 +174,7 @@
         time.sleep(POLL_S)
 
 
-def _member_state(worker: Worker, name: str) -> str:
+def _member_state(worker: WorkerProcess, name: str) -> str:
     members = json.loads(worker.operator_call()[1])["peers"]["members"]
     state: str = members.get(name, {}).get("state", "absent")
     return state
--- a/benchmarks/scaling/peer_tenants.py
+++ b/benchmarks/scaling/peer_tenants.py
@@ -10,7 +10,7 @@
 
 from benchmarks.shared.peer_tables import peer_tables
 from benchmarks.shared.revisions import ROOT
-from benchmarks.shared.stand_ins import Settings, Worker, instant_ajp_server, start_worker
+from benchmarks.shared.stand_ins import InstantServer, Settings, WorkerProcess
 from benchmarks.shared.workers import equal_tenants, large_machine_settings
 
 DEFAULT_TENANTS = (20, 60, 90, 130, 250)
@@ -82,15 +82,15 @@
         )
 
 
-def _start_member(root: Path, number: int, table: dict[str, Any], tenants: int) -> Worker:
-    return start_worker(
+def _start_member(root: Path, number: int, table: dict[str, Any], tenants: int) -> WorkerProcess:
+    return WorkerProcess(
         thrift=False,
         ajp=True,
         peers=table,
         name=f"n{number + 1}",
         site=_settings(tenants),
         root=root,
-        server=instant_ajp_server(),
+        server=InstantServer(),
     )
 
 
@@ -102,7 +102,7 @@
     return settings
 
 
-def _answer_each_tenant(worker: Worker, tenants: int) -> None:
+def _answer_each_tenant(worker: WorkerProcess, tenants: int) -> None:
     """Send a read of each tenant; RuntimeError where one is not served."""
     client = worker.ajp_client()
     for number in range(tenants):
--- a/benchmarks/store/emulated_kernel.py
+++ b/benchmarks/store/emulated_kernel.py
@@ -12,7 +12,7 @@
 from queue import Queue
 from typing import Any
 
-from benchmarks.shared.stand_ins import socket_listener
+from benchmarks.shared.stand_ins import KernelAddress
 
 CORES = 2
 CROWDING_RUNS = 10  # so many runs beyond the cores halve the speed of all
@@ -46,7 +46,7 @@
         self._closed = False
         self._work_done_s = 0.0  # for each run so far
         self._advanced_at_s = time.monotonic()
-        self._listener = socket_listener(self)
+        self._listener = KernelAddress(self)
         threading.Thread(target=self._complete_runs, daemon=True).start()
 
     @property
--- a/benchmarks/store/open_loop_router.py
+++ b/benchmarks/store/open_loop_router.py
@@ -5,7 +5,7 @@
 import time
 from dataclasses import dataclass
 
-from benchmarks.shared.stand_ins import Worker
+from benchmarks.shared.stand_ins import ThriftReply, WorkerProcess
 from benchmarks.store.emulated_kernel import WORK_FACTORS
 
 SMALL, LARGE = "small", "large"
@@ -22,7 +22,7 @@
     objective_s: float
 
 
-class _TimedAnswers(dict[int, object]):
+class _TimedAnswers(dict[int, ThriftReply]):
     """Answers by sequence number, and when each came.
 
     They come in any order, and are read in that of the requests: the client puts here those that came early.
@@ -32,7 +32,7 @@
         super().__init__()
         self.received_s: dict[int, float] = {}
 
-    def __setitem__(self, seqid: int, answer: object) -> None:
+    def __setitem__(self, seqid: int, answer: ThriftReply) -> None:
         self.received_s[seqid] = time.monotonic()
         super().__setitem__(seqid, answer)
 
@@ -40,7 +40,7 @@
 class OpenLoopRouter(threading.Thread):
     """Sends requests of two classes for some time; `good` of `sent` were answered within their objective."""
 
-    def __init__(self, worker: Worker, seed: int, requests_per_s: float, duration_s: float) -> None:
+    def __init__(self, worker: WorkerProcess, seed: int, requests_per_s: float, duration_s: float) -> None:
         super().__init__(daemon=True)
         self.good = 0
         self.sent = 0
--- a/benchmarks/store/warm_start.py
+++ b/benchmarks/store/warm_start.py
@@ -14,7 +14,7 @@
 from statistics import fmean
 from typing import Any
 
-from benchmarks.shared.stand_ins import Settings, Worker, site_settings, start_worker
+from benchmarks.shared.stand_ins import Settings, WorkerProcess, site_settings
 from benchmarks.store.emulated_kernel import CORES, MEAN_WORK_S, WORK_FACTORS, EmulatedKernel
 from benchmarks.store.open_loop_router import LARGE, LARGE_SHARE, SMALL, OpenLoopRouter
 from ochrehoist.store import files
@@ -92,12 +92,12 @@
     print(f"goodput: steady {steady:.3f}, warm {with_state:.3f}, nothing {without_state:.3f}; {regained}")
 
 
-def _start(kernel: EmulatedKernel, store_folder: Path) -> Worker:
+def _start(kernel: EmulatedKernel, store_folder: Path) -> WorkerProcess:
     state = {"folder": str(store_folder), "learned_every_s": 1}
-    return start_worker(thrift=True, ajp=True, site=_settings(), kernel=kernel, rules=[], state=state)
+    return WorkerProcess(thrift=True, ajp=True, site=_settings(), kernel=kernel, rules=[], state=state)
 
 
-def _goodput(worker: Worker, seed: int, duration_s: float) -> float:
+def _goodput(worker: WorkerProcess, seed: int, duration_s: float) -> float:
     """The share of requests that were answered in time."""
     small_share = 1 - LARGE_SHARE
     mean_work_s = MEAN_WORK_S * (small_share * WORK_FACTORS[SMALL] + LARGE_SHARE * WORK_FACTORS[LARGE])
--- a/ochrehoist/app/worker_parts.py
+++ b/ochrehoist/app/worker_parts.py
@@ -29,9 +29,9 @@
 from ochrehoist.config.schema import Config
 from ochrehoist.core.actor import CoreActor
 from ochrehoist.core.messages import ExecutorReady
-from ochrehoist.net.kernel import Kernel
+from ochrehoist.net.kernel_link import KernelLink
 from ochrehoist.net.loop import Loop, Signal, steady_clock
-from ochrehoist.net.members import Members
+from ochrehoist.net.membership_heartbeat import MembershipHeartbeat
 from ochrehoist.net.thrift_front import ThriftFront
 
 if TYPE_CHECKING:
@@ -40,7 +40,7 @@
     from ochrehoist.core.protocols import AdmissionFilter
     from ochrehoist.net.ajp_front import AjpFront
     from ochrehoist.net.ajp_server import AjpServers
-    from ochrehoist.net.operators import Answer, Operators
+    from ochrehoist.net.operator_server import Answer, OperatorServer
     from ochrehoist.net.peers import Peers
     from ochrehoist.net.recovery import RecoveryMonitor
     from ochrehoist.net.self_monitoring import SelfMonitor
@@ -86,7 +86,7 @@
         limits = connection_limits(config)
         self.ajp_servers = self._build_ajp(limits)
         self.kernel = self._build_thrift(limits)
-        self.members = self._build_membership()
+        self.membership = self._build_membership()
         self._build_agent_check()
         self.operators = self._build_operators()
         self.inherited_addresses = self.inherited.close_unused(self.listeners)
@@ -173,12 +173,12 @@
         ]
         return servers
 
-    def _build_thrift(self, limits: ConnectionLimits) -> Kernel | None:
+    def _build_thrift(self, limits: ConnectionLimits) -> KernelLink | None:
         config = self.config
         if not config.listen:
             self.core.post(ExecutorReady(None, 0))
             return None
-        kernel = Kernel(
+        kernel = KernelLink(
             self.loop,
             self.core,
             required(config.kernel_address),
@@ -218,26 +218,28 @@
         self.listeners.append(front)
 
     # ---- membership, health checks and operators
-    def _build_membership(self) -> Members | None:
+    def _build_membership(self) -> MembershipHeartbeat | None:
         config = self.config
-        members = None
+        membership = None
         if config.membership_address:
-            members = Members(self.loop, self.core, config.membership_address, config.name, self.log)
+            membership = MembershipHeartbeat(
+                self.loop, self.core, config.membership_address, config.name, self.log
+            )
             self._reloadable.append(
-                commit_only(lambda new, _: members.move(required(new.membership_address)))
+                commit_only(lambda new, _: membership.move(required(new.membership_address)))
             )
-            self.core.register_listener(members)
+            self.core.register_listener(membership)
         for front in self.fronts:
             self.core.register_listener(front)
-        return members
+        return membership
 
     def _build_agent_check(self) -> None:
         address = self.config.agent_check_address
         if address:
-            from ochrehoist.net.agent import AgentCheck
+            from ochrehoist.net.agent_check import AgentCheckServer
 
             sock = self.inherited.get(address)
-            self.listeners.append(AgentCheck(self.loop, self.core, address, self.log, sock))
+            self.listeners.append(AgentCheckServer(self.loop, self.core, address, self.log, sock))
 
     def _build_operator_api(self, is_serving: Callable[[], bool]) -> OperatorApi | None:
         if self.config.admin_address is None:
@@ -254,13 +256,13 @@
         if self.operator_api:
             self.operator_api.add_metrics(section, source)
 
-    def _build_operators(self) -> Operators | None:
+    def _build_operators(self) -> OperatorServer | None:
         address = self.config.admin_address
         if self.operator_api is None or address is None:
             return None
-        from ochrehoist.net.operators import Operators
+        from ochrehoist.net.operator_server import OperatorServer
 
-        operators = Operators(
+        operators = OperatorServer(
             self.loop, address, self._operator_calls(self.operator_api), self.log, self.inherited.get(address)
         )
         self.listeners.append(operators)
@@ -279,9 +281,9 @@
         return SiteCommandRoutes(calls, lambda site, kind: required(self.sites).issue_command(site, kind))
 
     def _skip_call(self, stage: str) -> Callable[[], Answer]:
-        from ochrehoist.net.operators import said
+        from ochrehoist.net.operator_server import json_answer
 
-        return lambda: said({"said": required(self.recovery).skip(stage)})
+        return lambda: json_answer({"said": required(self.recovery).skip(stage)})
 
     # ---- configuration
     def _build_reloading(self, path: str | None) -> ConfigReloader:
--- a/ochrehoist/lab/hollow/process.py
+++ b/ochrehoist/lab/hollow/process.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from dataclasses import replace
 from pathlib import Path
-from typing import Any, cast
+from typing import Any
 
 import msgspec
 
@@ -58,8 +58,7 @@
     """The event loop by a scaled clock. `max_lateness_s`: of any timer, since it was last taken."""
 
     def __init__(self, log: FaultCountingLog, clock_rate: float) -> None:
-        super().__init__(log)
-        self.poll = cast(Any, ScaledPoll(clock_rate))
+        super().__init__(log, ScaledPoll(clock_rate))
         self._max_lateness_s = 0.0
         self.observe_iterations(self._observe_iteration)
 
--- /dev/null
+++ b/ochrehoist/net/thrift_reader.py
@@ -0,0 +1,142 @@
+"""Reads the arguments of the platform's `invoke` call into a request for the core."""
+
+import math
+from collections.abc import Mapping
+from dataclasses import dataclass
+from hashlib import sha256
+
+from ochrehoist.admission.settings import AdmissionSettings, Idempotency, RequestClass
+from ochrehoist.core.actor import CoreActor
+from ochrehoist.core.protocols import Executor, Responder
+from ochrehoist.core.request import InboundRequest
+from ochrehoist.net.thrift import InvalidArgumentsError
+from ochrehoist.units import NS_PER_MS
+
+MAX_BODY_BYTES = 2048
+MAX_DIGITS = 15  # of a whole number
+REQUEST_ID_LENGTH = 16
+HEX_DIGITS = frozenset("0123456789abcdefABCDEF")
+MAX_ESTIMATE_MS = 1e9
+MIN_MEMORY_KB = 1e-9  # a figure above 0
+MAX_MEMORY_KB = 2000.0
+
+
+@dataclass(slots=True, frozen=True)
+class ThriftPayload:
+    """What the kernel gets of a request, as it came."""
+
+    method: str
+    body: bytes
+
+
+class InvokeFields:
+    """The fields of an invoke call; InvalidArgumentsError names the field that is missing or unusable."""
+
+    __slots__ = ("_values",)
+
+    def __init__(self, values: Mapping[bytes, bytes]) -> None:
+        self._values = values
+
+    def text(self, name: bytes) -> str:
+        """A field that must be there."""
+        value = self._values.get(name)
+        if value is None:
+            raise _invalid(name, "missing")
+        try:
+            return value.decode()
+        except UnicodeDecodeError:
+            raise _invalid(name, "not text") from None
+
+    def optional_text(self, name: bytes) -> str | None:
+        """None where it is missing."""
+        return self.text(name) if name in self._values else None
+
+    def number(self, name: bytes, least: float, below: float) -> float:
+        """A number from `least` up to, but not including, `below`."""
+        text = self.text(name)
+        try:
+            value = float(text)
+        except ValueError:
+            value = math.nan
+        if not least <= value < below:  # NaN compares false
+            raise _invalid(name, "unusable value")
+        return value
+
+    def optional_number(self, name: bytes, least: float, below: float) -> float | None:
+        """The same; None where it is missing."""
+        return self.number(name, least, below) if name in self._values else None
+
+    def whole_number(self, name: bytes) -> int:
+        """A whole number of 0 or more."""
+        text = self.text(name)
+        if not (text.isascii() and text.isdigit() and len(text) <= MAX_DIGITS):
+            raise _invalid(name, "not a whole number")
+        return int(text)
+
+    def optional_whole_number(self, name: bytes) -> int | None:
+        """The same; None where it is missing."""
+        return self.whole_number(name) if name in self._values else None
+
+
+def _invalid(name: bytes, problem: str) -> InvalidArgumentsError:
+    return InvalidArgumentsError.in_field(name.decode(), problem)
+
+
+class ThriftReader:
+    """Reads invoke calls by the classes and tenants in force.
+
+    Attributes:
+        classes: By name, also those that are gone: the core answers them.
+    """
+
+    def __init__(self, core: CoreActor, executor: Executor) -> None:
+        self.classes: dict[str, RequestClass] = {}
+        self._core = core
+        self._executor = executor
+        self.configure(core.settings)
+
+    def configure(self, settings: AdmissionSettings) -> None:
+        """Adds the classes of changed settings."""
+        self.classes.update((request_class.name, request_class) for request_class in settings.classes)
+
+    def read_request(
+        self, values: Mapping[bytes, bytes], body: bytes, responder: Responder
+    ) -> InboundRequest:
+        """The request that these fields describe; raises InvalidArgumentsError."""
+        fields = InvokeFields(values)
+        method, request_id = fields.text(b"method"), fields.text(b"rid")
+        request_class = self.classes.get(method)
+        if request_class is None:
+            raise InvalidArgumentsError.in_field("method", "unknown class")
+        if len(request_id) != REQUEST_ID_LENGTH or not HEX_DIGITS.issuperset(request_id):
+            raise InvalidArgumentsError.in_field("rid", "not 16 hex digits")
+        tenants = self._core.tenants
+        tenant = fields.text(b"acct") if tenants.by_position else fields.optional_text(b"acct")
+        # A tenant that is gone may repeat a filing that ran.
+        if tenant is not None and not tenants.is_known(tenant):
+            raise InvalidArgumentsError.in_field("acct", "unknown tenant")
+        is_keyed = request_class.idempotency is Idempotency.KEYED
+        token = fields.text(b"token") if is_keyed else fields.optional_text(b"token")
+        if is_keyed and not token:
+            raise InvalidArgumentsError.in_field("token", "empty")
+        if len(body) > MAX_BODY_BYTES:
+            raise InvalidArgumentsError.in_argument("body", "too long")
+        estimate_ms = fields.optional_number(b"est", 0.0, MAX_ESTIMATE_MS)
+        return InboundRequest(
+            id=request_id,
+            request_class=request_class,
+            arrived_ns=fields.whole_number(b"t0") * NS_PER_MS,
+            payload=ThriftPayload(method, body),
+            responder=responder,
+            executor=self._executor,
+            tenant=tenant,
+            routing_key=fields.optional_text(b"obj"),
+            idempotency_key=(tenant, method, token) if is_keyed and token else None,
+            fingerprint=(None, sha256(body).digest()) if is_keyed else None,
+            work_ns=int(estimate_ms * NS_PER_MS) if estimate_ms else None,
+            memory_kb=fields.number(b"mem", MIN_MEMORY_KB, MAX_MEMORY_KB),
+            rank=fields.optional_number(b"prio", 0.0, 1.0) or 0.0,
+            is_retry=fields.optional_text(b"again") == "1",
+            is_write=request_class.idempotency is not Idempotency.IDEMPOTENT,
+            caller=fields.optional_whole_number(b"peer") or 0,
+        )
--- a/tests/app/test_reload_at_size.py
+++ b/tests/app/test_reload_at_size.py
@@ -174,7 +174,7 @@
 
     def close(self, worker):
         for front in worker.parts.fronts:
-            front.listening.sock.close()
+            front.acceptor.sock.close()
         worker.parts.self_monitor.close()
 
     def flat(self, change, for_each=0):
@@ -441,7 +441,7 @@
         web = program.ajp_client()
         web.request(headers={"X-Tenant": "acme"})
         program.process.send_signal(signal.SIGHUP)
-        program.wait_until_logged("fault in a task")
+        program.wait_until_logged("task_fault")
         after = self.configuration(program)
         self.assertEqual(
             (after["version"], after["last"], after["reading"]), (before["version"], "turned down", False)
--- a/tests/net/test_connection_races.py
+++ b/tests/net/test_connection_races.py
@@ -46,7 +46,7 @@
         program = self.start(site=self.few, fault=BUSY.format(flag=flag))
         router, other = program.thrift_router(), program.thrift_router()
         program.serve_one(router)
-        router.answer(None)  # its farewell
+        router.wait_for_farewell()
         other.invoke(body=b"long")
         while not os.path.exists(flag):
             time.sleep(0.001)
@@ -117,7 +117,7 @@
         taken_back = router.invoke()
         program.kernel.next_run()
         program.stop_while(LASTS + 0.2, lambda: router.abort(taken_back))
-        router.answer(None)  # its farewell; the end of the connection would be an error here
+        router.wait_for_farewell()  # the end of the connection would be an error here
         self.assertEqual(connection_end(router.sock), "closed")
 
     def test_what_was_asked_before_half_a_frame_is_answered_though_the_rest_never_comes(self):
@@ -256,7 +256,7 @@
         router = program.thrift_router()
         program.serve_one(router)
         program.process.send_signal(signal.SIGTERM)
-        router.answer(None)  # its farewell; it rests, and does not close
+        router.wait_for_farewell()  # it rests, and does not close
         asked = []
         program.stop_while(1.0, lambda: asked.append(router.invoke(body=b"crossing")))
         program.kernel.reap(
--- a/tests/stand_ins/moving_kernel.py
+++ b/tests/stand_ins/moving_kernel.py
@@ -9,7 +9,7 @@
 import threading
 import time
 from collections import Counter
-from typing import Any
+from typing import Any, Protocol
 
 from tests.stand_ins.sockets import LoopbackServer
 
@@ -17,10 +17,17 @@
 MIN_RUN_S, MAX_RUN_S = 0.002, 0.02
 
 
+class CommandHandler(Protocol):
+    """What stands behind an address."""
+
+    def handle(self, sock: socket.socket, command: dict[str, Any]) -> None:
+        """Carries out one command that came on a link."""
+
+
 class KernelAddress(LoopbackServer):
     """One address of the kernel."""
 
-    def __init__(self, kernel: "MovingKernel") -> None:
+    def __init__(self, kernel: CommandHandler) -> None:
         self.kernel = kernel
         super().__init__()
 
--- a/tests/stand_ins/thrift_router.py
+++ b/tests/stand_ins/thrift_router.py
@@ -141,23 +141,28 @@
 
     def farewell(self) -> None:
         """Waits for the farewell and closes, as a router does."""
-        if not self.said_farewell:
-            self.answer(None)
+        self.wait_for_farewell()
         self.close()
 
-    def answer(self, sequence_id: int | None) -> ThriftReply | None:
-        """Waits for the reply to a request; with None, for the farewell."""
+    def wait_for_farewell(self) -> None:
+        """Reads until the worker has asked to close; replies are kept."""
+        while not self.said_farewell:
+            self._read_message()
+
+    def answer(self, sequence_id: int) -> ThriftReply:
+        """Waits for the reply to a request."""
         while sequence_id not in self.replies:
-            data = read_exactly(self.sock, struct.unpack(">I", read_exactly(self.sock, 4))[0])
-            name, at = decode_text(data, 4)
-            if name != b"farewell":
-                self._keep_reply(data, at)
-                continue
-            self.said_farewell = True
-            if sequence_id is None:
-                return None
+            self._read_message()
         return self.replies[sequence_id]
 
+    def _read_message(self) -> None:
+        data = read_exactly(self.sock, struct.unpack(">I", read_exactly(self.sock, 4))[0])
+        name, at = decode_text(data, 4)
+        if name == b"farewell":
+            self.said_farewell = True
+        else:
+            self._keep_reply(data, at)
+
     def _keep_reply(self, data: bytes, at: int) -> None:
         sequence_id = struct.unpack_from(">i", data, at)[0]
         value = decode_struct(data, at + 4)[0]
@@ -173,7 +178,7 @@
         else:
             self.replies[sequence_id] = ThriftReply(kind, result[1], b"")
 
-    def call(self, *args: Any, **fields: Any) -> ThriftReply | None:
+    def call(self, *args: Any, **fields: Any) -> ThriftReply:
         """A request and its reply."""
         return self.answer(self.invoke(*args, **fields))
 
--- a/tests/store/test_store_disk.py
+++ b/tests/store/test_store_disk.py
@@ -25,7 +25,8 @@
     encode_key,
 )
 from ochrehoist.store.store_repair import open_store, rebuild_store
-from ochrehoist.store.timestamps import NS_PER_S, Timestamp
+from ochrehoist.store.timestamps import Timestamp
+from ochrehoist.units import NS_PER_S
 from tests.stand_ins.power_loss_disk import PowerLossDisk
 from tests.support.environment import FIXTURES, MEMORY_FOLDER
 
@@ -361,7 +362,7 @@
         db = self.under(fails)
         record = filing(1)
         for room in range(1, 6):
-            full[:] = [self.bad.done + room]
+            full[:] = [self.bad.operations + room]
             big = PutResult(encode_key(filing(2).idempotency_key), ResultRecord("OK", True, bytes(30_000)))
             with self.assertRaises(StoreFailedError) as failed:
                 db.commit([PutIntent(record.request_id, encode_key(record.idempotency_key), record), big])
