--- a/tests/admission/controller_driver.py
+++ b/tests/admission/controller_driver.py
@@ -48,6 +48,8 @@
     request_class(name="rich", priority_weight=1.0, calls_downstream=True, fallback_weight=0.5),
 )
 
+READ, WRITE, PAY, RICH = range(4)  # indices of the classes
+
 
 def settings(**changes):
     base = AdmissionSettings(
--- /dev/null
+++ b/tests/config/large_configurations.py
@@ -0,0 +1,119 @@
+"""Configurations of any size, their files, and the steps that reading them takes."""
+
+import tempfile
+import unittest
+from pathlib import Path
+from unittest import mock
+
+import tomli
+
+from ochrehoist.config import loader as config
+from ochrehoist.config.tenants import TenantReader
+from ochrehoist.errors import InvalidInputError
+from ochrehoist.lab.toml import toml_file
+from ochrehoist.steps import run_to_completion
+from tests.support.site_settings import site_settings
+
+
+def tenant(at, **changes):
+    return {"Name": f"t{at}", "QuotaPerS": 10.5 + at % 7, "Fraction": 0.5} | changes
+
+
+def rule(at, **changes):
+    return {"uri": f"/service-{at % 340}/r{at}/*", "methods": ["GET", "HEAD"], "class": "read"} | changes
+
+
+def appliance(tenants, rules, **more):
+    ajp = {"listen": "127.0.0.1:0", "rules": rules, "servers": [{"address": "127.0.0.1:9"}]}
+    return {
+        "name": "n1",
+        "admin": "127.0.0.1:0",
+        "ajp": ajp,
+        "settings": site_settings(Tenants=tenants),
+    } | more
+
+
+def platform(tenants):
+    return {
+        "name": "n1",
+        "listen": "127.0.0.1:0",
+        "kernel": "127.0.0.1:9",
+        "seed": "1f",
+        "settings": site_settings(Tenants=tenants),
+    }
+
+
+def steps(generator):
+    """What it returns, and how many steps it took."""
+    count = 1
+    while True:
+        try:
+            next(generator)
+        except StopIteration as end:
+            return end.value, count
+        count += 1
+
+
+class Files(unittest.TestCase):
+    def setUp(self):
+        self.folder = tempfile.TemporaryDirectory()
+        self.addCleanup(self.folder.cleanup)
+
+    def file(self, text, name="a.toml"):
+        path = Path(self.folder.name, name)
+        path.write_bytes(text if isinstance(text, bytes) else text.encode())
+        return str(path)
+
+    def load(self, text, before=None, name="a.toml"):
+        return run_to_completion(config.load_in_steps(self.file(text, name), {}, before))
+
+    def refused(self, text, before=None, name="a.toml"):
+        with self.assertRaises(InvalidInputError) as raised:
+            self.load(text, before, name)
+        return str(raised.exception)
+
+
+MANY, ROUTES = 58_000, 3_800
+
+
+def large(tenants, routes, **changes):
+    """Text of so many; `changes`: elements by their place."""
+    return toml_file(
+        appliance(
+            [changes.get(f"t{at}") or tenant(at) for at in range(tenants)],
+            [changes.get(f"r{at}") or rule(at) for at in range(routes)],
+        )
+    )
+
+
+class Counted:
+    """Counts what is parsed, and made, in one reading."""
+
+    def __init__(self):
+        self.parsed, self.longest, self.calls, self.made, self.most, self.step = 0, 0, 0, 0, 0, 0
+
+    def read(self, path, before):
+        def loads(text, real=tomli.loads):
+            self.parsed += len(text)
+            self.calls += 1
+            self.longest = max(self.longest, len(text))
+            return real(text)
+
+        generator = config.load_in_steps(path, {}, before)
+        with mock.patch.object(tomli, "loads", loads):
+            checked = TenantReader._checked
+
+            def counting(one, data, where):
+                self.made += 1
+                self.step += 1
+                return checked(one, data, where)
+
+            with mock.patch.object(TenantReader, "_checked", counting):
+                while True:
+                    self.step = 0
+                    try:
+                        next(generator)
+                    except StopIteration as end:
+                        return end.value
+                    finally:
+                        self.most = max(self.most, self.step)
--- /dev/null
+++ b/tests/core/test_tenants.py
@@ -0,0 +1,54 @@
+"""Positions of tenants over changes, and when a compact table is due."""
+
+import unittest
+
+from hypothesis import given
+from hypothesis import strategies as st
+
+from ochrehoist.core.tenants import MIN_RETIRED_PLACES, compacted_table, initial_table, updated_table
+from ochrehoist.steps import run_to_completion
+from tests.app.tenant_reload import NAMES, tenants
+
+
+class Table(unittest.TestCase):
+    @given(st.lists(st.tuples(NAMES, st.sampled_from([1.0, 2.0])), max_size=8))
+    def test_over_any_history_who_stays_keeps_its_position_and_who_comes_back_finds_it(self, history):
+        table, positions = initial_table(()), {}
+        for numbers, quota in history:
+            known = {t.name: t for t in table.listed}
+            listed = tuple(t if known.get(t.name) == t else t for t in tenants(numbers, quota))
+            before, table = table, run_to_completion(updated_table(table, listed))
+            self.assertEqual(table.listed, listed)
+            self.assertEqual(set(table.positions), {t.name for t in listed})
+            for t in listed:
+                self.assertIs(table.get(t.name), table.by_position[table[t.name]])
+                self.assertEqual(table.get(t.name), t)
+                self.assertEqual(positions.setdefault(t.name, table[t.name]), table[t.name])
+            for name, position in positions.items():
+                self.assertEqual(table.position(name), position)
+                self.assertEqual(table.by_position[position].name, name)
+            self.assertEqual(len(table.by_position), len(positions))
+            if listed == before.listed:
+                self.assertIs(table, before)
+
+    @given(NAMES, NAMES, NAMES)
+    def test_a_compact_table_has_those_in_force_first_and_of_the_gone_only_those_used(self, old, new, used):
+        table = run_to_completion(updated_table(initial_table(tenants(old)), tenants(new)))
+        names = {f"t{n}" for n in used}
+        got = run_to_completion(compacted_table(table, names))
+        self.assertEqual(got.by_position[: len(new)], tenants(new))
+        self.assertEqual(set(got.retired), {f"t{n}" for n in set(old) - set(new)} & names)
+        for name, position in (got.positions | got.retired).items():
+            self.assertEqual(got.by_position[position].name, name)
+
+    def test_it_is_crowded_once_more_than_the_spare_places_and_a_tenth_are_of_the_gone(self):
+        for stay, gone, crowded in (
+            (0, MIN_RETIRED_PLACES, False),
+            (0, MIN_RETIRED_PLACES + 1, True),
+            (20 * MIN_RETIRED_PLACES, 2 * MIN_RETIRED_PLACES, False),
+            (20 * MIN_RETIRED_PLACES, 3 * MIN_RETIRED_PLACES, True),
+        ):
+            table = run_to_completion(
+                updated_table(initial_table(tenants(range(stay + gone))), tenants(range(stay)))
+            )
+            self.assertEqual(table.needs_compaction, crowded, (stay, gone))
--- /dev/null
+++ b/tests/overload/test_concurrency_limits.py
@@ -0,0 +1,53 @@
+"""Concurrency limits found on servers that nobody described."""
+
+import unittest
+from random import Random
+
+from ochrehoist.overload.completion_window import CompletionWindow, WindowAggregator
+from ochrehoist.overload.concurrency_limits import LIMIT_ALGORITHMS, ExtremumSeekingLimit, LimitBounds
+
+
+class FindingAConcurrencyLimit(unittest.TestCase):
+    def settled(self, controller, time_of, windows=400, noise=0.05, seed=1):
+        rng, limits_seen = Random(seed), []
+        for n in range(windows):
+            running = int(controller.limit)
+            time = time_of(running, n) * rng.lognormvariate(0, noise)
+            controller.update(CompletionWindow(running / time, time, running, 30))
+            limits_seen.append(controller.limit)
+        return sum(limits_seen[windows // 2 :]) / (windows // 2)
+
+    def machine(self, cores, slow=0.08):
+        return lambda n, _: max(1.0, n / cores) * (1 + slow * max(0, n - 1.3 * cores))
+
+    def test_extremum_seeking_settles_near_the_knee_from_any_start_and_follows_it(self):
+        for cores in (3, 6, 16):
+            for start in (1, cores, 8 * cores):
+                found = self.settled(
+                    ExtremumSeekingLimit(float(start), LimitBounds(1, 10 * cores)), self.machine(cores)
+                )
+                self.assertTrue(0.8 * cores <= found <= 1.8 * cores, (cores, start, found))
+        half = self.machine(8), self.machine(4)
+        moved = ExtremumSeekingLimit(8.0, LimitBounds(1, 64))
+        found = self.settled(moved, lambda n, at: half[at > 100](n, at), windows=600)
+        self.assertTrue(3 <= found <= 7.5, found)
+
+    def test_none_leaves_its_bounds_and_an_unused_limit_teaches_nothing(self):
+        for name, kind in LIMIT_ALGORITHMS.items():
+            controller = kind(5.0, LimitBounds(2, 9))
+            self.settled(controller, lambda n, at: 1.0 + (at % 7), windows=300, noise=1.0)
+            self.assertTrue(2 <= controller.limit <= 9, name)
+            idle = kind(6.0, LimitBounds(1, 60))
+            for _ in range(200):
+                idle.update(CompletionWindow(1.0, 1.0, 1.0, 30))
+            self.assertLessEqual(idle.limit, 8, name)
+
+    def test_a_window_counts_only_runs_that_began_in_it(self):
+        windows = WindowAggregator()
+        self.assertIsNone(windows.close(0.0))
+        windows.record_completion(0.1, 1.0, 0.5)  # began before
+        for n in range(20):
+            windows.record_completion(0.2 + n * 0.05, 0.1, 0.05)
+        windows.record_concurrency(3.0, 4)
+        w = windows.close(3.0)
+        self.assertEqual((w.count, round(w.time_per_work, 3), w.concurrency), (20, 0.5, 4.0))
--- /dev/null
+++ b/tests/plan/test_measure.py
@@ -0,0 +1,41 @@
+"""Real workers, measured as the model is."""
+
+import dataclasses
+import math
+import unittest
+
+from ochrehoist.config.settings import settings_from
+from ochrehoist.plan.demand import Wish
+from ochrehoist.plan.events import Trouble
+from ochrehoist.plan.measure import Play
+from ochrehoist.plan.outcome import End
+from ochrehoist.plan.worker_settings import admission_settings, platform_settings
+from tests.plan.example_fleet import fleet
+
+
+class Measure(unittest.TestCase):
+    def test_a_worker_is_told_the_same_as_the_model(self):
+        f = fleet()
+        kind = f.kinds[0]
+        told = settings_from(platform_settings(f, kind))
+        model = admission_settings(f, kind, cold=False)
+        self.assertEqual(dataclasses.replace(told, warmup_ns=0), dataclasses.replace(model, warmup_ns=0))
+
+    def test_real_workers_answer_each_call_once_and_a_lost_one_ends_its_own(self):
+        f = fleet(clients__retries=1, membership__lag_s=0.2).at(0.5)
+        play = Play(f, 1, 5.0, settle=0.0, troubles=(Trouble(2.5, (0,), None, "one"),))
+        tally = play.run()
+        self.assertEqual(sum(tally.ends.values()), len(play.wishes))
+        self.assertEqual([text for _, text in tally.events], ["one lost"])
+        self.assertGreater(tally.share(End.IN_TIME) + tally.share(End.LATE), 0.3)
+        self.assertEqual([s.process.poll() is None for s in play.stands], [False] * 3)
+        for stand in play.stands:
+            self.assertLessEqual(len(stand.begun), stand.count.tries)
+
+    def test_a_call_that_a_crowded_machine_begins_late_is_counted_by_when_it_was_due(self):
+        f = fleet().at(0.5)
+        first = Wish(0.1, 0, 0, 1, 0.01, 0.01, 0, 20.0)
+        wishes = [first, dataclasses.replace(first, at=math.nextafter(1.0, 0.0))]  # begun after 1 s
+        play = Play(f, 1, 1.0, settle=0.0, wishes=wishes)
+        self.assertEqual(sum(play.run().ends.values()), 2)
+        self.assertEqual(play.late.get_total_count(), 2)
--- a/tests/plan/test_plan_answers.py
+++ b/tests/plan/test_plan_answers.py
@@ -27,7 +27,7 @@
     size,
     without_strongest,
 )
-from tests.plan.test_plan import fleet, quiet
+from tests.plan.example_fleet import fleet, quiet
 from tests.support.worker_process import run_command
 
 MS = 1_000_000
--- /dev/null
+++ b/tests/plan/test_routing.py
@@ -0,0 +1,47 @@
+"""Which worker a router chooses."""
+
+import unittest
+
+from ochrehoist.config.fleet_description import Choice, Clients, Routers
+from ochrehoist.plan.routing import Answer, Call, Next, Router, after, rendezvous
+
+
+class Routing(unittest.TestCase):
+    def router(self, choice, workers=6, **more):
+        return Router(Routers(addresses=[], choice=choice, **more), range(workers), [1.0] * workers, True, 1)
+
+    def test_each_choice_keeps_off_the_unlisted_the_tried_and_those_to_stay_away_from(self):
+        for choice in Choice:
+            r = self.router(choice)
+            r.learn(0, False)
+            r.stay_away(1, 5.0)
+            picked = {r.pick(1.0, n, (2,)) for n in range(1, 300)}
+            self.assertEqual(picked, {3, 4, 5}, choice)
+            self.assertIn(1, {r.pick(6.0, n, ()) for n in range(1, 300)})
+            for worker in range(6):
+                r.learn(worker, False)
+            self.assertIsNone(r.pick(9.0, 1, ()))
+
+    def test_least_goes_where_least_is_open_and_two_mostly(self):
+        least, two = self.router(Choice.LEAST), self.router(Choice.TWO)
+        for r in (least, two):
+            r.open.update(dict.fromkeys(range(1, 6), 9))
+        self.assertEqual({least.pick(0.0, 0, ()) for _ in range(50)}, {0})
+        self.assertGreater(sum(two.pick(0.0, 0, ()) == 0 for _ in range(300)), 60)
+
+    def test_one_worker_less_moves_only_its_own_subjects(self):
+        before = {s: rendezvous(s, range(8)) for s in range(1, 2000)}
+        after_it = {s: rendezvous(s, [w for w in range(8) if w != 3]) for s in before}
+        self.assertTrue(all(after_it[s] == w for s, w in before.items() if w != 3))
+        counts = [sum(w == n for w in before.values()) for n in range(8)]
+        self.assertLess(max(counts), 1.3 * min(counts))
+
+    def test_what_may_have_run_is_sent_to_no_other_worker_and_nothing_past_its_time(self):
+        habits, clients = Routers(addresses=[], retries=2, wait_ms=10), Clients(retries=1, wait_ms=100)
+        call = Call(1, 0, 0, 0, 1.0, 1.0, 0.0, 1.0, 4.0, True, 0, tried=[3])
+        self.assertEqual(after(call, Answer.REFUSED, False, 1.0, habits, clients), (Next.TRY, 0.01))
+        self.assertEqual(after(call, Answer.REFUSED, True, 1.0, habits, clients)[0], Next.CLIENT)
+        self.assertEqual(after(call, Answer.FAILED, False, 1.0, habits, clients)[0], Next.CLIENT)
+        self.assertEqual(after(call, Answer.REFUSED, False, 3.999, habits, clients)[0], Next.END)
+        call.tried, call.client_tries = [1, 2, 3], 1
+        self.assertEqual(after(call, Answer.REFUSED, False, 1.0, habits, clients)[0], Next.END)
