--- a/tests/app/test_replacement.py
+++ b/tests/app/test_replacement.py
@@ -18,6 +18,7 @@
 from ochrehoist.lab.toml import toml_file
 from tests.stand_ins.thrift_router import ThriftRouter
 from tests.support.environment import WAIT_LIMIT_S
+from tests.support.site_settings import site_settings
 from tests.support.worker_cases import WorkerTestCase
 from tests.support.worker_process import run_command
 
@@ -236,12 +237,14 @@
         new.wait_for(lambda said: said["state"] == "standby")
 
     def test_the_crowd_of_both_stays_under_what_the_cores_survive(self):
-        old = self.start(passed=True)
+        site = site_settings()
+        site["Rules"]["TipMultiple"] = 1.5  # two runs at most, also once the worker is warm
+        old = self.start(passed=True, site=site, stop_ms=30_000)
         router = old.thrift_router()
         for _ in range(2):
             router.invoke()
         runs = [old.kernel.next_run().request_id for _ in range(2)]
-        new = self.replaced(old)
+        new = self.replaced(old, site=site, stop_ms=30_000)
         other = new.thrift_router()
         self.assertEqual(json.loads(new.operator_call()[1])["running"], 2)
         held = other.invoke()
