--- a/ochrehoist/net/ajp.py
+++ b/ochrehoist/net/ajp.py
@@ -12,10 +12,21 @@
 
 from ochrehoist.errors import OchrehoistError
 
-TO_CONTAINER, TO_SERVER = b"\x12\x34", b"AB"  # the magic of each direction
-FORWARD, SHUTDOWN, PING, CPING = 2, 7, 8, 10
-BODY_CHUNK, HEADERS, END_RESPONSE, GET_BODY, CPONG = 3, 4, 5, 6, 9
-MIN_PACKET_BYTES, MAX_PACKET_BYTES = 8192, 65536
+# The magic of each direction.
+TO_CONTAINER = b"\x12\x34"
+TO_SERVER = b"AB"
+# Kinds of packets of a web server.
+FORWARD = 2
+SHUTDOWN = 7
+PING = 8
+CPING = 10
+# Kinds of packets to a web server.
+BODY_CHUNK = 3
+HEADERS = 4
+END_RESPONSE = 5
+GET_BODY = 6
+CPONG = 9
+
 HEADER_BYTES = 4  # magic and length
 CHUNK_LENGTH_BYTES = 2  # in front of a chunk of a body
 CHUNK_OVERHEAD_BYTES = 4  # of a chunk of a response: kind, length, a final zero
@@ -68,8 +79,13 @@
     b"referer",
     b"user-agent",
 )
-CONTENT_TYPE, CONTENT_LENGTH = 0xA001, 0xA003  # names of response headers
-ATTRIBUTE_OTHER, ATTRIBUTE_KEY_SIZE, ATTRIBUTE_SECRET, ATTRIBUTE_STORED_METHOD = 0x0A, 0x0B, 0x0C, 0x0D
+# Names of response headers.
+CONTENT_TYPE = 0xA001
+CONTENT_LENGTH = 0xA003
+ATTRIBUTE_OTHER = 0x0A
+ATTRIBUTE_KEY_SIZE = 0x0B
+ATTRIBUTE_SECRET = 0x0C
+ATTRIBUTE_STORED_METHOD = 0x0D
 ATTRIBUTES_END = 0xFF
 NO_STRING = 0xFFFF  # in place of a length
 CODED_HEADER = 0xA0  # the high byte of a header's code
@@ -116,7 +132,8 @@
         end = self.position + count
         if end > len(self.data):
             raise MalformedPacketError(PacketFault.LENGTH_BEYOND_PACKET)
-        data, self.position = self.data[self.position : end], end
+        data = self.data[self.position : end]
+        self.position = end
         return data
 
     def read_byte(self) -> int:
--- a/ochrehoist/net/ajp_connection.py
+++ b/ochrehoist/net/ajp_connection.py
@@ -40,7 +40,7 @@
     body_bytes: int
     reader: AjpReader
 
-    def hold_body(self, delta_bytes: int) -> None:
+    def add_body_bytes(self, delta_bytes: int) -> None:
         """Counts a change of what bodies take."""
         ...
 
@@ -158,12 +158,13 @@
         except ajp.MalformedPacketError as error:  # ends this connection only
             self._front.log.warning("ajp_packet_malformed", reason=str(error))
         finally:
-            self._hold_body(0)
+            self._set_body_bytes(0)
             self.stream.close_when_sent()
 
     def send_response(self, head: bytes, body: bytes) -> None:
         """Sends a whole response; the connection is used again unless the front drains."""
-        front, stream = self._front, self.stream
+        front = self._front
+        stream = self.stream
         reuse = not front.draining
         stream.write(ajp.encode_response(head, body, front.config.packet_size, reuse))
         if not reuse:
@@ -200,7 +201,7 @@
             self.busy = True
             self._handle_request(ajp.parse_forward(packet), arrived_ns)
             self.busy = False
-            self._hold_body(0)
+            self._set_body_bytes(0)
             self.used_at_s = time.monotonic()
         elif kind == ajp.CPING:
             if not self._front.core.healthy:
@@ -295,7 +296,8 @@
         deadline_s = time.monotonic() + request_class.deadline_ns / NS_PER_S
         config = self._front.config
         max_chunk_bytes = config.packet_size - ajp.HEADER_BYTES - ajp.CHUNK_LENGTH_BYTES
-        body, ask = bytearray(), forward.chunked  # the first chunk of a known length is sent unasked
+        body = bytearray()
+        ask = forward.chunked  # the first chunk of a known length is sent unasked
         while forward.chunked or len(body) < forward.length:
             if ask:
                 missing = max_chunk_bytes if forward.chunked else forward.length - len(body)
@@ -326,9 +328,9 @@
         """Bodies that arrive at once share a bounded memory: what finds none left is rejected."""
         if self._front.body_bytes - self.body_bytes + size > self._front.max_bytes:
             raise RequestRejectedError(HTTPStatus.SERVICE_UNAVAILABLE, "no memory for its body, never run")
-        self._hold_body(size)
+        self._set_body_bytes(size)
 
-    def _hold_body(self, size: int) -> None:
+    def _set_body_bytes(self, size: int) -> None:
         if size != self.body_bytes:
-            self._front.hold_body(size - self.body_bytes)
+            self._front.add_body_bytes(size - self.body_bytes)
             self.body_bytes = size
--- a/ochrehoist/net/ajp_front.py
+++ b/ochrehoist/net/ajp_front.py
@@ -89,13 +89,14 @@
         commit_reader = yield from self.reader.prepare(config, settings)
 
         def commit() -> None:
+            """No request is checked between the two."""
             self.config = config
             commit_reader()
 
         return commit
 
     # ---- for connections
-    def hold_body(self, delta_bytes: int) -> None:
+    def add_body_bytes(self, delta_bytes: int) -> None:
         """Counts a change of what bodies take."""
         self.body_bytes += delta_bytes
 
--- a/ochrehoist/net/ajp_reader.py
+++ b/ochrehoist/net/ajp_reader.py
@@ -78,6 +78,7 @@
         rules = yield from self._build_rules(config, settings, self.rules)
 
         def commit() -> None:
+            """Replaces all at once."""
             self.rules = rules
 
         return commit
--- a/ochrehoist/net/ajp_server.py
+++ b/ochrehoist/net/ajp_server.py
@@ -28,7 +28,8 @@
 NEVER_S = -1e9
 MS_PER_S = 1000
 FIRST_SERVER_ERROR = 500
-FIRST_SUCCESS, FIRST_REDIRECT = 200, 300
+FIRST_SUCCESS = 200
+FIRST_REDIRECT = 300
 CPONG_PAYLOAD = bytes((ajp.CPONG,))
 
 
@@ -267,7 +268,8 @@
         What may have reached a server is sent to another only where it may run again, is in time, and the
         fleet's retry budget allows it.
         """
-        result, sent = RunResult(Outcome.UNREACHABLE, success=False), False
+        result = RunResult(Outcome.UNREACHABLE, success=False)
+        sent = False
         pools = {pool.server.name: pool for pool in self._pools}
         for name in advisor.rank_servers({name: pool.busy for name, pool in pools.items()}):
             pool = pools.get(name)
@@ -286,7 +288,8 @@
                 advisor.end_call(ticket, outcome)
             if answer is None:
                 continue
-            result, sent = answer, True
+            result = answer
+            sent = True
             if answer.detail is not None or answer.outcome is Outcome.TIMED_OUT:
                 break  # it answered, or may answer still
         return result
--- a/ochrehoist/net/handover_server.py
+++ b/ochrehoist/net/handover_server.py
@@ -76,7 +76,8 @@
 
         The worker serves also where that fails.
         """
-        sock, new_path = None, Path(f"{self._path}.{os.getpid()}")
+        sock: socket.socket | None = None
+        new_path = Path(f"{self._path}.{os.getpid()}")
         try:
             sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
             sock.bind(str(new_path))
@@ -164,7 +165,8 @@
 
         Without it the core goes on, and one of LINK_ERRORS is raised.
         """
-        state, agreed = self._core.freeze(), False
+        state = self._core.freeze()
+        agreed = False
         try:
             self._send_state(link, state)
             answer = link.receive(FROZEN_TIMEOUT_S)
--- a/ochrehoist/net/kernel_link.py
+++ b/ochrehoist/net/kernel_link.py
@@ -201,7 +201,8 @@
     def run(self) -> None:
         """A task: keeps a link to the kernel, for ever."""
         while True:
-            address, started_s = self.address, time.monotonic()
+            address = self.address
+            started_s = time.monotonic()
             try:
                 stream = connect(self._loop, address, CONNECT_TIMEOUT_S)
             except OSError:
--- a/ochrehoist/net/listener.py
+++ b/ochrehoist/net/listener.py
@@ -259,6 +259,7 @@
         self.connection_opened(stream)
 
         def on_close() -> None:
+            """Gives its place back."""
             self.connection_closed(stream)
             self.acceptor.connection_closed()
 
--- a/ochrehoist/net/loop.py
+++ b/ochrehoist/net/loop.py
@@ -185,8 +185,12 @@
         One function, since a request takes several iterations: split by its steps it cost each request about
         a twentieth more processor time.
         """
-        ready, timers, call, poll = self._ready, self._timers, self._call, self._poll.poll
-        started_s, timer_delay_s = time.monotonic(), 0.0
+        ready = self._ready
+        timers = self._timers
+        call = self._call
+        poll = self._poll.poll
+        started_s = time.monotonic()
+        timer_delay_s = 0.0
         while not self.stopped:
             for _ in range(len(ready)):
                 call(ready.popleft())
@@ -206,7 +210,8 @@
                 if overrun_s > MAX_POLL_OVERRUN_S:
                     # A poll that was stopped (SIGSTOP) and then interrupted by a signal reports nothing.
                     events = poll(0)
-            self.polled_at_s, started_s = started_s, time.monotonic()
+            self.polled_at_s = started_s
+            started_s = time.monotonic()
             for fd, event in events:
                 if fd not in self._closed_fds and event & ~select.POLLOUT:
                     call(self._readers.get(fd))
@@ -268,10 +273,12 @@
         elif not self._is_set:
             loop._ready.append(getcurrent().switch)
             loop._hub.switch()
-        was_set, self._is_set = self._is_set, False
+        was_set = self._is_set
+        self._is_set = False
         return was_set
 
     def _time_out(self) -> None:
         if self._waiter is not None:
-            waiter, self._waiter = self._waiter, None
+            waiter = self._waiter
+            self._waiter = None
             waiter()
--- a/ochrehoist/net/membership_heartbeat.py
+++ b/ochrehoist/net/membership_heartbeat.py
@@ -67,7 +67,8 @@
     if not end:
         return None
     status_line, *fields = bytes(head).split(b"\r\n")
-    body_bytes, keeps_alive = 0, True
+    body_bytes = 0
+    keeps_alive = True
     for field in fields:
         name, _, value = field.lower().partition(b":")
         if name == b"content-length":
@@ -130,7 +131,8 @@
     def run(self) -> None:
         """A task: reports until `stop`."""
         while not self._stopped:
-            address, phase = self._address, self._phase()
+            address = self._address
+            phase = self._phase()
             result = self._report(phase)
             if result.status != STATUS_ACCEPTED:
                 self._close()
--- a/ochrehoist/net/process_shutdown.py
+++ b/ochrehoist/net/process_shutdown.py
@@ -122,6 +122,7 @@
         reported: OpenConnections | None = None
 
         def is_busy() -> bool:
+            """Whether something is left to do; reports open connections on the way."""
             nonlocal reported
             connections = {front.PART_NAME: len(front.connections) for front in self._fronts}
             if connections != reported:
--- a/ochrehoist/net/thrift.py
+++ b/ochrehoist/net/thrift.py
@@ -13,16 +13,36 @@
 from ochrehoist.errors import OchrehoistError
 
 VERSION = 0x80010000
-CALL, REPLY, EXCEPTION, ONEWAY = 1, 2, 3, 4  # kinds of messages
-STOP, BOOL, BYTE, DOUBLE, I16, I32, I64 = 0, 2, 3, 4, 6, 8, 10  # types of values
-STRING, STRUCT, MAP, SET, LIST = 11, 12, 13, 14, 15
+# Kinds of messages.
+CALL = 1
+REPLY = 2
+EXCEPTION = 3
+ONEWAY = 4
+# Types of values.
+STOP = 0
+BOOL = 2
+BYTE = 3
+DOUBLE = 4
+I16 = 6
+I32 = 8
+I64 = 10
+STRING = 11
+STRUCT = 12
+MAP = 13
+SET = 14
+LIST = 15
 SIZES = {BOOL: 1, BYTE: 1, DOUBLE: 8, I16: 2, I32: 4, I64: 8}
-UNKNOWN_METHOD, MISSING_RESULT, INTERNAL_ERROR, PROTOCOL_ERROR = 1, 5, 6, 7  # of application exceptions
+# Of application exceptions.
+UNKNOWN_METHOD = 1
+PROTOCOL_ERROR = 7
 MAX_DEPTH = 16
-VERSION_MASK, KIND_MASK, WORD_MASK = 0xFFFF0000, 0xFF, 0xFFFFFFFF
+VERSION_MASK = 0xFFFF0000
+KIND_MASK = 0xFF
+WORD_MASK = 0xFFFFFFFF
 MIN_MAP_ENTRY_BYTES = 8  # of strings: two lengths
 
-_I32, _I16 = struct.Struct(">i"), struct.Struct(">h")
+_I32 = struct.Struct(">i")
+_I16 = struct.Struct(">h")
 _FIELD = struct.Struct(">bh")
 
 
@@ -93,7 +113,8 @@
         end = self.position + count
         if count < 0 or end > len(self.data):
             raise MalformedFrameError(FrameFault.LENGTH_BEYOND_FRAME)
-        data, self.position = self.data[self.position : end], end
+        data = self.data[self.position : end]
+        self.position = end
         return data
 
     def read_byte(self) -> int:
@@ -128,12 +149,17 @@
 
         Each request has a dozen: they are read in place, since what is then rejected should cost least.
         """
-        key, value, count = self.read_byte(), self.read_byte(), self.read_i32()
+        key_type = self.read_byte()
+        value_type = self.read_byte()
+        count = self.read_i32()
         if count < 0 or count * MIN_MAP_ENTRY_BYTES > len(self.data) - self.position:
             raise MalformedFrameError(FrameFault.COUNT_BEYOND_FRAME)
-        if count and (key, value) != (STRING, STRING):
+        if count and (key_type, value_type) != (STRING, STRING):
             raise MalformedFrameError(FrameFault.WRONG_MAP_TYPES)
-        data, position, end, unpack = self.data, self.position, len(self.data), _I32.unpack_from
+        data = self.data
+        position = self.position
+        end = len(data)
+        unpack = _I32.unpack_from
         texts: list[bytes] = []
         for _ in range(2 * count):
             start = position + 4
--- a/ochrehoist/net/thrift_connection.py
+++ b/ochrehoist/net/thrift_connection.py
@@ -22,8 +22,14 @@
 MAX_REJECTION_BATCH_BYTES = 16 * 1024
 MAX_TIME_DIGITS = 15
 MAX_CALLER_DIGITS = 9
-INVOKE, ABORT, PING = b"invoke", b"abort", b"ping"  # methods that routers call
-RETURNED, REJECTED, FAILED = 0, 1, 2  # fields of the result of `invoke`: its value, and what it throws
+# Methods that routers call.
+INVOKE = b"invoke"
+ABORT = b"abort"
+PING = b"ping"
+# Fields of the result of `invoke`: its value, and what it throws.
+RETURNED = 0
+REJECTED = 1
+FAILED = 2
 FAREWELL = thrift.encode_message(thrift.ONEWAY, b"farewell", 0, thrift.STRUCT_END)
 
 
@@ -139,8 +145,8 @@
             self.stream.close()
             raise
 
-    def has_whole_frame(self) -> bool:
-        """Whether the next frame is here."""
+    def has_complete_frame(self) -> bool:
+        """Whether the next frame is here, all of it."""
         buffer = self.stream.buffer
         size = int.from_bytes(buffer[:FRAME_HEADER_BYTES], "big")
         return len(buffer) >= FRAME_HEADER_BYTES + size
@@ -262,7 +268,9 @@
         class_name = front.class_names.get(values.get(b"method", b""))
         if class_name is None:
             return False
-        tenant, started, caller = values.get(b"acct"), values.get(b"t0", b""), values.get(b"peer", b"")
+        tenant = values.get(b"acct")
+        started = values.get(b"t0", b"")
+        caller = values.get(b"peer", b"")
         is_time = started.isdigit() and len(started) <= MAX_TIME_DIGITS
         is_caller = caller.isdigit() and len(caller) <= MAX_CALLER_DIGITS
         retry_after_ns = front.retry_after_ns(
@@ -283,11 +291,12 @@
     # ---- writing
     def _send_rejections_if_due(self) -> None:
         """Sends them together: once there is nothing else to read, or enough to send."""
-        if not self.has_whole_frame() or len(self._rejections) >= MAX_REJECTION_BATCH_BYTES:
+        if not self.has_complete_frame() or len(self._rejections) >= MAX_REJECTION_BATCH_BYTES:
             self._send_rejections()
 
     def _send_rejections(self) -> None:
-        data, self._rejections = bytes(self._rejections), bytearray()
+        data = bytes(self._rejections)
+        self._rejections.clear()
         self._write(data)
 
     def _write_exception(self, message: thrift.Message, kind: int, text: str) -> None:
--- a/ochrehoist/net/thrift_front.py
+++ b/ochrehoist/net/thrift_front.py
@@ -143,7 +143,7 @@
         if connection.open_requests or now_s - connection.opened_at_s <= FRESH_S:
             return False
         # A request that is here keeps its connection, unless it is of a flood that is being slowed down.
-        if connection.has_whole_frame() and not connection.pacer.exceeded:
+        if connection.has_complete_frame() and not connection.pacer.exceeded:
             return False
         # On a connection just accepted the first request may be here, and not read yet.
         return bool(stream.awaits_input or stream.buffer or stream.ended)
@@ -165,7 +165,7 @@
         stream = connection.stream
         if connection.open_requests or connection.unreadable or stream.closing or stream.closed:
             return True
-        return bool(stream.buffer) and connection.has_whole_frame()
+        return bool(stream.buffer) and connection.has_complete_frame()
 
     def _end_if_idle(self, connection: ThriftConnection, now_s: float, crowded: bool) -> None:
         stream = connection.stream
--- a/ochrehoist/net/thrift_reader.py
+++ b/ochrehoist/net/thrift_reader.py
@@ -66,16 +66,16 @@
         """The same; None where it is missing."""
         return self.number(name, least, below) if name in self._values else None
 
-    def whole_number(self, name: bytes) -> int:
+    def integer(self, name: bytes) -> int:
         """A whole number of 0 or more."""
         text = self.text(name)
         if not (text.isascii() and text.isdigit() and len(text) <= MAX_DIGITS):
             raise _invalid(name, "not a whole number")
         return int(text)
 
-    def optional_whole_number(self, name: bytes) -> int | None:
+    def optional_integer(self, name: bytes) -> int | None:
         """The same; None where it is missing."""
-        return self.whole_number(name) if name in self._values else None
+        return self.integer(name) if name in self._values else None
 
 
 def _invalid(name: bytes, problem: str) -> InvalidArgumentsError:
@@ -125,7 +125,7 @@
         return InboundRequest(
             id=request_id,
             request_class=request_class,
-            arrived_ns=fields.whole_number(b"t0") * NS_PER_MS,
+            arrived_ns=fields.integer(b"t0") * NS_PER_MS,
             payload=ThriftPayload(method, body),
             responder=responder,
             executor=self._executor,
@@ -138,5 +138,5 @@
             rank=fields.optional_number(b"prio", 0.0, 1.0) or 0.0,
             is_retry=fields.optional_text(b"again") == "1",
             is_write=request_class.idempotency is not Idempotency.IDEMPOTENT,
-            caller=fields.optional_whole_number(b"peer") or 0,
+            caller=fields.optional_integer(b"peer") or 0,
         )
