--- a/benchmarks/fleet/site_loss.py
+++ b/benchmarks/fleet/site_loss.py
@@ -21,7 +21,7 @@
 from ochrehoist.lab.goodput import goodput, recovery_time_s
 from ochrehoist.lab.scenario import Scenario, parse
 from ochrehoist.lab.scenario_runner import ScenarioRun
-from ochrehoist.lab.virtual import site_measurements
+from ochrehoist.lab.virtual.site_measurements import measure_loss
 from ochrehoist.lab.virtual.site_world import SiteWorld
 from ochrehoist.sites.admission_gate import AdmissionGate
 from ochrehoist.sites.recovery_ramp import RecoveryRamp
@@ -121,12 +121,12 @@
         world.at(LOST_AT_S, partial(world.lose_site, LOST_SITE))
         world.at(RETURNED_AT_S, partial(world.restore_site, LOST_SITE))
         world.run(END_S)
-        figures = site_measurements.measure_loss(world, LOST_AT_S, RETURNED_AT_S)
+        figures = measure_loss(world, LOST_AT_S, RETURNED_AT_S)
         return SiteLossFigures(
             during=figures.during,
             filings=figures.filings,
             worst_second=figures.worst_second,
-            returning=site_measurements.goodput(world, RETURNED_AT_S, RETURNED_AT_S + RETURN_S),
+            returning=goodput(world.calls, RETURNED_AT_S, RETURNED_AT_S + RETURN_S),
             attempts=figures.attempts_per_call,
             recovered_s=figures.recovered_s,
             least_returning=figures.least_after_return,
--- a/ochrehoist/lab/goodput.py
+++ b/ochrehoist/lab/goodput.py
@@ -3,13 +3,37 @@
 from collections import Counter, defaultdict, deque
 from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass
-from typing import Any
+from typing import Any, Protocol
 
 from ochrehoist.lab.outcomes import Call, ServiceRun
 
 RECOVERED_FRACTION = 0.95  # of the undisturbed goodput, in two seconds in a row
 
 
+class WeightedCall(Protocol):
+    """What the goodput is computed of, of real and of simulated calls."""
+
+    @property
+    def request_class(self) -> str:
+        """The name of its class."""
+        ...
+
+    @property
+    def weight(self) -> float:
+        """Its priority weight."""
+        ...
+
+    @property
+    def started_s(self) -> float:
+        """When it began."""
+        ...
+
+    @property
+    def succeeded(self) -> bool:
+        """Whether it was served within its latency objective."""
+        ...
+
+
 @dataclass
 class SecondOfCalls:
     """The weight of the calls that began in one second, and of those that succeeded."""
@@ -34,7 +58,9 @@
     return seconds
 
 
-def goodput(calls: Sequence[Call], since_s: float, until_s: float, request_class: str | None = None) -> float:
+def goodput(
+    calls: Sequence[WeightedCall], since_s: float, until_s: float, request_class: str | None = None
+) -> float:
     """The weight of calls that succeeded, as a fraction of those that began in the span; 1 for none."""
     counted = [
         call
--- a/ochrehoist/lab/scale/cluster.py
+++ b/ochrehoist/lab/scale/cluster.py
@@ -29,12 +29,11 @@
 from ochrehoist.lab.process_info import resident_kb
 from ochrehoist.lab.scale.measurements import GroupSample
 from ochrehoist.lab.scale.processes import HollowProcess, RealWorker
-from ochrehoist.lab.scale.results import ClusterView, Convergence, RunFigures
+from ochrehoist.lab.scale.results import KB_PER_MB, ClusterView, Convergence, RunFigures
 from ochrehoist.lab.scale.spec import ScaleSpec
 from ochrehoist.lab.scale.topology import BUDGET_AMOUNT, Topology
 from ochrehoist.net.peers import TICK_S
 
-KB_PER_MB = 1024
 PROCESS_TIME_MARGIN_S = 30.0  # of wall time, by which processes outlast the run's limit
 EMPTY_MEASUREMENT_S = 2.0  # of wall time
 MAX_START_SPREAD_S = 5.0
--- a/ochrehoist/lab/scale/measurements.py
+++ b/ochrehoist/lab/scale/measurements.py
@@ -6,10 +6,9 @@
 from msgspec import UNSET, Struct, UnsetType
 
 from ochrehoist.lab.hollow.protocol import ProcessSample, WorkerSample
-from ochrehoist.lab.scale.results import RealWorkerSample, RestFigures, Spread, spread
+from ochrehoist.lab.scale.results import KB_PER_MB, RealWorkerSample, RestFigures, Spread, spread
 from ochrehoist.net.peers import TICK_S
 
-KB_PER_MB = 1024
 MAX_STALLED_FRACTION = 0.005  # of the ticks, beyond which figures are not trusted
 MIN_SPAN_S = 1e-9
 
--- a/ochrehoist/lab/scale/results.py
+++ b/ochrehoist/lab/scale/results.py
@@ -9,6 +9,8 @@
 
 from msgspec import UNSET, Struct, UnsetType, field, to_builtins
 
+KB_PER_MB = 1024
+
 RunRecord = dict[str, Any]  # one run as JSON, also of earlier releases
 COMPLETE = "whole"  # how a run ended that was not broken off
 
--- a/ochrehoist/lab/scale/run.py
+++ b/ochrehoist/lab/scale/run.py
@@ -17,12 +17,11 @@
 from ochrehoist.lab.scale.cluster import ScaleCluster
 from ochrehoist.lab.scale.experiments import inject_fault, reader_notes, reload_repeatedly
 from ochrehoist.lab.scale.measurements import is_trustworthy, rest_figures
-from ochrehoist.lab.scale.results import COMPLETE, RunFigures, RunRecord, machine_state
+from ochrehoist.lab.scale.results import COMPLETE, KB_PER_MB, RunFigures, RunRecord, machine_state
 from ochrehoist.lab.scale.spec import ScaleSpec
 from ochrehoist.lab.scale.topology import Topology
 from ochrehoist.lab.worker_process import ROOT
 
-KB_PER_MB = 1024
 MEMORY_CHECK_S = 0.25
 MAX_HOLLOW_PROCESSES = 8
 MIN_WORKERS_PER_PROCESS = 5
--- a/ochrehoist/lab/site_invariants.py
+++ b/ochrehoist/lab/site_invariants.py
@@ -9,7 +9,7 @@
 from ochrehoist.lab.fault_schedule import FaultKind
 from ochrehoist.lab.outcomes import FaultSpan
 from ochrehoist.lab.scenario import Scenario
-from ochrehoist.sites.step_lease import STEP_LEASE_DURATION_S
+from ochrehoist.lab.step_interleaving import find_interleavings
 
 # Faults after which a site's load goes elsewhere.
 LOAD_SHIFTING_FAULTS = frozenset(
@@ -113,18 +113,8 @@
 
 def interleaved_steps(steps: Sequence[RecoveryStep]) -> list[str]:
     """Steps of one site between two steps of another within one step lease; a line each."""
-    found = []
-    for position, step in enumerate(steps):
-        between: RecoveryStep | None = None
-        for later in steps[position + 1 :]:
-            if later.at_s - step.at_s >= STEP_LEASE_DURATION_S / 2:
-                break
-            if later.site != step.site:
-                between = later
-            elif between is not None:
-                found.append(
-                    f"{between.site} stepped at {between.at_s:.2f} s, between two steps of {step.site} at "
-                    f"{step.at_s:.2f} and {later.at_s:.2f} s"
-                )
-                break
-    return found
+    return [
+        f"{found.between[-1].site} stepped at {found.between[-1].at_s:.2f} s, between two steps of "
+        f"{found.first.site} at {found.first.at_s:.2f} and {found.last.at_s:.2f} s"
+        for found in find_interleavings(steps)
+    ]
--- a/ochrehoist/lab/virtual/site_calls.py
+++ b/ochrehoist/lab/virtual/site_calls.py
@@ -6,6 +6,8 @@
 from ochrehoist.admission.settings import AdmissionSettings, Idempotency, RequestClass
 from ochrehoist.core.units import NS_PER_S
 
+READ = "read"
+FILING = "filing"
 LATENCY_OBJECTIVE_S = 1.8
 DEADLINE_S = 4.5
 FILING_WEIGHT = 3.0
@@ -30,7 +32,7 @@
     number: int
     is_filing: bool
     work_s: float
-    at_s: float
+    started_s: float
     attempts: int = 0
     ended: bool = False
     succeeded: bool = False  # served within the latency objective
@@ -42,6 +44,11 @@
         """Its priority weight."""
         return FILING_WEIGHT if self.is_filing else READ_WEIGHT
 
+    @property
+    def request_class(self) -> str:
+        """The name of its class."""
+        return FILING if self.is_filing else READ
+
     @property
     def class_index(self) -> int:
         """The position of its class in the settings."""
@@ -51,13 +58,13 @@
 def admission_settings(cores: int) -> AdmissionSettings:
     """A class of reads and one of filings, for workers with so many cores."""
     read = RequestClass(
-        name="read",
+        name=READ,
         latency_objective_ns=int(LATENCY_OBJECTIVE_S * NS_PER_S),
         deadline_ns=int(DEADLINE_S * NS_PER_S),
         idempotency=Idempotency.IDEMPOTENT,
     )
     filing = RequestClass(
-        name="filing",
+        name=FILING,
         latency_objective_ns=int(LATENCY_OBJECTIVE_S * NS_PER_S),
         deadline_ns=int(DEADLINE_S * NS_PER_S),
         priority_weight=FILING_WEIGHT,
--- a/ochrehoist/lab/virtual/site_measurements.py
+++ b/ochrehoist/lab/virtual/site_measurements.py
@@ -3,9 +3,11 @@
 import math
 from dataclasses import dataclass
 
+from ochrehoist.lab.goodput import goodput
+from ochrehoist.lab.step_interleaving import find_interleavings
+from ochrehoist.lab.virtual.site_calls import FILING
 from ochrehoist.lab.virtual.site_world import LossAlarm, SiteLoss, SiteWorld
 from ochrehoist.sites.site_health import BURST_FACTOR, EVIDENCE_THRESHOLD
-from ochrehoist.sites.step_lease import STEP_LEASE_DURATION_S
 
 LOAD_SHIFT_S = 3.5  # until all have seen the silence of a site, and its load has moved
 DETECTION_MARGIN = 3  # times the expected time until the evidence suffices
@@ -18,28 +20,18 @@
 RETURN_SPAN_S = 15
 
 
-def goodput(world: SiteWorld, since_s: float, until_s: float, *, filing: bool | None = None) -> float:
-    """The weight of calls that succeeded, as a fraction of all that were made in the span; 1 for none.
-
-    `filing`: only filings, or only reads.
-    """
-    calls = [
-        call for call in world.calls if since_s <= call.at_s < until_s and filing in (None, call.is_filing)
-    ]
-    weight = sum(call.weight for call in calls)
-    return sum(call.weight for call in calls if call.succeeded) / weight if weight else 1.0
-
-
 def goodput_by_second(world: SiteWorld, since_s: float, until_s: float) -> list[float]:
     """The goodput of each second of the span."""
-    return [round(goodput(world, second, second + 1), 2) for second in range(int(since_s), int(until_s))]
+    return [
+        round(goodput(world.calls, second, second + 1), 2) for second in range(int(since_s), int(until_s))
+    ]
 
 
 def recovery_time_s(world: SiteWorld, since_s: float, level: float) -> float | None:
     """When two seconds in a row first had nearly this goodput, after `since_s`; None where none had."""
     at_s = since_s
     while at_s + 2 < world.now:
-        lower = min(goodput(world, at_s, at_s + 1), goodput(world, at_s + 1, at_s + 2))
+        lower = min(goodput(world.calls, at_s, at_s + 1), goodput(world.calls, at_s + 1, at_s + 2))
         if lower >= RECOVERED_FRACTION * level:
             return at_s - since_s
         at_s += RECOVERY_CHECK_S
@@ -95,17 +87,10 @@
 
 def interleaved_steps(world: SiteWorld) -> list[str]:
     """Steps of one site between two steps of another within one step lease; a line each."""
-    found = []
-    for position, step in enumerate(world.recovery_steps):
-        following = [
-            later
-            for later in world.recovery_steps[position + 1 :]
-            if later.at_s - step.at_s < STEP_LEASE_DURATION_S / 2
-        ]
-        others = [later.at_s for later in following if later.site != step.site]
-        if others and any(later.at_s > others[0] and later.site == step.site for later in following):
-            found.append(f"another site stepped at {others[0]:.2f} s, amid the steps of {step.site}")
-    return found
+    return [
+        f"another site stepped at {found.between[0].at_s:.2f} s, amid the steps of {found.first.site}"
+        for found in find_interleavings(world.recovery_steps)
+    ]
 
 
 def all_at_full_service(world: SiteWorld) -> bool:
@@ -146,15 +131,15 @@
 
 def measure_loss(world: SiteWorld, lost_at_s: float, restored_at_s: float) -> SiteLossFigures:
     """The figures of one loss and its return."""
-    level = goodput(world, WARM_UP_S, lost_at_s)
+    level = goodput(world.calls, WARM_UP_S, lost_at_s)
     first_seconds = goodput_by_second(world, lost_at_s, lost_at_s + WORST_SPAN_S)
     return_seconds = goodput_by_second(world, restored_at_s, restored_at_s + RETURN_SPAN_S)
     rejected = sum(call.gate_rejections > 0 for call in world.calls)
     served = sum(call.served_after_rejection for call in world.calls)
     return SiteLossFigures(
         before=level,
-        during=goodput(world, lost_at_s, restored_at_s),
-        filings=goodput(world, lost_at_s, restored_at_s, filing=True),
+        during=goodput(world.calls, lost_at_s, restored_at_s),
+        filings=goodput(world.calls, lost_at_s, restored_at_s, FILING),
         worst_second=min(first_seconds),
         recovered_s=recovery_time_s(world, restored_at_s, level),
         least_after_return=min(return_seconds, default=1.0),
--- a/ochrehoist/lab/virtual/site_worker.py
+++ b/ochrehoist/lab/virtual/site_worker.py
@@ -19,7 +19,7 @@
 from ochrehoist.core.request import InboundRequest
 from ochrehoist.core.units import NS_PER_S
 from ochrehoist.lab.virtual.scheduler import EventScheduler
-from ochrehoist.lab.virtual.site_calls import Call, CallOutcome
+from ochrehoist.lab.virtual.site_calls import FILING, Call, CallOutcome
 from ochrehoist.lab.virtual.world import Node
 from ochrehoist.plan.cores import Cores, Machine
 from ochrehoist.sites.admission_threshold import TICK_INTERVAL_S
@@ -183,7 +183,7 @@
             responder=NOT_USED,
             executor=NOT_USED,
             subject_hash=call.number + 1,
-            idempotency_key=(None, "filing", f"k{call.number}") if call.is_filing else None,
+            idempotency_key=(None, FILING, f"k{call.number}") if call.is_filing else None,
             is_retry=call.attempts > 1,
         )
 
--- a/ochrehoist/lab/virtual/site_world.py
+++ b/ochrehoist/lab/virtual/site_world.py
@@ -192,11 +192,11 @@
             return
         if outcome is CallOutcome.SERVED:
             call.ended = True
-            call.succeeded = self.now - call.at_s <= LATENCY_OBJECTIVE_S
+            call.succeeded = self.now - call.started_s <= LATENCY_OBJECTIVE_S
             call.served_after_rejection = call.gate_rejections > 0
             return
         retry_s = self.now + self.load_random.retries.uniform(*RETRY_DELAY_S)
-        in_time = call.attempts < MAX_ATTEMPTS and retry_s < call.at_s + DEADLINE_S
+        in_time = call.attempts < MAX_ATTEMPTS and retry_s < call.started_s + DEADLINE_S
         may_have_run = call.is_filing and outcome is CallOutcome.LOST
         if in_time and not may_have_run:
             self.at(retry_s, lambda: self._attempt(call))
--- a/tests/sites/test_sites.py
+++ b/tests/sites/test_sites.py
@@ -12,8 +12,9 @@
 from ochrehoist.admission.settings import AdmissionSettings, Idempotency, RequestClass, Tenant
 from ochrehoist.config.fleet_description import load as load_fleet
 from ochrehoist.core.tenants import initial_table
+from ochrehoist.lab.goodput import goodput
 from ochrehoist.lab.virtual.site_fault_sweep import check_seed
-from ochrehoist.lab.virtual.site_measurements import goodput, interleaved_steps
+from ochrehoist.lab.virtual.site_measurements import interleaved_steps
 from ochrehoist.lab.virtual.site_world import SiteWorld
 from ochrehoist.plan import playbook as plan_playbook
 from ochrehoist.sites import playbook_codec, playbook_text, site_report
@@ -439,21 +440,24 @@
 
     def test_filings_are_kept_while_half_is_gone_and_worth_goes_first(self):
         world = self.lost_and_back()
-        self.assertGreater(goodput(world, 9, 16, filing=True), 0.98)
+        self.assertGreater(goodput(world.calls, 9, 16, "filing"), 0.98)
         possible = (3 * 0.2 + 0.5 / 0.8 - 0.2) / (3 * 0.2 + 0.8)  # by worth first, with the cores left
-        self.assertGreater(goodput(world, 10, 16), 0.9 * possible)
+        self.assertGreater(goodput(world.calls, 10, 16), 0.9 * possible)
 
     def test_each_guard_is_missed_where_it_is_not_there(self):
         whole = [self.lost_and_back(s) for s in range(3)]
         with mock.patch.object(AdmissionGate, "rank_limit", 1.0):
             no_gate = [self.lost_and_back(s) for s in range(3)]
-        self.assertLess(sum(goodput(w, 9, 16) for w in no_gate), sum(goodput(w, 9, 16) for w in whole) - 0.06)
+        self.assertLess(
+            sum(goodput(w.calls, 9, 16) for w in no_gate), sum(goodput(w.calls, 9, 16) for w in whole) - 0.06
+        )
         whole = [self.lost_and_back(s, 0.45) for s in range(3)]
         with mock.patch.object(RecoveryRamp, "load_fraction", 1.0):
             no_steps = [self.lost_and_back(s, 0.45) for s in range(3)]
-        self.assertGreater(sum(goodput(w, 16, 22) for w in whole), 3 * 0.98)
+        self.assertGreater(sum(goodput(w.calls, 16, 22) for w in whole), 3 * 0.98)
         self.assertLess(
-            sum(goodput(w, 16, 22) for w in no_steps), sum(goodput(w, 16, 22) for w in whole) - 0.03
+            sum(goodput(w.calls, 16, 22) for w in no_steps),
+            sum(goodput(w.calls, 16, 22) for w in whole) - 0.03,
         )
 
     def test_without_the_step_lease_two_sites_step_at_once(self):
