--- a/ochrehoist/lab/virtual/site_calls.py
+++ b/ochrehoist/lab/virtual/site_calls.py
@@ -4,7 +4,7 @@
 from enum import Enum, auto
 
 from ochrehoist.admission.settings import AdmissionSettings, Idempotency, RequestClass
-from ochrehoist.core.units import NS_PER_S
+from ochrehoist.units import NS_PER_S
 
 READ = "read"
 FILING = "filing"
--- a/ochrehoist/lab/virtual/site_worker.py
+++ b/ochrehoist/lab/virtual/site_worker.py
@@ -17,7 +17,6 @@
 from ochrehoist.admission.settings import AdmissionSettings
 from ochrehoist.core.metrics import RequestCounter
 from ochrehoist.core.request import InboundRequest
-from ochrehoist.core.units import NS_PER_S
 from ochrehoist.lab.virtual.scheduler import EventScheduler
 from ochrehoist.lab.virtual.site_calls import FILING, Call, CallOutcome
 from ochrehoist.lab.virtual.world import Node
@@ -28,6 +27,7 @@
 from ochrehoist.sites.site_health import SiteState
 from ochrehoist.sites.site_report import TOPIC
 from ochrehoist.sites.step_lease import STEP_LEASE_BUDGET, STEP_LEASE_DURATION_S
+from ochrehoist.units import NS_PER_S
 
 TICK_TOLERANCE_S = 0.03  # by which a tick may come early
 MIN_RUN_END_DELAY_S = 1e-4
--- a/ochrehoist/lab/worker_configuration.py
+++ b/ochrehoist/lab/worker_configuration.py
@@ -4,9 +4,9 @@
 from dataclasses import dataclass, field
 from typing import Any, Protocol
 
-from ochrehoist.core.units import NS_PER_MS, NS_PER_S
 from ochrehoist.lab.scenario import RequestClass, Scenario
 from ochrehoist.lab.toml import toml_file
+from ochrehoist.units import NS_PER_MS, NS_PER_S
 
 GROUP_SECRET = "the laboratory's own secret"
 FREE_PORT = "127.0.0.1:0"
--- a/ochrehoist/net/handover_client.py
+++ b/ochrehoist/net/handover_client.py
@@ -16,7 +16,6 @@
 from ochrehoist.core.request import InboundRequest
 from ochrehoist.core.results import RunResult
 from ochrehoist.core.snapshot import CoreSnapshot
-from ochrehoist.core.units import NS_PER_S
 from ochrehoist.net.handover_link import (
     ANSWER_TIMEOUT_S,
     LINK_ERRORS,
@@ -29,6 +28,7 @@
 )
 from ochrehoist.net.loop import Loop, Signal
 from ochrehoist.net.stream import ConnectionClosedError, StreamTimeoutError
+from ochrehoist.units import NS_PER_S
 
 RETRY_DELAY_S = 0.05  # between attempts to get the state
 ORPHANED_RUN_S = 2.0  # for which what a process had begun counts as running after it died
--- a/ochrehoist/net/kernel_link.py
+++ b/ochrehoist/net/kernel_link.py
@@ -14,7 +14,6 @@
 from ochrehoist.core.protocols import Logger
 from ochrehoist.core.request import InboundRequest
 from ochrehoist.core.results import RunResult
-from ochrehoist.core.units import NS_PER_S
 from ochrehoist.errors import OchrehoistError
 from ochrehoist.net.in_flight_runs import CORE_DELAY_S, InFlightRuns, KernelRun
 from ochrehoist.net.kernel_protocol import (
@@ -33,6 +32,7 @@
 )
 from ochrehoist.net.loop import Loop, Signal
 from ochrehoist.net.stream import ConnectionClosedError, Stream, StreamTimeoutError, connect
+from ochrehoist.units import NS_PER_S
 
 MAX_LINE_BYTES = 1 << 20
 RETRY_DELAY_S = 0.05  # between attempts to get a link
@@ -172,7 +172,7 @@
         if self._opening is not None:
             self._opening.close()
 
-    def view(self) -> dict[str, Any]:
+    def status_section(self) -> dict[str, Any]:
         """For operators: the link's address and state, and how much waits for it."""
         now_s = time.monotonic()
         state = "down" if self.has_booted else "starting"
--- a/ochrehoist/net/peers.py
+++ b/ochrehoist/net/peers.py
@@ -24,13 +24,13 @@
 from ochrehoist.peers.outbound import OutgoingMessage
 from ochrehoist.peers.status_view import status_view
 from ochrehoist.peers.wire import HealthStatus, Incarnation, Message
+from ochrehoist.units import NS_PER_MS
 
 if TYPE_CHECKING:
     from ochrehoist.net.ajp_server import CallOutcome
 
 TICK_S = 0.05
 MAX_BOOT_ID_BITS = 62
-NS_PER_MS = 1_000_000
 
 
 class PeersNotConfiguredError(OchrehoistError):
@@ -283,7 +283,7 @@
         """Processor time spent on peers."""
         return self._tick_cpu_s + self.transport.receive_cpu_s
 
-    def view(self) -> dict[str, Any]:
+    def status_section(self) -> dict[str, Any]:
         """This worker's view of the fleet, for `/status`."""
         rejected = {reason.value: count for reason, count in self.transport.rejected_counts.items()}
         return status_view(self.group, time.monotonic()) | {
@@ -295,6 +295,6 @@
             "pid": os.getpid(),
         }
 
-    def figures(self) -> str:
+    def metrics_text(self) -> str:
         """The metrics, as text."""
         return peer_metrics(self.group, self.transport, time.monotonic())
--- a/ochrehoist/net/process_shutdown.py
+++ b/ochrehoist/net/process_shutdown.py
@@ -8,10 +8,10 @@
 from ochrehoist.core.forwarder import Forwarder
 from ochrehoist.core.messages import ShutdownRequested
 from ochrehoist.core.protocols import Logger
-from ochrehoist.core.units import NS_PER_MS, NS_PER_S
 from ochrehoist.net.front import FrontConnection
 from ochrehoist.net.listener import Acceptor
 from ochrehoist.net.loop import Loop
+from ochrehoist.units import NS_PER_MS, NS_PER_S
 
 MS_PER_S = 1000
 QUIET_S = 0.05  # without an open request before a process ends
--- a/ochrehoist/net/thrift_connection.py
+++ b/ochrehoist/net/thrift_connection.py
@@ -7,11 +7,11 @@
 from ochrehoist.core.messages import CallerDisconnected, RequestArrived
 from ochrehoist.core.metrics import RequestCounter
 from ochrehoist.core.results import FailureReason, RunResult
-from ochrehoist.core.units import NS_PER_MS
 from ochrehoist.net import thrift
 from ochrehoist.net.front import MESSAGE_TIMEOUT_S, FrontConnection, FrontContext
 from ochrehoist.net.loop import Loop
 from ochrehoist.net.stream import ConnectionClosedError, Stream, StreamTimeoutError
+from ochrehoist.units import NS_PER_MS
 
 MAX_FRAME_BYTES = (
     16 * 1024
--- a/ochrehoist/store/journal.py
+++ b/ochrehoist/store/journal.py
@@ -40,8 +40,9 @@
 from ochrehoist.store.operations import DeleteIntent, PutIntent, PutNamed, PutResult
 from ochrehoist.store.records import IntentRecord, LearnedStateRecord, ResultRecord, encode_key
 from ochrehoist.store.store_repair import OpenStore
-from ochrehoist.store.timestamps import NS_PER_S, current_timestamp
+from ochrehoist.store.timestamps import current_timestamp
 from ochrehoist.store.write_queue import WriteQueue
+from ochrehoist.units import NS_PER_S
 
 FOLDER_SETTING = "state.folder"
 FINAL_FLUSH_S = 1.0  # the longest that queued operations are waited for at the end of the process
@@ -370,7 +371,7 @@
 
     # For operators.
 
-    def view(self) -> dict[str, Any]:
+    def status_section(self) -> dict[str, Any]:
         """The part `store` of the status, by its documented names."""
         now = time.monotonic()
         hold_ns = max(0, self._hold_until_ns - self._owner.clock())
@@ -393,6 +394,6 @@
             "set_aside": [] if store is None else store.set_aside,
         }
 
-    def figures(self) -> str:
+    def metrics_text(self) -> str:
         """Metrics in the Prometheus text format."""
-        return self._metrics.exposition(self.view())
+        return self._metrics.exposition(self.status_section())
--- a/tests/store/test_store_disk.py
+++ b/tests/store/test_store_disk.py
@@ -25,7 +25,8 @@
     encode_key,
 )
 from ochrehoist.store.store_repair import open_store, rebuild_store
-from ochrehoist.store.timestamps import NS_PER_S, Timestamp
+from ochrehoist.store.timestamps import Timestamp
+from ochrehoist.units import NS_PER_S
 from tests.stand_ins.power_loss_disk import PowerLossDisk
 from tests.support.environment import FIXTURES, MEMORY_FOLDER
 
