--- a/benchmarks/requests/route_lookup_task.py
+++ b/benchmarks/requests/route_lookup_task.py
@@ -42,8 +42,8 @@
 
 def _request_check(routes: tuple[Any, ...]) -> Callable[[bytes], object]:
     """The front's check of a GET of some path."""
-    reader_type = import_any("ochrehoist.net.ajp_front:AjpReader")
-    forward = import_any("ochrehoist.net.ajp:Forward")
+    reader_type = import_any("ochrehoist.net.ajp_reader:AjpReader", "ochrehoist.net.ajp_front:AjpReader")
+    forward = import_any("ochrehoist.net.ajp:ForwardRequest", "ochrehoist.net.ajp:Forward")
     actor = SimpleNamespace(
         settings=SimpleNamespace(classes=(_read_class(),), tenants=()), tenants=_no_tenants()
     )
