--- a/tests/lab/test_fleet_invariants.py
+++ b/tests/lab/test_fleet_invariants.py
@@ -5,8 +5,9 @@
 from collections import deque
 from unittest import mock
 
-from ochrehoist.lab import explore, virtual
-from ochrehoist.lab.explore import Bounds
+from ochrehoist.lab.lease_exploration import Bounds, explore, replay
+from ochrehoist.lab.virtual.budget_oracle import BudgetExceededError
+from ochrehoist.lab.virtual.budget_sweep import run_schedule
 from ochrehoist.peers import membership
 from ochrehoist.peers.budget import Budget
 from ochrehoist.peers.leases import HeldLease, LeaseGrantor, LeaseHolder, RequestRound
@@ -21,32 +22,28 @@
     def test_no_budget_is_over_under_seeded_storms(self):
         for seed in range(24):
             with self.subTest(seed):
-                world = virtual.schedule(seed, 10.0)
-                self.assertGreater(sum(world.oracle.total.values()), 0)
+                world = run_schedule(seed, 10.0)
+                self.assertGreater(sum(world.oracle.use_counts.values()), 0)
 
     def test_a_seed_makes_the_same_events_every_time(self):
-        one, two = virtual.schedule(7, 8.0), virtual.schedule(7, 8.0)
-        self.assertEqual(one.oracle.total, two.oracle.total)
-        self.assertEqual([n.sent for n in one.nodes.values()], [n.sent for n in two.nodes.values()])
+        one, two = run_schedule(7, 8.0), run_schedule(7, 8.0)
+        self.assertEqual(one.oracle.use_counts, two.oracle.use_counts)
+        self.assertEqual(
+            [n.sent_count for n in one.nodes.values()], [n.sent_count for n in two.nodes.values()]
+        )
 
 
 class Orders(unittest.TestCase):
     """Two claimants and one right, every order within the bounds. `make orders` takes wider ones."""
 
     def test_no_order_of_messages_doubles_a_right(self):
-        self.assertGreater(
-            explore.explore(Bounds(voters=1, asks=1, gifts=1, kills=0, repeats=1, ticks=3)), 500
-        )
+        self.assertGreater(explore(Bounds(voters=1, asks=1, gifts=1, kills=0, repeats=1, ticks=3)), 500)
 
     def test_no_death_of_a_voter_or_holder_does(self):
-        self.assertGreater(
-            explore.explore(Bounds(voters=1, asks=1, gifts=0, kills=1, repeats=0, ticks=3)), 200
-        )
+        self.assertGreater(explore(Bounds(voters=1, asks=1, gifts=0, kills=1, repeats=0, ticks=3)), 200)
 
     def test_no_two_majorities_do(self):
-        self.assertGreater(
-            explore.explore(Bounds(voters=2, asks=1, gifts=0, kills=0, repeats=0, ticks=2)), 200
-        )
+        self.assertGreater(explore(Bounds(voters=2, asks=1, gifts=0, kills=0, repeats=0, ticks=2)), 200)
 
 
 def no_end(patch):
@@ -126,7 +123,7 @@
 
 def storms(seeds=range(1000, 1060)):
     for seed in seeds:
-        virtual.schedule(seed, 10.0)
+        run_schedule(seed, 10.0)
 
 
 class Defects(unittest.TestCase):
@@ -150,15 +147,15 @@
         """By one of some storms, none of which breaks a rule without the defect."""
 
         def check():
-            with self.assertRaises(virtual.Broken):
+            with self.assertRaises(BudgetExceededError):
                 storms()
 
         self.with_defect(defect, check)
 
     def doubled_by(self, defect, path):
         """A path of steps that doubles a right with the defect, and not without it."""
-        self.assertFalse(explore.replay(ONE, path))
-        self.with_defect(defect, lambda: self.assertTrue(explore.replay(ONE, path)))
+        self.assertFalse(replay(ONE, path))
+        self.with_defect(defect, lambda: self.assertTrue(replay(ONE, path)))
 
     def test_a_right_without_an_end(self):
         self.caught(no_end)
--- a/tests/lab/test_site_scenarios.py
+++ b/tests/lab/test_site_scenarios.py
@@ -9,8 +9,8 @@
 import unittest
 from pathlib import Path
 
-from ochrehoist.lab.play import Play
 from ochrehoist.lab.scenario import parse
+from ochrehoist.lab.scenario_runner import ScenarioRun
 from ochrehoist.net.operator_server import call_operator_api
 from tests.support.environment import ROOT
 from tests.support.worker_process import WorkerProcess, run_command
@@ -37,7 +37,7 @@
         "services": {"shared": 0, "cores": 4, "cold_from": 0.3, "cold_s": 3.0},
         "balancer": {"choice": "weighted", "check_s": 0.2, "redispatch": True},
     }
-    return Play(parse(values | changes), seed).run()
+    return ScenarioRun(parse(values | changes), seed).run()
 
 
 class OverProcesses(unittest.TestCase):
