--- a/benchmarks/overload/policies.py
+++ b/benchmarks/overload/policies.py
@@ -20,9 +20,9 @@
 from ochrehoist.config.tables import LimitController, OverloadConfig
 from ochrehoist.core.request import InboundRequest
 from ochrehoist.overload.limiter import AdaptiveLimiter
-from ochrehoist.plan import events
 from ochrehoist.plan.cores import Cores
-from ochrehoist.plan.events import Simulation
+from ochrehoist.plan.simulated_worker import Attempt, SimulatedWorker
+from ochrehoist.plan.simulation import Simulation
 
 SETTLE_S = 8.0
 READ, FILING = base_description()["classes"]
@@ -124,8 +124,8 @@
         simulation = _simulation(fleet, case.cores_factor, seed, duration_s)
         if overload is not None:
             for worker in simulation.workers:
-                limiter = AdaptiveLimiter(overload, worker.owner.settings, seed)
-                worker.owner.register_limiter(limiter)
+                limiter = AdaptiveLimiter(overload, worker.actor.settings, seed)
+                worker.actor.register_limiter(limiter)
         tally = simulation.run()
     values = tally.values()
     class_goodput = values["classes"][case.class_name]["goodput"] if case.class_name else None
@@ -135,10 +135,10 @@
 def _simulation(fleet: Fleet, cores_factor: float, seed: int, duration_s: float) -> Simulation:
     """A simulation whose workers are told `cores_factor` times the cores that they run on."""
     if cores_factor == 1:
-        return Simulation(fleet, seed, duration_s, settle=SETTLE_S)
+        return Simulation(fleet, seed, duration_s, settle_s=SETTLE_S)
     real = fleet.kinds[0]
     told = real.model_copy(update={"cores": int(real.cores * cores_factor)})
-    simulation = Simulation(fleet.model_copy(update={"kinds": [told]}), seed, duration_s, settle=SETTLE_S)
+    simulation = Simulation(fleet.model_copy(update={"kinds": [told]}), seed, duration_s, settle_s=SETTLE_S)
     for worker in simulation.workers:
         worker.machine = dataclasses.replace(worker.machine, cores=real.cores)
         worker.cores = Cores(worker.machine, 0.0, False)
@@ -147,14 +147,14 @@
 
 def _unstated_work() -> AbstractContextManager[Any]:
     """Let simulated requests not say how much work they are."""
-    inbound = events.Worker._inbound
+    inbound_request = SimulatedWorker._inbound_request
 
-    def unstated(worker: events.Worker, attempt: Any) -> InboundRequest:
-        request = inbound(worker, attempt)
+    def unstated(worker: SimulatedWorker, attempt: Attempt) -> InboundRequest:
+        request = inbound_request(worker, attempt)
         request.work_ns = None
         return request
 
-    return mock.patch.object(events.Worker, "_inbound", unstated)
+    return mock.patch.object(SimulatedWorker, "_inbound_request", unstated)
 
 
 def _runs(cases: Iterable[str], seeds: int, duration_s: float, jobs: int) -> Iterator[PolicyFigures]:
--- a/benchmarks/planner/accuracy.py
+++ b/benchmarks/planner/accuracy.py
@@ -18,7 +18,7 @@
     changed_router,
     retry_storm,
 )
-from ochrehoist.plan.questions import measured
+from ochrehoist.plan.measurement import measure
 
 SLOW_AND_FAST: Description = {
     "kinds": [
@@ -122,7 +122,7 @@
     """Measure one case in real time, and forecast its draw."""
     case = CASES[name]
     fleet = changed_fleet(case.changes, case.demand)
-    outcome = measured(fleet, seed, duration_s, case.lost_site, lambda *_: None)
+    outcome = measure(fleet, seed, duration_s, case.lost_site, lambda *_: None)
     real, forecast = outcome["measured"], outcome["forecast"]
     return Comparison(
         case=name,
--- a/ochrehoist/cli/lab.py
+++ b/ochrehoist/cli/lab.py
@@ -10,7 +10,7 @@
 
 import click
 
-from ochrehoist.cli.common import NO, WRONG, end, stops
+from ochrehoist.cli.common import ExitCode, fail, handles_errors
 from ochrehoist.cli.scale import scale
 
 SCENARIOS = Path(__file__).parent.parent / "lab" / "scenarios"
@@ -18,16 +18,19 @@
 
 def _told(error: BaseException) -> None:
     if isinstance(error, ModuleNotFoundError):
-        end("the laboratory's libraries are missing: install them by `pip install 'ochrehoist[plan]'`", WRONG)
+        fail(
+            "the laboratory's libraries are missing: install them by `pip install 'ochrehoist[plan]'`",
+            ExitCode.INVALID_INPUT,
+        )
     from ochrehoist.lab.errors import RunAbortedError
     from ochrehoist.lab.scenario import ScenarioError
 
     if isinstance(error, ScenarioError):
-        end(str(error), WRONG)
+        fail(str(error), ExitCode.INVALID_INPUT)
     if isinstance(error, RunAbortedError | OSError):
-        end(str(error), NO)
+        fail(str(error), ExitCode.FAILED)
     if isinstance(error, KeyboardInterrupt):
-        end("broken off; all processes of the play are ended", NO)
+        fail("broken off; all processes of the play are ended", ExitCode.FAILED)
 
 
 def _scenario(name: str) -> Any:
@@ -76,7 +79,7 @@
 
 
 @lab.command("list")
-@stops(_told)
+@handles_errors(_told)
 def list_() -> None:
     """The scenarios that come with the program."""
     for path in sorted(SCENARIOS.glob("*.toml")):
@@ -90,7 +93,7 @@
 @click.option("--json", "out", type=click.Path(dir_okay=False), help="Write all figures to this file.")
 @click.option("--html", type=click.Path(dir_okay=False), help="Write a page with pictures to this file.")
 @click.pass_context
-@stops(_told)
+@handles_errors(_told)
 def play(ctx: click.Context, file: str, seed: int, out: str | None, html: str | None) -> None:
     """Play FILE (a path, or the name of a scenario of the list). Ends with 1 where a rule was broken."""
     from ochrehoist.lab.play import Play
@@ -127,7 +130,7 @@
                 v["broken"],
             )
         )
-    ctx.exit(NO if v["broken"] else 0)
+    ctx.exit(ExitCode.FAILED if v["broken"] else 0)
 
 
 @lab.command()
@@ -135,7 +138,7 @@
 @click.option("--seeds", default=20, show_default=True)
 @click.option("--jobs", default=2, show_default=True, help="Plays side by side.")
 @click.pass_context
-@stops(_told)
+@handles_errors(_told)
 def sweep(ctx: click.Context, files: tuple[str, ...], seeds: int, jobs: int) -> None:
     """Play each of FILES (or `all`) with many seeds. Ends with 1 where a rule was broken."""
     names = [p.stem for p in sorted(SCENARIOS.glob("*.toml"))] if files == ("all",) else list(files)
@@ -152,7 +155,7 @@
             for line in v["broken"]:
                 click.echo(f"  seed {v['seed']}: {line}")
     click.echo(f"{done} plays, {broken} with a broken rule")
-    ctx.exit(NO if broken else 0)
+    ctx.exit(ExitCode.FAILED if broken else 0)
 
 
 @lab.command()
@@ -160,7 +163,7 @@
 @click.option("--first", default=0, show_default=True)
 @click.option("--jobs", default=4, show_default=True)
 @click.pass_context
-@stops(_told)
+@handles_errors(_told)
 def seeds(ctx: click.Context, count: int, first: int, jobs: int) -> None:
     """Seeded schedules of faults for the fleet's pure parts, on virtual time."""
     from ochrehoist.lab.virtual import verdict
@@ -174,7 +177,7 @@
                 bad += 1
                 click.echo(f"seed {seed}: {why}")
     click.echo(f"{count} schedules, {uses} uses of budgets, {bad} broken")
-    ctx.exit(NO if bad else 0)
+    ctx.exit(ExitCode.FAILED if bad else 0)
 
 
 @lab.command("sites")
@@ -182,7 +185,7 @@
 @click.option("--first", default=0, show_default=True)
 @click.option("--jobs", default=4, show_default=True)
 @click.pass_context
-@stops(_told)
+@handles_errors(_told)
 def sites_(ctx: click.Context, count: int, first: int, jobs: int) -> None:
     """Seeded losses, cuts, pauses and evacuations of sites, on virtual time: missed, invented, at once."""
     from ochrehoist.lab.sitestorm import verdict
@@ -202,7 +205,7 @@
     if known:
         p50, p99 = known[len(known) // 2], known[int(len(known) * 0.99)]
         click.echo(f"losses known after: p50 {p50:.2f} s, p99 {p99:.2f} s")
-    ctx.exit(NO if bad else 0)
+    ctx.exit(ExitCode.FAILED if bad else 0)
 
 
 @lab.command()
@@ -220,7 +223,7 @@
 @click.option("--seed", default=1, show_default=True)
 @click.option("--html", type=click.Path(path_type=Path), help="Write a page to this file.")
 @click.pass_context
-@stops(_told)
+@handles_errors(_told)
 def drill(
     ctx: click.Context,
     site: str,
@@ -237,7 +240,7 @@
     from ochrehoist.lab.play import Play
 
     if (fleet is None) == (scenario is None):
-        end("name --fleet or --scenario, and not both", WRONG)
+        fail("name --fleet or --scenario, and not both", ExitCode.INVALID_INPUT)
     logging.getLogger("asyncio").setLevel(logging.CRITICAL)
     s = drills.scenario_of(load(fleet), site, workers, lasts) if fleet is not None else _scenario(scenario)
     foretold = drills.foretold(s, site)
@@ -266,7 +269,7 @@
                 v["broken"],
             )
         )
-    ctx.exit(NO if v["broken"] else 0)
+    ctx.exit(ExitCode.FAILED if v["broken"] else 0)
 
 
 @lab.command()
@@ -276,7 +279,7 @@
 @click.option("--down", default=1.0, show_default=True, help="s between an end and the next start.")
 @click.option("--seed", default=1, show_default=True)
 @click.pass_context
-@stops(_told)
+@handles_errors(_told)
 def rolling(ctx: click.Context, fleet: Path, workers: int, at_once: int, down: float, seed: int) -> None:
     """Restart all of a small fleet of real workers, so many at once, and say what callers got."""
     from ochrehoist.config.fleet_description import load
@@ -296,7 +299,7 @@
     )
     for line in v["broken"]:
         click.echo(f"  seed {seed}: {line}")
-    ctx.exit(NO if v["broken"] else 0)
+    ctx.exit(ExitCode.FAILED if v["broken"] else 0)
 
 
 @lab.command()
@@ -308,7 +311,7 @@
 @click.option("--ticks", default=3, show_default=True)
 @click.option("--most", default=500_000, show_default=True, help="States, past which it is broken off.")
 @click.pass_context
-@stops(_told)
+@handles_errors(_told)
 def orders(ctx: click.Context, most: int, **bounds: int) -> None:
     """Every order of events for one right and two claimants, within the bounds."""
     from ochrehoist.lab.explore import Bounds, Doubled, explore
@@ -317,7 +320,7 @@
         click.echo(f"{explore(Bounds(**bounds), most)} states, no right doubled")
     except Doubled as error:
         click.echo(f"a right is held twice: {error}")
-        ctx.exit(NO)
+        ctx.exit(ExitCode.FAILED)
     except OverflowError as error:
         click.echo(f"broken off: {error}, none of them with a right doubled")
-        ctx.exit(NO)
+        ctx.exit(ExitCode.FAILED)
--- a/ochrehoist/cli/peers.py
+++ b/ochrehoist/cli/peers.py
@@ -4,7 +4,7 @@
 
 import click
 
-from ochrehoist.cli.common import Asked, shows
+from ochrehoist.cli.common import CallWorker, add_show_command
 
 
 def _lines(v: dict[str, Any]) -> list[str]:
@@ -44,7 +44,7 @@
     return out
 
 
-def commands(asked: Asked) -> click.Group:
+def commands(call_worker: CallWorker) -> click.Group:
     """The group; `asked` calls the running worker."""
 
     @click.group()
@@ -52,6 +52,6 @@
         """The fleet, as the running worker sees it."""
 
     about = "Members, budgets, counts with their bounds, and judgements with their evidence."
-    shows(peers, asked, "peers", about, _lines)
+    add_show_command(peers, call_worker, "peers", about, _lines)
 
     return peers
--- a/ochrehoist/cli/recovery.py
+++ b/ochrehoist/cli/recovery.py
@@ -4,7 +4,7 @@
 
 import click
 
-from ochrehoist.cli.common import NO, Asked, shows
+from ochrehoist.cli.common import CallWorker, ExitCode, add_show_command
 
 STAGES = ("settings", "store", "lost", "peers", "services", "warming")
 
@@ -25,7 +25,7 @@
     return out
 
 
-def commands(asked: Asked) -> click.Group:
+def commands(call_worker: CallWorker) -> click.Group:
     """The group; `asked` calls the running worker."""
 
     @click.group()
@@ -33,15 +33,15 @@
         """How far this start has come, and what it waits for."""
 
     about = "The stages of this start, full service as it is measured, and witnesses."
-    shows(recovery, asked, "recovery", about, lines)
+    add_show_command(recovery, call_worker, "recovery", about, lines)
 
     @recovery.command()
     @click.argument("stage", type=click.Choice(STAGES))
     @click.pass_context
     def skip(ctx: click.Context, stage: str) -> None:
         """Go on without STAGE. `lost` takes filings that may have run for new: it risks second runs."""
-        yes, text = asked(ctx.obj, "POST", f"/recovery/skip/{stage}")
+        yes, text = call_worker(ctx.obj, "POST", f"/recovery/skip/{stage}")
         click.echo(text, nl=False)
-        ctx.exit(0 if yes else NO)
+        ctx.exit(0 if yes else ExitCode.FAILED)
 
     return recovery
--- a/ochrehoist/cli/scale.py
+++ b/ochrehoist/cli/scale.py
@@ -6,22 +6,25 @@
 
 import click
 
-from ochrehoist.cli.common import NO, WRONG, end, stops
+from ochrehoist.cli.common import ExitCode, fail, handles_errors
 
 CHECK = 20  # hollow ones, and as many real ones
 
 
 def _told(error: BaseException) -> None:
     if isinstance(error, ModuleNotFoundError):
-        end("the laboratory's libraries are missing: install them by `pip install 'ochrehoist[plan]'`", WRONG)
+        fail(
+            "the laboratory's libraries are missing: install them by `pip install 'ochrehoist[plan]'`",
+            ExitCode.INVALID_INPUT,
+        )
     from ochrehoist.lab.errors import InvalidRunError, RunAbortedError
 
     if isinstance(error, InvalidRunError):
-        end(str(error), WRONG)
+        fail(str(error), ExitCode.INVALID_INPUT)
     if isinstance(error, RunAbortedError | OSError):
-        end(str(error), NO)
+        fail(str(error), ExitCode.FAILED)
     if isinstance(error, KeyboardInterrupt):
-        end("broken off; all processes of the run are ended", NO)
+        fail("broken off; all processes of the run are ended", ExitCode.FAILED)
 
 
 def _numbers(ctx: click.Context, param: click.Parameter, value: str) -> list[int]:
@@ -35,7 +38,7 @@
     try:
         return json.loads(path.read_text())["runs"]
     except (OSError, ValueError, KeyError, TypeError) as error:
-        end(f"{path}: not the results of scale runs: {error}", WRONG)
+        fail(f"{path}: not the results of scale runs: {error}", ExitCode.INVALID_INPUT)
         raise
 
 
@@ -113,7 +116,7 @@
     "--tree", type=click.Path(path_type=Path, file_okay=False), help="Run the workers of this tree."
 )
 @click.pass_context
-@stops(_told)
+@handles_errors(_told)
 def scale(
     ctx: click.Context,
     members: list[int],
@@ -141,7 +144,7 @@
 
     words = [] if faults == "none" else faults.split(",")
     if set(words) - set(FaultKind):
-        end(f"--faults: there are {', '.join(FaultKind)}", WRONG)
+        fail(f"--faults: there are {', '.join(FaultKind)}", ExitCode.INVALID_INPUT)
     kinds = tuple(FaultKind(word) for word in words)
     other = _runs(against) if against is not None else None
     runs = _runs(out) if out is not None and out.exists() else []
@@ -178,4 +181,4 @@
     if html is not None:
         made = f"ochrehoist lab scale, {runs[-1]['date']}, version {runs[-1]['version']}"
         html.write_text(report.html_page(runs, made, other))
-    ctx.exit(0 if all(r["ended"] == "whole" for r in new) else NO)
+    ctx.exit(0 if all(r["ended"] == "whole" for r in new) else ExitCode.FAILED)
--- a/ochrehoist/cli/sites.py
+++ b/ochrehoist/cli/sites.py
@@ -5,7 +5,7 @@
 
 import click
 
-from ochrehoist.cli.common import NO, WRONG, Asked, end, shows
+from ochrehoist.cli.common import CallWorker, ExitCode, add_show_command, fail
 
 ABOUT = {
     "evacuate": "Empty SITE: its workers ask for less by steps, then for nothing. Ends after six hours.",
@@ -61,14 +61,16 @@
     return out
 
 
-def commands(asked: Asked) -> click.Group:
+def commands(call_worker: CallWorker) -> click.Group:
     """The group; `asked` calls the running worker."""
 
     @click.group()
     def sites() -> None:
         """The loss of a site and its return, as the running worker sees them."""
 
-    shows(sites, asked, "sites", "Sites, steps, what is let in, orders and the playbook in use.", lines)
+    add_show_command(
+        sites, call_worker, "sites", "Sites, steps, what is let in, orders and the playbook in use.", lines
+    )
 
     @sites.command(epilog="Example: ochrehoist sites check playbook.toml")
     @click.argument("file", type=click.Path(path_type=Path))
@@ -80,7 +82,7 @@
         try:
             book = parse(file.read_text(encoding="utf-8"))
         except (OSError, ValueError, PlaybookError) as error:
-            end("\n".join(f"{file}: {line}" for line in str(error).splitlines()), WRONG)
+            fail("\n".join(f"{file}: {line}" for line in str(error).splitlines()), ExitCode.INVALID_INPUT)
         click.echo(
             f"{file}: good; {book.fleet}, made {book.made_at}, digest {book.digest}, "
             f"for the loss of {', '.join(x.site for x in book.losses)}"
@@ -91,9 +93,9 @@
         @click.argument("site")
         @click.pass_context
         def call(ctx: click.Context, site: str) -> None:
-            yes, text = asked(ctx.obj, "POST", f"/sites/{word}/{site}")
+            yes, text = call_worker(ctx.obj, "POST", f"/sites/{word}/{site}")
             click.echo(text, nl=False)
-            ctx.exit(0 if yes else NO)
+            ctx.exit(0 if yes else ExitCode.FAILED)
 
     for word in ABOUT:
         order(word)
--- a/ochrehoist/cli/state.py
+++ b/ochrehoist/cli/state.py
@@ -7,7 +7,7 @@
 
 import click
 
-from ochrehoist.cli.common import DAMAGED, NO, end, stops
+from ochrehoist.cli.common import ExitCode, fail, handles_errors
 from ochrehoist.config import loader as configuration
 from ochrehoist.errors import InvalidInputError
 
@@ -19,9 +19,9 @@
 )
 
 
-@stops
-def _stops(error: Exception) -> None:
-    """What can't be done is told in one line, with what to do."""
+@handles_errors
+def _handles_store_errors(error: BaseException) -> None:
+    """Ends a command with a line that says what could not be done, and what to do."""
     from ochrehoist.store.errors import (
         InvalidExportError,
         StoreFailedError,
@@ -38,7 +38,7 @@
 
 
 def _no(text: str) -> None:
-    end(text, NO)
+    fail(text, ExitCode.FAILED)
 
 
 def _folder(ctx: click.Context, folder: Path | None) -> tuple[Path, int]:
@@ -60,7 +60,7 @@
 @FOLDER
 @click.option("--json", "as_json", is_flag=True, help="As JSON.")
 @click.pass_context
-@_stops
+@_handles_store_errors
 def show(ctx: click.Context, folder: Path | None, as_json: bool) -> None:
     """What is kept; also beside a running worker."""
     from ochrehoist.store.maintenance import describe_store
@@ -77,20 +77,20 @@
 @FOLDER
 @click.option("--json", "as_json", is_flag=True, help="As JSON.")
 @click.pass_context
-@_stops
+@_handles_store_errors
 def check(ctx: click.Context, folder: Path | None, as_json: bool) -> None:
     """Read all of it and say what is wrong; also beside a running worker. Ends with 3 where something is."""
     from ochrehoist.store.maintenance import verify_store
 
     found = verify_store(_folder(ctx, folder)[0])
     click.echo(json.dumps({"found": found}) if as_json else "\n".join(found) or "sound")
-    ctx.exit(DAMAGED if found else 0)
+    ctx.exit(ExitCode.DAMAGED if found else 0)
 
 
 @state.command(epilog="Example: ochrehoist --config site.toml state init")
 @FOLDER
 @click.pass_context
-@_stops
+@_handles_store_errors
 def init(ctx: click.Context, folder: Path | None) -> None:
     """Make an empty store, for a worker whose configuration says that one must exist."""
     from ochrehoist.store.maintenance import initialize_store
@@ -105,7 +105,7 @@
 @FOLDER
 @click.argument("file")
 @click.pass_context
-@_stops
+@_handles_store_errors
 def export_(ctx: click.Context, folder: Path | None, file: str) -> None:
     """Write the store of a stopped worker to FILE (- for standard output), as JSON Lines."""
     from ochrehoist.store.export import export_lines
@@ -130,7 +130,7 @@
 @FOLDER
 @click.argument("file")
 @click.pass_context
-@_stops
+@_handles_store_errors
 def import_(ctx: click.Context, folder: Path | None, file: str) -> None:
     """Take an export from FILE (- for standard input) into the folder of a stopped worker."""
     from ochrehoist.store.export import read_export
@@ -146,7 +146,7 @@
 @state.command()
 @FOLDER
 @click.pass_context
-@_stops
+@_handles_store_errors
 def compact(ctx: click.Context, folder: Path | None) -> None:
     """Write the store of a stopped worker anew, without what is over."""
     from ochrehoist.store.maintenance import compact_store, describe_store
--- a/ochrehoist/lab/platform.py
+++ b/ochrehoist/lab/platform.py
@@ -10,8 +10,8 @@
 from ochrehoist.lab.ends import Clock, OnCores, Run
 from ochrehoist.lab.judge import REFUSED, SERVED, CallMade
 from ochrehoist.plan.cores import Machine
-from ochrehoist.plan.measure import MOST_OPEN, Connection
 from ochrehoist.plan.routing import Answer
+from ochrehoist.plan.thrift_client import MAX_OPEN_REQUESTS, Connection
 
 FAILED, CROSSED = 502, -2
 KEPT = 4000  # notices
@@ -137,7 +137,7 @@
 
     async def _ask(self, call: CallMade, attempt: int, work: float) -> int:
         self.connections = [c for c in self.connections if not c.closed]
-        c = next((c for c in self.connections if len(c.waiting) < MOST_OPEN), None)
+        c = next((c for c in self.connections if len(c.waiting) < MAX_OPEN_REQUESTS), None)
         if c is None:
             c = Connection(*await asyncio.open_connection(*self.address))
             self.connections.append(c)
--- a/ochrehoist/plan/analytic.py
+++ b/ochrehoist/plan/analytic.py
@@ -1,245 +1,417 @@
-"""The fleet in steady state, by figures alone: offered work with the fixed point of retries, and what binds
-each worker. No I/O.
+"""The fleet in steady state, by queueing theory alone. No I/O.
 
-It checks the event model where both apply: constant load, warm machines, the hold short against the aims.
+It finds the offered work with the fixed point of retries, and what limits each worker.
+It checks the event model where both apply: constant load, warm machines, a queue that is short against the
+latency objectives.
 """
 
 import math
 from collections.abc import Sequence
 from dataclasses import dataclass
+from enum import StrEnum
 
 import numpy as np
 
-from ochrehoist.config.fleet_description import Choice, Fleet, Kind
-from ochrehoist.plan.demand import lognormal, popularity
+from ochrehoist.config.fleet_description import Choice, Class, Fleet, Kind
+from ochrehoist.plan.demand import FloatArray, draw_lognormal, zipf_weights
 from ochrehoist.plan.routing import rendezvous
 
-ROUNDS = 200  # of the fixed point; it is damped by half
-USABLE = 0.97  # of the cores that a hold which is never empty keeps busy
-SAMPLES = 4000  # of the work of a class
-WAITED = 0.6  # of what an aim leaves after the run that a hold in overload lets requests wait
+FIXED_POINT_ROUNDS = 200  # of the retries; each is damped by half
+BISECTION_ROUNDS = 40
+USABLE_SHARE = 0.97  # of the cores that a queue which is never empty keeps busy
+WORK_SAMPLES = 4000  # of each class
+OVERLOAD_WAIT_SHARE = 0.6  # of an objective, that a queue in overload lets requests wait
+OVERLOAD_WAIT_RANGE = (0.3, 1.0)  # of that share
+HASHED_SUBJECTS = 2000  # placed one by one; the rest is even enough
+MAX_HOPELESS_SHARE = (
+    0.25  # of the requests that no idle machine ends in time: then the objective is the limit
+)
+RUNNING_PER_CORE = 1.3
+HELD_S = 0.3  # for which a request takes memory beside its run
+MAX_SWING = 0.5
+MIN_DIVISOR = 1e-9
+LOAD_STEPS = 50  # to which loads and speeds are rounded where one draw serves several workers
+
+
+class Limit(StrEnum):
+    """What may limit a worker. The values are words of the planner's answers."""
+
+    CORES = "cores"
+    READING = "reading"
+    MEMORY = "memory"
+    CONNECTIONS = "connections"
+    OBJECTIVE = "aim"
 
 
 @dataclass(frozen=True)
 class WorkerState:
-    """One worker in steady state."""
+    """One worker in steady state.
+
+    Attributes:
+        speed: Of its cores.
+        attempts: A second.
+        served: A second.
+        load: Work offered, reading included, as a share of what its cores can do.
+        memory: The share in use.
+        connections: The share in use.
+        limit: What limits it first.
+        headroom: The load grows by this factor before that limit is reached; under 1 it is exceeded now.
+    """
 
     address: str
     kind: str
     speed: float
-    tries: float  # a second
-    served: float  # a second
-    load: float  # work offered, reading included, of what its cores can do
-    memory: float  # share in use
-    connections: float  # share in use
-    limit: str  # what binds it first: cores, reading, memory, connections, or aim
-    headroom: float  # the load grows by this factor before that binds; under 1 it binds now
+    attempts: float
+    served: float
+    load: float
+    memory: float
+    connections: float
+    limit: Limit
+    headroom: float
 
 
 @dataclass(frozen=True)
-class Steady:
+class SteadyState:
+    """A fleet in steady state; goodput is the share of the priority weight asked for that is gained."""
+
     goodput: float
-    tries_per_call: float
+    attempts_per_call: float
     workers: list[WorkerState]
 
     @property
-    def first(self) -> WorkerState:
-        """The worker that binds first."""
-        return min(self.workers, key=lambda w: w.headroom)
-
-
-def _shares(fleet: Fleet, speeds: Sequence[float]) -> tuple[np.ndarray, np.ndarray]:
-    """The share of each worker in first tries, routers together; and in proportion to its room, for those who
-    look at what is open."""
-    kinds = [fleet.kind(w.kind) for w in fleet.placed_workers]
-    room = np.array([k.cores * v for k, v in zip(kinds, speeds, strict=True)])
-    count, out = len(room), np.zeros(len(room))
-    groups = [fleet.routers[r.group] for r in fleet.placed_routers]
-    whole = sum(g.weight for g in groups)
-    by_subject: np.ndarray | None = None
-    looks = 0.0
-    for g in groups:
-        part = g.weight / whole
-        if g.choice is Choice.SUBJECT:
-            if by_subject is None:
-                by_subject = _by_subject(fleet, count)
-            out += part * by_subject
-        elif g.choice is Choice.WEIGHTED:
-            out += part * room / room.sum()
-        elif g.choice is Choice.ROUND:
-            out += part / count
-        else:
-            looks += part
-    return out, looks * room / room.sum()
+    def first_limited(self) -> WorkerState:
+        """The worker whose limit is reached first."""
+        return min(self.workers, key=lambda worker: worker.headroom)
 
 
-def _by_subject(fleet: Fleet, count: int) -> np.ndarray:
-    load, out = fleet.load, np.zeros(count)
-    workers = range(count)
-    hot = load.hot_share if load.hot else 0.0
-    weights = popularity(load.subjects, load.zipf) * (1 - hot)
-    for at in range(min(load.subjects, 2000)):  # the rest is even enough
-        out[rendezvous(at + 1, workers)] += weights[at]
-    out += weights[2000:].sum() / count
-    for at in range(load.hot):
-        out[rendezvous(load.subjects + 1 + at, workers)] += hot / load.hot
-    return out / out.sum()
+def solve(fleet: Fleet, speeds: Sequence[float], seed: int = 0) -> SteadyState:
+    """The steady state with these speeds of the workers, in the fleet's order.
+
+    The same arguments give the same result.
+
+    Within an objective the work that arrives swings about its mean, in a small fleet by much: goodput is that
+    of three loads, with the weights of Gauss-Hermite quadrature. Workers are described at the mean.
+    """
+    rate = fleet.load.rate
+    middle = _solve_at_load(fleet, speeds, seed)
+    objective_s = sum(each.share * each.aim_ms for each in fleet.classes) / 1000
+    spread = sum(each.share * (1 + each.cv**2) for each in fleet.classes)
+    swing = min(MAX_SWING, math.sqrt(3 * spread / max(1.0, rate * objective_s)))
+    low = _solve_at_load(fleet.with_load(rate * (1 + -swing)), speeds, seed).goodput
+    high = _solve_at_load(fleet.with_load(rate * (1 + swing)), speeds, seed).goodput
+    # By share of the priority weight: what arrives in a heavier spell weighs by its load.
+    goodput = ((1 - swing) * low + 4 * middle.goodput + (1 + swing) * high) / 6
+    return SteadyState(goodput, middle.attempts_per_call, middle.workers)
+
+
+def saturation_rate(fleet: Fleet, speeds: Sequence[float]) -> float:
+    """The rate (calls a second) at which the first worker reaches its limit, by bisection."""
+    low = fleet.load.rate * 0.01
+    high = fleet.load.rate * 100
+    for _ in range(BISECTION_ROUNDS):
+        middle = math.sqrt(low * high)
+        if solve(fleet.with_load(middle), speeds).first_limited.headroom >= 1:
+            low = middle
+        else:
+            high = middle
+    return low
 
 
 def erlang_c(servers: int, offered: float) -> float:
-    """The chance that one has to wait, of `offered` servers' worth of work."""
+    """The probability that a request waits in an M/M/c queue, of `offered` servers' worth of work.
+
+    With c servers and the offered load A: C(c, A) = top / (sum of A^k / k! for k < c, + top), where
+    top = A^c / c! * c / (c - A).
+    """
     if offered >= servers:
         return 1.0
     term = total = 1.0
-    for n in range(1, servers):
-        term *= offered / n
+    for number in range(1, servers):
+        term *= offered / number
         total += term
-    last = term * offered / servers * servers / (servers - offered)
-    return last / (total + last)
-
-
-def _again(left: float, again: float, routers: float, clients: int) -> float:
-    """Further tries for each call where the share `left` of the tries is refused. The module wishes that a
-    marked try is not sent around, and of the others the more, the more marked ones come."""
-    final = min(1.0, 2 * again / (1 + again))
-    around = min(1.0, routers) * left * (1 - final)
-    failed = left - around * (1 - left)
-    return around + sum(failed * left**n for n in range(clients))
-
-
-def _by_worth(fleet: Fleet, served: float) -> float:
-    """The share of the worth that is got where so much of the calls is served, the dearest first."""
-    total = gained = 0.0
-    for c in sorted(fleet.classes, key=lambda c: -c.worth):
-        part = min(1.0, served / c.share) if c.share else 0.0
-        served = max(0.0, served - c.share)
-        total += c.share * c.worth * c.mean_ms
-        gained += part * c.share * c.worth * c.mean_ms
+    top = term * offered / servers * servers / (servers - offered)
+    return top / (total + top)
+
+
+@dataclass(frozen=True)
+class _Offer:
+    """What routers send to the workers at one load.
+
+    Attributes:
+        attempts: A second, by worker.
+        rejected: The share of them, by worker.
+    """
+
+    attempts: FloatArray
+    rejected: FloatArray
+
+    @property
+    def served(self) -> FloatArray:
+        return self.attempts * (1 - self.rejected)
+
+
+class _FleetCapacity:
+    """The workers of a fleet with their speeds; work is in seconds on a core of speed 1."""
+
+    def __init__(self, fleet: Fleet, speeds: Sequence[float]) -> None:
+        self.fleet = fleet
+        self.speeds = speeds
+        self.kinds = [fleet.kind(worker.kind) for worker in fleet.placed_workers]
+        self.mean_work_s = fleet.mean_work_s
+        self.read_work_s = fleet.intake.share * fleet.mean_work_s
+        self.capacity = np.array([kind.cores * speed for kind, speed in zip(self.kinds, speeds, strict=True)])
+
+
+def _solve_at_load(fleet: Fleet, speeds: Sequence[float], seed: int) -> SteadyState:
+    """The steady state at one load, without its swing."""
+    workers = _FleetCapacity(fleet, speeds)
+    offer = _offered(workers)
+    served = offer.served
+    in_time = _InTimeEstimator(fleet, seed)
+    states = []
+    gained = 0.0
+    served_total = 0.0
+    for index, kind in enumerate(workers.kinds):
+        load = _load(workers, offer, index)
+        offered_load = float(
+            offer.attempts[index] * (workers.mean_work_s + workers.read_work_s) / workers.capacity[index]
+        )
+        estimate = in_time.estimate(kind, speeds[index], load, offered_load)
+        gained += float(served[index]) * estimate.gained
+        served_total += float(served[index])
+        states.append(_worker_state(workers, offer, index, offered_load, estimate.hopeless))
+    rate = fleet.load.rate
+    goodput = 0.0
+    if served_total:
+        goodput = _weight_served(fleet, min(1.0, served_total / rate)) * gained / served_total
+    return SteadyState(goodput, float(offer.attempts.sum()) / rate, states)
+
+
+def _load(workers: _FleetCapacity, offer: _Offer, index: int) -> float:
+    """Work of what is served and of all reading, as a share of what the worker's cores can do."""
+    work_s = workers.mean_work_s * (1 - offer.rejected[index]) + workers.read_work_s
+    return float(offer.attempts[index] * work_s / workers.capacity[index])
+
+
+def _offered(workers: _FleetCapacity) -> _Offer:
+    """The fixed point of retries: what is rejected is sent again as often as routers and clients try."""
+    fleet = workers.fleet
+    rate = fleet.load.rate
+    by_choice, by_open_requests = _first_attempt_shares(fleet, workers.capacity)
+    share = by_choice + by_open_requests
+    capacity = workers.capacity
+    router_retries = _mean_router_retries(fleet)
+    rejected: FloatArray = np.zeros(len(capacity))
+    attempts = rate * share
+    retries = 0.0
+    for _ in range(FIXED_POINT_ROUNDS):
+        rejected_share = float((attempts * rejected).sum()) / max(MIN_DIVISOR, float(attempts.sum()))
+        retries = _retries_per_call(rejected_share, retries, router_retries, fleet.clients.retries)
+        spread = np.maximum(MIN_DIVISOR, (1 - rejected) * capacity) if rejected.any() else capacity
+        wanted = rate * (share + retries * spread / spread.sum())
+        attempts = (attempts + wanted) / 2
+        room = np.maximum(0.0, USABLE_SHARE * capacity - attempts * workers.read_work_s) / workers.mean_work_s
+        rejected = np.where(attempts > room, 1 - room / np.maximum(MIN_DIVISOR, attempts), 0.0)
+    return _Offer(attempts, rejected)
+
+
+def _mean_router_retries(fleet: Fleet) -> float:
+    groups = [fleet.routers[router.group] for router in fleet.placed_routers]
+    return sum(group.weight * group.retries for group in groups) / sum(group.weight for group in groups)
+
+
+def _retries_per_call(
+    rejected_share: float, retries: float, router_retries: float, client_retries: int
+) -> float:
+    """Further attempts for each call where this share of the attempts is rejected.
+
+    The controller wishes that a marked attempt is not sent on, and of the others the more, the more marked
+    ones arrive.
+    """
+    no_retry_share = min(1.0, 2 * retries / (1 + retries))
+    by_routers = min(1.0, router_retries) * rejected_share * (1 - no_retry_share)
+    failed = rejected_share - by_routers * (1 - rejected_share)
+    return by_routers + sum(failed * rejected_share**number for number in range(client_retries))
+
+
+def _first_attempt_shares(fleet: Fleet, capacity: FloatArray) -> tuple[FloatArray, FloatArray]:
+    """The share of each worker in first attempts, of all routers together.
+
+    First of routers that choose without regard to load; then, in proportion to capacity, of those that regard
+    open requests.
+    """
+    count = len(capacity)
+    shares: FloatArray = np.zeros(count)
+    groups = [fleet.routers[router.group] for router in fleet.placed_routers]
+    total_weight = sum(group.weight for group in groups)
+    by_subject: FloatArray | None = None
+    looking = 0.0
+    for group in groups:
+        part = group.weight / total_weight
+        match group.choice:
+            case Choice.SUBJECT:
+                if by_subject is None:
+                    by_subject = _subject_shares(fleet, count)
+                shares += part * by_subject
+            case Choice.WEIGHTED:
+                shares += part * capacity / capacity.sum()
+            case Choice.ROUND:
+                shares += part / count
+            case _:
+                looking += part
+    return shares, looking * capacity / capacity.sum()
+
+
+def _subject_shares(fleet: Fleet, count: int) -> FloatArray:
+    """The share of each worker where each subject has its own."""
+    load = fleet.load
+    shares: FloatArray = np.zeros(count)
+    workers = range(count)
+    hot_share = load.hot_share if load.hot else 0.0
+    weights = zipf_weights(load.subjects, load.zipf) * (1 - hot_share)
+    for index in range(min(load.subjects, HASHED_SUBJECTS)):
+        shares[rendezvous(index + 1, workers)] += weights[index]
+    shares += weights[HASHED_SUBJECTS:].sum() / count
+    for index in range(load.hot):
+        shares[rendezvous(load.subjects + 1 + index, workers)] += hot_share / load.hot
+    normalized: FloatArray = shares / shares.sum()
+    return normalized
+
+
+def _weight_served(fleet: Fleet, served: float) -> float:
+    """The share of the priority weight of all calls that this served share has, the dearest served first."""
+    total = 0.0
+    gained = 0.0
+    for each in sorted(fleet.classes, key=lambda request_class: -request_class.worth):
+        part = min(1.0, served / each.share) if each.share else 0.0
+        served = max(0.0, served - each.share)
+        total += each.share * each.worth * each.mean_ms
+        gained += part * each.share * each.worth * each.mean_ms
     return gained / total
 
 
-def _in_time(
-    fleet: Fleet, kind: Kind, speed: float, load: float, rng: np.random.Generator
-) -> tuple[float, float]:
-    """Of what is served, the worth's share; of what comes, the share that no idle machine ends by its aim."""
-    gained = total = hopeless = 0.0
-    for c in fleet.classes:
-        work = lognormal(rng, c.work_ms / 1000, c.cv, SAMPLES) / speed
-        heavy = rng.uniform(size=SAMPLES) < c.heavy_share
-        work[heavy] *= c.heavy_times
-        aim, due = c.aim_ms / 1000, c.deadline_ms / 1000
-        # At the most what waits in overload, where what would wait longer is turned away.
-        wait = rng.uniform(0.3, 1.0, SAMPLES) * WAITED * aim * (1 - 1 / (1 + kind.cores))
-        if load < 1:
-            waits = erlang_c(kind.cores, load * kind.cores)
-            drain = kind.cores * (1 - load) / max(1e-9, float(work.mean()))
-            some = np.where(rng.uniform(size=SAMPLES) < waits, rng.exponential(1 / drain, SAMPLES), 0.0)
-            wait = np.minimum(wait, some)
-        ends, worth = work + wait, c.share * c.worth * c.mean_ms
-        # Worth is by work: a large one that no idle machine ends in time weighs more than its count.
-        good = float(work[ends <= aim].sum() / work.sum())
-        late = float(work[(ends > aim) & (ends <= due)].sum() / work.sum())
-        gained += worth * (good + c.late_worth * late)
-        total += worth
-        hopeless += c.share * float((work > aim).mean())
-    return gained / total, hopeless
-
-
-def steady(fleet: Fleet, speeds: Sequence[float], seed: int = 0) -> Steady:
-    """`speeds`: of each worker in the fleet's order. The same for the same arguments.
-
-    Within an aim the work that comes swings about its mean, in a small fleet by much: goodput is that of
-    three loads, as Gauss and Hermite weigh them. Workers are told at the mean.
+@dataclass(frozen=True)
+class _InTime:
+    """Of one worker.
+
+    Attributes:
+        gained: The share of the priority weight of what it serves that is gained.
+        hopeless: The share of what arrives that no idle machine ends by its objective.
     """
-    middle, rate = _at(fleet, speeds, seed), fleet.load.rate
-    aim = sum(c.share * c.aim_ms for c in fleet.classes) / 1000
-    spread = sum(c.share * (1 + c.cv**2) for c in fleet.classes)
-    swing = min(0.5, math.sqrt(3 * spread / max(1.0, rate * aim)))
-    low, high = (_at(fleet.with_load(rate * (1 + part)), speeds, seed).goodput for part in (-swing, swing))
-    # The share of the worth: what comes in a heavier spell weighs by its load.
-    goodput = ((1 - swing) * low + 4 * middle.goodput + (1 + swing) * high) / 6
-    return Steady(goodput, middle.tries_per_call, middle.workers)
-
-
-def _at(fleet: Fleet, speeds: Sequence[float], seed: int) -> Steady:
-    """At one load, without its swing."""
-    placed = fleet.placed_workers
-    kinds = [fleet.kind(w.kind) for w in placed]
-    mean, read = fleet.mean_work_s, fleet.intake.share * fleet.mean_work_s
-    capacity = np.array([k.cores * v for k, v in zip(kinds, speeds, strict=True)])
-    direct, looking = _shares(fleet, speeds)
-    share = direct + looking
-    rate, refused = fleet.load.rate, np.zeros(len(placed))
-    retries = sum(r.weight * r.retries for r in (fleet.routers[p.group] for p in fleet.placed_routers)) / sum(
-        fleet.routers[p.group].weight for p in fleet.placed_routers
-    )
-    tries, again = rate * share, 0.0
-    for _ in range(ROUNDS):
-        # What is refused comes again, at the others, as often as routers and clients try.
-        left = float((tries * refused).sum()) / max(1e-9, float(tries.sum()))
-        again = _again(left, again, retries, fleet.clients.retries)
-        spread = np.maximum(1e-9, (1 - refused) * capacity) if refused.any() else capacity
-        wanted = rate * (share + again * spread / spread.sum())
-        tries = (tries + wanted) / 2
-        room = np.maximum(0.0, USABLE * capacity - tries * read) / mean
-        refused = np.where(tries > room, 1 - room / np.maximum(1e-9, tries), 0.0)
-    served = tries * (1 - refused)
-    states, gained, value = [], 0.0, 0.0
-    kb = sum(fleet.intake.held_kb) / 2
-    keyed = sum(c.share * c.window_ms / 1000 for c in fleet.classes if c.repeat == "deduplicated")
-    known: dict[tuple[str, int, int], tuple[float, float]] = {}
-    for n, (p, k) in enumerate(zip(placed, kinds, strict=True)):
-        load = float(tries[n] * (mean * (1 - refused[n]) + read) / capacity[n])
-        offered = float(tries[n] * (mean + read) / capacity[n])
-        key = p.kind, round(speeds[n] * 50), round(min(load, 1.0) * 50)
-        if key not in known:
+
+    gained: float
+    hopeless: float
+
+
+class _InTimeEstimator:
+    """What workers end in time, by drawn work. Workers of nearly the same load share one draw."""
+
+    def __init__(self, fleet: Fleet, seed: int) -> None:
+        self._fleet = fleet
+        self._seed = seed
+        self._known: dict[tuple[str, int, int], _InTime] = {}
+
+    def estimate(self, kind: Kind, speed: float, load: float, offered_load: float) -> _InTime:
+        """Of a worker with this load, and this offered load if nothing were rejected."""
+        key = (kind.name, round(speed * LOAD_STEPS), round(min(load, 1.0) * LOAD_STEPS))
+        if key not in self._known:
             # The same draws at every load: a little less of it must not come out worse by chance.
-            draws = np.random.default_rng(seed)
-            known[key] = _in_time(fleet, k, speeds[n], offered if offered > USABLE else load, draws)
-        part, hopeless = known[key]
-        gained += float(served[n]) * part
-        value += float(served[n])
-        running = min(k.cores * 1.3, float(served[n]) * mean / speeds[n] + 1)
-        memory = (
-            running * kb * fleet.intake.run_factor
-            + float(served[n]) * keyed * fleet.intake.key_kb
-            + float(tries[n]) * 0.3 * kb
-        ) / (k.memory_mb * 1000)
-        connections = len(fleet.placed_routers) / k.connections
-        reading = float(tries[n]) * read / capacity[n]
-        limits = {
-            "cores": offered / USABLE,
-            "reading": reading / USABLE,
-            "memory": memory,
-            "connections": connections,
-            "aim": hopeless / 0.25,
-        }
-        limit = max(limits, key=lambda name: limits[name])
-        states.append(
-            WorkerState(
-                p.address,
-                p.kind,
-                speeds[n],
-                float(tries[n]),
-                float(served[n]),
-                offered,
-                memory,
-                connections,
-                limit,
-                1 / max(1e-9, limits[limit]),
-            )
+            rng = np.random.default_rng(self._seed)
+            effective_load = offered_load if offered_load > USABLE_SHARE else load
+            self._known[key] = self._draw(kind, speed, effective_load, rng)
+        return self._known[key]
+
+    def _draw(self, kind: Kind, speed: float, load: float, rng: np.random.Generator) -> _InTime:
+        gained = 0.0
+        total = 0.0
+        hopeless = 0.0
+        for each in self._fleet.classes:
+            work, wait = _draw_work_and_wait(each, kind, speed, load, rng)
+            ends = work + wait
+            objective_s = each.aim_ms / 1000
+            deadline_s = each.deadline_ms / 1000
+            weight = each.share * each.worth * each.mean_ms
+            # Weight is by work: a large one that no idle machine ends in time weighs more than its count.
+            in_time = float(work[ends <= objective_s].sum() / work.sum())
+            late = float(work[(ends > objective_s) & (ends <= deadline_s)].sum() / work.sum())
+            gained += weight * (in_time + each.late_worth * late)
+            total += weight
+            hopeless += each.share * float((work > objective_s).mean())
+        return _InTime(gained / total, hopeless)
+
+
+def _draw_work_and_wait(
+    request_class: Class, kind: Kind, speed: float, load: float, rng: np.random.Generator
+) -> tuple[FloatArray, FloatArray]:
+    """Run times and queueing times (s) of a class at a worker."""
+    work: FloatArray = (
+        draw_lognormal(rng, request_class.work_ms / 1000, request_class.cv, WORK_SAMPLES) / speed
+    )
+    is_heavy = rng.uniform(size=WORK_SAMPLES) < request_class.heavy_share
+    work[is_heavy] *= request_class.heavy_times
+    objective_s = request_class.aim_ms / 1000
+    # At the most what waits in overload, where what would wait longer is rejected.
+    wait: FloatArray = (
+        rng.uniform(*OVERLOAD_WAIT_RANGE, WORK_SAMPLES)
+        * OVERLOAD_WAIT_SHARE
+        * objective_s
+        * (1 - 1 / (1 + kind.cores))
+    )
+    if load < 1:
+        waiting_share = erlang_c(kind.cores, load * kind.cores)
+        drain_rate = kind.cores * (1 - load) / max(MIN_DIVISOR, float(work.mean()))
+        queueing = np.where(
+            rng.uniform(size=WORK_SAMPLES) < waiting_share, rng.exponential(1 / drain_rate, WORK_SAMPLES), 0.0
         )
-    good = _by_worth(fleet, min(1.0, value / rate)) * gained / value if value else 0.0
-    return Steady(good, float(tries.sum()) / rate, states)
+        wait = np.minimum(wait, queueing)
+    return work, wait
 
 
-def knee(fleet: Fleet, speeds: Sequence[float]) -> float:
-    """The rate at which the first worker's binding limit is reached, by bisection."""
-    low, high = fleet.load.rate * 0.01, fleet.load.rate * 100
-    for _ in range(40):
-        middle = math.sqrt(low * high)
-        if steady(fleet.with_load(middle), speeds).first.headroom >= 1:
-            low = middle
-        else:
-            high = middle
-    return low
+def _worker_state(
+    workers: _FleetCapacity, offer: _Offer, index: int, offered_load: float, hopeless: float
+) -> WorkerState:
+    """What the worker does, and what limits it first."""
+    fleet = workers.fleet
+    placed = fleet.placed_workers[index]
+    kind = workers.kinds[index]
+    attempts = float(offer.attempts[index])
+    served = float(offer.served[index])
+    memory = _memory_share(workers, index, attempts, served)
+    connections = len(fleet.placed_routers) / kind.connections
+    reading = attempts * workers.read_work_s / workers.capacity[index]
+    usage = {
+        Limit.CORES: offered_load / USABLE_SHARE,
+        Limit.READING: reading / USABLE_SHARE,
+        Limit.MEMORY: memory,
+        Limit.CONNECTIONS: connections,
+        Limit.OBJECTIVE: hopeless / MAX_HOPELESS_SHARE,
+    }
+    limit = max(usage, key=lambda each: usage[each])
+    return WorkerState(
+        address=placed.address,
+        kind=placed.kind,
+        speed=workers.speeds[index],
+        attempts=attempts,
+        served=served,
+        load=offered_load,
+        memory=memory,
+        connections=connections,
+        limit=limit,
+        headroom=1 / max(MIN_DIVISOR, usage[limit]),
+    )
+
+
+def _memory_share(workers: _FleetCapacity, index: int, attempts: float, served: float) -> float:
+    """The share of a worker's memory that requests, runs and idempotency keys take."""
+    fleet = workers.fleet
+    kind = workers.kinds[index]
+    request_kb = sum(fleet.intake.held_kb) / 2
+    key_lifetime_s = sum(
+        each.share * each.window_ms / 1000 for each in fleet.classes if each.repeat == "deduplicated"
+    )
+    running = min(kind.cores * RUNNING_PER_CORE, served * workers.mean_work_s / workers.speeds[index] + 1)
+    return (
+        running * request_kb * fleet.intake.run_factor
+        + served * key_lifetime_s * fleet.intake.key_kb
+        + attempts * HELD_S * request_kb
+    ) / (kind.memory_mb * 1000)
--- a/ochrehoist/plan/demand.py
+++ b/ochrehoist/plan/demand.py
@@ -11,8 +11,17 @@
 import xxhash
 
 from ochrehoist.capture.reader import Capture, CapturedRequest
+from ochrehoist.capture.records import RequestRecord
 from ochrehoist.config.fleet_description import Fleet
+from ochrehoist.plan.errors import CaptureUnusableError
 
+FloatArray = np.ndarray[tuple[int, ...], np.dtype[np.float64]]
+IndexArray = np.ndarray[tuple[int, ...], np.dtype[np.int64]]
+
+NO_TENANT = -1
+NEVER_NS = -(10**18)
+NS_PER_S = 1e9
+NS_PER_MS = 1e6
 STREAMS = (
     "arrivals",
     "classes",
@@ -30,155 +39,203 @@
 
 
 class Streams:
-    """Named generators of one seed."""
+    """Named random generators of one seed."""
 
     def __init__(self, seed: int) -> None:
         children = np.random.SeedSequence(seed).spawn(len(STREAMS))
-        self.by_name = {
+        self._by_name = {
             name: np.random.default_rng(child) for name, child in zip(STREAMS, children, strict=True)
         }
 
     def __getitem__(self, name: str) -> np.random.Generator:
-        return self.by_name[name]
+        return self._by_name[name]
 
 
 @dataclass(slots=True, frozen=True)
-class Wish:
-    """What a client wants: `work` in seconds on a core of speed 1, `stated` as the request tells it."""
-
-    at: float
-    cls: int
-    tenant: int
-    subject: int  # 0: none
-    work: float
-    stated: float
-    router: int
+class PlannedCall:
+    """A call that a client will make.
+
+    Attributes:
+        starts_at: s since the start of the run.
+        tenant_index: NO_TENANT where the fleet has none.
+        subject: What it is about; 0 for nothing.
+        work_s: CPU time on a core of speed 1.
+        stated_work_s: CPU time as the request states it.
+        memory_kb: While a worker holds it.
+    """
+
+    starts_at: float
+    class_index: int
+    tenant_index: int
+    subject: int
+    work_s: float
+    stated_work_s: float
+    router_index: int
     memory_kb: float
 
 
-def lognormal(rng: np.random.Generator, mean: float, cv: float, count: int) -> np.ndarray:
+def draw_lognormal(rng: np.random.Generator, mean: float, cv: float, count: int) -> FloatArray:
+    """Draws from a log-normal distribution of this mean and coefficient of variation.
+
+    sigma is the standard deviation of the logarithm, sqrt(ln(1 + cv^2)); its mean is ln(mean) - sigma^2 / 2.
+    """
     if cv == 0:
         return np.full(count, mean)
     sigma = math.sqrt(math.log(1 + cv * cv))
     return rng.lognormal(math.log(mean) - sigma * sigma / 2, sigma, count)
 
 
-def popularity(subjects: int, zipf: float) -> np.ndarray:
-    weights = np.arange(1, subjects + 1, dtype=float) ** -zipf
-    return weights / weights.sum()
+def zipf_weights(subjects: int, exponent: float) -> FloatArray:
+    """The share of requests for each subject by its rank: rank^-exponent, summing up to 1."""
+    weights: FloatArray = np.arange(1, subjects + 1, dtype=float) ** -exponent
+    normalized: FloatArray = weights / weights.sum()
+    return normalized
 
 
-def moments(fleet: Fleet, rng: np.random.Generator, seconds: float) -> np.ndarray:
-    """Arrivals of a Poisson stream whose rate swings, by thinning."""
+def draw_arrivals(fleet: Fleet, rng: np.random.Generator, duration_s: float) -> FloatArray:
+    """Arrivals (s) of a Poisson process whose rate swings as a sine, by thinning."""
     load = fleet.load
-    top = load.rate * (1 + load.swing)
-    count = rng.poisson(top * seconds)
-    at = np.sort(rng.uniform(0, seconds, count))
+    peak_rate = load.rate * (1 + load.swing)
+    count = rng.poisson(peak_rate * duration_s)
+    arrivals = np.sort(rng.uniform(0, duration_s, count))
     if load.swing:
-        rate = load.rate * (1 + load.swing * np.sin(2 * math.pi * at / load.swing_s))
-        at = at[rng.uniform(0, top, count) < rate]
-    return at
+        rate = load.rate * (1 + load.swing * np.sin(2 * math.pi * arrivals / load.swing_s))
+        arrivals = arrivals[rng.uniform(0, peak_rate, count) < rate]
+    return arrivals
+
+
+def draw_calls(fleet: Fleet, streams: Streams, duration_s: float) -> Iterator[PlannedCall]:
+    """The calls of the described load, in order of time."""
+    arrivals = draw_arrivals(fleet, streams["arrivals"], duration_s)
+    count = len(arrivals)
+    classes = _draw_indices(streams["classes"], [each.share for each in fleet.classes], count)
+    tenants: IndexArray = np.full(count, NO_TENANT)
+    if fleet.tenants:
+        tenants = _draw_indices(streams["tenants"], [tenant.share for tenant in fleet.tenants], count)
+    router_weights = [fleet.routers[router.group].weight for router in fleet.placed_routers]
+    routers = _draw_indices(streams["routers"], router_weights, count)
+    subjects = _draw_subjects(fleet, streams, count)
+    work = _draw_work(fleet, streams, classes)
+    stated_work = work * draw_lognormal(streams["hints"], 1.0, fleet.load.hint_cv, count)
+    sizes = streams["sizes"].uniform(*fleet.intake.held_kb, count)
+    for index in range(count):
+        yield PlannedCall(
+            starts_at=float(arrivals[index]),
+            class_index=int(classes[index]),
+            tenant_index=int(tenants[index]),
+            subject=int(subjects[index]),
+            work_s=float(work[index]),
+            stated_work_s=float(stated_work[index]),
+            router_index=int(routers[index]),
+            memory_kb=float(sizes[index]),
+        )
 
 
-def drawn(fleet: Fleet, streams: Streams, seconds: float) -> Iterator[Wish]:
-    """The calls of a described load, in order of time."""
-    load = fleet.load
-    at = moments(fleet, streams["arrivals"], seconds)
-    count = len(at)
+def _draw_indices(rng: np.random.Generator, shares: list[float], count: int) -> IndexArray:
+    weights = np.array(shares, dtype=float)
+    return rng.choice(len(weights), count, p=weights / weights.sum())
 
-    def one_of(stream: str, shares: list[float]) -> np.ndarray:
-        weights = np.array(shares, dtype=float)
-        return streams[stream].choice(len(weights), count, p=weights / weights.sum())
 
-    classes = one_of("classes", [c.share for c in fleet.classes])
-    tenants = one_of("tenants", [t.share for t in fleet.tenants]) if fleet.tenants else np.full(count, -1)
-    routers = one_of("routers", [fleet.routers[r.group].weight for r in fleet.placed_routers])
-    subjects = streams["subjects"].choice(load.subjects, count, p=popularity(load.subjects, load.zipf)) + 1
+def _draw_subjects(fleet: Fleet, streams: Streams, count: int) -> IndexArray:
+    """By Zipf's law, and of the hot subjects their share; subjects count from 1."""
+    load = fleet.load
+    weights = zipf_weights(load.subjects, load.zipf)
+    subjects = streams["subjects"].choice(load.subjects, count, p=weights) + 1
     if load.hot and load.hot_share:
-        hot = streams["hot"].uniform(size=count) < load.hot_share
-        subjects[hot] = load.subjects + 1 + streams["hot"].integers(0, load.hot, int(hot.sum()))
+        is_hot = streams["hot"].uniform(size=count) < load.hot_share
+        subjects[is_hot] = load.subjects + 1 + streams["hot"].integers(0, load.hot, int(is_hot.sum()))
+    return subjects
+
+
+def _draw_work(fleet: Fleet, streams: Streams, classes: IndexArray) -> FloatArray:
+    """Seconds on a core of speed 1 for each call of these classes; heavy ones cost many times as much."""
+    count = len(classes)
     work = np.empty(count)
-    for number, c in enumerate(fleet.classes):
-        mine = classes == number
-        work[mine] = lognormal(streams["work"], c.work_ms / 1000, c.cv, int(mine.sum()))
-        heavy = mine & (streams["heavy"].uniform(size=count) < c.heavy_share)
-        work[heavy] *= c.heavy_times
-    stated = work * lognormal(streams["hints"], 1.0, load.hint_cv, count)
-    sizes = streams["sizes"].uniform(*fleet.intake.held_kb, count)
-    for n in range(count):
-        yield Wish(
-            float(at[n]),
-            int(classes[n]),
-            int(tenants[n]),
-            int(subjects[n]),
-            float(work[n]),
-            float(stated[n]),
-            int(routers[n]),
-            float(sizes[n]),
-        )
+    for index, request_class in enumerate(fleet.classes):
+        of_class = classes == index
+        mean_s = request_class.work_ms / 1000
+        work[of_class] = draw_lognormal(streams["work"], mean_s, request_class.cv, int(of_class.sum()))
+        is_heavy = of_class & (streams["heavy"].uniform(size=count) < request_class.heavy_share)
+        work[is_heavy] *= request_class.heavy_times
+    return work
 
 
-def speeds(fleet: Fleet, streams: Streams) -> list[float]:
+def draw_speeds(fleet: Fleet, streams: Streams) -> list[float]:
     """A speed for each worker, drawn from its kind's range; one more worker leaves the others' alone."""
-    out = []
+    speeds = []
     for worker in fleet.placed_workers:
         low, high = fleet.kind(worker.kind).speeds
-        out.append(float(streams["speeds"].uniform(low, high)))
-    return out
-
-
-def _firsts(fleet: Fleet, capture: Capture, classes: dict[str, int]) -> list[CapturedRequest]:
-    """The first that was seen of each call. Tries of one state the same work, which hardly two calls do."""
-    seen: dict[tuple, int] = {}
-    out = []
-    for e in capture.requests:
-        s = e.record
-        call = s.class_name, s.tenant, s.work_ns, s.caller, s.address if not s.caller else ""
-        lasts = fleet.classes[classes[s.class_name]].deadline_ms * 1e6 if s.class_name in classes else 0
-        # Nothing tells tries apart where no work is stated: then the marks alone count.
-        known = not s.work_ns or e.arrived_unix_ns - seen.get(call, -(10**18)) <= lasts
-        if not s.is_retry or not known:
-            out.append(e)
-        if not s.is_retry or not known or call not in seen:
-            seen[call] = e.arrived_unix_ns
-    return out
-
-
-def captured(fleet: Fleet, capture: Capture, streams: Streams) -> tuple[list[Wish], float]:
-    """The first tries of a capture as calls, from its first on, and the seconds that they span.
-
-    Stated work stands for the work, where it was told; a request of a class or tenant that the fleet does
-    not have raises ValueError. A sampled capture is made whole by repeating what is there, moved by up to
-    1 s. A marked repeat whose first try no worker has seen (its router knew of none to send it to) is a call.
+        speeds.append(float(streams["speeds"].uniform(low, high)))
+    return speeds
+
+
+def calls_of_capture(fleet: Fleet, capture: Capture, streams: Streams) -> tuple[list[PlannedCall], float]:
+    """The first attempts of a capture as calls, from its first on, and the seconds that they span.
+
+    Stated work stands for the work, where there is any. A sampled capture is made whole by repeating what is
+    there, moved by up to 1 s. A marked retry whose first attempt no worker has seen (its router knew of none
+    to send it to) is a call.
+
+    Raises:
+        CaptureUnusableError: There is no call, or one is of a class or tenant that the fleet does not have.
     """
-    classes = {c.name: at for at, c in enumerate(fleet.classes)}
-    tenants = {t.name: at for at, t in enumerate(fleet.tenants)}
-    entries = _firsts(fleet, capture, classes)
-    if not entries:
-        raise ValueError("no first tries are on record")
-    begin, routers, out = entries[0].arrived_unix_ns, len(fleet.placed_routers), []
-    for e in entries:
-        if e.record.class_name not in classes:
-            raise ValueError(f"class {e.record.class_name!r} of the capture is not in the fleet's classes")
-        if tenants and e.record.tenant not in tenants:
-            raise ValueError(f"tenant {e.record.tenant!r} of the capture is not in the fleet's tenants")
-        cls = classes[e.record.class_name]
-        stated = e.record.work_ns / 1e9 if e.record.work_ns else fleet.classes[cls].work_ms / 1000
+    class_indices = {each.name: index for index, each in enumerate(fleet.classes)}
+    tenant_indices = {tenant.name: index for index, tenant in enumerate(fleet.tenants)}
+    requests = _first_attempts(fleet, capture, class_indices)
+    if not requests:
+        raise CaptureUnusableError.no_first_attempts()
+    begin_ns = requests[0].arrived_unix_ns
+    calls = []
+    for request in requests:
+        record = request.record
+        if record.class_name not in class_indices:
+            raise CaptureUnusableError.unknown_class(record.class_name)
+        if tenant_indices and record.tenant not in tenant_indices:
+            raise CaptureUnusableError.unknown_tenant(record.tenant)
+        class_index = class_indices[record.class_name]
+        tenant_index = NO_TENANT if record.tenant is None else tenant_indices.get(record.tenant, NO_TENANT)
+        described_work_s = fleet.classes[class_index].work_ms / 1000
+        work_s = record.work_ns / NS_PER_S if record.work_ns else described_work_s
         copies = 1 / capture.sample_fraction
-        for n in range(int(copies) + (streams["arrivals"].uniform() < copies % 1)):
-            at = (e.arrived_unix_ns - begin) / 1e9 + (streams["arrivals"].uniform() if n else 0.0)
-            subject = e.subject + n if e.subject else 0
-            out.append(
-                Wish(
-                    at,
-                    cls,
-                    tenants.get(e.record.tenant, -1),
-                    subject,
-                    stated,
-                    stated,
-                    (e.record.caller or xxhash.xxh32_intdigest(e.record.address.encode())) % routers,
-                    float(streams["sizes"].uniform(*fleet.intake.held_kb)),
+        for copy in range(int(copies) + int(streams["arrivals"].uniform() < copies % 1)):
+            shift_s = streams["arrivals"].uniform() if copy else 0.0
+            calls.append(
+                PlannedCall(
+                    starts_at=(request.arrived_unix_ns - begin_ns) / NS_PER_S + shift_s,
+                    class_index=class_index,
+                    tenant_index=tenant_index,
+                    subject=request.subject + copy if request.subject else 0,
+                    work_s=work_s,
+                    stated_work_s=work_s,
+                    router_index=_caller_hash(record) % len(fleet.placed_routers),
+                    memory_kb=float(streams["sizes"].uniform(*fleet.intake.held_kb)),
                 )
             )
-    out.sort(key=lambda w: w.at)
-    return out, out[-1].at
+    calls.sort(key=lambda call: call.starts_at)
+    return calls, calls[-1].starts_at
+
+
+def _caller_hash(record: RequestRecord) -> int:
+    return record.caller or xxhash.xxh32_intdigest(record.address.encode())
+
+
+def _first_attempts(fleet: Fleet, capture: Capture, class_indices: dict[str, int]) -> list[CapturedRequest]:
+    """The first that was seen of each call. Its attempts state the same work, which hardly two calls do."""
+    last_seen_ns: dict[tuple[str, str | None, int, int, str], int] = {}
+    first_attempts = []
+    for request in capture.requests:
+        record = request.record
+        address = "" if record.caller else record.address
+        call = (record.class_name, record.tenant, record.work_ns, record.caller, address)
+        lifetime_ns = 0.0
+        if record.class_name in class_indices:
+            lifetime_ns = fleet.classes[class_indices[record.class_name]].deadline_ms * NS_PER_MS
+        # Nothing tells attempts apart where no work is stated: then the marks alone count.
+        age_ns = request.arrived_unix_ns - last_seen_ns.get(call, NEVER_NS)
+        is_known = not record.work_ns or age_ns <= lifetime_ns
+        is_first = not record.is_retry or not is_known
+        if is_first:
+            first_attempts.append(request)
+        if is_first or call not in last_seen_ns:
+            last_seen_ns[call] = request.arrived_unix_ns
+    return first_attempts
--- a/ochrehoist/plan/playbook.py
+++ b/ochrehoist/plan/playbook.py
@@ -1,20 +1,27 @@
-"""Works out a playbook from a fleet's description: for each site that may be lost, what the others carry,
-what of each class is let in, and the steps of the return. No I/O.
+"""Works out a playbook from a fleet's description. No I/O.
+
+For each site that may be lost: what the others carry, what of each class is admitted, and the stages of the
+recovery ramp.
 """
 
 import math
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from ochrehoist.config.fleet_description import Class, Fleet, Workers
+from ochrehoist.config.fleet_description import Class, Fleet
 from ochrehoist.plan import analytic
-from ochrehoist.plan.questions import UnanswerableQuestionError
+from ochrehoist.plan.errors import UnanswerableQuestionError
+from ochrehoist.plan.fleet_changes import without_site
 from ochrehoist.sites.playbook import FORMAT_VERSION, ClassAdmission, Playbook, SiteLoss
 from ochrehoist.sites.recovery_ramp import DEFAULT_STAGES
 from ochrehoist.sites.shedding_order import LOG_VALUE_STEP
 
-AWAY_MS, SPREAD_MS = 1000.0, 2000.0
-WARM_TIMES, SPARE_S = 5.0, 60.0  # of the time that a cold machine takes, and besides: the longest return
+AWAY_MS = 1000.0
+SPREAD_MS = 2000.0
+MAX_WARMUPS = 5.0  # of the slowest kind, that the longest return takes
+RETURN_SPARE_S = 60.0  # and besides
+SHARE_STEPS = 100  # to which admitted shares are rounded down
+FLEET_NOTE = ""  # the key of the note on the whole playbook
 UNKNOWN = (
     "whether all callers of the lost site reach the others, or are lost with it",
     "what callers do after their last try, and how many try without end",
@@ -24,117 +31,161 @@
 
 
 @dataclass(frozen=True)
-class Shared:
-    """One class's part of all work, and of the worth for each unit of it."""
+class ClassShare:
+    """One class's part of all work, and the priority weight for each unit of it."""
 
-    cls: Class
-    work: float
-    by_work: float
+    request_class: Class
+    work_share: float
+    weight_by_work: float
 
 
-def _shared(fleet: Fleet) -> list[Shared]:
-    whole = sum(c.share * c.mean_ms for c in fleet.classes)
-    return [Shared(c, c.share * c.mean_ms / whole, c.worth / c.mean_ms) for c in fleet.classes]
+def class_shares(fleet: Fleet) -> list[ClassShare]:
+    """In the order of the description."""
+    total = sum(each.share * each.mean_ms for each in fleet.classes)
+    return [
+        ClassShare(each, each.share * each.mean_ms / total, each.worth / each.mean_ms)
+        for each in fleet.classes
+    ]
 
 
-def beyond(fleet: Fleet) -> float:
-    """The share of the load that tenants send beyond what counts in full."""
-    over = sum(max(0.0, t.share * fleet.load.rate - fleet.quota(t)) for t in fleet.tenants)
-    return over / fleet.load.rate
+def beyond_quota_share(fleet: Fleet) -> float:
+    """The share of the load that tenants send beyond their quotas."""
+    excess = sum(max(0.0, tenant.share * fleet.load.rate - fleet.quota(tenant)) for tenant in fleet.tenants)
+    return excess / fleet.load.rate
 
 
-def without(fleet: Fleet, site: str) -> Fleet:
-    """The fleet while a site is gone. Raises UnanswerableQuestionError."""
-    left = [p for p in fleet.placed_workers if p.site != site]
-    if len(left) == len(fleet.placed_workers):
-        raise UnanswerableQuestionError(
-            f"no worker lies in {site!r}; there are {[s.name for s in fleet.sites]}"
-        )
-    if not left:
-        raise UnanswerableQuestionError(f"all workers lie in {site!r}: nothing is left to let anybody in")
-    groups = [Workers(kind=p.kind, addresses=[p.address]) for p in left]
-    return Fleet.model_validate(fleet.model_dump() | {"workers": [g.model_dump() for g in groups]})
-
-
-def carried(fleet: Fleet, site: str) -> tuple[float, str]:
-    """The share of all work that the others can take, and what binds them first: cores, memory,
-    connections."""
-    left = without(fleet, site)
-    speeds = [sum(left.kind(p.kind).speeds) / 2 for p in left.placed_workers]
-    steady = analytic.steady(left, speeds)
+@dataclass(frozen=True)
+class Remaining:
+    """What a fleet can do without a site: the share of all work, and what limits it first."""
+
+    work_share: float
+    limit: analytic.Limit
+
+
+def remaining_without(fleet: Fleet, site: str) -> Remaining:
+    """What the others can take. Raises UnanswerableQuestionError."""
+    left = without_site(fleet, site)
+    speeds = [sum(left.kind(placed.kind).speeds) / 2 for placed in left.placed_workers]
+    state = analytic.solve(left, speeds)
     demand = left.load.rate * left.mean_work_s
-    # What is turned away is read all the same.
-    cores = max(0.0, left.capacity * analytic.USABLE - demand * left.intake.share) / demand
-    served = sum(w.served for w in steady.workers) / left.load.rate
-    memory = max(w.memory for w in steady.workers)
-    connections = max(w.connections for w in steady.workers)
-    parts = {
-        "cores": cores,
-        "memory": served / memory if memory > 1 else 1.0,
-        "connections": 1 / connections if connections > 1 else 1.0,
+    # What is rejected is read all the same.
+    cores = max(0.0, left.capacity * analytic.USABLE_SHARE - demand * left.intake.share) / demand
+    served = sum(worker.served for worker in state.workers) / left.load.rate
+    memory = max(worker.memory for worker in state.workers)
+    connections = max(worker.connections for worker in state.workers)
+    shares = {
+        analytic.Limit.CORES: cores,
+        analytic.Limit.MEMORY: served / memory if memory > 1 else 1.0,
+        analytic.Limit.CONNECTIONS: 1 / connections if connections > 1 else 1.0,
     }
-    binds = min(parts, key=lambda name: parts[name])
-    return min(1.0, parts[binds]), binds
-
-
-def let_in(shared: Sequence[Shared], carry: float, over: float) -> list[ClassAdmission]:
-    """Worth by work first: filings and what may run once only, then the rest, within tenants' shares; what is
-    beyond them last. Those alike share alike. Rounded down: never more than the others carry."""
-    left = carry
-    got: dict[tuple[str, bool], float] = {}
-    ranks: dict[tuple, list[Shared]] = {}
-    for x in shared:
-        ranks.setdefault(
-            (x.cls.repeat == "idempotent", -round(math.log(x.by_work) / LOG_VALUE_STEP)), []
-        ).append(x)
+    limit = min(shares, key=lambda each: shares[each])
+    return Remaining(min(1.0, shares[limit]), limit)
+
+
+def admitted_shares(
+    classes: Sequence[ClassShare], carried_share: float, beyond_share: float
+) -> list[ClassAdmission]:
+    """What of each class is admitted where this share of all work can be done.
+
+    By priority weight for each unit of work: filings and what may run once only first, then the rest, within
+    tenants' quotas; what is beyond them last. Equals share alike. Rounded down: never more than is carried.
+    """
+    left = carried_share
+    admitted: dict[tuple[str, bool], float] = {}
     for is_beyond in (False, True):
-        for _, alike in sorted(ranks.items(), key=lambda item: item[0]):
-            width = sum(x.work for x in alike) * (over if is_beyond else 1 - over)
+        for equals in _by_rank(classes):
+            width = sum(each.work_share for each in equals)
+            width *= beyond_share if is_beyond else 1 - beyond_share
             part = 1.0 if width <= 0 else min(1.0, left / width)
-            part = int(part * 100) / 100
-            for x in alike:
-                got[x.cls.name, is_beyond] = min(part, got[x.cls.name, False]) if is_beyond else part
+            part = int(part * SHARE_STEPS) / SHARE_STEPS
+            for each in equals:
+                name = each.request_class.name
+                admitted[name, is_beyond] = min(part, admitted[name, False]) if is_beyond else part
             left = max(0.0, left - part * width)
     return [
-        ClassAdmission(x.cls.name, got[x.cls.name, False], got[x.cls.name, True], round(x.work, 3))
-        for x in shared
+        ClassAdmission(
+            each.request_class.name,
+            admitted[each.request_class.name, False],
+            admitted[each.request_class.name, True],
+            round(each.work_share, 3),
+        )
+        for each in classes
     ]
 
 
-def worth_of(
-    shared: Sequence[Shared], lets: Sequence[ClassAdmission], over: float, over_worth: float
+def _by_rank(classes: Sequence[ClassShare]) -> list[list[ClassShare]]:
+    """Classes of equal rank together, the first to be admitted first."""
+    ranks: dict[tuple[bool, int], list[ClassShare]] = {}
+    for each in classes:
+        may_repeat = each.request_class.repeat == "idempotent"
+        weight_rank = -round(math.log(each.weight_by_work) / LOG_VALUE_STEP)
+        ranks.setdefault((may_repeat, weight_rank), []).append(each)
+    return [equals for _, equals in sorted(ranks.items(), key=lambda item: item[0])]
+
+
+def weight_kept(
+    classes: Sequence[ClassShare],
+    admissions: Sequence[ClassAdmission],
+    beyond_share: float,
+    beyond_weight: float,
 ) -> float:
-    """Of the worth asked for, what is got where just this is let in and served."""
+    """The share of the priority weight asked for that is gained where just this is admitted and served."""
+
+    def weight(each: ClassShare, within: float, beyond: float) -> float:
+        quota_weight = (1 - beyond_share) * within + beyond_share * beyond_weight * beyond
+        return each.work_share * each.weight_by_work * quota_weight
 
-    def part(x: Shared, inside: float, outside: float) -> float:
-        return x.work * x.by_work * ((1 - over) * inside + over * over_worth * outside)
+    total = sum(weight(each, 1.0, 1.0) for each in classes)
+    kept = sum(
+        weight(each, admission.share, admission.beyond_quota_share)
+        for each, admission in zip(classes, admissions, strict=True)
+    )
+    return kept / total
 
-    whole = sum(part(x, 1.0, 1.0) for x in shared)
-    return sum(part(x, y.share, y.beyond_quota_share) for x, y in zip(shared, lets, strict=True)) / whole
 
+def make_playbook(fleet: Fleet, now_s: int) -> tuple[Playbook, dict[str, str]]:
+    """The playbook, and a note for its readers on each site and, by FLEET_NOTE, on the whole.
 
-def made(fleet: Fleet, now: int) -> tuple[Playbook, dict[str, str]]:
-    """The playbook, and a word for its readers on each site. Raises UnanswerableQuestionError."""
-    sites = [s.name for s in fleet.sites if any(p.site == s.name for p in fleet.placed_workers)]
+    Raises:
+        UnanswerableQuestionError: Less than two sites have workers.
+    """
+    sites = [
+        site.name for site in fleet.sites if any(placed.site == site.name for placed in fleet.placed_workers)
+    ]
     if len(sites) < 2:
-        raise UnanswerableQuestionError(
-            "a playbook needs two sites with workers: what is lost with the only one is all"
-        )
-    shared, over, losses, about = _shared(fleet), beyond(fleet), [], {}
-    longest = WARM_TIMES * max(k.cold_s for k in fleet.kinds) + SPARE_S
+        raise UnanswerableQuestionError.single_site()
+    classes = class_shares(fleet)
+    beyond_share = beyond_quota_share(fleet)
+    max_return_s = MAX_WARMUPS * max(kind.cold_s for kind in fleet.kinds) + RETURN_SPARE_S
+    losses = []
+    notes = {}
     for site in sites:
-        carry, binds = carried(fleet, site)
-        lets = let_in(shared, carry, over)
+        remaining = remaining_without(fleet, site)
+        admissions = admitted_shares(classes, remaining.work_share, beyond_share)
         losses.append(
-            SiteLoss(site, round(carry, 3), binds, AWAY_MS, SPREAD_MS, list(DEFAULT_STAGES), longest, lets)
+            SiteLoss(
+                site,
+                round(remaining.work_share, 3),
+                remaining.limit.value,
+                AWAY_MS,
+                SPREAD_MS,
+                list(DEFAULT_STAGES),
+                max_return_s,
+                admissions,
+            )
         )
-        worth = worth_of(shared, lets, over, fleet.over_share_worth)
-        about[site] = (
-            f"Without {site}: {carry:.0%} of the work can be done, {worth:.0%} of the worth kept, "
-            f"if callers are sent on."
+        kept = weight_kept(classes, admissions, beyond_share, fleet.over_share_worth)
+        notes[site] = (
+            f"Without {site}: {remaining.work_share:.0%} of the work can be done, "
+            f"{kept:.0%} of the worth kept, if callers are sent on."
         )
-    workers = {s: [p.address for p in fleet.placed_workers if p.site == s] for s in sites}
-    about[""] = (
+    notes[FLEET_NOTE] = (
         "What holds when a site is lost. Change what you know better, then `ochrehoist sites check FILE`."
     )
-    return Playbook(FORMAT_VERSION, now, fleet.name, workers, round(over, 3), losses, list(UNKNOWN)), about
+    workers = {
+        site: [placed.address for placed in fleet.placed_workers if placed.site == site] for site in sites
+    }
+    playbook = Playbook(
+        FORMAT_VERSION, now_s, fleet.name, workers, round(beyond_share, 3), losses, list(UNKNOWN)
+    )
+    return playbook, notes
--- a/ochrehoist/plan/report.py
+++ b/ochrehoist/plan/report.py
@@ -1,7 +1,7 @@
 """A page for each answer of the planner: one HTML file with tables and pictures, which needs no network."""
 
 import json
-from collections.abc import Sequence
+from collections.abc import Mapping, Sequence
 from pathlib import Path
 from typing import Any
 
@@ -11,7 +11,7 @@
 
 Table = tuple[str, Sequence[str], Sequence[Sequence[Any]]]  # title, heads, rows
 
-PAGE = """<!doctype html>
+PAGE_TEMPLATE = """<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><meta name="viewport" content="width=device-width">
 <title>{{ title }}</title>
 <style>
@@ -24,53 +24,57 @@
  pre { overflow: auto; font-size: 12px }
 </style></head><body>
 <h1>{{ title }}</h1>
-<p class="note">{{ made }}</p>
+<p class="note">{{ origin }}</p>
 {% for line in notes %}<p><strong>{{ line }}</strong></p>{% endfor %}
 {% for picture in pictures %}{{ picture | safe }}{% endfor %}
 {% for name, heads, rows in tables %}<h2>{{ name }}</h2>
 <table><tr>{% for head in heads %}<th>{{ head }}</th>{% endfor %}</tr>
-{% for row in rows %}<tr>{% for cell in row %}<td>{{ cell | told }}</td>{% endfor %}</tr>
+{% for row in rows %}<tr>{% for cell in row %}<td>{{ cell | format_cell }}</td>{% endfor %}</tr>
 {% endfor %}</table>{% endfor %}
 <details><summary>All figures</summary><pre>{{ values }}</pre></details>
 </body></html>
 """
 
 
-def told(cell: Any) -> str:
+def format_cell(cell: Any) -> str:
     """A cell of a table as people read it: a range with its interval, a number in three digits."""
     if isinstance(cell, dict):
-        return f"{cell['mean']:.3f}" + ("" if cell["half"] is None else f" ±{cell['half']:.3f}")
-    return f"{cell:.3f}" if isinstance(cell, float) else "-" if cell is None else str(cell)
+        half = "" if cell["half"] is None else f" ±{cell['half']:.3f}"
+        return f"{cell['mean']:.3f}{half}"
+    if isinstance(cell, float):
+        return f"{cell:.3f}"
+    return "-" if cell is None else str(cell)
 
 
 def page(
     question: str,
     title: str,
-    made: str,
-    values: dict[str, Any],
+    origin: str,
+    values: Mapping[str, Any],
     tables: Sequence[Table],
     notes: Sequence[str] = (),
 ) -> str:
-    """The whole page. `made` says by what command; `notes` what a reader must know first."""
+    """The whole page. `origin` says by what command; `notes` what a reader must know first."""
     env = jinja2.Environment(autoescape=True, undefined=jinja2.StrictUndefined)
-    env.filters["told"] = told
-    drawn = [svg.decode().partition("<svg")[2] for svg in pictures.drawn(question, values, "svg")]
-    return env.from_string(PAGE).render(
+    env.filters["format_cell"] = format_cell
+    svg_bodies = [svg.decode().partition("<svg")[2] for svg in pictures.render(question, values, "svg")]
+    return env.from_string(PAGE_TEMPLATE).render(
         title=title,
-        made=made,
+        origin=origin,
         notes=notes,
         tables=tables,
-        pictures=["<svg" + part for part in drawn],
+        pictures=["<svg" + body for body in svg_bodies],
         values=json.dumps(values, indent=1),
     )
 
 
-def save(path: Path, text: str, question: str, values: dict[str, Any], with_pictures: bool) -> list[Path]:
-    """Writes the page, and beside it each picture as PNG where they are wanted; what was written."""
+def save(path: Path, text: str, question: str, values: Mapping[str, Any], with_pictures: bool) -> list[Path]:
+    """Writes the page, and beside it each picture as PNG where they are wanted; returns what was written."""
     path.write_text(text)
-    out = [path]
+    written = [path]
     if with_pictures:
-        for n, data in enumerate(pictures.drawn(question, values, "png"), 1):
-            out.append(path.with_name(f"{path.stem}-{n}.png"))
-            out[-1].write_bytes(data)
-    return out
+        for number, data in enumerate(pictures.render(question, values, "png"), 1):
+            picture_path = path.with_name(f"{path.stem}-{number}.png")
+            picture_path.write_bytes(data)
+            written.append(picture_path)
+    return written
--- a/ochrehoist/plan/worker_settings.py
+++ b/ochrehoist/plan/worker_settings.py
@@ -2,12 +2,17 @@
 
 from typing import Any
 
-from ochrehoist.admission import settings as admission_settings_types
-from ochrehoist.admission.settings import AdmissionSettings, ObjectiveWeights, RequestClass
+from ochrehoist.admission.settings import AdmissionSettings, ObjectiveWeights, RequestClass, Tenant
 from ochrehoist.config.fleet_description import Fleet, Kind
 from ochrehoist.config.settings import IDEMPOTENCY_WORDS
 
-MS = 1_000_000
+NS_PER_MS = 1_000_000
+COLLAPSE_AFTER_MS = 1500
+DRAIN_GRACE_MS = 2500
+ANSWER_GRACE_MS = 80
+MAX_RETRY_AFTER_MS = 1000
+CLOCK_STEP_MS = 4
+OBJECTIVE = ObjectiveWeights(overall=0.45, worst_window=0.15, worst_class=0.3, worst_tenant=0.1)
 
 
 def admission_settings(fleet: Fleet, kind: Kind, cold: bool) -> AdmissionSettings:
@@ -15,93 +20,93 @@
     return AdmissionSettings(
         classes=tuple(
             RequestClass(
-                name=c.name,
-                latency_objective_ns=int(c.aim_ms * MS),
-                deadline_ns=int(c.deadline_ms * MS),
-                priority_weight=c.worth,
-                late_weight=c.late_worth,
-                idempotency=IDEMPOTENCY_WORDS[c.repeat],
-                idempotency_window_ns=int(c.window_ms * MS),
+                name=each.name,
+                latency_objective_ns=int(each.aim_ms * NS_PER_MS),
+                deadline_ns=int(each.deadline_ms * NS_PER_MS),
+                priority_weight=each.worth,
+                late_weight=each.late_worth,
+                idempotency=IDEMPOTENCY_WORDS[each.repeat],
+                idempotency_window_ns=int(each.window_ms * NS_PER_MS),
             )
-            for c in fleet.classes
-        ),
-        tenants=tuple(
-            admission_settings_types.Tenant(t.name, fleet.quota(t), t.share) for t in fleet.tenants
+            for each in fleet.classes
         ),
+        tenants=tuple(Tenant(tenant.name, fleet.quota(tenant), tenant.share) for tenant in fleet.tenants),
         cores=kind.cores,
         memory_kb=kind.memory_mb * 1000,
         collapse_multiple=kind.crowd,
-        collapse_after_ns=1500 * MS,
+        collapse_after_ns=COLLAPSE_AFTER_MS * NS_PER_MS,
         run_memory_factor=fleet.intake.run_factor,
-        drain_grace_ns=2500 * MS,
-        answer_grace_ns=80 * MS,
-        objective=ObjectiveWeights(0.45, 0.15, 0.3, 0.1),
+        drain_grace_ns=DRAIN_GRACE_MS * NS_PER_MS,
+        answer_grace_ns=ANSWER_GRACE_MS * NS_PER_MS,
+        objective=OBJECTIVE,
         fleet_size=len(fleet.placed_workers),
         caller_count=len(fleet.placed_routers),
         key_kb=fleet.intake.key_kb,
         cold_start=cold,
-        warmup_ns=int(kind.cold_s * 1000 * MS),
+        warmup_ns=int(kind.cold_s * 1000 * NS_PER_MS),
         warmup_speed=kind.cold_from,
         reports_disconnects=True,
         marks_retries=True,
         weighs_work=True,
         over_quota_weight=fleet.over_share_worth,
         relays_retry_after=True,
-        max_retry_after_ns=1000 * MS,
+        max_retry_after_ns=MAX_RETRY_AFTER_MS * NS_PER_MS,
         readiness=True,
-        idle_timeout_ns=int(fleet.intake.idle_s * 1000 * MS),
-        clock_step_ns=4 * MS,
+        idle_timeout_ns=int(fleet.intake.idle_s * 1000 * NS_PER_MS),
+        clock_step_ns=CLOCK_STEP_MS * NS_PER_MS,
     )
 
 
 def platform_settings(fleet: Fleet, kind: Kind) -> dict[str, Any]:
     """The same as the platform's settings object, for a real worker."""
-    ns = 1_000_000_000
-    names = {repeat: name for name, repeat in IDEMPOTENCY_WORDS.items()}
-    s = admission_settings(fleet, kind, cold=False)
+    repeat_words = {idempotency: word for word, idempotency in IDEMPOTENCY_WORDS.items()}
+    settings = admission_settings(fleet, kind, cold=False)
     return {
         "Classes": [
             {
-                "Name": c.name,
-                "Slo": c.latency_objective_ns,
-                "Deadline": c.deadline_ns,
-                "Gain": c.priority_weight,
-                "LateValue": c.late_weight,
-                "Repeat": names[c.idempotency],
+                "Name": each.name,
+                "Slo": each.latency_objective_ns,
+                "Deadline": each.deadline_ns,
+                "Gain": each.priority_weight,
+                "LateValue": each.late_weight,
+                "Repeat": repeat_words[each.idempotency],
             }
-            | ({"Window": c.idempotency_window_ns} if c.idempotency_window_ns else {})
-            for c in s.classes
+            | ({"Window": each.idempotency_window_ns} if each.idempotency_window_ns else {})
+            for each in settings.classes
+        ],
+        "Tenants": [
+            {"Name": tenant.name, "QuotaPerS": tenant.quota_per_s, "Fraction": tenant.share}
+            for tenant in settings.tenants
         ],
-        "Tenants": [{"Name": t.name, "QuotaPerS": t.quota_per_s, "Fraction": t.share} for t in s.tenants],
         "FamilyInfo": {
-            "Cores": s.cores,
-            "HeapKb": s.memory_kb,
-            "RunFactor": s.run_memory_factor,
-            "KeyKb": s.key_kb,
-            "Callers": s.caller_count,
-            "Idle": s.idle_timeout_ns,
+            "Cores": settings.cores,
+            "HeapKb": settings.memory_kb,
+            "RunFactor": settings.run_memory_factor,
+            "KeyKb": settings.key_kb,
+            "Callers": settings.caller_count,
+            "Idle": settings.idle_timeout_ns,
             "TellsGone": True,
             "Readiness": True,
             "OwnStats": ["cpu_busy", "runnable"],
         },
-        "FleetSize": s.fleet_size,
-        "Step": s.clock_step_ns,
+        "FleetSize": settings.fleet_size,
+        "Step": settings.clock_step_ns,
         "WorthBy": "work",
-        "OverShareWorth": s.over_quota_weight,
+        "OverShareWorth": settings.over_quota_weight,
         "ClientHabits": {"MarksRetry": True},
         "ResultMix": {
-            "Whole": s.objective.overall,
-            "WorstWindow": s.objective.worst_window,
-            "WorstClass": s.objective.worst_class,
-            "WorstTenant": s.objective.worst_tenant,
+            "Whole": settings.objective.overall,
+            "WorstWindow": settings.objective.worst_window,
+            "WorstClass": settings.objective.worst_class,
+            "WorstTenant": settings.objective.worst_tenant,
         },
-        "PolicyLimits": {"RetryAfter": True, "MaxRetryAfter": s.max_retry_after_ns},
+        "PolicyLimits": {"RetryAfter": True, "MaxRetryAfter": settings.max_retry_after_ns},
         "Rules": {
-            "Cold": max(1, s.warmup_ns),
-            "ColdFrom": s.warmup_speed,
-            "DrainGrace": s.drain_grace_ns,
-            "Fall": int(1.5 * ns),
-            "GraceToAnswer": s.answer_grace_ns,
-            "TipMultiple": s.collapse_multiple,
+            "Cold": max(1, settings.warmup_ns),
+            "ColdFrom": settings.warmup_speed,
+            "DrainGrace": settings.drain_grace_ns,
+            "Fall": settings.collapse_after_ns,
+            "GraceToAnswer": settings.answer_grace_ns,
+            "TipMultiple": settings.collapse_multiple,
         },
     }
--- a/tests/golden/test_command_output.py
+++ b/tests/golden/test_command_output.py
@@ -7,7 +7,6 @@
 import contextlib
 import hashlib
 import os
-import sys
 import tempfile
 import unittest
 from pathlib import Path
@@ -16,11 +15,10 @@
 import click
 from click.testing import CliRunner
 
+from ochrehoist.cli.main import main
+
 TESTS = Path(__file__).parent.parent
 ROOT = TESTS.parent
-sys.path[:0] = [str(ROOT), str(TESTS)]
-
-from ochrehoist.cli.main import main
 
 RECORDED = TESTS / "fixtures" / "commands"
 CAPTURE = "tests/fixtures/000e6de/load.ochrecap"
--- a/tests/plan/test_plan.py
+++ b/tests/plan/test_plan.py
@@ -17,13 +17,19 @@
 from ochrehoist.config.settings import settings_from
 from ochrehoist.plan import analytic
 from ochrehoist.plan.cores import Cores, Machine
-from ochrehoist.plan.demand import Streams, Wish, captured, drawn, speeds
-from ochrehoist.plan.events import Simulation, Trouble
-from ochrehoist.plan.fit import fitted
-from ochrehoist.plan.measure import Play
-from ochrehoist.plan.outcome import End
-from ochrehoist.plan.questions import UnanswerableQuestionError, forecast, lose, ranged, size, with_workers
-from ochrehoist.plan.routing import Answer, Call, Next, Router, after, rendezvous
+from ochrehoist.plan.demand import PlannedCall, Streams, calls_of_capture, draw_calls, draw_speeds
+from ochrehoist.plan.errors import UnanswerableQuestionError
+from ochrehoist.plan.fit import estimate_all
+from ochrehoist.plan.fleet_changes import with_workers
+from ochrehoist.plan.fleet_run import Outage
+from ochrehoist.plan.forecast import forecast
+from ochrehoist.plan.measured_run import MeasuredRun
+from ochrehoist.plan.routing import Answer, Call, NextStep, Reply, Router, next_step, rendezvous
+from ochrehoist.plan.run_statistics import CallOutcome
+from ochrehoist.plan.runs import interval_of
+from ochrehoist.plan.simulation import Simulation
+from ochrehoist.plan.site_loss import forecast_site_loss
+from ochrehoist.plan.sizing import find_size
 from ochrehoist.plan.worker_settings import admission_settings, platform_settings
 from tests.support.environment import ROOT
 from tests.support.worker_process import run_command
@@ -122,19 +128,19 @@
     def test_each_choice_keeps_off_the_unlisted_the_tried_and_those_to_stay_away_from(self):
         for choice in Choice:
             r = self.router(choice)
-            r.learn(0, False)
-            r.stay_away(1, 5.0)
+            r.set_listed(0, False)
+            r.avoid(1, 5.0)
             picked = {r.pick(1.0, n, (2,)) for n in range(1, 300)}
             self.assertEqual(picked, {3, 4, 5}, choice)
             self.assertIn(1, {r.pick(6.0, n, ()) for n in range(1, 300)})
             for worker in range(6):
-                r.learn(worker, False)
+                r.set_listed(worker, False)
             self.assertIsNone(r.pick(9.0, 1, ()))
 
     def test_least_goes_where_least_is_open_and_two_mostly(self):
         least, two = self.router(Choice.LEAST), self.router(Choice.TWO)
         for r in (least, two):
-            r.open.update(dict.fromkeys(range(1, 6), 9))
+            r.open_requests.update(dict.fromkeys(range(1, 6), 9))
         self.assertEqual({least.pick(0.0, 0, ()) for _ in range(50)}, {0})
         self.assertGreater(sum(two.pick(0.0, 0, ()) == 0 for _ in range(300)), 60)
 
@@ -148,12 +154,17 @@
     def test_what_may_have_run_is_sent_to_no_other_worker_and_nothing_past_its_time(self):
         habits, clients = Routers(addresses=[], retries=2, wait_ms=10), Clients(retries=1, wait_ms=100)
         call = Call(1, 0, 0, 0, 1.0, 1.0, 0.0, 1.0, 4.0, True, 0, tried=[3])
-        self.assertEqual(after(call, Answer.REFUSED, False, 1.0, habits, clients), (Next.TRY, 0.01))
-        self.assertEqual(after(call, Answer.REFUSED, True, 1.0, habits, clients)[0], Next.CLIENT)
-        self.assertEqual(after(call, Answer.FAILED, False, 1.0, habits, clients)[0], Next.CLIENT)
-        self.assertEqual(after(call, Answer.REFUSED, False, 3.999, habits, clients)[0], Next.END)
-        call.tried, call.client_tries = [1, 2, 3], 1
-        self.assertEqual(after(call, Answer.REFUSED, False, 1.0, habits, clients)[0], Next.END)
+        self.assertEqual(next_step(call, Reply(Answer.REFUSED), 1.0, habits, clients), (NextStep.RETRY, 0.01))
+        self.assertEqual(
+            next_step(call, Reply(Answer.REFUSED, no_retry=True), 1.0, habits, clients)[0],
+            NextStep.CLIENT_RETRY,
+        )
+        self.assertEqual(
+            next_step(call, Reply(Answer.FAILED), 1.0, habits, clients)[0], NextStep.CLIENT_RETRY
+        )
+        self.assertEqual(next_step(call, Reply(Answer.REFUSED), 3.999, habits, clients)[0], NextStep.END)
+        call.tried, call.client_retries = [1, 2, 3], 1
+        self.assertEqual(next_step(call, Reply(Answer.REFUSED), 1.0, habits, clients)[0], NextStep.END)
 
 
 class Model(unittest.TestCase):
@@ -172,7 +183,7 @@
             for demand in (0.6, 0.9, 1.0, 1.1, 1.4):
                 f = fleet(**changes).at(demand)
                 events = self.goodput(f, seconds=25.0).goodput
-                figures = analytic.steady(f, speeds(f, Streams(1))).goodput
+                figures = analytic.solve(f, draw_speeds(f, Streams(1))).goodput
                 # At the capacity itself, in a fleet of three, chance moves work that figures don't follow.
                 near = 0.15 if demand == 1.0 else 0.1
                 self.assertAlmostEqual(figures / events, 1.0, delta=near, msg=f"{changes} {demand}")
@@ -181,7 +192,7 @@
         data = copy.deepcopy(EXAMPLE)
         data["routers"] = [{"addresses": ["10.1.9.1"], "choice": "round"}]
         mixed = parse(data).at(0.85)
-        first = analytic.steady(mixed, speeds(mixed, Streams(1))).first
+        first = analytic.solve(mixed, draw_speeds(mixed, Streams(1))).first_limited
         self.assertEqual((first.kind, first.limit), ("small-node", "cores"))
         counts = self.goodput(mixed).workers
         small, fast = ([w for w in counts if w.kind == kind] for kind in ("small-node", "fast-node"))
@@ -195,8 +206,8 @@
 
     def test_a_lost_worker_is_left_and_one_that_returns_is_cold_and_found(self):
         f = fleet(membership__lag_s=0.5)
-        trouble = Trouble(6.0, (0,), 9.0, "one")
-        tally = self.goodput(f, seconds=16.0, troubles=(trouble,))
+        outage = Outage(6.0, (0,), 9.0, "one")
+        tally = self.goodput(f, seconds=16.0, outages=(outage,))
         self.assertEqual([text for _, text in tally.events], ["one lost", "one back, cold"])
         whole = self.goodput(f, seconds=16.0)
         self.assertLess(tally.workers[0].tries, whole.workers[0].tries)
@@ -204,14 +215,14 @@
 
     def test_a_filing_never_runs_twice_at_one_worker_whatever_clients_repeat(self):
         f = fleet(clients__retries=2, clients__wait_ms=50.0).at(1.3)
-        sim = Simulation(f, 3, 14.0, troubles=(Trouble(7.0, (1,), 8.0, "one"),))
+        sim = Simulation(f, 3, 14.0, outages=(Outage(7.0, (1,), 8.0, "one"),))
         begun = []
         for w in sim.workers:
             plain = w.start
 
             def start(request, w=w, plain=plain):
                 if request.idempotency_key:
-                    begun.append((w.number, id(w.owner), request.idempotency_key))
+                    begun.append((w.number, id(w.actor), request.idempotency_key))
                 plain(request)
 
             w.start = start
@@ -231,7 +242,7 @@
         f = fleet(routers__0__choice=choice).at(demand)
         bigger, calmer = with_workers(f, "fast-node", 3 + more), f.with_load(f.load.rate * less)
         base, *better = (
-            analytic.steady(which, [speed] * len(which.placed_workers)).goodput
+            analytic.solve(which, [speed] * len(which.placed_workers)).goodput
             for which, speed in ((f, 1.0), (bigger, 1.0), (f, faster), (calmer, 1.0))
         )
         self.assertGreaterEqual(min(better), base - 0.02)  # what is drawn within it swings by less
@@ -239,12 +250,12 @@
 
 class Questions(unittest.TestCase):
     def test_an_interval_needs_two_runs_and_narrows_with_more(self):
-        self.assertIsNone(ranged([0.5]).half)
-        self.assertLess(ranged([0.4, 0.5, 0.6] * 3).half, ranged([0.4, 0.5, 0.6]).half)
+        self.assertIsNone(interval_of([0.5]).half_width)
+        self.assertLess(interval_of([0.4, 0.5, 0.6] * 3).half_width, interval_of([0.4, 0.5, 0.6]).half_width)
 
     def test_a_size_reaches_its_goal_and_one_less_does_not(self):
         f = fleet(load__rate=35.0)
-        found = size(f, "fast-node", 0.9, (1,), 12.0, 1, quiet)
+        found = find_size(f, "fast-node", 0.9, (1,), 12.0, 1, quiet)
         self.assertGreaterEqual(found["goodput"], 0.9)
         self.assertLess(found["tried"].get(str(found["needed"] - 1), 0.0), 0.9)
         self.assertEqual(found["with_one_lost"], found["needed"] + 1)
@@ -252,10 +263,10 @@
     def test_what_cannot_be_told_gets_no_number(self):
         f = fleet()
         for ask in (
-            lambda: size(f, "fast-node", 1.2, (1,), 12.0, 1, quiet),
-            lambda: lose(f, "brussels", 6.5, 7.0, (1,), 14.0, 1, quiet),
-            lambda: lose(f, "ghent", 6.0, None, (1,), 14.0, 1, quiet),
-            lambda: lose(
+            lambda: find_size(f, "fast-node", 1.2, (1,), 12.0, 1, quiet),
+            lambda: forecast_site_loss(f, "brussels", 6.5, 7.0, (1,), 14.0, 1, quiet),
+            lambda: forecast_site_loss(f, "ghent", 6.0, None, (1,), 14.0, 1, quiet),
+            lambda: forecast_site_loss(
                 with_workers(fleet(workers__0__addresses=["10.1.0.1"]), "fast-node", 1),
                 "brussels",
                 6.0,
@@ -270,7 +281,7 @@
 
     def test_the_loss_of_a_site_costs_and_its_return_heals(self):
         f = fleet(membership__lag_s=0.5, kinds__0__cold_s=1.0).at(0.8)
-        said = lose(f, "brussels", 8.0, 14.0, (1, 2), 30.0, 1, quiet)
+        said = forecast_site_loss(f, "brussels", 8.0, 14.0, (1, 2), 30.0, 1, quiet)
         self.assertLess(said["during"]["mean"], said["before"]["mean"] - 0.2)
         self.assertEqual((said["tips_over"], said["workers"]), (0, 2))
         self.assertGreater(said["recovered_s"]["mean"], 5.0)
@@ -303,7 +314,7 @@
             for n in range(400)
         ]
         entries = [CapturedRequest("n1", n * 10**7, s, s.subject) for n, s in enumerate(seen)]
-        wishes, span = captured(f, Capture([head], entries), Streams(1))
+        wishes, span = calls_of_capture(f, Capture([head], entries), Streams(1))
         self.assertEqual(len(wishes), 600)  # 300 first tries, of every second subject
         self.assertAlmostEqual(span, 4.5, delta=0.6)
         foreign = [
@@ -312,18 +323,18 @@
             )
         ]
         with self.assertRaises(ValueError) as raised:
-            captured(f, Capture([head], foreign), Streams(1))
+            calls_of_capture(f, Capture([head], foreign), Streams(1))
         self.assertIn("'other'", str(raised.exception))
 
     def test_drawn_loads_hold_to_their_shares_and_one_stream_leaves_the_others(self):
         f = fleet(load__rate=200.0)
-        calls = list(drawn(f, Streams(1), 60.0))
+        calls = list(draw_calls(f, Streams(1), 60.0))
         self.assertAlmostEqual(len(calls) / 60, 200, delta=10)
-        self.assertAlmostEqual(sum(c.cls == 2 for c in calls) / len(calls), 0.12, delta=0.02)
-        self.assertAlmostEqual(sum(c.work for c in calls) / len(calls), 0.3, delta=0.02)
+        self.assertAlmostEqual(sum(c.class_index == 2 for c in calls) / len(calls), 0.12, delta=0.02)
+        self.assertAlmostEqual(sum(c.work_s for c in calls) / len(calls), 0.3, delta=0.02)
         changed = fleet(load__rate=200.0, classes__0__heavy_share=0.1, classes__0__heavy_times=9.0)
-        heavier = list(drawn(changed, Streams(1), 60.0))
-        self.assertEqual([c.at for c in calls], [c.at for c in heavier])
+        heavier = list(draw_calls(changed, Streams(1), 60.0))
+        self.assertEqual([c.starts_at for c in calls], [c.starts_at for c in heavier])
         self.assertEqual([c.subject for c in calls], [c.subject for c in heavier])
 
 
@@ -367,7 +378,7 @@
         )
 
     def told(self, capture):
-        return {e.what: e for e in fitted(capture)}
+        return {e.what: e for e in estimate_all(capture)}
 
     def test_speed_crowd_and_repeats_are_found_within_their_intervals(self):
         found = self.told(self.entries())
@@ -388,7 +399,7 @@
         few = self.told(self.entries(count=30))
         self.assertIsNone(few["n1: speed of a core"].value)
         self.assertIsNone(few["popularity of subjects (zipf)"].value)
-        self.assertRaises(ValueError, fitted, Capture())
+        self.assertRaises(ValueError, estimate_all, Capture())
 
 
 class Measure(unittest.TestCase):
@@ -401,22 +412,22 @@
 
     def test_real_workers_answer_each_call_once_and_a_lost_one_ends_its_own(self):
         f = fleet(clients__retries=1, membership__lag_s=0.2).at(0.5)
-        play = Play(f, 1, 5.0, settle=0.0, troubles=(Trouble(2.5, (0,), None, "one"),))
+        play = MeasuredRun(f, 1, 5.0, settle_s=0.0, outages=(Outage(2.5, (0,), None, "one"),))
         tally = play.run()
-        self.assertEqual(sum(tally.ends.values()), len(play.wishes))
+        self.assertEqual(sum(tally.outcomes.values()), len(play.calls))
         self.assertEqual([text for _, text in tally.events], ["one lost"])
-        self.assertGreater(tally.share(End.IN_TIME) + tally.share(End.LATE), 0.3)
-        self.assertEqual([s.process.poll() is None for s in play.stands], [False] * 3)
-        for stand in play.stands:
-            self.assertLessEqual(len(stand.begun), stand.count.tries)
+        self.assertGreater(tally.share(CallOutcome.IN_TIME) + tally.share(CallOutcome.LATE), 0.3)
+        self.assertEqual([s.process.poll() is None for s in play.machines], [False] * 3)
+        for stand in play.machines:
+            self.assertLessEqual(len(stand.started_runs), stand.statistics.tries)
 
     def test_a_call_that_a_crowded_machine_begins_late_is_counted_by_when_it_was_due(self):
         f = fleet().at(0.5)
-        first = Wish(0.1, 0, 0, 1, 0.01, 0.01, 0, 20.0)
-        wishes = [first, dataclasses.replace(first, at=math.nextafter(1.0, 0.0))]  # begun after 1 s
-        play = Play(f, 1, 1.0, settle=0.0, wishes=wishes)
-        self.assertEqual(sum(play.run().ends.values()), 2)
-        self.assertEqual(play.late.get_total_count(), 2)
+        first = PlannedCall(0.1, 0, 0, 1, 0.01, 0.01, 0, 20.0)
+        wishes = [first, dataclasses.replace(first, starts_at=math.nextafter(1.0, 0.0))]  # begun after 1 s
+        play = MeasuredRun(f, 1, 1.0, settle_s=0.0, planned_calls=wishes)
+        self.assertEqual(sum(play.run().outcomes.values()), 2)
+        self.assertEqual(play.start_delay_ms.get_total_count(), 2)
 
 
 class Commands(unittest.TestCase):
--- a/tests/plan/test_plan_answers.py
+++ b/tests/plan/test_plan_answers.py
@@ -11,22 +11,19 @@
 from ochrehoist.capture.records import UNKNOWN_SPAN_NS, CaptureHeader, RequestOutcome, RequestRecord
 from ochrehoist.lab.scale.slopes import slope
 from ochrehoist.plan import pictures, report
-from ochrehoist.plan.captures import side_by_side
-from ochrehoist.plan.demand import Streams, captured
-from ochrehoist.plan.fit import fitted
-from ochrehoist.plan.measure import Play
-from ochrehoist.plan.questions import (
-    Run,
-    UnanswerableQuestionError,
-    breaks,
-    compare,
-    forecast,
-    known,
-    lose,
-    measured,
-    size,
-    without_strongest,
-)
+from ochrehoist.plan.breaking_point import find_breaking_point
+from ochrehoist.plan.capture_comparison import compare_captures
+from ochrehoist.plan.demand import Streams, calls_of_capture
+from ochrehoist.plan.errors import UnanswerableQuestionError
+from ochrehoist.plan.fit import estimate_all
+from ochrehoist.plan.fleet_changes import without_strongest
+from ochrehoist.plan.fleet_comparison import compare_fleets
+from ochrehoist.plan.forecast import forecast
+from ochrehoist.plan.measured_run import MeasuredRun
+from ochrehoist.plan.measurement import measure
+from ochrehoist.plan.runs import Run, execute_until_interrupted
+from ochrehoist.plan.site_loss import forecast_site_loss
+from ochrehoist.plan.sizing import find_size
 from tests.plan.test_plan import fleet, quiet
 from tests.support.worker_process import run_command
 
@@ -64,13 +61,13 @@
     def answers(self):
         f = fleet(load__rate=35.0)
         yield "forecast", forecast(f, (1, 2), 12.0, 1, quiet)
-        yield "breaks", breaks(f, (0.6, 1.2), (1, 2), 12.0, 1, quiet)
-        yield "size", size(f, "fast-node", 0.9, (1,), 12.0, 1, quiet)
-        yield "lose", lose(f, "brussels", 6.5, 9.0, (1,), 13.0, 1, quiet)
-        yield "compare", compare(f, f.at(0.5), (1, 2), 12.0, 1, quiet)
-        changes = side_by_side(capture(), capture(rate=60.0))
-        yield "captures", {"figures": [c.line() for c in changes], "on": []}
-        yield "fit", {"estimates": [e.line() for e in fitted(capture())]}
+        yield "breaks", find_breaking_point(f, (0.6, 1.2), (1, 2), 12.0, 1, quiet)
+        yield "size", find_size(f, "fast-node", 0.9, (1,), 12.0, 1, quiet)
+        yield "lose", forecast_site_loss(f, "brussels", 6.5, 9.0, (1,), 13.0, 1, quiet)
+        yield "compare", compare_fleets(f, f.at(0.5), (1, 2), 12.0, 1, quiet)
+        changes = compare_captures(capture(), capture(rate=60.0))
+        yield "captures", {"figures": [c.values() for c in changes], "on": []}
+        yield "fit", {"estimates": [e.values() for e in estimate_all(capture())]}
         same = forecast(f, (1,), 12.0, 1, quiet)
         one = {
             "classes": {c: {"goodput": v["goodput"]["mean"]} for c, v in same["classes"].items()},
@@ -105,7 +102,9 @@
             self.assertEqual(text.count("<svg"), text.count("</svg>"), question)
             self.assertEqual(LOADS.findall(text), [], question)
             self.assertNotIn("<script", text)
-            self.assertEqual(pictures.drawn(question, values, "svg"), pictures.drawn(question, values, "svg"))
+            self.assertEqual(
+                pictures.render(question, values, "svg"), pictures.render(question, values, "svg")
+            )
             json.dumps(values)
         self.assertEqual(seen, set(pictures.PICTURES) - {"play"})  # the laboratory's
 
@@ -138,7 +137,7 @@
 
 class TwoCaptures(unittest.TestCase):
     def told(self, a, b):
-        return {c.what: c for c in side_by_side(a, b)}
+        return {c.what: c for c in compare_captures(a, b)}
 
     def test_what_changed_is_told_from_chance(self):
         found = self.told(capture(), capture(rate=30.0, refused=0.2, seed=2))
@@ -151,7 +150,10 @@
 
     def test_two_draws_of_one_load_differ_in_few_figures(self):
         clear = [
-            c.what for seed in range(2, 12) for c in side_by_side(capture(), capture(seed=seed)) if c.clear
+            c.what
+            for seed in range(2, 12)
+            for c in compare_captures(capture(), capture(seed=seed))
+            if c.clear
         ]
         self.assertLessEqual(len(clear), 12, clear)  # of 110; a twentieth each by chance
 
@@ -163,7 +165,7 @@
         self.assertEqual((other["write: refused"].a, other["read: refused"].b), (None, None))
         self.assertIn("nothing in A", other["write: refused"].note)
         self.assertIn("nothing of it in B", other["read: refused"].note)
-        self.assertRaises(ValueError, side_by_side, Capture(), capture())
+        self.assertRaises(ValueError, compare_captures, Capture(), capture())
 
 
 class BrokenOff(unittest.TestCase):
@@ -177,17 +179,19 @@
     def test_what_is_known_so_far_is_told_and_nothing_of_half_a_pair(self):
         f = fleet()
         runs = [Run(f, seed, 12.0) for seed in range(1, 6)]
-        self.assertEqual(len(known(runs, 1, self.after(3))), 3)
-        self.assertEqual(len(known(runs, 1, self.after(3), whole=2)), 2)
-        self.assertRaises(KeyboardInterrupt, known, runs, 1, self.after(1), 2)
-        self.assertEqual(compare(f, f, (1, 2, 3), 12.0, 1, self.after(5))["seeds"], 2)
-        self.assertEqual(len(breaks(f, (0.5, 0.8, 1.1), (1,), 12.0, 1, self.after(2))["steps"]), 2)
+        self.assertEqual(len(execute_until_interrupted(runs, 1, self.after(3))), 3)
+        self.assertEqual(len(execute_until_interrupted(runs, 1, self.after(3), group_size=2)), 2)
+        self.assertRaises(KeyboardInterrupt, execute_until_interrupted, runs, 1, self.after(1), 2)
+        self.assertEqual(compare_fleets(f, f, (1, 2, 3), 12.0, 1, self.after(5))["seeds"], 2)
+        self.assertEqual(
+            len(find_breaking_point(f, (0.5, 0.8, 1.1), (1,), 12.0, 1, self.after(2))["steps"]), 2
+        )
         with self.assertRaises(UnanswerableQuestionError) as raised:
-            size(fleet(load__rate=60.0), "fast-node", 0.9, (1,), 12.0, 1, self.after(1))
+            find_size(fleet(load__rate=60.0), "fast-node", 0.9, (1,), 12.0, 1, self.after(1))
         self.assertIn("so far", str(raised.exception))
 
     def test_a_size_that_bears_a_loss_reaches_the_goal_without_its_strongest(self):
-        found = size(fleet(load__rate=35.0), "fast-node", 0.9, (1,), 12.0, 1, quiet)
+        found = find_size(fleet(load__rate=35.0), "fast-node", 0.9, (1,), 12.0, 1, quiet)
         self.assertGreater(found["with_one_lost"], found["needed"])
         self.assertGreaterEqual(found["tried_one_lost"][str(found["with_one_lost"])], 0.9)
         mixed = fleet(
@@ -222,15 +226,17 @@
             tried(9000, 10, True),
             tried(9001, 0, True),
         ]
-        wishes, _ = captured(
+        wishes, _ = calls_of_capture(
             fleet(), Capture([CaptureHeader("n1", 0, 1.0, 4, 1.0, (), ())], entries), Streams(1)
         )
-        self.assertEqual([round(w.at * 1000) for w in wishes], [0, 60, 95, 9000])
+        self.assertEqual([round(w.starts_at * 1000) for w in wishes], [0, 60, 95, 9000])
 
     def test_what_real_workers_saw_is_each_try_that_reached_them(self):
         with tempfile.TemporaryDirectory() as folder:
             f = fleet().at(0.6)
-            play = Play(f, 1, 4.0, settle=0.0, operators=f"[capture]\nfolder = {json.dumps(folder)}\n")
+            play = MeasuredRun(
+                f, 1, 4.0, settle_s=0.0, operator_config=f"[capture]\nfolder = {json.dumps(folder)}\n"
+            )
             tally = play.run()
             recorded = read_capture([Path(folder)])
             self.assertEqual(
@@ -248,7 +254,7 @@
             self.assertTrue(0 < values["goodput"]["mean"] <= 1)
 
     def test_a_measurement_tells_how_late_its_calls_began(self):
-        values = measured(fleet().at(0.4), 1, 6.5, None, quiet)
+        values = measure(fleet().at(0.4), 1, 6.5, None, quiet)
         self.assertGreaterEqual(values["late_p99_ms"], 0)
         self.assertTrue(math.isfinite(values["ratio"]))
 
--- a/tests/plan/test_rolling_restart.py
+++ b/tests/plan/test_rolling_restart.py
@@ -5,8 +5,12 @@
 from ochrehoist.config.fleet_description import load
 from ochrehoist.lab.drill import rolling_of, scenario_of
 from ochrehoist.lab.scenario import ScenarioError
-from ochrehoist.plan.questions import UnanswerableQuestionError
-from ochrehoist.plan.restart import by_figures, restart, spread
+from ochrehoist.plan.errors import UnanswerableQuestionError
+from ochrehoist.plan.rolling_restart import (
+    estimate_concurrent_restarts,
+    find_concurrent_restarts,
+    restart_order,
+)
 from tests.support.environment import ROOT
 
 
@@ -16,23 +20,25 @@
 
     def test_sites_take_turns(self):
         fleet = load(ROOT / "deploy/fleet.toml")
-        order = spread(fleet)
+        order = restart_order(fleet)
         self.assertEqual(sorted(order), list(range(len(fleet.placed_workers))))
         first = {(fleet.placed_workers[n].site, fleet.placed_workers[n].kind) for n in order[:4]}
         self.assertEqual(len(first), 4)
 
     def test_the_more_load_the_fewer_and_never_all(self):
-        counts = [by_figures(self.fleet.at(demand), 0.95) for demand in (0.1, 0.3, 0.6, 0.95)]
+        counts = [
+            estimate_concurrent_restarts(self.fleet.at(demand), 0.95) for demand in (0.1, 0.3, 0.6, 0.95)
+        ]
         self.assertEqual(counts, sorted(counts, reverse=True))
         self.assertLess(max(counts), len(self.fleet.placed_workers))
         self.assertEqual(counts[-1], 0)
 
     def test_the_events_of_the_real_module_agree_where_it_is_plain(self):
         quiet = lambda *_: None  # noqa: E731
-        self.assertEqual(restart(self.fleet.at(0.2), 0.9, 1.0, (1,), 1, quiet)["most"], 2)
-        self.assertEqual(restart(self.fleet.at(0.97), 0.99, 3.0, (1,), 1, quiet)["most"], 0)
+        self.assertEqual(find_concurrent_restarts(self.fleet.at(0.2), 0.9, 1.0, (1,), 1, quiet)["most"], 2)
+        self.assertEqual(find_concurrent_restarts(self.fleet.at(0.97), 0.99, 3.0, (1,), 1, quiet)["most"], 0)
         with self.assertRaises(UnanswerableQuestionError):
-            restart(self.fleet, 1.0, 1.0, (1,), 1, quiet)
+            find_concurrent_restarts(self.fleet, 1.0, 1.0, (1,), 1, quiet)
 
     def test_a_rolling_play_restarts_each_once_and_leaves_somebody(self):
         s = rolling_of(self.fleet, 4, 2, 1.0)
--- a/tests/sites/test_sites.py
+++ b/tests/sites/test_sites.py
@@ -346,7 +346,7 @@
 class ThePlaybook(unittest.TestCase):
     def setUp(self):
         self.fleet = load_fleet(ROOT / "deploy/fleet.toml")
-        self.book, self.about = plan_playbook.made(self.fleet, 1_796_000_000)
+        self.book, self.about = plan_playbook.make_playbook(self.fleet, 1_796_000_000)
         self.text = playbook_text.render(self.book, self.about)
 
     def test_what_the_planner_writes_can_be_read_and_is_the_same(self):
@@ -405,7 +405,7 @@
         settings = AdmissionSettings(
             classes=classes, cores=4, memory_kb=1e6, collapse_multiple=8.0, collapse_after_ns=S
         )
-        younger, _ = plan_playbook.made(self.fleet, 1_796_000_009)
+        younger, _ = plan_playbook.make_playbook(self.fleet, 1_796_000_009)
         a = SiteCoordinator("w0", "brussels", settings, self.book, 0.0, False)
         b = SiteCoordinator("w1", "antwerp", settings, younger, 0.0, False)
         a.tick(0.1, [PeerWorker("w1", "antwerp", "alive", 0.1, b.report(0.1))])
