--- a/ochrehoist/cli/lab.py
+++ b/ochrehoist/cli/lab.py
@@ -64,10 +64,10 @@
 
 
 def _played(name: str, seed: int) -> dict[str, Any]:
-    from ochrehoist.lab.play import Play
+    from ochrehoist.lab.scenario_runner import ScenarioRun
 
     logging.getLogger("asyncio").setLevel(logging.CRITICAL)
-    return Play(_scenario(name), seed).run()
+    return ScenarioRun(_scenario(name), seed).run()
 
 
 @click.group()
@@ -96,12 +96,12 @@
 @handles_errors(_told)
 def play(ctx: click.Context, file: str, seed: int, out: str | None, html: str | None) -> None:
     """Play FILE (a path, or the name of a scenario of the list). Ends with 1 where a rule was broken."""
-    from ochrehoist.lab.play import Play
+    from ochrehoist.lab.scenario_runner import ScenarioRun
 
     logging.getLogger("asyncio").setLevel(logging.CRITICAL)
     s = _scenario(file)
     with _progress(s.name, 1.0) as tell:
-        v = Play(s, seed).run(tell)
+        v = ScenarioRun(s, seed).run(tell)
     click.echo(_line(v))
     for line in v["broken"]:
         click.echo(f"  seed {seed}: {line}")
@@ -166,16 +166,16 @@
 @handles_errors(_told)
 def seeds(ctx: click.Context, count: int, first: int, jobs: int) -> None:
     """Seeded schedules of faults for the fleet's pure parts, on virtual time."""
-    from ochrehoist.lab.virtual import verdict
+    from ochrehoist.lab.virtual.budget_sweep import check_seed
 
     bad = uses = 0
     with _progress("schedules", count) as tell, ProcessPoolExecutor(jobs) as pool:
-        for n, (seed, why, used) in enumerate(pool.map(verdict, range(first, first + count), chunksize=8), 1):
+        for n, result in enumerate(pool.map(check_seed, range(first, first + count), chunksize=8), 1):
             tell(n)
-            uses += used
-            if why is not None:
+            uses += result.use_count
+            if result.violation is not None:
                 bad += 1
-                click.echo(f"seed {seed}: {why}")
+                click.echo(f"seed {result.seed}: {result.violation}")
     click.echo(f"{count} schedules, {uses} uses of budgets, {bad} broken")
     ctx.exit(ExitCode.FAILED if bad else 0)
 
@@ -188,18 +188,18 @@
 @handles_errors(_told)
 def sites_(ctx: click.Context, count: int, first: int, jobs: int) -> None:
     """Seeded losses, cuts, pauses and evacuations of sites, on virtual time: missed, invented, at once."""
-    from ochrehoist.lab.sitestorm import verdict
+    from ochrehoist.lab.virtual.site_fault_sweep import check_seed
 
     bad = losses = 0
     known: list[float] = []
     with _progress("schedules", count) as tell, ProcessPoolExecutor(jobs) as pool:
-        for n, (seed, broken, f) in enumerate(pool.map(verdict, range(first, first + count), chunksize=4), 1):
+        for n, result in enumerate(pool.map(check_seed, range(first, first + count), chunksize=4), 1):
             tell(n)
-            losses += f["losses"]
-            known += f["known"]
-            bad += bool(broken)
-            for line in broken:
-                click.echo(f"seed {seed}: {line}")
+            losses += result.loss_count
+            known += result.detection_times_s
+            bad += bool(result.violations)
+            for line in result.violations:
+                click.echo(f"seed {result.seed}: {line}")
     known.sort()
     click.echo(f"{count} schedules, {losses} losses, {bad} schedules broken")
     if known:
@@ -237,17 +237,21 @@
     """Play the loss of SITE with real workers, beside what figures alone foretell."""
     from ochrehoist.config.fleet_description import load
     from ochrehoist.lab import drill as drills
-    from ochrehoist.lab.play import Play
+    from ochrehoist.lab.scenario_runner import ScenarioRun
 
     if (fleet is None) == (scenario is None):
         fail("name --fleet or --scenario, and not both", ExitCode.INVALID_INPUT)
     logging.getLogger("asyncio").setLevel(logging.CRITICAL)
-    s = drills.scenario_of(load(fleet), site, workers, lasts) if fleet is not None else _scenario(scenario)
-    foretold = drills.foretold(s, site)
+    s = (
+        drills.site_loss_scenario(load(fleet), site, workers, lasts)
+        if fleet is not None
+        else _scenario(scenario)
+    )
+    expected = drills.forecast(s, site)
     with _progress(s.name, 1.0) as tell:
-        play = Play(s, seed)
-        v = play.run(tell)
-    rows = drills.compared(s, site, foretold, play.callers.calls, v)
+        run = ScenarioRun(s, seed)
+        v = run.run(tell)
+    rows = drills.compare(s, site, expected, run.calls, v)
     for name, forecast, measured, note in rows:
         click.echo(f"{name:34} {forecast:>12} {measured:>12}  {note}")
     for line in v["broken"]:
@@ -284,14 +288,14 @@
     """Restart all of a small fleet of real workers, so many at once, and say what callers got."""
     from ochrehoist.config.fleet_description import load
     from ochrehoist.lab import drill as drills
-    from ochrehoist.lab.play import Play
+    from ochrehoist.lab.scenario_runner import ScenarioRun
 
     logging.getLogger("asyncio").setLevel(logging.CRITICAL)
-    s = drills.rolling_of(load(fleet), workers, at_once, down)
+    s = drills.rolling_restart_scenario(load(fleet), workers, at_once, down)
     with _progress(s.name, 1.0) as tell:
-        v = Play(s, seed).run(tell)
+        v = ScenarioRun(s, seed).run(tell)
     g = v["goodput"]
-    during = [gained for second, gained in v["seconds"] if second >= drills.AT_S and second < s.seconds]
+    during = [gained for second, gained in v["seconds"] if second >= drills.LOSS_AT_S and second < s.seconds]
     click.echo(
         f"{at_once} of {s.workers} at once: before {g['quiet']['all']:.3f}, meanwhile "
         f"{sum(during) / len(during):.3f}, worst second {min(during):.2f}, "
@@ -314,11 +318,11 @@
 @handles_errors(_told)
 def orders(ctx: click.Context, most: int, **bounds: int) -> None:
     """Every order of events for one right and two claimants, within the bounds."""
-    from ochrehoist.lab.explore import Bounds, Doubled, explore
+    from ochrehoist.lab.lease_exploration import Bounds, SlotDoubledError, explore
 
     try:
         click.echo(f"{explore(Bounds(**bounds), most)} states, no right doubled")
-    except Doubled as error:
+    except SlotDoubledError as error:
         click.echo(f"a right is held twice: {error}")
         ctx.exit(ExitCode.FAILED)
     except OverflowError as error:
--- a/ochrehoist/net/ajp_connection.py
+++ b/ochrehoist/net/ajp_connection.py
@@ -13,13 +13,13 @@
 from ochrehoist.core.protocols import Logger
 from ochrehoist.core.request import InboundRequest
 from ochrehoist.core.results import FailureReason, RunResult
-from ochrehoist.core.units import NS_PER_S
 from ochrehoist.net import ajp
 from ochrehoist.net.ajp_reader import AjpReader, CheckedRequest, RequestRejectedError
 from ochrehoist.net.ajp_server import read_packet
 from ochrehoist.net.front import MESSAGE_TIMEOUT_S, FrontConnection, FrontContext
 from ochrehoist.net.loop import Loop
 from ochrehoist.net.stream import ConnectionClosedError, Stream, StreamTimeoutError
+from ochrehoist.units import NS_PER_S
 
 FAILURE_STATUS = {
     FailureReason.DEADLINE_PASSED: HTTPStatus.GATEWAY_TIMEOUT,
--- a/ochrehoist/net/ajp_server.py
+++ b/ochrehoist/net/ajp_server.py
@@ -19,10 +19,10 @@
 from ochrehoist.core.protocols import Logger
 from ochrehoist.core.request import InboundRequest
 from ochrehoist.core.results import RunResult
-from ochrehoist.core.units import NS_PER_S
 from ochrehoist.net import ajp
 from ochrehoist.net.loop import Loop
 from ochrehoist.net.stream import ConnectionClosedError, Stream, StreamTimeoutError, connect
+from ochrehoist.units import NS_PER_S
 
 SWEEP_INTERVAL_S = 1.0
 NEVER_S = -1e9
--- a/ochrehoist/net/intent_replication.py
+++ b/ochrehoist/net/intent_replication.py
@@ -26,6 +26,7 @@
 )
 from ochrehoist.recovery.pending_intents import RESEND_INTERVAL_S, OutgoingMessage, PendingIntents
 from ochrehoist.recovery.witness_quorum import WitnessQuorumReport, missing_from_store
+from ochrehoist.units import NS_PER_S
 
 if TYPE_CHECKING:
     from ochrehoist.net.peers import Peers
@@ -36,7 +37,6 @@
 WINDOW_MARGIN_S = 1.0  # over the longest idempotency window, for messages on their way
 SPARE_SEND_TIMES = 64  # kept of requests that no longer wait
 QUERY_NUMBER_BITS = 40
-NS_PER_S = 1_000_000_000
 
 
 class ReplicatedJournal(Protocol):
@@ -131,17 +131,19 @@
 
     # The extension of the peers' protocol.
 
-    def status(self, now: float) -> bytes:  # noqa: ARG002
+    def status_report(self, now: float) -> bytes:  # noqa: ARG002
         """Nothing that all peers need."""
         return b""
 
-    def sends(self, now: float) -> list[tuple[str, str, bytes]]:
+    def messages_to_send(self, now: float) -> list[tuple[str, str, bytes]]:
         """Queries and intents that are due, as name, topic and data."""
         queries = [(name, WitnessTopic.QUERY_INTENTS, data) for name, data in self._queries(now)]
         intents = [(name, WitnessTopic.RECORD_INTENT, data) for name, data in self._pending_messages(now)]
         return [*queries, *intents]
 
-    def took(self, sender: Incarnation, topic: str, data: bytes, now: float) -> list[tuple[str, bytes]]:
+    def message_received(
+        self, sender: Incarnation, topic: str, data: bytes, now: float
+    ) -> list[tuple[str, bytes]]:
         """Handles one message, and gives the answers to its sender as topic and data."""
         message = decode(topic, data)
         if isinstance(message, RecordIntent):
@@ -243,7 +245,7 @@
             self._expired_at = now
             self.intent_log.remove_expired(now)
 
-    def view(self) -> dict[str, Any]:
+    def status_section(self) -> dict[str, Any]:
         """For `/status`."""
         samples = sorted(self.pending.wait_samples_s)
         quantiles = (("p50", 0.5), ("p99", 0.99)) if samples else ()
--- a/ochrehoist/net/recovery.py
+++ b/ochrehoist/net/recovery.py
@@ -13,10 +13,11 @@
 from ochrehoist.core.protocols import Logger
 from ochrehoist.core.request import InboundRequest
 from ochrehoist.net.blocking_calls import BlockingCallThread
-from ochrehoist.net.intent_replication import NS_PER_S, IntentReplicationService, ReplicatedJournal
+from ochrehoist.net.intent_replication import IntentReplicationService, ReplicatedJournal
 from ochrehoist.net.loop import Loop
 from ochrehoist.recovery.service_level import ServiceLevelMonitor, ServiceOutcome
 from ochrehoist.recovery.startup_progress import ReadinessFacts, StartupProgress, StartupStage
+from ochrehoist.units import NS_PER_S
 
 if TYPE_CHECKING:  # loaded only where their tables are
     from ochrehoist.net.ajp_server import AjpServers
@@ -149,7 +150,7 @@
         self._log.warning("startup_stage_skipped", stage=str(stage))
         return f"{stage} is skipped"
 
-    def view(self) -> dict[str, Any]:
+    def status_section(self) -> dict[str, Any]:
         """For `/status`."""
         now = time.monotonic()
         current = self._progress.current
@@ -163,11 +164,11 @@
             ],
             "so_far": self._progress.summary(now),
             "in_time": self._service_level.good_ratio(),
-            "witnesses": self._replication.view(),
+            "witnesses": self._replication.status_section(),
             "remembers": self._replication.intent_log.counts(),
         }
 
-    def figures(self) -> str:
+    def metrics_text(self) -> str:
         """The metrics as text."""
         now = time.monotonic()
         current = self._progress.current.stage
