--- a/tests/plan/test_fit.py
+++ b/tests/plan/test_fit.py
@@ -6,7 +6,7 @@
 from ochrehoist.capture.records import CaptureHeader, RequestRecord
 from ochrehoist.plan.cores import Cores, Machine
 from ochrehoist.plan.demand import Streams
-from ochrehoist.plan.fit import fitted
+from ochrehoist.plan.fit import estimate_all
 
 
 class Fit(unittest.TestCase):
@@ -49,7 +49,7 @@
         )
 
     def told(self, capture):
-        return {e.what: e for e in fitted(capture)}
+        return {e.what: e for e in estimate_all(capture)}
 
     def test_speed_crowd_and_repeats_are_found_within_their_intervals(self):
         found = self.told(self.entries())
@@ -70,4 +70,4 @@
         few = self.told(self.entries(count=30))
         self.assertIsNone(few["n1: speed of a core"].value)
         self.assertIsNone(few["popularity of subjects (zipf)"].value)
-        self.assertRaises(ValueError, fitted, Capture())
+        self.assertRaises(ValueError, estimate_all, Capture())
--- a/tests/plan/test_model.py
+++ b/tests/plan/test_model.py
@@ -9,9 +9,10 @@
 
 from ochrehoist.config.fleet_description import parse
 from ochrehoist.plan import analytic
-from ochrehoist.plan.demand import Streams, speeds
-from ochrehoist.plan.events import Simulation, Trouble
-from ochrehoist.plan.questions import with_workers
+from ochrehoist.plan.demand import Streams, draw_speeds
+from ochrehoist.plan.fleet_changes import with_workers
+from ochrehoist.plan.fleet_run import Outage
+from ochrehoist.plan.simulation import Simulation
 from tests.plan.example_fleet import EXAMPLE, fleet
 
 
@@ -31,7 +32,7 @@
             for demand in (0.6, 0.9, 1.0, 1.1, 1.4):
                 f = fleet(**changes).at(demand)
                 events = self.goodput(f, seconds=25.0).goodput
-                figures = analytic.steady(f, speeds(f, Streams(1))).goodput
+                figures = analytic.solve(f, draw_speeds(f, Streams(1))).goodput
                 # At the capacity itself, in a fleet of three, chance moves work that figures don't follow.
                 near = 0.15 if demand == 1.0 else 0.1
                 self.assertAlmostEqual(figures / events, 1.0, delta=near, msg=f"{changes} {demand}")
@@ -40,7 +41,7 @@
         data = copy.deepcopy(EXAMPLE)
         data["routers"] = [{"addresses": ["10.1.9.1"], "choice": "round"}]
         mixed = parse(data).at(0.85)
-        first = analytic.steady(mixed, speeds(mixed, Streams(1))).first
+        first = analytic.solve(mixed, draw_speeds(mixed, Streams(1))).first_limited
         self.assertEqual((first.kind, first.limit), ("small-node", "cores"))
         counts = self.goodput(mixed).workers
         small, fast = ([w for w in counts if w.kind == kind] for kind in ("small-node", "fast-node"))
@@ -54,8 +55,8 @@
 
     def test_a_lost_worker_is_left_and_one_that_returns_is_cold_and_found(self):
         f = fleet(membership__lag_s=0.5)
-        trouble = Trouble(6.0, (0,), 9.0, "one")
-        tally = self.goodput(f, seconds=16.0, troubles=(trouble,))
+        outage = Outage(6.0, (0,), 9.0, "one")
+        tally = self.goodput(f, seconds=16.0, outages=(outage,))
         self.assertEqual([text for _, text in tally.events], ["one lost", "one back, cold"])
         whole = self.goodput(f, seconds=16.0)
         self.assertLess(tally.workers[0].tries, whole.workers[0].tries)
@@ -63,14 +64,14 @@
 
     def test_a_filing_never_runs_twice_at_one_worker_whatever_clients_repeat(self):
         f = fleet(clients__retries=2, clients__wait_ms=50.0).at(1.3)
-        sim = Simulation(f, 3, 14.0, troubles=(Trouble(7.0, (1,), 8.0, "one"),))
+        sim = Simulation(f, 3, 14.0, outages=(Outage(7.0, (1,), 8.0, "one"),))
         begun = []
         for w in sim.workers:
             plain = w.start
 
             def start(request, w=w, plain=plain):
                 if request.idempotency_key:
-                    begun.append((w.number, id(w.owner), request.idempotency_key))
+                    begun.append((w.number, id(w.actor), request.idempotency_key))
                 plain(request)
 
             w.start = start
@@ -90,7 +91,7 @@
         f = fleet(routers__0__choice=choice).at(demand)
         bigger, calmer = with_workers(f, "fast-node", 3 + more), f.with_load(f.load.rate * less)
         base, *better = (
-            analytic.steady(which, [speed] * len(which.placed_workers)).goodput
+            analytic.solve(which, [speed] * len(which.placed_workers)).goodput
             for which, speed in ((f, 1.0), (bigger, 1.0), (f, faster), (calmer, 1.0))
         )
         self.assertGreaterEqual(min(better), base - 0.02)  # what is drawn within it swings by less
