--- a/ochrehoist/app/kernel_link_supervisor.py
+++ b/ochrehoist/app/kernel_link_supervisor.py
@@ -1,15 +1,20 @@
 """Watches the link to the kernel: health turns bad without it, and the configuration is reloaded."""
 
+from __future__ import annotations
+
 import time
+from typing import TYPE_CHECKING
 
 from ochrehoist.app.reload import ConfigReloader
 from ochrehoist.core.actor import CoreActor
 from ochrehoist.core.kernel_link_monitor import KernelLinkMonitor
 from ochrehoist.core.messages import KernelLinkChanged
-from ochrehoist.core.protocols import Logger
 from ochrehoist.net.kernel_link import KernelLink
 from ochrehoist.net.loop import Loop
 
+if TYPE_CHECKING:
+    from ochrehoist.core.protocols import Logger
+
 LINK_CHECK_INTERVAL_S = 0.25
 
 
--- a/ochrehoist/app/reload.py
+++ b/ochrehoist/app/reload.py
@@ -6,9 +6,12 @@
 configuration alone held is released.
 """
 
+from __future__ import annotations
+
 import time
 from collections.abc import Generator, Sequence
 from functools import partial
+from typing import TYPE_CHECKING
 
 from ochrehoist.app.reload_change import ConfigChange, Participant, prepare_in_steps
 from ochrehoist.app.reload_status import ReloadStatus
@@ -16,11 +19,13 @@
 from ochrehoist.core.actor import CoreActor
 from ochrehoist.core.messages import ConfigurationSwitched
 from ochrehoist.core.metrics import ReloadCounter
-from ochrehoist.core.protocols import Logger
 from ochrehoist.errors import InvalidInputError
 from ochrehoist.net.kernel_link import KernelLink
 from ochrehoist.net.loop import Loop, Signal
 
+if TYPE_CHECKING:
+    from ochrehoist.core.protocols import Logger
+
 OUTCOME_LOG_DELAY_S = 3.0  # after a change, at which the log says what has come of it
 STEPS_PER_TURN_S = 0.001  # for which steps are taken in a turn of the loop; the last may take longer
 PAUSE_FACTOR = 1.0  # the least pause between two turns, by the time that the steps of the first took
--- a/ochrehoist/core/actor.py
+++ b/ochrehoist/core/actor.py
@@ -3,9 +3,12 @@
 All other tasks post messages to its inbox. It knows no wire and no scheduler: it sleeps on a Waker.
 """
 
+from __future__ import annotations
+
 from collections import Counter
 from collections.abc import Callable
 from dataclasses import replace
+from typing import TYPE_CHECKING
 
 from ochrehoist.admission.controller import AdmissionController
 from ochrehoist.admission.events import (
@@ -24,12 +27,14 @@
 from ochrehoist.core.idempotency_table import IdempotencyTable
 from ochrehoist.core.message_handlers import MESSAGE_HANDLERS
 from ochrehoist.core.messages import RunCompleted
-from ochrehoist.core.protocols import ConcurrencyLimiter, DetailCodec, Logger, Waker
 from ochrehoist.core.request import InboundRequest
 from ochrehoist.core.results import FailureReason, RunResult
 from ochrehoist.core.snapshot import CoreSnapshot
 from ochrehoist.units import NS_PER_MS, NS_PER_S
 
+if TYPE_CHECKING:
+    from ochrehoist.core.protocols import ConcurrencyLimiter, DetailCodec, Logger, Waker
+
 LIMITS_PERIOD_NS = 100 * NS_PER_MS  # between two evaluations of the limits, where there are any
 EXPIRY_PERIOD_NS = NS_PER_S  # between two searches for idempotent runs that have expired
 STANDING_STILL_PERIOD_S = 0.01  # between two looks at what is due while another process decides
--- a/ochrehoist/core/arrival_checks.py
+++ b/ochrehoist/core/arrival_checks.py
@@ -1,10 +1,16 @@
 """What is answered as it arrives, and never reaches the admission controller."""
 
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
 from ochrehoist.core.context import CoreContext
-from ochrehoist.core.protocols import ConcurrencyLimiter, FleetAdmission
 from ochrehoist.core.request import IdempotencyKey, InboundRequest
 from ochrehoist.core.results import FailureReason
 
+if TYPE_CHECKING:
+    from ochrehoist.core.protocols import ConcurrencyLimiter, FleetAdmission
+
 
 def answered_on_arrival(core: CoreContext, request: InboundRequest) -> bool:
     """Answers a request that is not to be decided on; whether it did."""
--- a/ochrehoist/core/context.py
+++ b/ochrehoist/core/context.py
@@ -1,8 +1,11 @@
 """What the parts of the core share: its state, and the calls that they make to each other."""
 
+from __future__ import annotations
+
 from abc import ABC, abstractmethod
 from collections import deque
 from collections.abc import Callable
+from typing import TYPE_CHECKING
 
 from ochrehoist.admission.controller import AdmissionController
 from ochrehoist.admission.events import Event, RequestReceived
@@ -13,21 +16,23 @@
 from ochrehoist.core.idempotent_runs import IdempotentRuns
 from ochrehoist.core.messages import ExecutorReady, Message
 from ochrehoist.core.metrics import Metrics
-from ochrehoist.core.protocols import (
-    ConcurrencyLimiter,
-    FleetAdmission,
-    IdempotencyJournal,
-    LifecycleListener,
-    Logger,
-    RequestObserver,
-    Waker,
-)
 from ochrehoist.core.request import InboundRequest
 from ochrehoist.core.response_tracker import ResponseTracker
 from ochrehoist.core.results import FailureReason
 from ochrehoist.core.tenants import TenantTable, initial_table
 from ochrehoist.units import NS_PER_MS, NS_PER_S
 
+if TYPE_CHECKING:
+    from ochrehoist.core.protocols import (
+        ConcurrencyLimiter,
+        FleetAdmission,
+        IdempotencyJournal,
+        LifecycleListener,
+        Logger,
+        RequestObserver,
+        Waker,
+    )
+
 # So long before the process is stopped, whatever is still open is failed.
 SHUTDOWN_ANSWER_MARGIN_NS = 150 * NS_PER_MS
 
--- a/ochrehoist/core/forwarder.py
+++ b/ochrehoist/core/forwarder.py
@@ -4,7 +4,10 @@
 what it is told to run, answers as it is told, and reports how runs end.
 """
 
+from __future__ import annotations
+
 from collections.abc import Callable
+from typing import TYPE_CHECKING
 
 from ochrehoist.admission.events import Outcome
 from ochrehoist.core.handover_lines import (
@@ -25,12 +28,14 @@
     RunCompleted,
     StandbyChanged,
 )
-from ochrehoist.core.protocols import DetailCodec
 from ochrehoist.core.request import InboundRequest
 from ochrehoist.core.response_tracker import ResponseTracker
 from ochrehoist.core.results import FailureReason, RunResult
 from ochrehoist.units import NS_PER_MS
 
+if TYPE_CHECKING:
+    from ochrehoist.core.protocols import DetailCodec
+
 # So long past its due time a request is answered here, whatever the other process does.
 ANSWER_GRACE_NS = 25 * NS_PER_MS
 
--- a/ochrehoist/core/handover_lines.py
+++ b/ochrehoist/core/handover_lines.py
@@ -5,10 +5,12 @@
 lines: their field names stay as they are.
 """
 
+from __future__ import annotations
+
 import base64
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from ochrehoist.admission.settings import RequestClass
 from ochrehoist.core.errors import RequestOwnerDisconnectedError
@@ -21,10 +23,12 @@
     class_from_json,
     class_to_json,
 )
-from ochrehoist.core.protocols import DetailCodec
 from ochrehoist.core.request import Fingerprint, IdempotencyKey, InboundRequest
 from ochrehoist.core.results import FailureReason, RunResult
 
+if TYPE_CHECKING:
+    from ochrehoist.core.protocols import DetailCodec
+
 Line = dict[str, Any]
 Send = Callable[[Line], bool | None]  # False where the other process is gone
 
@@ -121,7 +125,7 @@
 
 
 def request_from_json(
-    data: Line, remote: "RemoteRequestOwner", classes: dict[str, RequestClass]
+    data: Line, remote: RemoteRequestOwner, classes: dict[str, RequestClass]
 ) -> InboundRequest:
     """The request of a line, which `remote` answers and runs.
 
--- a/ochrehoist/core/handover_snapshot.py
+++ b/ochrehoist/core/handover_snapshot.py
@@ -3,7 +3,10 @@
 Two releases talk to each other by these lines: their field names stay as they are.
 """
 
+from __future__ import annotations
+
 from collections.abc import Callable, Iterator
+from typing import TYPE_CHECKING
 
 from ochrehoist.admission.settings import RequestClass
 from ochrehoist.core.errors import (
@@ -27,10 +30,12 @@
 )
 from ochrehoist.core.idempotency_table import IdempotencyRecord, IdempotencyTable, IdempotentRun
 from ochrehoist.core.persisted_names import class_from_json, class_to_json
-from ochrehoist.core.protocols import DetailCodec
 from ochrehoist.core.request import IdempotencyKey
 from ochrehoist.core.snapshot import CoreSnapshot
 
+if TYPE_CHECKING:
+    from ochrehoist.core.protocols import DetailCodec
+
 LAYOUT_VERSION = 1  # of these lines
 
 
--- a/ochrehoist/core/idempotent_runs.py
+++ b/ochrehoist/core/idempotent_runs.py
@@ -1,6 +1,8 @@
 """Idempotent runs through the journal: none begins before it is on record, and what was is known again."""
 
-from typing import Protocol
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Protocol
 
 from ochrehoist.admission import learned_state
 from ochrehoist.admission.controller import AdmissionController
@@ -14,7 +16,6 @@
 )
 from ochrehoist.core.idempotency_table import IdempotencyTable, IdempotentRun
 from ochrehoist.core.messages import DuplicateResolved, IntentRecorded, Message, StateRestored
-from ochrehoist.core.protocols import IdempotencyJournal, Logger
 from ochrehoist.core.request import IdempotencyKey, InboundRequest
 from ochrehoist.core.response_tracker import ResponseTracker
 from ochrehoist.core.results import FailureReason, RunResult
@@ -22,6 +23,9 @@
 from ochrehoist.core.tenants import TenantTable
 from ochrehoist.units import NS_PER_S
 
+if TYPE_CHECKING:
+    from ochrehoist.core.protocols import IdempotencyJournal, Logger
+
 RESULT_OVERHEAD_BYTES = 600  # that one remembered run takes beyond its result
 
 
--- a/ochrehoist/core/request.py
+++ b/ochrehoist/core/request.py
@@ -1,10 +1,14 @@
 """A request that was read completely, and how far it has come."""
 
+from __future__ import annotations
+
 from dataclasses import dataclass
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from ochrehoist.admission.settings import RequestClass
-from ochrehoist.core.protocols import Executor, Responder
+
+if TYPE_CHECKING:
+    from ochrehoist.core.protocols import Executor, Responder
 
 # Names of tenant and class, and the caller's own key: identifies one filing.
 IdempotencyKey = tuple[str | None, str, str]
--- a/ochrehoist/core/response_tracker.py
+++ b/ochrehoist/core/response_tracker.py
@@ -1,13 +1,18 @@
 """The one final answer of each request: sent once, and counted as what its caller received."""
 
+from __future__ import annotations
+
 from collections.abc import Callable
+from typing import TYPE_CHECKING
 
 from ochrehoist.admission.events import Outcome
 from ochrehoist.core.metrics import Metrics, RequestCounter
-from ochrehoist.core.protocols import Logger, RequestObserver
 from ochrehoist.core.request import InboundRequest
 from ochrehoist.core.results import FailureReason, RunResult
 
+if TYPE_CHECKING:
+    from ochrehoist.core.protocols import Logger, RequestObserver
+
 # Sends one answer; False where the front had to report a failure instead.
 Delivery = Callable[[], bool | None]
 Sender = Callable[[InboundRequest, RequestCounter, Delivery, int], None]
--- a/ochrehoist/net/front.py
+++ b/ochrehoist/net/front.py
@@ -1,19 +1,23 @@
 """What the fronts have in common: their connections, admission before the core, and how they are drained."""
 
+from __future__ import annotations
+
 import itertools
 import socket
 import time
 from abc import ABC, abstractmethod
 from collections.abc import Callable
-from typing import Generic, Protocol, TypeVar
+from typing import TYPE_CHECKING, Generic, Protocol, TypeVar
 
 from ochrehoist.core.actor import CoreActor
-from ochrehoist.core.protocols import AdmissionFilter, Logger
 from ochrehoist.core.request import InboundRequest
 from ochrehoist.net.listener import Acceptor, RequestPacer, evict_one
 from ochrehoist.net.loop import Loop
 from ochrehoist.net.stream import Stream
 
+if TYPE_CHECKING:
+    from ochrehoist.core.protocols import AdmissionFilter, Logger
+
 MESSAGE_TIMEOUT_S = 2.5  # for a message that was begun, and for the first one of a new connection
 STALLED_S = 1.0  # without a byte after which a message that was begun counts as never to be completed
 SLOW_START_S = 0.2  # after its connect that a first message must still be arriving to count as a slow one
--- a/ochrehoist/net/handover_client.py
+++ b/ochrehoist/net/handover_client.py
@@ -1,9 +1,11 @@
 """The new process's side of the handover link: it takes the state over, then hears from the old process."""
 
+from __future__ import annotations
+
 import socket
 from collections.abc import Callable, Mapping
 from dataclasses import replace
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from ochrehoist.admission.events import Outcome
 from ochrehoist.core.actor import CoreActor
@@ -12,7 +14,6 @@
 from ochrehoist.core.handover_snapshot import SnapshotReader
 from ochrehoist.core.idempotent_runs import RESULT_OVERHEAD_BYTES
 from ochrehoist.core.messages import CallerDisconnected, RunCompleted, StateTransferred
-from ochrehoist.core.protocols import DetailCodec, Logger
 from ochrehoist.core.request import InboundRequest
 from ochrehoist.core.results import RunResult
 from ochrehoist.core.snapshot import CoreSnapshot
@@ -30,6 +31,9 @@
 from ochrehoist.net.stream import ConnectionClosedError, StreamTimeoutError
 from ochrehoist.units import NS_PER_S
 
+if TYPE_CHECKING:
+    from ochrehoist.core.protocols import DetailCodec, Logger
+
 RETRY_DELAY_S = 0.05  # between attempts to get the state
 ORPHANED_RUN_S = 2.0  # for which what a process had begun counts as running after it died
 
--- a/ochrehoist/net/handover_server.py
+++ b/ochrehoist/net/handover_server.py
@@ -1,17 +1,18 @@
 """The old process's side of the handover link: it waits for the process that replaces it."""
 
+from __future__ import annotations
+
 import os
 import socket
 import struct
 import time
 from collections.abc import Callable, Mapping, Sequence
 from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from ochrehoist.core.actor import CoreActor
 from ochrehoist.core.forwarder import Forwarder
 from ochrehoist.core.handover_snapshot import snapshot_lines
-from ochrehoist.core.protocols import DetailCodec, Logger
 from ochrehoist.core.snapshot import CoreSnapshot
 from ochrehoist.net.handover_link import (
     ANSWER_TIMEOUT_S,
@@ -26,6 +27,9 @@
 from ochrehoist.net.loop import Loop
 from ochrehoist.net.stream import StreamTimeoutError
 
+if TYPE_CHECKING:
+    from ochrehoist.core.protocols import DetailCodec, Logger
+
 SOCKET_MODE = 0o600
 BACKLOG = 4
 MAX_STATE_AHEAD_BYTES = 64 * 1024  # of the state that is written and not yet taken
--- a/ochrehoist/net/kernel_link.py
+++ b/ochrehoist/net/kernel_link.py
@@ -3,15 +3,16 @@
 `in_flight_runs.py` decides what is sent again after a break, `kernel_protocol.py` reads the lines.
 """
 
+from __future__ import annotations
+
 import time
 from collections.abc import Callable
 from functools import partial
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from ochrehoist.admission.events import Outcome
 from ochrehoist.core.actor import CoreActor
 from ochrehoist.core.messages import ExecutorReady, GaugesMeasured, RunCompleted
-from ochrehoist.core.protocols import Logger
 from ochrehoist.core.request import InboundRequest
 from ochrehoist.core.results import RunResult
 from ochrehoist.errors import OchrehoistError
@@ -34,6 +35,9 @@
 from ochrehoist.net.stream import ConnectionClosedError, Stream, StreamTimeoutError, connect
 from ochrehoist.units import NS_PER_S
 
+if TYPE_CHECKING:
+    from ochrehoist.core.protocols import Logger
+
 MAX_LINE_BYTES = 1 << 20
 RETRY_DELAY_S = 0.05  # between attempts to get a link
 CONNECT_TIMEOUT_S = 0.25  # to a process on this machine: what hangs must not hold up a move
--- a/ochrehoist/net/listener.py
+++ b/ochrehoist/net/listener.py
@@ -1,13 +1,14 @@
 """Accepting connections under a limit, and small servers on top of it."""
 
+from __future__ import annotations
+
 import errno
 import socket
 import time
 from abc import ABC, abstractmethod
 from collections.abc import Callable
-from typing import TypeVar
+from typing import TYPE_CHECKING, TypeVar
 
-from ochrehoist.core.protocols import Logger
 from ochrehoist.net.loop import Loop
 from ochrehoist.net.stream import (
     LISTEN_BACKLOG,
@@ -17,6 +18,9 @@
     listen,
 )
 
+if TYPE_CHECKING:
+    from ochrehoist.core.protocols import Logger
+
 ACCEPT_RETRY_S = 0.05  # while no descriptor is free, or no connection can be evicted
 OUT_OF_RESOURCES = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
 
--- a/ochrehoist/net/loop.py
+++ b/ochrehoist/net/loop.py
@@ -5,6 +5,8 @@
 its stream, which makes its wait raise ConnectionClosedError. Times are seconds of time.monotonic().
 """
 
+from __future__ import annotations
+
 import os
 import select
 import signal
@@ -12,11 +14,13 @@
 from collections import deque
 from collections.abc import Callable
 from heapq import heappop, heappush
-from typing import Protocol
+from typing import TYPE_CHECKING, Protocol
 
 from greenlet import GreenletExit, getcurrent, greenlet  # type: ignore[import-untyped]
 
-from ochrehoist.core.protocols import Logger
+if TYPE_CHECKING:
+    from ochrehoist.core.protocols import Logger
+
 
 MAX_POLL_OVERRUN_S = 0.005  # by which a poll may outlast its timeout before it counts as stopped
 MS_PER_S = 1000
@@ -59,7 +63,7 @@
         """The call is not made."""
         self.call = None
 
-    def __lt__(self, other: "Timer") -> bool:
+    def __lt__(self, other: Timer) -> bool:
         return self.due_s < other.due_s
 
 
--- a/ochrehoist/net/membership_heartbeat.py
+++ b/ochrehoist/net/membership_heartbeat.py
@@ -6,17 +6,21 @@
 it: a service that found it closed might not count it.
 """
 
+from __future__ import annotations
+
 import json
 import time
 from collections.abc import Callable
 from enum import StrEnum
-from typing import NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
 
 from ochrehoist.core.actor import CoreActor
-from ochrehoist.core.protocols import Logger
 from ochrehoist.net.loop import Loop, Signal
 from ochrehoist.net.stream import ConnectionClosedError, Stream, connect
 
+if TYPE_CHECKING:
+    from ochrehoist.core.protocols import Logger
+
 REPORT_INTERVAL_S = 0.8  # an entry lapses after 3 s
 RETRY_DELAY_S = 0.2  # between attempts while the service is out of reach
 CONNECT_TIMEOUT_S = 0.4
--- a/ochrehoist/net/process_shutdown.py
+++ b/ochrehoist/net/process_shutdown.py
@@ -1,18 +1,22 @@
 """How a process ends without losing a request: on SIGTERM, or because another one has replaced it."""
 
+from __future__ import annotations
+
 import time
 from collections.abc import Callable, Collection, Mapping, Sequence
-from typing import Protocol
+from typing import TYPE_CHECKING, Protocol
 
 from ochrehoist.core.actor import CoreActor
 from ochrehoist.core.forwarder import Forwarder
 from ochrehoist.core.messages import ShutdownRequested
-from ochrehoist.core.protocols import Logger
 from ochrehoist.net.front import FrontConnection
 from ochrehoist.net.listener import Acceptor
 from ochrehoist.net.loop import Loop
 from ochrehoist.units import NS_PER_MS, NS_PER_S
 
+if TYPE_CHECKING:
+    from ochrehoist.core.protocols import Logger
+
 MS_PER_S = 1000
 QUIET_S = 0.05  # without an open request before a process ends
 KILL_MARGIN_S = 0.1  # before it would be killed; the core answers what is left a little earlier still
--- a/ochrehoist/net/thrift_front.py
+++ b/ochrehoist/net/thrift_front.py
@@ -1,14 +1,16 @@
 """The platform's front: routers connect here, and call requests and health checks by Thrift."""
 
+from __future__ import annotations
+
 import socket
 import time
 from collections.abc import Callable
 from enum import IntEnum
+from typing import TYPE_CHECKING
 
 from ochrehoist.admission.settings import AdmissionSettings, RequestClass
 from ochrehoist.core.actor import CoreActor
 from ochrehoist.core.messages import CallerDisconnected
-from ochrehoist.core.protocols import AdmissionFilter, Executor, Logger
 from ochrehoist.net.front import FRESH_S, MESSAGE_TIMEOUT_S, SILENT_S, SLOW_START_S, STALLED_S, Front
 from ochrehoist.net.loop import Loop
 from ochrehoist.net.stream import Stream
@@ -16,6 +18,9 @@
 from ochrehoist.net.thrift_reader import ThriftReader
 from ochrehoist.units import NS_PER_S
 
+if TYPE_CHECKING:
+    from ochrehoist.core.protocols import AdmissionFilter, Executor, Logger
+
 SOCKET_SEND_BUFFER_BYTES = 64 * 1024  # for each connection: for a slow reader it would grow to megabytes
 FIRST_SWEEP_DELAY_S = 0.1
 SWEEP_INTERVAL_S = 0.05
--- a/ochrehoist/net/thrift_reader.py
+++ b/ochrehoist/net/thrift_reader.py
@@ -1,17 +1,22 @@
 """Reads the arguments of the platform's `invoke` call into a request for the core."""
 
+from __future__ import annotations
+
 import math
 from collections.abc import Mapping
 from dataclasses import dataclass
 from hashlib import sha256
+from typing import TYPE_CHECKING
 
 from ochrehoist.admission.settings import AdmissionSettings, Idempotency, RequestClass
 from ochrehoist.core.actor import CoreActor
-from ochrehoist.core.protocols import Executor, Responder
 from ochrehoist.core.request import InboundRequest
 from ochrehoist.net.thrift import InvalidArgumentsError
 from ochrehoist.units import NS_PER_MS
 
+if TYPE_CHECKING:
+    from ochrehoist.core.protocols import Executor, Responder
+
 MAX_BODY_BYTES = 2048
 MAX_DIGITS = 15  # of a whole number
 REQUEST_ID_LENGTH = 16
