--- a/tests/admission/controller_driver.py
+++ b/tests/admission/controller_driver.py
@@ -24,6 +24,7 @@
 
 
 def request_class(**changes):
+    """A class with usual values for what is not given."""
     base = RequestClass(
         name="read",
         latency_objective_ns=2 * S,
@@ -52,6 +53,7 @@
 
 
 def settings(**changes):
+    """Settings with usual values for what is not given."""
     base = AdmissionSettings(
         classes=CLASSES,
         tenants=(),
@@ -104,11 +106,13 @@
         self.send(InstanceStarted())
 
     def send(self, event):
+        """One event; the actions that follow."""
         actions = self.controller.handle(self.now, event)
         self.log += [(self.now, a) for a in actions]
         return actions
 
     def request(self, class_index=0, remaining_ns=3 * S, **changes):
+        """A request that arrives; its id, and the actions that follow."""
         self.count += 1
         base = RequestReceived(
             id=f"r{self.count}",
@@ -130,6 +134,7 @@
         return event.id, self.send(event)
 
     def done(self, job_id, outcome=Outcome.OK, took=100 * MS):
+        """A run that ends; the actions that follow."""
         return self.send(RequestCompleted(job_id, outcome, took))
 
     def run_for(self, span, every=25 * MS, gauges=None):
@@ -142,10 +147,13 @@
         return out
 
     def said(self, kind):
+        """All actions of a kind so far."""
         return [a for _, a in self.log if isinstance(a, kind)]
 
     def ids(self, kind):
+        """The ids in all actions of a kind so far."""
         return [a.id for a in self.said(kind)]
 
     def at(self, kind, job_id):
+        """When an action of a kind came for a request."""
         return [t for t, a in self.log if isinstance(a, kind) and a.id == job_id]
--- a/tests/admission/test_backpressure.py
+++ b/tests/admission/test_backpressure.py
@@ -22,7 +22,8 @@
             d.request(unread_ns=900 * MS)
         d.run_for(50 * MS)
     if advice is BackpressureSignal.NONE:
-        return None if not d.said(SendBackpressure) else pytest.fail("advice where it is off")
+        assert not d.said(SendBackpressure), "advice where it is off"
+        return
     busy = d.said(SendBackpressure)[-1].value
     assert busy > (calm or 0) if advice is BackpressureSignal.THRESHOLD else busy < calm
 
--- a/tests/admission/test_concurrency.py
+++ b/tests/admission/test_concurrency.py
@@ -63,4 +63,4 @@
             d.request(remaining_ns=60 * S)
         d.run_for(25 * MS, gauges={"cpu_busy": 0.1})
         assert d.controller.memory.used_kb <= 700.0
-        d.done([x for x in d.ids(StartRun) if x in d.controller.jobs][0])
+        d.done(next(x for x in d.ids(StartRun) if x in d.controller.jobs))
--- a/tests/admission/test_downstream_calls.py
+++ b/tests/admission/test_downstream_calls.py
@@ -26,7 +26,7 @@
     for outcome in Outcome:
         if outcome is Outcome.OK:
             continue
-        classes = CLASSES[:3] + (CLASSES[1],)
+        classes = (*CLASSES[:3], CLASSES[1])
         d = Driver(downstream=DownstreamScope.TIER, classes=classes)
         job_id, _ = d.request(class_index=WRITE)
         d.send(DownstreamCallNeeded(job_id))
@@ -72,7 +72,7 @@
 
 @pytest.mark.parametrize("fair", [0.2, 0.5, 0.9, 3.0])
 @pytest.mark.parametrize("ending", [Outcome.TIMED_OUT, Outcome.QUEUE_FULL, "gone", "answered"])
-def test_calls_that_last_as_long_as_they_may_stay_within_the_share_of_any_period(fair, ending):
+def test_calls_that_last_as_long_as_they_may_stay_within_the_share_of_any_period(fair, ending):  # noqa: C901 - one history
     # One call was let out until its deadline where the share is under one call, and a call whose caller left
     # or whose answer was given did not count while it lingered: the sum over a fleet could pass the shares.
     d = Driver(
--- a/tests/admission/test_graceful_shutdown.py
+++ b/tests/admission/test_graceful_shutdown.py
@@ -21,7 +21,7 @@
     late_arrival_before_grace, _ = d.request(remaining_ns=30 * S, unread_ns=1500 * MS)
     d.run_for(1900 * MS)
     assert late in d.ids(RejectRequest) and late not in d.ids(StartRun)
-    for job_id in early + [late_arrival_before_grace]:
+    for job_id in [*early, late_arrival_before_grace]:
         assert len(d.at(FailRequest, job_id) + d.at(RejectRequest, job_id)) == 1
     assert SetHealth(False, True) in d.said(SetHealth)
 
--- a/tests/admission/test_idempotency.py
+++ b/tests/admission/test_idempotency.py
@@ -94,7 +94,7 @@
 
 def test_a_duplicate_of_a_rejected_request_may_run():
     d = Driver()
-    first, actions = d.request(class_index=WRITE, unread_ns=1990 * MS, remaining_ns=5 * MS)
+    first, _actions = d.request(class_index=WRITE, unread_ns=1990 * MS, remaining_ns=5 * MS)
     if first in d.ids(StartRun):
         pytest.fail("it could not meet its aim and was started")
     again, _ = d.request(class_index=WRITE, duplicate_of=first, is_retry=True)
@@ -103,7 +103,7 @@
 
 def test_without_memory_for_its_key_a_keyed_request_is_not_run():
     d = Driver(memory_kb=1000.0, key_kb=990.0)
-    job_id, actions = d.request(class_index=WRITE)
+    job_id, _actions = d.request(class_index=WRITE)
     assert job_id in d.ids(RejectRequest) and not d.ids(StartRun) and not d.ids(RetainKey)
 
 
--- a/tests/admission/test_load_shedding.py
+++ b/tests/admission/test_load_shedding.py
@@ -59,7 +59,7 @@
         d.request(tenant_index=0 if n % 4 else 1)
         d.run_for(200 * MS, every=100 * MS)
         if n % 2 == 0:
-            d.done([x for x in d.ids(StartRun) if x in d.controller.jobs][0])
+            d.done(next(x for x in d.ids(StartRun) if x in d.controller.jobs))
     large, small = ({f"r{n + 1}" for n in range(200, 400) if (n % 4 > 0) is big} for big in (True, False))
     started = set(d.ids(StartRun))
     assert len(started & small) / len(small) > 0.8 > 0.5 > len(started & large) / len(large) > 0.1
--- a/tests/admission/test_random_events.py
+++ b/tests/admission/test_random_events.py
@@ -29,7 +29,7 @@
     ),
     st.tuples(st.just("finish"), st.integers(0, 20), st.sampled_from([Outcome.OK, Outcome.FAILED])),
     st.tuples(st.just("needs"), st.integers(0, 20)),
-    st.tuples(st.just("called"), st.integers(0, 20), st.sampled_from([o for o in Outcome])),
+    st.tuples(st.just("called"), st.integers(0, 20), st.sampled_from(list(Outcome))),
     st.tuples(st.just("gone"), st.integers(0, 20)),
     st.tuples(st.just("wait"), st.integers(1, 1200)),
 )
@@ -111,7 +111,7 @@
             self.open.pop(job, None)
         self.d.done(job, outcome)
 
-    def step(self, what, n=0, *rest):
+    def step(self, what, n=0, *rest):  # noqa: C901 - one branch an event
         d = self.d
         if what == "request":
             remaining, unread, repeat = rest
--- a/tests/admission/test_short_runs.py
+++ b/tests/admission/test_short_runs.py
@@ -19,7 +19,9 @@
     return d
 
 
-class Rush(unittest.TestCase):
+class ShortRunsTest(unittest.TestCase):
+    """Runs of some milliseconds at a high rate."""
+
     def test_an_old_gauge_does_not_keep_work_from_idle_cores(self):
         d = learned()
         for _ in range(50):
--- a/tests/admission/test_stated_work.py
+++ b/tests/admission/test_stated_work.py
@@ -10,7 +10,9 @@
 from tests.admission.controller_driver import MS, Driver, S
 
 
-class Sizes(unittest.TestCase):
+class StatedWorkTest(unittest.TestCase):
+    """Run times predicted from the work that requests state."""
+
     def taught(self, tells=True, count=80):
         """A module whose runs take 100 ms on the mean, as they state; or whatever they state."""
         d, rng = Driver(marks_retries=False), Random(1)
--- a/tests/admission/test_tenants_at_size.py
+++ b/tests/admission/test_tenants_at_size.py
@@ -124,6 +124,8 @@
 
 
 class SameWorthsTest(unittest.TestCase):
+    """Each tenant is worth what it is when all are gone through at each tick."""
+
     def play(self, seed, count, steps, probes, quota, pauses, apart=1e-9):
         rng = random.Random(seed)
         live = tuple(Live(f"tenant{n}", rng.choice((0.0, quota, quota * rng.random()))) for n in range(count))
@@ -267,7 +269,9 @@
         self.assertEqual(sizes, [sizes[0]] * len(SIZES))
 
 
-class ChangeTest(unittest.TestCase):
+class TenantChangeTest(unittest.TestCase):
+    """Tenants and quotas that change while requests are open."""
+
     def test_one_that_stays_keeps_its_rates_and_a_new_one_begins_as_quiet_ones_are(self):
         m = Module(tenants(3, 100.0))
         for _ in range(40):
@@ -315,7 +319,9 @@
         self.assertEqual(m.probe(0)[1], 1.0)
 
 
-class LearnedTest(unittest.TestCase):
+class LearnedStateTest(unittest.TestCase):
+    """Activity of tenants in the learned-state snapshot."""
+
     def active(self):
         m = Module(tenants(50, 30.0))
         for n in range(60):
--- a/tests/app/reload_case.py
+++ b/tests/app/reload_case.py
@@ -43,8 +43,11 @@
 FILINGS = {"uri": "/filings*", "methods": ["POST"], "class": "filing"}
 
 
-class Changes(unittest.TestCase):
+class ReloadTestCase(unittest.TestCase):
+    """Starts appliances with many tenants, and replaces their files."""
+
     def start(self, **how):
+        """An appliance with room for many requests, before an instant server unless another is given."""
         how = {
             "thrift": False,
             "ajp": True,
@@ -74,14 +77,17 @@
         return self.text(program, f"v{number}", rules=[{"uri": f"/v{number}/*", "class": "read"}])
 
     def replace(self, program, content, name="ajp.toml"):
+        """Puts a file in the place of the one there."""
         new = Path(program.folder.name, "next")
         new.write_text(content)
         new.replace(Path(program.folder.name, name))
 
     def order(self, program):
+        """Asks the program to read its configuration again."""
         program.process.send_signal(signal.SIGHUP)
 
     def asked(self, web, tenant, route):
+        """The status that a tenant's request on a route is answered."""
         return web.call("GET", route, {"X-Tenant": tenant})[0]
 
     def in_force(self, program, number):
@@ -92,9 +98,11 @@
         web.close()
 
     def configuration(self, program):
+        """What the status says of the configuration."""
         return json.loads(program.operator_call()[1])["configuration"]
 
     def wait(self, holds):
+        """Waits until it holds; what it gave."""
         until = time.monotonic() + WAIT_LIMIT_S
         while not (got := holds()):
             self.assertLess(time.monotonic(), until)
@@ -111,6 +119,7 @@
         self.start()
 
     def run(self):
+        """Sends requests until it is ended."""
         try:
             web = self.program.ajp_client()
             while self.going:
@@ -121,6 +130,7 @@
             self.fault = repr(error)
 
     def end(self):
+        """Ends it after the request that it is at."""
         self.going = False
         self.join(WAIT_LIMIT_S)
         return self
--- a/tests/app/tenant_reload.py
+++ b/tests/app/tenant_reload.py
@@ -12,6 +12,7 @@
 
 
 def tenants(numbers, quota=1.0):
+    """Tenants by their numbers."""
     return tuple(Tenant(f"t{n}", quota, 0.1) for n in numbers)
 
 
@@ -37,11 +38,13 @@
 
 
 def brought_into_force(worker, change):
+    """Commits a change that was prepared."""
     worker.parts.reloading.commit(change)
     worker.parts.core.step()
 
 
 def close_worker(worker):
+    """Closes what a worker opened that was never run."""
     for front in worker.parts.fronts:
         front.acceptor.sock.close()
     worker.parts.self_monitor.close()
--- a/tests/app/test_faults.py
+++ b/tests/app/test_faults.py
@@ -27,7 +27,9 @@
 """
 
 
-class Module(unittest.TestCase):
+class DecisionFaultTest(unittest.TestCase):
+    """Exceptions in the admission controller."""
+
     def test_a_fault_is_logged_with_its_trace_and_each_request_still_gets_one_answer(self):
         program = WorkerProcess(fault=FAULT, site=short_deadline_settings())
         self.addCleanup(program.close)
@@ -77,7 +79,9 @@
 """
 
 
-class Surroundings(unittest.TestCase):
+class EnvironmentTest(unittest.TestCase):
+    """Calls that the platform refuses, a clock that is set back, and a log that nobody reads."""
+
     def test_no_call_is_made_that_the_platform_refuses_and_a_refused_socket_costs_replacement_only(self):
         program = WorkerProcess(fault=NARROW)
         self.addCleanup(program.close)
@@ -156,7 +160,9 @@
     return bytes(data[: len(data) - end])
 
 
-class Codecs(unittest.TestCase):
+class DamagedInputTest(unittest.TestCase):
+    """Damaged AJP and Thrift messages."""
+
     def test_what_is_not_damaged_is_read(self):
         f = ajp.parse_forward(FORWARD)
         self.assertEqual((f.method, f.uri, f.length, f.secret), ("GET", b"/a", 5, b"secret"))
--- a/tests/app/test_operator_api.py
+++ b/tests/app/test_operator_api.py
@@ -12,6 +12,8 @@
 
 
 class OperatorTestCase(RunningWorkerTestCase):
+    """Calls of the operators' address."""
+
     def raw(self, data, pieces=False):
         """The status line of what is answered to these bytes, sent at once or one by one."""
         with socket.create_connection(
@@ -22,7 +24,9 @@
             return sock.makefile("rb").readline().decode().split(" ")[1]
 
 
-class Calls(OperatorTestCase):
+class OperatorCallsTest(OperatorTestCase):
+    """Which calls there are, and clients that are slow or silent."""
+
     def test_each_call_and_what_is_none(self):
         for method, path, status in (
             ("GET", "/status", 200),
@@ -74,7 +78,9 @@
             sock.close()
 
 
-class Standby(OperatorTestCase):
+class StandbyTest(OperatorTestCase):
+    """A worker on standby."""
+
     def test_checks_and_reports_turn_bad_at_once_and_good_again_while_requests_are_decided_as_ever(self):
         check, router = self.program.thrift_router(), self.program.thrift_router()
         self.program.members.wait_for("UP")
@@ -110,7 +116,9 @@
         self.assertEqual(self.program.wait_for_exit(), 0)
 
 
-class Figures(OperatorTestCase):
+class MetricsTest(OperatorTestCase):
+    """What the metrics count."""
+
     def test_every_counter_starts_at_0_and_each_request_counts_once_as_it_was_answered(self):
         counters = ("answered_total", "deferred_total", "errored_total", "sends_total")
 
@@ -155,7 +163,9 @@
         self.assertEqual(self.program.metric("current"), 0)
 
 
-class NotUp(unittest.TestCase):
+class KernelNotUpTest(unittest.TestCase):
+    """A worker whose kernel is not up."""
+
     def test_a_worker_whose_kernel_is_not_up_is_not_ready_and_counts_what_it_turns_away(self):
         program = WorkerProcess(boot=False)
         self.addCleanup(program.close)
--- a/tests/app/test_readiness.py
+++ b/tests/app/test_readiness.py
@@ -29,10 +29,11 @@
 """
 
 
-class Restarted(WorkerTestCase):
+class RestartedTest(WorkerTestCase):
+    """Workers restarted at one moment."""
+
     def restarted(self, lost=False, stores=False, **how):
-        """All start, are killed at one moment and started again, with stores or without; those, and the least
-        time that one took."""
+        """All start, are killed at one moment and started again; those, and the least time that one took."""
         programs, again, took = [], [], []
 
         def start(store, **more):
--- a/tests/app/test_reload.py
+++ b/tests/app/test_reload.py
@@ -15,7 +15,9 @@
 BAD = "config_invalid"
 
 
-class Platform(unittest.TestCase):
+class PlatformReloadTest(unittest.TestCase):
+    """A worker of the platform whose kernel moves."""
+
     def setUp(self):
         self.program = WorkerProcess()
         self.addCleanup(self.program.close)
@@ -66,7 +68,9 @@
 KEYED = {"Window": 20_000 * MS}
 
 
-class Settings(unittest.TestCase):
+class SettingsReloadTest(unittest.TestCase):
+    """New classes, bad files, and changes on standby and in replacements."""
+
     def setUp(self):
         self.program = WorkerProcess()
         self.addCleanup(self.program.close)
@@ -123,8 +127,7 @@
         whole = self.program.config | {"settings": site(("new", 1500, {}))}
         text = json.dumps(whole)
         bad = ["", text[: len(text) // 2], text[:-1], "null"]
-        for key in whole:
-            bad.append(json.dumps({k: v for k, v in whole.items() if k != key}))
+        bad.extend(json.dumps({k: v for k, v in whole.items() if k != key}) for key in whole)
         for key in whole["settings"]:
             lacking = {k: v for k, v in whole["settings"].items() if k != key}
             bad.append(json.dumps(whole | {"settings": lacking}))
@@ -132,8 +135,8 @@
             changed = site(("new", 1500, {}))
             del changed["Classes"][0][key]
             bad.append(json.dumps(whole | {"settings": changed}))
-        for deadline in (0, -1, True, "1500000000", None, [], float("nan"), float("inf")):
-            bad.append(json.dumps(whole | {"settings": site(("new", 1, {"Deadline": deadline}))}))
+        deadlines = (0, -1, True, "1500000000", None, [], float("nan"), float("inf"))
+        bad.extend(json.dumps(whole | {"settings": site(("new", 1, {"Deadline": at}))}) for at in deadlines)
         bad.append(json.dumps(whole | {"settings": site(("new", 1500, {}), ("new", 1500, {}))}))
         for content in bad:
             with self.subTest(content[:60]):
@@ -209,7 +212,9 @@
                 self.assertEqual(program.wait_for_exit(), 0)
 
 
-class Appliance(unittest.TestCase):
+class ApplianceReloadTest(unittest.TestCase):
+    """An appliance whose servers and routes change."""
+
     def test_servers_and_rules_change_while_a_request_runs_on_the_old_server(self):
         program = WorkerProcess(thrift=False, ajp=True)
         self.addCleanup(program.close)
--- a/tests/app/test_reload_appliance.py
+++ b/tests/app/test_reload_appliance.py
@@ -37,7 +37,9 @@
 """  # in the middle of the first reading after the start
 
 
-class Appliance(WorkerTestCase):
+class ApplianceReloadTest(WorkerTestCase):
+    """An appliance with requests open at each change."""
+
     def begin(self, **more):
         self.site = site_settings()
         return self.start(thrift=False, ajp=True, site=self.site, **more)
--- a/tests/app/test_reload_bad_files.py
+++ b/tests/app/test_reload_bad_files.py
@@ -5,10 +5,12 @@
 from collections import Counter
 
 from ochrehoist.lab.toml import toml, toml_file
-from tests.app.reload_case import BAD, SEED, Changes, Load, site
+from tests.app.reload_case import BAD, SEED, Load, ReloadTestCase, site
 
 
-class Bad(Changes):
+class BadFilesTest(ReloadTestCase):
+    """Files that are cut or wrong in one place."""
+
     def turned_down(self, program, content):
         """What the log and `/status` say why."""
         why = program.reload("ajp.toml", content, BAD)["reason"]
--- a/tests/app/test_reload_crashes.py
+++ b/tests/app/test_reload_crashes.py
@@ -5,7 +5,7 @@
 import threading
 from pathlib import Path
 
-from tests.app.reload_case import SEED, Changes
+from tests.app.reload_case import SEED, ReloadTestCase
 from tests.stand_ins.ajp_server import AjpServer
 
 
@@ -24,7 +24,9 @@
             respond(200, b"run %d" % self.runs)
 
 
-class Killed(Changes):
+class KilledReloadTest(ReloadTestCase):
+    """Kills at moments within a change."""
+
     def test_killed_in_the_middle_of_a_change_it_starts_with_the_file_as_it_is_then(self):
         """And what was filed before is known: a repeat gets its result, and runs nothing."""
         rng, server = random.Random(SEED), NumberingServer()
--- a/tests/app/test_reload_open_requests.py
+++ b/tests/app/test_reload_open_requests.py
@@ -7,12 +7,12 @@
 from collections import Counter
 
 from ochrehoist.lab.toml import toml_file
-from tests.app.reload_case import FILINGS, OPEN, READS, TENANTS, Changes, site
+from tests.app.reload_case import FILINGS, OPEN, READS, TENANTS, ReloadTestCase, site
 from tests.stand_ins.ajp_server import AjpServer
 from tests.support.environment import MS, WAIT_LIMIT_S
 
 
-class Open(Changes):
+class Open(ReloadTestCase):
     """Requests are open, more than a few, while a change comes."""
 
     def opened(self, program, server):
@@ -28,8 +28,7 @@
         return webs
 
     def answer(self, webs, server):
-        """Each is answered once. What ran, ran once, and its answer is its own; of those held some may be
-        turned away, but then they never run."""
+        """Each is answered once, and what ran, ran once; what is rejected of those held never runs."""
         running, ran = server.received.qsize(), Counter()
         self.assertGreater(running, OPEN // 2)
 
--- a/tests/app/test_reload_order.py
+++ b/tests/app/test_reload_order.py
@@ -12,7 +12,9 @@
 from tests.support.environment import WAIT_LIMIT_S
 
 
-class Crowded(unittest.TestCase):
+class TenantPlacesTest(unittest.TestCase):
+    """Positions of tenants that are gone."""
+
     def test_places_of_the_gone_are_given_up_but_for_those_with_a_filing_known(self):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
@@ -62,8 +64,9 @@
         def look():
             if done():
                 seen.append(True)
-                return loop.stop()
-            loop.call_later(0.01, look)
+                loop.stop()
+            else:
+                loop.call_later(0.01, look)
 
         look()
         loop.call_later(WAIT_LIMIT_S, loop.stop)
--- a/tests/app/test_reload_platform.py
+++ b/tests/app/test_reload_platform.py
@@ -10,7 +10,9 @@
 from tests.support.worker_cases import WorkerTestCase
 
 
-class Platform(WorkerTestCase):
+class PlatformReloadTest(WorkerTestCase):
+    """Changes before the kernel is up, of tenants, and beside a second process."""
+
     def content(self, program, **changes):
         return json.dumps(program.config | {"settings": site_settings(**changes)})
 
--- a/tests/app/test_reload_storm.py
+++ b/tests/app/test_reload_storm.py
@@ -6,11 +6,13 @@
 from collections import Counter
 from pathlib import Path
 
-from tests.app.reload_case import SEED, Changes, Load
+from tests.app.reload_case import SEED, Load, ReloadTestCase
 from tests.support.environment import WAIT_LIMIT_S
 
 
-class Storm(Changes):
+class ReloadStormTest(ReloadTestCase):
+    """Changes faster than they can be read."""
+
     def test_under_a_storm_of_orders_the_newest_is_in_force_and_each_request_has_one_answer(self):
         program, rng = self.start(), random.Random(SEED)
         loads = [Load(program, n) for n in range(4)]
--- a/tests/app/test_reload_stress.py
+++ b/tests/app/test_reload_stress.py
@@ -60,7 +60,9 @@
         router.close()
 
 
-class Stress(unittest.TestCase):
+class ReloadStressTest(unittest.TestCase):
+    """Random changes, cuts and moves under load."""
+
     def setUp(self):
         self.random, self.machine = random.Random(SEED), MovingKernel(SEED)
         self.addCleanup(self.machine.close)
--- a/tests/app/test_replacement.py
+++ b/tests/app/test_replacement.py
@@ -24,7 +24,9 @@
 S = 1_000_000_000
 
 
-class Case(WorkerTestCase):
+class ReplacementTestCase(WorkerTestCase):
+    """A worker, and one that replaces it."""
+
     def replaced(self, old, **how):
         """The program that took the place of the old one, which has got its notice."""
         new = self.start(before=old, **how).wait_until_took_over()
@@ -36,7 +38,9 @@
         return str(next(Path(program.folder.name).glob("ochrehoist-*")))
 
 
-class Keys(Case):
+class IdempotencyKeysTest(ReplacementTestCase):
+    """Idempotency keys over replacements."""
+
     def test_a_filing_repeated_at_each_moment_runs_once_and_every_try_gets_its_result(self):
         old = self.start(passed=True)
         router = old.thrift_router()
@@ -115,7 +119,9 @@
         self.assertEqual(third.operator_call()[0], 200)
 
 
-class Deaths(Case):
+class DeathsTest(ReplacementTestCase):
+    """Processes that die before, within and after a replacement."""
+
     def test_an_old_process_that_dies_leaves_its_unfinished_filing_counted_as_run(self):
         old = self.start(passed=True)
         router = old.thrift_router()
@@ -184,7 +190,9 @@
         self.assertEqual(ThriftRouter(new.addresses["ThriftFront"]).ping()[0], "Answer")
 
 
-class Around(Case):
+class ReplacementEffectsTest(ReplacementTestCase):
+    """Shutdown notices, standby, operators' calls and concurrency over a replacement."""
+
     def test_the_notice_to_the_old_one_is_no_leave_and_what_waits_is_left_to_the_new_one(self):
         old = self.start(passed=True)
         old.members.wait_for("UP")
@@ -253,7 +261,9 @@
         self.assertEqual(other.answer(held)[2], b"two")
 
 
-class Appliance(Case):
+class ApplianceReplacementTest(ReplacementTestCase):
+    """Replacement of a worker that serves AJP."""
+
     def test_listening_sockets_keys_and_responses_go_over_to_the_new_one_on_ajp(self):
         old = self.start(thrift=False, ajp=True)
         key = {"Idempotency-Key": "f1", "X-Tenant": "acme"}
@@ -310,7 +320,9 @@
         self.assertTrue(new.kernel.scheduled.empty() and new.server.received.empty())
 
 
-class Passed(Case):
+class PassedSocketTest(ReplacementTestCase):
+    """The descriptor of a listening socket that is passed in."""
+
     def test_a_descriptor_that_does_not_listen_there_is_named(self):
         old = self.start(passed=True)
         for value in ("four", "99", "0"):
--- a/tests/app/test_simulator_adapter.py
+++ b/tests/app/test_simulator_adapter.py
@@ -136,7 +136,8 @@
 
 def test_a_failure_in_the_decisions_goes_out_as_a_fault(monkeypatch):
     def broken(self, now, event):
-        raise RuntimeError("two\nlines")
+        message = "two\nlines"
+        raise RuntimeError(message)
 
     monkeypatch.setattr(simulator_adapter.AdmissionController, "handle", broken)
     code, out, err = play(*start())
--- a/tests/benchmarks/__init__.py
+++ b/tests/benchmarks/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of `benchmarks/`."""
--- a/tests/benchmarks/test_catalog.py
+++ b/tests/benchmarks/test_catalog.py
@@ -22,7 +22,9 @@
     return code, out.getvalue()
 
 
-class Catalog(unittest.TestCase):
+class CatalogTest(unittest.TestCase):
+    """The list of benchmarks."""
+
     def test_names_are_unique(self):
         self.assertEqual(len(NAMES), len(BENCHMARKS))
 
@@ -51,7 +53,9 @@
         self.assertEqual(json.loads(text)["seed"], 1)
 
 
-class Pages(unittest.TestCase):
+class CatalogPageTest(unittest.TestCase):
+    """The page of the benchmarks."""
+
     def test_the_page_lists_each_benchmark_as_the_catalog_does(self):
         text = (ROOT / "docs" / "benchmarks.md").read_text(encoding="utf-8")
         rows = re.findall(r"^\| `([\w-]+)` \| (.+?) \| (.+?) \| .+ \|$", text, re.M)
--- a/tests/benchmarks/test_shared.py
+++ b/tests/benchmarks/test_shared.py
@@ -12,7 +12,9 @@
 ROOT = next(folder for folder in Path(__file__).parents if (folder / "pyproject.toml").exists())
 
 
-class Samples(unittest.TestCase):
+class PercentileTest(unittest.TestCase):
+    """Percentiles of samples."""
+
     def test_a_percentile_is_one_of_the_samples(self):
         samples = [float(number) for number in range(100, 0, -1)]
         self.assertEqual(percentile(samples, MEDIAN), 51)
@@ -25,7 +27,9 @@
         self.assertEqual(rounded_percentile_ms([0.01234], P99), 12.3)
 
 
-class PairedRuns(unittest.TestCase):
+class PairedRunsTest(unittest.TestCase):
+    """Two programs measured by turns."""
+
     def test_each_goes_first_in_every_second_round(self):
         order = []
 
--- a/tests/benchmarks/test_slopes.py
+++ b/tests/benchmarks/test_slopes.py
@@ -10,7 +10,9 @@
 from benchmarks.scaling.timing import in_child_process
 
 
-class Lines(unittest.TestCase):
+class FittedLineTest(unittest.TestCase):
+    """Lines fitted to figures of several sizes."""
+
     def test_a_straight_line_is_found_whole(self):
         sizes = [3, 1000, 20000, 58000]
         found = fitted_line(sizes, [40 + 1.25 * n for n in sizes])
@@ -67,13 +69,16 @@
             fitted_line([1, 2, 3, 4], [1.0])
 
 
-class Points(unittest.TestCase):
+class ChildProcessTest(unittest.TestCase):
+    """Points measured in a process of their own."""
+
     def test_a_point_comes_back_from_its_own_process(self):
         self.assertEqual(in_child_process(lambda: {"n": 3.0}), {"n": 3.0})
 
     def test_a_point_that_fails_is_no_figure(self):
         def fails():
-            raise AssertionError("17 of 20 were held")
+            message = "17 of 20 were held"
+            raise AssertionError(message)
 
         with self.assertRaisesRegex(RuntimeError, "17 of 20 were held"):
             in_child_process(fails)
@@ -101,7 +106,8 @@
     def test_a_size_that_can_not_be_run_is_told_and_left_out(self):
         def measure(size, seed):
             if size == 50:
-                raise ValueError("not ready")
+                message = "not ready"
+                raise ValueError(message)
             return {"us": float(size)}
 
         slope = self._measured(measure)
--- a/tests/benchmarks/test_tree_tasks.py
+++ b/tests/benchmarks/test_tree_tasks.py
@@ -10,7 +10,9 @@
 from benchmarks.shared.tree_process import measure_in_tree
 
 
-class TreeTasks(unittest.TestCase):
+class TreeTasksTest(unittest.TestCase):
+    """Measurements in another tree."""
+
     def test_routes_are_found_and_the_index_is_measured(self):
         task = {"forms": ["/svc{}/*"], "size": 5, "calls": 10}
         figures = measure_in_tree(ROOT, "benchmarks.requests.route_lookup_task", task)
--- a/tests/capture/test_capture.py
+++ b/tests/capture/test_capture.py
@@ -65,7 +65,9 @@
     return out
 
 
-class Format(unittest.TestCase):
+class CaptureFormatTest(unittest.TestCase):
+    """What is written is read, in any state of the file."""
+
     def test_what_is_written_is_read_in_order_of_time(self):
         capture = Capture()
         data = (
@@ -130,7 +132,9 @@
             self.assertIn(why, str(raised.exception))
 
 
-class Batching(unittest.TestCase):
+class BatchingTest(unittest.TestCase):
+    """Samples and batches."""
+
     def test_a_sample_takes_all_of_a_subject_or_none_the_same_everywhere(self):
         subjects = [b"%d" % n for n in range(20_000)]
         taken = {s for s in subjects if SubjectSampler(0.2).includes(s)}
@@ -155,7 +159,9 @@
         self.assertFalse(file_is_complete(0, 59, 9, 60, 10))
 
 
-class Recorded(unittest.TestCase):
+class RecordedRequestsTest(unittest.TestCase):
+    """What a worker records."""
+
     def setUp(self):
         self.folder = Path(tempfile.mkdtemp(dir=MEMORY_FOLDER))
         self.addCleanup(shutil.rmtree, self.folder)
@@ -244,7 +250,9 @@
             self.assertEqual((done.returncode, key in done.stderr), (2, True), done.stderr)
 
 
-class Platform(unittest.TestCase):
+class NoCaptureTest(unittest.TestCase):
+    """A worker without a capture."""
+
     def test_a_worker_without_a_capture_loads_nothing_of_it(self):
         loaded = (
             'import atexit, sys\natexit.register(lambda: print(\'{"event": "loaded", "names": "\''
--- a/tests/capture/test_capture_header.py
+++ b/tests/capture/test_capture_header.py
@@ -14,7 +14,9 @@
 from ochrehoist.capture.records import CaptureHeader
 
 
-class Captured(unittest.TestCase):
+class CaptureHeaderTest(unittest.TestCase):
+    """Headers in pieces and whole."""
+
     def test_a_head_of_thousands_of_tenants_in_pieces_reads_as_one_that_is_written_whole(self):
         for count in (0, 3, 70_000):
             of = tuple((f"t{n}", float(n)) for n in range(count))
--- a/tests/cli/test_configuration_errors.py
+++ b/tests/cli/test_configuration_errors.py
@@ -12,7 +12,9 @@
 from tests.support.worker_process import run_command
 
 
-class Configuration(unittest.TestCase):
+class ConfigurationErrorsTest(unittest.TestCase):
+    """Faults of each file, named by their key."""
+
     def check(self, content, name):
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder, name)
--- a/tests/config/large_configurations.py
+++ b/tests/config/large_configurations.py
@@ -16,14 +16,17 @@
 
 
 def tenant(at, **changes):
+    """A tenant by its place in the table."""
     return {"Name": f"t{at}", "QuotaPerS": 10.5 + at % 7, "Fraction": 0.5} | changes
 
 
 def rule(at, **changes):
+    """A route by its place in the table."""
     return {"uri": f"/service-{at % 340}/r{at}/*", "methods": ["GET", "HEAD"], "class": "read"} | changes
 
 
 def appliance(tenants, rules, **more):
+    """The tables of an appliance."""
     ajp = {"listen": "127.0.0.1:0", "rules": rules, "servers": [{"address": "127.0.0.1:9"}]}
     return {
         "name": "n1",
@@ -34,6 +37,7 @@
 
 
 def platform(tenants):
+    """The tables of a worker of the platform."""
     return {
         "name": "n1",
         "listen": "127.0.0.1:0",
@@ -54,20 +58,26 @@
         count += 1
 
 
-class Files(unittest.TestCase):
+class ConfigurationFilesTestCase(unittest.TestCase):
+    """Writes configurations to files, and reads them."""
+
     def setUp(self):
+        """Makes the folder."""
         self.folder = tempfile.TemporaryDirectory()
         self.addCleanup(self.folder.cleanup)
 
     def file(self, text, name="a.toml"):
+        """Writes a file; its path."""
         path = Path(self.folder.name, name)
         path.write_bytes(text if isinstance(text, bytes) else text.encode())
         return str(path)
 
     def load(self, text, before=None, name="a.toml"):
+        """Reads a text, over the configuration before if there was one."""
         return run_to_completion(config.load_in_steps(self.file(text, name), {}, before))
 
     def refused(self, text, before=None, name="a.toml"):
+        """Why a text is refused."""
         with self.assertRaises(InvalidInputError) as raised:
             self.load(text, before, name)
         return str(raised.exception)
@@ -86,13 +96,15 @@
     )
 
 
-class Counted:
+class CountedReading:
     """Counts what is parsed, and made, in one reading."""
 
     def __init__(self):
         self.parsed, self.longest, self.calls, self.made, self.most, self.step = 0, 0, 0, 0, 0, 0
 
     def read(self, path, before):
+        """Reads a file, over the configuration before if there was one."""
+
         def loads(text, real=tomli.loads):
             self.parsed += len(text)
             self.calls += 1
--- a/tests/config/test_changing_files.py
+++ b/tests/config/test_changing_files.py
@@ -9,10 +9,10 @@
 from ochrehoist.errors import InvalidInputError
 from ochrehoist.lab.toml import toml_file
 from ochrehoist.steps import run_to_completion
-from tests.config.large_configurations import Files, appliance, rule, tenant
+from tests.config.large_configurations import ConfigurationFilesTestCase, appliance, rule, tenant
 
 
-class Changing(Files):
+class Changing(ConfigurationFilesTestCase):
     """Files that are written while they are read."""
 
     def setUp(self):
--- a/tests/config/test_check_command.py
+++ b/tests/config/test_check_command.py
@@ -7,12 +7,21 @@
 from pathlib import Path
 
 from ochrehoist.lab.toml import toml_file
-from tests.config.large_configurations import Files, appliance, large, platform, rule, tenant
+from tests.config.large_configurations import (
+    ConfigurationFilesTestCase,
+    appliance,
+    large,
+    platform,
+    rule,
+    tenant,
+)
 from tests.support.environment import ROOT
 from tests.support.worker_process import run_command
 
 
-class Program(Files):
+class CheckCommandTest(ConfigurationFilesTestCase):
+    """The command `check`."""
+
     def test_check_tells_the_version_and_says_where_a_form_is_read_as_a_whole(self):
         text = large(600, 30)
         done = run_command("check", self.file(text))
--- a/tests/config/test_config_text.py
+++ b/tests/config/test_config_text.py
@@ -23,7 +23,9 @@
     into.append(data)
 
 
-class Files(unittest.TestCase):
+class ConfigurationFilesCase(unittest.TestCase):
+    """Writes texts to files."""
+
     def setUp(self):
         self.folder = tempfile.TemporaryDirectory()
         self.addCleanup(self.folder.cleanup)
@@ -113,7 +115,9 @@
     return found and (found[1] or "end")
 
 
-class Toml(Files):
+class TomlTextTest(ConfigurationFilesCase):
+    """TOML in steps against `tomllib`."""
+
     @settings(max_examples=1500, deadline=None)
     @given(
         texts(),
@@ -202,7 +206,9 @@
     return text
 
 
-class Json(Files):
+class JsonTextTest(ConfigurationFilesCase):
+    """JSON in steps against `json`."""
+
     @settings(max_examples=1500, deadline=None)
     @given(json_texts())
     def test_any_text_gives_the_same_data_or_a_fault_at_the_same_place(self, text):
--- a/tests/config/test_incremental_reading.py
+++ b/tests/config/test_incremental_reading.py
@@ -11,10 +11,10 @@
 from ochrehoist.config import source as config_source
 from ochrehoist.errors import InvalidInputError
 from ochrehoist.lab.toml import toml_file
-from tests.config.large_configurations import Files, appliance, platform, rule, tenant
+from tests.config.large_configurations import ConfigurationFilesTestCase, appliance, platform, rule, tenant
 
 
-class Configurations(Files):
+class Configurations(ConfigurationFilesTestCase):
     """Small texts are read as large ones, in chunks."""
 
     def setUp(self):
@@ -57,7 +57,7 @@
         ),
         st.booleans(),
     )
-    def test_a_change_gives_what_reading_afresh_gives_and_keeps_what_is_unchanged(self, edits, as_json):
+    def test_a_change_gives_what_reading_afresh_gives_and_keeps_what_is_unchanged(self, edits, as_json):  # noqa: C901, PLR0912, PLR0915 - one branch a kind of change
         tenants, rules = [tenant(at) for at in range(24)], [rule(at) for at in range(12)]
 
         def text():
@@ -165,7 +165,9 @@
             self.assertIn("setting admin: not host:port", self.refused(toml_file(top)))
 
 
-class Faulty(Files):
+class NestedTooDeeplyTest(ConfigurationFilesTestCase):
+    """Texts whose nesting has no end."""
+
     def test_what_is_nested_too_deeply_is_refused_and_ends_nothing(self):
         for text, name in (
             ('{"settings": ' + "[" * 60_000 + "]" * 60_000 + "}", "a.json"),
--- a/tests/config/test_reading_cost.py
+++ b/tests/config/test_reading_cost.py
@@ -12,8 +12,8 @@
 from tests.config.large_configurations import (
     MANY,
     ROUTES,
-    Counted,
-    Files,
+    ConfigurationFilesTestCase,
+    CountedReading,
     appliance,
     large,
     platform,
@@ -24,7 +24,7 @@
 from tests.support.site_settings import site_settings
 
 
-class Growth(Files):
+class Growth(ConfigurationFilesTestCase):
     """Counts at several sizes, so that the verdict is the same on any machine."""
 
     def test_a_change_of_one_tenant_or_route_parses_and_makes_as_much_at_any_size(self):
@@ -32,10 +32,10 @@
             figures = []
             for tenants in (1_000, 4_000, 16_000):
                 routes = tenants * 65 // 1000
-                first = Counted()
+                first = CountedReading()
                 before = first.read(self.file(large(tenants, routes)), None)
                 self.assertEqual(first.made, tenants)
-                again = Counted()
+                again = CountedReading()
                 now = again.read(self.file(large(tenants, routes, **changes)), before)
                 self.assertLessEqual(again.made, 2 * toml_reader.MAX_CHUNK_ELEMENTS)
                 self.assertLessEqual(again.longest, 2 * toml_reader.MAX_CHUNK_CHARS)
@@ -61,7 +61,7 @@
             figures = []
             for tenants in (1_000, 8_000):
                 before = self.load(text(tenants, ""))
-                counted = Counted()
+                counted = CountedReading()
                 now = counted.read(self.file(text(tenants, edit)), before)
                 figures.append(counted.parsed)
                 old, new = ({id(t) for t in c.settings.tenants} for c in (before, now))
@@ -81,7 +81,7 @@
             return value, end
 
         listed[3_000] = tenant(3_000, QuotaPerS=1)
-        counted = Counted()
+        counted = CountedReading()
         with mock.patch.object(json_reader, "_decode_value", read):
             now = counted.read(self.file(json.dumps(platform(listed)), "a.json"), before)
         self.assertEqual(counted.made, 1)
@@ -99,7 +99,9 @@
             self.assertEqual(count, 1)
 
 
-class AtSize(Files):
+class LargestSizeTest(ConfigurationFilesTestCase):
+    """Faults among as many tenants as there may be."""
+
     def test_one_bad_among_58_000_is_told_with_key_and_line_and_two_of_one_name_with_both_places(self):
         good = large(MANY, ROUTES)
         before = self.load(good)
--- a/tests/config/test_unusual_files.py
+++ b/tests/config/test_unusual_files.py
@@ -5,10 +5,10 @@
 
 from ochrehoist.config import loader as config
 from ochrehoist.lab.toml import toml
-from tests.config.large_configurations import Files, large, steps
+from tests.config.large_configurations import ConfigurationFilesTestCase, large, steps
 
 
-class Unusual(Files):
+class Unusual(ConfigurationFilesTestCase):
     """What cannot be split is read by a thread."""
 
     def forms(self):
--- a/tests/core/test_growth.py
+++ b/tests/core/test_growth.py
@@ -30,7 +30,9 @@
 LEARNED = 85  # bytes a tenant, of what was learned, before there is much to tell
 
 
-class Counted(unittest.TestCase):
+class InstructionCountTest(unittest.TestCase):
+    """The count itself."""
+
     def test_a_loop_within_a_call_counts(self):
         few, many = (count_instructions(lambda n=n: [x + 1 for x in range(n)]) for n in (10, 110))
         self.assertGreater(many - few, 100)
@@ -207,13 +209,15 @@
         self.assertLess(len(reports.pop()), 200)
 
 
-class Plain:
+class PlainReplyCodec:
+    """Replies as they are."""
+
     def to_json(self, detail):
         return detail
 
 
 def handed(core):
-    return [len(json.dumps(line)) for line in snapshot_lines(core.owner.freeze(), 0, Plain())]
+    return [len(json.dumps(line)) for line in snapshot_lines(core.owner.freeze(), 0, PlainReplyCodec())]
 
 
 class HandedOver(unittest.TestCase):
@@ -238,7 +242,7 @@
         for size in SIZES:
             core = Core(tenants=size)
             core.goes_through(1, "key 0001")
-            first, *rest = handed(core)
+            _first, *rest = handed(core)
             longest[size] = sum(rest)
         self.assertLess(max(longest.values()) - min(longest.values()), 30, longest)  # digits of times
         self.assertLess(max(longest.values()), 1500)
@@ -249,7 +253,9 @@
         self.assertLessEqual((b - a) / 2000, LEARNED)
 
 
-class OnRecord(unittest.TestCase):
+class StoredOperationsTest(unittest.TestCase):
+    """What a filing writes to the store."""
+
     def test_a_filing_is_one_change_whatever_its_steps(self):
         token = "tenant-000001", "class-1", "key"
         begun = IntentRecord(token, "r1", 1, 1, None, None, bytes(32))
@@ -274,7 +280,9 @@
         self.assertEqual(len(sizes), 1)
 
 
-class BetweenMembers(unittest.TestCase):
+class MemberMessagesTest(unittest.TestCase):
+    """What members send each other."""
+
     def _counters(self, number, tenants):
         counters = ReplicatedCounters(wire.Incarnation(f"worker-{number:04}", 1 << 40, 1 << 61), 3000)
         for n in range(tenants):
--- a/tests/core/test_idempotent_runs.py
+++ b/tests/core/test_idempotent_runs.py
@@ -74,6 +74,8 @@
 
 
 class IdempotentRunsTest(unittest.TestCase):
+    """Filings and reads from their arrival to their end."""
+
     def setUp(self):
         self.now, self.ends, self.started, self.n = 1000 * S, {}, [], 0
         quiet = SimpleNamespace(info=self.said, warning=self.said, error=self.said, exception=self.fault)
--- a/tests/core/test_kernel_link_monitor.py
+++ b/tests/core/test_kernel_link_monitor.py
@@ -1,5 +1,6 @@
 """When a worker counts as cut off, and when it reads its configuration again by itself."""
 
+import itertools
 import unittest
 
 from hypothesis import given
@@ -24,7 +25,9 @@
     ]
 
 
-class Monitor(unittest.TestCase):
+class KernelLinkMonitorTest(unittest.TestCase):
+    """Breaks of the link, short and long."""
+
     def test_a_short_break_means_nothing(self):
         monitor = KernelLinkMonitor()
         monitor.evaluate(0.0, True, "a")
@@ -38,7 +41,7 @@
         seen = evaluate_for(KernelLinkMonitor(), 60)
         self.assertEqual([v.healthy for _, v in seen], [at < CUT_OFF_AFTER_S for at, _ in seen])
         times = [at for at, v in seen if v.reload_due]
-        gaps = [b - a for a, b in zip(times, times[1:], strict=False)]
+        gaps = [b - a for a, b in itertools.pairwise(times)]
         self.assertEqual(
             (times[0], gaps),
             (
--- a/tests/core/test_tenants.py
+++ b/tests/core/test_tenants.py
@@ -10,13 +10,14 @@
 from tests.app.tenant_reload import NAMES, tenants
 
 
-class Table(unittest.TestCase):
+class TenantTableTest(unittest.TestCase):
+    """Any history of changes."""
+
     @given(st.lists(st.tuples(NAMES, st.sampled_from([1.0, 2.0])), max_size=8))
     def test_over_any_history_who_stays_keeps_its_position_and_who_comes_back_finds_it(self, history):
         table, positions = initial_table(()), {}
         for numbers, quota in history:
-            known = {t.name: t for t in table.listed}
-            listed = tuple(t if known.get(t.name) == t else t for t in tenants(numbers, quota))
+            listed = tuple(tenants(numbers, quota))
             before, table = table, run_to_completion(updated_table(table, listed))
             self.assertEqual(table.listed, listed)
             self.assertEqual(set(table.positions), {t.name for t in listed})
--- a/tests/golden/__init__.py
+++ b/tests/golden/__init__.py
@@ -0,0 +1,1 @@
+"""Data that release 000e6de wrote, compared with what this tree reads and writes."""
--- a/tests/golden/make_golden.py
+++ b/tests/golden/make_golden.py
@@ -39,10 +39,12 @@
 
 
 def submit(client, key, body):
+    """Sends a filing."""
     client.request("POST", "/filings", {"Idempotency-Key": key, "X-Tenant": "acme"}, body)
 
 
 def wait_for_operations(program, count):
+    """Waits until the store has carried out so many operations."""
     until = time.monotonic() + 30
     while json.loads(program.operator()[1])["store"]["operations"] < count:
         assert time.monotonic() < until
@@ -206,7 +208,7 @@
     (out / "datagrams.json").write_text(json.dumps(plain, indent=1) + "\n")
 
 
-def simulator(out):
+def simulator(out):  # noqa: C901, PLR0915 - as it ran on 000e6de
     """A script for two instances of the simulator's adapter, made as they answer, and the answers."""
     import random
 
@@ -351,6 +353,7 @@
 
 
 def main(out, *names):
+    """Writes the kinds of data that are named, or all."""
     for name in names or KINDS:
         KINDS[name](Path(out).resolve())
 
--- a/tests/golden/test_status.py
+++ b/tests/golden/test_status.py
@@ -12,7 +12,9 @@
 GOLDEN = json.loads((FIXTURES / "000e6de" / "status.json").read_text())
 
 
-class GoldenStatus(WorkerTestCase):
+class GoldenStatusTest(WorkerTestCase):
+    """Status and metrics of a worker with all tables."""
+
     def setUp(self):
         base = self.enterContext(tempfile.TemporaryDirectory())
         # An empty store of its own: of a folder that never was, filings are held for a window.
--- a/tests/golden/test_store.py
+++ b/tests/golden/test_store.py
@@ -21,7 +21,9 @@
     return values
 
 
-class GoldenStore(unittest.TestCase):
+class GoldenStoreTest(unittest.TestCase):
+    """The folder and its export, read, checked and taken over."""
+
     def setUp(self):
         self.base = Path(self.enterContext(tempfile.TemporaryDirectory()))
         self.folder = self.base / "state"
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -19,24 +19,28 @@
         return []
     lines = [[part.strip() for part in line.split("|")] for line in text.splitlines() if line.strip()]
     if len(lines) > MOST:
-        raise SystemExit(f"{LIST}: {len(lines)} tests; {MOST} are the most")
+        message = f"{LIST}: {len(lines)} tests; {MOST} are the most"
+        raise SystemExit(message)
     for parts in lines:
         if len(parts) != 3 or not all(parts) or "::" not in parts[0]:
-            raise SystemExit(f"{LIST}: not a test, a cause and an issue: {' | '.join(parts)}")
+            message = f"{LIST}: not a test, a cause and an issue: {' | '.join(parts)}"
+            raise SystemExit(message)
     return lines
 
 
 def run(root: Path, *arguments: str) -> int:
+    """Runs pytest; its exit code."""
     return subprocess.run([sys.executable, "-m", "pytest", *arguments], cwd=root).returncode
 
 
 def main(root: Path, arguments: list[str]) -> int:
+    """Runs all tests but those listed, then each of those; the exit code."""
     red = listed(root)
     code = run(root, *arguments, *(f"--deselect={test}" for test, *_ in red))
     for test, cause, issue in red:
         alone = run(root, "-q", "--no-header", "-p", "no:cacheprovider", test)
-        said = {0: "PASSES: take it off the list", 1: "fails, as is known"}.get(alone, "UNKNOWN")
-        print(f"known red: {test}: {said}; {cause}; {issue}", flush=True)
+        verdict = {0: "PASSES: take it off the list", 1: "fails, as is known"}.get(alone, "UNKNOWN")
+        print(f"known red: {test}: {verdict}; {cause}; {issue}", flush=True)
         code = code or int(alone != 1)
     return code
 
--- a/tests/lab/test_fleet_invariants.py
+++ b/tests/lab/test_fleet_invariants.py
@@ -1,5 +1,7 @@
-"""The bounds of shared state under storms on virtual time and in all orders of events; and each rule they
-rest on, taken out one at a time: what then finds it is named beside it."""
+"""The bounds of shared state, under seeded faults on virtual time and in all orders of events.
+
+Each rule that they rest on is taken out one at a time; the check that then fails is named beside it.
+"""
 
 import unittest
 from collections import deque
@@ -17,7 +19,9 @@
 NAMES = ("w000", "w001", "w002")
 
 
-class Storms(unittest.TestCase):
+class SeededFaultsTest(unittest.TestCase):
+    """Seeded faults on virtual time."""
+
     def test_no_budget_is_over_under_seeded_storms(self):
         for seed in range(24):
             with self.subTest(seed):
--- a/tests/lab/test_fleet_scenarios.py
+++ b/tests/lab/test_fleet_scenarios.py
@@ -1,6 +1,7 @@
-"""Several processes of the program with faults between them, judged from outside: short forms of the
-laboratory's plays. No verdict rests on how fast this machine is: rules, bounds, and ratios to the same
-play's quiet part."""
+"""Several workers with faults between them, judged from outside: short forms of the lab's scenarios.
+
+No verdict rests on how fast this machine is: rules, bounds, and ratios to the same run's quiet part.
+"""
 
 import json
 import logging
@@ -37,7 +38,9 @@
     return Play(parse(values | changes), seed).run()
 
 
-class Faults(unittest.TestCase):
+class FleetFaultsTest(unittest.TestCase):
+    """Scenarios of several workers with faults between them."""
+
     def keeps(self, v):
         self.assertEqual(v["broken"], [])
         for b in v["budgets"].values():
@@ -105,7 +108,7 @@
         self.assertEqual(sum(f["budgets"]["again"]["held"] for f in v["final"].values()), 8)
 
     def left_out(self, v, service, until):
-        """s for which each worker left a service out."""
+        """S for which each worker left a service out."""
         spans = dict.fromkeys(WORKERS, 0.0)
         since = {}
         for at, w, s, standing, _ in [*v["judged"], *((until, w, service, "end", "") for w in WORKERS)]:
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -41,7 +41,9 @@
     return out
 
 
-class Runs(unittest.TestCase):
+class ScaleRunsTest(unittest.TestCase):
+    """Runs with real and hollow workers."""
+
     def setUp(self):
         self.folder = self.enterContext(tempfile.TemporaryDirectory())
         self.mark = f"SCALE_TEST={uuid.uuid4()}"
@@ -199,7 +201,9 @@
     } | more
 
 
-class Report(unittest.TestCase):
+class ScaleReportTest(unittest.TestCase):
+    """Slopes, comparisons and calibration."""
+
     def test_slopes_are_least_squares_over_whole_runs_with_their_residual(self):
         runs = [made(n, 0.01 + 0.0002 * n) for n in (20, 50, 100)]
         runs += [made(400, 9.0, ended="memory: over"), made(800, 9.0, trusted=False)]
@@ -243,7 +247,9 @@
         self.assertIn("not checked", report.calibration_lines([told])[0])
 
 
-class Parts(unittest.TestCase):
+class ScalePartsTest(unittest.TestCase):
+    """Network and topology of a run."""
+
     def test_nothing_passes_between_the_two_sides_of_a_cut(self):
         network, a, b, c = PartitionedNetwork(), ("127.0.0.1", 1), ("127.0.0.1", 2), ("127.0.0.1", 3)
         network.partitions.append(frozenset((a, b)))
--- a/tests/lab/test_site_scenarios.py
+++ b/tests/lab/test_site_scenarios.py
@@ -1,5 +1,7 @@
-"""Several processes in two and three sites, with faults between them, judged from outside: short forms of the
-laboratory's plays. Rules, bounds, and ratios to the same play's quiet part."""
+"""Workers in two and three sites with faults between them: short forms of the lab's scenarios.
+
+No verdict rests on how fast this machine is: rules, bounds, and ratios to the same run's quiet part.
+"""
 
 import json
 import logging
@@ -40,7 +42,9 @@
     return Play(parse(values | changes), seed).run()
 
 
-class OverProcesses(unittest.TestCase):
+class SiteFaultsTest(unittest.TestCase):
+    """Scenarios of several sites with faults between them."""
+
     def test_a_site_is_lost_known_to_be_and_comes_back_by_steps(self):
         # On a busy machine the killed workers take up to 4 s to start, and then need time for a stage.
         v = play([{"at": 7.0, "kind": "kill", "who": ["antwerp"], "lasts": 4.0}], seconds=22.0)
@@ -90,7 +94,9 @@
         self.assertTrue(all("order" in text for _, _, text in v["told"]), v["told"])
 
 
-class OneWorker(unittest.TestCase):
+class OneSiteWorkerTest(unittest.TestCase):
+    """One worker with or without the table of sites."""
+
     def worker(self, sites, **peers):
         table = {
             "listen": "127.0.0.1:0",
--- a/tests/net/test_ajp_filings.py
+++ b/tests/net/test_ajp_filings.py
@@ -1,9 +1,11 @@
 """Filings over AJP, with servers that cannot be reached."""
 
-from tests.net.ajp_case import AjpCase
+from tests.net.ajp_case import AjpTestCase
 
 
-class Filings(AjpCase):
+class FilingsTest(AjpTestCase):
+    """Filings and their repeats."""
+
     def file(self, web, key, body=b"doc"):
         web.request("POST", "/filings", {"Idempotency-Key": key}, body)
 
@@ -22,7 +24,9 @@
         self.assertTrue(self.server.received.empty())
 
 
-class FilingsUnreached(AjpCase):
+class UnreachedFilingsTest(AjpTestCase):
+    """Filings while no server can be reached."""
+
     def test_a_filing_that_reached_no_server_may_run_when_it_is_repeated(self):
         web, filing = self.program.ajp_client(), ("POST", "/filings", {"Idempotency-Key": "k"}, b"doc")
         self.server.refuse()
--- a/tests/net/test_ajp_front.py
+++ b/tests/net/test_ajp_front.py
@@ -5,12 +5,14 @@
 import struct
 import time
 
-from tests.net.ajp_case import AjpCase
+from tests.net.ajp_case import AjpTestCase
 from tests.support.environment import DUE_WITHIN_S
 from tests.support.site_settings import short_deadline_settings
 
 
-class Path(AjpCase):
+class RequestsTest(AjpTestCase):
+    """Requests, bodies and responses."""
+
     def test_a_request_goes_to_the_server_unchanged_and_its_response_comes_back(self):
         web, page = self.program.ajp_client(), bytes(range(256)) * 100
         web.request("GET", "/reads/7", {"X-Tenant": "acme", "X-More": "kept"})
@@ -67,8 +69,10 @@
         self.assertEqual(web.call("HEAD", "/none")[::2], (404, b""))
 
 
-class Overload(AjpCase):
-    options = AjpCase.options | {"site": short_deadline_settings()}
+class RejectionsTest(AjpTestCase):
+    """What is rejected, and what is given up."""
+
+    options = AjpTestCase.options | {"site": short_deadline_settings()}
 
     def test_refusals_are_503_with_retry_after_and_what_is_given_up_is_504(self):
         crowd = [self.program.ajp_client() for _ in range(20)]
@@ -83,8 +87,10 @@
                 self.assertGreaterEqual(int(headers["Retry-After"]), 1)
 
 
-class Secret(AjpCase):
-    options = AjpCase.options | {"secret": "open sesame"}
+class SecretTest(AjpTestCase):
+    """The secret of the front."""
+
+    options = AjpTestCase.options | {"secret": "open sesame"}
 
     def test_the_secret_is_asked_for_and_not_passed_on(self):
         self.assertEqual(self.program.ajp_client().call()[0], 403)
@@ -97,7 +103,9 @@
         self.assertEqual(web.answer()[0], 200)
 
 
-class Health(AjpCase):
+class HealthTest(AjpTestCase):
+    """Health checks and the console."""
+
     def line(self):
         with socket.create_connection(tuple(self.program.addresses["AgentCheck"])) as sock:
             return sock.makefile("rb").read()
--- a/tests/net/test_ajp_memory.py
+++ b/tests/net/test_ajp_memory.py
@@ -1,10 +1,12 @@
 """Memory that bodies and responses take, and its bounds."""
 
-from tests.net.ajp_case import AjpCase
+from tests.net.ajp_case import AjpTestCase
 
 
-class Memory(AjpCase):
-    options = AjpCase.options | {"max_body": 6 << 20, "max_response": 1000}
+class BodyMemoryTest(AjpTestCase):
+    """Bodies and responses within a bounded memory."""
+
+    options = AjpTestCase.options | {"max_body": 6 << 20, "max_response": 1000}
 
     def test_bodies_that_come_in_at_once_share_a_bounded_memory(self):
         first, second = self.program.ajp_client(), self.program.ajp_client()
--- a/tests/net/test_ajp_servers.py
+++ b/tests/net/test_ajp_servers.py
@@ -1,11 +1,13 @@
 """Servers behind the AJP front that cut connections, fail, go away and come back."""
 
-from tests.net.ajp_case import AjpCase
+from tests.net.ajp_case import AjpTestCase
 from tests.stand_ins.ajp_packets import encode_packet
 from tests.stand_ins.ajp_server import AjpServer
 
 
-class Cut(AjpCase):
+class CutConnectionsTest(AjpTestCase):
+    """Connections of web servers that are cut."""
+
     def test_a_body_cut_off_midway_runs_nothing(self):
         web = self.program.ajp_client()
         web.forward("POST", "/filings", {"Idempotency-Key": "k"}, length=20_000)
@@ -57,7 +59,9 @@
         self.assertTrue(good.cping())
 
 
-class Servers(AjpCase):
+class ServersTest(AjpTestCase):
+    """Servers that fail, go away and come back."""
+
     def test_a_server_that_cuts_off_is_502_and_is_not_asked_again(self):
         web = self.program.ajp_client()
         web.request()
--- a/tests/net/test_bad_clients.py
+++ b/tests/net/test_bad_clients.py
@@ -13,7 +13,9 @@
 HEAD = struct.pack(">I", 500) + b"\x80\x01"
 
 
-class Bad(unittest.TestCase):
+class BadClientsTest(unittest.TestCase):
+    """Clients that are slow, silent or speak another protocol."""
+
     def setUp(self):
         self.program = WorkerProcess(ajp=True, sockets=160)
         self.addCleanup(self.program.close)
@@ -65,7 +67,7 @@
         began, crowd, step, opened = time.monotonic(), [], 0, 0
         while (spent := time.monotonic() - began) < 2.1:
             if spent > opened / 100:  # a hundred pairs a second: the table is full after half of one
-                crowd = crowd[-300:] + [ThriftRouter(at), AjpClient(self.program.addresses["AjpFront"])]
+                crowd = [*crowd[-300:], ThriftRouter(at), AjpClient(self.program.addresses["AjpFront"])]
                 opened += 1
             self.assertEqual(keeper.ping()[0], "Answer")
             if spent > step / 10:  # a piece each tenth of a second
--- a/tests/net/test_both_fronts.py
+++ b/tests/net/test_both_fronts.py
@@ -4,17 +4,18 @@
 import signal
 import threading
 import time
+from typing import Any, ClassVar
 
-from tests.net.ajp_case import AjpCase
+from tests.net.ajp_case import AjpTestCase
 from tests.stand_ins.sockets import ByteAtATimeSocket
 from tests.support.environment import DUE_WITHIN_S
 
 
-class Both(AjpCase):
+class Both(AjpTestCase):
     """Both protocols on one core: clients of each, the kernel and an AJP server behind."""
 
-    options = {"thrift": True, "ajp": True}
-    key = {"Idempotency-Key": "f1", "X-Tenant": "acme"}
+    options: ClassVar[dict[str, Any]] = {"thrift": True, "ajp": True}
+    key: ClassVar[dict[str, Any]] = {"Idempotency-Key": "f1", "X-Tenant": "acme"}
 
     def test_pieces_of_one_byte_on_every_socket(self):
         router, web, member = self.program.thrift_router(), self.program.ajp_client(), self.program.members
@@ -78,7 +79,7 @@
         self.server.next_request().respond(200, b"another's")
         self.assertEqual(web.answer()[2], b"another's")
 
-    def test_every_rule_holds_over_both_at_once(self):
+    def test_every_rule_holds_over_both_at_once(self):  # noqa: C901, PLR0915 - one history
         kernel_ran, server_ran = [], []
 
         def run_kernel():  # both executors serve what comes, up to the last body: from then on nothing ends
--- a/tests/net/test_connection_races.py
+++ b/tests/net/test_connection_races.py
@@ -228,7 +228,9 @@
         self.assertEqual(program.wait_for_exit(), 0)
 
 
-class Shutdown(WorkerTestCase):
+class ShutdownRacesTest(WorkerTestCase):
+    """What comes while a worker shuts down."""
+
     def test_what_waits_in_the_accept_queue_at_the_end_is_answered_once_there_is_room(self):
         family = site_settings()["FamilyInfo"] | {"Cores": 40}
         program = self.start(sockets=64, site=site_settings(FamilyInfo=family))
--- a/tests/net/test_doubts.py
+++ b/tests/net/test_doubts.py
@@ -97,7 +97,9 @@
     )
 
 
-class Proof(unittest.TestCase):
+class LostRunProofTest(unittest.TestCase):
+    """Kernels that tell the truth late, in any order."""
+
     @settings(max_examples=400, deadline=None)
     @given(STEPS, st.sampled_from((1, 3, 4000)))
     def test_no_filing_begins_twice_in_any_order(self, steps, kept):
--- a/tests/net/test_link_races.py
+++ b/tests/net/test_link_races.py
@@ -3,6 +3,7 @@
 A process that stands still while bytes come and times run out sees both at once when it goes on.
 """
 
+import contextlib
 import json
 import os
 import resource
@@ -55,7 +56,8 @@
             self.reports.put(("", "UP"))
             sock.sendall(b"HTTP/1.1 204 No Con")
             if self.reports.qsize() % 2:
-                return sock.shutdown(socket.SHUT_RDWR)
+                sock.shutdown(socket.SHUT_RDWR)
+                return
             sock.sendall(b"tent\r\n\r\n")
 
 
@@ -72,7 +74,9 @@
 """
 
 
-class Lists(WorkerTestCase):
+class MembershipRacesTest(WorkerTestCase):
+    """Reports to the membership service."""
+
     def test_a_report_that_is_answered_late_counts(self):
         slow = SlowMembers()
         self.addCleanup(slow.close)
@@ -119,10 +123,8 @@
         for _ in range(300):
             crowd.append(program.thrift_router())
             crowd[-1].sock.settimeout(WAIT_LIMIT_S)
-            try:
+            with contextlib.suppress(OSError, EOFError):  # it had to make room
                 crowd[-1].ping()
-            except (OSError, EOFError):  # it had to make room
-                pass
         self.assertEqual(program.thrift_router().ping()[0], "Answer")
         self.assertEqual(program.operator_call()[0], 200)
         kernel = Kernel(before=program.kernel)
@@ -155,7 +157,9 @@
         del crowd
 
 
-class KernelLink(WorkerTestCase):
+class KernelLinkRacesTest(WorkerTestCase):
+    """The link to the kernel."""
+
     def test_a_link_whose_answers_came_within_a_stall_is_not_silent(self):
         program = self.start()
         router, kernel = program.thrift_router(), program.kernel
@@ -306,7 +310,9 @@
 """
 
 
-class Successor(WorkerTestCase):
+class SuccessorRacesTest(WorkerTestCase):
+    """A process that replaces another."""
+
     def test_one_that_stands_still_for_longer_than_it_is_asked_is_still_replaced(self):
         old = self.start()
         old.process.send_signal(signal.SIGSTOP)
--- a/tests/net/test_peer_tenants.py
+++ b/tests/net/test_peer_tenants.py
@@ -16,7 +16,9 @@
 from tests.app.tenant_reload import appliance, brought_into_force, close_worker
 
 
-class Fleet(unittest.TestCase):
+class PeerTenantsTest(unittest.TestCase):
+    """Budgets, counters and rates of tenants in a fleet."""
+
     def test_only_tenants_with_a_budget_of_the_fleet_follow_it_over_changes_of_either(self):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
--- a/tests/net/test_route_index.py
+++ b/tests/net/test_route_index.py
@@ -79,7 +79,9 @@
     return st.tuples(*parts).map("".join)
 
 
-class TheSame(unittest.TestCase):
+class SameRouteTest(unittest.TestCase):
+    """The index against the plain search."""
+
     @settings(max_examples=3000, deadline=None)
     @given(st.data())
     def test_as_the_plain_search_over_random_tables_and_paths(self, data):
@@ -210,8 +212,7 @@
 
 
 def lines(call):
-    """Lines of Python that a call takes; those of a pattern's own search by a compiled expression count as
-    one."""
+    """Lines of Python that a call takes; the search of a compiled expression counts as one."""
     return count_instructions(call, "line")
 
 
@@ -253,7 +254,9 @@
             self.assertLess(max(counts), 4000)
 
 
-class Prepared(unittest.TestCase):
+class PreparedIndexTest(unittest.TestCase):
+    """An index that is prepared in steps and committed."""
+
     def test_nothing_changes_before_the_commit_and_all_of_it_by_that(self):
         old, new = rules("/old"), rules(*(f"/new{n}" for n in range(1000)))
         it, steps = reader(old), 0
--- a/tests/net/test_thrift_front.py
+++ b/tests/net/test_thrift_front.py
@@ -5,6 +5,7 @@
 import socket
 import struct
 import time
+from typing import Any, ClassVar
 
 from tests.stand_ins.thrift_router import ThriftRouter
 from tests.support.environment import DUE_WITHIN_S, WAIT_LIMIT_S
@@ -12,7 +13,9 @@
 from tests.support.worker_cases import RunningWorkerTestCase
 
 
-class Serving(RunningWorkerTestCase):
+class RequestsTest(RunningWorkerTestCase):
+    """Requests, replies and cancellations."""
+
     def test_a_request_runs_with_its_bytes_unchanged_and_gets_the_kernels_result(self):
         router, body, result = (
             self.program.thrift_router(),
@@ -74,7 +77,9 @@
         router.abort(last)
 
 
-class Filings(RunningWorkerTestCase):
+class FilingsTest(RunningWorkerTestCase):
+    """Filings and their repeats."""
+
     def test_a_repeat_waits_for_the_run_and_later_ones_get_its_result(self):
         router, other = self.program.thrift_router(), self.program.thrift_router()
         first = router.invoke("filing", b"doc", token="t1")
@@ -103,8 +108,10 @@
         self.assertTrue(self.kernel.scheduled.empty())
 
 
-class DueTimes(RunningWorkerTestCase):
-    options = {"site": short_deadline_settings()}
+class DeadlinesTest(RunningWorkerTestCase):
+    """Runs that do not end in time."""
+
+    options: ClassVar[dict[str, Any]] = {"site": short_deadline_settings()}
 
     def test_a_run_that_does_not_end_is_answered_by_its_due_time(self):
         router, t0 = self.program.thrift_router(), time.time()
@@ -118,7 +125,9 @@
         self.assertLess(time.time() - began, DUE_WITHIN_S)
 
 
-class KernelLink(RunningWorkerTestCase):
+class KernelLinkTest(RunningWorkerTestCase):
+    """Breaks, silence and damage of the link to the kernel."""
+
     def test_a_new_link_replays_and_only_what_is_safe_and_missing_is_sent_again(self):
         router = self.program.thrift_router()
         reaped, lost = router.invoke(body=b"reaped"), router.invoke(body=b"lost")
@@ -240,7 +249,9 @@
         self.assertEqual(router.answer(seqid), ("Answer", {}, b"ran"))
 
 
-class MalformedInput(RunningWorkerTestCase):
+class MalformedInputTest(RunningWorkerTestCase):
+    """Bad frames and fields, and clients that read nothing."""
+
     def test_a_bad_frame_ends_its_own_connection_only(self):
         good = self.program.thrift_router()
         for frame in (
@@ -311,7 +322,9 @@
         self.assertEqual(quick.ping()[0], "Answer")
 
 
-class Draining(RunningWorkerTestCase):
+class DrainingTest(RunningWorkerTestCase):
+    """The end of a worker after its notice."""
+
     def test_all_that_was_read_is_answered_then_the_program_ends_well(self):
         idle, busy = self.program.thrift_router(), self.program.thrift_router()
         self.assertTrue(idle.ping())
@@ -338,7 +351,9 @@
         self.assertEqual(self.program.wait_for_exit(), 0)
 
 
-class MembersOutage(RunningWorkerTestCase):
+class MembershipOutageTest(RunningWorkerTestCase):
+    """A membership service that is down."""
+
     def test_an_outage_blocks_nothing_and_reports_go_on_after_it(self):
         self.program.members.wait_for("UP")
         self.program.members.close()
@@ -354,7 +369,9 @@
         self.program.members.wait_for("UP")
 
 
-class MembersSilence(RunningWorkerTestCase):
+class MembershipSilenceTest(RunningWorkerTestCase):
+    """A membership service that answers nothing."""
+
     def test_reports_without_an_answer_go_on_at_their_pace_and_a_change_does_not_wait_for_one(self):
         members = self.program.members
         members.wait_for("UP")
@@ -372,8 +389,12 @@
         )
 
 
-class KeepAlive(RunningWorkerTestCase):
-    options = {"site": site_settings(FamilyInfo=site_settings()["FamilyInfo"] | {"Callers": 10_000})}
+class IdleConnectionsTest(RunningWorkerTestCase):
+    """Idle connections where few callers come back."""
+
+    options: ClassVar[dict[str, Any]] = {
+        "site": site_settings(FamilyInfo=site_settings()["FamilyInfo"] | {"Callers": 10_000})
+    }
 
     def test_idle_connections_are_ended_by_farewell_where_few_come_back(self):
         router = self.program.thrift_router()
--- a/tests/overload/overload_requests.py
+++ b/tests/overload/overload_requests.py
@@ -44,13 +44,18 @@
 
 
 class Driver(Plain):
+    """Remembers which requests have ended."""
+
     def __init__(self, **changes):
         self.ended = set()
         super().__init__(**changes)
 
 
 class Nobody:
+    """Stands for a caller that is never answered."""
+
     def origin(self):
+        """Where the request came from."""
         return "test", "127.0.0.1"
 
 
@@ -58,6 +63,7 @@
 
 
 def request(cls=READ, key=None, work=None, kb=20.0, retry=False, caller=1):
+    """A request with usual values for what is not given."""
     return InboundRequest(
         id=f"r{next(NUMBERS)}",
         request_class=cls,
--- a/tests/overload/test_bulkheads.py
+++ b/tests/overload/test_bulkheads.py
@@ -12,7 +12,9 @@
 from tests.overload.overload_requests import SITE
 
 
-class Bulkheads(unittest.TestCase):
+class BulkheadsTest(unittest.TestCase):
+    """Floors, reserves and low-cost classes."""
+
     def test_floors_fit_and_are_kept_for_filings_first(self):
         for total in (1, 2, 3, 5, 9, 40):
             reported = bulkhead_limits(total, SITE, {}, 0.0, set(), True)
--- a/tests/overload/test_concurrency_limits.py
+++ b/tests/overload/test_concurrency_limits.py
@@ -7,7 +7,9 @@
 from ochrehoist.overload.concurrency_limits import LIMIT_ALGORITHMS, ExtremumSeekingLimit, LimitBounds
 
 
-class FindingAConcurrencyLimit(unittest.TestCase):
+class ConcurrencyLimitTest(unittest.TestCase):
+    """Limits that search for the best concurrency."""
+
     def settled(self, controller, time_of, windows=400, noise=0.05, seed=1):
         rng, limits_seen = Random(seed), []
         for n in range(windows):
--- a/tests/overload/test_controller_limits.py
+++ b/tests/overload/test_controller_limits.py
@@ -20,12 +20,10 @@
         return d
 
     def fill(self, d, *kinds, times=1.0):
-        ids = []
-        for kind in kinds:
-            ids.append(
-                d.request(class_index=kind, remaining_ns=None, cost_multiple=times if kind == 0 else 1.0)[0]
-            )
-        return ids
+        return [
+            d.request(class_index=kind, remaining_ns=None, cost_multiple=times if kind == 0 else 1.0)[0]
+            for kind in kinds
+        ]
 
     def test_a_total_is_kept_to_and_without_one_the_module_decides_alone(self):
         for total, most in ((2, 2), (UNLIMITED, 4)):
--- a/tests/overload/test_cost_prediction.py
+++ b/tests/overload/test_cost_prediction.py
@@ -10,7 +10,9 @@
 from tests.overload.overload_requests import MS, SITE, S, request
 
 
-class CostPrediction(unittest.TestCase):
+class CostPredictionTest(unittest.TestCase):
+    """By stated work, by subject and by size."""
+
     def learned(self, expensive_share=0.02, stated=True, seed=1, count=1500, key=None, kb=None):
         """Runs of 100 ms and some, a few of which cost 15 times that."""
         rng, predictor, right, wrong, missed = Random(seed), CostPredictor(), 0, 0, 0
--- a/tests/overload/test_early_rejection.py
+++ b/tests/overload/test_early_rejection.py
@@ -9,7 +9,9 @@
 from tests.overload.overload_requests import FILING, SITE, S
 
 
-class EarlyRejections(unittest.TestCase):
+class EarlyRejectionTest(unittest.TestCase):
+    """By priority, caller and tenant."""
+
     def admission(self, affordable_per_s, overloaded=True):
         detector = OverloadDetector(100_000_000)
         detector.overloaded, detector.affordable_per_s = overloaded, affordable_per_s
--- a/tests/overload/test_overload_detector.py
+++ b/tests/overload/test_overload_detector.py
@@ -12,7 +12,9 @@
     return LoadSample(at, cpu, cpu / share, late, admitted, shed, rss)
 
 
-class OverloadDetection(unittest.TestCase):
+class OverloadDetectorTest(unittest.TestCase):
+    """Loads a worker can carry and loads it cannot."""
+
     def loaded(self, offered, seconds, detector=None, share=1.0, start=0.0, cost=300e-6):
         """A worker that is offered so much a second, admits what it may, and is late by what it can't do."""
         detector = detector or OverloadDetector(100_000_000)
@@ -57,7 +59,7 @@
         self.assertGreater(detector.affordable_per_s, 0.5 * (0.85 - 7000 * 60e-6) / 240e-6)
 
     def test_it_does_not_swing_while_the_load_stays_and_recovers_once_when_it_ends(self):
-        detector, turns = self.loaded(lambda t: 7000 if t < 10 else 500, 30)
+        _detector, turns = self.loaded(lambda t: 7000 if t < 10 else 500, 30)
         self.assertEqual([overloaded for _, overloaded in turns], [True, False])
         self.assertLess(turns[1][0], 14.0)
 
@@ -88,7 +90,7 @@
         detector, _ = self.loaded(500, 5)
         detector.observe(sample(6.0, admitted=500, late=1.0))
         self.assertFalse(detector.overloaded)
-        detector, turns = self.loaded(500, 5, detector, start=6.0)
+        detector, _turns = self.loaded(500, 5, detector, start=6.0)
         self.assertFalse(detector.overloaded)
 
     def test_memory_closes_admission_before_the_limit(self):
--- a/tests/overload/test_overloaded_worker.py
+++ b/tests/overload/test_overloaded_worker.py
@@ -68,7 +68,9 @@
         return self
 
 
-class Overloaded(unittest.TestCase):
+class OverloadedWorkerTest(unittest.TestCase):
+    """A worker under a flood."""
+
     def program(self, **how):
         program = WorkerProcess(
             site=short_deadline_settings(), kernel=InstantKernel(), **({"overload": {}, "fault": SLOW} | how)
@@ -178,7 +180,9 @@
         self.assertFalse(self.status(after)["overload"]["loop"]["behind"])
 
 
-class Off(unittest.TestCase):
+class OverloadSettingsTest(unittest.TestCase):
+    """The table of overload control, and a worker without it."""
+
     def test_without_its_table_nothing_of_it_is_loaded_or_said(self):
         done = subprocess.run(
             [sys.executable, "-c", "import ochrehoist.app.worker, sys; print(*sys.modules)"],
--- a/tests/overload/test_retry_budget.py
+++ b/tests/overload/test_retry_budget.py
@@ -8,7 +8,9 @@
 from tests.overload.overload_requests import FILING, MS, SITE, S, request
 
 
-class RetryBudgets(unittest.TestCase):
+class RetryBudgetTest(unittest.TestCase):
+    """Retries by caller, marked or not."""
+
     def test_only_under_pressure_only_retries_and_each_caller_by_itself(self):
         budget, now = RetryBudget(1), 0.0
         for n in range(200):
--- a/tests/overload/test_weighted_allocation.py
+++ b/tests/overload/test_weighted_allocation.py
@@ -9,7 +9,9 @@
 from ochrehoist.overload.weighted_allocation import AllocationRequest, allocate
 
 
-class Allocation(unittest.TestCase):
+class WeightedAllocationTest(unittest.TestCase):
+    """What each claim gets of a budget."""
+
     claims = st.lists(
         st.builds(
             AllocationRequest, st.integers(0, 3), st.floats(0, 50), st.floats(0.01, 5), st.floats(0, 5)
--- a/tests/peers/counter_messages.py
+++ b/tests/peers/counter_messages.py
@@ -16,6 +16,7 @@
 
 
 def filled(life, keys, n=1, born=0.0, long=0):
+    """Counters of a member with so many keys."""
     counters = ReplicatedCounters(life, 100.0, born)
     for k in range(keys):
         counters.add(f"class/{'x' * long}{k:05d}/served", n)
--- a/tests/peers/peer_messages.py
+++ b/tests/peers/peer_messages.py
@@ -14,6 +14,7 @@
 
 
 def message(**changes):
+    """A message with usual values for what is not given."""
     values = {
         "group": "g",
         "sender": A,
@@ -26,6 +27,7 @@
 
 
 def membership(now=0.0, **addresses):
+    """The membership as member `a` sees it."""
     return Membership(A, "at:a", "", addresses, 0.1, now, 1)
 
 
--- a/tests/peers/test_counter_compatibility.py
+++ b/tests/peers/test_counter_compatibility.py
@@ -20,12 +20,16 @@
 
 
 class PingOfBefore(msgspec.Struct, tag="p", array_like=True):
+    """A ping as the earlier release reads it."""
+
     nonce: int
     known_versions: list[tuple[str, int, int]] = []
     gossip: list[MemberUpdate] = []
 
 
 class AckOfBefore(msgspec.Struct, tag="a", array_like=True):
+    """An acknowledgement as the earlier release reads it."""
+
     nonce: int
     subject: str = ""
     updates: list[MemberUpdate] = []
--- a/tests/peers/test_counter_parts.py
+++ b/tests/peers/test_counter_parts.py
@@ -18,7 +18,9 @@
 from tests.peers.counter_messages import A, B, C, answer, encode, filled, parts_of
 
 
-class Parts(unittest.TestCase):
+class CounterPartsTest(unittest.TestCase):
+    """Counts of one member, told to others."""
+
     def test_what_an_answer_tells_is_bounded_however_much_there_is(self):
         for keys, long in ((1, 0), (100, 0), (2000, 0), (2000, 130), (2000, 10_000)):
             with self.subTest(keys=keys, long=long):
@@ -140,7 +142,7 @@
 
     @settings(deadline=None, max_examples=150)
     @given(st.integers(0, 2**32), st.sampled_from((0.0, 0.3, 0.7)))
-    def test_the_truth_is_within_the_bound_whatever_is_lost_late_or_repeated(self, seed, loss):
+    def test_the_truth_is_within_the_bound_whatever_is_lost_late_or_repeated(self, seed, loss):  # noqa: C901 - one history
         """Three and a late one count and ask each other; answers are lost, late, out of order, repeated."""
         rng, now, true = Random(seed), 0.0, {}
         keys = [f"kind/{n:03d}/{'x' * rng.randint(0, 60)}" for n in range(rng.choice((3, 40, 120)))]
--- a/tests/peers/test_counters.py
+++ b/tests/peers/test_counters.py
@@ -13,7 +13,9 @@
 from tests.peers.peer_messages import A, B
 
 
-class Counts(unittest.TestCase):
+class CountersTest(unittest.TestCase):
+    """Counts that come twice, late or never."""
+
     def test_what_comes_twice_or_late_is_counted_once(self):
         counters = ReplicatedCounters(A, 100.0)
         counters.add("served", 5)
--- a/tests/peers/test_leases.py
+++ b/tests/peers/test_leases.py
@@ -15,7 +15,9 @@
 from tests.peers.peer_messages import BUDGET, A, B
 
 
-class Leases(unittest.TestCase):
+class LeasesTest(unittest.TestCase):
+    """Requests, grants and releases."""
+
     def held(self, budget=BUDGET, right=3, now=100.0, life=A):
         grantors = {n: LeaseGrantor(budget, 0.0) for n in budget.grantors}
         holder = LeaseHolder(budget)
@@ -47,7 +49,7 @@
         self.assertFalse(holder.holds(3, 100.1))
 
     def test_another_incarnation_is_granted_a_slot_only_once_the_first_can_use_it_no_more(self):
-        grantors, holder = self.held()
+        grantors, _holder = self.held()
         other = LeaseHolder(BUDGET)
         last = 100 + 2.0 * (1 + CLOCK_DRIFT) + GRANT_GUARD_S
         self.request(grantors, other, Incarnation("a", 11, 2), 3, last - 0.01)
--- a/tests/peers/test_membership.py
+++ b/tests/peers/test_membership.py
@@ -10,7 +10,9 @@
 from tests.peers.peer_messages import A, B, membership
 
 
-class Members(unittest.TestCase):
+class MembershipTest(unittest.TestCase):
+    """Suspicion, death and return."""
+
     def meet(self, m, now, *lives):
         for life in lives:
             self.assertTrue(m.on_message_from(life, f"at:{life.name}", "", now))
--- a/tests/peers/test_message_growth.py
+++ b/tests/peers/test_message_growth.py
@@ -1,7 +1,9 @@
-"""Growth of what members say to each other and hold of each other: counted bytes and messages on virtual
-time at three sizes, never a clock. Each bound is shown to fail on a planted defect.
+"""Growth of what members send each other and hold of each other.
+
+Bytes and messages are counted on virtual time at three sizes. Each bound is shown to fail on a defect.
 """
 
+import itertools
 import sys
 import unittest
 from unittest import mock
@@ -89,7 +91,7 @@
 
 def within(measured):
     """AssertionError where a worker's messages, bytes or state grow past what is stated."""
-    for a, b in zip(measured, measured[1:], strict=False):
+    for a, b in itertools.pairwise(measured):
         span = f"from {a.count} to {b.count} members"
         assert b.sent <= MOST_SENT, f"{b.sent:.1f} messages a second at {b.count} members"
         bytes_, held = slope(a, b, "bytes"), slope(a, b, "state")
@@ -97,7 +99,9 @@
         assert held <= STATE_PER_MEMBER, f"{held:.0f} bytes of state for each member, {span}"
 
 
-class Growth(unittest.TestCase):
+class MessageGrowthTest(unittest.TestCase):
+    """Messages and state at three sizes of a fleet."""
+
     def test_messages_bytes_and_state_grow_no_faster_than_is_stated(self):
         for seed in (1, 2):
             with self.subTest(seed=seed):
@@ -145,9 +149,11 @@
             within([Measured(count) for count in (20, 60)])
 
 
-class Rest(unittest.TestCase):
+class MessagesAtRestTest(unittest.TestCase):
+    """Messages once a fault is over."""
+
     def whole_after(self, count, fault, within=30.0):
-        """s until all are alive for all again."""
+        """S until all are alive for all again."""
         w = world(count)
         w.run(REST_S)
         self.assertTrue(self.whole(w, count))
--- a/tests/peers/test_outlier_detection.py
+++ b/tests/peers/test_outlier_detection.py
@@ -14,7 +14,9 @@
 )
 
 
-class Outliers(unittest.TestCase):
+class OutlierDetectionTest(unittest.TestCase):
+    """Slow and failing services, seen by one worker and by several."""
+
     def setUp(self):
         self.reports = {}
         self.outliers = OutlierDetector(("s0", "s1", "s2"), 0.5, 1, remote_reports=lambda: self.reports)
--- a/tests/peers/test_suspicion.py
+++ b/tests/peers/test_suspicion.py
@@ -16,7 +16,9 @@
     return MemberUpdate(life, f"at:{life.name}", "", state, version, -1, b"", refutations)
 
 
-class Refutation(unittest.TestCase):
+class RefutationTest(unittest.TestCase):
+    """Accusations and their refutation."""
+
     def setUp(self):
         self.m = Membership(A, "at:a", "", {}, 0.1, 0.0, 1)
         self.m.on_message_from(B, "at:b", "", 0.0)
@@ -119,7 +121,9 @@
     status: bytes = b""
 
 
-class Mixed(unittest.TestCase):
+class EarlierReleaseTest(unittest.TestCase):
+    """Members of an earlier release."""
+
     def test_members_of_before_read_what_they_get_and_are_read(self):
         new = MemberUpdate(B, "at:b", "s", MemberState.SUSPECT, 3, 7, b"status", 5)
         old = msgspec.msgpack.decode(msgspec.msgpack.encode(new), type=EntryOfBefore)
--- a/tests/peers/test_wire.py
+++ b/tests/peers/test_wire.py
@@ -9,7 +9,9 @@
 from tests.peers.peer_messages import SECRETS, message
 
 
-class Wire(unittest.TestCase):
+class WireTest(unittest.TestCase):
+    """Encoding, signatures and bounds."""
+
     def test_a_message_comes_as_it_was_sent(self):
         self.assertEqual(
             wire.decode_datagram(wire.encode_datagram(message(), SECRETS[0]), SECRETS, "g"), message()
--- a/tests/plan/example_fleet.py
+++ b/tests/plan/example_fleet.py
@@ -12,6 +12,7 @@
 
 
 def quiet(*_):
+    """Takes progress, and shows none."""
     pass
 
 
--- a/tests/plan/test_cores.py
+++ b/tests/plan/test_cores.py
@@ -9,7 +9,9 @@
 from tests.plan.example_fleet import WORK
 
 
-class SharedCores(unittest.TestCase):
+class SharedCoresTest(unittest.TestCase):
+    """Work on cores that are shared, cold or overcrowded."""
+
     @settings(max_examples=150, deadline=None)
     @given(WORK, st.integers(1, 8), st.floats(0.2, 2), st.floats(0, 5))
     def test_all_work_is_done_once_and_none_sooner_than_alone(self, work, cores, speed, cold_s):
--- a/tests/plan/test_fit.py
+++ b/tests/plan/test_fit.py
@@ -9,7 +9,9 @@
 from ochrehoist.plan.fit import fitted
 
 
-class Fit(unittest.TestCase):
+class FitTest(unittest.TestCase):
+    """Parameters and their intervals."""
+
     def entries(self, speed=0.7, cores=4, slow_from=2.0, count=3000, crowd=24):
         """Runs as a machine of that speed has them, whose crowd is another every two seconds."""
         rng, machine = Streams(5)["work"], Machine(cores, speed, slow_from=slow_from, slow_to=0.4, crowd=8.0)
--- a/tests/plan/test_fleet_description.py
+++ b/tests/plan/test_fleet_description.py
@@ -6,7 +6,9 @@
 from tests.plan.example_fleet import EXAMPLE, fleet
 
 
-class Description(unittest.TestCase):
+class FleetDescriptionTest(unittest.TestCase):
+    """The example, and faults in it."""
+
     def test_the_example_is_placed_by_network_and_address(self):
         f = parse(EXAMPLE)
         self.assertEqual((len(f.placed_workers), len(f.placed_routers)), (14, 5))
--- a/tests/plan/test_measure.py
+++ b/tests/plan/test_measure.py
@@ -13,7 +13,9 @@
 from tests.plan.example_fleet import fleet
 
 
-class Measure(unittest.TestCase):
+class MeasureTest(unittest.TestCase):
+    """Measured workers against the model."""
+
     def test_a_worker_is_told_the_same_as_the_model(self):
         f = fleet()
         kind = f.kinds[0]
--- a/tests/plan/test_model.py
+++ b/tests/plan/test_model.py
@@ -15,7 +15,9 @@
 from tests.plan.example_fleet import EXAMPLE, fleet
 
 
-class Model(unittest.TestCase):
+class ModelTest(unittest.TestCase):
+    """Load, losses and retries."""
+
     def goodput(self, f, seed=1, seconds=15.0, **more):
         return Simulation(f, seed, seconds, **more).run()
 
--- a/tests/plan/test_plan_answers.py
+++ b/tests/plan/test_plan_answers.py
@@ -60,7 +60,9 @@
     return Capture([CaptureHeader("n1", 0, 1.0, 4, 1.0, (), ())], entries)
 
 
-class Pages(unittest.TestCase):
+class PlanPagesTest(unittest.TestCase):
+    """Pages of answers."""
+
     def answers(self):
         f = fleet(load__rate=35.0)
         yield "forecast", forecast(f, (1, 2), 12.0, 1, quiet)
@@ -136,7 +138,9 @@
             self.assertEqual(Path(folder, "page-1.png").read_bytes()[:4], b"\x89PNG")
 
 
-class TwoCaptures(unittest.TestCase):
+class CaptureComparisonTest(unittest.TestCase):
+    """Two captures compared."""
+
     def told(self, a, b):
         return {c.what: c for c in side_by_side(a, b)}
 
@@ -166,7 +170,9 @@
         self.assertRaises(ValueError, side_by_side, Capture(), capture())
 
 
-class BrokenOff(unittest.TestCase):
+class InterruptedRunsTest(unittest.TestCase):
+    """Runs that are broken off."""
+
     def after(self, count):
         def progress(done, _):
             if done > count:
@@ -205,7 +211,9 @@
         )
 
 
-class Recorded(unittest.TestCase):
+class RecordedCallsTest(unittest.TestCase):
+    """Calls as captures record them."""
+
     def test_a_repeat_whose_first_try_no_worker_saw_is_a_call_and_any_other_is_none(self):
         def tried(at, work, retry, caller=1):
             seen = RequestRecord(
--- a/tests/plan/test_plan_commands.py
+++ b/tests/plan/test_plan_commands.py
@@ -8,7 +8,9 @@
 from tests.support.worker_process import run_command
 
 
-class Commands(unittest.TestCase):
+class PlanCommandsTest(unittest.TestCase):
+    """Forecasts from the shell."""
+
     def test_a_forecast_from_the_shell_and_faults_in_a_line_each(self):
         example = str(ROOT / "deploy/fleet.toml")
         done = run_command("plan", "check", example)
--- a/tests/plan/test_questions.py
+++ b/tests/plan/test_questions.py
@@ -10,7 +10,9 @@
 from tests.plan.example_fleet import fleet, quiet
 
 
-class Questions(unittest.TestCase):
+class QuestionsTest(unittest.TestCase):
+    """Answers and their intervals."""
+
     def test_an_interval_needs_two_runs_and_narrows_with_more(self):
         self.assertIsNone(ranged([0.5]).half)
         self.assertLess(ranged([0.4, 0.5, 0.6] * 3).half, ranged([0.4, 0.5, 0.6]).half)
--- a/tests/plan/test_rolling_restart.py
+++ b/tests/plan/test_rolling_restart.py
@@ -10,7 +10,9 @@
 from tests.support.environment import ROOT
 
 
-class Restarts(unittest.TestCase):
+class RollingRestartTest(unittest.TestCase):
+    """Sites and workers that restart by turns."""
+
     def setUp(self):
         self.fleet = load(ROOT / "deploy/sites-fleet.toml")
 
--- a/tests/plan/test_routing.py
+++ b/tests/plan/test_routing.py
@@ -6,7 +6,9 @@
 from ochrehoist.plan.routing import Answer, Call, Next, Router, after, rendezvous
 
 
-class Routing(unittest.TestCase):
+class RoutingTest(unittest.TestCase):
+    """Each way to choose a worker."""
+
     def router(self, choice, workers=6, **more):
         return Router(Routers(addresses=[], choice=choice, **more), range(workers), [1.0] * workers, True, 1)
 
--- a/tests/recovery/test_recovery.py
+++ b/tests/recovery/test_recovery.py
@@ -95,7 +95,9 @@
     ]
 
 
-class Witnesses(unittest.TestCase):
+class WitnessesTest(unittest.TestCase):
+    """Intents recorded at witnesses."""
+
     @limits(max_examples=60, deadline=None)
     @given(st.integers(0, 10**6), st.integers(1, 5), st.floats(0, 0.6), st.floats(1, 30))
     @example(20201, 2, 0.25, 21.0)  # asked 0.1 s after the end of a window whose filing had waited 0.12 s
@@ -163,7 +165,9 @@
         decode(topic, data)
 
 
-class Stages(unittest.TestCase):
+class StartupStagesTest(unittest.TestCase):
+    """The stages of a start, and when service is full again."""
+
     def setUp(self):
         self.now = 0.0
         self.progress, self.service_level = StartupProgress(0.0), ServiceLevelMonitor(0.0)
@@ -230,7 +234,9 @@
     return Play(parse(values | changes), seed).run()
 
 
-class OverProcesses(unittest.TestCase):
+class LostFoldersTest(unittest.TestCase):
+    """Scenarios of workers that lost their folders."""
+
     def test_two_that_lost_their_folders_take_filings_again_and_none_runs_twice(self):
         v = play(
             [{"at": 8.0, "kind": "kill", "who": ["w0", "w1"], "lasts": 0.2, "store": "removed"}], seconds=14.0
@@ -271,7 +277,9 @@
         self.assertTrue(all("lost" in s for s in stages), stages)  # no witness remembers: nothing is proved
 
 
-class OneWorker(unittest.TestCase):
+class RecoveryWorkerTest(unittest.TestCase):
+    """One worker with or without the table of recovery."""
+
     def test_nothing_of_it_is_loaded_without_its_table(self):
         code = (
             "import sys, ochrehoist.app.worker, ochrehoist.net.peers, ochrehoist.store.journal; "
@@ -289,7 +297,7 @@
         self.assertTrue(good, text)
         p.wait_for(lambda s: "'stage': 'full'" in s["recovery"])
         view = json.loads(call_operator_api(p.addresses["Operators"], "GET", "/status")[1])["recovery"]
-        self.assertEqual([s["stage"] for s in view["stages"]][0], "settings")
+        self.assertEqual(next(s["stage"] for s in view["stages"]), "settings")
         p.wait_until_logged("startup_complete")
 
     def test_a_file_that_cannot_hold_is_refused_by_its_key(self):
--- a/tests/repository/test_known_red.py
+++ b/tests/repository/test_known_red.py
@@ -17,7 +17,9 @@
 BAD, GOOD = "test_some.py::test_bad", "test_some.py::test_good"
 
 
-class KnownRed(unittest.TestCase):
+class KnownRedTest(unittest.TestCase):
+    """The runner of all tests, with a list of known failures."""
+
     def ci(self, *lines, tests=TESTS):
         root = Path(self.enterContext(tempfile.TemporaryDirectory()))
         (root / "test_some.py").write_text(tests)
--- a/tests/repository/test_pages.py
+++ b/tests/repository/test_pages.py
@@ -75,7 +75,9 @@
     return {name for name in found if not SENTENCE.search(name)}
 
 
-class Pages(unittest.TestCase):
+class PagesTest(unittest.TestCase):
+    """Links, paths, names and commands on the pages."""
+
     # Names out of the configuration of the worker whose status is compared, and stages of its start.
     example_names = frozenset(
         {"again", "boekhoud-net", "register-runs", "sites.return", "register-db", "settings", "lost", "peers"}
--- a/tests/sites/site_classes.py
+++ b/tests/sites/site_classes.py
@@ -25,6 +25,7 @@
 
 
 def make_order(costs=(0.1, 0.1, 0.1), quota=None, rate=0.0):
+    """An order of three classes whose costs and arrivals are known."""
     tenants = (Tenant("acme", quota, 1.0),) if quota is not None else ()
     o = SheddingOrder((READ, REFRESH, FILING), initial_table(tenants), 0.1)
     for c, cost in zip((READ, REFRESH, FILING), costs, strict=True):
--- a/tests/sites/test_admission_threshold.py
+++ b/tests/sites/test_admission_threshold.py
@@ -5,7 +5,9 @@
 from ochrehoist.sites.admission_threshold import TICK_INTERVAL_S, AdmissionThreshold
 
 
-class TheAdmissionThreshold(unittest.TestCase):
+class AdmissionThresholdTest(unittest.TestCase):
+    """Load that the cores can do, and load they cannot."""
+
     def run_for(self, threshold, seconds, offered, running, waiting=0.0, done=None, start=0.0):
         now = start
         while now < start + seconds:
--- a/tests/sites/test_operator_commands.py
+++ b/tests/sites/test_operator_commands.py
@@ -10,7 +10,9 @@
 from ochrehoist.sites.site_report import CommandEntry, SiteReport
 
 
-class TheOperatorCommands(unittest.TestCase):
+class OperatorCommandsTest(unittest.TestCase):
+    """Commands in any order."""
+
     @given(st.permutations(range(4)), st.lists(st.integers(0, 3), max_size=8))
     def test_whatever_comes_in_whatever_order_the_last_given_counts(self, first, again):
         given_by = [OperatorCommands() for _ in range(4)]
--- a/tests/sites/test_playbook.py
+++ b/tests/sites/test_playbook.py
@@ -16,7 +16,9 @@
 from tests.support.environment import ROOT
 
 
-class ThePlaybook(unittest.TestCase):
+class PlaybookTest(unittest.TestCase):
+    """Texts, checks, admission and exchange."""
+
     def setUp(self):
         self.fleet = load_fleet(ROOT / "deploy/fleet.toml")
         self.book, self.about = plan_playbook.made(self.fleet, 1_796_000_000)
--- a/tests/sites/test_ramps.py
+++ b/tests/sites/test_ramps.py
@@ -1,5 +1,6 @@
 """Recovery and evacuation of a site by stages."""
 
+import itertools
 import unittest
 
 from ochrehoist.sites.evacuation_ramp import EvacuationRamp
@@ -8,7 +9,9 @@
 from ochrehoist.sites.step_lease import StepPermission
 
 
-class Ramps(unittest.TestCase):
+class RampsTest(unittest.TestCase):
+    """Stages taken, held, taken back and skipped."""
+
     FULL = PeerBaseline(3, 1.0, 20.0)
 
     def setUp(self):
@@ -37,7 +40,7 @@
         parts = [self.evaluate(MIN_STAGE_S, good=3) for _ in range(30)]
         self.assertEqual(sorted(set(parts)), sorted(set(DEFAULT_STAGES) & set(parts)))
         self.assertTrue(self.ramp.is_complete)
-        self.assertTrue(all(b - a <= 0.2 + 1e-9 for a, b in zip(parts, parts[1:], strict=False)))
+        self.assertTrue(all(b - a <= 0.2 + 1e-9 for a, b in itertools.pairwise(parts)))
 
     def test_a_cold_machine_waits_until_it_is_warm_enough_for_the_next_step(self):
         self.assertEqual(self.evaluate(5, then=0.6, good=3), DEFAULT_STAGES[0])
--- a/tests/sites/test_shedding_order.py
+++ b/tests/sites/test_shedding_order.py
@@ -10,13 +10,15 @@
 from tests.sites.site_classes import make_order
 
 
-class TheSheddingOrder(unittest.TestCase):
+class SheddingOrderTest(unittest.TestCase):
+    """Classes and tenants in order of rejection."""
+
     @given(st.lists(st.floats(0.05, 0.2), min_size=3, max_size=3))
     def test_filings_go_first_whatever_they_cost_and_classes_of_like_worth_are_refused_alike(self, costs):
         o = make_order(costs)
         ranks = {c: [o.rank(("", c, n), c, None, 3.0) for n in range(50)] for c in o.classes}
         self.assertLess(max(ranks["filing"]), min(ranks["read"] + ranks["refresh"]))
-        self.assertTrue(0 <= min(map(min, ranks.values())) and max(map(max, ranks.values())) < 1 + 1e-9)
+        self.assertTrue(min(map(min, ranks.values())) >= 0 and max(map(max, ranks.values())) < 1 + 1e-9)
         if abs(math.log(costs[0] / costs[1])) < 1e-3:
             self.assertEqual(o.spans["read", False], o.spans["refresh", False])
 
--- a/tests/sites/test_site_health.py
+++ b/tests/sites/test_site_health.py
@@ -6,7 +6,7 @@
 from ochrehoist.sites.site_health import LoadSample, SiteHealthTracker, SiteMembership, SiteState
 
 
-class TheSiteHealth(unittest.TestCase):
+class SiteHealthTest(unittest.TestCase):
     """Two sites of three unless said otherwise; 30 first tries a second are usual."""
 
     def setUp(self):
--- a/tests/sites/test_virtual_time.py
+++ b/tests/sites/test_virtual_time.py
@@ -13,7 +13,7 @@
 from ochrehoist.sites.step_lease import StepArbiter, StepPermission
 
 
-class OnVirtualTime(unittest.TestCase):
+class SitesOnVirtualTimeTest(unittest.TestCase):
     """Real coordinators, membership, budgets, decision modules; `ochrehoist lab sites` plays more."""
 
     @limits(max_examples=5, deadline=None)
--- a/tests/stand_ins/kernel.py
+++ b/tests/stand_ins/kernel.py
@@ -1,6 +1,7 @@
 """The platform's kernel, which runs the requests that a worker schedules; scripted by a test, or instant."""
 
 import base64
+import contextlib
 import json
 import queue
 import socket
@@ -74,10 +75,8 @@
 
     def send(self, **notice: Any) -> None:
         """Sends a line on the newest link; it is not kept."""
-        try:
+        with contextlib.suppress(OSError):
             self.out.sendall(json.dumps(notice).encode() + b"\n")
-        except OSError:
-            pass
 
     def next_run(self) -> ScheduledRun:
         """Waits for what is scheduled next."""
--- a/tests/stand_ins/moving_kernel.py
+++ b/tests/stand_ins/moving_kernel.py
@@ -1,6 +1,7 @@
 """A kernel that runs what a worker gives it, reached at addresses that come and go."""
 
 import base64
+import contextlib
 import heapq
 import json
 import queue
@@ -94,10 +95,8 @@
         self.lock.notify()
 
     def _send(self, sock: socket.socket | None = None, **notice: Any) -> None:
-        try:
+        with contextlib.suppress(OSError):
             (sock or self.out).sendall(json.dumps(notice).encode() + b"\n")
-        except OSError:
-            pass
 
     def _run(self) -> None:
         with self.lock:
--- a/tests/stand_ins/power_loss_disk.py
+++ b/tests/stand_ins/power_loss_disk.py
@@ -19,7 +19,7 @@
 class PowerLossDisk(apsw.VFS):
     """A file system of SQLite; `fails`, given the operation and its number, may raise."""
 
-    def __init__(self, fails: Callable[[str, int], None] = lambda operation, number: None):
+    def __init__(self, fails: Callable[[str, int], None] = lambda *_: None):
         self.name, self.fails = f"disk{next(disk_numbers)}", fails
         self.operations, self.dead = 0, False
         self.durable: dict[str, bytes] = {}
@@ -37,7 +37,8 @@
     def count_operation(self, operation: str) -> None:
         """Counts a write, cut or sync, which fails once `dead` is set."""
         if self.dead:
-            raise apsw.IOError("no power")
+            message = "no power"
+            raise apsw.IOError(message)
         self.operations += 1
         self.fails(operation, self.operations)
 
--- a/tests/store/__init__.py
+++ b/tests/store/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of `ochrehoist/store/`."""
--- a/tests/store/store_folder.py
+++ b/tests/store/store_folder.py
@@ -28,6 +28,7 @@
 
 
 def filing(n, serial=0):
+    """The intent of a filing."""
     return IntentRecord(
         ("acme", "filing", f"key {n}"), f"r{n}.{serial}", WINDOW, WINDOW, NOW, None, b"%032d" % n
     )
@@ -56,6 +57,7 @@
 
 
 def found(opened):
+    """What an opened store knows, by key."""
     known = {}
     for intent in opened.intents:
         key = encode_key(intent.record.idempotency_key)
@@ -64,13 +66,17 @@
     return known
 
 
-class Folder(unittest.TestCase):
+class StoreFolderTestCase(unittest.TestCase):
+    """Has a folder, and opens stores in it."""
+
     def setUp(self):
+        """Makes the folder."""
         self.folder = Path(tempfile.mkdtemp(dir=MEMORY_FOLDER))
         self.addCleanup(shutil.rmtree, self.folder)
         self.path = self.folder / files.store_file_name()
 
     def open(self, now=NOW, longest=WINDOW):
+        """Opens the store."""
         opened = open_store(self.folder, 64, longest, now)
         self.addCleanup(opened.database.close)
         return opened
--- a/tests/store/store_values.py
+++ b/tests/store/store_values.py
@@ -12,6 +12,7 @@
 
 
 def intent(n=1, **more):
+    """An intent with usual values for what is not given."""
     values = {
         "idempotency_key": ("acme", "filing", f"k{n}"),
         "request_id": f"r{n}",
--- a/tests/store/test_crashes.py
+++ b/tests/store/test_crashes.py
@@ -3,14 +3,16 @@
 import os
 
 from ochrehoist.store.failpoints import REQUEST_FAILPOINTS
-from tests.store.worker_state_case import KILL_AT, State
+from tests.store.worker_state_case import KILL_AT, WorkerStateTestCase
 from tests.support.crash_load import CrashLoad
 from tests.support.environment import WAIT_LIMIT_S
 
 KILLS = int(os.environ.get("KILLS", "12"))
 
 
-class KilledAt(State):
+class CrashesTest(WorkerStateTestCase):
+    """Kills at named points and at random ones."""
+
     def test_at_every_point_nothing_runs_twice_or_is_refused_once_run(self):
         for point in REQUEST_FAILPOINTS:
             with self.subTest(point):
--- a/tests/store/test_damage.py
+++ b/tests/store/test_damage.py
@@ -13,7 +13,9 @@
 from tests.store.store_values import DAY, HOUR
 
 
-class DamageAssessments(unittest.TestCase):
+class DamageAssessmentTest(unittest.TestCase):
+    """Each case, and what follows of it."""
+
     def test_each_case(self):
         summary = CommitSummary(7, 2, 5)
         sound = {
--- a/tests/store/test_damaged_files.py
+++ b/tests/store/test_damaged_files.py
@@ -8,10 +8,12 @@
 from ochrehoist.store.damage import StoreCondition
 from ochrehoist.store.timestamps import Timestamp
 from ochrehoist.units import NS_PER_S
-from tests.store.store_folder import NOW, SEEDS, WINDOW, Folder, found
+from tests.store.store_folder import NOW, SEEDS, WINDOW, StoreFolderTestCase, found
 
 
-class Damage(Folder):
+class DamagedFilesTest(StoreFolderTestCase):
+    """Changed, cut and missing files."""
+
     def reopened(self, known):
         """What a damaged folder is taken for: never for something that it was not."""
         opened = self.open()
--- a/tests/store/test_data_loss.py
+++ b/tests/store/test_data_loss.py
@@ -1,10 +1,12 @@
 """Data loss and folders that are not mounted: what is served, and what is said."""
 
-from tests.store.worker_state_case import State
+from tests.store.worker_state_case import WorkerStateTestCase
 from tests.support.worker_process import run_command
 
 
-class DataLossRecord(State):
+class DataLossTest(WorkerStateTestCase):
+    """A folder that lost its store."""
+
     def lose(self):
         first = self.start()
         client = first.ajp_client()
@@ -51,7 +53,9 @@
         self.assertEqual(second.logged("store_data_lost")[0]["on_loss"], "serve")
 
 
-class Unmounted(State):
+class UnmountedFolderTest(WorkerStateTestCase):
+    """A folder that is not there yet."""
+
     def test_a_store_that_must_exist_is_waited_for_and_none_is_made_in_its_place(self):
         volume = self.base / "volume"
         done = run_command("state", "init", "--folder", str(volume))
--- a/tests/store/test_disk_errors.py
+++ b/tests/store/test_disk_errors.py
@@ -13,10 +13,12 @@
 )
 from ochrehoist.store.store_repair import open_store, rebuild_store
 from tests.stand_ins.power_loss_disk import PowerLossDisk
-from tests.store.store_folder import NOW, WINDOW, Folder, filing
+from tests.store.store_folder import NOW, WINDOW, StoreFolderTestCase, filing
 
 
-class Errors(Folder):
+class DiskErrorsTest(StoreFolderTestCase):
+    """Errors in writes and commits."""
+
     def under(self, fails):
         self.open().database.close()
         self.bad = PowerLossDisk(fails)
--- a/tests/store/test_expiry.py
+++ b/tests/store/test_expiry.py
@@ -11,7 +11,9 @@
 from tests.store.store_values import DAY, HOUR
 
 
-class Expiry(unittest.TestCase):
+class ExpiryTest(unittest.TestCase):
+    """Clocks that are set, and boots between."""
+
     def test_within_one_boot_setting_the_clock_changes_nothing(self):
         then = Timestamp(100 * DAY, "boot", HOUR)
         for unix in (100 * DAY - HOUR, 101 * DAY):
--- a/tests/store/test_failing_disk.py
+++ b/tests/store/test_failing_disk.py
@@ -3,7 +3,7 @@
 import os
 import time
 
-from tests.store.worker_state_case import State
+from tests.store.worker_state_case import WorkerStateTestCase
 
 # The n-th commit from the start waits, fails or finds no room, as a file beside says; others go well.
 BAD_DISK = """
@@ -27,7 +27,9 @@
 """
 
 
-class BadDisk(State):
+class FailingDiskTest(WorkerStateTestCase):
+    """A worker on a slow or failing disk."""
+
     def setUp(self):
         super().setUp()
         self.words = self.base / "words"
--- a/tests/store/test_formats.py
+++ b/tests/store/test_formats.py
@@ -9,11 +9,13 @@
 )
 from ochrehoist.store.timestamps import Timestamp
 from ochrehoist.units import NS_PER_S
-from tests.store.store_folder import NOW, Folder
+from tests.store.store_folder import NOW, StoreFolderTestCase
 from tests.support.environment import FIXTURES
 
 
-class Older(Folder):
+class OlderFormatsTest(StoreFolderTestCase):
+    """Folders of format 1."""
+
     FIXTURE = FIXTURES / "format-1"  # as format 1 was written
 
     def test_a_store_of_format_1_is_taken_over_aged_and_kept(self):
--- a/tests/store/test_opening.py
+++ b/tests/store/test_opening.py
@@ -11,10 +11,12 @@
 )
 from ochrehoist.store.timestamps import Timestamp
 from ochrehoist.units import NS_PER_S
-from tests.store.store_folder import NOW, WINDOW, Folder
+from tests.store.store_folder import NOW, WINDOW, StoreFolderTestCase
 
 
-class Found(Folder):
+class OpeningTest(StoreFolderTestCase):
+    """Empty, foreign and locked folders."""
+
     def test_an_empty_folder_is_a_first_start_and_one_that_lost_its_store_is_not(self):
         self.assertEqual(self.open().condition, StoreCondition.FIRST_START)
         for path in self.folder.iterdir():
--- a/tests/store/test_ownership.py
+++ b/tests/store/test_ownership.py
@@ -5,12 +5,14 @@
 from pathlib import Path
 
 from ochrehoist.lab.toml import toml_file
-from tests.store.worker_state_case import State
+from tests.store.worker_state_case import WorkerStateTestCase
 from tests.support.site_settings import site_settings
 from tests.support.worker_process import WorkerProcess, run_command
 
 
-class Owner(State):
+class OwnershipTest(WorkerStateTestCase):
+    """Processes that want a folder that has an owner."""
+
     def test_a_second_process_is_turned_away_by_the_name_of_the_first(self):
         first = self.start()
         config = self.base / "second.toml"
@@ -52,7 +54,9 @@
         self.assertEqual(said["restart_keys"], ["state.commit_ms", "state.folder"])
 
 
-class Lean(unittest.TestCase):
+class NoStoreTest(unittest.TestCase):
+    """A worker without a store."""
+
     def test_a_worker_without_a_store_loads_nothing_of_it(self):
         program = WorkerProcess()
         self.addCleanup(program.close)
--- a/tests/store/test_power_loss.py
+++ b/tests/store/test_power_loss.py
@@ -12,10 +12,12 @@
 from ochrehoist.store.errors import StoreFailedError
 from ochrehoist.store.files import CommitWatermark
 from tests.stand_ins.power_loss_disk import PowerLossDisk
-from tests.store.store_folder import SEEDS, Folder, found, operations
+from tests.store.store_folder import SEEDS, StoreFolderTestCase, found, operations
 
 
-class PowerCuts(Folder):
+class PowerLossTest(StoreFolderTestCase):
+    """Power lost at any operation."""
+
     def test_after_a_power_cut_all_that_was_durable_is_there_and_nothing_half(self):
         for seed in range(SEEDS):
             with self.subTest(seed=seed):
@@ -32,7 +34,8 @@
             if number >= cut_at:
                 power.dead = True
                 cut.append(operation)
-                raise apsw.IOError("the power fails")
+                message = "the power fails"
+                raise apsw.IOError(message)
 
         power = PowerLossDisk(fails)
         db = Database(self.path, vfs=power.name)
--- a/tests/store/test_records.py
+++ b/tests/store/test_records.py
@@ -23,7 +23,9 @@
 from tests.store.store_values import TOKEN, intent
 
 
-class Records(unittest.TestCase):
+class RecordsTest(unittest.TestCase):
+    """Packed records."""
+
     ALL = (
         (intent(), encode_key(TOKEN)),
         (ResultRecord("OK", True, b"body", b'{"a": 1}', 3), b"k"),
@@ -75,7 +77,9 @@
                 decode_record(b"k", data, kind)
 
 
-class Json(unittest.TestCase):
+class LearnedStateRecordsTest(unittest.TestCase):
+    """Keys of learned state."""
+
     def test_keys_tell_tenants_apart_that_have_none(self):
         self.assertNotEqual(encode_key((None, "a", "b")), encode_key(("", "a", "b")))
         self.assertEqual(msgspec.msgpack.decode(encode_key(TOKEN)), list(TOKEN))
--- a/tests/store/test_replacement.py
+++ b/tests/store/test_replacement.py
@@ -5,11 +5,13 @@
 from pathlib import Path
 
 from ochrehoist.store.failpoints import HANDOVER_FAILPOINTS
-from tests.store.worker_state_case import KILL_AT, State
+from tests.store.worker_state_case import KILL_AT, WorkerStateTestCase
 from tests.support.environment import WAIT_LIMIT_S
 
 
-class Replaced(State):
+class ReplacementTest(WorkerStateTestCase):
+    """The store of a process that is replaced."""
+
     def test_the_store_goes_over_with_the_keys_and_the_next_one_has_it_all(self):
         old = self.start()
         client, busy = old.ajp_client(), old.ajp_client()
--- a/tests/store/test_restart.py
+++ b/tests/store/test_restart.py
@@ -2,9 +2,10 @@
 
 import json
 import signal
+from typing import Any, ClassVar
 
 from tests.stand_ins.moving_kernel import MovingKernel
-from tests.store.worker_state_case import State
+from tests.store.worker_state_case import WorkerStateTestCase
 from tests.support.environment import MS
 from tests.support.site_settings import long_window_settings
 from tests.support.worker_process import run_command
@@ -27,9 +28,11 @@
 """
 
 
-class Restart(State):
+class RestartTest(WorkerStateTestCase):
+    """Filings of a process that ended."""
+
     # A crowded machine is no stalled disk: what a stall means is tested elsewhere.
-    patience = {"stall_ms": 10_000}
+    patience: ClassVar[dict[str, Any]] = {"stall_ms": 10_000}
 
     where = None  # on a real disk, with all its syncs
 
@@ -118,8 +121,10 @@
             self.kill(program)
 
 
-class Both(State):
-    how = {"thrift": True, "ajp": True}
+class BothFrontsRestartTest(WorkerStateTestCase):
+    """A worker that serves both protocols."""
+
+    how: ClassVar[dict[str, Any]] = {"thrift": True, "ajp": True}
 
     def test_tries_by_either_front_are_one_filing_before_and_after_a_kill(self):
         machine = MovingKernel(1)
--- a/tests/store/test_state_commands.py
+++ b/tests/store/test_state_commands.py
@@ -4,11 +4,13 @@
 import signal
 from pathlib import Path
 
-from tests.store.worker_state_case import State
+from tests.store.worker_state_case import WorkerStateTestCase
 from tests.support.worker_process import run_command
 
 
-class Tools(State):
+class StateCommandsTest(WorkerStateTestCase):
+    """Beside a running worker and without one."""
+
     def state(self, *words):
         return run_command("state", *words, "--folder", str(self.folder))
 
--- a/tests/store/test_write_queue.py
+++ b/tests/store/test_write_queue.py
@@ -21,7 +21,9 @@
 from tests.store.store_values import intent
 
 
-class Groups(unittest.TestCase):
+class WriteGroupsTest(unittest.TestCase):
+    """Groups of operations and their commits."""
+
     def setUp(self):
         self.queue = WriteQueue(0.001, 0.25)
         self.queue.open = True
@@ -196,7 +198,8 @@
         ids = {op.request_id for op in self.group if isinstance(op, PutIntent)}
         self.group = None
         if self.queue.rebuild_needed:
-            return self.queue.rebuilt()
+            self.queue.rebuilt()
+            return
         intent = self.queue.committed()
         assert set(intent) <= ids
         self.resolve(intent, "begun")
--- a/tests/store/worker_state_case.py
+++ b/tests/store/worker_state_case.py
@@ -6,6 +6,7 @@
 import time
 import unittest
 from pathlib import Path
+from typing import Any, ClassVar
 
 from tests.support.environment import MEMORY_FOLDER, WAIT_LIMIT_S
 from tests.support.site_settings import long_window_settings
@@ -24,38 +25,47 @@
 """
 
 
-class State(unittest.TestCase):
-    how = {"thrift": False, "ajp": True}
+class WorkerStateTestCase(unittest.TestCase):
+    """Starts workers on one store folder, one after the other."""
+
+    how: ClassVar[dict[str, Any]] = {"thrift": False, "ajp": True}
     where = MEMORY_FOLDER
-    patience: dict = {}
+    patience: ClassVar[dict[str, Any]] = {}
 
     def setUp(self):
+        """Makes the folder's place."""
         self.base = Path(tempfile.mkdtemp(dir=self.where))
         self.addCleanup(shutil.rmtree, self.base)
         self.folder = self.base / "state"
 
     def start(self, state=None, **more):
+        """A worker on the folder; `state`: more keys of its table."""
         values = {"folder": str(self.folder)} | self.patience | (state or {})
         program = WorkerProcess(**self.how | {"site": long_window_settings(), "state": values} | more)
         self.addCleanup(program.close)
         return program
 
     def kill(self, program):
+        """Kills a worker."""
         program.process.kill()
         program.process.wait()
 
     def file(self, client, key, body=b"doc"):
+        """Sends a filing."""
         client.request("POST", "/filings", {"Idempotency-Key": key, "X-Tenant": "acme"}, body)
 
     def store(self, program):
+        """What the status says of the store."""
         return json.loads(program.operator_call()[1])["store"]
 
     def recorded(self, program, operations):
+        """Waits until so many operations are on record."""
         until = time.monotonic() + WAIT_LIMIT_S
         while self.store(program)["operations"] < operations:
             self.assertLess(time.monotonic(), until, self.store(program))
 
     def until(self, holds):
+        """Waits until it holds."""
         until = time.monotonic() + WAIT_LIMIT_S
         while not holds():
             self.assertLess(time.monotonic(), until)
--- a/tests/support/crash_load.py
+++ b/tests/support/crash_load.py
@@ -3,6 +3,7 @@
 Every run is counted by the server that ran it.
 """
 
+import contextlib
 import queue
 import random
 import threading
@@ -50,10 +51,8 @@
             threading.Timer(delay_s, self._respond, (request.respond, b"ran " + request.body)).start()
 
     def _respond(self, respond: Responder, data: bytes) -> None:
-        try:
+        with contextlib.suppress(OSError):
             respond(data=data)
-        except OSError:
-            pass
 
 
 class FilingClient(threading.Thread):
@@ -175,7 +174,7 @@
         self.losses += program.logged("store_data_lost")
         program.close()
 
-    def run(self, kills: int, progress: Callable[[int], None] = lambda killed: None) -> None:
+    def run(self, kills: int, progress: Callable[[int], None] = lambda *_: None) -> None:
         """So many workers one after the other, and a last one; `progress` hears how many were killed."""
         for number in range(kills):
             self.run_worker(self.random.uniform(0.0, MAX_LIFE_S))
--- a/tests/support/instruction_count.py
+++ b/tests/support/instruction_count.py
@@ -14,12 +14,12 @@
     """
     count = 0
 
-    def step(frame: FrameType, event: str, _: Any) -> Any:
+    def step(_frame: FrameType, event: str, _: Any) -> Any:
         nonlocal count
         count += event == unit
         return step
 
-    def enter(frame: FrameType, event: str, _: Any) -> Any:
+    def enter(frame: FrameType, _event: str, _: Any) -> Any:
         frame.f_trace_opcodes, frame.f_trace_lines = unit == "opcode", unit == "line"
         return step
 
