--- a/ochrehoist/lab/hollow/worker.py
+++ b/ochrehoist/lab/hollow/worker.py
@@ -87,6 +87,16 @@
         return self._socket.received_count if self._socket is not None else 0
 
 
+class KillableSignal(Signal):
+    """A signal whose waiting task may be killed."""
+
+    __slots__ = ()
+
+    def forget_waiter(self) -> None:
+        """The task that waits, if any, is not woken any more, by a timeout neither."""
+        self._waiter = None
+
+
 class MeteredCoreActor(CoreActor):
     """The core's actor; `tick_cpu_s` has the cost of the controller's last ticks, in s of this thread."""
 
@@ -124,7 +134,7 @@
     ) -> None:
         self._loop = loop
         self._random = Random(f"{seed}/{config.name}")
-        self._waker = Signal(loop)
+        self._waker = KillableSignal(loop)
         self.name = config.name
         self.ended = False
         memory_bytes = int(config.memory_mb * BYTES_PER_MB)
@@ -178,7 +188,7 @@
         """Ends it as SIGKILL would: no member is notified."""
         self.ended = True
         self.peers.transport.close()
-        self._waker.waiter = None
+        self._waker.forget_waiter()
         self._task.throw()  # GreenletExit
 
     # Requests, of which its parts are only notified.
--- a/ochrehoist/net/kernel_link.py
+++ b/ochrehoist/net/kernel_link.py
@@ -172,7 +172,7 @@
         if self._opening is not None:
             self._opening.close()
 
-    def view(self) -> dict[str, Any]:
+    def status_section(self) -> dict[str, Any]:
         """For operators: the link's address and state, and how much waits for it."""
         now_s = time.monotonic()
         state = "down" if self.has_booted else "starting"
--- a/ochrehoist/net/peers.py
+++ b/ochrehoist/net/peers.py
@@ -283,7 +283,7 @@
         """Processor time spent on peers."""
         return self._tick_cpu_s + self.transport.receive_cpu_s
 
-    def view(self) -> dict[str, Any]:
+    def status_section(self) -> dict[str, Any]:
         """This worker's view of the fleet, for `/status`."""
         rejected = {reason.value: count for reason, count in self.transport.rejected_counts.items()}
         return status_view(self.group, time.monotonic()) | {
@@ -295,6 +295,6 @@
             "pid": os.getpid(),
         }
 
-    def figures(self) -> str:
+    def metrics_text(self) -> str:
         """The metrics, as text."""
         return peer_metrics(self.group, self.transport, time.monotonic())
