--- /dev/null
+++ b/tests/admission/test_tenant_learned_state.py
@@ -0,0 +1,93 @@
+"""What the learned-state snapshot holds of tenants, and of older forms."""
+
+import json
+import unittest
+
+from ochrehoist.admission import learned_state
+from ochrehoist.admission.events import (
+    Outcome,
+)
+from ochrehoist.admission.settings import Tenant
+from ochrehoist.store.expiry import expire_learned_state
+from ochrehoist.store.timestamps import Timestamp
+from tests.admission.controller_driver import S
+from tests.admission.tenant_load import DECAY_PER_TICK, TenantDriver, tenants
+
+
+class LearnedStateTest(unittest.TestCase):
+    """Activity of tenants in the learned-state snapshot."""
+
+    def active(self):
+        m = TenantDriver(tenants(50, 30.0))
+        for n in range(60):
+            m.serve(n % 7, outcome=Outcome.FAILED if n % 3 else Outcome.OK)
+        m.tick(30)
+        return m
+
+    def alike(self, ours, theirs, tenant, rel=0.02):
+        for a, b in zip(ours.probe(tenant), theirs.probe(tenant), strict=True):
+            self.assertAlmostEqual(a, b, delta=rel * abs(b))
+
+    def test_a_fresh_module_values_all_as_the_one_whose_snapshot_it_restored(self):
+        m, fresh = self.active(), TenantDriver(tenants(50, 30.0))
+        learned_state.restore(fresh.c, json.loads(json.dumps(learned_state.snapshot(m.c))), fresh.now)
+        for tenant in (0, 1, 6, 7, 49):  # a beat lies between them
+            self.alike(fresh, m, tenant)
+
+    def test_one_that_moved_is_known_by_its_name_and_one_that_is_gone_is_left_out(self):
+        m = self.active()
+        fresh = TenantDriver(tuple(reversed(tenants(50, 30.0)))[:-1])
+        learned_state.restore(
+            fresh.c, learned_state.snapshot(m.c), fresh.now, {f"tenant{49 - n}": n for n in range(49)}
+        )
+        self.assertEqual(fresh.c.activity.of_tenant(48).asked > 1, True)  # tenant1
+        self.assertEqual(len(fresh.c.activity.by_tenant), 6)
+
+    def test_a_class_and_a_tenant_of_one_name_keep_their_own_counts(self):
+        named = (Tenant("read", 30.0, 0.5), *tenants(1, 30.0))
+        m, fresh = TenantDriver(named), TenantDriver(named)
+        for _ in range(9):
+            m.serve(1)
+        learned_state.restore(fresh.c, learned_state.snapshot(m.c), fresh.now)
+        self.assertLess(fresh.c.activity.of_tenant(0).asked, 1.1)
+        self.assertGreater(fresh.c.activity.by_class[0].asked, 4)
+
+    def older(self, level, beats):
+        """What a program before this told: all tenants, those behind the classes in one list."""
+        m = self.active()
+        lesson = learned_state.snapshot(m.c)
+        del lesson["beats"], lesson["tenants"]
+        quiet = [[f"tenant{n}", level] for n in range(2, 50)]
+        lesson["asked"] += [["tenant0", 8.0], ["tenant1", 4.0], *quiet]
+        lesson["served"] += [["tenant0", 2.0], ["tenant1", 4.0], *quiet]
+        lesson["ran"] = {f"tenant{n}": 3.0 * DECAY_PER_TICK**beats for n in range(2, 50)}
+        lesson["ran"] |= {"tenant0": 9.0, "tenant1": 1.0}
+        return lesson
+
+    def test_the_form_of_an_older_program_is_restored(self):
+        for beats in (0, 100, 2000):
+            with self.subTest(beats=beats):
+                level = max(0.1, DECAY_PER_TICK**beats)
+                fresh = TenantDriver(tenants(50, 30.0))
+                learned_state.restore(fresh.c, self.older(level, beats), fresh.now)
+                self.assertLessEqual(fresh.c.activity.by_tenant.keys(), {0, 1})
+                first, second, quiet = (fresh.c.activity.of_tenant(n) for n in (0, 1, 30))
+                self.assertAlmostEqual(first.asked, 8.0 * DECAY_PER_TICK)
+                self.assertAlmostEqual(second.served, 4.0 * DECAY_PER_TICK)
+                self.assertAlmostEqual(quiet.asked, level, delta=0.011 * level)
+                self.assertAlmostEqual(fresh.probe(0)[1], 3.0 / (9.0 * DECAY_PER_TICK))
+                self.assertEqual(fresh.probe(30)[1], 1.0)
+                self.assertGreater(fresh.probe(0)[0] / fresh.probe(0)[1], fresh.probe(30)[0] * 0.5)
+
+    def test_on_record_both_forms_fade(self):
+        then, hour = Timestamp(0), 3600 * S
+        later = Timestamp(60 * S)
+        for lesson in (learned_state.snapshot(self.active().c), self.older(0.5, 139)):
+            kept = expire_learned_state(lesson, then, later, 60 * S, False)
+            fresh = TenantDriver(tenants(50, 30.0))
+            learned_state.restore(fresh.c, kept, fresh.now)
+            first = fresh.c.activity.of_tenant(0).asked
+            fresh = TenantDriver(tenants(50, 30.0))
+            learned_state.restore(fresh.c, expire_learned_state(lesson, then, then, hour, False), fresh.now)
+            self.assertAlmostEqual(first, fresh.c.activity.of_tenant(0).asked / 2, places=6)
+            self.assertLess(fresh.c.activity.of_tenant(30).asked, 0.9)
--- a/tests/golden/test_command_output.py
+++ b/tests/golden/test_command_output.py
@@ -124,7 +124,9 @@
     return "\n".join(help_of(main, ("ochrehoist",)))
 
 
-class CommandOutput(unittest.TestCase):
+class CommandOutputTest(unittest.TestCase):
+    """Commands run as they were recorded."""
+
     maxDiff = 4000
 
     def test_each_command_prints_and_writes_what_was_recorded(self):
