--- a/tests/admission/test_load_shedding.py
+++ b/tests/admission/test_load_shedding.py
@@ -31,7 +31,7 @@
 
 
 @pytest.mark.parametrize("marked", [False, True])
-def test_in_a_retry_storm_what_is_rejected_is_not_sent_around(marked):
+def test_in_a_retry_storm_rejections_forbid_retries(marked):
     # Unmarked retries of a full fleet came back as 4.7 attempts a request (incident i7f0c19).
     d = Driver(marks_retries=marked, classes=(CLASSES[0],) * 4)
     for n in range(200):
@@ -77,7 +77,7 @@
     assert c.priority.value(jobs["a"]) > c.priority.value(jobs["b"]) > 0  # the one turned away lacks more
 
 
-def test_what_has_little_weight_anywhere_is_not_sent_around():
+def test_rejections_of_low_priority_requests_forbid_retries():
     d = tenants_driver(marks_retries=True, fleet_size=40)
     for n in range(60):
         d.request(tenant_index=0)
--- a/tests/admission/test_stated_work.py
+++ b/tests/admission/test_stated_work.py
@@ -54,7 +54,7 @@
         self.assertIn(d.request(remaining_ns=None, work_ns=just)[0], d.ids(StartRun))
         self.assertIn(d.request(remaining_ns=None, work_ns=over)[0], d.ids(RejectRequest))
 
-    def test_large_ones_do_not_teach_the_class_a_wrong_time(self):
+    def test_large_requests_do_not_distort_the_run_time_of_the_class(self):
         d = self.taught()
         before = d.controller.run_times.mean_run_ns[0].value
         for _ in range(5):
--- a/tests/admission/test_tenant_learned_state.py
+++ b/tests/admission/test_tenant_learned_state.py
@@ -28,13 +28,13 @@
         for a, b in zip(ours.probe(tenant), theirs.probe(tenant), strict=True):
             self.assertAlmostEqual(a, b, delta=rel * abs(b))
 
-    def test_a_fresh_module_values_all_as_the_one_whose_snapshot_it_restored(self):
+    def test_a_new_controller_values_all_as_the_one_whose_snapshot_it_restored(self):
         m, fresh = self.active(), TenantDriver(tenants(50, 30.0))
         learned_state.restore(fresh.c, json.loads(json.dumps(learned_state.snapshot(m.c))), fresh.now)
         for tenant in (0, 1, 6, 7, 49):  # a beat lies between them
             self.alike(fresh, m, tenant)
 
-    def test_one_that_moved_is_known_by_its_name_and_one_that_is_gone_is_left_out(self):
+    def test_a_tenant_that_moved_is_known_by_name_and_a_removed_one_is_left_out(self):
         m = self.active()
         fresh = TenantDriver(tuple(reversed(tenants(50, 30.0)))[:-1])
         learned_state.restore(
--- a/tests/admission/test_tenants_at_size.py
+++ b/tests/admission/test_tenants_at_size.py
@@ -166,7 +166,7 @@
 class TenantChangeTest(unittest.TestCase):
     """Tenants and quotas that change while requests are open."""
 
-    def test_one_that_stays_keeps_its_rates_and_a_new_one_begins_as_quiet_ones_are(self):
+    def test_a_tenant_that_stays_keeps_its_rates_and_a_new_one_starts_as_a_quiet_one(self):
         m = TenantDriver(tenants(3, 100.0))
         for _ in range(40):
             m.serve(1)
@@ -179,7 +179,7 @@
         m.tick(2)
         self.assertGreater(m.probe(3)[0], 0)
 
-    def test_open_requests_of_one_that_is_gone_go_on(self):
+    def test_open_requests_of_a_removed_tenant_continue(self):
         m = TenantDriver(tenants(2))
         started = [a.id for a in m.request(1) if isinstance(a, StartRun)]
         m.send(TenantsReplaced((tenants(2)[0], Tenant("", 0.0, 0.0))))
--- a/tests/app/test_operator_api.py
+++ b/tests/app/test_operator_api.py
@@ -100,7 +100,7 @@
         changes = self.program.logged("standby_changed")
         self.assertEqual([line["enabled"] for line in changes], [True, False])
 
-    def test_a_worker_on_standby_drains_and_ends_on_the_notice_and_active_does_not_undo_it(self):
+    def test_a_worker_on_standby_drains_on_the_shutdown_notice_and_active_does_not_undo_it(self):
         self.program.operator_call("POST", "/standby")
         router = self.program.thrift_router()
         seqid = router.invoke(body=b"last")
@@ -166,7 +166,7 @@
 class KernelNotUpTest(unittest.TestCase):
     """A worker whose kernel is not up."""
 
-    def test_a_worker_whose_kernel_is_not_up_is_not_ready_and_counts_what_it_turns_away(self):
+    def test_a_worker_whose_kernel_is_not_up_is_not_ready_and_counts_its_rejections(self):
         program = WorkerProcess(boot=False)
         self.addCleanup(program.close)
         self.assertEqual(program.operator_call()[0], 503)
--- a/tests/app/test_reload.py
+++ b/tests/app/test_reload.py
@@ -149,7 +149,7 @@
         self.kernel.reap(self.kernel.next_run().request_id, body=b"served")
         self.assertEqual(router.answer(seqid)[2], b"served")
 
-    def test_settings_change_on_standby_and_after_the_notice_to_leave_and_neither_is_undone(self):
+    def test_settings_change_on_standby_and_after_the_shutdown_notice_and_neither_state_is_undone(self):
         router = self.program.thrift_router()
         self.program.operator_call("POST", "/standby")
         self.reload(site(("read", 1700, {}), ("new", 1500, {})))
@@ -201,7 +201,7 @@
 class Inherited(unittest.TestCase):
     """Whole days were served on the first configuration where the bench had been started by nohup."""
 
-    def test_signals_inherited_as_ignored_or_blocked_are_heard_all_the_same(self):
+    def test_signals_inherited_as_ignored_or_blocked_are_handled(self):
         for inherits in (ignored, blocked):
             with self.subTest(inherits.__name__):
                 program = WorkerProcess(inherits=inherits)
--- a/tests/app/test_reload_appliance.py
+++ b/tests/app/test_reload_appliance.py
@@ -56,7 +56,7 @@
     def configuration(self, program):
         return json.loads(program.operator_call()[1])["configuration"]
 
-    def test_a_tenant_that_goes_with_a_filing_open_is_answered_and_its_repeats_meet_the_first(self):
+    def test_a_removed_tenant_with_a_filing_open_is_answered_and_its_retries_join_the_first(self):
         program = self.begin()
         first_try, again, later = program.ajp_client(), program.ajp_client(), program.ajp_client()
         self.assertTrue(again.cping() and later.cping())  # a new connection may not stay silent
@@ -103,7 +103,7 @@
         program.wait_for(lambda status: status["in_hand"] == "0")
         self.assertEqual([program.metric("answered_total", c) for c in ("read", "more")], [1, 1])
 
-    def test_ten_orders_at_once_leave_the_newest_in_force_and_as_many_readings_at_most(self):
+    def test_ten_reloads_at_once_leave_the_newest_in_force_with_at_most_as_many_readings(self):
         program = self.begin()
         for n in range(10):
             new = program.write_file("new", self.change(program, {f"v{n}": 1.0}))
@@ -128,7 +128,7 @@
         web.close()
         return b"needs a key" in body
 
-    def test_changes_of_tenants_and_of_routes_begin_no_new_file_of_the_capture_and_others_do(self):
+    def test_changes_of_tenants_and_routes_start_no_new_capture_file_and_others_do(self):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         program = self.begin(capture={"folder": folder.name})
@@ -148,7 +148,7 @@
         program.process.send_signal(signal.SIGTERM)
         self.assertEqual((program.wait_for_exit(), files()), (0, 2))
 
-    def test_a_change_while_the_store_still_opens_is_in_force_and_what_is_on_record_is_known(self):
+    def test_a_change_while_the_store_opens_is_in_force_and_recorded_filings_are_known(self):
         folder = tempfile.TemporaryDirectory(dir=MEMORY_FOLDER)
         self.addCleanup(folder.cleanup)
         state, shut = {"folder": str(Path(folder.name, "state"))}, Path(folder.name, "shut")
@@ -176,7 +176,7 @@
         program.server.next_request().respond(data=b"of the other")
         self.assertEqual(web.answer()[2], b"of the other")
 
-    def test_a_reading_that_runs_out_of_memory_changes_nothing_is_told_of_and_can_be_ordered_again(self):
+    def test_a_reading_that_runs_out_of_memory_changes_nothing_is_logged_and_can_be_retried(self):
         program = self.begin(fault=RUNS_OUT)
         before = self.configuration(program)
         web = program.ajp_client()
--- a/tests/app/test_reload_bad_files.py
+++ b/tests/app/test_reload_bad_files.py
@@ -65,7 +65,7 @@
         load.end()
         self.assertEqual((load.fault, load.kinds), (None, Counter({200: load.asked})))
 
-    def test_one_bad_tenant_or_rule_among_thousands_is_named_with_its_place(self):
+    def test_one_invalid_tenant_or_rule_among_thousands_is_named_with_its_position(self):
         program = self.start()
         web = program.ajp_client()
         self.serves_as_begun(web)
--- a/tests/app/test_reload_cost.py
+++ b/tests/app/test_reload_cost.py
@@ -67,12 +67,12 @@
         self.assertEqual((table.position("t20000"), table.retired), (20_000, {"t1": 1}))
         self.assertEqual(len(worker.parts.core.controller.settings.tenants), 20_001)
 
-    def test_one_route_changed_does_as_well_and_the_module_hears_nothing_of_it(self):
+    def test_one_route_changed_costs_as_much_whatever_the_others_and_does_not_reach_the_controller(self):
         worker = self.flat(lambda folder, count, routes: appliance(folder, range(count), routes + 1))
         self.assertEqual(len(worker.parts.fronts[0].config.routes), 1301)
         self.assertIs(worker.parts.core.controller.settings.tenants, worker.parts.core.tenants.by_position)
 
-    def test_each_tenant_changed_and_a_class_too_is_a_fresh_module_that_looks_at_each_once(self):
+    def test_a_change_of_every_tenant_and_a_class_makes_a_new_controller_that_visits_each_once(self):
         def change(folder, count, routes):
             base = site_settings()["Classes"]
             appliance(folder, range(count), routes, 2.0, Classes=[*base, base[0] | {"Name": "more"}])
--- a/tests/app/test_reload_order.py
+++ b/tests/app/test_reload_order.py
@@ -15,7 +15,7 @@
 class TenantPlacesTest(unittest.TestCase):
     """Positions of tenants that are gone."""
 
-    def test_places_of_the_gone_are_given_up_but_for_those_with_a_filing_known(self):
+    def test_positions_of_removed_tenants_are_freed_except_those_with_a_known_filing(self):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         path = appliance(folder.name, range(MIN_RETIRED_PLACES + 50), 1)
@@ -90,7 +90,7 @@
             (len(self.worker.parts.core.tenants), self.worker.parts.reloading.status.outcome), (4, "taken")
         )
 
-    def test_once_the_other_process_decides_nothing_is_taken_and_no_order_kept(self):
+    def test_once_the_other_process_decides_no_change_is_taken_and_no_reload_kept(self):
         self.prepared()
         reloading, rounds = self.worker.parts.reloading, []
         reloading.request_reload()  # one more, which came before
--- a/tests/app/test_reload_platform.py
+++ b/tests/app/test_reload_platform.py
@@ -34,7 +34,7 @@
         status = json.loads(program.operator_call()[1])["configuration"]
         self.assertEqual((status["version"], status["last"]), (said["version"], "taken"))
 
-    def test_tenants_that_go_stay_known_to_the_thrift_front_and_no_module_is_made_for_it(self):
+    def test_removed_tenants_stay_known_to_the_thrift_front_without_a_new_controller(self):
         program = self.start()
         router = program.thrift_router()
         filing = router.invoke("filing", b"doc", token="t")
@@ -49,7 +49,7 @@
         self.assertEqual([router.answer(n)[2] for n in (filing, again)], [b"filed", b"filed"])
         self.assertEqual(program.logged("settings_changed"), [])
 
-    def test_an_order_is_for_the_process_that_decides(self):
+    def test_a_reload_is_carried_out_by_the_process_that_decides(self):
         old = self.start()
         old.thrift_router().invoke("filing", b"doc", token="t")  # which keeps it from ending meanwhile
         old.kernel.next_run()
--- a/tests/app/test_reload_storm.py
+++ b/tests/app/test_reload_storm.py
@@ -13,7 +13,7 @@
 class ReloadStormTest(ReloadTestCase):
     """Changes faster than they can be read."""
 
-    def test_under_a_storm_of_orders_the_newest_is_in_force_and_each_request_has_one_answer(self):
+    def test_under_many_reloads_the_newest_is_in_force_and_each_request_has_one_answer(self):
         program, rng = self.start(), random.Random(SEED)
         loads = [Load(program, n) for n in range(4)]
         web = program.ajp_client()
--- a/tests/app/test_replacement.py
+++ b/tests/app/test_replacement.py
@@ -42,7 +42,7 @@
 class IdempotencyKeysTest(ReplacementTestCase):
     """Idempotency keys over replacements."""
 
-    def test_a_filing_repeated_at_each_moment_runs_once_and_every_try_gets_its_result(self):
+    def test_a_filing_retried_at_each_moment_runs_once_and_every_attempt_gets_its_result(self):
         old = self.start(passed=True)
         router = old.thrift_router()
         tries = {}
@@ -179,7 +179,7 @@
         router.close()
         self.assertEqual(old.wait_for_exit(), 0)
 
-    def test_a_stale_socket_and_one_that_says_nothing_useful(self):
+    def test_a_stale_socket_and_one_that_answers_garbage_are_ignored(self):
         old = self.start(passed=True)
         path = self.path(old)
         old.process.kill()
@@ -194,7 +194,7 @@
 class ReplacementEffectsTest(ReplacementTestCase):
     """Shutdown notices, standby, operators' calls and concurrency over a replacement."""
 
-    def test_the_notice_to_the_old_one_is_no_leave_and_what_waits_is_left_to_the_new_one(self):
+    def test_the_notice_to_the_replaced_process_reports_no_leave_and_waiting_requests_go_to_the_new_one(self):
         old = self.start(passed=True)
         old.members.wait_for("UP")
         check, router = old.thrift_router(), old.thrift_router()
@@ -233,7 +233,7 @@
         new.operator_call("POST", "/standby")
         self.assertEqual(new.operator_call()[0], 503)
 
-    def test_a_call_to_the_old_one_reaches_the_new_one_and_its_status_says_no(self):
+    def test_a_call_to_the_replaced_process_reaches_the_new_one_and_its_status_is_not_ready(self):
         old = self.start(passed=True)
         router = old.thrift_router()
         router.invoke()
@@ -244,7 +244,7 @@
         self.assertEqual(old.operator_call("POST", "/standby")[0], 200)
         new.wait_for(lambda said: said["state"] == "standby")
 
-    def test_the_crowd_of_both_stays_under_what_the_cores_survive(self):
+    def test_concurrency_of_both_processes_stays_under_the_survivable_concurrency(self):
         site = site_settings()
         site["Rules"]["TipMultiple"] = 1.5  # two runs at most, also once the worker is warm
         old = self.start(passed=True, site=site, stop_ms=30_000)
--- a/tests/benchmarks/test_slopes.py
+++ b/tests/benchmarks/test_slopes.py
@@ -40,7 +40,7 @@
         self.assertEqual(found.crosses(5), 0.0)
         self.assertEqual(found.power, 0.0)
 
-    def test_a_bound_met_within_what_was_run_is_told_from_one_worked_out(self):
+    def test_a_measured_crossing_is_distinguished_from_an_extrapolated_one(self):
         sizes, values = [10, 10, 100, 100, 1000, 1000, 5000, 5000], [9, 11, 90, 110, 900, 1100, 4900, 5100]
         found = limit_crossing(sizes, values, 3000)
         self.assertEqual((round(found.size), found.measured), (3000, True))
@@ -49,7 +49,7 @@
         self.assertEqual(limit_crossing(sizes, values, 5), Crossing(10, measured=True))
         self.assertEqual(limit_crossing([1, 2, 3, 4], [7, 7, 7, 7], 8), Crossing(None, measured=False))
 
-    def test_what_has_come_to_its_bound_is_not_told_to_break_beyond(self):
+    def test_a_figure_that_has_levelled_off_has_no_crossing_beyond(self):
         sizes = [10, 100, 1000, 5000]
         self.assertEqual(limit_crossing(sizes, [20, 200, 500, 505], 600), Crossing(None, measured=False))
         self.assertIsNotNone(limit_crossing(sizes, [20, 200, 400, 505], 600).size)
@@ -61,7 +61,7 @@
             found = fitted_line(sizes, [(10 + 2 * n) * rng.uniform(0.9, 1.1) for n in sizes])
             self.assertLess(abs(found.slope / 2 - 1), 0.12, seed)
 
-    def test_three_sizes_tell_no_slope(self):
+    def test_three_sizes_give_no_slope(self):
         for sizes in ([1, 2, 3], [1, 1, 2, 2, 3, 3]):
             with self.assertRaisesRegex(ValueError, "4 sizes"):
                 fitted_line(sizes, [float(n) for n in sizes])
@@ -103,7 +103,7 @@
         slope = self._measured(lambda size, seed: {"us": 2.0 * size + seed})
         self.assertEqual(Slope.from_json(json.loads(json.dumps(slope.to_json()))), slope)
 
-    def test_a_size_that_can_not_be_run_is_told_and_left_out(self):
+    def test_a_size_that_cannot_be_run_is_reported_and_left_out(self):
         def measure(size, seed):
             if size == 50:
                 message = "not ready"
@@ -115,6 +115,6 @@
         self.assertEqual(set(slope.not_run), {"50 with seed 1", "50 with seed 2"})
         self.assertIn("not ready", slope.not_run["50 with seed 1"])
 
-    def test_no_slope_is_told_of_what_is_left_of_three_sizes(self):
+    def test_three_remaining_sizes_give_no_slope(self):
         with self.assertRaisesRegex(ValueError, "4 sizes"):
             self._measured(lambda size, seed: {"us": 1.0 / (size < 40)})
--- a/tests/capture/test_capture.py
+++ b/tests/capture/test_capture.py
@@ -143,7 +143,7 @@
         self.assertLess(taken, {s for s in subjects if SubjectSampler(0.5).includes(s)})
         self.assertTrue(all(SubjectSampler(1.0).includes(s) for s in subjects))
 
-    def test_past_the_batches_under_way_records_are_lost_and_told_once(self):
+    def test_beyond_the_batches_in_progress_records_are_lost_and_logged_once(self):
         b = BatchWindow(batch_records=4, max_in_flight=2)
         b.in_flight = 2
         self.assertFalse(b.has_capacity())
--- a/tests/config/test_changing_files.py
+++ b/tests/config/test_changing_files.py
@@ -34,7 +34,7 @@
         by(path)
         return {t.name[:3] for t in run_to_completion(reading).settings.tenants}
 
-    def test_one_that_is_written_anew_in_its_place_is_read_anew(self):
+    def test_a_file_overwritten_in_place_is_read_again(self):
         self.assertEqual(self.interrupted(lambda path: Path(path).write_text(self.texts[1])), {"new"})
 
     def test_one_that_is_replaced_is_read_anew(self):
@@ -61,12 +61,12 @@
 
         self.assertEqual(self.interrupted(twice), {"new"})
 
-    def test_one_that_goes_is_told(self):
+    def test_a_file_that_disappears_is_reported(self):
         with self.assertRaises(InvalidInputError) as raised:
             self.interrupted(os.remove)
         self.assertIn("setting OCHREHOIST_AJP", str(raised.exception))
 
-    def test_one_that_never_comes_to_rest_is_refused_after_some_tries(self):
+    def test_a_file_that_keeps_changing_is_rejected_after_some_attempts(self):
         path, count = self.file(self.texts[0]), 0
         reading = config.load_in_steps(path, {}, None)
         with self.assertRaises(InvalidInputError) as raised:
@@ -77,7 +77,7 @@
         self.assertIn("changes while it is read", str(raised.exception))
         self.assertLess(count, 2 * config_source.MAX_READ_ATTEMPTS * len(self.texts[0]) // 100)
 
-    def test_what_is_no_utf_8_is_told_with_its_line(self):
+    def test_invalid_utf_8_is_reported_with_its_line(self):
         text = self.texts[0].encode().replace(b"old7", b"old\xff")
         line = text[: text.index(b"\xff")].count(b"\n") + 1
         self.assertIn(f"not UTF-8: invalid start byte (at line {line})", self.refused(text))
--- a/tests/config/test_check_command.py
+++ b/tests/config/test_check_command.py
@@ -22,7 +22,7 @@
 class CheckCommandTest(ConfigurationFilesTestCase):
     """The command `check`."""
 
-    def test_check_tells_the_version_and_says_where_a_form_is_read_as_a_whole(self):
+    def test_check_prints_the_version_and_says_which_form_is_read_as_a_whole(self):
         text = large(600, 30)
         done = run_command("check", self.file(text))
         self.assertIn(f"version {self.load(text).version}, 600 tenants, 30 routes", done.stdout)
--- a/tests/config/test_reading_cost.py
+++ b/tests/config/test_reading_cost.py
@@ -102,7 +102,7 @@
 class LargestSizeTest(ConfigurationFilesTestCase):
     """Faults among as many tenants as there may be."""
 
-    def test_one_bad_among_58_000_is_told_with_key_and_line_and_two_of_one_name_with_both_places(self):
+    def test_one_invalid_tenant_among_58_000_is_reported_with_key_and_line_and_a_duplicate_with_both(self):
         good = large(MANY, ROUTES)
         before = self.load(good)
         self.assertEqual((len(before.settings.tenants), len(before.ajp.routes)), (MANY, ROUTES))
--- a/tests/config/test_unusual_files.py
+++ b/tests/config/test_unusual_files.py
@@ -32,7 +32,7 @@
             self.assertIs(again.settings.tenants, first.settings.tenants)
             self.assertIsNotNone(again.source)
 
-    def test_its_faults_are_told_with_their_lines_and_giving_up_leaves_nothing_behind(self):
+    def test_faults_are_reported_with_their_lines_and_an_abandoned_reading_leaves_nothing(self):
         plain, forms = self.forms()
         before = self.load(plain)
         self.assertIn("(at end of document)", self.refused(forms[0] + "k = [", before))
--- a/tests/core/test_idempotent_runs.py
+++ b/tests/core/test_idempotent_runs.py
@@ -154,7 +154,7 @@
         self.do(IntentRecorded(again, True))
         self.assertEqual(self.started, [again])
 
-    def test_one_whose_caller_has_left_meanwhile_is_not_begun_but_for_a_repeat(self):
+    def test_a_filing_whose_caller_has_left_starts_only_for_a_retry(self):
         left = self.arrive()
         self.do(CallerDisconnected(left), IntentRecorded(left, True))
         self.assertEqual((self.started, self.running()), ([], 0))
@@ -171,7 +171,7 @@
         self.do(IntentRecorded(filing, True), RunCompleted(filing, RunResult(Outcome.UNREACHABLE), 0))
         self.assertEqual(self.journal.told[-1], ("drop", "k"))
 
-    def test_while_the_journal_refuses_only_what_is_not_known_is_turned_away(self):
+    def test_while_the_journal_refuses_only_unknown_filings_are_rejected(self):
         done = self.arrive("done")
         self.do(IntentRecorded(done, True), RunCompleted(done, RunResult(Outcome.OK, b"done"), S))
         for refusal, end in (
@@ -226,7 +226,7 @@
         self.assertIn(("drop", "late"), self.journal.told)
         self.assertNotIn(("acme", "filing", "late"), self.owner.idempotency.runs)
 
-    def test_what_was_learned_is_taught_at_once_or_when_the_module_comes_up(self):
+    def test_learned_state_is_restored_at_once_or_when_the_controller_starts(self):
         for n in range(6):
             rid = self.arrive(f"k{n}")
             self.do(IntentRecorded(rid, True))
--- a/tests/core/test_tenants.py
+++ b/tests/core/test_tenants.py
@@ -33,7 +33,7 @@
                 self.assertIs(table, before)
 
     @given(NAMES, NAMES, NAMES)
-    def test_a_compact_table_has_those_in_force_first_and_of_the_gone_only_those_used(self, old, new, used):
+    def test_a_compact_table_has_listed_tenants_first_and_only_the_used_of_the_removed(self, old, new, used):
         table = run_to_completion(updated_table(initial_table(tenants(old)), tenants(new)))
         names = {f"t{n}" for n in used}
         got = run_to_completion(compacted_table(table, names))
@@ -42,7 +42,7 @@
         for name, position in (got.positions | got.retired).items():
             self.assertEqual(got.by_position[position].name, name)
 
-    def test_it_is_crowded_once_more_than_the_spare_places_and_a_tenth_are_of_the_gone(self):
+    def test_compaction_is_due_once_removed_tenants_exceed_the_spare_positions_and_a_tenth(self):
         for stay, gone, crowded in (
             (0, MIN_RETIRED_PLACES, False),
             (0, MIN_RETIRED_PLACES + 1, True),
--- a/tests/golden/test_datagrams.py
+++ b/tests/golden/test_datagrams.py
@@ -34,7 +34,7 @@
     assert wire.encode_status(status) == data
 
 
-def test_what_sites_tell_is_read_and_written_as_before():
+def test_a_site_report_is_read_and_written_as_before():
     golden = GOLDEN["payloads"]["sites/word"]
     data = bytes.fromhex(golden["bytes"])
     word = site_report.decode(data)
@@ -43,7 +43,7 @@
 
 
 @pytest.mark.parametrize("topic", ["tell", "told", "ask", "known"])
-def test_what_witnesses_tell_is_read_and_written_as_before(topic):
+def test_witness_messages_are_read_and_written_as_before(topic):
     golden = GOLDEN["payloads"][f"recovery/{topic}"]
     data = bytes.fromhex(golden["bytes"])
     value = witness.decode(topic, data)
--- a/tests/lab/test_fleet_invariants.py
+++ b/tests/lab/test_fleet_invariants.py
@@ -23,7 +23,7 @@
 class SeededFaultsTest(unittest.TestCase):
     """Seeded faults on virtual time."""
 
-    def test_no_budget_is_over_under_seeded_storms(self):
+    def test_no_budget_is_exceeded_under_seeded_faults(self):
         for seed in range(24):
             with self.subTest(seed):
                 world = run_schedule(seed, 10.0)
@@ -40,13 +40,13 @@
 class Orders(unittest.TestCase):
     """Two claimants and one right, every order within the bounds. `make orders` takes wider ones."""
 
-    def test_no_order_of_messages_doubles_a_right(self):
+    def test_no_order_of_messages_grants_a_slot_twice(self):
         self.assertGreater(explore(Bounds(voters=1, asks=1, gifts=1, kills=0, repeats=1, ticks=3)), 500)
 
-    def test_no_death_of_a_voter_or_holder_does(self):
+    def test_no_death_of_a_grantor_or_holder_grants_a_slot_twice(self):
         self.assertGreater(explore(Bounds(voters=1, asks=1, gifts=0, kills=1, repeats=0, ticks=3)), 200)
 
-    def test_no_two_majorities_do(self):
+    def test_no_two_majorities_grant_a_slot_twice(self):
         self.assertGreater(explore(Bounds(voters=2, asks=1, gifts=0, kills=0, repeats=0, ticks=2)), 200)
 
 
@@ -161,26 +161,26 @@
         self.assertFalse(replay(ONE, path))
         self.with_defect(defect, lambda: self.assertTrue(replay(ONE, path)))
 
-    def test_a_right_without_an_end(self):
+    def test_a_lease_that_never_expires_is_detected(self):
         self.caught(no_end)
 
-    def test_half_of_the_voters_for_a_majority(self):
+    def test_half_of_the_grantors_as_a_majority_is_detected(self):
         self.caught(half_is_enough)
 
-    def test_a_right_that_is_used_as_soon_as_it_is_held(self):
+    def test_a_lease_used_as_soon_as_it_is_held_is_detected(self):
         self.caught(no_window_between)
 
-    def test_a_new_process_taken_for_the_one_before(self):
+    def test_a_new_process_taken_for_its_predecessor_is_detected(self):
         self.caught(no_incarnation)
 
-    def test_a_lease_that_counts_from_the_answer(self):
+    def test_a_lease_counted_from_the_answer_is_detected(self):
         path = ["ask 0", "take 0", "tick", "tick", "tick", "ask 1", "take 1", "take 1", "take 0"]
         self.doubled_by(counted_from_the_answer, path)
 
-    def test_a_voter_that_forgets_what_it_said_before_its_start(self):
+    def test_a_grantor_that_forgets_its_grants_at_a_restart_is_detected(self):
         self.doubled_by(grantor_without_a_wait, [*HELD, "kill voter 0", *OTHERS])
 
-    def test_a_word_for_a_claim_that_was_given_back(self):
+    def test_a_grant_for_a_released_request_is_detected(self):
         self.doubled_by(
             old_grants_count,
             [
@@ -197,13 +197,13 @@
             ],
         )
 
-    def test_a_gift_of_a_life_before(self):
+    def test_a_release_by_an_earlier_incarnation_is_detected(self):
         self.doubled_by(
             any_incarnation_releases,
             [*HELD, "gift 0", "again 0", "kill holder 0", "ask 0", "take 1", "take 1", "take 0", *OTHERS],
         )
 
-    def test_suspicion_without_a_check_of_ones_own_lateness(self):
+    def test_suspicion_without_a_check_of_own_stalls_is_detected(self):
         def states():
             m = membership.Membership(Incarnation("a", 1, 1), "at:a", "", {}, 0.1, 0.0, 1)
             m.on_message_from(Incarnation("b", 1, 1), "at:b", "", 0.0)
@@ -218,13 +218,13 @@
         with mock.patch.object(membership.Membership, "_on_stall", lambda self, gap: None):
             self.assertEqual(states(), {"suspect"})
 
-    def test_evidence_of_one_observer_that_is_trusted(self):
+    def test_trust_in_a_single_observer_is_detected(self):
         reports = {"x": RemoteReport(0.1, [HealthObservation("s1", HealthStatus.SLOW, 9, 0, 20.0)])}
         outliers = OutlierDetector(("s0", "s1", "s2"), 0.5, 1, remote_reports=lambda: reports)
         outliers.evaluate(1.0)
         self.assertEqual(outliers.services["s1"].ejection, "in")
 
-    def test_the_same_holds_for_more_voters_than_two(self):
+    def test_the_same_holds_for_more_than_two_grantors(self):
         b = Budget("x", 1, NAMES, lease_s=2.0, floor_fraction=0.0)
         voters, first, second = [LeaseGrantor(b, -99.0) for _ in NAMES], LeaseHolder(b), LeaseHolder(b)
         for holder, life, some in (
--- a/tests/lab/test_fleet_scenarios.py
+++ b/tests/lab/test_fleet_scenarios.py
@@ -197,7 +197,7 @@
         done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True)
         self.assertEqual(done.stdout.strip(), "[]", done.stderr)
 
-    def test_the_command_tells_what_there_is(self):
+    def test_the_command_lists_the_scenarios(self):
         p = self.worker(self.table(members={"n2": "127.0.0.1:9"}))
         shown = p.run_operator_command("peers", "show")
         self.assertEqual((shown.returncode, shown.stderr), (0, ""))
@@ -245,7 +245,7 @@
         self.assertEqual(done.returncode, 2, done.stdout)
         return done.stderr
 
-    def test_a_secret_is_changed_by_two_steps_and_voters_one_at_a_time(self):
+    def test_a_secret_is_changed_in_two_steps_and_grantors_one_at_a_time(self):
         p = self.worker(self.table(members={"n2": "127.0.0.1:9", "n3": "127.0.0.1:8"}, voters=["n1"]))
 
         def reloaded(event="config_reloaded", **changes):
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -139,7 +139,7 @@
         self.assertIn("change 2:", said)
         self.assertIn("<h2>For each worker, at rest</h2>", page.read_text())
 
-    def test_memory_and_time_are_kept_and_said(self):
+    def test_limits_of_memory_and_time_are_enforced_and_reported(self):
         for bound, word in ((("--most-memory", 40), "memory"), (("--limit", 3), "time")):
             with self.subTest(word):
                 out = Path(self.folder, f"{word}.json")
@@ -166,7 +166,7 @@
         process.kill()
         process.communicate(timeout=WAIT_LIMIT_S)  # what is left is looked at when the test is over
 
-    def test_a_run_is_told_against_another(self):
+    def test_a_run_is_compared_with_another(self):
         one = {
             "spec": {"members": 20, "seed": 1, "real": 0, "pace": 1.0},
             "version": "then",
@@ -225,7 +225,7 @@
         self.assertAlmostEqual(row[3], 0.01)
         self.assertAlmostEqual(row[5], 0.25)
 
-    def test_a_check_says_by_how_much_hollow_workers_are_out(self):
+    def test_calibration_reports_the_error_of_hollow_workers(self):
         rest = {
             "not_voters": {"sent_per_s": {"p50": 20.0}, "peers_cpu_s": {"p50": 0.010}},
             "was_late": 0,
--- a/tests/lab/test_site_scenarios.py
+++ b/tests/lab/test_site_scenarios.py
@@ -45,7 +45,7 @@
 class SiteFaultsTest(unittest.TestCase):
     """Scenarios of several sites with faults between them."""
 
-    def test_a_site_is_lost_known_to_be_and_comes_back_by_steps(self):
+    def test_a_lost_site_is_recognised_and_returns_in_stages(self):
         # On a busy machine the killed workers take up to 4 s to start, and then need time for a stage.
         v = play([{"at": 7.0, "kind": "kill", "who": ["antwerp"], "lasts": 4.0}], seconds=22.0)
         self.assertEqual(v["broken"], [])
@@ -66,7 +66,7 @@
         self.assertGreater(len([x for x in v["known"] if x[3] in ("cut", "unheard")]), 0)
         self.assertGreater(v["goodput"]["faults"]["all"], 0.9 * v["goodput"]["quiet"]["all"])
 
-    def test_two_sites_that_come_back_together_never_step_at_once(self):
+    def test_two_sites_that_return_together_never_advance_a_stage_at_once(self):
         sites = {"brussels": ["w0", "w1"], "antwerp": ["w2", "w3"], "ghent": ["w4", "w5"]}
         v = play(
             [{"at": 4.0, "kind": "kill", "who": ["antwerp", "ghent"], "lasts": 1.5}],
@@ -76,7 +76,7 @@
         self.assertEqual(v["broken"], [])  # of which steps at once are one
         self.assertGreater(len(v["stepped"]), 0)
 
-    def test_operators_empty_a_site_though_one_worker_does_not_hear_the_order_and_let_it_return(self):
+    def test_operators_evacuate_a_site_though_one_worker_misses_the_command_and_let_it_return(self):
         v = play(
             [
                 {"at": 2.0, "kind": "cut", "who": ["w5"], "lasts": 2.0},
--- a/tests/net/test_ajp_filings.py
+++ b/tests/net/test_ajp_filings.py
@@ -9,7 +9,7 @@
     def file(self, web, key, body=b"doc"):
         web.request("POST", "/filings", {"Idempotency-Key": key}, body)
 
-    def test_a_repeat_gets_the_first_ones_response_and_other_content_is_turned_away(self):
+    def test_a_retry_gets_the_first_response_and_one_with_other_content_is_rejected(self):
         web, other = self.program.ajp_client(), self.program.ajp_client()
         self.file(web, "k1")
         respond = self.server.next_request().respond
--- a/tests/net/test_ajp_front.py
+++ b/tests/net/test_ajp_front.py
@@ -43,7 +43,7 @@
             self.assertEqual(len(self.server.connections), 1)  # pooled
             self.assertEqual(self.server.pings, number)  # and checked before it is used again
 
-    def test_what_the_front_turns_away_itself(self):
+    def test_the_front_rejects_what_it_cannot_serve(self):
         for status, how in (
             (404, {"uri": "/none"}),
             (404, {"uri": "/filings", "method": "GET"}),
@@ -58,7 +58,7 @@
                 self.assertEqual(web.call("GET", "/healthz")[0], 200)  # the connection is still in step
         self.assertTrue(self.server.received.empty())
 
-    def test_a_body_over_the_limit_whose_length_is_not_told(self):
+    def test_a_body_over_the_limit_without_a_stated_length_is_rejected(self):
         web = self.program.ajp_client()
         web.forward("POST", "/reads/1", {"Transfer-Encoding": "chunked"})
         self.assertEqual(web.answer(b"x" * (1 << 20 | 1))[0], 413)
@@ -110,7 +110,7 @@
         with socket.create_connection(tuple(self.program.addresses["AgentCheck"])) as sock:
             return sock.makefile("rb").read()
 
-    def test_all_checks_say_what_the_module_says_and_the_notice_drains(self):
+    def test_all_health_checks_report_the_controllers_health_and_the_shutdown_notice_drains(self):
         web, busy = self.program.ajp_client(), self.program.ajp_client()
         self.assertEqual((self.line(), self.program.operator_call()[0]), (b"up 100%\n", 200))
         self.assertTrue(web.cping())
--- a/tests/net/test_bad_clients.py
+++ b/tests/net/test_bad_clients.py
@@ -52,7 +52,7 @@
         self.assertEqual(web.answer()[2], b"served")
         del crowd
 
-    def test_a_rightful_request_that_takes_two_seconds_to_come_outlives_a_crowd_of_idle_ones(self):
+    def test_a_valid_request_that_takes_two_seconds_to_arrive_survives_many_idle_connections(self):
         at, keeper = self.program.addresses["ThriftFront"], self.program.thrift_router()
         self.program.serve_one(keeper)
         self.program.serve_one(keeper)
@@ -122,7 +122,7 @@
         self.kernel.reap(rid)
         self.program.serve_one(router)
 
-    def test_a_filing_that_the_kernel_was_never_told_of_leaves_its_key_free(self):
+    def test_a_filing_that_never_reached_the_kernel_leaves_its_key_free(self):
         bad, router = self.program.thrift_router(), self.program.thrift_router()
         seqid = bad.invoke("filing", b"invented", token="key")
         self.kernel.reject(self.kernel.next_run().request_id)
--- a/tests/net/test_connection_races.py
+++ b/tests/net/test_connection_races.py
@@ -108,10 +108,10 @@
     def test_a_request_that_comes_in_parts_behind_one_that_waits_long_is_read(self):
         self.in_parts_behind_one_that_waits(taken_back=False)
 
-    def test_a_request_that_comes_in_parts_behind_one_taken_back_late_is_read(self):
+    def test_a_request_that_arrives_in_parts_behind_one_cancelled_late_is_read(self):
         self.in_parts_behind_one_that_waits(taken_back=True)
 
-    def test_a_connection_whose_request_was_taken_back_late_is_ended_by_a_farewell(self):
+    def test_a_connection_whose_request_was_cancelled_late_is_ended_by_a_farewell(self):
         program = self.start()
         router = program.thrift_router()
         taken_back = router.invoke()
@@ -166,7 +166,7 @@
             program.serve_one(other)  # were the late one read, the kernel would have it first
         self.assertTrue(program.kernel.scheduled.empty())
 
-    def test_an_operators_call_that_came_as_its_place_was_wanted_is_answered(self):
+    def test_an_operators_call_that_arrived_as_its_connection_was_to_be_evicted_is_answered(self):
         program = self.start()
         idle = [
             socket.create_connection(program.addresses["Operators"], timeout=WAIT_LIMIT_S) for _ in range(15)
--- a/tests/net/test_link_races.py
+++ b/tests/net/test_link_races.py
@@ -180,7 +180,7 @@
         self.assertEqual(program.logged("kernel_link_silent"), [])
         self.assertTrue(kernel.opened.empty())
 
-    def test_an_end_that_is_told_spoilt_is_told_again_and_only_then_failed(self):
+    def test_a_garbled_completion_is_sent_again_and_only_then_failed(self):
         program = self.start()
         router, kernel = program.thrift_router(), program.kernel
         spoilt = {"payload": "not base64!"}, {"payload": None, "elapsed_ms": "soon"}
@@ -196,7 +196,7 @@
         self.assertEqual(router.answer(seqid)[0], "Broken")
         program.serve_one(router)
 
-    def test_answers_to_questions_that_are_spoilt_now_and_then_put_no_run_in_doubt(self):
+    def test_gauge_answers_garbled_now_and_then_leave_no_run_with_an_unknown_outcome(self):
         program = self.start()
         router, kernel = program.thrift_router(), program.kernel
         seqid = router.invoke("filing", b"doc", token="t")
--- a/tests/net/test_peer_tenants.py
+++ b/tests/net/test_peer_tenants.py
@@ -81,7 +81,7 @@
         self.assertEqual(sum(me.own.counts.values()), 58_014)
         self.assertEqual(me.read("class/read/answered", 2.0).total, 42)
 
-    def test_of_tenants_rates_the_nearest_to_their_share_are_told_and_the_quiet_forgotten(self):
+    def test_rates_of_the_tenants_nearest_to_their_share_are_sent_and_quiet_ones_forgotten(self):
         many = tuple(Tenant(f"t{n}", 1.0 if n == 900 else 1000.0, 0.1) for n in range(1000))
         order = SheddingOrder(
             (RequestClass(name="read", latency_objective_ns=1, deadline_ns=2),), initial_table(many), 0.1
--- a/tests/net/test_thrift_front.py
+++ b/tests/net/test_thrift_front.py
@@ -112,13 +112,13 @@
 
     options: ClassVar[dict[str, Any]] = {"site": short_deadline_settings()}
 
-    def test_a_run_that_does_not_end_is_answered_by_its_due_time(self):
+    def test_a_run_that_does_not_complete_is_answered_by_its_deadline(self):
         router, t0 = self.program.thrift_router(), time.time()
         kind = router.call()[0]
         self.assertEqual(kind, "Broken")
         self.assertLess(time.time() - t0, DUE_WITHIN_S)
 
-    def test_a_time_to_come_does_not_put_off_the_due_time(self):
+    def test_a_start_time_in_the_future_does_not_extend_the_deadline(self):
         router, began = self.program.thrift_router(), time.time()
         self.assertEqual(router.call(t0="999999999999999")[0], "Broken")
         self.assertLess(time.time() - began, DUE_WITHIN_S)
--- a/tests/overload/test_bulkheads.py
+++ b/tests/overload/test_bulkheads.py
@@ -43,6 +43,6 @@
         self.assertEqual(low_cost_classes(activity), {"low"})
         self.assertEqual(low_cost_classes({"read": activity["read"]}), set())
 
-    def test_without_a_total_the_module_alone_says_how_many_run(self):
+    def test_without_a_total_the_controller_alone_limits_concurrency(self):
         reported = bulkhead_limits(None, SITE, {"low": ClassActivity(last_arrival_s=0.0)}, 0.0, {"low"}, True)
         self.assertEqual((reported.total, reported.class_caps), (UNLIMITED, (32, 32, 32)))
--- a/tests/overload/test_concurrency_limits.py
+++ b/tests/overload/test_concurrency_limits.py
@@ -34,7 +34,7 @@
         found = self.settled(moved, lambda n, at: half[at > 100](n, at), windows=600)
         self.assertTrue(3 <= found <= 7.5, found)
 
-    def test_none_leaves_its_bounds_and_an_unused_limit_teaches_nothing(self):
+    def test_no_limit_leaves_its_bounds_and_an_unused_limit_does_not_move(self):
         for name, kind in LIMIT_ALGORITHMS.items():
             controller = kind(5.0, LimitBounds(2, 9))
             self.settled(controller, lambda n, at: 1.0 + (at % 7), windows=300, noise=1.0)
--- a/tests/overload/test_controller_limits.py
+++ b/tests/overload/test_controller_limits.py
@@ -25,7 +25,7 @@
             for kind in kinds
         ]
 
-    def test_a_total_is_kept_to_and_without_one_the_module_decides_alone(self):
+    def test_a_total_limit_is_kept_and_without_one_the_controller_decides_alone(self):
         for total, most in ((2, 2), (UNLIMITED, 4)):
             d = self.driver(total=total)
             ids = self.fill(d, *[0] * 8)
@@ -33,7 +33,7 @@
             d.done(ids[0])
             self.assertIn(len(d.ids(StartRun)), (most + 1,) if total == 2 else (most + 1, most + 2))
 
-    def test_up_to_its_floor_a_class_goes_before_what_is_worth_more(self):
+    def test_up_to_its_floor_a_class_starts_before_one_of_higher_priority(self):
         for floors, first in (((0, 0, 0), 0), ((0, 1, 0), 1)):
             d = self.driver(total=4, class_floors=floors)
             running = self.fill(d, 0, 0, 0, 0)
@@ -48,7 +48,7 @@
         d.done(ids[0])
         self.assertEqual(d.ids(StartRun)[-1], ids[2])
 
-    def test_heavy_ones_keep_to_the_lane_and_teach_the_class_their_usual_part(self):
+    def test_expensive_requests_stay_in_the_low_priority_lane_and_count_by_their_usual_cost(self):
         d = self.driver(total=4, expensive=1)
         usual = d.controller.run_times.mean_run_ns[0].value
         heavy = self.fill(d, 0, 0, times=10.0)
@@ -66,7 +66,7 @@
         st.integers(1, 4),
         st.integers(1, 3),
     )
-    def test_whatever_comes_and_ends_limits_hold_and_each_is_decided_once(self, steps, total, cap, lane):
+    def test_over_any_events_limits_hold_and_each_request_is_decided_once(self, steps, total, cap, lane):
         d = self.driver(total=total, class_caps=(cap, cap, 99), class_floors=(1, 0, 0), expensive=lane)
         kinds, heavies, running = {}, set(), []
         for kind, heavy, ends in steps:
--- a/tests/overload/test_cost_prediction.py
+++ b/tests/overload/test_cost_prediction.py
@@ -62,7 +62,7 @@
             predictor.learn(r, n, 0.1 * rng.lognormvariate(0, 0.5), 1.0)
         self.assertEqual(predictor.cost_multiple(request(work=100 * S), 500.0), 1.0)
 
-    def test_the_module_does_not_learn_a_class_from_its_expensive_runs(self):
+    def test_expensive_runs_do_not_change_the_run_time_of_a_class(self):
         limiter, now = AdaptiveLimiter(OverloadConfig(low_priority_lane=True), SITE, 1), 0
         reported = []
         for n in range(400):
--- a/tests/overload/test_overload_detector.py
+++ b/tests/overload/test_overload_detector.py
@@ -58,7 +58,7 @@
         self.assertLess(detector.loop_delay_s, 0.05)
         self.assertGreater(detector.affordable_per_s, 0.5 * (0.85 - 7000 * 60e-6) / 240e-6)
 
-    def test_it_does_not_swing_while_the_load_stays_and_recovers_once_when_it_ends(self):
+    def test_it_does_not_oscillate_under_steady_load_and_recovers_once_when_the_load_ends(self):
         _detector, turns = self.loaded(lambda t: 7000 if t < 10 else 500, 30)
         self.assertEqual([overloaded for _, overloaded in turns], [True, False])
         self.assertLess(turns[1][0], 14.0)
@@ -75,7 +75,7 @@
         self.assertLess(starved.affordable_per_s, 0.6 * whole.affordable_per_s + 300)
         self.assertGreater(starved.affordable_per_s, 100)
 
-    def test_a_flood_that_costs_more_to_turn_away_than_there_is_leaves_the_cores_their_work(self):
+    def test_a_flood_too_costly_even_to_reject_leaves_the_cores_their_work(self):
         detector = OverloadDetector(100_000_000)
         for n in range(60):
             detector.observe(
--- a/tests/overload/test_overloaded_worker.py
+++ b/tests/overload/test_overloaded_worker.py
@@ -183,7 +183,7 @@
 class OverloadSettingsTest(unittest.TestCase):
     """The table of overload control, and a worker without it."""
 
-    def test_without_its_table_nothing_of_it_is_loaded_or_said(self):
+    def test_without_its_table_overload_control_is_neither_loaded_nor_reported(self):
         done = subprocess.run(
             [sys.executable, "-c", "import ochrehoist.app.worker, sys; print(*sys.modules)"],
             cwd=ROOT,
--- a/tests/peers/test_counter_compatibility.py
+++ b/tests/peers/test_counter_compatibility.py
@@ -77,7 +77,7 @@
                             else teller.replicas[t.incarnation].counts,
                         )
 
-    def test_of_a_book_that_parts_have_begun_to_renew_none_of_before_is_told(self):
+    def test_counts_partly_renewed_are_not_sent_to_earlier_releases(self):
         teller, asker = filled(A, 100), ReplicatedCounters(B, 100.0, 0.0)
         self.assertTrue(answer(teller, asker, 1.0)[0].up_to_key)
         self.assertEqual([t.incarnation for t in asker.snapshots(1.0)], [B])
--- a/tests/peers/test_counter_growth.py
+++ b/tests/peers/test_counter_growth.py
@@ -80,7 +80,7 @@
             answers = sent[3][0] / 2
             self.assertLessEqual(sent[tenants][1], sent[3][1] + answers * MAX_DELTA_BYTES)
 
-    def test_it_is_red_where_an_answer_tells_all(self):
+    def test_the_bound_fails_where_an_answer_holds_all_counts(self):
         with (
             mock.patch("ochrehoist.peers.counter_encoding.MAX_OWN_BYTES", 10**6),
             mock.patch("ochrehoist.peers.own_counters.MAX_KEYS", 2100),
@@ -91,7 +91,7 @@
             w, _ = self.fleet(5, 2000, kind="class")
             w.run(w.now + 3.0)
 
-    def test_an_answer_finds_room_whatever_is_told_of_members(self):
+    def test_an_answer_has_room_for_counts_whatever_member_updates_it_holds(self):
         terms = FleetSettings("g", "at:a", "", {}, (), 0.1, (), (), 0.5, 100.0)
         g = Group(terms, A, 0.0, 1)
         g.members.established = True
--- a/tests/peers/test_counter_parts.py
+++ b/tests/peers/test_counter_parts.py
@@ -21,7 +21,7 @@
 class CounterPartsTest(unittest.TestCase):
     """Counts of one member, told to others."""
 
-    def test_what_an_answer_tells_is_bounded_however_much_there_is(self):
+    def test_an_answer_is_bounded_however_many_counts_there_are(self):
         for keys, long in ((1, 0), (100, 0), (2000, 0), (2000, 130), (2000, 10_000)):
             with self.subTest(keys=keys, long=long):
                 teller, asker = filled(A, keys, 2**50, long=long), ReplicatedCounters(B, 100.0, 0.0)
@@ -33,7 +33,7 @@
                     self.assertLessEqual(len(encode(answer(teller, asker, 2.0))), MAX_DELTA_BYTES)
                 self.assertEqual(asker.replicas[A].counts, dict(teller.own.counts))
 
-    def test_all_of_it_is_there_after_as_many_answers_as_is_stated(self):
+    def test_all_counts_arrive_within_the_stated_number_of_answers(self):
         for keys in (1, 60, 100, 500, 2000):
             with self.subTest(keys=keys):
                 teller, asker = filled(A, keys), ReplicatedCounters(B, 100.0, 0.0)
@@ -46,7 +46,7 @@
                 )
                 self.assertEqual(asker.replicas[A].counts, dict(teller.own.counts))
 
-    def test_only_what_has_changed_is_told_again(self):
+    def test_only_changed_counts_are_sent_again(self):
         teller, asker = filled(A, 500), ReplicatedCounters(B, 100.0, 0.0)
         while answer(teller, asker, 5.0)[0].up_to_key:
             pass
@@ -91,7 +91,7 @@
         self.assertEqual((asker.replicas[A].version, asker.replicas[A].as_of), (10, 6.0))
         self.assertEqual(asker.replicas[A].counts, {"k": 4, "m": 2})
 
-    def test_one_that_nobody_can_tell_to_its_end_does_not_keep_others_from_being_asked_for(self):
+    def test_counters_that_nobody_can_complete_do_not_block_requests_for_others(self):
         asker, lives = ReplicatedCounters(B, 100.0, 0.0), [Incarnation(f"m{n}", 1, 1) for n in range(9)]
         for life in lives:
             asker.merge_delta(CounterDelta(life, 0, "", "", 1, 0, False, 5000, {"k": 1}), 0.0, 5.0)
@@ -110,7 +110,7 @@
         self.assertTrue(asker.replicas[C].ended)
         self.assertEqual(asker.incomplete, {})
 
-    def test_keys_over_the_most_are_told_as_one_rest(self):
+    def test_keys_beyond_the_limit_are_sent_as_one_remainder(self):
         counters = filled(A, 5000, 2)
         self.assertEqual((len(counters.own.counts), sum(counters.own.counts.values())), (MAX_KEYS, 10_000))
         self.assertEqual(counters.own.counts[OVERFLOW_KEY], 2 * (5000 - MAX_KEYS + 1))
@@ -124,7 +124,7 @@
             other.add(key)
         self.assertEqual(other.own.counts, {OVERFLOW_KEY: 2, "tenant/others/served": 1})
 
-    def test_tenants_leave_room_for_other_kinds_and_are_counted_together(self):
+    def test_tenants_leave_room_for_other_kinds_and_share_a_remainder(self):
         counters = ReplicatedCounters(A, 100.0, 0.0)
         for n in range(5000):
             counters.add(f"tenant/{n:05d}/served", 2)
--- a/tests/peers/test_group.py
+++ b/tests/peers/test_group.py
@@ -73,7 +73,7 @@
 
     @settings(deadline=None, max_examples=6)
     @given(st.integers(0, 10**6))
-    def test_a_death_is_told_from_a_pause_and_a_cut_of_messages(self, seed):
+    def test_a_death_is_distinguished_from_a_pause_and_a_partition(self, seed):
         """A fifth of the messages is lost, and members pause for 1 s: nobody is called dead for it."""
         world = World(seed, ())
         nodes = world.start_fleet(5)
@@ -135,14 +135,14 @@
                 sent += name == "s0"
         return sent
 
-    def test_workers_that_hear_nobody_try_a_server_no_more_often_than_one_fleet_does(self):
+    def test_isolated_workers_probe_a_server_no_more_often_than_one_fleet_does(self):
         most = self.BUDGET + 2 * math.sqrt(self.BUDGET) + 2
         for count in (20, 30):
             sent = [self.first_second(count, seed) for seed in range(10)]
             self.assertLessEqual(max(sent), most, sent)
             self.assertGreater(min(sent), 0)  # or the server would never be taken back
 
-    def test_it_is_red_where_each_takes_itself_for_the_whole_fleet(self):
+    def test_the_bound_fails_where_each_takes_itself_for_the_whole_fleet(self):
         for seed in range(3):
             sent = self.first_second(30, seed, fleet=lambda: 1)
             self.assertGreater(sent, self.BUDGET + 2 * math.sqrt(self.BUDGET) + 2)
--- a/tests/peers/test_membership.py
+++ b/tests/peers/test_membership.py
@@ -32,7 +32,7 @@
         self.quiet(m, 0.0, 6.0, answers=("c",))
         self.assertEqual((m.members["b"].state, m.members["c"].state), (MemberState.DEAD, MemberState.ALIVE))
 
-    def test_who_hears_nobody_is_isolated_and_declares_nobody_dead(self):
+    def test_a_member_that_receives_nothing_is_isolated_and_declares_nobody_dead(self):
         m = membership()
         self.meet(m, 0.0, B, Incarnation("c", 1, 1))
         now = self.quiet(m, 0.0, 2.0, answers=("b", "c"))
@@ -49,14 +49,14 @@
         self.assertEqual({x.state for x in m.members.values()}, {MemberState.ALIVE})
         self.assertEqual(m.stall_count, 1)
 
-    def test_an_earlier_incarnation_is_not_heard_after_its_successor(self):
+    def test_messages_of_an_earlier_incarnation_are_ignored_after_its_successor(self):
         m = membership()
         self.meet(m, 0.0, Incarnation("b", 20, 1))
         self.assertFalse(m.on_message_from(B, "at:b", "", 1.0))
         m.apply_gossip(MemberUpdate(B, "elsewhere", "", MemberState.ALIVE), "c", 1.0)
         self.assertEqual(m.members["b"].incarnation.number, 20)
 
-    def test_gossip_proves_nobody_to_be_there_and_none_to_be_gone_that_answers(self):
+    def test_gossip_alone_neither_revives_a_member_nor_removes_one_that_answers(self):
         m = membership()
         self.meet(m, 0.0, B)
         now = self.quiet(m, 0.0, 1.0, answers=("b",))
@@ -70,7 +70,7 @@
         m.note_duplicate(Incarnation("a", 500, 7))
         self.assertEqual((m.incarnation.number, m.incarnation.boot_id, m.duplicate), (501, 1, None))
 
-    def test_one_that_was_heard_does_not_fight_for_its_name(self):
+    def test_a_member_already_seen_does_not_contest_its_name(self):
         m = membership()
         m.established = True
         m.note_duplicate(Incarnation("a", 500, 7))
--- a/tests/peers/test_message_growth.py
+++ b/tests/peers/test_message_growth.py
@@ -107,7 +107,7 @@
             with self.subTest(seed=seed):
                 within([Measured(count, seed) for count in SIZES])
 
-    def test_an_answer_that_tells_of_all_members_is_seen(self):
+    def test_an_answer_that_holds_all_members_is_detected(self):
         with (
             mock.patch.object(ping_exchange, "MAX_NEWS", 10**6),
             mock.patch.object(ping_exchange, "MAX_KNOWN_VERSIONS", 10**6),
@@ -134,7 +134,7 @@
         ):
             within([Measured(count) for count in (20, 60)])
 
-    def test_a_book_of_what_each_said_of_each_is_seen(self):
+    def test_state_that_holds_each_members_view_of_each_is_detected(self):
         usual = membership.Membership.apply_status
 
         def apply_status(self, update, round_trip_s, now):
--- a/tests/peers/test_outlier_detection.py
+++ b/tests/peers/test_outlier_detection.py
@@ -78,7 +78,7 @@
                 self.run_at(self.outliers.rank_services({}, now)[0], now)
         self.assertLess(now, 3.3 + BASE_EJECTION_S + 1.0)
 
-    def test_one_that_several_see_bad_takes_the_place_of_one_left_out_alone(self):
+    def test_a_service_seen_bad_by_several_replaces_one_ejected_by_a_single_worker(self):
         self.seen(0.0)
         self.seen(3.0, slow=("s1",), status=HealthStatus.FAILING)
         self.assertEqual(self.states(3.1), ["in", "out", "in"])
--- a/tests/peers/test_suspicion.py
+++ b/tests/peers/test_suspicion.py
@@ -64,7 +64,7 @@
         self.receive(update(MemberState.LEFT))
         self.assertEqual(self.receive(update(MemberState.ALIVE, 4)), MemberState.LEFT)
 
-    def test_one_of_another_incarnation_says_nothing_of_this_one(self):
+    def test_an_accusation_of_another_incarnation_does_not_affect_this_one(self):
         self.receive(update(MemberState.SUSPECT))
         self.assertEqual(
             self.receive(update(MemberState.ALIVE, 4, Incarnation("b", 9, 1))), MemberState.SUSPECT
@@ -73,7 +73,7 @@
         self.assertEqual((self.m.members["b"].state, self.m.members["b"].refutations), (MemberState.ALIVE, 4))
         self.assertEqual(self.m.members["b"].incarnation.number, 11)
 
-    def test_what_an_answer_tells_of_it_counts_too(self):
+    def test_a_refutation_in_an_answer_counts_too(self):
         self.receive(update(MemberState.SUSPECT))
         self.m.apply_status(MemberUpdate(B, "at:b", "", MemberState.ALIVE, 7, 20, b"", 1), 0.01, 10.0)
         self.assertEqual(self.b.state, MemberState.ALIVE)
@@ -93,7 +93,7 @@
         self.m._suspect(self.b, "a", 1.0)
         self.assertEqual(self.b.refutations, 0)
 
-    def test_who_is_pinged_is_told_that_it_is_accused_and_each_other_update(self):
+    def test_a_pinged_member_receives_its_accusation_and_each_other_update(self):
         self.receive(update(MemberState.SUSPECT))
         self.m.gossip.remaining.clear()
         me = update(MemberState.ALIVE, 0, A)
@@ -192,7 +192,7 @@
         w = self.after(20, lambda w, node: w.partition(set(w.names[:10]), set(w.names[10:]), 8.0), 8.0)
         self.assertTrue(any(n.group.members.deaths for n in w.nodes.values()))
 
-    def test_a_death_is_called_one_by_all_and_is_not_taken_back(self):
+    def test_a_death_is_agreed_by_all_and_not_revoked(self):
         w = World(2, (), encoded=True, addresses_known=False)
         nodes = w.start_fleet(20)
         w.run(10.0)
--- a/tests/peers/test_wire.py
+++ b/tests/peers/test_wire.py
@@ -26,7 +26,7 @@
         with self.assertRaises(wire.MessageRejectedError):
             wire.decode_datagram(said_old, (new,), "g")
 
-    def test_strangers_other_groups_and_versions_are_told_apart(self):
+    def test_strangers_other_groups_and_other_versions_are_distinguished(self):
         body = bytes((wire.VERSION + 1,)) + b"x"
         for data, why in (
             (wire.encode_datagram(message(), b"another secret...."), "stranger"),
--- a/tests/plan/test_cores.py
+++ b/tests/plan/test_cores.py
@@ -32,7 +32,7 @@
         at, amount = begun[max(begun)]
         self.assertGreaterEqual(ends[max(begun)] - at, amount / speed - 1e-6)
 
-    def test_past_the_crowd_all_together_get_less_done(self):
+    def test_beyond_the_crowding_limit_total_throughput_falls(self):
         m = Machine(4, 1.0, slow_from=1.5, slow_to=0.6, crowd=8.0)
         self.assertEqual([m.efficiency(n) for n in (1, 4, 6)], [1.0] * 3)
         self.assertAlmostEqual(m.efficiency(32), 0.6)
--- a/tests/plan/test_fit.py
+++ b/tests/plan/test_fit.py
@@ -65,7 +65,7 @@
         rate = found["first tries a second"]
         self.assertTrue(rate.low <= firsts / capture.duration_s <= rate.high, rate)
 
-    def test_what_a_capture_cannot_tell_gets_no_number(self):
+    def test_what_a_capture_does_not_determine_gets_no_number(self):
         found = self.told(self.entries(crowd=4))  # never more than the cores
         self.assertIsNone(found["n1: running a core, past which work slows"].value)
         self.assertIn("never seen to slow", found["n1: running a core, past which work slows"].note)
--- a/tests/plan/test_measure.py
+++ b/tests/plan/test_measure.py
@@ -16,7 +16,7 @@
 class MeasureTest(unittest.TestCase):
     """Measured workers against the model."""
 
-    def test_a_worker_is_told_the_same_as_the_model(self):
+    def test_a_worker_gets_the_same_calls_as_the_model(self):
         f = fleet()
         kind = f.kinds[0]
         told = settings_from(platform_settings(f, kind))
@@ -34,7 +34,7 @@
         for stand in play.stands:
             self.assertLessEqual(len(stand.begun), stand.count.tries)
 
-    def test_a_call_that_a_crowded_machine_begins_late_is_counted_by_when_it_was_due(self):
+    def test_a_call_that_a_busy_machine_sends_late_is_counted_from_when_it_was_due(self):
         f = fleet().at(0.5)
         first = Wish(0.1, 0, 0, 1, 0.01, 0.01, 0, 20.0)
         wishes = [first, dataclasses.replace(first, at=math.nextafter(1.0, 0.0))]  # begun after 1 s
--- a/tests/plan/test_plan_answers.py
+++ b/tests/plan/test_plan_answers.py
@@ -144,7 +144,7 @@
     def told(self, a, b):
         return {c.what: c for c in side_by_side(a, b)}
 
-    def test_what_changed_is_told_from_chance(self):
+    def test_changes_are_distinguished_from_chance(self):
         found = self.told(capture(), capture(rate=30.0, refused=0.2, seed=2))
         for what, change in (("first tries a second", 0.5), ("read: refused", 3.0)):
             line = found[what]
@@ -159,7 +159,7 @@
         ]
         self.assertLessEqual(len(clear), 12, clear)  # of 110; a twentieth each by chance
 
-    def test_what_cannot_be_told_gets_no_interval(self):
+    def test_what_cannot_be_determined_gets_no_interval(self):
         short = self.told(capture(seconds=20), capture(seconds=20, seed=2))
         self.assertIsNone(short["first tries a second"].low)
         self.assertIn("no interval", short["first tries a second"].note)
@@ -180,7 +180,7 @@
 
         return progress
 
-    def test_what_is_known_so_far_is_told_and_nothing_of_half_a_pair(self):
+    def test_an_interrupted_run_reports_what_is_complete_and_no_half_of_a_pair(self):
         f = fleet()
         runs = [Run(f, seed, 12.0) for seed in range(1, 6)]
         self.assertEqual(len(known(runs, 1, self.after(3))), 3)
@@ -214,7 +214,7 @@
 class RecordedCallsTest(unittest.TestCase):
     """Calls as captures record them."""
 
-    def test_a_repeat_whose_first_try_no_worker_saw_is_a_call_and_any_other_is_none(self):
+    def test_a_retry_whose_first_attempt_no_worker_saw_is_a_call_and_any_other_is_not(self):
         def tried(at, work, retry, caller=1):
             seen = RequestRecord(
                 0, "company-read", "startdesk", "thrift", 7, work, caller, "", retry, 1, 0, 0, 0, 0, 0
@@ -235,7 +235,7 @@
         )
         self.assertEqual([round(w.at * 1000) for w in wishes], [0, 60, 95, 9000])
 
-    def test_what_real_workers_saw_is_each_try_that_reached_them(self):
+    def test_real_workers_record_each_attempt_that_reached_them(self):
         with tempfile.TemporaryDirectory() as folder:
             f = fleet().at(0.6)
             play = Play(f, 1, 4.0, settle=0.0, operators=f"[capture]\nfolder = {json.dumps(folder)}\n")
@@ -255,7 +255,7 @@
             values = forecast(f, (1,), 12.0, 1, quiet)
             self.assertTrue(0 < values["goodput"]["mean"] <= 1)
 
-    def test_a_measurement_tells_how_late_its_calls_began(self):
+    def test_a_measurement_reports_how_late_its_calls_were_sent(self):
         values = measured(fleet().at(0.4), 1, 6.5, None, quiet)
         self.assertGreaterEqual(values["late_p99_ms"], 0)
         self.assertTrue(math.isfinite(values["ratio"]))
--- a/tests/plan/test_questions.py
+++ b/tests/plan/test_questions.py
@@ -24,7 +24,7 @@
         self.assertLess(found["tried"].get(str(found["needed"] - 1), 0.0), 0.9)
         self.assertEqual(found["with_one_lost"], found["needed"] + 1)
 
-    def test_what_cannot_be_told_gets_no_number(self):
+    def test_what_cannot_be_determined_gets_no_number(self):
         f = fleet()
         for ask in (
             lambda: size(f, "fast-node", 1.2, (1,), 12.0, 1, quiet),
--- a/tests/plan/test_rolling_restart.py
+++ b/tests/plan/test_rolling_restart.py
@@ -29,14 +29,14 @@
         self.assertLess(max(counts), len(self.fleet.placed_workers))
         self.assertEqual(counts[-1], 0)
 
-    def test_the_events_of_the_real_module_agree_where_it_is_plain(self):
+    def test_the_simulated_controller_agrees_in_plain_cases(self):
         quiet = lambda *_: None  # noqa: E731
         self.assertEqual(restart(self.fleet.at(0.2), 0.9, 1.0, (1,), 1, quiet)["most"], 2)
         self.assertEqual(restart(self.fleet.at(0.97), 0.99, 3.0, (1,), 1, quiet)["most"], 0)
         with self.assertRaises(UnanswerableQuestionError):
             restart(self.fleet, 1.0, 1.0, (1,), 1, quiet)
 
-    def test_a_rolling_play_restarts_each_once_and_leaves_somebody(self):
+    def test_a_rolling_scenario_restarts_each_worker_once_and_leaves_some_running(self):
         s = rolling_restart_scenario(self.fleet, 4, 2, 1.0)
         restarted = sorted(w for f in s.faults for w in f.who)
         self.assertEqual(restarted, sorted(f"w{n}" for n in range(s.workers)))
--- a/tests/recovery/test_recovery.py
+++ b/tests/recovery/test_recovery.py
@@ -201,7 +201,7 @@
         self.assertEqual(self.evaluate(1, ReadinessFacts(), good=3), StartupStage.WARMING)
         self.assertEqual(self.evaluate(3, ReadinessFacts(), good=3), StartupStage.FULL)
 
-    def test_as_good_as_before_is_enough_and_silence_is_said_to_be_no_measure(self):
+    def test_service_as_good_as_before_is_full_and_no_traffic_is_no_measure(self):
         self.service_level = ServiceLevelMonitor(0.0, usual_good_ratio=0.6)
         self.assertEqual(self.evaluate(4, ReadinessFacts(), good=2, rejected=1), StartupStage.FULL)
         self.setUp()
@@ -248,7 +248,7 @@
             self.assertEqual(told["store"]["hold_s"], 0, told)
         self.assertGreater(v["goodput"]["after"]["filing"], 0.85 * v["goodput"]["quiet"]["filing"])
 
-    def test_an_older_folder_is_found_out_and_a_worker_cut_off_from_its_witnesses_begins_nothing(self):
+    def test_an_older_folder_is_detected_and_a_worker_without_its_witnesses_starts_nothing(self):
         v = play(
             [
                 {"at": 6.0, "kind": "kill", "who": ["w0"], "lasts": 0.2, "store": "older"},
@@ -288,7 +288,7 @@
         done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True)
         self.assertEqual(done.stdout.strip(), "[]", done.stderr)
 
-    def test_a_start_is_told_stage_by_stage_and_leaves_a_line_on_record(self):
+    def test_a_start_is_reported_stage_by_stage_and_logged(self):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         p = WorkerProcess(thrift=False, ajp=True, state={"folder": folder.name}, recovery={})
--- a/tests/sites/test_admission_threshold.py
+++ b/tests/sites/test_admission_threshold.py
@@ -19,7 +19,7 @@
             threshold.update(now, running, waiting, running * 0.2)
         return now
 
-    def test_all_is_let_in_while_the_cores_can_do_it(self):
+    def test_all_is_admitted_while_the_cores_can_carry_it(self):
         threshold = AdmissionThreshold(4, 2.0)
         self.run_for(threshold, 5, 3.0, 3)
         self.assertEqual(threshold.value, 1.0)
--- a/tests/sites/test_operator_commands.py
+++ b/tests/sites/test_operator_commands.py
@@ -30,7 +30,7 @@
         self.assertEqual(late.active("a", 4.0).kind, CommandKind.EVACUATE)
         self.assertEqual(late.active("a", 4.0).number, 4)
 
-    def test_an_order_ends_and_one_that_is_over_is_no_order(self):
+    def test_a_command_expires_and_an_expired_one_has_no_effect(self):
         book = OperatorCommands()
         book.issue("a", CommandKind.EVACUATE, "w0", 0.0)
         lasts = DURATION_S[CommandKind.EVACUATE]
@@ -52,6 +52,6 @@
         self.assertEqual(a.active("x", 1.0).issued_by, "w1")
 
     @given(st.binary(max_size=200))
-    def test_words_that_cannot_be_read_are_none(self, data):
+    def test_reports_that_cannot_be_decoded_are_ignored(self, data):
         decoded = site_report.decode(data)
         self.assertTrue(decoded is None or isinstance(decoded, SiteReport))
--- a/tests/sites/test_playbook.py
+++ b/tests/sites/test_playbook.py
@@ -31,14 +31,14 @@
             self.book,
         )
 
-    def test_filings_are_all_let_in_and_those_of_like_worth_alike(self):
+    def test_filings_are_all_admitted_and_equal_classes_alike(self):
         for loss in self.book.losses:
             shares = {x.class_name: x.share for x in loss.class_admissions}
             self.assertEqual(shares["filing-submit"], 1.0)
             self.assertEqual(shares["company-read"], shares["extract-refresh"])
             self.assertLess(shares["company-read"], 1.0)
 
-    def test_each_fault_is_told_by_its_key(self):
+    def test_each_fault_is_reported_by_its_key(self):
         faults = {
             'site = "antwerp"': ('site = "ghent"', "loss[1].site"),
             "carry = ": ("carry = 9", "loss[0].carry"),
@@ -53,7 +53,7 @@
                 playbook_codec.parse(self.text.replace(old, new, 1), [c.name for c in self.fleet.classes])
             self.assertIn(key, str(caught.exception))
 
-    def test_more_than_the_others_carry_is_not_let_in(self):
+    def test_more_than_the_others_can_carry_is_not_admitted(self):
         more = self.text.replace("share = 0.5", "share = 0.9").replace("share = 0.4", "share = 0.9")
         self.assertNotEqual(more, self.text)
         with self.assertRaisesRegex(PlaybookError, r"let_in: .* is let in, and the others carry"):
@@ -64,7 +64,7 @@
             with self.subTest(text), self.assertRaises(PlaybookError):
                 playbook_codec.parse(text)
 
-    def test_the_same_calls_are_let_in_everywhere_and_about_the_share_that_is_said(self):
+    def test_the_same_calls_are_admitted_everywhere_at_about_the_stated_share(self):
         loss = self.book.losses[0]
         share = next(x.share for x in loss.class_admissions if x.class_name == "company-read")
         lets = [loss.admits("company-read", False, ("", "company-read", n)) for n in range(2000)]
--- a/tests/sites/test_ramps.py
+++ b/tests/sites/test_ramps.py
@@ -32,17 +32,17 @@
             self.ramp.evaluate(self.now, RampInputs(threshold, lambda rate: then, baseline, permission))
         return self.ramp.load_fraction
 
-    def test_time_alone_takes_no_step(self):
+    def test_time_alone_advances_no_stage(self):
         self.assertEqual(self.evaluate(200), DEFAULT_STAGES[0])
         self.assertIn("completions", self.ramp.waits_for)
 
-    def test_completions_in_time_take_it_to_all_of_its_load_step_by_step(self):
+    def test_completions_in_time_advance_it_to_full_load_stage_by_stage(self):
         parts = [self.evaluate(MIN_STAGE_S, good=3) for _ in range(30)]
         self.assertEqual(sorted(set(parts)), sorted(set(DEFAULT_STAGES) & set(parts)))
         self.assertTrue(self.ramp.is_complete)
         self.assertTrue(all(b - a <= 0.2 + 1e-9 for a, b in itertools.pairwise(parts)))
 
-    def test_a_cold_machine_waits_until_it_is_warm_enough_for_the_next_step(self):
+    def test_a_cold_machine_waits_until_it_is_warm_enough_for_the_next_stage(self):
         self.assertEqual(self.evaluate(5, then=0.6, good=3), DEFAULT_STAGES[0])
         self.assertIn("warmth", self.ramp.waits_for)
         self.assertGreater(self.evaluate(1, then=0.95, good=3), DEFAULT_STAGES[0])
@@ -52,7 +52,7 @@
             self.evaluate(2, then=0.6, baseline=PeerBaseline(3, 0.6, 20.0), good=3), DEFAULT_STAGES[0]
         )
 
-    def test_a_step_that_goes_wrong_is_taken_back_and_the_next_comes_later(self):
+    def test_a_stage_that_fails_is_reverted_and_the_next_comes_later(self):
         self.evaluate(1.2, good=3)
         up = self.ramp.stage
         self.assertGreater(up, 0)
@@ -84,7 +84,7 @@
         self.evaluate(3, baseline=nobody, good=3)
         self.assertTrue(self.ramp.is_complete)
 
-    def test_one_that_is_not_back_when_the_others_are_goes_on_by_steps(self):
+    def test_a_worker_that_is_late_continues_in_stages(self):
         self.evaluate(2.0, baseline=PeerBaseline(0, 1.0, 0.0))
         self.assertEqual(self.evaluate(0.5, threshold=0.3), DEFAULT_STAGES[0])
 
--- a/tests/sites/test_shedding_order.py
+++ b/tests/sites/test_shedding_order.py
@@ -14,7 +14,7 @@
     """Classes and tenants in order of rejection."""
 
     @given(st.lists(st.floats(0.05, 0.2), min_size=3, max_size=3))
-    def test_filings_go_first_whatever_they_cost_and_classes_of_like_worth_are_refused_alike(self, costs):
+    def test_filings_rank_first_whatever_they_cost_and_equal_classes_are_rejected_alike(self, costs):
         o = make_order(costs)
         ranks = {c: [o.rank(("", c, n), c, None, 3.0) for n in range(50)] for c in o.classes}
         self.assertLess(max(ranks["filing"]), min(ranks["read"] + ranks["refresh"]))
@@ -33,7 +33,7 @@
         lets = [[o.rank(x, "read", None, 3.0) < level for x in idents] for o in (a, b)]
         self.assertLess(sum(x != y for x, y in zip(*lets, strict=True)), 0.12 * len(idents))
 
-    def test_what_a_tenant_sends_beyond_its_share_goes_last(self):
+    def test_requests_beyond_a_tenants_share_rank_last(self):
         o = make_order(quota=100.0, rate=200.0)
         beyond = [x for n in range(300) if o.is_beyond_quota(x := ("", "read", n), "acme", 3.0)]
         self.assertTrue(0.4 < len(beyond) / 300 < 0.6)
@@ -43,7 +43,7 @@
             min(o.rank(x, "read", "acme", 3.0) for x in beyond),
         )
 
-    def test_further_tries_are_no_demand_marked_or_not(self):
+    def test_retries_are_no_demand_whether_marked_or_not(self):
         o = make_order()
         self.assertTrue(o.record_arrival(("", "read", "new"), "read", None, False, 3.0))
         self.assertFalse(o.record_arrival(("", "read", "new"), "read", None, False, 3.5))
--- a/tests/sites/test_site_health.py
+++ b/tests/sites/test_site_health.py
@@ -41,7 +41,7 @@
     def test_where_the_usual_load_is_not_known_nothing_is_called_lost(self):
         self.assertEqual(self.tick(20, {"b": self.GONE}, 2.0, usual=None), {"b": SiteState.UNHEARD})
 
-    def test_a_third_site_that_hears_it_tells_of_a_cut(self):
+    def test_a_third_site_that_receives_from_it_proves_a_partition(self):
         seen = {"b": SiteMembership(3, 0, third_site_states=[SiteState.UP]), "c": self.HERE}
         self.assertEqual(self.tick(0.7, seen, 1.2)["b"], SiteState.CUT)
 
@@ -51,7 +51,7 @@
         together = self.tick(0.8, {"b": SiteMembership(3, 0, evidence=6.0)}, 1.7)
         self.assertEqual((alone["b"], together["b"]), (SiteState.UNHEARD, SiteState.LOST))
 
-    def test_a_worker_that_hears_nobody_takes_its_own_cut_for_no_loss(self):
+    def test_an_isolated_worker_does_not_take_its_own_partition_for_a_loss(self):
         seen = {"b": self.GONE, "c": self.GONE}
         self.assertEqual(set(self.tick(10, seen, 1.0).values()), {SiteState.CUT})
         self.assertIsNotNone(self.tracker.isolated_since)
--- a/tests/sites/test_virtual_time.py
+++ b/tests/sites/test_virtual_time.py
@@ -30,7 +30,7 @@
         world.run(34)
         return world
 
-    def test_filings_are_kept_while_half_is_gone_and_worth_goes_first(self):
+    def test_filings_are_kept_while_half_is_lost_and_higher_priority_goes_first(self):
         world = self.lost_and_back()
         self.assertGreater(goodput(world, 9, 16, filing=True), 0.98)
         possible = (3 * 0.2 + 0.5 / 0.8 - 0.2) / (3 * 0.2 + 0.8)  # by worth first, with the cores left
@@ -49,7 +49,7 @@
             sum(goodput(w, 16, 22) for w in no_steps), sum(goodput(w, 16, 22) for w in whole) - 0.03
         )
 
-    def test_without_the_step_lease_two_sites_step_at_once(self):
+    def test_without_the_step_lease_two_sites_advance_at_once(self):
         def both(seed):
             world = SiteWorld(seed, {"a": 3, "b": 2, "c": 2}, 0.5, cold_s=4.0)
             for site in ("b", "c"):
--- a/tests/store/test_data_loss.py
+++ b/tests/store/test_data_loss.py
@@ -43,7 +43,7 @@
         self.assertEqual(client.answer()[0], 503)  # the hold outlives a restart
         self.assertEqual(self.store(third)["losses"], 0)
 
-    def test_who_takes_the_risk_serves_and_says_so(self):
+    def test_a_worker_told_to_serve_after_a_loss_serves_and_logs_it(self):
         self.lose()
         second = self.start(state={"on_loss": "serve"})
         client = second.ajp_client()
--- a/tests/store/test_disk_errors.py
+++ b/tests/store/test_disk_errors.py
@@ -56,7 +56,7 @@
                 opened.database.commit([PutResult(b"%d" % n, ResultRecord("OK", True, bytes(10_000)))])
         self.assertEqual(failed.exception.kind, FailureKind.FULL)
 
-    def test_a_failed_sync_is_told_apart_and_the_store_written_anew_holds_what_was_good(self):
+    def test_a_failed_sync_is_recognised_and_the_rewritten_store_holds_what_was_good(self):
         broken = []
 
         def fails(operation, number):
--- a/tests/store/test_expiry.py
+++ b/tests/store/test_expiry.py
@@ -48,7 +48,7 @@
         self.assertTrue(0 <= got <= window)
         self.assertEqual(got == window or got <= left, True)
 
-    def test_what_was_learned_fades_and_what_was_known_of_callers_expires(self):
+    def test_learned_state_decays_and_caller_timeouts_expire(self):
         learned = {
             "took": {"read": [5.0, 8.0]},
             "means": {"unread": [1.0, 4.0]},
--- a/tests/store/test_ownership.py
+++ b/tests/store/test_ownership.py
@@ -13,7 +13,7 @@
 class OwnershipTest(WorkerStateTestCase):
     """Processes that want a folder that has an owner."""
 
-    def test_a_second_process_is_turned_away_by_the_name_of_the_first(self):
+    def test_a_second_process_is_rejected_with_the_name_of_the_first(self):
         first = self.start()
         config = self.base / "second.toml"
         config.write_text(toml_file(first.appliance))
--- a/tests/store/test_records.py
+++ b/tests/store/test_records.py
@@ -65,7 +65,7 @@
             LearnedStateRecord(Timestamp(1, "b", 2), {"a": 1}, 1),
         )
 
-    def test_one_of_a_newer_version_is_told_apart(self):
+    def test_a_record_of_a_newer_version_is_recognised(self):
         record, key = self.ALL[0]
         with self.assertRaises(UnsupportedFormatError):
             decode_record(key, encode_record(key, record, records.FORMAT_VERSION + 1), IntentRecord)
@@ -80,6 +80,6 @@
 class LearnedStateRecordsTest(unittest.TestCase):
     """Keys of learned state."""
 
-    def test_keys_tell_tenants_apart_that_have_none(self):
+    def test_keys_of_different_tenants_differ_also_without_a_tenant(self):
         self.assertNotEqual(encode_key((None, "a", "b")), encode_key(("", "a", "b")))
         self.assertEqual(msgspec.msgpack.decode(encode_key(TOKEN)), list(TOKEN))
--- a/tests/store/test_restart.py
+++ b/tests/store/test_restart.py
@@ -36,7 +36,7 @@
 
     where = None  # on a real disk, with all its syncs
 
-    def test_ends_are_given_again_what_began_is_not_run_and_what_did_not_is(self):
+    def test_results_are_replayed_started_filings_do_not_run_again_and_others_do(self):
         first = self.start()
         client, other = first.ajp_client(), first.ajp_client()
         self.file(client, "done")
@@ -126,7 +126,7 @@
 
     how: ClassVar[dict[str, Any]] = {"thrift": True, "ajp": True}
 
-    def test_tries_by_either_front_are_one_filing_before_and_after_a_kill(self):
+    def test_attempts_by_either_front_are_one_filing_before_and_after_a_kill(self):
         machine = MovingKernel(1)
         self.addCleanup(machine.close)
         first = self.start(kernel=machine)
--- a/tests/store/test_write_queue.py
+++ b/tests/store/test_write_queue.py
@@ -40,7 +40,7 @@
         self.assertEqual(self.queue.committed(), ["r1"])
         self.assertEqual(len(self.queue.next_group(0.1)), 1)
 
-    def test_what_nobody_waits_for_rides_along_or_goes_a_little_later(self):
+    def test_operations_nobody_waits_for_join_a_group_or_follow_a_little_later(self):
         self.queue.add(0.0, DeleteIntent(b"k9"))
         self.assertIsNone(self.queue.next_group(0.009))
         self.begin(1, 0.009)
@@ -77,7 +77,7 @@
         self.queue.committed()
         self.assertEqual(len(self.queue.next_group(1.0)), 1)
 
-    def test_a_stall_refuses_what_waits_and_takes_it_out_again_and_nothing_is_begun_late(self):
+    def test_a_stall_rejects_what_waits_and_deletes_it_and_nothing_starts_late(self):
         self.begin(1)
         self.queue.next_group(0.001)
         self.begin(2, 0.01)
