--- a/tests/app/reload_case.py
+++ b/tests/app/reload_case.py
@@ -5,7 +5,6 @@
 import signal
 import threading
 import time
-import unittest
 from collections import Counter
 from pathlib import Path
 
@@ -13,7 +12,7 @@
 from tests.stand_ins.ajp_server import InstantServer
 from tests.support.environment import MS, WAIT_LIMIT_S
 from tests.support.site_settings import site_settings
-from tests.support.worker_process import WorkerProcess
+from tests.support.worker_cases import WorkerTestCase
 
 TENANTS = 3000
 
@@ -43,7 +42,7 @@
 FILINGS = {"uri": "/filings*", "methods": ["POST"], "class": "filing"}
 
 
-class ReloadTestCase(unittest.TestCase):
+class ReloadTestCase(WorkerTestCase):
     """Starts appliances with many tenants, and replaces their files."""
 
     def start(self, **how):
@@ -60,9 +59,7 @@
         if "before" not in how:
             self.addCleanup(server.close)
             how["servers"] = [{"address": server.address, "reply_ms": 90_000}]
-        program = WorkerProcess(**how)
-        self.addCleanup(program.close)
-        return program
+        return super().start(**how)
 
     def text(self, program, *more, rules=(), **changes):
         """Its configuration with more tenants and rules; the usual rules stay, in front."""
--- a/tests/app/test_faults.py
+++ b/tests/app/test_faults.py
@@ -11,7 +11,7 @@
 from ochrehoist.net import ajp, thrift
 from tests.support.environment import DUE_WITHIN_S
 from tests.support.site_settings import short_deadline_settings
-from tests.support.worker_process import WorkerProcess
+from tests.support.worker_cases import WorkerTestCase
 
 FAULT = """
 from ochrehoist.admission import controller, events
@@ -27,12 +27,11 @@
 """
 
 
-class DecisionFaultTest(unittest.TestCase):
+class DecisionFaultTest(WorkerTestCase):
     """Exceptions in the admission controller."""
 
     def test_a_fault_is_logged_with_its_trace_and_each_request_still_gets_one_answer(self):
-        program = WorkerProcess(fault=FAULT, site=short_deadline_settings())
-        self.addCleanup(program.close)
+        program = self.start(fault=FAULT, site=short_deadline_settings())
         router, began = program.thrift_router(), time.time()
         seqid = router.invoke(obj="fault")
         self.assertEqual(router.answer(seqid)[0], "Broken")
@@ -79,12 +78,11 @@
 """
 
 
-class EnvironmentTest(unittest.TestCase):
+class EnvironmentTest(WorkerTestCase):
     """Calls that the platform refuses, a clock that is set back, and a log that nobody reads."""
 
     def test_no_call_is_made_that_the_platform_refuses_and_a_refused_socket_costs_replacement_only(self):
-        program = WorkerProcess(fault=NARROW)
-        self.addCleanup(program.close)
+        program = self.start(fault=NARROW)
         router = program.thrift_router()
         for kind in ("read", "filing"):
             seqid = router.invoke(kind, b"doc", token=kind)
@@ -99,8 +97,7 @@
         self.assertEqual(len(program.logged("handover_unavailable")), 1)
 
     def test_a_clock_that_is_set_back_puts_off_no_answer(self):
-        program = WorkerProcess(fault=CLOCK, site=short_deadline_settings())
-        self.addCleanup(program.close)
+        program = self.start(fault=CLOCK, site=short_deadline_settings())
         router = program.thrift_router()
         self.assertEqual(router.ping()[0], "Answer")
         program.write_file("set", "")
@@ -112,8 +109,7 @@
         self.assertLess(time.time() - began, DUE_WITHIN_S)
 
     def test_a_log_that_nobody_reads_holds_up_no_one(self):
-        program = WorkerProcess(stall_log=True)
-        self.addCleanup(program.close)
+        program = self.start(stall_log=True)
         for _ in range(1200):  # a line of the log each, far more than a pipe takes
             bad = program.thrift_router()
             bad.sock.sendall(b"\0\0\0\4junk")
--- a/tests/app/test_operator_api.py
+++ b/tests/app/test_operator_api.py
@@ -7,8 +7,7 @@
 
 from tests.stand_ins.thrift_router import ThriftRouter
 from tests.support.environment import WAIT_LIMIT_S
-from tests.support.worker_cases import RunningWorkerTestCase
-from tests.support.worker_process import WorkerProcess
+from tests.support.worker_cases import RunningWorkerTestCase, WorkerTestCase
 
 
 class OperatorTestCase(RunningWorkerTestCase):
@@ -163,12 +162,11 @@
         self.assertEqual(self.program.metric("current"), 0)
 
 
-class KernelNotUpTest(unittest.TestCase):
+class KernelNotUpTest(WorkerTestCase):
     """A worker whose kernel is not up."""
 
     def test_a_worker_whose_kernel_is_not_up_is_not_ready_and_counts_its_rejections(self):
-        program = WorkerProcess(boot=False)
-        self.addCleanup(program.close)
+        program = self.start(boot=False)
         self.assertEqual(program.operator_call()[0], 503)
         self.assertEqual(ThriftRouter(program.addresses["ThriftFront"]).call()[0], "Throttled")
         self.assertEqual(program.metric("deferred_total", "read"), 1)
--- a/tests/app/test_reload.py
+++ b/tests/app/test_reload.py
@@ -10,17 +10,16 @@
 from tests.stand_ins.membership_service import MembershipService
 from tests.support.environment import MS, WAIT_LIMIT_S
 from tests.support.site_settings import site_settings
-from tests.support.worker_process import WorkerProcess
+from tests.support.worker_cases import WorkerTestCase
 
 BAD = "config_invalid"
 
 
-class PlatformReloadTest(unittest.TestCase):
+class PlatformReloadTest(WorkerTestCase):
     """A worker of the platform whose kernel moves."""
 
     def setUp(self):
-        self.program = WorkerProcess()
-        self.addCleanup(self.program.close)
+        self.program = self.start()
 
     def move(self, old, **changes):
         """A new kernel that knows what the old one noticed; the old one's link goes silent but stays open."""
@@ -68,12 +67,11 @@
 KEYED = {"Window": 20_000 * MS}
 
 
-class SettingsReloadTest(unittest.TestCase):
+class SettingsReloadTest(WorkerTestCase):
     """New classes, bad files, and changes on standby and in replacements."""
 
     def setUp(self):
-        self.program = WorkerProcess()
-        self.addCleanup(self.program.close)
+        self.program = self.start()
         self.kernel = self.program.kernel
 
     def reload(self, site, event="settings_changed"):
@@ -172,8 +170,7 @@
         router = old.thrift_router()
         running = router.invoke("filing", b"doc", token="t")
         rid = old.kernel.next_run().request_id
-        new = WorkerProcess(before=old)
-        self.addCleanup(new.close)
+        new = self.start(before=old)
         new.wait_until_took_over()
         old.process.send_signal(signal.SIGTERM)
         without = json.dumps(new.config | {"settings": site(("read", 1700, {}))})
@@ -198,26 +195,24 @@
     signal.pthread_sigmask(signal.SIG_BLOCK, ORDERS)
 
 
-class Inherited(unittest.TestCase):
+class Inherited(WorkerTestCase):
     """Whole days were served on the first configuration where the bench had been started by nohup."""
 
     def test_signals_inherited_as_ignored_or_blocked_are_handled(self):
         for inherits in (ignored, blocked):
             with self.subTest(inherits.__name__):
-                program = WorkerProcess(inherits=inherits)
-                self.addCleanup(program.close)
+                program = self.start(inherits=inherits)
                 new = json.dumps(program.config | {"settings": site(("new", 1500, {}))})
                 program.reload("config.json", new)  # whether the kernel is up yet or not
                 program.process.send_signal(signal.SIGTERM)
                 self.assertEqual(program.wait_for_exit(), 0)
 
 
-class ApplianceReloadTest(unittest.TestCase):
+class ApplianceReloadTest(WorkerTestCase):
     """An appliance whose servers and routes change."""
 
     def test_servers_and_rules_change_while_a_request_runs_on_the_old_server(self):
-        program = WorkerProcess(thrift=False, ajp=True)
-        self.addCleanup(program.close)
+        program = self.start(thrift=False, ajp=True)
         other = AjpServer()
         self.addCleanup(other.close)
         client, late = program.ajp_client(), program.ajp_client()
--- a/tests/app/test_reload_stress.py
+++ b/tests/app/test_reload_stress.py
@@ -17,7 +17,7 @@
 from tests.stand_ins.moving_kernel import MovingKernel
 from tests.support.environment import WAIT_LIMIT_S
 from tests.support.site_settings import site_settings
-from tests.support.worker_process import WorkerProcess
+from tests.support.worker_cases import WorkerTestCase
 
 RELOADS = int(os.environ.get("RELOADS", "30"))
 SEED = int(os.environ.get("SEED", "1"))
@@ -60,14 +60,13 @@
         router.close()
 
 
-class ReloadStressTest(unittest.TestCase):
+class ReloadStressTest(WorkerTestCase):
     """Random changes, cuts and moves under load."""
 
     def setUp(self):
         self.random, self.machine = random.Random(SEED), MovingKernel(SEED)
         self.addCleanup(self.machine.close)
-        self.program = WorkerProcess(kernel=self.machine)
-        self.addCleanup(self.program.close)
+        self.program = self.start(kernel=self.machine)
         self.config, self.members = dict(self.program.config), [self.program.members]
 
     def write(self, content):
@@ -168,14 +167,13 @@
         self.assertEqual(faults, [])
 
 
-class CutOff(unittest.TestCase):
+class CutOff(WorkerTestCase):
     """The kernel moved and nobody said so, or said so with a file that could not be used."""
 
     def setUp(self):
         self.machine = MovingKernel(SEED)
         self.addCleanup(self.machine.close)
-        self.program = WorkerProcess(kernel=self.machine)
-        self.addCleanup(self.program.close)
+        self.program = self.start(kernel=self.machine)
 
     def test_health_turns_bad_and_a_mended_file_is_found_without_a_signal(self):
         program, router = self.program, self.program.thrift_router()
--- a/tests/capture/test_capture.py
+++ b/tests/capture/test_capture.py
@@ -32,7 +32,8 @@
 from ochrehoist.lab.toml import toml_file
 from tests.support.environment import MEMORY_FOLDER, MS, WAIT_LIMIT_S
 from tests.support.site_settings import short_deadline_settings, site_settings
-from tests.support.worker_process import WorkerProcess, run_command
+from tests.support.worker_cases import WorkerTestCase
+from tests.support.worker_process import run_command
 
 HEADER = CaptureHeader("n1", 10**18, 1.0, 4, 1000.0, (("read", 1, 2, 1.0, 0.0),), (("acme", 10.0),))
 
@@ -159,7 +160,7 @@
         self.assertFalse(file_is_complete(0, 59, 9, 60, 10))
 
 
-class RecordedRequestsTest(unittest.TestCase):
+class RecordedRequestsTest(WorkerTestCase):
     """What a worker records."""
 
     def setUp(self):
@@ -168,9 +169,7 @@
 
     def program(self, capture, **how):
         capture = {"folder": str(self.folder / "load")} | capture
-        program = WorkerProcess(thrift=False, ajp=True, capture=capture, **how)
-        self.addCleanup(program.close)
-        return program
+        return self.start(thrift=False, ajp=True, capture=capture, **how)
 
     def ended(self, program):
         program.process.terminate()
@@ -250,7 +249,7 @@
             self.assertEqual((done.returncode, key in done.stderr), (2, True), done.stderr)
 
 
-class NoCaptureTest(unittest.TestCase):
+class NoCaptureTest(WorkerTestCase):
     """A worker without a capture."""
 
     def test_a_worker_without_a_capture_loads_nothing_of_it(self):
@@ -258,8 +257,7 @@
             'import atexit, sys\natexit.register(lambda: print(\'{"event": "loaded", "names": "\''
             " + ' '.join(m for m in sys.modules) + '\"}', file=sys.stderr))"
         )
-        program = WorkerProcess(fault=loaded)
-        self.addCleanup(program.close)
+        program = self.start(fault=loaded)
         program.process.terminate()
         program.wait_for_exit()
         names = program.logged("loaded")[0]["names"].split()
--- a/tests/lab/test_fleet_scenarios.py
+++ b/tests/lab/test_fleet_scenarios.py
@@ -18,7 +18,8 @@
 from ochrehoist.peers.service_health import UNHEALTHY
 from tests.support.environment import ROOT
 from tests.support.site_settings import site_settings
-from tests.support.worker_process import WorkerProcess, run_command
+from tests.support.worker_cases import WorkerTestCase
+from tests.support.worker_process import run_command
 
 logging.getLogger("asyncio").setLevel(logging.CRITICAL)
 WORKERS = ["w0", "w1", "w2", "w3", "w4"]
@@ -178,13 +179,11 @@
         self.assertNotIn("w99", v["final"]["w0"]["members"])
 
 
-class OneWorker(unittest.TestCase):
+class OneWorker(WorkerTestCase):
     """What the file switches on, and what a worker says of it."""
 
     def worker(self, peers=None, **more):
-        p = WorkerProcess(thrift=False, ajp=True, peers=peers, **more)
-        self.addCleanup(p.close)
-        return p
+        return self.start(thrift=False, ajp=True, peers=peers, **more)
 
     def table(self, **changes):
         return {"listen": "127.0.0.1:0", "group": "g", "secrets": ["sixteen characters"]} | changes
@@ -259,8 +258,7 @@
 
     def test_a_process_that_replaces_another_is_the_same_member(self):
         first = self.worker(self.table(), stop_ms=8000)
-        second = WorkerProcess(thrift=False, ajp=True, peers=self.table(), before=first, server=first.server)
-        self.addCleanup(second.close)
+        second = self.start(thrift=False, ajp=True, peers=self.table(), before=first, server=first.server)
         second.wait_until_took_over()
         first.process.terminate()
         self.assertEqual(first.wait_for_exit(), 0)
--- a/tests/lab/test_site_scenarios.py
+++ b/tests/lab/test_site_scenarios.py
@@ -15,7 +15,8 @@
 from ochrehoist.lab.scenario_runner import ScenarioRun
 from ochrehoist.net.operator_server import call_operator_api
 from tests.support.environment import ROOT
-from tests.support.worker_process import WorkerProcess, run_command
+from tests.support.worker_cases import WorkerTestCase
+from tests.support.worker_process import run_command
 
 logging.getLogger("asyncio").setLevel(logging.CRITICAL)
 TWO = {"brussels": ["w0", "w1", "w2"], "antwerp": ["w3", "w4", "w5"]}
@@ -94,7 +95,7 @@
         self.assertTrue(all("order" in text for _, _, text in v["told"]), v["told"])
 
 
-class OneSiteWorkerTest(unittest.TestCase):
+class OneSiteWorkerTest(WorkerTestCase):
     """One worker with or without the table of sites."""
 
     def worker(self, sites, **peers):
@@ -105,9 +106,7 @@
             "site": "a",
             "voters": ["n1"],
         } | peers
-        p = WorkerProcess(thrift=False, ajp=True, peers=table, sites=sites)
-        self.addCleanup(p.close)
-        return p
+        return self.start(thrift=False, ajp=True, peers=table, sites=sites)
 
     def test_nothing_of_it_is_loaded_without_its_table(self):
         code = (
--- a/tests/net/test_bad_clients.py
+++ b/tests/net/test_bad_clients.py
@@ -7,18 +7,17 @@
 from tests.stand_ins.ajp_client import AjpClient
 from tests.stand_ins.sockets import RecordingSocket, connection_end
 from tests.stand_ins.thrift_router import ThriftRouter
-from tests.support.worker_process import WorkerProcess
+from tests.support.worker_cases import WorkerTestCase
 
 DUE = 3.0  # s from connecting to a word or a close
 HEAD = struct.pack(">I", 500) + b"\x80\x01"
 
 
-class BadClientsTest(unittest.TestCase):
+class BadClientsTest(WorkerTestCase):
     """Clients that are slow, silent or speak another protocol."""
 
     def setUp(self):
-        self.program = WorkerProcess(ajp=True, sockets=160)
-        self.addCleanup(self.program.close)
+        self.program = self.start(ajp=True, sockets=160)
         self.kernel = self.program.kernel
 
     def test_the_silent_the_half_sent_and_those_that_take_all_back_are_closed_in_time(self):
--- a/tests/overload/test_overloaded_worker.py
+++ b/tests/overload/test_overloaded_worker.py
@@ -17,7 +17,8 @@
 from tests.stand_ins.thrift_router import ThriftRouter
 from tests.support.environment import ROOT, WAIT_LIMIT_S
 from tests.support.site_settings import short_deadline_settings, site_settings
-from tests.support.worker_process import WorkerProcess, run_command
+from tests.support.worker_cases import WorkerTestCase
+from tests.support.worker_process import run_command
 
 # Run at the start of the interpreter: each decision takes 3 ms more, on whatever machine.
 SLOW = """
@@ -68,15 +69,13 @@
         return self
 
 
-class OverloadedWorkerTest(unittest.TestCase):
+class OverloadedWorkerTest(WorkerTestCase):
     """A worker under a flood."""
 
     def program(self, **how):
-        program = WorkerProcess(
+        return self.start(
             site=short_deadline_settings(), kernel=InstantKernel(), **({"overload": {}, "fault": SLOW} | how)
         )
-        self.addCleanup(program.close)
-        return program
 
     def status(self, program):
         return json.loads(program.operator_call()[1])
@@ -170,17 +169,14 @@
         client = before.thrift_router()
         token = "a" * 32
         self.assertEqual(client.call(method="filing", token=token)[0], "Answer")
-        after = WorkerProcess(
-            site=short_deadline_settings(), before=before, kernel=before.kernel, overload={}
-        )
-        self.addCleanup(after.close)
+        after = self.start(site=short_deadline_settings(), before=before, kernel=before.kernel, overload={})
         after.wait_until_took_over()
         self.assertEqual(after.thrift_router().call(method="filing", token=token)[2], b"one")
         self.assertEqual(after.thrift_router().call()[0], "Answer")
         self.assertFalse(self.status(after)["overload"]["loop"]["behind"])
 
 
-class OverloadSettingsTest(unittest.TestCase):
+class OverloadSettingsTest(WorkerTestCase):
     """The table of overload control, and a worker without it."""
 
     def test_without_its_table_overload_control_is_neither_loaded_nor_reported(self):
@@ -194,8 +190,7 @@
         loaded = done.stdout.split()
         self.assertIn("ochrehoist.core.actor", loaded)
         self.assertEqual([m for m in loaded if m.startswith(("ochrehoist.overload", "hdrh"))], [])
-        program = WorkerProcess(site=site_settings(), kernel=InstantKernel())
-        self.addCleanup(program.close)
+        program = self.start(site=site_settings(), kernel=InstantKernel())
         self.assertNotIn("overload", json.loads(program.operator_call()[1]))
         self.assertNotIn("app_loop_delay", program.operator_call(path="/status/metrics")[1])
 
--- a/tests/recovery/test_recovery.py
+++ b/tests/recovery/test_recovery.py
@@ -26,7 +26,8 @@
 from ochrehoist.recovery.startup_progress import MAX_IDLE_S, ReadinessFacts, StartupProgress, StartupStage
 from ochrehoist.recovery.witness_quorum import WitnessQuorumReport, missing_from_store
 from tests.support.environment import ROOT
-from tests.support.worker_process import WorkerProcess, run_command
+from tests.support.worker_cases import WorkerTestCase
+from tests.support.worker_process import run_command
 
 logging.getLogger("asyncio").setLevel(logging.CRITICAL)
 WINDOW = 20.0
@@ -277,7 +278,7 @@
         self.assertTrue(all("lost" in s for s in stages), stages)  # no witness remembers: nothing is proved
 
 
-class RecoveryWorkerTest(unittest.TestCase):
+class RecoveryWorkerTest(WorkerTestCase):
     """One worker with or without the table of recovery."""
 
     def test_nothing_of_it_is_loaded_without_its_table(self):
@@ -291,8 +292,7 @@
     def test_a_start_is_reported_stage_by_stage_and_logged(self):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
-        p = WorkerProcess(thrift=False, ajp=True, state={"folder": folder.name}, recovery={})
-        self.addCleanup(p.close)
+        p = self.start(thrift=False, ajp=True, state={"folder": folder.name}, recovery={})
         good, text = call_operator_api(p.addresses["Operators"], "POST", "/recovery/skip/warming")
         self.assertTrue(good, text)
         p.wait_for(lambda s: "'stage': 'full'" in s["recovery"])
--- a/tests/store/test_ownership.py
+++ b/tests/store/test_ownership.py
@@ -1,13 +1,13 @@
 """One owner of a folder at a time, and a worker without any."""
 
 import os
-import unittest
 from pathlib import Path
 
 from ochrehoist.lab.toml import toml_file
 from tests.store.worker_state_case import WorkerStateTestCase
 from tests.support.site_settings import site_settings
-from tests.support.worker_process import WorkerProcess, run_command
+from tests.support.worker_cases import WorkerTestCase
+from tests.support.worker_process import run_command
 
 
 class OwnershipTest(WorkerStateTestCase):
@@ -54,12 +54,11 @@
         self.assertEqual(said["restart_keys"], ["state.commit_ms", "state.folder"])
 
 
-class NoStoreTest(unittest.TestCase):
+class NoStoreTest(WorkerTestCase):
     """A worker without a store."""
 
     def test_a_worker_without_a_store_loads_nothing_of_it(self):
-        program = WorkerProcess()
-        self.addCleanup(program.close)
+        program = self.start()
         maps = Path(f"/proc/{program.process.pid}/maps").read_text()
         for library in ("apsw", "msgspec", "xxhash", "sqlite"):
             self.assertNotIn(f"/{library}", maps)
--- a/tests/store/worker_state_case.py
+++ b/tests/store/worker_state_case.py
@@ -4,13 +4,12 @@
 import shutil
 import tempfile
 import time
-import unittest
 from pathlib import Path
 from typing import Any, ClassVar
 
 from tests.support.environment import MEMORY_FOLDER, WAIT_LIMIT_S
 from tests.support.site_settings import long_window_settings
-from tests.support.worker_process import WorkerProcess
+from tests.support.worker_cases import WorkerTestCase
 
 KILL_AT = """
 import os, signal
@@ -25,7 +24,7 @@
 """
 
 
-class WorkerStateTestCase(unittest.TestCase):
+class WorkerStateTestCase(WorkerTestCase):
     """Starts workers on one store folder, one after the other."""
 
     how: ClassVar[dict[str, Any]] = {"thrift": False, "ajp": True}
@@ -41,9 +40,7 @@
     def start(self, state=None, **more):
         """A worker on the folder; `state`: more keys of its table."""
         values = {"folder": str(self.folder)} | self.patience | (state or {})
-        program = WorkerProcess(**self.how | {"site": long_window_settings(), "state": values} | more)
-        self.addCleanup(program.close)
-        return program
+        return super().start(**self.how | {"site": long_window_settings(), "state": values} | more)
 
     def kill(self, program):
         """Kills a worker."""
