--- a/tests/admission/test_stated_work.py
+++ b/tests/admission/test_stated_work.py
@@ -10,7 +10,9 @@
 from tests.admission.controller_driver import MS, Driver, S
 
 
-class Sizes(unittest.TestCase):
+class StatedWorkTest(unittest.TestCase):
+    """Run times predicted from the work that requests state."""
+
     def taught(self, tells=True, count=80):
         """A module whose runs take 100 ms on the mean, as they state; or whatever they state."""
         d, rng = Driver(marks_retries=False), Random(1)
@@ -52,7 +54,7 @@
         self.assertIn(d.request(remaining_ns=None, work_ns=just)[0], d.ids(StartRun))
         self.assertIn(d.request(remaining_ns=None, work_ns=over)[0], d.ids(RejectRequest))
 
-    def test_large_ones_do_not_teach_the_class_a_wrong_time(self):
+    def test_large_requests_do_not_distort_the_run_time_of_the_class(self):
         d = self.taught()
         before = d.controller.run_times.mean_run_ns[0].value
         for _ in range(5):
--- a/tests/app/test_operator_api.py
+++ b/tests/app/test_operator_api.py
@@ -7,11 +7,12 @@
 
 from tests.stand_ins.thrift_router import ThriftRouter
 from tests.support.environment import WAIT_LIMIT_S
-from tests.support.worker_cases import RunningWorkerTestCase
-from tests.support.worker_process import WorkerProcess
+from tests.support.worker_cases import RunningWorkerTestCase, WorkerTestCase
 
 
 class OperatorTestCase(RunningWorkerTestCase):
+    """Calls of the operators' address."""
+
     def raw(self, data, pieces=False):
         """The status line of what is answered to these bytes, sent at once or one by one."""
         with socket.create_connection(
@@ -22,7 +23,9 @@
             return sock.makefile("rb").readline().decode().split(" ")[1]
 
 
-class Calls(OperatorTestCase):
+class OperatorCallsTest(OperatorTestCase):
+    """Which calls there are, and clients that are slow or silent."""
+
     def test_each_call_and_what_is_none(self):
         for method, path, status in (
             ("GET", "/status", 200),
@@ -74,7 +77,9 @@
             sock.close()
 
 
-class Standby(OperatorTestCase):
+class StandbyTest(OperatorTestCase):
+    """A worker on standby."""
+
     def test_checks_and_reports_turn_bad_at_once_and_good_again_while_requests_are_decided_as_ever(self):
         check, router = self.program.thrift_router(), self.program.thrift_router()
         self.program.members.wait_for("UP")
@@ -94,7 +99,7 @@
         changes = self.program.logged("standby_changed")
         self.assertEqual([line["enabled"] for line in changes], [True, False])
 
-    def test_a_worker_on_standby_drains_and_ends_on_the_notice_and_active_does_not_undo_it(self):
+    def test_a_worker_on_standby_drains_on_the_shutdown_notice_and_active_does_not_undo_it(self):
         self.program.operator_call("POST", "/standby")
         router = self.program.thrift_router()
         seqid = router.invoke(body=b"last")
@@ -110,7 +115,9 @@
         self.assertEqual(self.program.wait_for_exit(), 0)
 
 
-class Figures(OperatorTestCase):
+class MetricsTest(OperatorTestCase):
+    """What the metrics count."""
+
     def test_every_counter_starts_at_0_and_each_request_counts_once_as_it_was_answered(self):
         counters = ("answered_total", "deferred_total", "errored_total", "sends_total")
 
@@ -155,10 +162,11 @@
         self.assertEqual(self.program.metric("current"), 0)
 
 
-class NotUp(unittest.TestCase):
-    def test_a_worker_whose_kernel_is_not_up_is_not_ready_and_counts_what_it_turns_away(self):
-        program = WorkerProcess(boot=False)
-        self.addCleanup(program.close)
+class KernelNotUpTest(WorkerTestCase):
+    """A worker whose kernel is not up."""
+
+    def test_a_worker_whose_kernel_is_not_up_is_not_ready_and_counts_its_rejections(self):
+        program = self.start(boot=False)
         self.assertEqual(program.operator_call()[0], 503)
         self.assertEqual(ThriftRouter(program.addresses["ThriftFront"]).call()[0], "Throttled")
         self.assertEqual(program.metric("deferred_total", "read"), 1)
--- a/tests/app/test_reload_bad_files.py
+++ b/tests/app/test_reload_bad_files.py
@@ -5,10 +5,12 @@
 from collections import Counter
 
 from ochrehoist.lab.toml import toml, toml_file
-from tests.app.reload_case import BAD, SEED, Changes, Load, site
+from tests.app.reload_case import BAD, SEED, Load, ReloadTestCase, site
 
 
-class Bad(Changes):
+class BadFilesTest(ReloadTestCase):
+    """Files that are cut or wrong in one place."""
+
     def turned_down(self, program, content):
         """What the log and `/status` say why."""
         why = program.reload("ajp.toml", content, BAD)["reason"]
@@ -63,7 +65,7 @@
         load.end()
         self.assertEqual((load.fault, load.kinds), (None, Counter({200: load.asked})))
 
-    def test_one_bad_tenant_or_rule_among_thousands_is_named_with_its_place(self):
+    def test_one_invalid_tenant_or_rule_among_thousands_is_named_with_its_position(self):
         program = self.start()
         web = program.ajp_client()
         self.serves_as_begun(web)
--- a/tests/app/test_reload_order.py
+++ b/tests/app/test_reload_order.py
@@ -12,8 +12,10 @@
 from tests.support.environment import WAIT_LIMIT_S
 
 
-class Crowded(unittest.TestCase):
-    def test_places_of_the_gone_are_given_up_but_for_those_with_a_filing_known(self):
+class TenantPlacesTest(unittest.TestCase):
+    """Positions of tenants that are gone."""
+
+    def test_positions_of_removed_tenants_are_freed_except_those_with_a_known_filing(self):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         path = appliance(folder.name, range(MIN_RETIRED_PLACES + 50), 1)
@@ -62,8 +64,9 @@
         def look():
             if done():
                 seen.append(True)
-                return loop.stop()
-            loop.call_later(0.01, look)
+                loop.stop()
+            else:
+                loop.call_later(0.01, look)
 
         look()
         loop.call_later(WAIT_LIMIT_S, loop.stop)
@@ -87,7 +90,7 @@
             (len(self.worker.parts.core.tenants), self.worker.parts.reloading.status.outcome), (4, "taken")
         )
 
-    def test_once_the_other_process_decides_nothing_is_taken_and_no_order_kept(self):
+    def test_once_the_other_process_decides_no_change_is_taken_and_no_reload_kept(self):
         self.prepared()
         reloading, rounds = self.worker.parts.reloading, []
         reloading.request_reload()  # one more, which came before
--- a/tests/app/test_replacement.py
+++ b/tests/app/test_replacement.py
@@ -25,7 +25,9 @@
 S = 1_000_000_000
 
 
-class Case(WorkerTestCase):
+class ReplacementTestCase(WorkerTestCase):
+    """A worker, and one that replaces it."""
+
     def replaced(self, old, **how):
         """The program that took the place of the old one, which has got its notice."""
         new = self.start(before=old, **how).wait_until_took_over()
@@ -37,8 +39,10 @@
         return str(next(Path(program.folder.name).glob("ochrehoist-*")))
 
 
-class Keys(Case):
-    def test_a_filing_repeated_at_each_moment_runs_once_and_every_try_gets_its_result(self):
+class IdempotencyKeysTest(ReplacementTestCase):
+    """Idempotency keys over replacements."""
+
+    def test_a_filing_retried_at_each_moment_runs_once_and_every_attempt_gets_its_result(self):
         old = self.start(passed=True)
         router = old.thrift_router()
         tries = {}
@@ -116,7 +120,9 @@
         self.assertEqual(third.operator_call()[0], 200)
 
 
-class Deaths(Case):
+class DeathsTest(ReplacementTestCase):
+    """Processes that die before, within and after a replacement."""
+
     def test_an_old_process_that_dies_leaves_its_unfinished_filing_counted_as_run(self):
         old = self.start(passed=True)
         router = old.thrift_router()
@@ -173,7 +179,7 @@
         router.close()
         self.assertEqual(old.wait_for_exit(), 0)
 
-    def test_a_stale_socket_and_one_that_says_nothing_useful(self):
+    def test_a_stale_socket_and_one_that_answers_garbage_are_ignored(self):
         old = self.start(passed=True)
         path = self.path(old)
         old.process.kill()
@@ -185,8 +191,10 @@
         self.assertEqual(ThriftRouter(new.addresses["ThriftFront"]).ping()[0], "Answer")
 
 
-class Around(Case):
-    def test_the_notice_to_the_old_one_is_no_leave_and_what_waits_is_left_to_the_new_one(self):
+class ReplacementEffectsTest(ReplacementTestCase):
+    """Shutdown notices, standby, operators' calls and concurrency over a replacement."""
+
+    def test_the_notice_to_the_replaced_process_reports_no_leave_and_waiting_requests_go_to_the_new_one(self):
         old = self.start(passed=True)
         old.members.wait_for("UP")
         check, router = old.thrift_router(), old.thrift_router()
@@ -225,7 +233,7 @@
         new.operator_call("POST", "/standby")
         self.assertEqual(new.operator_call()[0], 503)
 
-    def test_a_call_to_the_old_one_reaches_the_new_one_and_its_status_says_no(self):
+    def test_a_call_to_the_replaced_process_reaches_the_new_one_and_its_status_is_not_ready(self):
         old = self.start(passed=True)
         router = old.thrift_router()
         router.invoke()
@@ -236,7 +244,7 @@
         self.assertEqual(old.operator_call("POST", "/standby")[0], 200)
         new.wait_for(lambda said: said["state"] == "standby")
 
-    def test_the_crowd_of_both_stays_under_what_the_cores_survive(self):
+    def test_concurrency_of_both_processes_stays_under_the_survivable_concurrency(self):
         site = site_settings()
         site["Rules"]["TipMultiple"] = 1.5  # two runs at most, also once the worker is warm
         old = self.start(passed=True, site=site, stop_ms=30_000)
@@ -256,7 +264,9 @@
         self.assertEqual(other.answer(held)[2], b"two")
 
 
-class Appliance(Case):
+class ApplianceReplacementTest(ReplacementTestCase):
+    """Replacement of a worker that serves AJP."""
+
     def test_listening_sockets_keys_and_responses_go_over_to_the_new_one_on_ajp(self):
         old = self.start(thrift=False, ajp=True)
         key = {"Idempotency-Key": "f1", "X-Tenant": "acme"}
@@ -313,7 +323,9 @@
         self.assertTrue(new.kernel.scheduled.empty() and new.server.received.empty())
 
 
-class Passed(Case):
+class PassedSocketTest(ReplacementTestCase):
+    """The descriptor of a listening socket that is passed in."""
+
     def test_a_descriptor_that_does_not_listen_there_is_named(self):
         old = self.start(passed=True)
         for value in ("four", "99", "0"):
--- a/tests/capture/test_capture.py
+++ b/tests/capture/test_capture.py
@@ -32,7 +32,8 @@
 from ochrehoist.lab.toml import toml_file
 from tests.support.environment import MEMORY_FOLDER, MS, WAIT_LIMIT_S
 from tests.support.site_settings import short_deadline_settings, site_settings
-from tests.support.worker_process import WorkerProcess, run_command
+from tests.support.worker_cases import WorkerTestCase
+from tests.support.worker_process import run_command
 
 HEADER = CaptureHeader("n1", 10**18, 1.0, 4, 1000.0, (("read", 1, 2, 1.0, 0.0),), (("acme", 10.0),))
 
@@ -65,7 +66,9 @@
     return out
 
 
-class Format(unittest.TestCase):
+class CaptureFormatTest(unittest.TestCase):
+    """What is written is read, in any state of the file."""
+
     def test_what_is_written_is_read_in_order_of_time(self):
         capture = Capture()
         data = (
@@ -130,7 +133,9 @@
             self.assertIn(why, str(raised.exception))
 
 
-class Batching(unittest.TestCase):
+class BatchingTest(unittest.TestCase):
+    """Samples and batches."""
+
     def test_a_sample_takes_all_of_a_subject_or_none_the_same_everywhere(self):
         subjects = [b"%d" % n for n in range(20_000)]
         taken = {s for s in subjects if SubjectSampler(0.2).includes(s)}
@@ -139,7 +144,7 @@
         self.assertLess(taken, {s for s in subjects if SubjectSampler(0.5).includes(s)})
         self.assertTrue(all(SubjectSampler(1.0).includes(s) for s in subjects))
 
-    def test_past_the_batches_under_way_records_are_lost_and_told_once(self):
+    def test_beyond_the_batches_in_progress_records_are_lost_and_logged_once(self):
         b = BatchWindow(batch_records=4, max_in_flight=2)
         b.in_flight = 2
         self.assertFalse(b.has_capacity())
@@ -155,16 +160,16 @@
         self.assertFalse(file_is_complete(0, 59, 9, 60, 10))
 
 
-class Recorded(unittest.TestCase):
+class RecordedRequestsTest(WorkerTestCase):
+    """What a worker records."""
+
     def setUp(self):
         self.folder = Path(tempfile.mkdtemp(dir=MEMORY_FOLDER))
         self.addCleanup(shutil.rmtree, self.folder)
 
     def program(self, capture, **how):
         capture = {"folder": str(self.folder / "load")} | capture
-        program = WorkerProcess(thrift=False, ajp=True, capture=capture, **how)
-        self.addCleanup(program.close)
-        return program
+        return self.start(thrift=False, ajp=True, capture=capture, **how)
 
     def ended(self, program):
         program.process.terminate()
@@ -244,14 +249,15 @@
             self.assertEqual((done.returncode, key in done.stderr), (2, True), done.stderr)
 
 
-class Platform(unittest.TestCase):
+class NoCaptureTest(WorkerTestCase):
+    """A worker without a capture."""
+
     def test_a_worker_without_a_capture_loads_nothing_of_it(self):
         loaded = (
             'import atexit, sys\natexit.register(lambda: print(\'{"event": "loaded", "names": "\''
             " + ' '.join(m for m in sys.modules) + '\"}', file=sys.stderr))"
         )
-        program = WorkerProcess(fault=loaded)
-        self.addCleanup(program.close)
+        program = self.start(fault=loaded)
         program.process.terminate()
         program.wait_for_exit()
         names = program.logged("loaded")[0]["names"].split()
--- a/tests/core/test_tenants.py
+++ b/tests/core/test_tenants.py
@@ -10,13 +10,14 @@
 from tests.app.tenant_reload import NAMES, tenants
 
 
-class Table(unittest.TestCase):
+class TenantTableTest(unittest.TestCase):
+    """Any history of changes."""
+
     @given(st.lists(st.tuples(NAMES, st.sampled_from([1.0, 2.0])), max_size=8))
     def test_over_any_history_who_stays_keeps_its_position_and_who_comes_back_finds_it(self, history):
         table, positions = initial_table(()), {}
         for numbers, quota in history:
-            known = {t.name: t for t in table.listed}
-            listed = tuple(t if known.get(t.name) == t else t for t in tenants(numbers, quota))
+            listed = tuple(tenants(numbers, quota))
             before, table = table, run_to_completion(updated_table(table, listed))
             self.assertEqual(table.listed, listed)
             self.assertEqual(set(table.positions), {t.name for t in listed})
@@ -32,7 +33,7 @@
                 self.assertIs(table, before)
 
     @given(NAMES, NAMES, NAMES)
-    def test_a_compact_table_has_those_in_force_first_and_of_the_gone_only_those_used(self, old, new, used):
+    def test_a_compact_table_has_listed_tenants_first_and_only_the_used_of_the_removed(self, old, new, used):
         table = run_to_completion(updated_table(initial_table(tenants(old)), tenants(new)))
         names = {f"t{n}" for n in used}
         got = run_to_completion(compacted_table(table, names))
@@ -41,7 +42,7 @@
         for name, position in (got.positions | got.retired).items():
             self.assertEqual(got.by_position[position].name, name)
 
-    def test_it_is_crowded_once_more_than_the_spare_places_and_a_tenth_are_of_the_gone(self):
+    def test_compaction_is_due_once_removed_tenants_exceed_the_spare_positions_and_a_tenth(self):
         for stay, gone, crowded in (
             (0, MIN_RETIRED_PLACES, False),
             (0, MIN_RETIRED_PLACES + 1, True),
--- a/tests/golden/test_command_output.py
+++ b/tests/golden/test_command_output.py
@@ -132,16 +132,15 @@
 
 def status_texts():
     """Of each view that is on record: a group, and parts of a status as workers report them."""
-    texts = []
-    for name, views in json.loads((RECORDED / "views.json").read_text()).items():
-        for view in views:
-            texts.append(
-                shown_status({"peers": peers, "sites": sites, "recovery": recovery}[name], name, view)
-            )
+    groups = {"peers": peers, "sites": sites, "recovery": recovery}
+    recorded = json.loads((RECORDED / "views.json").read_text())
+    texts = [shown_status(groups[name], name, view) for name, views in recorded.items() for view in views]
     return "---\n".join(texts)
 
 
-class CommandOutput(unittest.TestCase):
+class CommandOutputTest(unittest.TestCase):
+    """Commands run as they were recorded."""
+
     maxDiff = 4000
 
     def test_each_command_prints_and_writes_what_was_recorded(self):
--- a/tests/lab/test_fleet_scenarios.py
+++ b/tests/lab/test_fleet_scenarios.py
@@ -1,6 +1,7 @@
-"""Several processes of the program with faults between them, judged from outside: short forms of the
-laboratory's plays. No verdict rests on how fast this machine is: rules, bounds, and ratios to the same
-play's quiet part."""
+"""Several workers with faults between them, judged from outside: short forms of the lab's scenarios.
+
+No verdict rests on how fast this machine is: rules, bounds, and ratios to the same run's quiet part.
+"""
 
 import json
 import logging
@@ -18,7 +19,8 @@
 from ochrehoist.peers.service_health import UNHEALTHY
 from tests.support.environment import ROOT
 from tests.support.site_settings import site_settings
-from tests.support.worker_process import WorkerProcess, run_command
+from tests.support.worker_cases import WorkerTestCase
+from tests.support.worker_process import run_command
 
 logging.getLogger("asyncio").setLevel(logging.CRITICAL)
 WORKERS = ["w0", "w1", "w2", "w3", "w4"]
@@ -49,7 +51,9 @@
     return ScenarioRun(scenario, seed, prolongs=has_unused_budget).run()
 
 
-class Faults(unittest.TestCase):
+class FleetFaultsTest(unittest.TestCase):
+    """Scenarios of several workers with faults between them."""
+
     def keeps(self, v):
         self.assertEqual(v["broken"], [])
         for b in v["budgets"].values():
@@ -117,7 +121,7 @@
         self.assertEqual(sum(f["budgets"]["again"]["held"] for f in v["final"].values()), 8)
 
     def left_out(self, v, service, until):
-        """s for which each worker left a service out."""
+        """S for which each worker left a service out."""
         spans = dict.fromkeys(WORKERS, 0.0)
         since = {}
         for at, w, s, standing, _ in [*v["judged"], *((until, w, service, "end", "") for w in WORKERS)]:
@@ -187,13 +191,11 @@
         self.assertNotIn("w99", v["final"]["w0"]["members"])
 
 
-class OneWorker(unittest.TestCase):
+class OneWorker(WorkerTestCase):
     """What the file switches on, and what a worker says of it."""
 
     def worker(self, peers=None, **more):
-        p = WorkerProcess(thrift=False, ajp=True, peers=peers, **more)
-        self.addCleanup(p.close)
-        return p
+        return self.start(thrift=False, ajp=True, peers=peers, **more)
 
     def table(self, **changes):
         return {"listen": "127.0.0.1:0", "group": "g", "secrets": ["sixteen characters"]} | changes
@@ -206,7 +208,7 @@
         done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True)
         self.assertEqual(done.stdout.strip(), "[]", done.stderr)
 
-    def test_the_command_tells_what_there_is(self):
+    def test_the_command_lists_the_scenarios(self):
         p = self.worker(self.table(members={"n2": "127.0.0.1:9"}))
         shown = p.run_operator_command("peers", "show")
         self.assertEqual((shown.returncode, shown.stderr), (0, ""))
@@ -254,7 +256,7 @@
         self.assertEqual(done.returncode, 2, done.stdout)
         return done.stderr
 
-    def test_a_secret_is_changed_by_two_steps_and_voters_one_at_a_time(self):
+    def test_a_secret_is_changed_in_two_steps_and_grantors_one_at_a_time(self):
         p = self.worker(self.table(members={"n2": "127.0.0.1:9", "n3": "127.0.0.1:8"}, voters=["n1"]))
 
         def reloaded(event="config_reloaded", **changes):
@@ -268,8 +270,7 @@
 
     def test_a_process_that_replaces_another_is_the_same_member(self):
         first = self.worker(self.table(), stop_ms=8000)
-        second = WorkerProcess(thrift=False, ajp=True, peers=self.table(), before=first, server=first.server)
-        self.addCleanup(second.close)
+        second = self.start(thrift=False, ajp=True, peers=self.table(), before=first, server=first.server)
         second.wait_until_took_over()
         first.process.terminate()
         self.assertEqual(first.wait_for_exit(), 0)
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -41,7 +41,9 @@
     return out
 
 
-class Runs(unittest.TestCase):
+class ScaleRunsTest(unittest.TestCase):
+    """Runs with real and hollow workers."""
+
     def setUp(self):
         self.folder = self.enterContext(tempfile.TemporaryDirectory())
         self.mark = f"SCALE_TEST={uuid.uuid4()}"
@@ -137,7 +139,7 @@
         self.assertIn("change 2:", said)
         self.assertIn("<h2>For each worker, at rest</h2>", page.read_text())
 
-    def test_memory_and_time_are_kept_and_said(self):
+    def test_limits_of_memory_and_time_are_enforced_and_reported(self):
         for bound, word in ((("--most-memory", 40), "memory"), (("--limit", 3), "time")):
             with self.subTest(word):
                 out = Path(self.folder, f"{word}.json")
@@ -164,7 +166,7 @@
         process.kill()
         process.communicate(timeout=WAIT_LIMIT_S)  # what is left is looked at when the test is over
 
-    def test_a_run_is_told_against_another(self):
+    def test_a_run_is_compared_with_another(self):
         one = {
             "spec": {"members": 20, "seed": 1, "real": 0, "pace": 1.0},
             "version": "then",
@@ -199,7 +201,9 @@
     } | more
 
 
-class Report(unittest.TestCase):
+class ScaleReportTest(unittest.TestCase):
+    """Slopes, comparisons and calibration."""
+
     def test_slopes_are_least_squares_over_whole_runs_with_their_residual(self):
         runs = [made(n, 0.01 + 0.0002 * n) for n in (20, 50, 100)]
         runs += [made(400, 9.0, ended="memory: over"), made(800, 9.0, trusted=False)]
@@ -221,7 +225,7 @@
         self.assertAlmostEqual(row[3], 0.01)
         self.assertAlmostEqual(row[5], 0.25)
 
-    def test_a_check_says_by_how_much_hollow_workers_are_out(self):
+    def test_calibration_reports_the_error_of_hollow_workers(self):
         rest = {
             "not_voters": {"sent_per_s": {"p50": 20.0}, "peers_cpu_s": {"p50": 0.010}},
             "was_late": 0,
@@ -243,7 +247,9 @@
         self.assertIn("not checked", report.calibration_lines([told])[0])
 
 
-class Parts(unittest.TestCase):
+class ScalePartsTest(unittest.TestCase):
+    """Network and topology of a run."""
+
     def test_nothing_passes_between_the_two_sides_of_a_cut(self):
         network, a, b, c = PartitionedNetwork(), ("127.0.0.1", 1), ("127.0.0.1", 2), ("127.0.0.1", 3)
         network.partitions.append(frozenset((a, b)))
--- a/tests/lab/test_site_scenarios.py
+++ b/tests/lab/test_site_scenarios.py
@@ -1,5 +1,7 @@
-"""Several processes in two and three sites, with faults between them, judged from outside: short forms of the
-laboratory's plays. Rules, bounds, and ratios to the same play's quiet part."""
+"""Workers in two and three sites with faults between them: short forms of the lab's scenarios.
+
+No verdict rests on how fast this machine is: rules, bounds, and ratios to the same run's quiet part.
+"""
 
 import json
 import logging
@@ -13,7 +15,8 @@
 from ochrehoist.lab.scenario_runner import ScenarioRun
 from ochrehoist.net.operator_server import call_operator_api
 from tests.support.environment import ROOT
-from tests.support.worker_process import WorkerProcess, run_command
+from tests.support.worker_cases import WorkerTestCase
+from tests.support.worker_process import run_command
 
 logging.getLogger("asyncio").setLevel(logging.CRITICAL)
 TWO = {"brussels": ["w0", "w1", "w2"], "antwerp": ["w3", "w4", "w5"]}
@@ -40,8 +43,10 @@
     return ScenarioRun(parse(values | changes), seed).run()
 
 
-class OverProcesses(unittest.TestCase):
-    def test_a_site_is_lost_known_to_be_and_comes_back_by_steps(self):
+class SiteFaultsTest(unittest.TestCase):
+    """Scenarios of several sites with faults between them."""
+
+    def test_a_lost_site_is_recognised_and_returns_in_stages(self):
         # On a busy machine the killed workers take up to 4 s to start, and then need time for a stage.
         v = play([{"at": 7.0, "kind": "kill", "who": ["antwerp"], "lasts": 4.0}], seconds=22.0)
         self.assertEqual(v["broken"], [])
@@ -62,7 +67,7 @@
         self.assertGreater(len([x for x in v["known"] if x[3] in ("cut", "unheard")]), 0)
         self.assertGreater(v["goodput"]["faults"]["all"], 0.9 * v["goodput"]["quiet"]["all"])
 
-    def test_two_sites_that_come_back_together_never_step_at_once(self):
+    def test_two_sites_that_return_together_never_advance_a_stage_at_once(self):
         sites = {"brussels": ["w0", "w1"], "antwerp": ["w2", "w3"], "ghent": ["w4", "w5"]}
         v = play(
             [{"at": 4.0, "kind": "kill", "who": ["antwerp", "ghent"], "lasts": 1.5}],
@@ -72,7 +77,7 @@
         self.assertEqual(v["broken"], [])  # of which steps at once are one
         self.assertGreater(len(v["stepped"]), 0)
 
-    def test_operators_empty_a_site_though_one_worker_does_not_hear_the_order_and_let_it_return(self):
+    def test_operators_evacuate_a_site_though_one_worker_misses_the_command_and_let_it_return(self):
         v = play(
             [
                 {"at": 2.0, "kind": "cut", "who": ["w5"], "lasts": 2.0},
@@ -90,7 +95,9 @@
         self.assertTrue(all("order" in text for _, _, text in v["told"]), v["told"])
 
 
-class OneWorker(unittest.TestCase):
+class OneSiteWorkerTest(WorkerTestCase):
+    """One worker with or without the table of sites."""
+
     def worker(self, sites, **peers):
         table = {
             "listen": "127.0.0.1:0",
@@ -99,9 +106,7 @@
             "site": "a",
             "voters": ["n1"],
         } | peers
-        p = WorkerProcess(thrift=False, ajp=True, peers=table, sites=sites)
-        self.addCleanup(p.close)
-        return p
+        return self.start(thrift=False, ajp=True, peers=table, sites=sites)
 
     def test_nothing_of_it_is_loaded_without_its_table(self):
         code = (
--- a/tests/net/test_ajp_filings.py
+++ b/tests/net/test_ajp_filings.py
@@ -1,13 +1,15 @@
 """Filings over AJP, with servers that cannot be reached."""
 
-from tests.net.ajp_case import AjpCase
+from tests.net.ajp_case import AjpTestCase
 
 
-class Filings(AjpCase):
+class FilingsTest(AjpTestCase):
+    """Filings and their repeats."""
+
     def file(self, web, key, body=b"doc"):
         web.request("POST", "/filings", {"Idempotency-Key": key}, body)
 
-    def test_a_repeat_gets_the_first_ones_response_and_other_content_is_turned_away(self):
+    def test_a_retry_gets_the_first_response_and_one_with_other_content_is_rejected(self):
         web, other = self.program.ajp_client(), self.program.ajp_client()
         self.file(web, "k1")
         respond = self.server.next_request().respond
@@ -22,7 +24,9 @@
         self.assertTrue(self.server.received.empty())
 
 
-class FilingsUnreached(AjpCase):
+class UnreachedFilingsTest(AjpTestCase):
+    """Filings while no server can be reached."""
+
     def test_a_filing_that_reached_no_server_may_run_when_it_is_repeated(self):
         web, filing = self.program.ajp_client(), ("POST", "/filings", {"Idempotency-Key": "k"}, b"doc")
         self.server.refuse()
--- a/tests/net/test_bad_clients.py
+++ b/tests/net/test_bad_clients.py
@@ -7,16 +7,17 @@
 from tests.stand_ins.ajp_client import AjpClient
 from tests.stand_ins.sockets import RecordingSocket, connection_end
 from tests.stand_ins.thrift_router import ThriftRouter
-from tests.support.worker_process import WorkerProcess
+from tests.support.worker_cases import WorkerTestCase
 
 DUE = 3.0  # s from connecting to a word or a close
 HEAD = struct.pack(">I", 500) + b"\x80\x01"
 
 
-class Bad(unittest.TestCase):
+class BadClientsTest(WorkerTestCase):
+    """Clients that are slow, silent or speak another protocol."""
+
     def setUp(self):
-        self.program = WorkerProcess(ajp=True, sockets=160)
-        self.addCleanup(self.program.close)
+        self.program = self.start(ajp=True, sockets=160)
         self.kernel = self.program.kernel
 
     def test_the_silent_the_half_sent_and_those_that_take_all_back_are_closed_in_time(self):
@@ -50,7 +51,7 @@
         self.assertEqual(web.answer()[2], b"served")
         del crowd
 
-    def test_a_rightful_request_that_takes_two_seconds_to_come_outlives_a_crowd_of_idle_ones(self):
+    def test_a_valid_request_that_takes_two_seconds_to_arrive_survives_many_idle_connections(self):
         at, keeper = self.program.addresses["ThriftFront"], self.program.thrift_router()
         self.program.serve_one(keeper)
         self.program.serve_one(keeper)
@@ -65,7 +66,7 @@
         began, crowd, step, opened = time.monotonic(), [], 0, 0
         while (spent := time.monotonic() - began) < 2.1:
             if spent > opened / 100:  # a hundred pairs a second: the table is full after half of one
-                crowd = crowd[-300:] + [ThriftRouter(at), AjpClient(self.program.addresses["AjpFront"])]
+                crowd = [*crowd[-300:], ThriftRouter(at), AjpClient(self.program.addresses["AjpFront"])]
                 opened += 1
             self.assertEqual(keeper.ping()[0], "Answer")
             if spent > step / 10:  # a piece each tenth of a second
@@ -120,7 +121,7 @@
         self.kernel.reap(rid)
         self.program.serve_one(router)
 
-    def test_a_filing_that_the_kernel_was_never_told_of_leaves_its_key_free(self):
+    def test_a_filing_that_never_reached_the_kernel_leaves_its_key_free(self):
         bad, router = self.program.thrift_router(), self.program.thrift_router()
         seqid = bad.invoke("filing", b"invented", token="key")
         self.kernel.reject(self.kernel.next_run().request_id)
--- a/tests/overload/test_bulkheads.py
+++ b/tests/overload/test_bulkheads.py
@@ -12,7 +12,9 @@
 from tests.overload.overload_requests import SITE
 
 
-class Bulkheads(unittest.TestCase):
+class BulkheadsTest(unittest.TestCase):
+    """Floors, reserves and low-cost classes."""
+
     def test_floors_fit_and_are_kept_for_filings_first(self):
         for total in (1, 2, 3, 5, 9, 40):
             reported = bulkhead_limits(total, SITE, {}, 0.0, set(), True)
@@ -41,6 +43,6 @@
         self.assertEqual(low_cost_classes(activity), {"low"})
         self.assertEqual(low_cost_classes({"read": activity["read"]}), set())
 
-    def test_without_a_total_the_module_alone_says_how_many_run(self):
+    def test_without_a_total_the_controller_alone_limits_concurrency(self):
         reported = bulkhead_limits(None, SITE, {"low": ClassActivity(last_arrival_s=0.0)}, 0.0, {"low"}, True)
         self.assertEqual((reported.total, reported.class_caps), (UNLIMITED, (32, 32, 32)))
--- a/tests/overload/test_concurrency_limits.py
+++ b/tests/overload/test_concurrency_limits.py
@@ -7,7 +7,9 @@
 from ochrehoist.overload.concurrency_limits import LIMIT_ALGORITHMS, ExtremumSeekingLimit, LimitBounds
 
 
-class FindingAConcurrencyLimit(unittest.TestCase):
+class ConcurrencyLimitTest(unittest.TestCase):
+    """Limits that search for the best concurrency."""
+
     def settled(self, controller, time_of, windows=400, noise=0.05, seed=1):
         rng, limits_seen = Random(seed), []
         for n in range(windows):
@@ -32,7 +34,7 @@
         found = self.settled(moved, lambda n, at: half[at > 100](n, at), windows=600)
         self.assertTrue(3 <= found <= 7.5, found)
 
-    def test_none_leaves_its_bounds_and_an_unused_limit_teaches_nothing(self):
+    def test_no_limit_leaves_its_bounds_and_an_unused_limit_does_not_move(self):
         for name, kind in LIMIT_ALGORITHMS.items():
             controller = kind(5.0, LimitBounds(2, 9))
             self.settled(controller, lambda n, at: 1.0 + (at % 7), windows=300, noise=1.0)
--- a/tests/overload/test_cost_prediction.py
+++ b/tests/overload/test_cost_prediction.py
@@ -10,7 +10,9 @@
 from tests.overload.overload_requests import MS, SITE, S, request
 
 
-class CostPrediction(unittest.TestCase):
+class CostPredictionTest(unittest.TestCase):
+    """By stated work, by subject and by size."""
+
     def learned(self, expensive_share=0.02, stated=True, seed=1, count=1500, key=None, kb=None):
         """Runs of 100 ms and some, a few of which cost 15 times that."""
         rng, predictor, right, wrong, missed = Random(seed), CostPredictor(), 0, 0, 0
@@ -60,7 +62,7 @@
             predictor.learn(r, n, 0.1 * rng.lognormvariate(0, 0.5), 1.0)
         self.assertEqual(predictor.cost_multiple(request(work=100 * S), 500.0), 1.0)
 
-    def test_the_module_does_not_learn_a_class_from_its_expensive_runs(self):
+    def test_expensive_runs_do_not_change_the_run_time_of_a_class(self):
         limiter, now = AdaptiveLimiter(OverloadConfig(low_priority_lane=True), SITE, 1), 0
         reported = []
         for n in range(400):
--- a/tests/peers/test_outlier_detection.py
+++ b/tests/peers/test_outlier_detection.py
@@ -14,7 +14,9 @@
 )
 
 
-class Outliers(unittest.TestCase):
+class OutlierDetectionTest(unittest.TestCase):
+    """Slow and failing services, seen by one worker and by several."""
+
     def setUp(self):
         self.reports = {}
         self.outliers = OutlierDetector(("s0", "s1", "s2"), 0.5, 1, remote_reports=lambda: self.reports)
@@ -76,7 +78,7 @@
                 self.run_at(self.outliers.rank_services({}, now)[0], now)
         self.assertLess(now, 3.3 + BASE_EJECTION_S + 1.0)
 
-    def test_one_that_several_see_bad_takes_the_place_of_one_left_out_alone(self):
+    def test_a_service_seen_bad_by_several_replaces_one_ejected_by_a_single_worker(self):
         self.seen(0.0)
         self.seen(3.0, slow=("s1",), status=HealthStatus.FAILING)
         self.assertEqual(self.states(3.1), ["in", "out", "in"])
--- a/tests/peers/test_wire.py
+++ b/tests/peers/test_wire.py
@@ -9,7 +9,9 @@
 from tests.peers.peer_messages import SECRETS, message
 
 
-class Wire(unittest.TestCase):
+class WireTest(unittest.TestCase):
+    """Encoding, signatures and bounds."""
+
     def test_a_message_comes_as_it_was_sent(self):
         self.assertEqual(
             wire.decode_datagram(wire.encode_datagram(message(), SECRETS[0]), SECRETS, "g"), message()
@@ -24,7 +26,7 @@
         with self.assertRaises(wire.MessageRejectedError):
             wire.decode_datagram(said_old, (new,), "g")
 
-    def test_strangers_other_groups_and_versions_are_told_apart(self):
+    def test_strangers_other_groups_and_other_versions_are_distinguished(self):
         body = bytes((wire.VERSION + 1,)) + b"x"
         for data, why in (
             (wire.encode_datagram(message(), b"another secret...."), "stranger"),
--- a/tests/plan/test_cores.py
+++ b/tests/plan/test_cores.py
@@ -9,7 +9,9 @@
 from tests.plan.example_fleet import WORK
 
 
-class SharedCores(unittest.TestCase):
+class SharedCoresTest(unittest.TestCase):
+    """Work on cores that are shared, cold or overcrowded."""
+
     @settings(max_examples=150, deadline=None)
     @given(WORK, st.integers(1, 8), st.floats(0.2, 2), st.floats(0, 5))
     def test_all_work_is_done_once_and_none_sooner_than_alone(self, work, cores, speed, cold_s):
@@ -30,7 +32,7 @@
         at, amount = begun[max(begun)]
         self.assertGreaterEqual(ends[max(begun)] - at, amount / speed - 1e-6)
 
-    def test_past_the_crowd_all_together_get_less_done(self):
+    def test_beyond_the_crowding_limit_total_throughput_falls(self):
         m = Machine(4, 1.0, slow_from=1.5, slow_to=0.6, crowd=8.0)
         self.assertEqual([m.efficiency(n) for n in (1, 4, 6)], [1.0] * 3)
         self.assertAlmostEqual(m.efficiency(32), 0.6)
--- a/tests/plan/test_fit.py
+++ b/tests/plan/test_fit.py
@@ -9,7 +9,9 @@
 from ochrehoist.plan.fit import estimate_all
 
 
-class Fit(unittest.TestCase):
+class FitTest(unittest.TestCase):
+    """Parameters and their intervals."""
+
     def entries(self, speed=0.7, cores=4, slow_from=2.0, count=3000, crowd=24):
         """Runs as a machine of that speed has them, whose crowd is another every two seconds."""
         rng, machine = Streams(5)["work"], Machine(cores, speed, slow_from=slow_from, slow_to=0.4, crowd=8.0)
@@ -63,7 +65,7 @@
         rate = found["first tries a second"]
         self.assertTrue(rate.low <= firsts / capture.duration_s <= rate.high, rate)
 
-    def test_what_a_capture_cannot_tell_gets_no_number(self):
+    def test_what_a_capture_does_not_determine_gets_no_number(self):
         found = self.told(self.entries(crowd=4))  # never more than the cores
         self.assertIsNone(found["n1: running a core, past which work slows"].value)
         self.assertIn("never seen to slow", found["n1: running a core, past which work slows"].note)
--- a/tests/plan/test_measure.py
+++ b/tests/plan/test_measure.py
@@ -13,8 +13,10 @@
 from tests.plan.example_fleet import fleet
 
 
-class Measure(unittest.TestCase):
-    def test_a_worker_is_told_the_same_as_the_model(self):
+class MeasureTest(unittest.TestCase):
+    """Measured workers against the model."""
+
+    def test_a_worker_gets_the_same_calls_as_the_model(self):
         f = fleet()
         kind = f.kinds[0]
         told = settings_from(platform_settings(f, kind))
@@ -32,7 +34,7 @@
         for stand in play.machines:
             self.assertLessEqual(len(stand.started_runs), stand.statistics.tries)
 
-    def test_a_call_that_a_crowded_machine_begins_late_is_counted_by_when_it_was_due(self):
+    def test_a_call_that_a_busy_machine_sends_late_is_counted_from_when_it_was_due(self):
         f = fleet().at(0.5)
         first = PlannedCall(0.1, 0, 0, 1, 0.01, 0.01, 0, 20.0)
         wishes = [first, dataclasses.replace(first, starts_at=math.nextafter(1.0, 0.0))]  # begun after 1 s
--- a/tests/plan/test_plan_answers.py
+++ b/tests/plan/test_plan_answers.py
@@ -57,7 +57,9 @@
     return Capture([CaptureHeader("n1", 0, 1.0, 4, 1.0, (), ())], entries)
 
 
-class Pages(unittest.TestCase):
+class PlanPagesTest(unittest.TestCase):
+    """Pages of answers."""
+
     def answers(self):
         f = fleet(load__rate=35.0)
         yield "forecast", forecast(f, (1, 2), 12.0, 1, quiet)
@@ -135,11 +137,13 @@
             self.assertEqual(Path(folder, "page-1.png").read_bytes()[:4], b"\x89PNG")
 
 
-class TwoCaptures(unittest.TestCase):
+class CaptureComparisonTest(unittest.TestCase):
+    """Two captures compared."""
+
     def told(self, a, b):
         return {c.what: c for c in compare_captures(a, b)}
 
-    def test_what_changed_is_told_from_chance(self):
+    def test_changes_are_distinguished_from_chance(self):
         found = self.told(capture(), capture(rate=30.0, refused=0.2, seed=2))
         for what, change in (("first tries a second", 0.5), ("read: refused", 3.0)):
             line = found[what]
@@ -157,7 +161,7 @@
         ]
         self.assertLessEqual(len(clear), 12, clear)  # of 110; a twentieth each by chance
 
-    def test_what_cannot_be_told_gets_no_interval(self):
+    def test_what_cannot_be_determined_gets_no_interval(self):
         short = self.told(capture(seconds=20), capture(seconds=20, seed=2))
         self.assertIsNone(short["first tries a second"].low)
         self.assertIn("no interval", short["first tries a second"].note)
@@ -168,7 +172,9 @@
         self.assertRaises(ValueError, compare_captures, Capture(), capture())
 
 
-class BrokenOff(unittest.TestCase):
+class InterruptedRunsTest(unittest.TestCase):
+    """Runs that are broken off."""
+
     def after(self, count):
         def progress(done, _):
             if done > count:
@@ -176,7 +182,7 @@
 
         return progress
 
-    def test_what_is_known_so_far_is_told_and_nothing_of_half_a_pair(self):
+    def test_an_interrupted_run_reports_what_is_complete_and_no_half_of_a_pair(self):
         f = fleet()
         runs = [Run(f, seed, 12.0) for seed in range(1, 6)]
         self.assertEqual(len(execute_until_interrupted(runs, 1, self.after(3))), 3)
@@ -209,8 +215,10 @@
         )
 
 
-class Recorded(unittest.TestCase):
-    def test_a_repeat_whose_first_try_no_worker_saw_is_a_call_and_any_other_is_none(self):
+class RecordedCallsTest(unittest.TestCase):
+    """Calls as captures record them."""
+
+    def test_a_retry_whose_first_attempt_no_worker_saw_is_a_call_and_any_other_is_not(self):
         def tried(at, work, retry, caller=1):
             seen = RequestRecord(
                 0, "company-read", "startdesk", "thrift", 7, work, caller, "", retry, 1, 0, 0, 0, 0, 0
@@ -231,7 +239,7 @@
         )
         self.assertEqual([round(w.starts_at * 1000) for w in wishes], [0, 60, 95, 9000])
 
-    def test_what_real_workers_saw_is_each_try_that_reached_them(self):
+    def test_real_workers_record_each_attempt_that_reached_them(self):
         with tempfile.TemporaryDirectory() as folder:
             f = fleet().at(0.6)
             play = MeasuredRun(
@@ -253,7 +261,7 @@
             values = forecast(f, (1,), 12.0, 1, quiet)
             self.assertTrue(0 < values["goodput"]["mean"] <= 1)
 
-    def test_a_measurement_tells_how_late_its_calls_began(self):
+    def test_a_measurement_reports_how_late_its_calls_were_sent(self):
         values = measure(fleet().at(0.4), 1, 6.5, None, quiet)
         self.assertGreaterEqual(values["late_p99_ms"], 0)
         self.assertTrue(math.isfinite(values["ratio"]))
--- a/tests/plan/test_questions.py
+++ b/tests/plan/test_questions.py
@@ -15,7 +15,9 @@
 from tests.plan.example_fleet import fleet, quiet
 
 
-class Questions(unittest.TestCase):
+class QuestionsTest(unittest.TestCase):
+    """Answers and their intervals."""
+
     def test_an_interval_needs_two_runs_and_narrows_with_more(self):
         self.assertIsNone(interval_of([0.5]).half_width)
         self.assertLess(interval_of([0.4, 0.5, 0.6] * 3).half_width, interval_of([0.4, 0.5, 0.6]).half_width)
@@ -27,7 +29,7 @@
         self.assertLess(found["tried"].get(str(found["needed"] - 1), 0.0), 0.9)
         self.assertEqual(found["with_one_lost"], found["needed"] + 1)
 
-    def test_what_cannot_be_told_gets_no_number(self):
+    def test_what_cannot_be_determined_gets_no_number(self):
         f = fleet()
         for ask in (
             lambda: find_size(f, "fast-node", 1.2, (1,), 12.0, 1, quiet),
--- a/tests/recovery/test_recovery.py
+++ b/tests/recovery/test_recovery.py
@@ -26,7 +26,8 @@
 from ochrehoist.recovery.startup_progress import MAX_IDLE_S, ReadinessFacts, StartupProgress, StartupStage
 from ochrehoist.recovery.witness_quorum import WitnessQuorumReport, missing_from_store
 from tests.support.environment import ROOT
-from tests.support.worker_process import WorkerProcess, run_command
+from tests.support.worker_cases import WorkerTestCase
+from tests.support.worker_process import run_command
 
 logging.getLogger("asyncio").setLevel(logging.CRITICAL)
 WINDOW = 20.0
@@ -95,7 +96,9 @@
     ]
 
 
-class Witnesses(unittest.TestCase):
+class WitnessesTest(unittest.TestCase):
+    """Intents recorded at witnesses."""
+
     @limits(max_examples=60, deadline=None)
     @given(st.integers(0, 10**6), st.integers(1, 5), st.floats(0, 0.6), st.floats(1, 30))
     @example(20201, 2, 0.25, 21.0)  # asked 0.1 s after the end of a window whose filing had waited 0.12 s
@@ -163,7 +166,9 @@
         decode(topic, data)
 
 
-class Stages(unittest.TestCase):
+class StartupStagesTest(unittest.TestCase):
+    """The stages of a start, and when service is full again."""
+
     def setUp(self):
         self.now = 0.0
         self.progress, self.service_level = StartupProgress(0.0), ServiceLevelMonitor(0.0)
@@ -197,7 +202,7 @@
         self.assertEqual(self.evaluate(1, ReadinessFacts(), good=3), StartupStage.WARMING)
         self.assertEqual(self.evaluate(3, ReadinessFacts(), good=3), StartupStage.FULL)
 
-    def test_as_good_as_before_is_enough_and_silence_is_said_to_be_no_measure(self):
+    def test_service_as_good_as_before_is_full_and_no_traffic_is_no_measure(self):
         self.service_level = ServiceLevelMonitor(0.0, usual_good_ratio=0.6)
         self.assertEqual(self.evaluate(4, ReadinessFacts(), good=2, rejected=1), StartupStage.FULL)
         self.setUp()
@@ -230,7 +235,9 @@
     return ScenarioRun(parse(values | changes), seed).run()
 
 
-class OverProcesses(unittest.TestCase):
+class LostFoldersTest(unittest.TestCase):
+    """Scenarios of workers that lost their folders."""
+
     def test_two_that_lost_their_folders_take_filings_again_and_none_runs_twice(self):
         v = play(
             [{"at": 8.0, "kind": "kill", "who": ["w0", "w1"], "lasts": 0.2, "store": "removed"}], seconds=14.0
@@ -242,7 +249,7 @@
             self.assertEqual(told["store"]["hold_s"], 0, told)
         self.assertGreater(v["goodput"]["after"]["filing"], 0.85 * v["goodput"]["quiet"]["filing"])
 
-    def test_an_older_folder_is_found_out_and_a_worker_cut_off_from_its_witnesses_begins_nothing(self):
+    def test_an_older_folder_is_detected_and_a_worker_without_its_witnesses_starts_nothing(self):
         v = play(
             [
                 {"at": 6.0, "kind": "kill", "who": ["w0"], "lasts": 0.2, "store": "older"},
@@ -271,7 +278,9 @@
         self.assertTrue(all("lost" in s for s in stages), stages)  # no witness remembers: nothing is proved
 
 
-class OneWorker(unittest.TestCase):
+class RecoveryWorkerTest(WorkerTestCase):
+    """One worker with or without the table of recovery."""
+
     def test_nothing_of_it_is_loaded_without_its_table(self):
         code = (
             "import sys, ochrehoist.app.worker, ochrehoist.net.peers, ochrehoist.store.journal; "
@@ -280,16 +289,15 @@
         done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True)
         self.assertEqual(done.stdout.strip(), "[]", done.stderr)
 
-    def test_a_start_is_told_stage_by_stage_and_leaves_a_line_on_record(self):
+    def test_a_start_is_reported_stage_by_stage_and_logged(self):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
-        p = WorkerProcess(thrift=False, ajp=True, state={"folder": folder.name}, recovery={})
-        self.addCleanup(p.close)
+        p = self.start(thrift=False, ajp=True, state={"folder": folder.name}, recovery={})
         good, text = call_operator_api(p.addresses["Operators"], "POST", "/recovery/skip/warming")
         self.assertTrue(good, text)
         p.wait_for(lambda s: "'stage': 'full'" in s["recovery"])
         view = json.loads(call_operator_api(p.addresses["Operators"], "GET", "/status")[1])["recovery"]
-        self.assertEqual([s["stage"] for s in view["stages"]][0], "settings")
+        self.assertEqual(next(s["stage"] for s in view["stages"]), "settings")
         p.wait_until_logged("startup_complete")
 
     def test_a_file_that_cannot_hold_is_refused_by_its_key(self):
--- a/tests/sites/test_admission_threshold.py
+++ b/tests/sites/test_admission_threshold.py
@@ -5,7 +5,9 @@
 from ochrehoist.sites.admission_threshold import TICK_INTERVAL_S, AdmissionThreshold
 
 
-class TheAdmissionThreshold(unittest.TestCase):
+class AdmissionThresholdTest(unittest.TestCase):
+    """Load that the cores can do, and load they cannot."""
+
     def run_for(self, threshold, seconds, offered, running, waiting=0.0, done=None, start=0.0):
         now = start
         while now < start + seconds:
@@ -17,7 +19,7 @@
             threshold.update(now, running, waiting, running * 0.2)
         return now
 
-    def test_all_is_let_in_while_the_cores_can_do_it(self):
+    def test_all_is_admitted_while_the_cores_can_carry_it(self):
         threshold = AdmissionThreshold(4, 2.0)
         self.run_for(threshold, 5, 3.0, 3)
         self.assertEqual(threshold.value, 1.0)
--- a/tests/store/test_disk_errors.py
+++ b/tests/store/test_disk_errors.py
@@ -13,10 +13,12 @@
 )
 from ochrehoist.store.store_repair import open_store, rebuild_store
 from tests.stand_ins.power_loss_disk import PowerLossDisk
-from tests.store.store_folder import NOW, WINDOW, Folder, filing
+from tests.store.store_folder import NOW, WINDOW, StoreFolderTestCase, filing
 
 
-class Errors(Folder):
+class DiskErrorsTest(StoreFolderTestCase):
+    """Errors in writes and commits."""
+
     def under(self, fails):
         self.open().database.close()
         self.bad = PowerLossDisk(fails)
@@ -54,7 +56,7 @@
                 opened.database.commit([PutResult(b"%d" % n, ResultRecord("OK", True, bytes(10_000)))])
         self.assertEqual(failed.exception.kind, FailureKind.FULL)
 
-    def test_a_failed_sync_is_told_apart_and_the_store_written_anew_holds_what_was_good(self):
+    def test_a_failed_sync_is_recognised_and_the_rewritten_store_holds_what_was_good(self):
         broken = []
 
         def fails(operation, number):
--- a/tests/store/test_expiry.py
+++ b/tests/store/test_expiry.py
@@ -11,7 +11,9 @@
 from tests.store.store_values import DAY, HOUR
 
 
-class Expiry(unittest.TestCase):
+class ExpiryTest(unittest.TestCase):
+    """Clocks that are set, and boots between."""
+
     def test_within_one_boot_setting_the_clock_changes_nothing(self):
         then = Timestamp(100 * DAY, "boot", HOUR)
         for unix in (100 * DAY - HOUR, 101 * DAY):
@@ -46,7 +48,7 @@
         self.assertTrue(0 <= got <= window)
         self.assertEqual(got == window or got <= left, True)
 
-    def test_what_was_learned_fades_and_what_was_known_of_callers_expires(self):
+    def test_learned_state_decays_and_caller_timeouts_expire(self):
         learned = {
             "took": {"read": [5.0, 8.0]},
             "means": {"unread": [1.0, 4.0]},
--- a/tests/store/test_ownership.py
+++ b/tests/store/test_ownership.py
@@ -1,17 +1,19 @@
 """One owner of a folder at a time, and a worker without any."""
 
 import os
-import unittest
 from pathlib import Path
 
 from ochrehoist.lab.toml import toml_file
-from tests.store.worker_state_case import State
+from tests.store.worker_state_case import WorkerStateTestCase
 from tests.support.site_settings import site_settings
-from tests.support.worker_process import WorkerProcess, run_command
+from tests.support.worker_cases import WorkerTestCase
+from tests.support.worker_process import run_command
 
 
-class Owner(State):
-    def test_a_second_process_is_turned_away_by_the_name_of_the_first(self):
+class OwnershipTest(WorkerStateTestCase):
+    """Processes that want a folder that has an owner."""
+
+    def test_a_second_process_is_rejected_with_the_name_of_the_first(self):
         first = self.start()
         config = self.base / "second.toml"
         config.write_text(toml_file(first.appliance))
@@ -52,10 +54,11 @@
         self.assertEqual(said["restart_keys"], ["state.commit_ms", "state.folder"])
 
 
-class Lean(unittest.TestCase):
+class NoStoreTest(WorkerTestCase):
+    """A worker without a store."""
+
     def test_a_worker_without_a_store_loads_nothing_of_it(self):
-        program = WorkerProcess()
-        self.addCleanup(program.close)
+        program = self.start()
         maps = Path(f"/proc/{program.process.pid}/maps").read_text()
         for library in ("apsw", "msgspec", "xxhash", "sqlite"):
             self.assertNotIn(f"/{library}", maps)
--- a/tests/store/test_records.py
+++ b/tests/store/test_records.py
@@ -23,7 +23,9 @@
 from tests.store.store_values import TOKEN, intent
 
 
-class Records(unittest.TestCase):
+class RecordsTest(unittest.TestCase):
+    """Packed records."""
+
     ALL = (
         (intent(), encode_key(TOKEN)),
         (ResultRecord("OK", True, b"body", b'{"a": 1}', 3), b"k"),
@@ -63,7 +65,7 @@
             LearnedStateRecord(Timestamp(1, "b", 2), {"a": 1}, 1),
         )
 
-    def test_one_of_a_newer_version_is_told_apart(self):
+    def test_a_record_of_a_newer_version_is_recognised(self):
         record, key = self.ALL[0]
         with self.assertRaises(UnsupportedFormatError):
             decode_record(key, encode_record(key, record, records.FORMAT_VERSION + 1), IntentRecord)
@@ -75,7 +77,9 @@
                 decode_record(b"k", data, kind)
 
 
-class Json(unittest.TestCase):
-    def test_keys_tell_tenants_apart_that_have_none(self):
+class LearnedStateRecordsTest(unittest.TestCase):
+    """Keys of learned state."""
+
+    def test_keys_of_different_tenants_differ_also_without_a_tenant(self):
         self.assertNotEqual(encode_key((None, "a", "b")), encode_key(("", "a", "b")))
         self.assertEqual(msgspec.msgpack.decode(encode_key(TOKEN)), list(TOKEN))
--- a/tests/store/test_restart.py
+++ b/tests/store/test_restart.py
@@ -2,9 +2,10 @@
 
 import json
 import signal
+from typing import Any, ClassVar
 
 from tests.stand_ins.moving_kernel import MovingKernel
-from tests.store.worker_state_case import State
+from tests.store.worker_state_case import WorkerStateTestCase
 from tests.support.environment import MS
 from tests.support.site_settings import long_window_settings
 from tests.support.worker_process import run_command
@@ -27,13 +28,15 @@
 """
 
 
-class Restart(State):
+class RestartTest(WorkerStateTestCase):
+    """Filings of a process that ended."""
+
     # A crowded machine is no stalled disk: what a stall means is tested elsewhere.
-    patience = {"stall_ms": 10_000}
+    patience: ClassVar[dict[str, Any]] = {"stall_ms": 10_000}
 
     where = None  # on a real disk, with all its syncs
 
-    def test_ends_are_given_again_what_began_is_not_run_and_what_did_not_is(self):
+    def test_results_are_replayed_started_filings_do_not_run_again_and_others_do(self):
         first = self.start()
         client, other = first.ajp_client(), first.ajp_client()
         self.file(client, "done")
@@ -118,10 +121,12 @@
             self.kill(program)
 
 
-class Both(State):
-    how = {"thrift": True, "ajp": True}
+class BothFrontsRestartTest(WorkerStateTestCase):
+    """A worker that serves both protocols."""
+
+    how: ClassVar[dict[str, Any]] = {"thrift": True, "ajp": True}
 
-    def test_tries_by_either_front_are_one_filing_before_and_after_a_kill(self):
+    def test_attempts_by_either_front_are_one_filing_before_and_after_a_kill(self):
         machine = MovingKernel(1)
         self.addCleanup(machine.close)
         first = self.start(kernel=machine)
--- a/tests/store/test_write_queue.py
+++ b/tests/store/test_write_queue.py
@@ -21,7 +21,9 @@
 from tests.store.store_values import intent
 
 
-class Groups(unittest.TestCase):
+class WriteGroupsTest(unittest.TestCase):
+    """Groups of operations and their commits."""
+
     def setUp(self):
         self.queue = WriteQueue(0.001, 0.25)
         self.queue.open = True
@@ -38,7 +40,7 @@
         self.assertEqual(self.queue.committed(), ["r1"])
         self.assertEqual(len(self.queue.next_group(0.1)), 1)
 
-    def test_what_nobody_waits_for_rides_along_or_goes_a_little_later(self):
+    def test_operations_nobody_waits_for_join_a_group_or_follow_a_little_later(self):
         self.queue.add(0.0, DeleteIntent(b"k9"))
         self.assertIsNone(self.queue.next_group(0.009))
         self.begin(1, 0.009)
@@ -75,7 +77,7 @@
         self.queue.committed()
         self.assertEqual(len(self.queue.next_group(1.0)), 1)
 
-    def test_a_stall_refuses_what_waits_and_takes_it_out_again_and_nothing_is_begun_late(self):
+    def test_a_stall_rejects_what_waits_and_deletes_it_and_nothing_starts_late(self):
         self.begin(1)
         self.queue.next_group(0.001)
         self.begin(2, 0.01)
@@ -196,7 +198,8 @@
         ids = {op.request_id for op in self.group if isinstance(op, PutIntent)}
         self.group = None
         if self.queue.rebuild_needed:
-            return self.queue.rebuilt()
+            self.queue.rebuilt()
+            return
         intent = self.queue.committed()
         assert set(intent) <= ids
         self.resolve(intent, "begun")
