--- a/ochrehoist/lab/platform_client.py
+++ b/ochrehoist/lab/platform_client.py
@@ -7,8 +7,8 @@
 from ochrehoist.lab.outcomes import CROSSED_FAREWELL, FAILED, REJECTED, SERVED, Call
 from ochrehoist.lab.stand_in_kernel import Kernel, OpenCall
 from ochrehoist.lab.worker_client import TruncatedAnswerError
-from ochrehoist.plan.measure import MOST_OPEN, Connection
 from ochrehoist.plan.routing import Answer
+from ochrehoist.plan.thrift_client import MAX_OPEN_REQUESTS, Connection
 
 STATUSES = {Answer.SERVED: SERVED, Answer.REFUSED: REJECTED}
 
@@ -52,7 +52,7 @@
         """One that may have another request open; a new one where none may."""
         self._connections = [each for each in self._connections if not each.closed]
         for connection in self._connections:
-            if len(connection.waiting) < MOST_OPEN:
+            if len(connection.waiting) < MAX_OPEN_REQUESTS:
                 return connection
         connection = Connection(*await asyncio.open_connection(*self._address))
         self._connections.append(connection)
--- a/tests/plan/test_routing.py
+++ b/tests/plan/test_routing.py
@@ -3,7 +3,7 @@
 import unittest
 
 from ochrehoist.config.fleet_description import Choice, Clients, Routers
-from ochrehoist.plan.routing import Answer, Call, Next, Router, after, rendezvous
+from ochrehoist.plan.routing import Answer, Call, NextStep, Reply, Router, next_step, rendezvous
 
 
 class RoutingTest(unittest.TestCase):
@@ -15,19 +15,19 @@
     def test_each_choice_keeps_off_the_unlisted_the_tried_and_those_to_stay_away_from(self):
         for choice in Choice:
             r = self.router(choice)
-            r.learn(0, False)
-            r.stay_away(1, 5.0)
+            r.set_listed(0, False)
+            r.avoid(1, 5.0)
             picked = {r.pick(1.0, n, (2,)) for n in range(1, 300)}
             self.assertEqual(picked, {3, 4, 5}, choice)
             self.assertIn(1, {r.pick(6.0, n, ()) for n in range(1, 300)})
             for worker in range(6):
-                r.learn(worker, False)
+                r.set_listed(worker, False)
             self.assertIsNone(r.pick(9.0, 1, ()))
 
     def test_least_goes_where_least_is_open_and_two_mostly(self):
         least, two = self.router(Choice.LEAST), self.router(Choice.TWO)
         for r in (least, two):
-            r.open.update(dict.fromkeys(range(1, 6), 9))
+            r.open_requests.update(dict.fromkeys(range(1, 6), 9))
         self.assertEqual({least.pick(0.0, 0, ()) for _ in range(50)}, {0})
         self.assertGreater(sum(two.pick(0.0, 0, ()) == 0 for _ in range(300)), 60)
 
@@ -41,9 +41,14 @@
     def test_what_may_have_run_is_sent_to_no_other_worker_and_nothing_past_its_time(self):
         habits, clients = Routers(addresses=[], retries=2, wait_ms=10), Clients(retries=1, wait_ms=100)
         call = Call(1, 0, 0, 0, 1.0, 1.0, 0.0, 1.0, 4.0, True, 0, tried=[3])
-        self.assertEqual(after(call, Answer.REFUSED, False, 1.0, habits, clients), (Next.TRY, 0.01))
-        self.assertEqual(after(call, Answer.REFUSED, True, 1.0, habits, clients)[0], Next.CLIENT)
-        self.assertEqual(after(call, Answer.FAILED, False, 1.0, habits, clients)[0], Next.CLIENT)
-        self.assertEqual(after(call, Answer.REFUSED, False, 3.999, habits, clients)[0], Next.END)
-        call.tried, call.client_tries = [1, 2, 3], 1
-        self.assertEqual(after(call, Answer.REFUSED, False, 1.0, habits, clients)[0], Next.END)
+        self.assertEqual(next_step(call, Reply(Answer.REFUSED), 1.0, habits, clients), (NextStep.RETRY, 0.01))
+        self.assertEqual(
+            next_step(call, Reply(Answer.REFUSED, no_retry=True), 1.0, habits, clients)[0],
+            NextStep.CLIENT_RETRY,
+        )
+        self.assertEqual(
+            next_step(call, Reply(Answer.FAILED), 1.0, habits, clients)[0], NextStep.CLIENT_RETRY
+        )
+        self.assertEqual(next_step(call, Reply(Answer.REFUSED), 3.999, habits, clients)[0], NextStep.END)
+        call.tried, call.client_retries = [1, 2, 3], 1
+        self.assertEqual(next_step(call, Reply(Answer.REFUSED), 1.0, habits, clients)[0], NextStep.END)
