--- a/tests/golden/test_command_output.py
+++ b/tests/golden/test_command_output.py
@@ -132,9 +132,9 @@
 
 def status_texts():
     """Of each view that is on record: a group, and parts of a status as workers report them."""
-    groups = {"peers": peers, "sites": sites, "recovery": recovery}
+    modules = {"peers": peers, "sites": sites, "recovery": recovery}
     recorded = json.loads((RECORDED / "views.json").read_text())
-    texts = [shown_status(groups[name], name, view) for name, views in recorded.items() for view in views]
+    texts = [shown_status(modules[name], name, view) for name, views in recorded.items() for view in views]
     return "---\n".join(texts)
 
 
