--- a/tests/plan/test_plan_answers.py
+++ b/tests/plan/test_plan_answers.py
@@ -24,7 +24,7 @@
 from ochrehoist.plan.runs import Run, execute_until_interrupted
 from ochrehoist.plan.site_loss import forecast_site_loss
 from ochrehoist.plan.sizing import find_size
-from tests.plan.test_plan import fleet, quiet
+from tests.plan.example_fleet import fleet, quiet
 from tests.support.worker_process import run_command
 
 MS = 1_000_000
