--- a/ochrehoist/cli/plan/options.py
+++ b/ochrehoist/cli/plan/options.py
@@ -1,6 +1,6 @@
 """Options that commands of `plan` share, and errors that all of them end with.
 
-The options of output and load are not passed to the commands: they are kept in the context, where `output`
+The options of output and load are not passed to the commands: they are stored in the context, where `output`
 and `load_fleet` look them up.
 """
 
@@ -20,7 +20,7 @@
 Command = TypeVar("Command", bound=Callable[..., Any])
 
 MISSING_LIBRARIES = "the planner's libraries are missing: install them by `pip install 'ochrehoist[plan]'`"
-KEPT_OPTIONS = "ochrehoist.plan"  # the key of the context's meta
+STORED_OPTIONS = "ochrehoist.plan"  # the key of the context's meta
 
 
 @handles_errors
@@ -59,13 +59,13 @@
         return cls("compare two fleets, or two captures; --on goes with captures")
 
 
-def _keep_option(context: click.Context, option: click.Parameter, value: Any) -> None:
-    context.meta.setdefault(KEPT_OPTIONS, {})[option.name] = value
+def _store_option(context: click.Context, option: click.Parameter, value: Any) -> None:
+    context.meta.setdefault(STORED_OPTIONS, {})[option.name] = value
 
 
-def kept_option(name: str) -> Any:
+def stored_option(name: str) -> Any:
     """The value of an option of output or load; None where the command does not have it."""
-    return click.get_current_context().meta.get(KEPT_OPTIONS, {}).get(name)
+    return click.get_current_context().meta.get(STORED_OPTIONS, {}).get(name)
 
 
 def load_fleet(path: Path) -> Fleet:
@@ -78,7 +78,7 @@
     from ochrehoist.config.fleet_description import load
 
     fleet = load(path)
-    demand = kept_option("demand")
+    demand = stored_option("demand")
     return fleet if demand is None else fleet.at(demand)
 
 
@@ -87,7 +87,7 @@
 demand_option = click.option(
     "--demand",
     type=float,
-    callback=_keep_option,
+    callback=_store_option,
     expose_value=False,
     help="Load as a share of the capacity, not as described.",
 )
@@ -99,7 +99,7 @@
         "--pictures",
         is_flag=True,
         expose_value=False,
-        callback=_keep_option,
+        callback=_store_option,
         help="With --html: each picture as PNG beside it.",
     )(command)
     command = click.option(
@@ -107,11 +107,11 @@
         type=click.Path(path_type=Path),
         metavar="FILE",
         expose_value=False,
-        callback=_keep_option,
+        callback=_store_option,
         help="Write a page with tables and pictures; it needs no network.",
     )(command)
     return click.option(
-        "--json", "as_json", is_flag=True, expose_value=False, callback=_keep_option, help="As JSON."
+        "--json", "as_json", is_flag=True, expose_value=False, callback=_store_option, help="As JSON."
     )(command)
 
 
--- a/ochrehoist/cli/plan/output.py
+++ b/ochrehoist/cli/plan/output.py
@@ -10,7 +10,7 @@
 
 import click
 
-from ochrehoist.cli.plan.options import kept_option
+from ochrehoist.cli.plan.options import stored_option
 
 if TYPE_CHECKING:
     from ochrehoist.plan.report import Table
@@ -24,7 +24,7 @@
     from rich.console import Console
     from rich.progress import Progress
 
-    bar = Progress(console=Console(stderr=True), transient=True, disable=kept_option("as_json"))
+    bar = Progress(console=Console(stderr=True), transient=True, disable=stored_option("as_json"))
     task = bar.add_task("runs", total=None)
     with bar:
         yield lambda done, total: bar.update(task, completed=done, total=total or None)
@@ -43,9 +43,9 @@
     """
     for line in notes:
         click.echo(f"ochrehoist: {line}", err=True)
-    if kept_option("html"):
+    if stored_option("html"):
         _write_page(question, title, answer, tables, notes)
-    if kept_option("as_json"):
+    if stored_option("as_json"):
         click.echo(json.dumps(answer, indent=1))
     else:
         _print_tables(tables)
@@ -64,7 +64,7 @@
     command = click.get_current_context().command_path
     origin = f"by `{command}`; forecasts are no measurements"
     text = report.page(question, title, origin, answer, tables, notes)
-    for path in report.save(kept_option("html"), text, question, answer, kept_option("pictures")):
+    for path in report.save(stored_option("html"), text, question, answer, stored_option("pictures")):
         click.echo(f"ochrehoist: {path} written", err=True)
 
 
--- a/ochrehoist/cli/state.py
+++ b/ochrehoist/cli/state.py
@@ -151,7 +151,8 @@
     from ochrehoist.store.timestamps import current_timestamp
 
     where, longest = _folder(ctx, folder)
-    began, size = time.monotonic(), describe_store(where, current_timestamp())["bytes"]
+    began = time.monotonic()
+    size = describe_store(where, current_timestamp())["bytes"]
     counts = compact_store(where, longest, current_timestamp())
     click.echo(
         f"{counts.before} filings before, {counts.after} now; {size} bytes before, "
--- a/ochrehoist/plan/capture_comparison.py
+++ b/ochrehoist/plan/capture_comparison.py
@@ -187,10 +187,12 @@
     stretches: list[FloatArray]
 
     def figure_over_all(self) -> float | None:
+        """None where no request has a value."""
         value = self.figure.over(self.stretches)
         return None if math.isnan(value) else value
 
     def figure_resampled(self, rng: np.random.Generator) -> float:
+        """Over as many stretches, drawn with replacement."""
         count = len(self.stretches)
         return self.figure.over([self.stretches[index] for index in rng.integers(0, count, count)])
 
--- a/ochrehoist/plan/demand.py
+++ b/ochrehoist/plan/demand.py
@@ -188,12 +188,8 @@
     calls = []
     for request in requests:
         record = request.record
-        if record.class_name not in class_indices:
-            raise CaptureUnusableError.unknown_class(record.class_name)
-        if tenant_indices and record.tenant not in tenant_indices:
-            raise CaptureUnusableError.unknown_tenant(record.tenant)
-        class_index = class_indices[record.class_name]
-        tenant_index = NO_TENANT if record.tenant is None else tenant_indices.get(record.tenant, NO_TENANT)
+        class_index = _class_index(record, class_indices)
+        tenant_index = _tenant_index(record, tenant_indices)
         described_work_s = fleet.classes[class_index].work_ms / 1000
         work_s = record.work_ns / NS_PER_S if record.work_ns else described_work_s
         copies = 1 / capture.sample_fraction
@@ -215,6 +211,19 @@
     return calls, calls[-1].starts_at
 
 
+def _class_index(record: RequestRecord, indices: dict[str, int]) -> int:
+    if record.class_name not in indices:
+        raise CaptureUnusableError.unknown_class(record.class_name)
+    return indices[record.class_name]
+
+
+def _tenant_index(record: RequestRecord, indices: dict[str, int]) -> int:
+    """NO_TENANT where the fleet has none."""
+    if indices and record.tenant not in indices:
+        raise CaptureUnusableError.unknown_tenant(record.tenant)
+    return NO_TENANT if record.tenant is None else indices.get(record.tenant, NO_TENANT)
+
+
 def _caller_hash(record: RequestRecord) -> int:
     return record.caller or xxhash.xxh32_intdigest(record.address.encode())
 
--- a/ochrehoist/plan/fit.py
+++ b/ochrehoist/plan/fit.py
@@ -203,8 +203,9 @@
             efficiency_there = bootstrap("", np.array(efficiencies), _median, rng)
             if slowing is None and _is_below(efficiency_there, SLOWED_SHARE):
                 note = f"to {efficiency_there.value:.2f} of the capacity there"
-                low, high = crowd - CROWD_STEP, crowd + CROWD_STEP
-                slowing = Estimate(what, crowd, low, high, len(efficiencies), note)
+                slowing = Estimate(
+                    what, crowd, crowd - CROWD_STEP, crowd + CROWD_STEP, len(efficiencies), note
+                )
         if slowing is not None:
             return slowing
         return Estimate(what, None, note=f"it was never seen to slow, up to {largest:g} running a core")
--- a/ochrehoist/plan/playbook.py
+++ b/ochrehoist/plan/playbook.py
@@ -12,6 +12,7 @@
 from ochrehoist.plan import analytic
 from ochrehoist.plan.errors import UnanswerableQuestionError
 from ochrehoist.plan.fleet_changes import without_site
+from ochrehoist.plan.in_time_estimate import USABLE_SHARE
 from ochrehoist.sites.playbook import FORMAT_VERSION, ClassAdmission, Playbook, SiteLoss
 from ochrehoist.sites.recovery_ramp import DEFAULT_STAGES
 from ochrehoist.sites.shedding_order import LOG_VALUE_STEP
@@ -69,7 +70,7 @@
     state = analytic.solve(left, speeds)
     demand = left.load.rate * left.mean_work_s
     # What is rejected is read all the same.
-    cores = max(0.0, left.capacity * analytic.USABLE_SHARE - demand * left.intake.share) / demand
+    cores = max(0.0, left.capacity * USABLE_SHARE - demand * left.intake.share) / demand
     served = sum(worker.served for worker in state.workers) / left.load.rate
     memory = max(worker.memory for worker in state.workers)
     connections = max(worker.connections for worker in state.workers)
@@ -123,7 +124,7 @@
     return [equals for _, equals in sorted(ranks.items(), key=lambda item: item[0])]
 
 
-def weight_kept(
+def retained_weight(
     classes: Sequence[ClassShare],
     admissions: Sequence[ClassAdmission],
     beyond_share: float,
@@ -136,11 +137,11 @@
         return each.work_share * each.weight_by_work * quota_weight
 
     total = sum(weight(each, 1.0, 1.0) for each in classes)
-    kept = sum(
+    retained = sum(
         weight(each, admission.share, admission.beyond_quota_share)
         for each, admission in zip(classes, admissions, strict=True)
     )
-    return kept / total
+    return retained / total
 
 
 def make_playbook(fleet: Fleet, now_s: int) -> tuple[Playbook, dict[str, str]]:
@@ -154,31 +155,12 @@
     ]
     if len(sites) < 2:
         raise UnanswerableQuestionError.single_site()
-    classes = class_shares(fleet)
     beyond_share = beyond_quota_share(fleet)
-    max_return_s = MAX_WARMUPS * max(kind.cold_s for kind in fleet.kinds) + RETURN_SPARE_S
     losses = []
     notes = {}
     for site in sites:
-        remaining = remaining_without(fleet, site)
-        admissions = admitted_shares(classes, remaining.work_share, beyond_share)
-        losses.append(
-            SiteLoss(
-                site,
-                round(remaining.work_share, 3),
-                remaining.limit.value,
-                AWAY_MS,
-                SPREAD_MS,
-                list(DEFAULT_STAGES),
-                max_return_s,
-                admissions,
-            )
-        )
-        kept = weight_kept(classes, admissions, beyond_share, fleet.over_share_worth)
-        notes[site] = (
-            f"Without {site}: {remaining.work_share:.0%} of the work can be done, "
-            f"{kept:.0%} of the worth kept, if callers are sent on."
-        )
+        loss, notes[site] = _site_loss(fleet, site, beyond_share)
+        losses.append(loss)
     notes[FLEET_NOTE] = (
         "What holds when a site is lost. Change what you know better, then `ochrehoist sites check FILE`."
     )
@@ -189,3 +171,26 @@
         FORMAT_VERSION, now_s, fleet.name, workers, round(beyond_share, 3), losses, list(UNKNOWN)
     )
     return playbook, notes
+
+
+def _site_loss(fleet: Fleet, site: str, beyond_share: float) -> tuple[SiteLoss, str]:
+    """What holds while one site is gone, and a note on it."""
+    classes = class_shares(fleet)
+    remaining = remaining_without(fleet, site)
+    admissions = admitted_shares(classes, remaining.work_share, beyond_share)
+    retained = retained_weight(classes, admissions, beyond_share, fleet.over_share_worth)
+    loss = SiteLoss(
+        site,
+        round(remaining.work_share, 3),
+        remaining.limit.value,
+        AWAY_MS,
+        SPREAD_MS,
+        list(DEFAULT_STAGES),
+        MAX_WARMUPS * max(kind.cold_s for kind in fleet.kinds) + RETURN_SPARE_S,
+        admissions,
+    )
+    note = (
+        f"Without {site}: {remaining.work_share:.0%} of the work can be done, "
+        f"{retained:.0%} of the worth kept, if callers are sent on."
+    )
+    return loss, note
--- a/ochrehoist/plan/rolling_restart.py
+++ b/ochrehoist/plan/rolling_restart.py
@@ -6,9 +6,9 @@
 from typing import TypedDict
 
 from ochrehoist.config.fleet_description import Fleet
-from ochrehoist.plan import analytic
 from ochrehoist.plan.errors import UnanswerableQuestionError
 from ochrehoist.plan.fleet_run import Outage
+from ochrehoist.plan.in_time_estimate import USABLE_SHARE
 from ochrehoist.plan.runs import Progress, Run, execute_until_interrupted
 
 RESTART_AT_S = 10.0  # since the start of a run
@@ -46,7 +46,7 @@
     """The most whose cores the others can do without, for `goal` of the work; only warm ones are counted."""
     kinds = [fleet.kind(fleet.placed_workers[number].kind) for number in restart_order(fleet)]
     capacities = [kind.cores * sum(kind.speeds) / 2 for kind in kinds]
-    needed = goal * fleet.load.rate * fleet.mean_work_s * (1 + fleet.intake.share) / analytic.USABLE_SHARE
+    needed = goal * fleet.load.rate * fleet.mean_work_s * (1 + fleet.intake.share) / USABLE_SHARE
     left = sum(capacities)
     count = 0
     for capacity in capacities[:-1]:
@@ -124,9 +124,9 @@
         return low
 
     def _narrowed(self, low: int, high: int, count: int) -> tuple[int, int]:
-        return (count, high) if self._kept_share(count) >= self._goal else (low, count - 1)
+        return (count, high) if self._retained_share(count) >= self._goal else (low, count - 1)
 
-    def _kept_share(self, count: int) -> float:
+    def _retained_share(self, count: int) -> float:
         if count not in self.known:
             warm_at = self._back_at + self.warmup_s
             outage = Outage(RESTART_AT_S, tuple(self.order[:count]), self._back_at, "restart")
--- a/ochrehoist/plan/simulated_worker.py
+++ b/ochrehoist/plan/simulated_worker.py
@@ -22,9 +22,9 @@
 from ochrehoist.plan.fleet_run import CoreTask, FleetWorker, TaskKind
 from ochrehoist.plan.routing import Answer, Call, Reply
 from ochrehoist.plan.worker_settings import admission_settings
+from ochrehoist.units import NS_PER_S
 
 EPOCH_S = 1_700_000_000  # the workers' Unix clock at the start
-NS_PER_S = 1_000_000_000
 MAX_RESULT_BYTES = 64_000_000
 MIN_WAKE_DELAY_S = 1e-6  # between two steps of a worker
 WAKE_TOLERANCE_S = 1e-12  # by which an earlier wake-up must be earlier to replace the planned one
--- a/ochrehoist/plan/site_loss.py
+++ b/ochrehoist/plan/site_loss.py
@@ -56,11 +56,7 @@
     Raises:
         UnanswerableQuestionError: The site holds none of the workers, or all, or is gone for no whole second.
     """
-    lost_workers = workers_of_site(fleet, site)
-    if not lost_workers:
-        raise UnanswerableQuestionError.unknown_site(site, (each.name for each in fleet.sites))
-    if len(lost_workers) == len(fleet.placed_workers):
-        raise UnanswerableQuestionError.no_workers_left(site, "nothing is left to forecast")
+    lost_workers = _lost_workers(fleet, site)
     gone_until = back_at if back_at is not None else duration_s
     if math.ceil(lost_at) >= gone_until:
         raise UnanswerableQuestionError.outage_too_short(lost_at, gone_until)
@@ -91,6 +87,16 @@
     }
 
 
+def _lost_workers(fleet: Fleet, site: str) -> tuple[int, ...]:
+    """The workers of a site that is a part of the fleet; raises UnanswerableQuestionError."""
+    lost_workers = workers_of_site(fleet, site)
+    if not lost_workers:
+        raise UnanswerableQuestionError.unknown_site(site, (each.name for each in fleet.sites))
+    if len(lost_workers) == len(fleet.placed_workers):
+        raise UnanswerableQuestionError.no_workers_left(site, "nothing is left to forecast")
+    return lost_workers
+
+
 def _mean_goodput(values: RunValues, first: float, last: float) -> float:
     """Over the seconds of a run from `first` up to `last`."""
     return mean(float(goodput) for second, goodput in values["seconds"] if first <= second < last)
--- a/ochrehoist/plan/sizing.py
+++ b/ochrehoist/plan/sizing.py
@@ -9,7 +9,8 @@
 from ochrehoist.plan.runs import Progress, Run, execute_all, interval_of
 
 MAX_WORKERS = 2000  # that the search tries before it gives up
-LOSS_SEARCH_FACTOR, LOSS_SEARCH_EXTRA = 2, 8  # up to which multiple of what is needed, and how many more
+LOSS_SEARCH_FACTOR = 2  # of what is needed without a loss, up to which the search with one goes
+LOSS_SEARCH_EXTRA = 8  # machines beyond that
 
 
 class FleetSize(TypedDict):
--- a/ochrehoist/plan/thrift_client.py
+++ b/ochrehoist/plan/thrift_client.py
@@ -9,7 +9,8 @@
 MAX_OPEN_REQUESTS = 32  # on one connection, as the protocol has it
 FRAME_LENGTH_BYTES = 4
 SEQUENCE_ID_BYTES = 4
-SERVED_FIELD, REJECTED_FIELD = 0, 1  # of a result's struct
+SERVED_FIELD = 0  # of a result's struct
+REJECTED_FIELD = 1
 DETAILS_FIELD = 1  # of a rejection's struct
 
 
--- a/ochrehoist/plan/worker_settings.py
+++ b/ochrehoist/plan/worker_settings.py
@@ -5,8 +5,8 @@
 from ochrehoist.admission.settings import AdmissionSettings, ObjectiveWeights, RequestClass, Tenant
 from ochrehoist.config.fleet_description import Fleet, Kind
 from ochrehoist.config.settings import IDEMPOTENCY_WORDS
+from ochrehoist.units import NS_PER_MS
 
-NS_PER_MS = 1_000_000
 COLLAPSE_AFTER_MS = 1500
 DRAIN_GRACE_MS = 2500
 ANSWER_GRACE_MS = 80
@@ -59,21 +59,9 @@
 
 def platform_settings(fleet: Fleet, kind: Kind) -> dict[str, Any]:
     """The same as the platform's settings object, for a real worker."""
-    repeat_words = {idempotency: word for word, idempotency in IDEMPOTENCY_WORDS.items()}
     settings = admission_settings(fleet, kind, cold=False)
     return {
-        "Classes": [
-            {
-                "Name": each.name,
-                "Slo": each.latency_objective_ns,
-                "Deadline": each.deadline_ns,
-                "Gain": each.priority_weight,
-                "LateValue": each.late_weight,
-                "Repeat": repeat_words[each.idempotency],
-            }
-            | ({"Window": each.idempotency_window_ns} if each.idempotency_window_ns else {})
-            for each in settings.classes
-        ],
+        "Classes": [_class_table(each) for each in settings.classes],
         "Tenants": [
             {"Name": tenant.name, "QuotaPerS": tenant.quota_per_s, "Fraction": tenant.share}
             for tenant in settings.tenants
@@ -101,12 +89,33 @@
             "WorstTenant": settings.objective.worst_tenant,
         },
         "PolicyLimits": {"RetryAfter": True, "MaxRetryAfter": settings.max_retry_after_ns},
-        "Rules": {
-            "Cold": max(1, settings.warmup_ns),
-            "ColdFrom": settings.warmup_speed,
-            "DrainGrace": settings.drain_grace_ns,
-            "Fall": settings.collapse_after_ns,
-            "GraceToAnswer": settings.answer_grace_ns,
-            "TipMultiple": settings.collapse_multiple,
-        },
+        "Rules": _rules_table(settings),
+    }
+
+
+def _class_table(request_class: RequestClass) -> dict[str, Any]:
+    """One class, as the platform's settings object has it."""
+    repeat_words = {idempotency: word for word, idempotency in IDEMPOTENCY_WORDS.items()}
+    table = {
+        "Name": request_class.name,
+        "Slo": request_class.latency_objective_ns,
+        "Deadline": request_class.deadline_ns,
+        "Gain": request_class.priority_weight,
+        "LateValue": request_class.late_weight,
+        "Repeat": repeat_words[request_class.idempotency],
+    }
+    if request_class.idempotency_window_ns:
+        table["Window"] = request_class.idempotency_window_ns
+    return table
+
+
+def _rules_table(settings: AdmissionSettings) -> dict[str, Any]:
+    """The rules, as the platform's settings object has them."""
+    return {
+        "Cold": max(1, settings.warmup_ns),
+        "ColdFrom": settings.warmup_speed,
+        "DrainGrace": settings.drain_grace_ns,
+        "Fall": settings.collapse_after_ns,
+        "GraceToAnswer": settings.answer_grace_ns,
+        "TipMultiple": settings.collapse_multiple,
     }
