--- a/ochrehoist/net/membership_heartbeat.py
+++ b/ochrehoist/net/membership_heartbeat.py
@@ -6,17 +6,21 @@
 it: a service that found it closed might not count it.
 """
 
+from __future__ import annotations
+
 import json
 import time
 from collections.abc import Callable
 from enum import StrEnum
-from typing import NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
 
 from ochrehoist.core.actor import CoreActor
-from ochrehoist.core.protocols import Logger
 from ochrehoist.net.loop import Loop, Signal
 from ochrehoist.net.stream import ConnectionClosedError, Stream, connect
 
+if TYPE_CHECKING:
+    from ochrehoist.core.protocols import Logger
+
 REPORT_INTERVAL_S = 0.8  # an entry lapses after 3 s
 RETRY_DELAY_S = 0.2  # between attempts while the service is out of reach
 CONNECT_TIMEOUT_S = 0.4
@@ -67,7 +71,8 @@
     if not end:
         return None
     status_line, *fields = bytes(head).split(b"\r\n")
-    body_bytes, keeps_alive = 0, True
+    body_bytes = 0
+    keeps_alive = True
     for field in fields:
         name, _, value = field.lower().partition(b":")
         if name == b"content-length":
@@ -130,7 +135,8 @@
     def run(self) -> None:
         """A task: reports until `stop`."""
         while not self._stopped:
-            address, phase = self._address, self._phase()
+            address = self._address
+            phase = self._phase()
             result = self._report(phase)
             if result.status != STATUS_ACCEPTED:
                 self._close()
--- a/ochrehoist/net/thrift_front.py
+++ b/ochrehoist/net/thrift_front.py
@@ -1,14 +1,16 @@
 """The platform's front: routers connect here, and call requests and health checks by Thrift."""
 
+from __future__ import annotations
+
 import socket
 import time
 from collections.abc import Callable
 from enum import IntEnum
+from typing import TYPE_CHECKING
 
 from ochrehoist.admission.settings import AdmissionSettings, RequestClass
 from ochrehoist.core.actor import CoreActor
 from ochrehoist.core.messages import CallerDisconnected
-from ochrehoist.core.protocols import AdmissionFilter, Executor, Logger
 from ochrehoist.net.front import FRESH_S, MESSAGE_TIMEOUT_S, SILENT_S, SLOW_START_S, STALLED_S, Front
 from ochrehoist.net.loop import Loop
 from ochrehoist.net.stream import Stream
@@ -16,6 +18,9 @@
 from ochrehoist.net.thrift_reader import ThriftReader
 from ochrehoist.units import NS_PER_S
 
+if TYPE_CHECKING:
+    from ochrehoist.core.protocols import AdmissionFilter, Executor, Logger
+
 SOCKET_SEND_BUFFER_BYTES = 64 * 1024  # for each connection: for a slow reader it would grow to megabytes
 FIRST_SWEEP_DELAY_S = 0.1
 SWEEP_INTERVAL_S = 0.05
@@ -143,7 +148,7 @@
         if connection.open_requests or now_s - connection.opened_at_s <= FRESH_S:
             return False
         # A request that is here keeps its connection, unless it is of a flood that is being slowed down.
-        if connection.has_whole_frame() and not connection.pacer.exceeded:
+        if connection.has_complete_frame() and not connection.pacer.exceeded:
             return False
         # On a connection just accepted the first request may be here, and not read yet.
         return bool(stream.awaits_input or stream.buffer or stream.ended)
@@ -165,7 +170,7 @@
         stream = connection.stream
         if connection.open_requests or connection.unreadable or stream.closing or stream.closed:
             return True
-        return bool(stream.buffer) and connection.has_whole_frame()
+        return bool(stream.buffer) and connection.has_complete_frame()
 
     def _end_if_idle(self, connection: ThriftConnection, now_s: float, crowded: bool) -> None:
         stream = connection.stream
