--- a/ochrehoist/app/worker_parts.py
+++ b/ochrehoist/app/worker_parts.py
@@ -10,6 +10,7 @@
 import sys
 import time
 from collections.abc import Callable, Mapping
+from functools import partial
 from typing import TYPE_CHECKING
 
 from ochrehoist.app.inherited_sockets import InheritedSockets, Listener
@@ -248,13 +249,12 @@
 
         return OperatorApi(self.config.name, self.core, self.sink, self.fronts, is_serving)
 
-    def _add_status(self, section: str, source: StatusSource) -> None:
-        if self.operator_api:
-            self.operator_api.add_status(section, source)
-
-    def _add_metrics(self, section: str, source: MetricsSource) -> None:
-        if self.operator_api:
-            self.operator_api.add_metrics(section, source)
+    def _add_status(self, section: str, source: StatusSource, metrics: MetricsSource | None = None) -> None:
+        if not self.operator_api:
+            return
+        self.operator_api.add_status(section, source)
+        if metrics:
+            self.operator_api.add_metrics(section, metrics)
 
     def _build_operators(self) -> OperatorServer | None:
         address = self.config.admin_address
@@ -290,9 +290,8 @@
         reloading = ConfigReloader(
             self.loop, self.core, self.config, path, self._reloadable, self.kernel, self.log
         )
-        self._add_status("configuration", reloading)
-        if self.config.ajp:  # the platform's worker keeps to the fixed names
-            self._add_metrics("configuration", reloading)
+        # The platform's worker keeps to the fixed names of its metrics.
+        self._add_status("configuration", reloading, metrics=reloading if self.config.ajp else None)
         if self.kernel:
             supervisor = KernelLinkSupervisor(self.loop, self.core, self.kernel, reloading, self.log)
             self.tasks.append(supervisor.run)
@@ -304,10 +303,12 @@
         if not config.state:
             return None
         from ochrehoist.net.ajp import ReplyCodec
+        from ochrehoist.net.blocking_calls import BlockingCallThread
         from ochrehoist.store.journal import Journal
 
         journal = Journal(
             self.loop,
+            partial(BlockingCallThread, self.loop),
             self.core,
             config.state,
             config.name,
@@ -316,16 +317,17 @@
             self.inherited.replaces_process,
         )
         self.core.register_journal(journal)
-        self._add_status("store", journal)
-        self._add_metrics("store", journal)
+        self._add_status("store", journal, metrics=journal)
         return journal
 
     def _build_capture(self) -> LoadRecorder | None:
         if not self.config.capture:
             return None
         from ochrehoist.capture.recorder import LoadRecorder
+        from ochrehoist.net.blocking_calls import BlockingCallThread
 
-        capture = LoadRecorder(self.loop, self.core, self.config, self.log)
+        start_thread = partial(BlockingCallThread, self.loop)
+        capture = LoadRecorder(self.loop, start_thread, self.core, self.config, self.log)
         self.core.register_observer(capture)
         self._reloadable.append(commit_only(lambda new, _: capture.configure(new)))
         self._add_status("capture", capture)
@@ -341,8 +343,7 @@
         self._reloadable.append(
             commit_only(lambda new, tenants: control.configure(new.settings, new.overload, tenants))
         )
-        self._add_status("overload", monitor)
-        self._add_metrics("overload", monitor)
+        self._add_status("overload", monitor, metrics=monitor)
         return monitor
 
     def _build_peers(self) -> Peers | None:
@@ -355,8 +356,7 @@
         self._reloadable.append(peers.prepare)
         if self.ajp_servers:
             self.ajp_servers.use_advisor(peers)
-        self._add_status("peers", peers)
-        self._add_metrics("peers", peers)
+        self._add_status("peers", peers, metrics=peers)
         return peers
 
     def _build_sites(self) -> SiteService | None:
@@ -374,8 +374,7 @@
             self.log,
         )
         self._reloadable.append(commit_only(sites.configure))
-        self._add_status("sites", sites)
-        self._add_metrics("sites", sites)
+        self._add_status("sites", sites, metrics=sites)
         return sites
 
     def _build_recovery(self) -> RecoveryMonitor | None:
@@ -394,6 +393,5 @@
             self.ajp_servers,
             self.log,
         )
-        self._add_status("recovery", recovery)
-        self._add_metrics("recovery", recovery)
+        self._add_status("recovery", recovery, metrics=recovery)
         return recovery
--- a/ochrehoist/capture/recorder.py
+++ b/ochrehoist/capture/recorder.py
@@ -24,8 +24,7 @@
 from ochrehoist.core.metrics import RequestCounter
 from ochrehoist.core.request import InboundRequest
 from ochrehoist.errors import InvalidInputError
-from ochrehoist.net.blocking_calls import BlockingCallThread
-from ochrehoist.net.loop import Loop
+from ochrehoist.loop_protocols import StartBlockingCalls, TimerLoop
 
 FLUSH_INTERVAL_S = 1.0  # after which waiting records are written, whether they are a batch or not
 FINAL_FLUSH_S = 1.0  # the longest that the last writes are waited for
@@ -55,7 +54,14 @@
     where the folder can't be made.
     """
 
-    def __init__(self, loop: Loop, owner: CoreActor, config: Config, log: Any) -> None:
+    def __init__(
+        self,
+        loop: TimerLoop,
+        start_blocking_calls: StartBlockingCalls,
+        owner: CoreActor,
+        config: Config,
+        log: Any,
+    ) -> None:
         assert config.capture is not None
         self._loop = loop
         self._owner = owner
@@ -74,7 +80,7 @@
         self._header_settings: AdmissionSettings | None = None  # of its header, without tenants
         self._written = 0
         self._failure = ""  # the last error, until a write goes well
-        self._thread = BlockingCallThread(loop, "capture")
+        self._thread = start_blocking_calls("capture")
         self._start_file(owner.settings)
         loop.call_later(FLUSH_INTERVAL_S, self._flush_regularly)
 
--- a/ochrehoist/store/commit_scheduler.py
+++ b/ochrehoist/store/commit_scheduler.py
@@ -5,8 +5,7 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from ochrehoist.net.blocking_calls import BlockingCallThread
-from ochrehoist.net.loop import Loop
+from ochrehoist.loop_protocols import BlockingCalls, TimerLoop
 from ochrehoist.store import failpoints
 from ochrehoist.store.errors import FailureKind, StoreFailedError
 from ochrehoist.store.failpoints import Failpoint
@@ -81,8 +80,8 @@
 
     def __init__(
         self,
-        loop: Loop,
-        thread: BlockingCallThread,
+        loop: TimerLoop,
+        thread: BlockingCalls,
         queue: WriteQueue,
         session: FolderSession,
         metrics: JournalMetrics,
--- a/ochrehoist/store/folder_opener.py
+++ b/ochrehoist/store/folder_opener.py
@@ -4,8 +4,7 @@
 import time
 from collections.abc import Callable
 
-from ochrehoist.net.blocking_calls import BlockingCallThread
-from ochrehoist.net.loop import Loop
+from ochrehoist.loop_protocols import BlockingCalls, TimerLoop
 from ochrehoist.store.commit_scheduler import StoreFailureLog
 from ochrehoist.store.errors import StoreLockedError
 from ochrehoist.store.folder_session import FolderSession, OpenedFolder
@@ -31,8 +30,8 @@
 
     def __init__(
         self,
-        loop: Loop,
-        thread: BlockingCallThread,
+        loop: TimerLoop,
+        thread: BlockingCalls,
         session: FolderSession,
         failures: StoreFailureLog,
         longest_window_ns: Callable[[], int],
--- a/ochrehoist/store/journal.py
+++ b/ochrehoist/store/journal.py
@@ -18,8 +18,7 @@
 from ochrehoist.core.request import IdempotencyKey, InboundRequest
 from ochrehoist.core.results import Rejection, RunResult
 from ochrehoist.errors import InvalidInputError
-from ochrehoist.net.blocking_calls import BlockingCallThread
-from ochrehoist.net.loop import Loop
+from ochrehoist.loop_protocols import StartBlockingCalls, TimerLoop
 from ochrehoist.store import failpoints
 from ochrehoist.store.commit_scheduler import CommitScheduler, RebuildContents, StoreFailureLog
 from ochrehoist.store.damage import StoreCondition, remaining_hold_ns
@@ -54,6 +53,7 @@
 
     Args:
         loop: the worker's loop.
+        start_blocking_calls: starts the thread for the disk, by name.
         owner: the core, which is sent messages.
         config: the `[state]` table.
         name: the worker's name, recorded with what it ran.
@@ -66,7 +66,8 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: TimerLoop,
+        start_blocking_calls: StartBlockingCalls,
         owner: CoreActor,
         config: StateConfig,
         name: str,
@@ -93,7 +94,7 @@
         self._queue = WriteQueue(config.group_commit_delay_ms / 1000, config.max_disk_wait_ms / 1000)
         self._session = FolderSession(config, name)
         self._prepare_folder(replacing)
-        self._thread = BlockingCallThread(loop, "journal")
+        self._thread = start_blocking_calls("journal")
         self._scheduler = CommitScheduler(
             loop, self._thread, self._queue, self._session, self._metrics, self._failures, self, log
         )
