--- a/Makefile
+++ b/Makefile
@@ -1,7 +1,7 @@
-# `make` builds; `make test` lints and runs all tests; `make stress` runs hundreds of reloads at bad moments,
+# `make` builds; `make test` lints and runs all tests; `make stress` reloads the configuration hundreds of times while requests run,
 # `make kills` thousands of kills of a worker with a store;
-# `make site-schedules` losses of sites on virtual time, `make restarts` thousands of restarts with folders lost;
-# `make faults` plays of several workers with faults between them, `make schedules` the same on virtual time;
+# `make site-schedules` losses of sites on virtual time from seeds, `make restarts` thousands of restarts with folders lost;
+# `make faults` scenarios of several workers with faults between them, `make schedules` the same on virtual time;
 # `make upgrade` a worker of an earlier release replaced by this one;
 # `make run` serves deploy/ajp.toml in the foreground.
 PYTHON ?= python3
--- a/ochrehoist/lab/scale/run.py
+++ b/ochrehoist/lab/scale/run.py
@@ -154,7 +154,7 @@
         if refused_count:
             self._notes.append(
                 f"{refused_count} times a member was refused by another, which had as many as it "
-                "takes (MOST_MEMBERS)"
+                "takes (MAX_MEMBERS)"
             )
 
     async def _measure_rest(self, cluster: ScaleCluster, report: ReportProgress) -> None:
