--- /dev/null
+++ b/benchmarks/configuration/__init__.py
@@ -0,0 +1,1 @@
+"""Cost of loading a configuration, and of replacing it while requests are served."""
--- /dev/null
+++ b/benchmarks/fleet/__init__.py
@@ -0,0 +1,1 @@
+"""Fleets: peers, sites, witnesses, and the replacement of an earlier release."""
--- /dev/null
+++ b/benchmarks/fleet/site_loss.py
@@ -0,0 +1,205 @@
+"""What the loss of a site costs, and its return, with [sites] and without.
+
+`virtual`: on virtual time, also without the recovery ramp and without the admission gate. `processes
+REVISION`: real workers, half of them killed, beside an earlier revision by turns.
+"""
+
+import argparse
+import logging
+from collections.abc import Iterator
+from concurrent.futures import ProcessPoolExecutor
+from contextlib import ExitStack
+from dataclasses import dataclass
+from enum import StrEnum
+from functools import partial
+from itertools import repeat
+from statistics import fmean
+from unittest import mock
+
+from benchmarks.shared.revisions import NOW, Tree, before_and_now
+from ochrehoist.lab import judge
+from ochrehoist.lab.drill import foretold
+from ochrehoist.lab.play import Play
+from ochrehoist.lab.scenario import Scenario, parse
+from ochrehoist.lab.sitestorm import Sites
+from ochrehoist.sites.admission_gate import AdmissionGate
+from ochrehoist.sites.recovery_ramp import RecoveryRamp
+
+LOST_SITE = "antwerp"
+VIRTUAL_SITES = {"brussels": 3, LOST_SITE: 3}
+VIRTUAL_LOADS = (0.45, 0.6, 0.8, 0.95)
+LOST_AT_S, RETURNED_AT_S, END_S = 10, 22, 46  # on virtual time
+RETURN_S = 6  # first seconds of the return
+CLASSES = [
+    {"name": "read", "share": 0.8, "work_ms": 200},
+    {"name": "filing", "share": 0.2, "work_ms": 200, "worth": 3, "keyed": True},
+]
+WORKERS = {"brussels": ["w0", "w1", "w2"], LOST_SITE: ["w3", "w4", "w5"]}
+CAPACITY_PER_S = 120  # of all servers
+KILLED_AT_S, KILLED_S, PLAY_S = 6, 12, 34
+FIRST_SECONDS = 3  # after the kill, of which the worst is printed
+
+
+class Missing(StrEnum):
+    """Which parts of [sites] are switched off."""
+
+    NOTHING = "nothing"
+    RAMP = "recovery ramp"
+    GATE_AND_RAMP = "gate and recovery ramp"
+
+
+@dataclass(frozen=True)
+class SiteLossFigures:
+    """Goodput through the loss and the return of a site, over all seeds.
+
+    `recovered_s`: from the return until goodput is as before; None where it never was. `attempts`: of a call.
+    """
+
+    during: float
+    filings: float
+    worst_second: float
+    returning: float
+    attempts: float
+    recovered_s: float | None
+    least_returning: float | None = None
+
+
+@dataclass(frozen=True)
+class ProcessPlay:
+    """One play of real workers: `possible` is the goodput that the servers that were left allow."""
+
+    tree: Tree
+    seed: int
+    possible: float
+    figures: SiteLossFigures
+    broken_invariants: int
+
+
+def add_arguments(parser: argparse.ArgumentParser) -> None:
+    """Declare the benchmark's arguments."""
+    kinds = parser.add_subparsers(dest="kind", required=True, metavar="KIND")
+    virtual = kinds.add_parser("virtual", help="on virtual time")
+    processes = kinds.add_parser("processes", help="real workers beside an earlier revision")
+    processes.add_argument("revision", help="the earlier one")
+    processes.add_argument("--load", type=float, default=0.8, help="of the capacity of all servers")
+    for kind in (virtual, processes):
+        kind.add_argument("--seeds", type=int, default=3)
+
+
+def run(arguments: argparse.Namespace) -> int:
+    """Play what was asked for and print each play."""
+    if arguments.kind == "virtual":
+        for load, missing, figures in virtual_plays(arguments.seeds):
+            _print_virtual(load, missing, figures)
+        return 0
+    logging.getLogger("asyncio").setLevel(logging.CRITICAL)
+    with before_and_now(arguments.revision) as trees:
+        for seed in range(1, arguments.seeds + 1):
+            for tree in trees:
+                _print_processes(process_play(tree, seed, arguments.load))
+    return 0
+
+
+def virtual_plays(seeds: int) -> Iterator[tuple[float, Missing, SiteLossFigures]]:
+    """Lose a site at each load, with parts of [sites] switched off; means over the seeds."""
+    with ProcessPoolExecutor() as pool:
+        for load in VIRTUAL_LOADS:
+            for missing in Missing:
+                played = pool.map(virtual_play, range(seeds), repeat(load), repeat(missing))
+                yield load, missing, _mean(list(played))
+
+
+def virtual_play(seed: int, load: float, missing: Missing) -> SiteLossFigures:
+    """Lose a site on virtual time."""
+    with ExitStack() as switched_off:
+        if missing is not Missing.NOTHING:
+            switched_off.enter_context(mock.patch.object(RecoveryRamp, "load_fraction", 1.0))
+        if missing is Missing.GATE_AND_RAMP:
+            switched_off.enter_context(mock.patch.object(AdmissionGate, "rank_limit", 1.0))
+        world = Sites(seed, VIRTUAL_SITES, load)
+        world.at(LOST_AT_S, partial(world.lose, LOST_SITE))
+        world.at(RETURNED_AT_S, partial(world.bring_back, LOST_SITE))
+        world.run(END_S)
+        figures = world.figures(LOST_AT_S, RETURNED_AT_S)
+        return SiteLossFigures(
+            during=figures["during"],
+            filings=figures["filings"],
+            worst_second=figures["worst"],
+            returning=world.gained(RETURNED_AT_S, RETURNED_AT_S + RETURN_S),
+            attempts=figures["tries"],
+            recovered_s=figures["whole"],
+            least_returning=figures["least"],
+        )
+
+
+def process_play(tree: Tree, seed: int, load: float) -> ProcessPlay:
+    """Kill half of the real workers of a tree; only this tree has [sites]."""
+    scenario = _scenario(tree, load)
+    play = Play(scenario, seed, tree.root)
+    verdict = play.run()
+    calls, by_second = play.callers.calls, dict(verdict["seconds"])
+    returned_s = KILLED_AT_S + KILLED_S
+    figures = SiteLossFigures(
+        during=judge.goodput(calls, KILLED_AT_S, returned_s),
+        filings=judge.goodput(calls, KILLED_AT_S, returned_s, "filing"),
+        worst_second=min(by_second[KILLED_AT_S + second] for second in range(FIRST_SECONDS)),
+        returning=judge.goodput(calls, returned_s, returned_s + RETURN_S),
+        attempts=verdict["tries_per_call"],
+        recovered_s=judge.whole_again(calls, returned_s, verdict["goodput"]["quiet"]["all"]),
+    )
+    possible = foretold(scenario, LOST_SITE)["worth"]
+    return ProcessPlay(tree, seed, possible, figures, len(verdict["broken"]))
+
+
+def _scenario(tree: Tree, load: float) -> Scenario:
+    with_sites = tree.name == NOW
+    return parse(
+        {
+            "name": tree.name,
+            "seconds": PLAY_S,
+            "workers": 6,
+            "sites": WORKERS,
+            "classes": CLASSES,
+            "load": {"rate": CAPACITY_PER_S * load},
+            "peers": with_sites,
+            "tables": {"sites": {}} if with_sites else {},
+            "services": {"shared": 0, "cores": 4, "cold_from": 0.21, "cold_s": 12.0},
+            "balancer": {"choice": "weighted", "check_s": 0.2, "redispatch": True},
+            "faults": [{"at": KILLED_AT_S, "kind": "kill", "who": [LOST_SITE], "lasts": KILLED_S}],
+        }
+    )
+
+
+def _mean(plays: list[SiteLossFigures]) -> SiteLossFigures:
+    """The means; what never recovered counts as recovering at the end."""
+    never_s = END_S - RETURNED_AT_S
+    return SiteLossFigures(
+        during=fmean(play.during for play in plays),
+        filings=fmean(play.filings for play in plays),
+        worst_second=fmean(play.worst_second for play in plays),
+        returning=fmean(play.returning for play in plays),
+        attempts=fmean(play.attempts for play in plays),
+        recovered_s=fmean(never_s if play.recovered_s is None else play.recovered_s for play in plays),
+        least_returning=fmean(play.least_returning or 0.0 for play in plays),
+    )
+
+
+def _print_virtual(load: float, missing: Missing, figures: SiteLossFigures) -> None:
+    print(
+        f"{load:.0%} without {missing}: meanwhile {figures.during:.3f}, filings {figures.filings:.3f}, "
+        f"worst second {figures.worst_second:.2f}, return {figures.returning:.3f}, "
+        f"least {figures.least_returning:.2f}, recovered after {figures.recovered_s:.1f} s, "
+        f"{figures.attempts:.2f} attempts",
+        flush=True,
+    )
+
+
+def _print_processes(play: ProcessPlay) -> None:
+    figures = play.figures
+    print(
+        f"{play.tree.name} seed {play.seed}: meanwhile {figures.during:.3f} of {play.possible:.3f} possible, "
+        f"filings {figures.filings:.3f}, worst second {figures.worst_second:.2f}, "
+        f"first {RETURN_S} s of the return {figures.returning:.3f}, recovered after {figures.recovered_s} s, "
+        f"{figures.attempts:.2f} attempts, broken {play.broken_invariants}",
+        flush=True,
+    )
--- /dev/null
+++ b/benchmarks/requests/__init__.py
@@ -0,0 +1,1 @@
+"""Cost of requests on the path through the fronts."""
--- /dev/null
+++ b/benchmarks/scaling/__init__.py
@@ -0,0 +1,1 @@
+"""How the cost of each part grows with size: the measurements behind docs/CAPACITY.md."""
--- /dev/null
+++ b/benchmarks/store/__init__.py
@@ -0,0 +1,1 @@
+"""Cost and durability of the store of idempotent results."""
--- a/ochrehoist/overload/concurrency_limits.py
+++ b/ochrehoist/overload/concurrency_limits.py
@@ -2,8 +2,8 @@
 
 Published: AIMD (Chiu and Jain, 1989), Vegas (Brakmo and Peterson, 1994, as used on concurrency), the second
 gradient limit of Netflix's concurrency-limits (2018) and hill climbing by incremental steps (Heiss and
-Wagner, 1991). Extremum seeking on the elasticity of throughput is ours; benchmarks/knee.py compares them
-all.
+Wagner, 1991). Extremum seeking on the elasticity of throughput is ours; `python -m benchmarks
+limit-algorithms` compares them all.
 
 Times are a run's time for each unit of its stated work, where it states any, so that a mix of large and small
 requests does not look like a change of the machine.
