--- a/tests/admission/test_tenant_learned_state.py
+++ b/tests/admission/test_tenant_learned_state.py
@@ -91,3 +91,15 @@
             learned_state.restore(fresh.c, expire_learned_state(lesson, then, then, hour, False), fresh.now)
             self.assertAlmostEqual(first, fresh.c.activity.of_tenant(0).asked / 2, places=6)
             self.assertLess(fresh.c.activity.of_tenant(30).asked, 0.9)
+
+    def test_a_rate_of_starts_is_stored_until_it_has_decayed_below_the_minimum(self):
+        half_life = 3600 * S
+        stored = learned_state.snapshot(self.active().c)
+        self.assertEqual(len(stored["ran"]), 7)
+        for half_lives, expected in ((0, 7), (10, 7), (48, 0)):
+            with self.subTest(half_lives=half_lives):
+                later = Timestamp(half_lives * half_life)
+                decayed = expire_learned_state(stored, Timestamp(0), later, half_life, False)
+                fresh = TenantDriver(tenants(50, 30.0))
+                learned_state.restore(fresh.c, decayed, fresh.now)
+                self.assertEqual(len(learned_state.snapshot(fresh.c)["ran"]), expected)
--- a/tests/golden/test_store.py
+++ b/tests/golden/test_store.py
@@ -12,7 +12,8 @@
 from tests.support.worker_process import WorkerProcess, run_command
 
 GOLDEN = FIXTURES / "000e6de" / "store"
-IDEMPOTENCY_WINDOW_NS = 50 * 365 * 86_400 * 10**9  # as tests/golden/make_golden.py has it
+FIFTY_YEARS_S = 50 * 365 * 86_400
+IDEMPOTENCY_WINDOW_NS = FIFTY_YEARS_S * 10**9  # as tests/golden/make_golden.py has it
 
 
 def long_lived_settings():
@@ -64,9 +65,9 @@
         self.assertEqual(sorted(self.exported(other)[1:]), sorted(self.lines(GOLDEN / "export.jsonl")[1:]))
 
     def test_a_worker_serves_it_and_leaves_the_learned_state_under_the_same_names(self):
-        program = WorkerProcess(
-            thrift=False, ajp=True, site=long_lived_settings(), state={"folder": str(self.folder)}
-        )
+        # With the default half-life, hours after the fixture was made its rates are too low to be stored again.
+        state = {"folder": str(self.folder), "learned_half_life_s": FIFTY_YEARS_S}
+        program = WorkerProcess(thrift=False, ajp=True, site=long_lived_settings(), state=state)
         self.addCleanup(program.close)
         client = program.ajp_client()
 
