--- a/tests/golden/test_store.py
+++ b/tests/golden/test_store.py
@@ -65,7 +65,7 @@
         self.assertEqual(sorted(self.exported(other)[1:]), sorted(self.lines(GOLDEN / "export.jsonl")[1:]))
 
     def test_a_worker_serves_it_and_leaves_the_learned_state_under_the_same_names(self):
-        # With the default half-life, hours after the fixture was made its rates are too low to be stored again.
+        # With the default half-life the rates of an older fixture are too low to be stored again.
         state = {"folder": str(self.folder), "learned_half_life_s": FIFTY_YEARS_S}
         program = WorkerProcess(thrift=False, ajp=True, site=long_lived_settings(), state=state)
         self.addCleanup(program.close)
