--- a/tests/golden/test_command_output.py
+++ b/tests/golden/test_command_output.py
@@ -113,7 +113,14 @@
 
 def help_of(command, words):
     """The help texts of a command and of all below it."""
-    context = click.Context(command, info_name=" ".join(words), terminal_width=WIDTH, max_content_width=WIDTH)
+    context = click.Context(
+        command,
+        info_name=" ".join(words),
+        terminal_width=WIDTH,
+        max_content_width=WIDTH,
+        # A command below `main` inherits these; click remembers them from the first call in the process.
+        help_option_names=main.context_settings["help_option_names"],
+    )
     texts = [command.get_help(context) + "\n"]
     for name, below in sorted(getattr(command, "commands", {}).items()):
         texts += help_of(below, (*words, name))
