--- a/ochrehoist/config/ajp_tables.py
+++ b/ochrehoist/config/ajp_tables.py
@@ -1,4 +1,4 @@
-"""The table [ajp]: the AJP front and the servers behind it."""
+"""Reads the table [ajp]: the AJP front and its backend servers."""
 
 from collections.abc import Container, Generator
 
@@ -8,7 +8,7 @@
 from ochrehoist.config.tables import AjpConfig, AjpServer
 from ochrehoist.config.values import address, header_name
 
-MIN_PACKET_BYTES = 8192  # of AJP/1.3
+MIN_PACKET_BYTES = 8192  # AJP/1.3 requires at least this packet size
 MAX_PACKET_BYTES = 65536
 DEFAULT_BODY_BYTES = 1 << 20
 SERVERS_PER_STEP = 50
@@ -36,11 +36,11 @@
 def read_ajp_in_steps(
     table: ObjectReader, settings: AdmissionSettings, tenants: Container[str], routes: RouteReader
 ) -> Generator[None, None, AjpConfig]:
-    """The table [ajp]. `tenants`: their names. Raises InvalidInputError."""
+    """Reads the table [ajp]; `tenants` contains the tenant names. Raises InvalidInputError."""
     table.allow_only(*_KEYS)
     packet_size = table.integer("packet_size", MIN_PACKET_BYTES, least=MIN_PACKET_BYTES)
     if packet_size > MAX_PACKET_BYTES:
-        raise table.error("packet_size", f"over {MAX_PACKET_BYTES}: {packet_size}")
+        raise table.error("packet_size", f"above the maximum of {MAX_PACKET_BYTES} bytes: {packet_size}")
     headers = table.section("headers", {}).allow_only("tenant", "key", "retry")
     default_tenant = table.text("default_tenant", None)
     if default_tenant is not None and default_tenant not in tenants:
@@ -73,9 +73,9 @@
         if len(servers) % SERVERS_PER_STEP == 0:
             yield
     if not servers:
-        raise ajp.error("servers", "none named")
+        raise ajp.error("servers", "no server is configured")
     if len({server.name for server in servers}) < len(servers):
-        raise ajp.error("servers", "two of one name or address")
+        raise ajp.error("servers", "two servers have the same name or address")
     return tuple(servers)
 
 
--- a/ochrehoist/config/appliance_file.py
+++ b/ochrehoist/config/appliance_file.py
@@ -1,4 +1,4 @@
-"""The TOML file of an appliance, or of the second front of a platform's worker."""
+"""Reads the TOML file of an appliance, or of the second front of a platform's worker."""
 
 import re
 import secrets
@@ -47,19 +47,19 @@
 
 @dataclass(slots=True, frozen=True)
 class ElementReaders:
-    """The readers of the large arrays, which know the elements in force."""
+    """Readers of the large arrays; they reuse unchanged elements of the active configuration."""
 
     tenants: TenantReader
     routes: RouteReader
 
     @classmethod
     def knowing(cls, current: Config | None) -> "ElementReaders":
-        """Readers that give the elements of `current` again where they did not change."""
+        """Returns readers that reuse the unchanged elements of `current`."""
         return cls(tenant_reader(current), route_reader(current))
 
 
 def route_reader(current: Config | None) -> RouteReader:
-    """A reader of routes that gives those of `current` again where they did not change."""
+    """Returns a route reader that reuses the unchanged routes of `current`."""
     if current is None:
         return RouteReader()
     routes: Sequence[AjpRoute] = current.ajp.routes if current.ajp is not None else ()
@@ -70,14 +70,14 @@
 
 @dataclass(slots=True, frozen=True)
 class ApplianceFile:
-    """A file that was parsed, its values not yet checked."""
+    """A parsed file whose values are not yet validated."""
 
     top: ObjectReader
     parsed: ParsedFile
     digest: bytes
 
     def located(self, error: InvalidInputError) -> InvalidInputError:
-        """The error with the lines of the elements that it names, where these are known."""
+        """Returns the error with the line numbers of the elements that it names, where they are known."""
         named = _LARGE_ARRAY_ELEMENT.match(error.key)
         if named is None:
             return error
@@ -93,10 +93,13 @@
 def read_appliance_in_steps(
     path: str, environment: Environment, current: Config | None
 ) -> Generator[None, None, Config]:
-    """An appliance of its own: AJP in front, AJP servers behind. Raises InvalidInputError."""
+    """Reads the configuration of a standalone appliance: an AJP front and AJP backend servers.
+
+    Raises InvalidInputError.
+    """
     readers = ElementReaders.knowing(current)
     file = yield from read_file_in_steps(path, readers, current.source if current is not None else None)
-    file.top.section("ajp")  # its only front
+    file.top.section("ajp")  # required: a standalone appliance has no other front
     apply_overrides(file.top, environment, "EDGE_ADMIN")
     try:
         common = yield from read_common_in_steps(file.top, secrets.randbits(SEED_BITS), readers.tenants)
@@ -117,9 +120,15 @@
 def read_second_front_in_steps(
     path: str, config: Config, digest: bytes, current: Config | None
 ) -> Generator[None, None, Config]:
-    """`config`, read from a file of `digest`, with the tables of an appliance's file.
+    """Returns `config` with the tables of the appliance file at `path` added.
 
-    `current`: the configuration in force.
+    Args:
+        path: the TOML file of the second front.
+        config: the configuration of the platform's file.
+        digest: the digest of the platform's file.
+        current: the active configuration, whose unchanged routes are reused.
+
+    Raises InvalidInputError.
     """
     routes = route_reader(current)
     file = yield from read_file_in_steps(path, ElementReaders(TenantReader(), routes), None)
@@ -135,9 +144,9 @@
 def read_file_in_steps(
     path: str, readers: ElementReaders, current: ConfigSource | None
 ) -> Generator[None, None, ApplianceFile]:
-    """The file, parsed, its tables known ones. `current`: of the configuration in force.
+    """Parses the file and rejects unknown top-level tables.
 
-    Raises InvalidInputError.
+    `current` is the source of the active configuration. Raises InvalidInputError.
     """
     yield from readers.routes.index_current_in_steps()
     try:
@@ -153,7 +162,7 @@
 
 
 def with_tables(config: Config, tables: OperatorTables) -> Config:
-    """`config` with what the tables of operators switch on."""
+    """Returns `config` with the parts that the operator tables enable."""
     return replace(
         config,
         ajp=tables.ajp,
@@ -171,10 +180,10 @@
     text: FileText, readers: ElementReaders, current: ConfigSource | None
 ) -> Generator[None, None, ParsedFile]:
     if text.size_bytes <= json_reader.MAX_SINGLE_STEP_CHARS:
-        import tomli  # only for those who have such a file
+        import tomli  # imported on demand: platform workers have no TOML file
 
         return ParsedFile(tomli.loads(text.joined()))
-    from ochrehoist.config import toml_reader  # only for those who have a large one
+    from ochrehoist.config import toml_reader  # imported on demand: only large files need it
 
     takers: dict[ArrayPath, TakeElement] = {
         TENANTS_PATH: readers.tenants.take,
--- a/ochrehoist/config/common.py
+++ b/ochrehoist/config/common.py
@@ -1,4 +1,4 @@
-"""What the platform's file and an appliance's have in common."""
+"""Reads the keys that the platform's file and an appliance's file have in common."""
 
 from collections.abc import Generator, Sequence
 from hashlib import sha256
@@ -14,7 +14,7 @@
 
 
 def tenant_reader(current: Config | None) -> TenantReader:
-    """A reader of tenants that gives those of `current` again where they did not change."""
+    """Returns a tenant reader that reuses the unchanged tenants of `current`."""
     if current is None:
         return TenantReader()
     tenants: Sequence[Tenant] = current.settings.tenants
@@ -26,7 +26,7 @@
 def read_common_in_steps(
     top: ObjectReader, seed: int, tenants: TenantReader
 ) -> Generator[None, None, Config]:
-    """A Config that has only what each file must have. Raises InvalidInputError."""
+    """Returns a Config with only the values that both kinds of file define. Raises InvalidInputError."""
     limits = top.section("limits", {})
     settings_table = top.section("settings")
     loaded = yield from settings_in_steps(settings_table.data, tenants)
@@ -47,5 +47,5 @@
 
 
 def version_of(*digests: bytes) -> str:
-    """The short hash by which operators tell versions of a configuration apart."""
+    """Returns a short hash that identifies a version of the configuration to operators."""
     return sha256(b"".join(digests)).hexdigest()[:VERSION_CHARS]
--- a/ochrehoist/config/comparison.py
+++ b/ochrehoist/config/comparison.py
@@ -1,4 +1,4 @@
-"""A configuration read again, compared with the one in force: what can change while the worker runs."""
+"""Compares a reloaded configuration with the active one and merges what can change at run time."""
 
 from __future__ import annotations
 
@@ -16,10 +16,11 @@
     {"kernel_address", "membership_address", "settings", "gauges", "overload", "peers", "sites"}
 )
 ONLY_AT_START = frozenset({"seed", "handover_path", "inherited_fd"})
-FIXED_AJP = frozenset({"listen", "packet_size", "max_response", "max_connections"})  # in use by connections
-MAX_GRANTORS_CHANGED = 1  # majorities of two lists that differ by more need not have a grantor in common
+FIXED_AJP = frozenset({"listen", "packet_size", "max_response", "max_connections"})  # bound to connections
+# Majorities of the old and the new list overlap only if the lists differ by at most this many grantors.
+MAX_GRANTORS_CHANGED = 1
 
-# The keys of the files, by field, where they differ: what needs a restart is reported by its key.
+# Keys in the configuration file, by field, where the two differ: reports of required restarts name the keys.
 CONFIG_KEYS = {
     "kernel_address": "kernel",
     "membership_address": "members",
@@ -45,22 +46,22 @@
 
 @dataclass(slots=True, frozen=True)
 class MergedConfig:
-    """What can be brought into force, and the keys that differ but need a restart, in order."""
+    """The configuration to apply, and the sorted keys whose changes need a restart."""
 
     config: Config
     restart_keys: list[str]
 
 
 def merged(current: Config, loaded: Config) -> MergedConfig:
-    """The configuration in force with all that can change while the worker runs.
+    """Returns the active configuration with every change of `loaded` that can be applied at run time.
 
-    Raises InvalidInputError for a change that must not be made, or lacks a key of the platform's file.
+    Raises InvalidInputError if a change is forbidden, or if the platform's file lacks a key that it had.
     """
     _require_keys(current, loaded)
     _require_same_group(current.peers, loaded.peers)
     _require_same_site(current, loaded)
     differing = _differing_fields(current, loaded) - ONLY_AT_START - {"platform_keys", "ajp"}
-    # A part that was not started has nothing to hand a new configuration to.
+    # A part that is off in either configuration needs a restart: no running instance can apply the change.
     changeable = {
         name for name in differing & CHANGEABLE if _both(getattr(current, name), getattr(loaded, name))
     }
@@ -94,7 +95,7 @@
 
 
 def _restart_keys(current: Config, loaded: Config, fixed: set[str]) -> set[str]:
-    """The keys of the fields that differ and cannot change; those of [state] one by one."""
+    """Returns the keys whose changes need a restart; keys of [state] are listed individually."""
     if "state" not in fixed or current.state is None or loaded.state is None:
         return _written(fixed, CONFIG_KEYS)
     state = _differing_fields(current.state, loaded.state)
@@ -106,7 +107,7 @@
 
 
 def _differing_fields(first: Any, second: Any) -> set[str]:
-    """The names of the compared fields in which two objects of one type differ."""
+    """Returns the names of the comparable fields in which two objects of the same type differ."""
     return {f.name for f in fields(first) if f.compare and getattr(first, f.name) != getattr(second, f.name)}
 
 
@@ -124,7 +125,8 @@
         return
     if len(set(current.lease_grantors) ^ set(loaded.lease_grantors)) > MAX_GRANTORS_CHANGED:
         raise InvalidInputError.in_setting(
-            "peers.voters", "change one name at a time, and wait for the longest lease"
+            "peers.voters",
+            "change one name at a time, and wait for the longest lease to expire between changes",
         )
     if (current.listen, current.group) != (loaded.listen, loaded.group):
         raise InvalidInputError.in_setting(LISTEN_AND_GROUP, "need a restart")
@@ -136,9 +138,9 @@
 
 
 def _fixed_ajp_fields(current: AjpConfig, loaded: AjpConfig) -> set[str]:
-    """The fields that differ and cannot change while connections are open."""
+    """Returns the fields that differ and cannot change while connections are open."""
     fixed = _differing_fields(current, loaded) & FIXED_AJP
-    # The descriptors of idle connections were set aside at the start.
+    # The file descriptors for idle connections are reserved at start-up, so their number cannot grow.
     if _idle_connections(loaded) > _idle_connections(current):
         fixed.add("servers")
     return fixed
--- a/ochrehoist/config/environment.py
+++ b/ochrehoist/config/environment.py
@@ -1,4 +1,4 @@
-"""What the environment variables say: values that go before a file's, and a socket passed by the platform."""
+"""Environment variables: overrides for values of the file, and a socket passed by the platform."""
 
 import socket
 from collections.abc import Mapping
@@ -12,9 +12,10 @@
 CONFIG_FILE = "EDGE_CONFIG"
 AJP_FILE = "OCHREHOIST_AJP"
 PASSED_SOCKET = "EDGE_PASSED_SOCKET"
-OVERRIDES = {"EDGE_NAME": "name", "EDGE_LISTEN": "listen", "EDGE_ADMIN": "admin"}  # key by variable
+# Configuration keys by the environment variable that overrides them.
+OVERRIDES = {"EDGE_NAME": "name", "EDGE_LISTEN": "listen", "EDGE_ADMIN": "admin"}
 
-MAX_HANDOVER_PATH_CHARS = 90  # a socket's path may have 107 bytes, and a few are added to this one
+MAX_HANDOVER_PATH_CHARS = 90  # Unix socket paths are limited to 107 bytes, and a suffix is added
 MAX_DESCRIPTOR_DIGITS = 9
 NAME_DIGEST_CHARS = 12
 
@@ -22,14 +23,18 @@
 
 
 def apply_overrides(top: ObjectReader, environment: Environment, *variables: str) -> None:
-    """Puts the values of the variables that are set into the upper object of a file."""
+    """Overrides top-level values of the file by the given environment variables, where they are set."""
     for variable in variables:
         if environment.get(variable):
             top.data[OVERRIDES[variable]] = environment[variable]
 
 
 def handover_path(name: str, environment: Environment) -> str | None:
-    """A path in $TMPDIR, short enough for a socket whatever the worker is called; None without $TMPDIR."""
+    """Returns the path of the handover socket in $TMPDIR.
+
+    The name is hashed, so that the path length does not depend on it. Returns None if $TMPDIR is not a
+    folder or the path would be too long for a Unix socket.
+    """
     folder = environment.get("TMPDIR")
     if not folder or not Path(folder).is_dir():
         return None
@@ -39,28 +44,28 @@
 
 
 def inherited_socket(environment: Environment, listen: Address) -> int | None:
-    """The descriptor that the platform passed: a TCP socket that listens at `listen`. A port of 0 is any.
+    """Returns the descriptor of the listening socket that the platform passed, or None without one.
 
-    Raises InvalidInputError.
+    Raises InvalidInputError if it is not a TCP socket that listens at `listen`; port 0 matches any address.
     """
     text = environment.get(PASSED_SOCKET)
     if not text:
         return None
     if not (text.isascii() and text.isdigit() and len(text) <= MAX_DESCRIPTOR_DIGITS):
-        raise InvalidInputError.in_setting(PASSED_SOCKET, f"not a descriptor: {text!r}")
+        raise InvalidInputError.in_setting(PASSED_SOCKET, f"not a file descriptor: {text!r}")
     try:
         bound = _listening_address(int(text))
     except OSError as error:
         raise InvalidInputError.in_setting(PASSED_SOCKET, f"{text}: {error}") from None
     if bound is None or (listen[1] and bound != listen):
         raise InvalidInputError.in_setting(
-            PASSED_SOCKET, f"{text}: does not listen at {listen[0]}:{listen[1]}"
+            PASSED_SOCKET, f"{text}: not a TCP socket that listens at {listen[0]}:{listen[1]}"
         )
     return int(text)
 
 
 def _listening_address(descriptor: int) -> Address | None:
-    """Where the socket listens, None if it is no TCP socket that does. It stays open."""
+    """Returns the address of a listening TCP socket, None for any other socket. The socket stays open."""
     passed = socket.socket(fileno=descriptor)
     try:
         listens = (
--- a/ochrehoist/config/fleet.py
+++ b/ochrehoist/config/fleet.py
@@ -1,4 +1,4 @@
-"""The tables of a fleet: [peers], [sites] and [recovery]. Loaded only where there is one of them."""
+"""Reads the fleet tables [peers], [sites] and [recovery]; imported only if the file has one of them."""
 
 from collections.abc import Container, Generator
 from pathlib import Path
@@ -56,7 +56,7 @@
 def read_peers_in_steps(
     top: ObjectReader, tenants: Container[str], ajp: AjpConfig | None
 ) -> Generator[None, None, PeersConfig | None]:
-    """The table [peers]. `tenants`: their names. Raises InvalidInputError."""
+    """Reads the table [peers]; `tenants` contains the tenant names. Raises InvalidInputError."""
     if "peers" not in top.data:
         return None
     table = top.section("peers").allow_only(*_PEERS_KEYS)
@@ -66,9 +66,9 @@
     lease_grantors = table.texts("voters", [])
     max_ejected_fraction = table.number("most_out", 0.5)
     if max_ejected_fraction >= 1:
-        raise table.error("most_out", f"not below 1: {max_ejected_fraction!r}")
+        raise table.error("most_out", f"must be below 1: {max_ejected_fraction!r}")
     seed_addresses = table.texts("start", [])
-    # That each grantor has a single vote rests on one address for each.
+    # Each grantor must have exactly one address; otherwise it could vote more than once.
     unknown = set(lease_grantors) - {top.text("name"), *members_table.data}
     if unknown:
         raise table.error("voters", f"not in {table.path}members: {sorted(unknown)}")
@@ -93,17 +93,19 @@
 def read_sites(
     top: ObjectReader, settings: AdmissionSettings, peers: PeersConfig | None
 ) -> SitesConfig | None:
-    """The table [sites], and the files that it names. Raises InvalidInputError."""
+    """Reads the table [sites] and the files that it names. Raises InvalidInputError."""
     if "sites" not in top.data:
         return None
     table = top.section("sites").allow_only("site", "fleet", "playbook", "pace")
     if peers is None:
-        raise InvalidInputError.in_setting("sites", "needs [peers]: sites are known by their workers")
+        raise InvalidInputError.in_setting(
+            "sites", "needs [peers]: workers learn the state of sites from their peers"
+        )
     recovery_ramp = table.flag("pace", True)
     if recovery_ramp and not peers.lease_grantors:
         raise InvalidInputError.in_setting(
             "peers.voters",
-            "missing: a site that comes back steps by their permit; or set sites.pace = false",
+            "missing: they grant each stage of a recovering site; or set sites.pace = false",
         )
     site_map = _load_site_map(table)
     site = _own_site(table, site_map, peers)
@@ -114,18 +116,18 @@
 def read_recovery(
     top: ObjectReader, peers: PeersConfig | None, state: StateConfig | None
 ) -> RecoveryConfig | None:
-    """The table [recovery]. Raises InvalidInputError."""
+    """Reads the table [recovery]. Raises InvalidInputError."""
     if "recovery" not in top.data:
         return None
     table = top.section("recovery").allow_only("witnesses", "wait_ms")
     witnesses = table.texts("witnesses", [])
     if witnesses and (peers is None or state is None):
-        raise table.error("witnesses", "need [peers], by which they are told, and [state]")
+        raise table.error("witnesses", "need [peers], for messages to the witnesses, and [state]")
     unknown = sorted(set(witnesses) - set(peers.members)) if peers is not None else []
     if unknown:
         raise table.error("witnesses", f"not in peers.members: {unknown}")
     if top.text("name") in witnesses:
-        raise table.error("witnesses", "this worker itself is none")
+        raise table.error("witnesses", "a worker cannot be its own witness")
     default_timeout = state.max_disk_wait_ms if state is not None else DEFAULT_WITNESS_TIMEOUT_MS
     timeout = table.number("wait_ms", default_timeout, least=1)
     return RecoveryConfig(witnesses=witnesses, witness_timeout_ms=timeout)
@@ -134,7 +136,9 @@
 def _secrets(table: ObjectReader) -> tuple[str, ...]:
     secrets = table.texts("secrets", REQUIRED)
     if not secrets or min(map(len, secrets)) < MIN_SECRET_CHARS:
-        raise table.error("secrets", f"one at least, each of {MIN_SECRET_CHARS} characters or more")
+        raise table.error(
+            "secrets", f"at least one is required, each of at least {MIN_SECRET_CHARS} characters"
+        )
     return secrets
 
 
@@ -158,9 +162,9 @@
         if len(budgets) % ELEMENTS_PER_STEP == 0:
             yield
     if len({budget.name for budget in budgets}) < len(budgets):
-        raise peers.error("budgets", "two of one name")
+        raise peers.error("budgets", "two budgets have the same name")
     if len({(budget.kind, budget.subject) for budget in budgets}) < len(budgets):
-        raise peers.error("budgets", "two of one of")
+        raise peers.error("budgets", "two budgets have the same keys use and of")
     return tuple(budgets)
 
 
@@ -171,12 +175,12 @@
     subject = _budget_subject(table, kind, tenants, servers)
     max_run_ms = table.number("longest_ms", 0.0)
     if kind is BudgetKind.SERVER and not max_run_ms:
-        raise table.error("longest_ms", "missing: how long one run may take")
+        raise table.error("longest_ms", "missing: the maximum duration of one run")
     if not lease_grantors:
-        raise InvalidInputError.in_setting("peers.voters", "missing: budgets need them")
+        raise InvalidInputError.in_setting("peers.voters", "missing: budgets need lease grantors")
     floor_fraction = table.number("floor", 0.1)
     if floor_fraction > 1:
-        raise table.error("floor", f"above 1: {floor_fraction!r}")
+        raise table.error("floor", f"must not be above 1: {floor_fraction!r}")
     return BudgetConfig(
         name=table.text("name"),
         kind=kind,
@@ -199,7 +203,7 @@
     known = tenants if kind is BudgetKind.TENANT else servers
     if subject is None or subject not in known:
         noun = "tenant" if kind is BudgetKind.TENANT else "server"
-        raise table.error("of", f"no such {noun}: {subject!r}")
+        raise table.error("of", f"unknown {noun}: {subject!r}")
     return subject
 
 
@@ -207,7 +211,7 @@
     file = table.text("fleet", None)
     if file is None:
         return None
-    # Its libraries are for those who have a description of the fleet.
+    # Imported on demand: only workers with a fleet description need its libraries.
     from ochrehoist.config.site_map import FleetSiteMap, SiteMapError
 
     try:
@@ -217,17 +221,17 @@
 
 
 def _own_site(table: ObjectReader, site_map: SiteMap | None, peers: PeersConfig) -> str:
-    """The site of this worker: as written, else by its address, else as its peers are told."""
+    """Returns the site of this worker: `site`, else the one of its address, else `peers.site`."""
     host = peers.advertised_address[0]
     mapped = site_map.site_of(host) if site_map is not None else None
     site = table.text("site", None) or mapped or peers.site
     if not site:
         raise table.error(
-            "site", f"missing, and no description of the fleet tells of {host}; nor does peers.site"
+            "site", f"missing; neither a fleet description nor peers.site gives the site of {host}"
         )
     if site_map is not None and site not in site_map.site_names:
         file = table.text("fleet")
-        raise table.error("site", f"no such site in {file}: {site!r}; there are {site_map.site_names}")
+        raise table.error("site", f"unknown site {site!r}: {file} has the sites {site_map.site_names}")
     return site
 
 
@@ -235,7 +239,7 @@
     file = table.text("playbook", None)
     if file is None:
         return None
-    from ochrehoist.sites.playbook import PlaybookError  # for those who have one
+    from ochrehoist.sites.playbook import PlaybookError  # imported on demand: few workers have one
     from ochrehoist.sites.playbook_codec import parse
 
     try:
--- a/ochrehoist/config/fleet_description.py
+++ b/ochrehoist/config/fleet_description.py
@@ -1,6 +1,6 @@
-"""The description of a fleet: sites, machines, workers, routers, clients and load, from TOML and checked.
+"""Loads and validates the TOML description of a fleet: sites, machines, workers, routers, clients and load.
 
-Schemas are pydantic's, networks and address sets netaddr's. An error names the key.
+The schemas use pydantic; networks and address sets use netaddr. Errors name the key.
 """
 
 import tomllib
@@ -17,48 +17,48 @@
 
 Share = Annotated[float, Field(ge=0, le=1)]
 Positive = Annotated[float, Field(gt=0)]
-MAX_SHARE_ERROR = 0.01  # by which shares may miss their sum
+MAX_SHARE_ERROR = 0.01  # allowed rounding error of a sum of shares
 
 
 class FleetDescriptionError(OchrehoistError):
-    """The description cannot be used; one line for each fault, each with its key."""
+    """An invalid fleet description; the text has one line for each error, which begins with its key."""
 
 
 class DescriptionTable(BaseModel):
-    """A table of the description; unknown keys are faults."""
+    """A table of the description; unknown keys are rejected."""
 
     model_config = ConfigDict(extra="forbid", frozen=True, ignored_types=(cached_property,))
 
 
 class Choice(StrEnum):
-    """How a router picks a worker."""
+    """A router's policy for choosing a worker."""
 
-    ROUND = "round"  # one after the other
-    LEAST = "least"  # the one that it has fewest requests open at
-    TWO = "two"  # the better of two, by the same
-    SUBJECT = "subject"  # by the request's subject, always the same
-    WEIGHTED = "weighted"  # by chance, in proportion to cores and speed
+    ROUND = "round"  # round robin
+    LEAST = "least"  # fewest open requests of this router
+    TWO = "two"  # fewer open requests among two random workers
+    SUBJECT = "subject"  # fixed worker for each request subject
+    WEIGHTED = "weighted"  # random, in proportion to cores and speed
 
 
 class Class(DescriptionTable):
-    """One class of requests."""
+    """A request class."""
 
     name: str
     share: Share
-    work_ms: Positive  # mean, on one core of speed 1
-    cv: Annotated[float, Field(ge=0, le=10)] = 0.9  # of the work, which is lognormal
+    work_ms: Positive  # mean CPU time on a core of speed 1
+    cv: Annotated[float, Field(ge=0, le=10)] = 0.9  # coefficient of variation of the lognormal work
     aim_ms: Positive
     deadline_ms: Positive
     worth: Annotated[float, Field(ge=0)] = 1.0
     late_worth: Share = 0.0
     repeat: Literal["idempotent", "deduplicated", "at_most_once"] = "idempotent"
     window_ms: Annotated[float, Field(ge=0)] = 0.0
-    heavy_share: Share = 0.0  # of its requests that cost many times as much
+    heavy_share: Share = 0.0  # fraction of requests whose work is heavy_times the usual work
     heavy_times: Annotated[float, Field(ge=1)] = 1.0
 
     @property
     def mean_ms(self) -> float:
-        """The work of one request, over its heavy ones too."""
+        """Mean work of one request in ms, heavy requests included."""
         return self.work_ms * (1 + self.heavy_share * (self.heavy_times - 1))
 
     @model_validator(mode="after")
@@ -67,56 +67,56 @@
             message = "aim_ms is past deadline_ms"
             raise ValueError(message)
         if self.repeat == "deduplicated" and not self.window_ms:
-            message = "window_ms: missing where requests may come again"
+            message = "window_ms: missing, but required for deduplicated requests"
             raise ValueError(message)
         return self
 
 
 class Tenant(DescriptionTable):
-    """One tenant of the whole fleet."""
+    """A tenant of the whole fleet."""
 
     name: str
     share: Share
-    quota_per_s: Annotated[float, Field(ge=0)] | None = None  # of all workers; else all that it sends
+    quota_per_s: Annotated[float, Field(ge=0)] | None = None  # fleet-wide; None: its whole load
 
 
 class Kind(DescriptionTable):
-    """One kind of machine."""
+    """A kind of machine."""
 
     name: str
     cores: Annotated[int, Field(ge=1, le=1024)]
-    speed: tuple[Positive, Positive] | Positive  # of a core, against the one that work is told for
+    speed: tuple[Positive, Positive] | Positive  # of a core, relative to the core that work_ms refers to
     memory_mb: Positive
     connections: Annotated[int, Field(ge=1)] = 300
-    full_table_tax: Share = 0.3  # of its capacity, while the connection table is full
-    handshake_ms: Annotated[float, Field(ge=0)] = 0.0  # work of a new connection
-    crowd: Annotated[float, Field(gt=1)] = 8.0  # running requests a core that it survives
-    slow_from: Annotated[float, Field(ge=1)] = 1.3  # of them, past which all get less done together
-    slow_to: Annotated[float, Field(gt=0, le=1)] = 0.7  # of its capacity, at the crowd
-    cold_from: Annotated[float, Field(gt=0, le=1)] = 1.0  # of its speed, just started
+    full_table_tax: Share = 0.3  # fraction of the capacity lost while the connection table is full
+    handshake_ms: Annotated[float, Field(ge=0)] = 0.0  # CPU time for a new connection
+    crowd: Annotated[float, Field(gt=1)] = 8.0  # requests per core at which it collapses
+    slow_from: Annotated[float, Field(ge=1)] = 1.3  # requests per core at which throughput falls
+    slow_to: Annotated[float, Field(gt=0, le=1)] = 0.7  # fraction of the capacity that remains at `crowd`
+    cold_from: Annotated[float, Field(gt=0, le=1)] = 1.0  # fraction of the speed directly after a start
     cold_s: Annotated[float, Field(ge=0)] = 0.0
 
     @property
     def speeds(self) -> tuple[float, float]:
-        """The slowest and the fastest core."""
+        """Speeds of the slowest and the fastest core."""
         return self.speed if isinstance(self.speed, tuple) else (self.speed, self.speed)
 
     @field_validator("speed")
     @classmethod
     def _ordered(cls, value: Any) -> Any:
         if isinstance(value, tuple) and value[0] > value[1]:
-            message = "the range runs backwards"
+            message = "the lower bound of the range is above the upper bound"
             raise ValueError(message)
         return value
 
 
 class Site(DescriptionTable):
-    """A data centre: what lies in it is told by networks and by addresses of its own."""
+    """A data centre, defined by its networks and single addresses."""
 
     name: str
     networks: list[str] = []
     addresses: list[str] = []
-    cross_ms: Annotated[float, Field(ge=0)] = 2.0  # one way, to another site
+    cross_ms: Annotated[float, Field(ge=0)] = 2.0  # one-way latency to another site
 
     @field_validator("networks", "addresses")
     @classmethod
@@ -127,77 +127,77 @@
 
     @cached_property
     def space(self) -> netaddr.IPSet:
-        """All addresses that lie in it."""
+        """Set of all addresses in the site."""
         parts = (part for text in (*self.networks, *self.addresses) for part in addresses_of(text))
         return netaddr.IPSet(list(parts))
 
 
 class Workers(DescriptionTable):
-    """Workers of one kind."""
+    """A group of workers on machines of the same kind."""
 
     kind: str
     addresses: list[str]
 
 
 class Routers(DescriptionTable):
-    """A group of routers that behave alike."""
+    """A group of routers with the same behaviour."""
 
     addresses: list[str]
     choice: Choice = Choice.ROUND
     retries: Annotated[int, Field(ge=0, le=20)] = 1
-    wait_ms: Annotated[float, Field(ge=0)] = 0.0  # before a further try
-    keep_to: Annotated[int, Field(ge=0)] = 0  # of the workers, for good; 0: all
-    weight: Positive = 1.0  # of the load that comes to each, against other routers
+    wait_ms: Annotated[float, Field(ge=0)] = 0.0  # delay before a retry
+    keep_to: Annotated[int, Field(ge=0)] = 0  # size of each router's fixed subset of workers; 0: all
+    weight: Positive = 1.0  # relative load of each router
 
 
 class Clients(DescriptionTable):
-    """What callers do where they are rejected."""
+    """Behaviour of callers whose requests are rejected."""
 
     retries: Annotated[int, Field(ge=0, le=20)] = 1
     wait_ms: Annotated[float, Field(ge=0)] = 300.0
-    heed: Share = 0.6  # of the routers that stay away as they are told
+    heed: Share = 0.6  # fraction of routers that obey Retry-After
 
 
 class Membership(DescriptionTable):
-    """How routers learn of workers."""
+    """Propagation of worker changes to the routers."""
 
-    lag_s: Annotated[float, Field(ge=0)] = 1.5  # until routers know of a change
+    lag_s: Annotated[float, Field(ge=0)] = 1.5  # delay until routers know of a change
 
 
 class Load(DescriptionTable):
-    """What comes to all routers together."""
+    """Offered load of all routers together."""
 
-    rate: Positive  # first tries a second, all routers together
+    rate: Positive  # first attempts per second, all routers together
     subjects: Annotated[int, Field(ge=1, le=10_000_000)] = 10_000
     zipf: Annotated[float, Field(ge=0, le=3)] = 0.9
-    hot: Annotated[int, Field(ge=0, le=1000)] = 0  # subjects that draw, besides,
-    hot_share: Share = 0.0  # so much of all
-    swing: Share = 0.0  # of the rate, up and down
-    swing_s: Positive = 60.0
-    hint_cv: Annotated[float, Field(ge=0, le=5)] = 0.2  # error of the stated work
+    hot: Annotated[int, Field(ge=0, le=1000)] = 0  # number of hot subjects
+    hot_share: Share = 0.0  # additional fraction of the load that the hot subjects receive
+    swing: Share = 0.0  # amplitude of the load oscillation, as a fraction of the rate
+    swing_s: Positive = 60.0  # period of the oscillation
+    hint_cv: Annotated[float, Field(ge=0, le=5)] = 0.2  # coefficient of variation of work hints
 
 
 class Intake(DescriptionTable):
-    """What reading and holding a request takes."""
+    """Costs of reading a request and holding it in memory."""
 
-    share: Share = 0.05  # of the mean work, to read a request
+    share: Share = 0.05  # work of reading a request, as a fraction of the mean work
     held_kb: tuple[Positive, Positive] = (14.0, 57.0)
     run_factor: Annotated[float, Field(ge=1)] = 16.0
     key_kb: Annotated[float, Field(ge=0)] = 80.0
-    idle_s: Positive = 30.0  # after which routers close a connection
+    idle_s: Positive = 30.0  # idle time after which routers close a connection
 
 
 class Placed(DescriptionTable):
-    """A worker or router by address, and the site that it lies in."""
+    """Address and site of one worker or router."""
 
     address: str
     site: str
     kind: str = ""
-    group: int = 0  # of the description's routers
+    group: int = 0  # index of the router group
 
 
 class Fleet(DescriptionTable):
-    """The whole description."""
+    """A complete fleet description."""
 
     name: str = "fleet"
     load: Load
@@ -226,7 +226,7 @@
             names = [part.name for part in getattr(self, key)]
             for name in names:
                 if names.count(name) > 1:
-                    message = f"{key}: {name!r} comes twice"
+                    message = f"{key}: {name!r} is defined more than once"
                     raise ValueError(message)
 
     def _check_shares(self) -> None:
@@ -260,7 +260,7 @@
             seen.add(placed.address)
 
     def _place(self, key: str, index: int, addresses: list[str]) -> list[tuple[str, str]]:
-        """Addresses with their sites, of a group of workers or routers."""
+        """Returns the (address, site) pairs of a group of workers or routers."""
         placed = []
         for address in self._listed(key, index, addresses):
             site = self.site_of(address)
@@ -269,7 +269,7 @@
                 raise ValueError(message)
             placed.append((address, site))
         if not placed:
-            message = f"{key}[{index}].addresses: none"
+            message = f"{key}[{index}].addresses: at least one address is required"
             raise ValueError(message)
         return placed
 
@@ -284,13 +284,13 @@
             yield from listed
 
     def site_of(self, address: str) -> str | None:
-        """The site in which an address lies, by its networks, addresses and ranges."""
+        """Returns the name of the site that contains `address`, or None if no site does."""
         ip = netaddr.IPAddress(address)
         return next((site.name for site in self.sites if ip in site.space), None)
 
     @cached_property
     def placed_workers(self) -> list[Placed]:
-        """All workers."""
+        """Address, site and machine kind of each worker."""
         return [
             Placed(address=address, site=site, kind=group.kind)
             for index, group in enumerate(self.workers)
@@ -299,7 +299,7 @@
 
     @cached_property
     def placed_routers(self) -> list[Placed]:
-        """All routers."""
+        """Address, site and group of each router."""
         return [
             Placed(address=address, site=site, group=index)
             for index, group in enumerate(self.routers)
@@ -307,51 +307,54 @@
         ]
 
     def kind(self, name: str) -> Kind:
-        """The kind of this name, which is there."""
+        """Returns the machine kind of the given name, which must exist."""
         return next(kind for kind in self.kinds if kind.name == name)
 
     @property
     def mean_work_s(self) -> float:
-        """Seconds on a core of speed 1 for one request, over all classes."""
+        """Mean work of a request of any class, in seconds on a core of speed 1."""
         return sum(c.share * c.mean_ms for c in self.classes) / 1000
 
     @property
     def capacity(self) -> float:
-        """Seconds of such work that all cores can do in a second, at the middle of their speeds."""
+        """Seconds of work that all cores complete per second, at the middle of their speed ranges."""
         return sum(k.cores * sum(k.speeds) / 2 for k in (self.kind(w.kind) for w in self.placed_workers))
 
     @property
     def demand(self) -> float:
-        """Of the capacity, by first tries and their reading."""
+        """Fraction of the capacity that first attempts need, the work of reading them included."""
         return self.load.rate * self.mean_work_s * (1 + self.intake.share) / self.capacity
 
     def with_load(self, rate: float) -> "Fleet":
-        """The same with so many first tries a second."""
+        """Returns a copy of the fleet with a load of `rate` first attempts per second."""
         return self.model_copy(update={"load": self.load.model_copy(update={"rate": rate})})
 
     def at(self, demand: float) -> "Fleet":
-        """The same with a load of so much of its capacity."""
+        """Returns a copy of the fleet whose load needs the fraction `demand` of its capacity."""
         return self.with_load(self.load.rate * demand / self.demand)
 
     def quota(self, tenant: Tenant) -> float:
-        """Requests a second that count in full for a tenant."""
+        """Returns the rate of a tenant's requests, per second, that have full priority weight."""
         return tenant.quota_per_s if tenant.quota_per_s is not None else tenant.share * self.load.rate
 
 
 def addresses_of(text: str) -> list[netaddr.IPNetwork | netaddr.IPRange]:
-    """An address, a network in CIDR, or a range FIRST-LAST, of IPv4 or IPv6."""
+    """Parses an IPv4 or IPv6 address, a network in CIDR notation, or a range FIRST-LAST.
+
+    Raises ValueError.
+    """
     try:
         if "-" in text:
             first, last = (part.strip() for part in text.split("-"))
             return [netaddr.IPRange(first, last)]
         return [netaddr.IPNetwork(text)]
     except (netaddr.AddrFormatError, ValueError) as error:
-        message = f"{text!r} is no address, network or range: {error}"
+        message = f"{text!r} is not an address, network or range: {error}"
         raise ValueError(message) from None
 
 
 def fault_lines(error: ValidationError) -> list[str]:
-    """A line for each fault, which begins with its key."""
+    """Returns one line for each validation error, which begins with its key."""
     lines = []
     for fault in error.errors():
         key = "".join(f"[{p}]" if isinstance(p, int) else f".{p}" for p in fault["loc"]).lstrip(".")
@@ -362,7 +365,7 @@
 
 
 def parse(data: dict[str, Any]) -> Fleet:
-    """The description from its TOML values. Raises FleetDescriptionError, with a line for each fault."""
+    """Validates parsed TOML values. Raises FleetDescriptionError with one line for each error."""
     try:
         return Fleet.model_validate(data)
     except ValidationError as error:
@@ -370,7 +373,10 @@
 
 
 def load(path: Path) -> Fleet:
-    """The description from a file. Raises FleetDescriptionError, which names the file, and OSError."""
+    """Loads a fleet description.
+
+    Raises FleetDescriptionError, whose lines name the file, and OSError.
+    """
     try:
         return parse(tomllib.loads(path.read_text(encoding="utf-8")))
     except tomllib.TOMLDecodeError as error:
--- a/ochrehoist/config/json_reader.py
+++ b/ochrehoist/config/json_reader.py
@@ -1,4 +1,4 @@
-"""JSON parsed in steps: the elements of large arrays one by one. The result equals that of json.loads()."""
+"""Parses JSON in short steps: large arrays element by element. The result equals that of json.loads()."""
 
 import json
 import re
@@ -8,14 +8,14 @@
 
 from ochrehoist.errors import OchrehoistError
 
-MAX_SINGLE_STEP_CHARS = 32768  # of a text that is parsed by one step
-CHARS_PER_STEP = 8192  # of a longer one
-MAX_STEPPED_DEPTH = 2  # of objects whose members are parsed one by one
+MAX_SINGLE_STEP_CHARS = 32768  # longer texts are parsed in several steps
+CHARS_PER_STEP = 8192
+MAX_STEPPED_DEPTH = 2  # objects nested deeper than this are parsed in a single step
 
-ArrayPath = tuple[str, ...]  # the keys of an array, from the top
+ArrayPath = tuple[str, ...]  # keys that lead from the root to an array
 TakeElement = Callable[[Any, list[Any]], None]
 
-# What json says of the same faults.
+# Error messages of the standard json module.
 EXTRA_DATA = "Extra data"
 KEY_EXPECTED = "Expecting property name enclosed in double quotes"
 COLON_EXPECTED = "Expecting ':' delimiter"
@@ -26,17 +26,18 @@
 
 
 class NestingError(OchrehoistError, ValueError):
-    """A text whose values are nested deeper than the parser can follow."""
+    """The values of a text are nested too deeply for the parser."""
 
     def __init__(self) -> None:
         super().__init__("nested too deeply")
 
 
 def read_in_steps(text: str, takers: Mapping[ArrayPath, TakeElement]) -> Generator[None, None, Any]:
-    """The value of `text`. A taker adds an element's data to the list that stands for the array at its path.
+    """Parses `text`, and passes the elements of an array to the handler for its path, if there is one.
 
-    A short text is parsed at once, without takers. Raises ValueError as json.loads() does, and for what is
-    nested too deeply.
+    A handler appends an element to the list that replaces the array in the result. A short text is parsed in
+    a single step, without handlers. Raises ValueError as json.loads() does, and NestingError if the values
+    are nested too deeply.
     """
     try:
         if len(text) <= MAX_SINGLE_STEP_CHARS or text.startswith("\ufeff"):
@@ -56,15 +57,15 @@
 
 
 class _SteppedDecoder:
-    """Decodes the upper objects and their arrays itself, all other values by json."""
+    """Decodes the outer objects and their arrays step by step, and all other values with json."""
 
     def __init__(self, text: str, takers: Mapping[ArrayPath, TakeElement]) -> None:
         self._text = text
         self._takers = takers
-        self._last_yield = 0  # position in the text
+        self._last_yield = 0  # position in the text at the last yield
 
     def value(self, start: int, path: ArrayPath) -> Generator[None, None, tuple[Any, int]]:
-        """The value that begins at `start`, and where it ends."""
+        """Decodes the value that begins at `start`. Returns it with the position after its end."""
         first = self._text[start : start + 1]
         if first == "{" and len(path) < MAX_STEPPED_DEPTH:
             return (yield from self._object(start + 1, path))
@@ -97,7 +98,7 @@
                 yield
 
     def _key(self, position: int) -> tuple[str, int]:
-        """The key of a member, and where its value begins."""
+        """Decodes the key of a member. Returns it with the position where the value begins."""
         text = self._text
         if text[position : position + 1] != '"':
             raise JSONDecodeError(KEY_EXPECTED, text, position)
--- a/ochrehoist/config/loader.py
+++ b/ochrehoist/config/loader.py
@@ -1,4 +1,4 @@
-"""The entry to all configuration: finds the file to read, and gives the Config that it says."""
+"""Entry point of the package: finds the configuration file and loads it as a Config."""
 
 import os
 from collections.abc import Generator
@@ -14,11 +14,11 @@
 def load_in_steps(
     path: str | None = None, environment: Environment = os.environ, before: Config | None = None
 ) -> Generator[None, None, Config]:
-    """The configuration of the file at `path`, else of the platform's, else of the appliance's.
+    """Loads the file at `path`, by default the platform's file or else the appliance's.
 
-    EDGE_CONFIG names the platform's file, OCHREHOIST_AJP the appliance's. `before` is the Config in force:
-    its tenants and routes that did not change come back as the same objects, and where all are the same, as
-    the same tuple. Raises InvalidInputError, which names key and place.
+    EDGE_CONFIG names the platform's file, OCHREHOIST_AJP the appliance's. `before` is the active Config: its
+    unchanged tenants and routes are reused as the same objects, and if all are unchanged, the same tuple.
+    Raises InvalidInputError, which names the key and the place in the file.
     """
     if path and path.endswith(".json"):
         return (yield from read_platform_in_steps(path, environment, before))
@@ -29,18 +29,18 @@
 
 
 def load(path: str | None = None, environment: Environment = os.environ) -> Config:
-    """As load_in_steps(), without a pause."""
+    """Loads a configuration like load_in_steps(), but in a single step."""
     return run_to_completion(load_in_steps(path, environment))
 
 
 def load_appliance(path: str, environment: Environment) -> Config:
-    """The configuration of an appliance's file, whatever the file is called."""
+    """Loads an appliance's file, regardless of its file name extension."""
     return run_to_completion(_appliance_in_steps(path, environment, None))
 
 
 def _appliance_in_steps(
     path: str, environment: Environment, before: Config | None
 ) -> Generator[None, None, Config]:
-    from ochrehoist.config import appliance_file  # takes memory that the platform's worker does not need
+    from ochrehoist.config import appliance_file  # imported on demand: saves memory in platform workers
 
     return (yield from appliance_file.read_appliance_in_steps(path, environment, before))
--- a/ochrehoist/config/object_reader.py
+++ b/ochrehoist/config/object_reader.py
@@ -1,4 +1,4 @@
-"""Typed access to one JSON object or TOML table of the configuration; errors name the key."""
+"""Typed access to a JSON object or TOML table of the configuration; errors name the key."""
 
 import math
 from collections.abc import Mapping
@@ -12,7 +12,7 @@
 
 
 class Required(Enum):
-    """The type of REQUIRED, the default of a key that must be there."""
+    """Type of REQUIRED, the default that marks a key as mandatory."""
 
     REQUIRED = "required"
 
@@ -21,10 +21,10 @@
 
 
 class ObjectReader:
-    """Reads one object and names what is missing or unusable.
+    """Reader that validates the values of one object.
 
     `path` is the prefix of the object's keys in messages: empty, or a path that ends in a dot. An explicit
-    null counts as missing. All methods raise InvalidInputError.
+    null counts as missing. Methods that read a value raise InvalidInputError if it is missing or invalid.
     """
 
     def __init__(self, data: Any, path: str) -> None:
@@ -34,22 +34,22 @@
         self.path = path
 
     def error(self, key: str, problem: str) -> InvalidInputError:
-        """The error that says what is wrong with the value of `key`."""
+        """Returns an error that describes a problem with the value of `key`."""
         return InvalidInputError.in_setting(f"{self.path}{key}", problem)
 
     def unusable(self, key: str, value: object) -> InvalidInputError:
-        """The error that shows a value of `key` that cannot be used."""
+        """Returns an error that quotes the invalid value of `key`."""
         return self.error(key, f"unusable value {value!r}")
 
     def allow_only(self, *known: str) -> Self:
-        """Refuses other keys: a misspelt key would silently be replaced by a default."""
+        """Rejects unknown keys: a misspelt key would otherwise silently get its default."""
         for key in self.data:
             if key not in known:
                 raise self.error(key, "unknown")
         return self
 
     def number(self, key: str, default: float | Required = REQUIRED, least: float = 0.0) -> float:
-        """A finite number of at least `least`; an integer stays one."""
+        """Returns a finite number not below `least`; integers are not converted to float."""
         value = self._value(key, default)
         if (
             isinstance(value, bool)
@@ -61,14 +61,14 @@
         return value
 
     def integer(self, key: str, default: int | Required = REQUIRED, least: int = 0) -> int:
-        """An integer of at least `least`, which may be written as a float."""
+        """Returns an integer not below `least`; an integral float such as 3.0 is accepted."""
         value = self.number(key, default, least)
         if value != int(value):
             raise self.unusable(key, value)
         return int(value)
 
     def flag(self, key: str, default: bool | Required = REQUIRED) -> bool:
-        """True or false."""
+        """Returns a boolean."""
         value = self._value(key, default)
         if not isinstance(value, bool):
             raise self.unusable(key, value)
@@ -81,49 +81,49 @@
     def text(self, key: str, default: None) -> str | None: ...
 
     def text(self, key: str, default: str | Required | None = REQUIRED) -> str | None:
-        """A text that is not empty."""
+        """Returns a string that is not empty, unless it is the default."""
         value = self._value(key, default)
         if value is None:
             return None
-        if isinstance(default, str) and value is default:  # which may be empty
+        if isinstance(default, str) and value is default:  # a default may be empty
             return default
         if not isinstance(value, str) or not value:
             raise self.unusable(key, value)
         return value
 
     def choice(self, key: str, table: Mapping[str, Value], default: str | Required = REQUIRED) -> Value:
-        """What `table` has for the word that is written."""
+        """Returns the value of `table` for the string at `key`."""
         value = self._value(key, default)
         if not isinstance(value, str) or value not in table:
             raise self.unusable(key, value)
         return table[value]
 
     def member(self, key: str, members: type[Member], default: Member | Required = REQUIRED) -> Member:
-        """The member of an enumeration whose value is written."""
+        """Returns the enumeration member whose value is the string at `key`."""
         return self.choice(key, {m.value: m for m in members}, default)
 
     def items(self, key: str, default: list[Any] | Required = REQUIRED) -> list[Any]:
-        """An array, its elements not yet checked."""
+        """Returns an array whose elements are not yet validated."""
         value = self._value(key, default)
         if not isinstance(value, list):
             raise self.unusable(key, value)
         return value
 
     def texts(self, key: str, default: list[str] | Required = REQUIRED) -> tuple[str, ...]:
-        """An array of different texts, none of them empty."""
+        """Returns an array of distinct strings, none of them empty."""
         values = self.items(key, default)
         if not all(isinstance(value, str) and value for value in values):
             raise self.unusable(key, values)
         if len(set(values)) < len(values):
-            raise self.error(key, "a value comes twice")
+            raise self.error(key, "contains a duplicate value")
         return tuple(values)
 
     def section(self, key: str, default: dict[str, Any] | Required = REQUIRED) -> "ObjectReader":
-        """The object below `key`."""
+        """Returns a reader of the object at `key`."""
         return ObjectReader(self._value(key, default), f"{self.path}{key}.")
 
     def element(self, key: str, index: int, data: Any) -> "ObjectReader":
-        """An element, already taken, of the array below `key`."""
+        """Returns a reader of `data`, the element at `index` of the array at `key`."""
         return ObjectReader(data, f"{self.path}{key}[{index}].")
 
     def _value(self, key: str, default: object) -> Any:
--- a/ochrehoist/config/operator_tables.py
+++ b/ochrehoist/config/operator_tables.py
@@ -1,4 +1,4 @@
-"""The tables by which operators of an appliance switch parts on; each part has its own."""
+"""Reads the tables with which operators enable optional parts of a worker, one table for each part."""
 
 from collections.abc import Container, Generator
 from dataclasses import dataclass
@@ -47,7 +47,7 @@
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class OperatorTables:
-    """What the tables say; None for one that is not there. The fields are those of Config."""
+    """Values of the operator tables, None for absent tables. The fields have the names of Config's."""
 
     ajp: AjpConfig | None
     agent_check_address: Address | None
@@ -62,7 +62,7 @@
 def read_operator_tables_in_steps(
     top: ObjectReader, settings: AdmissionSettings, tenants: Container[str], routes: RouteReader
 ) -> Generator[None, None, OperatorTables]:
-    """All tables but `settings`. `tenants`: their names. Raises InvalidInputError."""
+    """Reads all tables except `settings`; `tenants` contains the tenant names. Raises InvalidInputError."""
     console = top.section("console", {}).allow_only("agent_check")
     ajp: AjpConfig | None = None
     if "ajp" in top.data:
@@ -72,7 +72,7 @@
     sites: SitesConfig | None = None
     recovery: RecoveryConfig | None = None
     if top.data.keys() & FLEET_TABLES:
-        from ochrehoist.config import fleet  # only for those who have a fleet
+        from ochrehoist.config import fleet  # imported on demand: only members of a fleet need it
 
         peers = yield from fleet.read_peers_in_steps(top, tenants, ajp)
         sites = fleet.read_sites(top, settings, peers)
@@ -112,7 +112,7 @@
     table = top.section("capture").allow_only("folder", "sample", "max_mb", "file_mb", "file_s")
     sample_fraction = table.number("sample", 1.0)
     if not 0 < sample_fraction <= 1:
-        raise table.error("sample", f"not above 0 and at most 1: {sample_fraction!r}")
+        raise table.error("sample", f"must be above 0 and at most 1: {sample_fraction!r}")
     return CaptureConfig(
         folder=table.text("folder"),
         sample_fraction=sample_fraction,
@@ -127,7 +127,7 @@
         return None
     table = top.section("overload").allow_only(*_OVERLOAD_KEYS)
     if {"door", "admission"} <= table.data.keys():
-        raise table.error("door", "the older name of admission, which is there too")
+        raise table.error("door", "conflicts with admission, of which door is the deprecated name")
     admission_key = "door" if "door" in table.data else "admission"
     min_running, max_running = _running_bounds(table, settings)
     return OverloadConfig(
@@ -142,12 +142,14 @@
 
 
 def _running_bounds(table: ObjectReader, settings: AdmissionSettings) -> tuple[int | None, int | None]:
-    """The least and the most that may run; None for a default."""
+    """Returns the minimum and maximum of concurrent runs, None for defaults."""
     survivable = int(settings.cores * settings.collapse_multiple)
     least = table.integer("least_running", 0) or None
     most = table.integer("most_running", 0) or None
     if most is not None and most > survivable:
-        raise table.error("most_running", f"over the {survivable} that the cores survive: {most}")
+        raise table.error(
+            "most_running", f"above the {survivable} concurrent runs that the cores can sustain: {most}"
+        )
     if (least or 1) > (most or survivable):
-        raise table.error("least_running", f"over the most that may run: {least}")
+        raise table.error("least_running", f"above the maximum of concurrent runs: {least}")
     return least, most
--- a/ochrehoist/config/platform_file.py
+++ b/ochrehoist/config/platform_file.py
@@ -1,4 +1,4 @@
-"""The platform's JSON file, and the second front that an operator may add to its worker."""
+"""Reads the platform's JSON file, and the file of an optional second front of its worker."""
 
 from collections.abc import Generator, Mapping
 from dataclasses import replace
@@ -26,9 +26,10 @@
 def read_platform_in_steps(
     path: str, environment: Environment, current: Config | None
 ) -> Generator[None, None, Config]:
-    """The configuration of a platform's worker; AJP is on only where the environment names a file of it.
+    """Reads the configuration of a platform worker.
 
-    EDGE_NAME, EDGE_LISTEN and EDGE_ADMIN go before the file. Raises InvalidInputError.
+    EDGE_NAME, EDGE_LISTEN and EDGE_ADMIN override the file. The AJP front is enabled only if OCHREHOIST_AJP
+    names its file. `current` is the active configuration. Raises InvalidInputError.
     """
     tenants = tenant_reader(current)
     try:
@@ -55,7 +56,7 @@
     second_front = environment.get(AJP_FILE)
     if not second_front:
         return config
-    from ochrehoist.config import appliance_file  # only for those who have a second front
+    from ochrehoist.config import appliance_file  # imported on demand: few workers have one
 
     return (yield from appliance_file.read_second_front_in_steps(second_front, config, text.digest, current))
 
@@ -89,5 +90,5 @@
 
 
 def _keys(data: Mapping[str, Any]) -> frozenset[str]:
-    """The keys of the file and of its settings. Deeper ones are checked one by one, where they are read."""
+    """Returns the keys of the file and of its settings; deeper keys are validated where they are read."""
     return frozenset(data) | {f"settings.{key}" for key in data["settings"]}
--- a/ochrehoist/config/routes.py
+++ b/ochrehoist/config/routes.py
@@ -1,4 +1,4 @@
-"""The elements of `ajp.rules`: checked once, and kept as the same objects while they do not change."""
+"""Reads the routes in `ajp.rules`; the objects of unchanged routes are reused."""
 
 from collections.abc import Collection, Generator
 from operator import is_
@@ -13,16 +13,16 @@
 
 
 class RouteReader:
-    """Makes routes; one that did not change comes back as the same object."""
+    """Reader of routes that returns the existing object for each unchanged route."""
 
     def __init__(self, current: tuple[AjpRoute, ...] = ()) -> None:
         self._current = current
-        self._method_sets: dict[frozenset[str], frozenset[str]] = {}  # few sets for many routes
-        # By a text, since the collector does not track a dictionary of texts and numbers.
+        self._method_sets: dict[frozenset[str], frozenset[str]] = {}  # shared: many routes have equal sets
+        # String keys: the garbage collector does not track a dictionary of strings and integers.
         self._positions: dict[str, int] = {}
 
     def index_current_in_steps(self) -> Generator[None, None, None]:
-        """Makes the routes in force known; to be run before the first element is taken."""
+        """Indexes the active routes; must be completed before the first element is added."""
         for position, route in enumerate(self._current):
             methods = self._method_sets.setdefault(route.methods, route.methods)
             self._positions[_route_key(route.uri, methods, route.request_class)] = position
@@ -30,9 +30,9 @@
                 yield
 
     def take(self, data: Any, elements: list[Any]) -> None:
-        """Adds a route, its class not yet looked up, or the data where it is unusable.
+        """Appends a route, or the data itself if it is invalid. The request class is not yet validated.
 
-        read_in_steps() reports what is unusable, with the position that the element then has.
+        read_in_steps() reports invalid data, since the index of the element is known only then.
         """
         try:
             elements.append(self._checked(ObjectReader(data, ""), None))
@@ -42,7 +42,7 @@
     def read_in_steps(
         self, ajp: ObjectReader, classes: Collection[str]
     ) -> Generator[None, None, tuple[AjpRoute, ...]]:
-        """All routes of the table. `classes`: the names of the request classes. Raises InvalidInputError."""
+        """Returns all routes; `classes` contains the request class names. Raises InvalidInputError."""
         routes: list[AjpRoute] = []
         for item in ajp.items("rules"):
             for element in self._current[item.start : item.stop] if isinstance(item, range) else (item,):
@@ -61,7 +61,7 @@
         return element
 
     def _checked(self, table: ObjectReader, classes: Collection[str] | None) -> AjpRoute:
-        """The route of a table. `classes`: None: any will do. Raises InvalidInputError."""
+        """Validates a route; any class is accepted if `classes` is None. Raises InvalidInputError."""
         table.allow_only("uri", "methods", "class")
         request_class = table.text("class")
         written_methods = table.items("methods", [])
@@ -79,5 +79,5 @@
 
 
 def _route_key(uri: str, methods: frozenset[str], request_class: str) -> str:
-    """Tells routes apart whose sets of methods are shared objects."""
+    """Returns a unique key of a route. Equal method sets must be the same object: the key contains its id."""
     return f"{id(methods)} {len(uri)} {uri}{request_class}"
--- a/ochrehoist/config/schema.py
+++ b/ochrehoist/config/schema.py
@@ -1,4 +1,4 @@
-"""The types of a configuration that was read and checked."""
+"""The type of a validated configuration."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from ochrehoist.config.source import ConfigSource
 from ochrehoist.config.values import Address
 
-if TYPE_CHECKING:  # loaded by the readers of these tables, which the platform's worker has none of
+if TYPE_CHECKING:  # the readers of these tables import the module; platform workers do without it
     from ochrehoist.config.tables import (
         AjpConfig,
         CaptureConfig,
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class Config:
-    """All of a worker's configuration. A part that is None is switched off."""
+    """The complete configuration of a worker. An optional part that is None is disabled."""
 
     name: str
     settings: AdmissionSettings
@@ -33,11 +33,11 @@
     shutdown_timeout_ms: int
     memory_mb: float
     max_sockets: int
-    listen: Address | None = None  # the platform's front
+    listen: Address | None = None  # front for the platform's requests
     kernel_address: Address | None = None
     membership_address: Address | None = None
     ajp: AjpConfig | None = None
-    admin_address: Address | None = None  # for operators
+    admin_address: Address | None = None  # operators' HTTP interface
     agent_check_address: Address | None = None
     state: StateConfig | None = None
     capture: CaptureConfig | None = None
@@ -45,9 +45,9 @@
     peers: PeersConfig | None = None
     sites: SitesConfig | None = None
     recovery: RecoveryConfig | None = None
-    inherited_fd: int | None = None  # a socket that listens at `listen`, passed by the platform
-    handover_path: str | None = None  # of the socket by which a successor process finds this one
-    platform_keys: frozenset[str] = frozenset()  # of the platform's file; a later version must have them all
-    version: str = field(default="", compare=False)  # short hash of the content read
-    tenant_positions: Mapping[str, int] = field(default_factory=dict, compare=False, repr=False)  # by name
-    source: ConfigSource | None = field(default=None, compare=False, repr=False)  # None: of a short text
+    inherited_fd: int | None = None  # listening socket for `listen`, passed by the platform
+    handover_path: str | None = None  # Unix socket through which a successor process takes over
+    platform_keys: frozenset[str] = frozenset()  # a reloaded platform file must still have all these keys
+    version: str = field(default="", compare=False)  # short hash of the file content
+    tenant_positions: Mapping[str, int] = field(default_factory=dict, compare=False, repr=False)
+    source: ConfigSource | None = field(default=None, compare=False, repr=False)  # None if parsed as a whole
--- a/ochrehoist/config/settings.py
+++ b/ochrehoist/config/settings.py
@@ -1,4 +1,4 @@
-"""The settings object, as it comes in the simulator's first message and in a worker's configuration."""
+"""Reads the settings object of a worker's configuration or of the simulator's first message."""
 
 from collections.abc import Generator, Mapping
 from dataclasses import dataclass
@@ -19,7 +19,7 @@
 from ochrehoist.errors import InvalidInputError
 from ochrehoist.steps import run_to_completion
 
-# The words of the settings object.
+# The values of the settings object, and their types in the code.
 IDEMPOTENCY_WORDS = {
     "idempotent": Idempotency.IDEMPOTENT,
     "deduplicated": Idempotency.KEYED,
@@ -44,14 +44,14 @@
 
 @dataclass(slots=True, frozen=True)
 class LoadedSettings:
-    """The settings of the decisions, and the positions of its tenants by name."""
+    """Settings of the admission decisions, and the tenants' positions by name."""
 
     settings: AdmissionSettings
     tenant_positions: Mapping[str, int]
 
 
 def read_settings(text: str) -> AdmissionSettings:
-    """The settings object of a CREATE message. Raises InvalidInputError."""
+    """Parses and validates the settings object of a CREATE message. Raises InvalidInputError."""
     try:
         data = run_to_completion(json_reader.read_in_steps(text, {MESSAGE_TENANTS_PATH: TenantReader().take}))
     except ValueError as error:
@@ -60,12 +60,15 @@
 
 
 def settings_from(data: Any) -> AdmissionSettings:
-    """The settings object, already parsed. Raises InvalidInputError."""
+    """Validates a parsed settings object. Raises InvalidInputError."""
     return run_to_completion(settings_in_steps(data, TenantReader())).settings
 
 
 def settings_in_steps(data: Any, tenants: TenantReader) -> Generator[None, None, LoadedSettings]:
-    """As settings_from(), in steps. `tenants` may have taken the elements of `Tenants` already."""
+    """Validates a parsed settings object in steps.
+
+    The elements of `Tenants` may already have been read by `tenants`. Raises InvalidInputError.
+    """
     top = ObjectReader(data, "")
     family = top.section("FamilyInfo")
     rules = top.section("Rules")
@@ -140,12 +143,12 @@
     )
     names = [c.name for c in classes]
     if len(set(names)) < len(names):
-        raise top.error("Classes", f"a name that comes twice in {names!r}")
+        raise top.error("Classes", f"contains a duplicate name: {names!r}")
     return classes
 
 
 def _per_class(family: ObjectReader, key: str, kind: Any, default: list[Any]) -> list[Any]:
-    """An array with one value of `kind` for each class."""
+    """Returns an array that has one value of type `kind` for each request class."""
     values = family.items(key, default)
     if len(values) != len(default) or not all(isinstance(value, kind) for value in values):
         raise family.unusable(key, values)
--- a/ochrehoist/config/site_map.py
+++ b/ochrehoist/config/site_map.py
@@ -1,6 +1,6 @@
-"""Which site an address lies in, by the description of the fleet that the planner reads too.
+"""Maps addresses to sites by the fleet description, which the planner also reads.
 
-Loaded only where `sites.fleet` names a description: its libraries are for those who want it.
+Imported only if `sites.fleet` names a description: other workers do not need its libraries.
 """
 
 from pathlib import Path
@@ -10,11 +10,11 @@
 
 
 class SiteMapError(OchrehoistError):
-    """The description cannot be used; the text names file and key."""
+    """An invalid or unreadable fleet description; the text names the file and the key."""
 
 
 class FleetSiteMap:
-    """Sites by address; two are equal where their descriptions are."""
+    """Map from addresses to sites. Maps of equal fleet descriptions are equal."""
 
     def __init__(self, fleet: Fleet) -> None:
         self._fleet = fleet
@@ -22,7 +22,7 @@
 
     @classmethod
     def load(cls, path: Path) -> "FleetSiteMap":
-        """From a file. Raises SiteMapError."""
+        """Loads the fleet description at `path`. Raises SiteMapError."""
         try:
             return cls(load(path))
         except (FleetDescriptionError, OSError) as error:
@@ -31,8 +31,8 @@
     def __eq__(self, other: object) -> bool:
         return isinstance(other, FleetSiteMap) and other._fleet == self._fleet
 
-    __hash__ = None  # type: ignore[assignment]  # a fleet description has none
+    __hash__ = None  # type: ignore[assignment]  # fleet descriptions are not hashable
 
     def site_of(self, host: str) -> str | None:
-        """By the site's networks, addresses and ranges; None: it lies in no site."""
+        """Returns the name of the site that contains the address `host`, or None if no site does."""
         return self._fleet.site_of(host)
--- a/ochrehoist/config/source.py
+++ b/ochrehoist/config/source.py
@@ -1,4 +1,4 @@
-"""The text of a configuration file, read in steps, and what is kept of it to find what did not change."""
+"""Reads the text of a configuration file in steps, and stores what detects unchanged parts at a reload."""
 
 import codecs
 import io
@@ -13,28 +13,28 @@
 from ochrehoist.config.json_reader import MAX_SINGLE_STEP_CHARS, ArrayPath
 from ochrehoist.errors import OchrehoistError
 
-READ_BYTES = 16384  # in one step
-MAX_READ_ATTEMPTS = 5  # at a file that changes while it is read
+READ_BYTES = 16384  # read in one step
+MAX_READ_ATTEMPTS = 5  # for a file that changes during reading
 
-# Positions of elements by the digest of the chunk of text that they came from. Ranges and digests are not
-# tracked by the collector, so that many of them cost it nothing.
+# Positions of elements by the digest of the chunk of text that defines them. The garbage collector does not
+# track ranges and digests, so a large number of them does not slow it down.
 ChunkPositions = dict[bytes, range]
 
 
 class FileChangingError(OchrehoistError, ValueError):
-    """A file that was written to at each attempt to read it."""
+    """The file changed during each attempt to read it."""
 
     def __init__(self) -> None:
         super().__init__("changes while it is read")
 
 
 class FileEncodingError(OchrehoistError, ValueError):
-    """A file that is not UTF-8; the text says where."""
+    """The file is not valid UTF-8; the text names the line."""
 
 
 @dataclass(slots=True, frozen=True)
 class CachedArray:
-    """The elements of one array, and which chunks of its text gave them."""
+    """Elements of one array, and their positions by chunk of its text."""
 
     elements: Sequence[Any]
     chunks: ChunkPositions = field(default_factory=dict)
@@ -42,26 +42,29 @@
 
 @dataclass(slots=True, frozen=True)
 class ConfigSource:
-    """What a Config was read from. The text itself is not kept."""
+    """The origin of a Config, by which a reload detects unchanged parts. The text itself is not stored."""
 
     digest: bytes
-    remainder: Mapping[str, Any]  # all but the arrays in `arrays`
-    remainder_digest: bytes  # of its text; empty for JSON
+    remainder: Mapping[str, Any]  # all data outside of `arrays`
+    remainder_digest: bytes  # digest of the remainder's text; empty for JSON
     arrays: Mapping[ArrayPath, CachedArray]
 
 
 @dataclass(slots=True)
 class ParsedFile:
-    """The data of a file. A range among the elements of an array stands for elements in force."""
+    """The parsed data of a file. A range in an array stands for elements of the active configuration."""
 
     data: dict[str, Any]
-    remainder: Mapping[str, Any] | None = None  # without those arrays; None: the file was parsed as a whole
+    remainder: Mapping[str, Any] | None = None  # data outside of large arrays; None after a parse as a whole
     remainder_digest: bytes = b""
     chunks: Mapping[ArrayPath, ChunkPositions] = field(default_factory=dict)
-    lines: Mapping[ArrayPath, Sequence[int]] = field(default_factory=dict)  # first line of each element
+    lines: Mapping[ArrayPath, Sequence[int]] = field(default_factory=dict)  # line number of each element
 
     def source(self, digest: bytes, elements: Mapping[ArrayPath, Sequence[Any]]) -> ConfigSource | None:
-        """What the next reading needs. `elements`: the arrays as they were finally taken."""
+        """Returns the source for the next reload, or None if the file was parsed as a whole.
+
+        `elements` contains the arrays of the final configuration.
+        """
         if self.remainder is None:
             return None
         arrays = {path: CachedArray(elements[path], chunks) for path, chunks in self.chunks.items()}
@@ -69,7 +72,7 @@
 
 
 class FileText:
-    """A file's text in parts, with the digest of its bytes. Each newline is a single line feed."""
+    """The text of a file in parts, with newlines converted to line feeds, and the digest of its bytes."""
 
     def __init__(self) -> None:
         self.parts: list[str] = []
@@ -77,12 +80,12 @@
         self.size_bytes = 0
 
     def joined(self) -> str:
-        """The whole text."""
+        """Returns the whole text."""
         return "".join(self.parts)
 
 
 def with_arrays(remainder: Mapping[str, Any], arrays: Mapping[ArrayPath, list[Any]]) -> dict[str, Any]:
-    """A copy of `remainder` that has the arrays at their paths; `remainder` itself stays as it is."""
+    """Returns a copy of `remainder` with the arrays inserted at their paths."""
     data = dict(remainder)
     for path, elements in arrays.items():
         table = data
@@ -94,9 +97,9 @@
 
 
 def read_text_in_steps(path: str) -> Generator[None, None, FileText]:
-    """The file as it was at one moment: one that changes meanwhile, or is replaced, is read anew.
+    """Reads a consistent version of the file; reading restarts if the file changes or is replaced meanwhile.
 
-    Raises OSError, and ValueError for what is not UTF-8 or keeps changing.
+    Raises OSError, FileEncodingError, and FileChangingError after MAX_READ_ATTEMPTS attempts.
     """
     for _ in range(MAX_READ_ATTEMPTS):
         with Path(path).open("rb", buffering=0) as file:
@@ -105,7 +108,7 @@
             text = yield from _decoded_in_steps(file, before.st_size if regular else None)
             after = os.fstat(file.fileno())
         if not regular or _identity(before) == _identity(after) == _identity(Path(path).stat()):
-            if isinstance(text, FileEncodingError):  # only now: it may have been half of a change
+            if isinstance(text, FileEncodingError):  # not before: a write in progress may cause it
                 raise text
             return text
     raise FileChangingError
@@ -118,7 +121,7 @@
 def _decoded_in_steps(
     file: io.FileIO, max_bytes: int | None
 ) -> Generator[None, None, FileText | FileEncodingError]:
-    """The text, or what is wrong with it. Of a file that grows beyond `max_bytes` no more is read."""
+    """Returns the decoded text, or the encoding error. Reading stops if the file grows beyond `max_bytes`."""
     text = FileText()
     digest = sha256()
     line = 1
--- a/ochrehoist/config/tables.py
+++ b/ochrehoist/config/tables.py
@@ -1,4 +1,4 @@
-"""The types of the tables that only some workers have: their second front, the store, peers and sites."""
+"""Types of the optional tables, among them the AJP front, the store, peers and sites."""
 
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
@@ -7,21 +7,21 @@
 
 from ochrehoist.config.values import Address
 
-if TYPE_CHECKING:  # loaded only by workers that have a playbook
+if TYPE_CHECKING:  # imported at run time only by workers that have a playbook
     from ochrehoist.sites.playbook import Playbook
 
 
 class LossPolicy(StrEnum):
-    """What a worker does about idempotent requests after its store lost records."""
+    """A worker's treatment of idempotent requests after its store lost records."""
 
     HOLD = "hold"  # rejects them until no earlier idempotency window can be open
-    SERVE = "serve"  # takes the risk of running one twice
+    SERVE = "serve"  # accepts them, at the risk of running one twice
 
 
 class LimitController(StrEnum):
-    """How the concurrency limit is found."""
+    """The algorithm that determines the concurrency limit."""
 
-    MODULE = "module"  # by the decision module alone
+    MODULE = "module"  # the decision module alone sets the limit
     SEEK = "seek"
     STEPS = "steps"
     GRADIENT = "gradient"
@@ -31,27 +31,27 @@
 
 
 class BudgetKind(StrEnum):
-    """What a budget of the fleet limits."""
+    """The resource that a fleet-wide budget limits."""
 
     RETRIES = "repeats"
     TENANT = "tenant"
-    SERVER = "server"  # runs at once there
+    SERVER = "server"  # concurrent runs on one server
 
 
 class SiteMap(Protocol):
-    """Which site an address lies in, by the fleet's description."""
+    """Map from addresses to the sites of a fleet description."""
 
     @property
     def site_names(self) -> Sequence[str]:
         """The names of all sites."""
 
     def site_of(self, host: str) -> str | None:
-        """The site of an IPv4 address, None where the description does not know it."""
+        """Returns the site of an IPv4 address, or None if it is in no site."""
 
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class AjpServer:
-    """A server behind, and how long it is waited for."""
+    """A backend server and its time-outs."""
 
     name: str
     address: Address
@@ -63,7 +63,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AjpRoute:
-    """The request class of all requests whose path and method match; no methods: any."""
+    """A rule that assigns a request class by path and method; no methods match any method."""
 
     uri: str
     methods: frozenset[str]
@@ -72,7 +72,7 @@
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class AjpConfig:
-    """The AJP front, and the servers behind it."""
+    """The AJP front and its backend servers."""
 
     listen: Address
     secret: str | None
@@ -82,8 +82,8 @@
     max_connections: int
     idle_timeout_s: float
     body_timeout_s: float
-    server_backoff_ms: int  # for which a server that is out of reach is tried last
-    memory_kb: float  # of one request beside its packet and body
+    server_backoff_ms: int  # an unreachable server is tried last during this time
+    memory_kb: float  # memory of one request in addition to its packet and body
     health_uri: bytes
     tenant_header: bytes
     default_tenant: str | None
@@ -95,89 +95,89 @@
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class StateConfig:
-    """What survives the process, and where."""
+    """The store of state that survives the process."""
 
     folder: str
-    must_exist: bool  # a folder without a store is one that is not mounted, not a first start
+    must_exist: bool  # a missing store means an unmounted folder, not a first start
     max_mb: float
-    group_commit_delay_ms: float  # for which a commit waits for further requests
-    max_disk_wait_ms: float  # for which an idempotent request waits for the disk
+    group_commit_delay_ms: float  # time that a commit waits for further requests
+    max_disk_wait_ms: float  # maximum time that an idempotent request waits for the disk
     on_loss: LossPolicy
     max_result_kb: float
-    snapshot_interval_s: float  # between two snapshots of the learned state
-    snapshot_half_life_s: float  # by which the weight of a restored snapshot halves
+    snapshot_interval_s: float  # interval between snapshots of the learned state
+    snapshot_half_life_s: float  # age at which the weight of a restored snapshot is halved
 
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class CaptureConfig:
-    """What is recorded of the load, and where."""
+    """The recording of load for later analysis."""
 
     folder: str
-    sample_fraction: float  # of the subjects
-    max_mb: float  # of all files; the oldest are deleted
+    sample_fraction: float  # fraction of subjects whose requests are recorded
+    max_mb: float  # total size of all files; the oldest are deleted beyond it
     max_file_mb: float
     max_file_age_s: float
 
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class OverloadConfig:
-    """What a worker does with what it measures of itself; each part can be switched off by itself."""
+    """Overload protection based on the worker's own measurements; each part can be disabled separately."""
 
-    admission: bool = True  # sheds load early while it is too far behind to decide on it
-    bulkheads: bool = True  # limits concurrency by completions, and keeps floors for classes
+    admission: bool = True  # sheds load early while the backlog of decisions is too long
+    bulkheads: bool = True  # limits concurrency by completions; guarantees each class a minimum
     controller: LimitController = LimitController.MODULE
-    min_running: int | None = None  # concurrent runs; by default a quarter of the cores
-    max_running: int | None = None  # by default what the cores are said to survive
-    low_priority_lane: bool = False  # keeps requests of many times the usual cost to a narrow lane
-    retry_budget: bool = False  # keeps callers to a budget of retries while load is shed
+    min_running: int | None = None  # concurrent runs; None: a quarter of the number of cores
+    max_running: int | None = None  # concurrent runs; None: collapse multiple times cores
+    low_priority_lane: bool = False  # confines unusually expensive requests to a few slots
+    retry_budget: bool = False  # limits the retries of callers during load shedding
 
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class BudgetConfig:
-    """What all workers of a fleet together may use."""
+    """A limit that all workers of a fleet share."""
 
     name: str
     kind: BudgetKind
-    subject: str | None  # the tenant or server; None: all servers alike
-    amount: int  # in a second; of a server: at once
+    subject: str | None  # name of the tenant or server; None: retries to all servers
+    amount: int  # per second; concurrent runs for a server
     lease_s: float
-    floor_fraction: float  # of its own leases that a worker which is cut off keeps for floor_lease_s
+    floor_fraction: float  # part of its leases that an isolated worker keeps for floor_lease_s
     floor_lease_s: float
-    max_run_s: float  # of one run, where concurrent runs are counted; else 0
+    max_run_s: float  # maximum duration of one run, for budgets of servers; else 0
     slot_count: int
 
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class PeersConfig:
-    """The other workers, and what is shared with them."""
+    """Communication with the other workers of the fleet, and the budgets shared with them."""
 
     listen: Address
-    advertised_address: Address  # by which others reach this worker
+    advertised_address: Address  # address at which peers reach this worker
     group: str
     site: str
-    secrets: tuple[str, ...]  # the first signs; each of them is accepted
+    secrets: tuple[str, ...]  # messages are signed with the first; all are accepted for verification
     protocol_period_ms: int
     members: Mapping[str, Address]
     seed_addresses: tuple[Address, ...]
     lease_grantors: tuple[str, ...]
-    max_ejected_fraction: float  # of the services
-    max_requests_per_s: float  # that one worker can do
+    max_ejected_fraction: float  # fraction of the services that may be ejected
+    max_requests_per_s: float  # capacity of one worker
     budgets: tuple[BudgetConfig, ...]
 
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class SitesConfig:
-    """The sites that the fleet's workers lie in."""
+    """The sites of the fleet, and their recovery."""
 
-    site: str  # this worker's
-    site_map: SiteMap | None  # None: members say themselves where they are
+    site: str  # name of this worker's site
+    site_map: SiteMap | None  # None: members announce their own sites
     playbook: "Playbook | None"
-    recovery_ramp: bool  # whether a worker that comes back takes its load by stages
+    recovery_ramp: bool  # whether load returns in stages after an outage
 
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class RecoveryConfig:
-    """What others know of the idempotent requests begun here, and how a start is measured."""
+    """Replication of started idempotent requests to witness workers, and measurement of the start-up."""
 
     witnesses: tuple[str, ...]
-    witness_timeout_ms: float  # for which such a request waits for them
+    witness_timeout_ms: float  # maximum time that an idempotent request waits for the witnesses
--- a/ochrehoist/config/tenants.py
+++ b/ochrehoist/config/tenants.py
@@ -1,4 +1,4 @@
-"""The elements of `Tenants`: checked once, and kept as the same objects while they do not change."""
+"""Reads the elements of `Tenants`; the objects of unchanged tenants are reused."""
 
 import gc
 from collections.abc import Generator, Mapping, Sequence
@@ -16,25 +16,25 @@
 
 @dataclass(slots=True, frozen=True)
 class TenantTable:
-    """All tenants, and their positions by name."""
+    """All tenants, with their positions by name."""
 
     tenants: tuple[Tenant, ...]
     positions: Mapping[str, int]
 
 
 class TenantReader:
-    """Makes the elements of `Tenants`; one that did not change comes back as the same object."""
+    """Reader of tenants that returns the existing object for each unchanged tenant."""
 
-    _created_since_freeze = 0  # by all readers of this process
+    _created_since_freeze = 0  # total of all readers in this process
 
     def __init__(self, current: tuple[Tenant, ...] = (), positions: Mapping[str, int] | None = None) -> None:
         self._current = current
         self._positions: Mapping[str, int] = positions or {}
 
     def take(self, data: Any, elements: list[Any]) -> None:
-        """Adds a tenant to `elements`: a range for such as did not change, the data where it is unusable.
+        """Appends a tenant: as a range of positions if unchanged, or as the data itself if invalid.
 
-        read_in_steps() reports what is unusable, with the position that the element then has.
+        read_in_steps() reports invalid data, since the index of the element is known only then.
         """
         position = self._unchanged_position(data)
         if position is None:
@@ -50,10 +50,10 @@
             elements.append(range(position, position + 1))
 
     def read_in_steps(self, listed: Sequence[Any]) -> Generator[None, None, TenantTable]:
-        """All tenants. `listed`: data, tenants, and ranges of those in force.
+        """Returns all tenants of `listed`: parsed data, tenants, and ranges of active tenants.
 
-        Where all are as before, the tuple in force comes back. Raises InvalidInputError, also where two
-        tenants have one name.
+        If nothing changed, the result contains the active tuple itself. Raises InvalidInputError for invalid
+        data and for duplicate names.
         """
         merge = _Merge(self._current, self._positions)
         for number, item in enumerate(listed, start=1):
@@ -75,20 +75,20 @@
         return self._checked(data, f"Tenants[{index}].") if position is None else self._current[position]
 
     def _unchanged_position(self, data: Any) -> int | None:
-        """The position of the tenant in force that has the same values."""
+        """Returns the position of the active tenant with the same values, or None if there is none."""
         if type(data) is not dict or type(name := data.get("Name")) is not str:
             return None
         position = self._positions.get(name)
         if position is None:
             return None
         quota, share = data.get("QuotaPerS"), data.get("Fraction", 0.0)
-        if type(quota) is bool or type(share) is bool:  # true equals 1, but is no number
+        if type(quota) is bool or type(share) is bool:  # true equals 1 but is not a valid number
             return None
         tenant = self._current[position]
         return position if tenant.quota_per_s == quota and tenant.share == share else None
 
     def _checked(self, data: Any, path: str) -> Tenant:
-        """A new tenant. Raises InvalidInputError, which names the key after `path`."""
+        """Validates and creates a tenant. Raises InvalidInputError; `path` is the prefix of its key."""
         reader = ObjectReader(data, path)
         tenant = Tenant(reader.text("Name"), reader.number("QuotaPerS"), reader.number("Fraction", 0.0))
         self._count_created()
@@ -96,10 +96,10 @@
 
     @staticmethod
     def _count_created() -> None:
-        """Has the collector skip tenants from now on, once there are thousands of new ones.
+        """Excludes tenants from garbage collection after each NEW_TENANTS_PER_FREEZE created tenants.
 
-        Traversing tens of thousands of them again and again would hold up the event loop. It is not done more
-        often, because garbage that is in reference cycles at that moment is never freed.
+        Repeated traversal of tens of thousands of tenants would block the event loop. Objects are not frozen
+        more often, because garbage in reference cycles at the time of a freeze is never released.
         """
         TenantReader._created_since_freeze += 1
         if TenantReader._created_since_freeze == NEW_TENANTS_PER_FREEZE:
@@ -108,7 +108,7 @@
 
 
 class _Merge:
-    """Collects the new list of tenants, and finds out what of the one in force still holds."""
+    """Builder of the new list of tenants, which detects what equals the active list."""
 
     def __init__(self, current: tuple[Tenant, ...], positions: Mapping[str, int]) -> None:
         self._current = current
@@ -118,13 +118,13 @@
         self.parts: list[range | list[Tenant]] = []
 
     def add_unchanged(self, positions: range) -> None:
-        """Adds tenants in force by their positions."""
+        """Adds active tenants by their positions."""
         self._same_names &= positions.start == self.count
         self.count += len(positions)
         self.parts.append(positions)
 
     def add(self, tenant: Tenant) -> None:
-        """Adds one tenant."""
+        """Adds one tenant, which may be an active one."""
         replaced = self._current[self.count] if self.count < len(self._current) else None
         self._same_elements &= tenant is replaced
         self._same_names &= replaced is not None and tenant.name == replaced.name
@@ -137,12 +137,12 @@
 
     @property
     def positions_unchanged(self) -> bool:
-        """Whether each name has the position that it had."""
+        """Whether each name has the same position as in the active list."""
         return self._same_names and self.count == len(self._current)
 
     @property
     def unchanged(self) -> bool:
-        """Whether all tenants are those in force, in the same order."""
+        """Whether the list consists of the active tenants in the same order."""
         return self._same_elements and self.positions_unchanged
 
 
--- a/ochrehoist/config/toml_parser.py
+++ b/ochrehoist/config/toml_parser.py
@@ -1,7 +1,7 @@
-"""TOML documents parsed by tomli, or in a thread by tomllib, and the position that a syntax error names.
+"""Parses TOML with tomli, or with tomllib in a thread, and locates syntax errors.
 
-Both parsers are the same code; tomli is compiled. It holds the interpreter until it is done, so it is for
-short documents only.
+Both parsers have the same code, but tomli is compiled. It holds the interpreter lock until it is done, so it
+parses only short documents.
 """
 
 import re
@@ -17,14 +17,14 @@
 from ochrehoist.config.json_reader import NestingError
 
 MAX_SINGLE_STEP_CHARS = 8192
-SWITCH_INTERVAL_S = 0.0005  # for which the thread holds the interpreter while others want it
+SWITCH_INTERVAL_S = 0.0005  # longest time that the parser thread keeps the interpreter lock on request
 
 _POSITION = re.compile(r"(.*) \(at line (\d+), column (\d+)\)", re.DOTALL)
 
 
 @dataclass(slots=True, frozen=True)
 class SyntaxFault:
-    """What a parser says, and where. A line of 0 stands for the end, or for no position."""
+    """Message and position of a syntax error. Line 0 means the end of the text or an unknown position."""
 
     message: str
     line: int = 0
@@ -32,19 +32,19 @@
 
     @classmethod
     def of(cls, error: ValueError) -> "SyntaxFault":
-        """The fault that a parser's error tells of."""
+        """Returns the fault that a parser's error describes."""
         found = _POSITION.fullmatch(str(error))
         return cls(found[1], int(found[2]), int(found[3])) if found else cls(str(error))
 
     def text(self, line_offset: int) -> str:
-        """The message, its line moved by `line_offset`."""
+        """Returns the message with its position, the line number increased by `line_offset`."""
         if not self.line:
             return self.message
         return f"{self.message} (at line {self.line + line_offset}, column {self.column})"
 
 
 def parse(text: str) -> dict[str, Any]:
-    """A short document, by tomli. Raises ValueError."""
+    """Parses a short document with tomli. Raises ValueError."""
     try:
         data: dict[str, Any] = tomli.loads(text)
     except RecursionError:
@@ -53,14 +53,17 @@
 
 
 def parse_in_steps(text: str) -> Generator[None, None, dict[str, Any]]:
-    """A document of any length. Raises ValueError."""
+    """Parses a document of any length in steps. Raises ValueError."""
     if len(text) <= MAX_SINGLE_STEP_CHARS:
         return parse(text)
     return (yield from parse_in_thread(text))
 
 
 def parse_in_thread(text: str) -> Generator[None, None, dict[str, Any]]:
-    """A document, by tomllib in a thread, which gives the interpreter back when asked. Raises ValueError."""
+    """Parses a document with tomllib in a thread, which releases the interpreter lock on request.
+
+    Raises ValueError.
+    """
     outcome: list[dict[str, Any] | Exception] = []
 
     def run() -> None:
--- a/ochrehoist/config/toml_reader.py
+++ b/ochrehoist/config/toml_reader.py
@@ -1,10 +1,11 @@
-"""Large TOML files read in steps: only the chunks of elements that changed are parsed.
-
-Lines that begin an element of an array of tables split the text. Elements form chunks, whose boundaries
-depend on their own content, so that an element that comes or goes moves no other boundary. A chunk is a
-document of its own, found again by the digest of its text. All other lines form the remainder, a document in
-which an empty element stands for each run of elements, so that the parser judges what may follow them. A text
-of unusual form is parsed as a whole, by a thread.
+"""Reads large TOML files in steps, and parses only the chunks of elements that changed.
+
+The headers of elements in arrays of tables split the text. Consecutive elements form a chunk. Chunk
+boundaries depend only on the content of elements, so inserting or removing an element does not move other
+boundaries. Each chunk is parsed as a separate document, and is identified at a reload by the digest of its
+text. All other lines form the remainder, a document in which an empty element replaces each run of elements,
+so that the parser can check the lines that follow a run. A text whose form does not allow this is parsed as
+a whole in a thread.
 """
 
 import re
@@ -21,15 +22,15 @@
 from ochrehoist.errors import OchrehoistError
 
 MAX_CHUNK_ELEMENTS = 64
-MAX_CHUNK_CHARS = 4096  # unless a single element has more
-BOUNDARY_MODULUS = 24  # one element in so many begins a chunk, by the checksum of its own text
-MAX_PREFIX_ATTEMPTS = 32  # at finding what can be parsed before a fault
+MAX_CHUNK_CHARS = 4096  # a single longer element is a chunk of its own
+BOUNDARY_MODULUS = 24  # one element in 24 begins a chunk: this divides the checksum of its text
+MAX_PREFIX_ATTEMPTS = 32  # for finding a valid prefix before a syntax error
 MAX_REMAINDER_CHARS = 262144
-MAX_ELEMENT_CHARS = 65536  # or of one line
+MAX_ELEMENT_CHARS = 65536  # also the limit of a single line
 MAX_KNOWN_HEADERS = 256
 DIGEST_BYTES = 16
 
-_HEADER_LINE = re.compile(r"\n[ \t]*\[[^\n]*")  # what may be a header
+_HEADER_LINE = re.compile(r"\n[ \t]*\[[^\n]*")  # matches header candidates
 _KEY = r"[A-Za-z_][A-Za-z0-9_-]*"
 _USUAL_HEADER = re.compile(
     rf"\n[ \t]*(?:\[({_KEY}(?:\.{_KEY})*)\]|\[\[({_KEY}(?:\.{_KEY})*)\]\])[ \t]*(?:#.*)?"
@@ -39,20 +40,20 @@
 
 
 class UnusualFormError(OchrehoistError):
-    """The text is of a form that cannot be split; it may be valid."""
+    """The text cannot be split into chunks, though it may be valid TOML."""
 
 
 class TomlSyntaxError(OchrehoistError, ValueError):
-    """The text is not TOML; the message names the line of the file."""
+    """The text is not valid TOML; the message names the line of the file."""
 
 
 def read_in_steps(
     text: FileText, takers: Mapping[ArrayPath, TakeElement], current: ConfigSource | None
 ) -> Generator[None, None, ParsedFile]:
-    """The data of a file. `current`: of the configuration in force.
+    """Parses a file, reusing unchanged elements of `current`, the source of the active configuration.
 
-    A taker adds an element's data to the list that stands for the array at its path. Raises ValueError, with
-    the line at fault.
+    The elements of an array are passed to the handler for its path, which appends them to the list that
+    replaces the array in the result. Raises ValueError, which names the line of the error.
     """
     if current is not None and current.digest == text.digest:
         return _unchanged(current)
@@ -79,7 +80,7 @@
 
 
 class _Splitter:
-    """Splits one text: elements go into chunks, all other lines into the remainder."""
+    """Splitter of one text into chunks of elements and the remainder of all other lines."""
 
     def __init__(self, takers: Mapping[ArrayPath, TakeElement], current: ConfigSource | None) -> None:
         self._takers = takers
@@ -90,21 +91,23 @@
         }
         self._known_headers: dict[str, ArrayPath | None] = {}
         self._remainder = _Remainder()
-        self._arrays: dict[ArrayPath, list[Any]] = {}  # a range stands for elements in force
+        self._arrays: dict[
+            ArrayPath, list[Any]
+        ] = {}  # a range stands for elements of the active configuration
         self._lines: dict[ArrayPath, array[int]] = {}
         self._chunks: dict[ArrayPath, ChunkPositions] = {}
-        self._path = _NO_ARRAY  # of the array that the current line belongs to
-        self._chunk: list[str] = []  # elements not yet parsed, all of `_path`
+        self._path = _NO_ARRAY  # array that the current line belongs to
+        self._chunk: list[str] = []  # elements of `_path` that are not yet parsed
         self._chunk_chars = 0
         self._chunk_line = 0
         self._parsed_since_yield = False
 
     def read(self, text: FileText) -> Generator[None, None, ParsedFile]:
-        """All of the text. Raises UnusualFormError and TomlSyntaxError."""
+        """Parses the whole text. Raises UnusualFormError and TomlSyntaxError."""
         try:
             yield from self._split(text)
         except TomlSyntaxError:
-            yield from self._remainder.parsed_in_steps(self._current)  # an earlier fault is reported first
+            yield from self._remainder.parsed_in_steps(self._current)  # may raise an error in an earlier line
             raise
         data, digest = yield from self._remainder.parsed_in_steps(self._current)
         others = {path: elements for path, elements in self._arrays.items() if path not in self._takers}
@@ -114,12 +117,12 @@
         return ParsedFile(with_arrays(remainder, taken), remainder, digest, chunks, self._lines)
 
     def _split(self, text: FileText) -> Generator[None, None, None]:
-        buffer = "\n"  # begins with a newline always
+        buffer = "\n"  # always begins with a newline
         line = 0  # number of lines before the buffer
         for part in text.parts:
             buffer += part
             if '"""' in buffer or "'''" in buffer:
-                raise UnusualFormError  # what looks like a header may be within a string
+                raise UnusualFormError  # an apparent header may be part of a multi-line string
             consumed = yield from self._consume(buffer, line, last=False)
             line += buffer.count("\n", 0, consumed)
             buffer = buffer[consumed:]
@@ -131,7 +134,7 @@
         yield
 
     def _consume(self, buffer: str, line: int, *, last: bool) -> Generator[None, None, int]:
-        """How much of the buffer was taken: up to the last header, or line, that may yet go on."""
+        """Processes all complete elements and lines. Returns the number of consumed characters."""
         consumed = 0
         for start, header, path in self._headers(buffer, last=last):
             if self._path:
@@ -151,13 +154,13 @@
         return end
 
     def _headers(self, buffer: str, *, last: bool) -> Iterator[tuple[int, str, ArrayPath]]:
-        """The headers of the buffer: where each begins, its line, and its path.
+        """Yields start, line and path of each header in the buffer except that of the current element.
 
-        The header of the current element is not among them. Raises UnusualFormError.
+        Raises UnusualFormError.
         """
         for match in _HEADER_LINE.finditer(buffer):
             if match.end() == len(buffer) and not last:
-                return  # the line may go on
+                return  # the line may be incomplete
             start, header = match.start(), match.group()
             if start == 0 and self._path:
                 continue
@@ -175,7 +178,7 @@
         return max(consumed, buffer.rfind("\n"))
 
     def _header_path(self, header: str) -> ArrayPath | None:
-        """The array whose element begins here, _NO_ARRAY for a table, None for what may be no header."""
+        """Returns the array whose element begins here, _NO_ARRAY for a table, None if it is uncertain."""
         try:
             return self._known_headers[header]
         except KeyError:
@@ -185,12 +188,12 @@
         return path
 
     def _add_element(self, text: str, line: int, next_header: str) -> int:
-        """Adds an element of `_path`. Returns the number of lines before what follows it."""
+        """Adds an element of the array at `_path`. Returns the line number of its end."""
         path = self._path
         if path not in self._remainder.current_runs:
             self._begin_run(path, text, line)
         chunk = self._chunk
-        # Not a function of its own: this is done for each element of each reading.
+        # Kept inline for speed: this runs for each element at each reload.
         if chunk and (
             len(chunk) == MAX_CHUNK_ELEMENTS
             or self._chunk_chars + len(text) > MAX_CHUNK_CHARS
@@ -215,7 +218,7 @@
             self._chunks[path] = {}
 
     def _finish_chunk(self, next_text: str) -> None:
-        """Parses the chunk, unless it is known. `next_text`: what follows it."""
+        """Parses the chunk unless it is unchanged; `next_text` is the text that follows it."""
         if not self._chunk:
             return
         path = self._path
@@ -254,21 +257,23 @@
 
 
 class _Remainder:
-    """All lines outside of chunks, with an empty element for each run of elements."""
+    """The document of all lines outside of chunks, with an empty element for each run of elements."""
 
     def __init__(self) -> None:
-        self._pieces: list[tuple[str, int]] = []  # each begins with the newline before its first line, given
-        self.current_runs: set[ArrayPath] = set()  # arrays that have an element here since the last own line
+        self._pieces: list[
+            tuple[str, int]
+        ] = []  # text from the newline before its first line, and that line's number
+        self.current_runs: set[ArrayPath] = set()  # arrays whose run began after the last other line
         self._run_counts: dict[ArrayPath, int] = {}
 
     def add(self, text: str, line: int) -> int:
-        """Adds lines that follow `line` others. Returns the number of lines before what follows."""
+        """Adds the lines after line number `line` of the file. Returns the number of their last line."""
         self._pieces.append((text, line + 1))
         self.current_runs.clear()
         return line + text.count("\n")
 
     def begin_run(self, path: ArrayPath, element: str, line: int) -> None:
-        """Adds the header of an element that begins a run of them."""
+        """Adds the header of the first element of a run."""
         self.current_runs.add(path)
         self._run_counts[path] = self._run_counts.get(path, 0) + 1
         end = element.find("\n", 1)
@@ -277,7 +282,7 @@
     def parsed_in_steps(
         self, current: ConfigSource | None
     ) -> Generator[None, None, tuple[Mapping[str, Any], bytes]]:
-        """The data and the digest of the text. Raises UnusualFormError and TomlSyntaxError."""
+        """Parses the remainder. Returns its data and digest. Raises UnusualFormError and TomlSyntaxError."""
         text = "".join(piece for piece, _ in self._pieces)
         if len(text) > MAX_REMAINDER_CHARS:
             raise UnusualFormError
@@ -294,9 +299,9 @@
         return data, digest
 
     def _require_empty_elements(self, data: Any, *, partial: bool = False) -> None:
-        """Raises UnusualFormError where something of the remainder goes on within an element.
+        """Raises UnusualFormError if lines of the remainder belong to an element of a chunk.
 
-        `partial`: `data` is of the beginning of the text only.
+        With `partial`, `data` represents only the beginning of the text.
         """
         for path, count in self._run_counts.items():
             table = data
@@ -308,7 +313,7 @@
                 raise UnusualFormError
 
     def _line_offset(self, line: int) -> int:
-        """The line of the file less that of the remainder."""
+        """Returns the offset that converts a line number of the remainder to one of the file."""
         starts: list[int] = []
         lines = 0
         for piece, _ in self._pieces:
@@ -330,7 +335,10 @@
 
 
 def _fault_in_context(error: ValueError, text: str, next_text: str) -> ValueError:
-    """The error with the line that follows: it decides how far something left open goes."""
+    """Returns the error that the parser reports if the next line follows the chunk.
+
+    The position of the error in an unterminated value depends on the line after it.
+    """
     try:
         parse(text + "\n".join(next_text.split("\n")[:2]))
     except ValueError as error_in_context:
@@ -339,7 +347,10 @@
 
 
 def _parsable_prefix(text: str, line: int) -> Generator[None, None, dict[str, Any]]:
-    """What can be parsed before the line at fault, which is 0 for the end. Raises UnusualFormError."""
+    """Parses a prefix of the text before the line of the error; line 0 stands for the end of the text.
+
+    Raises UnusualFormError if no tried prefix is valid.
+    """
     end = len("\n".join(text.split("\n")[: line - 1])) if line else len(text)
     headers = [match.end() for match in _HEADER_LINE.finditer(text)]
     candidates = [end, *(header for header in reversed(headers) if header < end)]
--- a/ochrehoist/config/values.py
+++ b/ochrehoist/config/values.py
@@ -1,4 +1,4 @@
-"""Values that several tables have in common: addresses and header names. Errors name the key."""
+"""Reads types of values that several tables contain: addresses and header names. Errors name the key."""
 
 import ipaddress
 
@@ -11,20 +11,20 @@
 
 
 def optional_address(table: ObjectReader, key: str, *, loopback: bool = False) -> Address | None:
-    """The IPv4 address and port below `key`, None where the key is absent.
+    """Returns the IPv4 address and port at `key`, or None if the key is absent.
 
-    `loopback`: only an address of this machine will do. Raises InvalidInputError.
+    With `loopback`, only loopback addresses are accepted. Raises InvalidInputError.
     """
     return address(table, key, loopback=loopback) if key in table.data else None
 
 
 def address(table: ObjectReader, key: str, *, loopback: bool = False) -> Address:
-    """As optional_address(), of a key that must be there."""
+    """Returns the IPv4 address and port at `key`, like optional_address(), but the key is mandatory."""
     return parsed_address(table, key, table.text(key), loopback=loopback)
 
 
 def parsed_address(table: ObjectReader, key: str, text: str, *, loopback: bool = False) -> Address:
-    """An address as it is written below `key`, or as an element of the array there."""
+    """Parses an IPv4 address and port; errors name `key`. Raises InvalidInputError."""
     host, colon, port = text.rpartition(":")
     if not colon or not _is_port(port):
         raise table.error(key, f"not host:port: {text!r}")
@@ -42,7 +42,7 @@
 
 
 def header_name(table: ObjectReader, key: str, default: str) -> bytes:
-    """The name of an HTTP header, in lower case. Raises InvalidInputError."""
+    """Returns the HTTP header name at `key` in lower case. Raises InvalidInputError."""
     name = table.text(key, default)
     if not name.isascii() or not name.isprintable() or set(name) & set(" :"):
         raise table.error(key, f"not a header name: {name!r}")
