--- a/tests/config/large_configurations.py
+++ b/tests/config/large_configurations.py
@@ -1,4 +1,4 @@
-"""Configurations of any size, their files, and the steps that reading them takes."""
+"""Builds configurations of any size, writes them to files, and counts the steps of reading them."""
 
 import tempfile
 import unittest
@@ -16,17 +16,17 @@
 
 
 def tenant(at, **changes):
-    """A tenant by its place in the table."""
+    """Returns the tenant with the given index."""
     return {"Name": f"t{at}", "QuotaPerS": 10.5 + at % 7, "Fraction": 0.5} | changes
 
 
 def rule(at, **changes):
-    """A route by its place in the table."""
+    """Returns the route with the given index."""
     return {"uri": f"/service-{at % 340}/r{at}/*", "methods": ["GET", "HEAD"], "class": "read"} | changes
 
 
 def appliance(tenants, rules, **more):
-    """The tables of an appliance."""
+    """Returns the tables of an appliance's file."""
     ajp = {"listen": "127.0.0.1:0", "rules": rules, "servers": [{"address": "127.0.0.1:9"}]}
     return {
         "name": "n1",
@@ -37,7 +37,7 @@
 
 
 def platform(tenants):
-    """The tables of a worker of the platform."""
+    """Returns the content of a platform worker's file."""
     return {
         "name": "n1",
         "listen": "127.0.0.1:0",
@@ -48,7 +48,7 @@
 
 
 def steps(generator):
-    """What it returns, and how many steps it took."""
+    """Runs a generator. Returns its result and the number of its steps."""
     count = 1
     while True:
         try:
@@ -59,25 +59,25 @@
 
 
 class ConfigurationFilesTestCase(unittest.TestCase):
-    """Writes configurations to files, and reads them."""
+    """Base class with methods that write configurations to files and load them."""
 
     def setUp(self):
-        """Makes the folder."""
+        """Creates the temporary folder."""
         self.folder = tempfile.TemporaryDirectory()
         self.addCleanup(self.folder.cleanup)
 
     def file(self, text, name="a.toml"):
-        """Writes a file; its path."""
+        """Writes a file and returns its path."""
         path = Path(self.folder.name, name)
         path.write_bytes(text if isinstance(text, bytes) else text.encode())
         return str(path)
 
     def load(self, text, before=None, name="a.toml"):
-        """Reads a text, over the configuration before if there was one."""
+        """Loads a text, optionally as a reload that replaces the configuration `before`."""
         return run_to_completion(config.load_in_steps(self.file(text, name), {}, before))
 
     def refused(self, text, before=None, name="a.toml"):
-        """Why a text is refused."""
+        """Returns the error message with which a text is rejected."""
         with self.assertRaises(InvalidInputError) as raised:
             self.load(text, before, name)
         return str(raised.exception)
@@ -87,7 +87,7 @@
 
 
 def large(tenants, routes, **changes):
-    """Text of so many; `changes`: elements by their place."""
+    """Returns the TOML text of a large appliance; `changes` has replacements, such as t7 for tenant 7."""
     return toml_file(
         appliance(
             [changes.get(f"t{at}") or tenant(at) for at in range(tenants)],
@@ -97,13 +97,13 @@
 
 
 class CountedReading:
-    """Counts what is parsed, and made, in one reading."""
+    """Counter of parsed characters and created tenants during one load."""
 
     def __init__(self):
         self.parsed, self.longest, self.calls, self.made, self.most, self.step = 0, 0, 0, 0, 0, 0
 
     def read(self, path, before):
-        """Reads a file, over the configuration before if there was one."""
+        """Loads a file, optionally as a reload that replaces the configuration `before`."""
 
         def loads(text, real=tomli.loads):
             self.parsed += len(text)
--- a/tests/config/test_changing_files.py
+++ b/tests/config/test_changing_files.py
@@ -1,4 +1,4 @@
-"""Files that change while they are read."""
+"""Tests of files that change while they are read."""
 
 import os
 from pathlib import Path
@@ -13,7 +13,7 @@
 
 
 class Changing(ConfigurationFilesTestCase):
-    """Files that are written while they are read."""
+    """A file that is changed during reading is read again as a whole, never as a mixture of two versions."""
 
     def setUp(self):
         super().setUp()
@@ -26,7 +26,7 @@
         ]
 
     def interrupted(self, by, path=None):
-        """The names read, where `by` is called when most of the file is."""
+        """Returns the prefixes of the tenant names read if `by` changes the file after 80 % of the steps."""
         path = path or self.file(self.texts[0])
         reading = config.load_in_steps(path, {}, None)
         for _ in range(len(self.texts[0]) * 8 // 10 // config_source.READ_BYTES):
--- a/tests/config/test_check_command.py
+++ b/tests/config/test_check_command.py
@@ -1,4 +1,4 @@
-"""Large configurations from the command line."""
+"""Tests of the command `check`, and of the modules that loading a configuration imports."""
 
 import ast
 import json
@@ -20,7 +20,7 @@
 
 
 class CheckCommandTest(ConfigurationFilesTestCase):
-    """The command `check`."""
+    """The command `check` and the imports of the configuration package."""
 
     def test_check_prints_the_version_and_says_which_form_is_read_as_a_whole(self):
         text = large(600, 30)
@@ -65,7 +65,7 @@
 
     @staticmethod
     def imported(path):
-        """Names of the package's modules that a file imports, anywhere in it and in any form."""
+        """Returns the names of this package's modules that a file imports, by any form of import."""
         found = set()
         for node in ast.walk(ast.parse(path.read_text())):
             if isinstance(node, ast.ImportFrom) and node.module == "ochrehoist.config":
--- a/tests/config/test_config_text.py
+++ b/tests/config/test_config_text.py
@@ -1,4 +1,4 @@
-"""The texts of configurations read in steps: equal to what tomllib and json make of them, or as faulty."""
+"""Compares the incremental parsers with tomllib and json: same data, or an error at the same place."""
 
 import json
 import re
@@ -24,7 +24,7 @@
 
 
 class ConfigurationFilesCase(unittest.TestCase):
-    """Writes texts to files."""
+    """Base class with a method that writes texts to files."""
 
     def setUp(self):
         self.folder = tempfile.TemporaryDirectory()
@@ -36,7 +36,7 @@
         return str(path)
 
 
-# ---- TOML, against tomllib
+# ---- TOML, compared with tomllib
 
 HEADERS = st.sampled_from(
     [
@@ -82,7 +82,7 @@
             "n = 1979-05-27",
             "z = [\n[true]\n]",
             "d = []",
-            # and what is no TOML
+            # invalid TOML
             "m = [",
             "bad",
             'u = ["a"',
@@ -92,7 +92,7 @@
             'k = "',
             "m = [1,",
             "i = " + "9" * 5000,
-            # and lines within a string
+            # multi-line strings that contain apparent headers
             'y = """\n[[c.d]]\n"""',
             "y = '''\n[c]\n'''",
             "w = \"'''\"",
@@ -110,13 +110,13 @@
 
 
 def line_of(error):
-    """The line that a reader of TOML names; None where it names none."""
+    """Returns the line that a parser's error names, "end" for the end of the text, or None."""
     found = re.search(r"at line (\d+)|end of document", str(error))
     return found and (found[1] or "end")
 
 
 class TomlTextTest(ConfigurationFilesCase):
-    """TOML in steps against `tomllib`."""
+    """The incremental TOML reader, compared with `tomllib`."""
 
     @settings(max_examples=1500, deadline=None)
     @given(
@@ -145,7 +145,7 @@
                 got = run_to_completion(toml_reader.read_in_steps(text, {ARRAY: take}, None))
             except ValueError as error:
                 self.assertIsNotNone(fault, (text, error))
-                if line_of(fault):  # tomllib itself tells no line of a number that is too long
+                if line_of(fault):  # tomllib names no line for a number that is too long
                     self.assertEqual(line_of(error), line_of(fault), (error, fault))
                 return
         self.assertIsNone(fault, text)
@@ -177,7 +177,7 @@
                 self.assertEqual(data, plain)
 
 
-# ---- JSON, against json
+# ---- JSON, compared with json
 
 VALUES = st.recursive(
     st.one_of(st.none(), st.booleans(), st.integers(), st.floats(), st.text(max_size=4)),
@@ -194,7 +194,7 @@
     text = json.dumps(
         draw(VALUES), indent=draw(st.sampled_from([None, 0, 1])), ensure_ascii=draw(st.booleans())
     )
-    if draw(st.booleans()):  # a name that comes twice
+    if draw(st.booleans()):  # a duplicate key
         text = text.replace('"a"', '"b"')
     for _ in range(draw(st.integers(0, 2))):
         at = draw(st.integers(0, len(text)))
@@ -207,7 +207,7 @@
 
 
 class JsonTextTest(ConfigurationFilesCase):
-    """JSON in steps against `json`."""
+    """The incremental JSON reader, compared with `json`."""
 
     @settings(max_examples=1500, deadline=None)
     @given(json_texts())
@@ -221,7 +221,7 @@
                 self.assertEqual((raised.exception.pos, raised.exception.msg), (fault.pos, fault.msg))
                 return
             got = run_to_completion(json_reader.read_in_steps(text, {TENANTS: take}))
-        self.assertEqual(repr(got), repr(plain))  # a NaN is like no other
+        self.assertEqual(repr(got), repr(plain))  # repr, because NaN is not equal to itself
 
 
 if __name__ == "__main__":
--- a/tests/config/test_incremental_reading.py
+++ b/tests/config/test_incremental_reading.py
@@ -1,4 +1,4 @@
-"""A configuration read over the one before is equal to one read afresh."""
+"""Tests that an incremental reload gives the same configuration as a first load."""
 
 import json
 import tomllib
@@ -15,7 +15,7 @@
 
 
 class Configurations(ConfigurationFilesTestCase):
-    """Small texts are read as large ones, in chunks."""
+    """Reloads of small texts, with lowered limits so that they are read in steps and chunks."""
 
     def setUp(self):
         super().setUp()
@@ -57,7 +57,7 @@
         ),
         st.booleans(),
     )
-    def test_a_change_gives_what_reading_afresh_gives_and_keeps_what_is_unchanged(self, edits, as_json):  # noqa: C901, PLR0912, PLR0915 - one branch a kind of change
+    def test_a_change_gives_what_reading_afresh_gives_and_keeps_what_is_unchanged(self, edits, as_json):  # noqa: C901, PLR0912, PLR0915 - one branch for each kind of edit
         tenants, rules = [tenant(at) for at in range(24)], [rule(at) for at in range(12)]
 
         def text():
@@ -71,7 +71,7 @@
             at, other = a % len(tenants), b % len(tenants)
             if kind == "quota":
                 tenants[at] = tenants[at] | {"QuotaPerS": b}
-            elif kind == "whole":  # the same number, written otherwise
+            elif kind == "whole":  # an integer, equal to the former number if that was integral
                 tenants[at] = tenants[at] | {"QuotaPerS": round(tenants[at]["QuotaPerS"])}
             elif kind == "flag":
                 tenants[at] = tenants[at] | {"QuotaPerS": True}
@@ -101,7 +101,7 @@
                 fresh = self.load(text(), None, name)
             except InvalidInputError as error:
                 self.assertEqual(self.refused(text(), before, name), str(error))
-                return  # the one in force stays
+                return  # the active configuration stays unchanged
             now = self.load(text(), before, name)
             self.assertEqual(now.settings, fresh.settings)
             self.assertEqual(now.ajp, fresh.ajp)
@@ -166,7 +166,7 @@
 
 
 class NestedTooDeeplyTest(ConfigurationFilesTestCase):
-    """Texts whose nesting has no end."""
+    """Texts with extremely deep nesting."""
 
     def test_what_is_nested_too_deeply_is_refused_and_ends_nothing(self):
         for text, name in (
--- a/tests/config/test_reading_cost.py
+++ b/tests/config/test_reading_cost.py
@@ -1,4 +1,4 @@
-"""The work of reading, counted: by what is new, and in short steps."""
+"""Tests of the cost of a reload: it depends on the changes only, and is divided into short steps."""
 
 import json
 from io import StringIO
@@ -25,7 +25,7 @@
 
 
 class Growth(ConfigurationFilesTestCase):
-    """Counts at several sizes, so that the verdict is the same on any machine."""
+    """Work of a reload at several sizes, counted instead of timed to get the same result on any machine."""
 
     def test_a_change_of_one_tenant_or_route_parses_and_makes_as_much_at_any_size(self):
         for changes in ({"t700": tenant(700, QuotaPerS=1)}, {"r20": rule(20, methods=["PUT"])}, {}):
@@ -100,7 +100,7 @@
 
 
 class LargestSizeTest(ConfigurationFilesTestCase):
-    """Faults among as many tenants as there may be."""
+    """Errors in configurations of the largest supported size."""
 
     def test_one_invalid_tenant_among_58_000_is_reported_with_key_and_line_and_a_duplicate_with_both(self):
         good = large(MANY, ROUTES)
--- a/tests/config/test_unusual_files.py
+++ b/tests/config/test_unusual_files.py
@@ -1,4 +1,4 @@
-"""Files of unusual form, read in steps."""
+"""Tests of large files whose form does not allow splitting them into chunks."""
 
 import sys
 import tomllib
@@ -9,7 +9,7 @@
 
 
 class Unusual(ConfigurationFilesTestCase):
-    """What cannot be split is read by a thread."""
+    """A text that cannot be split is parsed as a whole in a thread."""
 
     def forms(self):
         text = large(5_000, 300)
