--- a/ochrehoist/config/ajp_tables.py
+++ b/ochrehoist/config/ajp_tables.py
@@ -6,7 +6,7 @@
 from ochrehoist.config.object_reader import ObjectReader
 from ochrehoist.config.routes import RouteReader
 from ochrehoist.config.tables import AjpConfig, AjpServer
-from ochrehoist.config.values import address, header_name
+from ochrehoist.config.values import read_header_name, required_address
 
 MIN_PACKET_BYTES = 8192  # AJP/1.3 requires at least this packet size
 MAX_PACKET_BYTES = 65536
@@ -38,7 +38,7 @@
 ) -> Generator[None, None, AjpConfig]:
     """Reads the table [ajp]; `tenants` contains the tenant names. Raises InvalidInputError."""
     table.allow_only(*_KEYS)
-    packet_size = table.integer("packet_size", MIN_PACKET_BYTES, least=MIN_PACKET_BYTES)
+    packet_size = table.integer("packet_size", MIN_PACKET_BYTES, minimum=MIN_PACKET_BYTES)
     if packet_size > MAX_PACKET_BYTES:
         raise table.error("packet_size", f"above the maximum of {MAX_PACKET_BYTES} bytes: {packet_size}")
     headers = table.section("headers", {}).allow_only("tenant", "key", "retry")
@@ -46,21 +46,21 @@
     if default_tenant is not None and default_tenant not in tenants:
         raise table.error("default_tenant", f"unknown tenant {default_tenant!r}")
     return AjpConfig(
-        listen=address(table, "listen", loopback=True),
+        listen=required_address(table, "listen", loopback=True),
         secret=table.text("secret", None),
         packet_size=packet_size,
         max_body=table.integer("max_body", DEFAULT_BODY_BYTES),
-        max_response=table.integer("max_response", DEFAULT_BODY_BYTES, least=1),
-        max_connections=table.integer("max_connections", 256, least=1),
-        idle_timeout_s=table.number("idle_s", 60, least=0.1),
-        body_timeout_s=table.number("body_s", 10, least=0.05),
+        max_response=table.integer("max_response", DEFAULT_BODY_BYTES, minimum=1),
+        max_connections=table.integer("max_connections", 256, minimum=1),
+        idle_timeout_s=table.number("idle_s", 60, minimum=0.1),
+        body_timeout_s=table.number("body_s", 10, minimum=0.05),
         server_backoff_ms=table.integer("retry_ms", 2000),
         memory_kb=table.number("memory_kb", 24.0),
         health_uri=table.text("health_uri", "/healthz").encode(),
-        tenant_header=header_name(headers, "tenant", "X-Tenant"),
+        tenant_header=read_header_name(headers, "tenant", "X-Tenant"),
         default_tenant=default_tenant,
-        key_header=header_name(headers, "key", "Idempotency-Key"),
-        retry_header=header_name(headers, "retry", "X-Retry"),
+        key_header=read_header_name(headers, "key", "Idempotency-Key"),
+        retry_header=read_header_name(headers, "retry", "X-Retry"),
         routes=(yield from routes.read_in_steps(table, {c.name for c in settings.classes})),
         servers=(yield from _read_servers_in_steps(table)),
     )
@@ -69,7 +69,7 @@
 def _read_servers_in_steps(ajp: ObjectReader) -> Generator[None, None, tuple[AjpServer, ...]]:
     servers: list[AjpServer] = []
     for index, data in enumerate(ajp.items("servers")):
-        servers.append(_server(ajp.element("servers", index, data)))
+        servers.append(_read_server(ajp.element("servers", index, data)))
         if len(servers) % SERVERS_PER_STEP == 0:
             yield
     if not servers:
@@ -79,13 +79,13 @@
     return tuple(servers)
 
 
-def _server(table: ObjectReader) -> AjpServer:
+def _read_server(table: ObjectReader) -> AjpServer:
     table.allow_only(*_SERVER_KEYS)
     return AjpServer(
         name=table.text("name", None) or table.text("address"),
-        address=address(table, "address", loopback=True),
+        address=required_address(table, "address", loopback=True),
         secret=table.text("secret", None),
-        connect_timeout_ms=table.integer("connect_ms", 500, least=1),
-        reply_timeout_ms=table.integer("reply_ms", 30_000, least=1),
+        connect_timeout_ms=table.integer("connect_ms", 500, minimum=1),
+        reply_timeout_ms=table.integer("reply_ms", 30_000, minimum=1),
         max_idle_connections=table.integer("max_idle", 8),
     )
--- a/ochrehoist/config/appliance_file.py
+++ b/ochrehoist/config/appliance_file.py
@@ -10,7 +10,7 @@
     TENANTS_PATH,
     read_common_in_steps,
     tenant_reader,
-    version_of,
+    version_hash,
 )
 from ochrehoist.config.environment import AJP_FILE, Environment, apply_overrides, handover_path
 from ochrehoist.config.json_reader import ArrayPath, TakeElement
@@ -53,7 +53,7 @@
     routes: RouteReader
 
     @classmethod
-    def knowing(cls, current: Config | None) -> "ElementReaders":
+    def reusing(cls, current: Config | None) -> "ElementReaders":
         """Returns readers that reuse the unchanged elements of `current`."""
         return cls(tenant_reader(current), route_reader(current))
 
@@ -76,18 +76,18 @@
     parsed: ParsedFile
     digest: bytes
 
-    def located(self, error: InvalidInputError) -> InvalidInputError:
+    def with_line_numbers(self, error: InvalidInputError) -> InvalidInputError:
         """Returns the error with the line numbers of the elements that it names, where they are known."""
-        named = _LARGE_ARRAY_ELEMENT.match(error.key)
-        if named is None:
+        key_match = _LARGE_ARRAY_ELEMENT.match(error.key)
+        if key_match is None:
             return error
-        lines = self.parsed.lines.get(ROUTES_PATH if named[1] else TENANTS_PATH)
+        lines = self.parsed.lines.get(ROUTES_PATH if key_match[1] else TENANTS_PATH)
         if lines is None:
             return error
-        place = f"in the table of line {lines[int(named[2])]}"
+        location = f"in the table of line {lines[int(key_match[2])]}"
         if error.conflicting_index is not None:
-            place += f", and in line {lines[error.conflicting_index]}"
-        return InvalidInputError(f"{error} ({place})", key=error.key)
+            location += f", and in line {lines[error.conflicting_index]}"
+        return InvalidInputError(f"{error} ({location})", key=error.key)
 
 
 def read_appliance_in_steps(
@@ -97,7 +97,7 @@
 
     Raises InvalidInputError.
     """
-    readers = ElementReaders.knowing(current)
+    readers = ElementReaders.reusing(current)
     file = yield from read_file_in_steps(path, readers, current.source if current is not None else None)
     file.top.section("ajp")  # required: a standalone appliance has no other front
     apply_overrides(file.top, environment, "EDGE_ADMIN")
@@ -107,13 +107,13 @@
             file.top, common.settings, common.tenant_positions, readers.routes
         )
     except InvalidInputError as error:
-        raise file.located(error) from None
+        raise file.with_line_numbers(error) from None
     return replace(
         with_tables(common, tables),
         admin_address=optional_address(file.top, "admin", loopback=True),
         handover_path=handover_path(common.name, environment),
-        version=version_of(file.digest),
-        source=_source(file, common, tables),
+        version=version_hash(file.digest),
+        source=_reload_source(file, common, tables),
     )
 
 
@@ -137,8 +137,8 @@
             file.top, config.settings, config.tenant_positions, routes
         )
     except InvalidInputError as error:
-        raise file.located(error) from None
-    return replace(with_tables(config, tables), version=version_of(digest, file.digest))
+        raise file.with_line_numbers(error) from None
+    return replace(with_tables(config, tables), version=version_hash(digest, file.digest))
 
 
 def read_file_in_steps(
@@ -151,7 +151,7 @@
     yield from readers.routes.index_current_in_steps()
     try:
         text = yield from read_text_in_steps(path)
-        parsed = yield from _parsed_in_steps(text, readers, current)
+        parsed = yield from _parse_in_steps(text, readers, current)
     except RecursionError:
         raise InvalidInputError.in_setting(AJP_FILE, f"{path}: nested too deeply") from None
     except (OSError, ValueError) as error:
@@ -176,7 +176,7 @@
     )
 
 
-def _parsed_in_steps(
+def _parse_in_steps(
     text: FileText, readers: ElementReaders, current: ConfigSource | None
 ) -> Generator[None, None, ParsedFile]:
     if text.size_bytes <= json_reader.MAX_SINGLE_STEP_CHARS:
@@ -192,6 +192,6 @@
     return (yield from toml_reader.read_in_steps(text, takers, current))
 
 
-def _source(file: ApplianceFile, common: Config, tables: OperatorTables) -> ConfigSource | None:
+def _reload_source(file: ApplianceFile, common: Config, tables: OperatorTables) -> ConfigSource | None:
     routes = tables.ajp.routes if tables.ajp is not None else ()
     return file.parsed.source(file.digest, {TENANTS_PATH: common.settings.tenants, ROUTES_PATH: routes})
--- a/ochrehoist/config/common.py
+++ b/ochrehoist/config/common.py
@@ -33,19 +33,19 @@
     family = settings_table.section("FamilyInfo")
     gauges = family.items("OwnStats", [])
     if not all(isinstance(gauge, str) for gauge in gauges):
-        raise family.unusable("OwnStats", gauges)
+        raise family.invalid_value("OwnStats", gauges)
     return Config(
         name=top.text("name"),
         settings=loaded.settings,
         gauges=tuple(gauges),
         seed=seed,
-        shutdown_timeout_ms=top.integer("stop_ms", 3000, least=1),
-        memory_mb=limits.number("memory_mb", 192, least=1),
-        max_sockets=limits.integer("sockets", 1024, least=64),
+        shutdown_timeout_ms=top.integer("stop_ms", 3000, minimum=1),
+        memory_mb=limits.number("memory_mb", 192, minimum=1),
+        max_sockets=limits.integer("sockets", 1024, minimum=64),
         tenant_positions=loaded.tenant_positions,
     )
 
 
-def version_of(*digests: bytes) -> str:
+def version_hash(*digests: bytes) -> str:
     """Returns a short hash that identifies a version of the configuration to operators."""
     return sha256(b"".join(digests)).hexdigest()[:VERSION_CHARS]
--- a/ochrehoist/config/fleet.py
+++ b/ochrehoist/config/fleet.py
@@ -16,7 +16,7 @@
     SitesConfig,
     StateConfig,
 )
-from ochrehoist.config.values import Address, address, optional_address, parsed_address
+from ochrehoist.config.values import Address, optional_address, parse_address, required_address
 from ochrehoist.errors import InvalidInputError
 
 if TYPE_CHECKING:
@@ -60,9 +60,9 @@
     if "peers" not in top.data:
         return None
     table = top.section("peers").allow_only(*_PEERS_KEYS)
-    listen = address(table, "listen", loopback=True)
+    listen = required_address(table, "listen", loopback=True)
     members_table = table.section("members", {})
-    secrets = _secrets(table)
+    secrets = _read_secrets(table)
     lease_grantors = table.texts("voters", [])
     max_ejected_fraction = table.number("most_out", 0.5)
     if max_ejected_fraction >= 1:
@@ -80,12 +80,12 @@
         group=table.text("group"),
         site=table.text("site", "") or "",
         secrets=secrets,
-        protocol_period_ms=table.integer("probe_ms", 100, least=20),
+        protocol_period_ms=table.integer("probe_ms", 100, minimum=20),
         members=members,
-        seed_addresses=tuple(parsed_address(table, "start", text, loopback=True) for text in seed_addresses),
+        seed_addresses=tuple(parse_address(table, "start", text, loopback=True) for text in seed_addresses),
         lease_grantors=tuple(sorted(lease_grantors)),
         max_ejected_fraction=max_ejected_fraction,
-        max_requests_per_s=table.number("most_per_s", 3000, least=1),
+        max_requests_per_s=table.number("most_per_s", 3000, minimum=1),
         budgets=budgets,
     )
 
@@ -108,7 +108,7 @@
             "missing: they grant each stage of a recovering site; or set sites.pace = false",
         )
     site_map = _load_site_map(table)
-    site = _own_site(table, site_map, peers)
+    site = _resolve_site(table, site_map, peers)
     playbook = _load_playbook(table, settings)
     return SitesConfig(site=site, site_map=site_map, playbook=playbook, recovery_ramp=recovery_ramp)
 
@@ -129,11 +129,11 @@
     if top.text("name") in witnesses:
         raise table.error("witnesses", "a worker cannot be its own witness")
     default_timeout = state.max_disk_wait_ms if state is not None else DEFAULT_WITNESS_TIMEOUT_MS
-    timeout = table.number("wait_ms", default_timeout, least=1)
+    timeout = table.number("wait_ms", default_timeout, minimum=1)
     return RecoveryConfig(witnesses=witnesses, witness_timeout_ms=timeout)
 
 
-def _secrets(table: ObjectReader) -> tuple[str, ...]:
+def _read_secrets(table: ObjectReader) -> tuple[str, ...]:
     secrets = table.texts("secrets", REQUIRED)
     if not secrets or min(map(len, secrets)) < MIN_SECRET_CHARS:
         raise table.error(
@@ -145,7 +145,7 @@
 def _read_members_in_steps(table: ObjectReader) -> Generator[None, None, dict[str, Address]]:
     members: dict[str, Address] = {}
     for name in table.data:
-        members[name] = address(table, name, loopback=True)
+        members[name] = required_address(table, name, loopback=True)
         if len(members) % ELEMENTS_PER_STEP == 0:
             yield
     return members
@@ -158,7 +158,7 @@
     budgets: list[BudgetConfig] = []
     for index, data in enumerate(peers.items("budgets", [])):
         table = peers.element("budgets", index, data).allow_only(*_BUDGET_KEYS)
-        budgets.append(_budget(table, tenants, servers, lease_grantors))
+        budgets.append(_read_budget(table, tenants, servers, lease_grantors))
         if len(budgets) % ELEMENTS_PER_STEP == 0:
             yield
     if len({budget.name for budget in budgets}) < len(budgets):
@@ -168,11 +168,11 @@
     return tuple(budgets)
 
 
-def _budget(
+def _read_budget(
     table: ObjectReader, tenants: Container[str], servers: set[str], lease_grantors: tuple[str, ...]
 ) -> BudgetConfig:
     kind = table.member("use", BudgetKind)
-    subject = _budget_subject(table, kind, tenants, servers)
+    subject = _read_budget_subject(table, kind, tenants, servers)
     max_run_ms = table.number("longest_ms", 0.0)
     if kind is BudgetKind.SERVER and not max_run_ms:
         raise table.error("longest_ms", "missing: the maximum duration of one run")
@@ -185,16 +185,16 @@
         name=table.text("name"),
         kind=kind,
         subject=subject,
-        amount=table.integer("amount", least=1),
-        lease_s=table.number("lease_ms", 2000, least=200) / 1000,
+        amount=table.integer("amount", minimum=1),
+        lease_s=table.number("lease_ms", 2000, minimum=200) / 1000,
         floor_fraction=floor_fraction,
-        floor_lease_s=table.number("floor_lease_s", 30, least=0.2),
+        floor_lease_s=table.number("floor_lease_s", 30, minimum=0.2),
         max_run_s=max_run_ms / 1000 if kind is BudgetKind.SERVER else 0.0,
         slot_count=table.integer("parts", 0),
     )
 
 
-def _budget_subject(
+def _read_budget_subject(
     table: ObjectReader, kind: BudgetKind, tenants: Container[str], servers: set[str]
 ) -> str | None:
     subject = table.text("of", None)
@@ -220,7 +220,7 @@
         raise table.error("fleet", str(error)) from None
 
 
-def _own_site(table: ObjectReader, site_map: SiteMap | None, peers: PeersConfig) -> str:
+def _resolve_site(table: ObjectReader, site_map: SiteMap | None, peers: PeersConfig) -> str:
     """Returns the site of this worker: `site`, else the one of its address, else `peers.site`."""
     host = peers.advertised_address[0]
     mapped = site_map.site_of(host) if site_map is not None else None
--- a/ochrehoist/config/object_reader.py
+++ b/ochrehoist/config/object_reader.py
@@ -37,41 +37,41 @@
         """Returns an error that describes a problem with the value of `key`."""
         return InvalidInputError.in_setting(f"{self.path}{key}", problem)
 
-    def unusable(self, key: str, value: object) -> InvalidInputError:
+    def invalid_value(self, key: str, value: object) -> InvalidInputError:
         """Returns an error that quotes the invalid value of `key`."""
         return self.error(key, f"unusable value {value!r}")
 
-    def allow_only(self, *known: str) -> Self:
+    def allow_only(self, *allowed: str) -> Self:
         """Rejects unknown keys: a misspelt key would otherwise silently get its default."""
         for key in self.data:
-            if key not in known:
+            if key not in allowed:
                 raise self.error(key, "unknown")
         return self
 
-    def number(self, key: str, default: float | Required = REQUIRED, least: float = 0.0) -> float:
-        """Returns a finite number not below `least`; integers are not converted to float."""
+    def number(self, key: str, default: float | Required = REQUIRED, minimum: float = 0.0) -> float:
+        """Returns a finite number not below `minimum`; integers are not converted to float."""
         value = self._value(key, default)
         if (
             isinstance(value, bool)
             or not isinstance(value, int | float)
             or not math.isfinite(value)
-            or value < least
+            or value < minimum
         ):
-            raise self.unusable(key, value)
+            raise self.invalid_value(key, value)
         return value
 
-    def integer(self, key: str, default: int | Required = REQUIRED, least: int = 0) -> int:
-        """Returns an integer not below `least`; an integral float such as 3.0 is accepted."""
-        value = self.number(key, default, least)
+    def integer(self, key: str, default: int | Required = REQUIRED, minimum: int = 0) -> int:
+        """Returns an integer not below `minimum`; an integral float such as 3.0 is accepted."""
+        value = self.number(key, default, minimum)
         if value != int(value):
-            raise self.unusable(key, value)
+            raise self.invalid_value(key, value)
         return int(value)
 
     def flag(self, key: str, default: bool | Required = REQUIRED) -> bool:
         """Returns a boolean."""
         value = self._value(key, default)
         if not isinstance(value, bool):
-            raise self.unusable(key, value)
+            raise self.invalid_value(key, value)
         return value
 
     @overload
@@ -88,32 +88,32 @@
         if isinstance(default, str) and value is default:  # a default may be empty
             return default
         if not isinstance(value, str) or not value:
-            raise self.unusable(key, value)
+            raise self.invalid_value(key, value)
         return value
 
-    def choice(self, key: str, table: Mapping[str, Value], default: str | Required = REQUIRED) -> Value:
-        """Returns the value of `table` for the string at `key`."""
+    def choice(self, key: str, options: Mapping[str, Value], default: str | Required = REQUIRED) -> Value:
+        """Returns the value of `options` for the string at `key`."""
         value = self._value(key, default)
-        if not isinstance(value, str) or value not in table:
-            raise self.unusable(key, value)
-        return table[value]
+        if not isinstance(value, str) or value not in options:
+            raise self.invalid_value(key, value)
+        return options[value]
 
     def member(self, key: str, members: type[Member], default: Member | Required = REQUIRED) -> Member:
         """Returns the enumeration member whose value is the string at `key`."""
-        return self.choice(key, {m.value: m for m in members}, default)
+        return self.choice(key, {member.value: member for member in members}, default)
 
     def items(self, key: str, default: list[Any] | Required = REQUIRED) -> list[Any]:
         """Returns an array whose elements are not yet validated."""
         value = self._value(key, default)
         if not isinstance(value, list):
-            raise self.unusable(key, value)
+            raise self.invalid_value(key, value)
         return value
 
     def texts(self, key: str, default: list[str] | Required = REQUIRED) -> tuple[str, ...]:
         """Returns an array of distinct strings, none of them empty."""
         values = self.items(key, default)
         if not all(isinstance(value, str) and value for value in values):
-            raise self.unusable(key, values)
+            raise self.invalid_value(key, values)
         if len(set(values)) < len(values):
             raise self.error(key, "contains a duplicate value")
         return tuple(values)
--- a/ochrehoist/config/operator_tables.py
+++ b/ochrehoist/config/operator_tables.py
@@ -96,13 +96,13 @@
     return StateConfig(
         folder=table.text("folder"),
         must_exist=table.flag("must_exist", False),
-        max_mb=table.number("max_mb", 256, least=1),
+        max_mb=table.number("max_mb", 256, minimum=1),
         group_commit_delay_ms=table.number("commit_ms", 0),
-        max_disk_wait_ms=table.number("stall_ms", 250, least=1),
+        max_disk_wait_ms=table.number("stall_ms", 250, minimum=1),
         on_loss=table.member("on_loss", LossPolicy, LossPolicy.HOLD),
         max_result_kb=table.number("max_result_kb", 1024),
-        snapshot_interval_s=table.number("learned_every_s", 5, least=0.1),
-        snapshot_half_life_s=table.number("learned_half_life_s", 3600, least=1),
+        snapshot_interval_s=table.number("learned_every_s", 5, minimum=0.1),
+        snapshot_half_life_s=table.number("learned_half_life_s", 3600, minimum=1),
     )
 
 
@@ -116,9 +116,9 @@
     return CaptureConfig(
         folder=table.text("folder"),
         sample_fraction=sample_fraction,
-        max_mb=table.number("max_mb", 256, least=1),
-        max_file_mb=table.number("file_mb", 16, least=0.01),
-        max_file_age_s=table.number("file_s", 3600, least=1),
+        max_mb=table.number("max_mb", 256, minimum=1),
+        max_file_mb=table.number("file_mb", 16, minimum=0.01),
+        max_file_age_s=table.number("file_s", 3600, minimum=1),
     )
 
 
@@ -144,12 +144,12 @@
 def _running_bounds(table: ObjectReader, settings: AdmissionSettings) -> tuple[int | None, int | None]:
     """Returns the minimum and maximum of concurrent runs, None for defaults."""
     survivable = int(settings.cores * settings.collapse_multiple)
-    least = table.integer("least_running", 0) or None
-    most = table.integer("most_running", 0) or None
-    if most is not None and most > survivable:
+    minimum = table.integer("least_running", 0) or None
+    maximum = table.integer("most_running", 0) or None
+    if maximum is not None and maximum > survivable:
         raise table.error(
-            "most_running", f"above the {survivable} concurrent runs that the cores can sustain: {most}"
+            "most_running", f"above the {survivable} concurrent runs that the cores can sustain: {maximum}"
         )
-    if (least or 1) > (most or survivable):
-        raise table.error("least_running", f"above the maximum of concurrent runs: {least}")
-    return least, most
+    if (minimum or 1) > (maximum or survivable):
+        raise table.error("least_running", f"above the maximum of concurrent runs: {minimum}")
+    return minimum, maximum
--- a/ochrehoist/config/routes.py
+++ b/ochrehoist/config/routes.py
@@ -68,7 +68,7 @@
         if classes is not None and request_class not in classes:
             raise table.error("class", f"unknown class {request_class!r}")
         if not all(isinstance(method, str) and method for method in written_methods):
-            raise table.unusable("methods", written_methods)
+            raise table.invalid_value("methods", written_methods)
         uri = table.text("uri")
         if not uri.startswith("/"):
             raise table.error("uri", f"does not start with /: {uri!r}")
--- a/ochrehoist/config/settings.py
+++ b/ochrehoist/config/settings.py
@@ -78,24 +78,24 @@
     downstream = family.choice("DependsOn", DOWNSTREAM_WORDS, "off")
     downstream_default = REQUIRED if downstream is DownstreamScope.SHARED else 0
     backpressure = family.choice("Say", BACKPRESSURE_WORDS, "off")
-    classes = _request_classes(top, family)
+    classes = _read_request_classes(top, family)
     table = yield from tenants.read_in_steps(top.items("Tenants", []))
     settings = AdmissionSettings(
         classes=classes,
         tenants=table.tenants,
-        objective=_objective(result_mix),
+        objective=_read_objective(result_mix),
         prices={k: v for k, v in charges.data.items() if isinstance(v, int | float)},
-        fleet_size=top.integer("FleetSize", least=1),
+        fleet_size=top.integer("FleetSize", minimum=1),
         tier=top.integer("Stage", 0),
         caller_count=family.integer("Callers", 0),
-        cores=family.integer("Cores", least=1),
+        cores=family.integer("Cores", minimum=1),
         memory_kb=family.number("HeapKb"),
-        run_memory_factor=family.number("RunFactor", least=1.0),
+        run_memory_factor=family.number("RunFactor", minimum=1.0),
         key_kb=family.number("KeyKb", 0.0),
         cold_start=family.flag("JustStarted", False),
         warmup_ns=rules.integer("Cold"),
         warmup_speed=rules.number("ColdFrom"),
-        collapse_multiple=rules.number("TipMultiple", least=1.0),
+        collapse_multiple=rules.number("TipMultiple", minimum=1.0),
         collapse_after_ns=rules.integer("Fall"),
         drain_grace_ns=rules.integer("DrainGrace"),
         answer_grace_ns=rules.integer("GraceToAnswer"),
@@ -117,12 +117,12 @@
         readiness=family.flag("Readiness", False),
         deep_health_checks=family.flag("DeepChecks", False),
         idle_timeout_ns=family.integer("Idle", 0),
-        clock_step_ns=top.integer("Step", least=1),
+        clock_step_ns=top.integer("Step", minimum=1),
     )
     return LoadedSettings(settings, table.positions)
 
 
-def _objective(mix: ObjectReader) -> ObjectiveWeights:
+def _read_objective(mix: ObjectReader) -> ObjectiveWeights:
     return ObjectiveWeights(
         mix.number("Whole"),
         mix.number("WorstWindow", 0.0),
@@ -131,14 +131,14 @@
     )
 
 
-def _request_classes(top: ObjectReader, family: ObjectReader) -> tuple[RequestClass, ...]:
+def _read_request_classes(top: ObjectReader, family: ObjectReader) -> tuple[RequestClass, ...]:
     listed = top.items("Classes")
     if not listed:
-        raise top.unusable("Classes", [])
-    calls = _per_class(family, "ClassCalls", bool, [False] * len(listed))
-    fallbacks = _per_class(family, "ClassSkipWorth", int | float, [0.0] * len(listed))
+        raise top.invalid_value("Classes", [])
+    calls = _read_array_per_class(family, "ClassCalls", bool, [False] * len(listed))
+    fallbacks = _read_array_per_class(family, "ClassSkipWorth", int | float, [0.0] * len(listed))
     classes = tuple(
-        _request_class(top.element("Classes", index, data), calls[index], fallbacks[index])
+        _read_request_class(top.element("Classes", index, data), calls[index], fallbacks[index])
         for index, data in enumerate(listed)
     )
     names = [c.name for c in classes]
@@ -147,20 +147,20 @@
     return classes
 
 
-def _per_class(family: ObjectReader, key: str, kind: Any, default: list[Any]) -> list[Any]:
+def _read_array_per_class(family: ObjectReader, key: str, kind: Any, default: list[Any]) -> list[Any]:
     """Returns an array that has one value of type `kind` for each request class."""
     values = family.items(key, default)
     if len(values) != len(default) or not all(isinstance(value, kind) for value in values):
-        raise family.unusable(key, values)
+        raise family.invalid_value(key, values)
     return values
 
 
-def _request_class(table: ObjectReader, calls_downstream: bool, fallback_weight: float) -> RequestClass:
+def _read_request_class(table: ObjectReader, calls_downstream: bool, fallback_weight: float) -> RequestClass:
     idempotency = table.choice("Repeat", IDEMPOTENCY_WORDS)
     return RequestClass(
         name=table.text("Name"),
-        latency_objective_ns=table.integer("Slo", least=1),
-        deadline_ns=table.integer("Deadline", least=1),
+        latency_objective_ns=table.integer("Slo", minimum=1),
+        deadline_ns=table.integer("Deadline", minimum=1),
         priority_weight=table.number("Gain"),
         late_weight=table.number("LateValue", 0.0),
         idempotency=idempotency,
--- a/ochrehoist/config/values.py
+++ b/ochrehoist/config/values.py
@@ -15,15 +15,15 @@
 
     With `loopback`, only loopback addresses are accepted. Raises InvalidInputError.
     """
-    return address(table, key, loopback=loopback) if key in table.data else None
+    return required_address(table, key, loopback=loopback) if key in table.data else None
 
 
-def address(table: ObjectReader, key: str, *, loopback: bool = False) -> Address:
+def required_address(table: ObjectReader, key: str, *, loopback: bool = False) -> Address:
     """Returns the IPv4 address and port at `key`, like optional_address(), but the key is mandatory."""
-    return parsed_address(table, key, table.text(key), loopback=loopback)
+    return parse_address(table, key, table.text(key), loopback=loopback)
 
 
-def parsed_address(table: ObjectReader, key: str, text: str, *, loopback: bool = False) -> Address:
+def parse_address(table: ObjectReader, key: str, text: str, *, loopback: bool = False) -> Address:
     """Parses an IPv4 address and port; errors name `key`. Raises InvalidInputError."""
     host, colon, port = text.rpartition(":")
     if not colon or not _is_port(port):
@@ -41,7 +41,7 @@
     return text.isascii() and text.isdigit() and len(text) <= MAX_PORT_DIGITS and int(text) <= MAX_PORT
 
 
-def header_name(table: ObjectReader, key: str, default: str) -> bytes:
+def read_header_name(table: ObjectReader, key: str, default: str) -> bytes:
     """Returns the HTTP header name at `key` in lower case. Raises InvalidInputError."""
     name = table.text(key, default)
     if not name.isascii() or not name.isprintable() or set(name) & set(" :"):
