--- a/ochrehoist/app/reload_change.py
+++ b/ochrehoist/app/reload_change.py
@@ -69,7 +69,7 @@
 
     Gives None where `only_new` is set and nothing differs. Raises InvalidInputError.
     """
-    loaded = yield from loader.load_in_steps(path, before=current)
+    loaded = yield from loader.load_in_steps(path, active_config=current)
     merged = comparison.merged(current, loaded)
     if only_new and merged.config == current:
         return None
--- a/ochrehoist/config/appliance_file.py
+++ b/ochrehoist/config/appliance_file.py
@@ -13,7 +13,7 @@
     version_hash,
 )
 from ochrehoist.config.environment import AJP_FILE, Environment, apply_overrides, handover_path
-from ochrehoist.config.json_reader import ArrayPath, TakeElement
+from ochrehoist.config.json_reader import ArrayPath, ElementHandler
 from ochrehoist.config.object_reader import ObjectReader
 from ochrehoist.config.operator_tables import OperatorTables, read_operator_tables_in_steps
 from ochrehoist.config.routes import RouteReader
@@ -185,11 +185,11 @@
         return ParsedFile(tomli.loads(text.joined()))
     from ochrehoist.config import toml_reader  # imported on demand: only large files need it
 
-    takers: dict[ArrayPath, TakeElement] = {
-        TENANTS_PATH: readers.tenants.take,
-        ROUTES_PATH: readers.routes.take,
+    element_handlers: dict[ArrayPath, ElementHandler] = {
+        TENANTS_PATH: readers.tenants.append_element,
+        ROUTES_PATH: readers.routes.append_element,
     }
-    return (yield from toml_reader.read_in_steps(text, takers, current))
+    return (yield from toml_reader.read_in_steps(text, element_handlers, current))
 
 
 def _reload_source(file: ApplianceFile, common: Config, tables: OperatorTables) -> ConfigSource | None:
--- a/ochrehoist/config/comparison.py
+++ b/ochrehoist/config/comparison.py
@@ -12,11 +12,12 @@
 if TYPE_CHECKING:
     from ochrehoist.config.tables import AjpConfig, PeersConfig
 
-CHANGEABLE = frozenset(
+RELOADABLE_FIELDS = frozenset(
     {"kernel_address", "membership_address", "settings", "gauges", "overload", "peers", "sites"}
 )
-ONLY_AT_START = frozenset({"seed", "handover_path", "inherited_fd"})
-FIXED_AJP = frozenset({"listen", "packet_size", "max_response", "max_connections"})  # bound to connections
+STARTUP_FIELDS = frozenset({"seed", "handover_path", "inherited_fd"})
+# Open connections depend on the values of these fields.
+FIXED_AJP_FIELDS = frozenset({"listen", "packet_size", "max_response", "max_connections"})
 # Majorities of the old and the new list overlap only if the lists differ by at most this many grantors.
 MAX_GRANTORS_CHANGED = 1
 
@@ -57,13 +58,15 @@
 
     Raises InvalidInputError if a change is forbidden, or if the platform's file lacks a key that it had.
     """
-    _require_keys(current, loaded)
+    _require_platform_keys(current, loaded)
     _require_same_group(current.peers, loaded.peers)
     _require_same_site(current, loaded)
-    differing = _differing_fields(current, loaded) - ONLY_AT_START - {"platform_keys", "ajp"}
+    differing = _differing_fields(current, loaded) - STARTUP_FIELDS - {"platform_keys", "ajp"}
     # A part that is off in either configuration needs a restart: no running instance can apply the change.
     changeable = {
-        name for name in differing & CHANGEABLE if _both(getattr(current, name), getattr(loaded, name))
+        name
+        for name in differing & RELOADABLE_FIELDS
+        if _both_enabled(getattr(current, name), getattr(loaded, name))
     }
     ajp = _merged_ajp(current.ajp, loaded.ajp)
     config = replace(
@@ -91,31 +94,37 @@
     fixed = _fixed_ajp_fields(current, loaded)
     changeable = _differing_fields(current, loaded) - fixed
     config = replace(current, **{name: getattr(loaded, name) for name in changeable})
-    return _MergedAjp(config, {f"ajp.{key}" for key in _written(fixed, AJP_KEYS)})
+    return _MergedAjp(config, {f"ajp.{key}" for key in _file_keys(fixed, AJP_KEYS)})
 
 
 def _restart_keys(current: Config, loaded: Config, fixed: set[str]) -> set[str]:
     """Returns the keys whose changes need a restart; keys of [state] are listed individually."""
     if "state" not in fixed or current.state is None or loaded.state is None:
-        return _written(fixed, CONFIG_KEYS)
+        return _file_keys(fixed, CONFIG_KEYS)
     state = _differing_fields(current.state, loaded.state)
-    return _written(fixed - {"state"}, CONFIG_KEYS) | {f"state.{key}" for key in _written(state, STATE_KEYS)}
+    return _file_keys(fixed - {"state"}, CONFIG_KEYS) | {
+        f"state.{key}" for key in _file_keys(state, STATE_KEYS)
+    }
 
 
-def _both(first: object, second: object) -> bool:
+def _both_enabled(first: object, second: object) -> bool:
     return first is not None and second is not None
 
 
 def _differing_fields(first: Any, second: Any) -> set[str]:
     """Returns the names of the comparable fields in which two objects of the same type differ."""
-    return {f.name for f in fields(first) if f.compare and getattr(first, f.name) != getattr(second, f.name)}
+    return {
+        field.name
+        for field in fields(first)
+        if field.compare and getattr(first, field.name) != getattr(second, field.name)
+    }
 
 
-def _written(names: Iterable[str], keys: Mapping[str, str]) -> set[str]:
-    return {keys.get(name, name) for name in names}
+def _file_keys(field_names: Iterable[str], keys: Mapping[str, str]) -> set[str]:
+    return {keys.get(name, name) for name in field_names}
 
 
-def _require_keys(current: Config, loaded: Config) -> None:
+def _require_platform_keys(current: Config, loaded: Config) -> None:
     for key in sorted(current.platform_keys - loaded.platform_keys):
         raise InvalidInputError.in_setting(key, "missing")
 
@@ -139,7 +148,7 @@
 
 def _fixed_ajp_fields(current: AjpConfig, loaded: AjpConfig) -> set[str]:
     """Returns the fields that differ and cannot change while connections are open."""
-    fixed = _differing_fields(current, loaded) & FIXED_AJP
+    fixed = _differing_fields(current, loaded) & FIXED_AJP_FIELDS
     # The file descriptors for idle connections are reserved at start-up, so their number cannot grow.
     if _idle_connections(loaded) > _idle_connections(current):
         fixed.add("servers")
--- a/ochrehoist/config/json_reader.py
+++ b/ochrehoist/config/json_reader.py
@@ -13,7 +13,7 @@
 MAX_STEPPED_DEPTH = 2  # objects nested deeper than this are parsed in a single step
 
 ArrayPath = tuple[str, ...]  # keys that lead from the root to an array
-TakeElement = Callable[[Any, list[Any]], None]
+ElementHandler = Callable[[Any, list[Any]], None]
 
 # Error messages of the standard json module.
 EXTRA_DATA = "Extra data"
@@ -32,7 +32,9 @@
         super().__init__("nested too deeply")
 
 
-def read_in_steps(text: str, takers: Mapping[ArrayPath, TakeElement]) -> Generator[None, None, Any]:
+def read_in_steps(
+    text: str, element_handlers: Mapping[ArrayPath, ElementHandler]
+) -> Generator[None, None, Any]:
     """Parses `text`, and passes the elements of an array to the handler for its path, if there is one.
 
     A handler appends an element to the list that replaces the array in the result. A short text is parsed in
@@ -42,7 +44,7 @@
     try:
         if len(text) <= MAX_SINGLE_STEP_CHARS or text.startswith("\ufeff"):
             return json.loads(text)
-        value, end = yield from _SteppedDecoder(text, takers).value(_skip_whitespace(text, 0), ())
+        value, end = yield from _SteppedDecoder(text, element_handlers).value(_skip_whitespace(text, 0), ())
     except RecursionError:
         raise NestingError from None
     end = _skip_whitespace(text, end)
@@ -59,9 +61,9 @@
 class _SteppedDecoder:
     """Decodes the outer objects and their arrays step by step, and all other values with json."""
 
-    def __init__(self, text: str, takers: Mapping[ArrayPath, TakeElement]) -> None:
+    def __init__(self, text: str, element_handlers: Mapping[ArrayPath, ElementHandler]) -> None:
         self._text = text
-        self._takers = takers
+        self._element_handlers = element_handlers
         self._last_yield = 0  # position in the text at the last yield
 
     def value(self, start: int, path: ArrayPath) -> Generator[None, None, tuple[Any, int]]:
@@ -111,16 +113,16 @@
     def _array(self, position: int, path: ArrayPath) -> Generator[None, None, tuple[list[Any], int]]:
         elements: list[Any] = []
         text = self._text
-        take = self._takers.get(path)
+        handle_element = self._element_handlers.get(path)
         position = _skip_whitespace(text, position)
         if text[position : position + 1] == "]":
             return elements, position + 1
         while True:
             value, position = _decode_value(text, position)
-            if take is None:
+            if handle_element is None:
                 elements.append(value)
             else:
-                take(value, elements)
+                handle_element(value, elements)
             position = _skip_whitespace(text, position)
             delimiter = text[position : position + 1]
             if delimiter == "]":
--- a/ochrehoist/config/platform_file.py
+++ b/ochrehoist/config/platform_file.py
@@ -71,7 +71,7 @@
     if text.size_bytes > json_reader.MAX_SINGLE_STEP_CHARS:
         yield
     text.parts.clear()
-    return (yield from json_reader.read_in_steps(joined, {TENANTS_PATH: tenants.take}))
+    return (yield from json_reader.read_in_steps(joined, {TENANTS_PATH: tenants.append_element}))
 
 
 def _reload_source(data: dict[str, Any], text: FileText, common: Config) -> ConfigSource | None:
--- a/ochrehoist/config/routes.py
+++ b/ochrehoist/config/routes.py
@@ -29,13 +29,13 @@
             if (position + 1) % ROUTES_PER_STEP == 0:
                 yield
 
-    def take(self, data: Any, elements: list[Any]) -> None:
+    def append_element(self, data: Any, elements: list[Any]) -> None:
         """Appends a route, or the data itself if it is invalid. The request class is not yet validated.
 
         read_in_steps() reports invalid data, since the index of the element is known only then.
         """
         try:
-            elements.append(self._checked(ObjectReader(data, ""), None))
+            elements.append(self._validated(ObjectReader(data, ""), None))
         except InvalidInputError:
             elements.append(data)
 
@@ -46,21 +46,23 @@
         routes: list[AjpRoute] = []
         for item in ajp.items("rules"):
             for element in self._current[item.start : item.stop] if isinstance(item, range) else (item,):
-                routes.append(self._route(ajp, len(routes), element, classes))
+                routes.append(self._resolve_route(ajp, len(routes), element, classes))
                 if len(routes) % ROUTES_PER_STEP == 0:
                     yield
         if len(routes) == len(self._current) and all(map(is_, routes, self._current)):
             return self._current
         return (yield from concatenated_in_steps([routes], ()))
 
-    def _route(self, ajp: ObjectReader, index: int, element: Any, classes: Collection[str]) -> AjpRoute:
+    def _resolve_route(
+        self, ajp: ObjectReader, index: int, element: Any, classes: Collection[str]
+    ) -> AjpRoute:
         if not isinstance(element, AjpRoute):
-            return self._checked(ajp.element("rules", index, element), classes)
+            return self._validated(ajp.element("rules", index, element), classes)
         if element.request_class not in classes:
             raise ajp.error(f"rules[{index}].class", f"unknown class {element.request_class!r}")
         return element
 
-    def _checked(self, table: ObjectReader, classes: Collection[str] | None) -> AjpRoute:
+    def _validated(self, table: ObjectReader, classes: Collection[str] | None) -> AjpRoute:
         """Validates a route; any class is accepted if `classes` is None. Raises InvalidInputError."""
         table.allow_only("uri", "methods", "class")
         request_class = table.text("class")
--- a/ochrehoist/config/settings.py
+++ b/ochrehoist/config/settings.py
@@ -20,24 +20,24 @@
 from ochrehoist.steps import run_to_completion
 
 # The values of the settings object, and their types in the code.
-IDEMPOTENCY_WORDS = {
+IDEMPOTENCY_BY_VALUE = {
     "idempotent": Idempotency.IDEMPOTENT,
     "deduplicated": Idempotency.KEYED,
     "at_most_once": Idempotency.AT_MOST_ONCE,
 }
-DOWNSTREAM_WORDS = {
+DOWNSTREAM_SCOPE_BY_VALUE = {
     "off": DownstreamScope.NONE,
     "shared": DownstreamScope.SHARED,
     "tier": DownstreamScope.TIER,
 }
-BACKPRESSURE_WORDS = {
+BACKPRESSURE_BY_VALUE = {
     "off": BackpressureSignal.NONE,
     "window": BackpressureSignal.WINDOW,
     "threshold": BackpressureSignal.THRESHOLD,
     "share_of": BackpressureSignal.WEIGHT,
 }
-PREEMPTION_WORDS = {"off": Preemption.NONE, "abort": Preemption.DROP, "suspend": Preemption.PAUSE}
-WEIGHS_WORK_WORDS = {"request": False, "work": True}
+PREEMPTION_BY_VALUE = {"off": Preemption.NONE, "abort": Preemption.DROP, "suspend": Preemption.PAUSE}
+WEIGHS_WORK_BY_VALUE = {"request": False, "work": True}
 
 MESSAGE_TENANTS_PATH = ("Tenants",)
 
@@ -53,7 +53,9 @@
 def read_settings(text: str) -> AdmissionSettings:
     """Parses and validates the settings object of a CREATE message. Raises InvalidInputError."""
     try:
-        data = run_to_completion(json_reader.read_in_steps(text, {MESSAGE_TENANTS_PATH: TenantReader().take}))
+        data = run_to_completion(
+            json_reader.read_in_steps(text, {MESSAGE_TENANTS_PATH: TenantReader().append_element})
+        )
     except ValueError as error:
         raise InvalidInputError.in_message("CREATE", str(error), field="Settings") from None
     return settings_from(data)
@@ -75,9 +77,9 @@
     limits = top.section("PolicyLimits", {})
     result_mix = top.section("ResultMix")
     charges = top.section("Charges", {})
-    downstream = family.choice("DependsOn", DOWNSTREAM_WORDS, "off")
+    downstream = family.choice("DependsOn", DOWNSTREAM_SCOPE_BY_VALUE, "off")
     downstream_default = REQUIRED if downstream is DownstreamScope.SHARED else 0
-    backpressure = family.choice("Say", BACKPRESSURE_WORDS, "off")
+    backpressure = family.choice("Say", BACKPRESSURE_BY_VALUE, "off")
     classes = _read_request_classes(top, family)
     table = yield from tenants.read_in_steps(top.items("Tenants", []))
     settings = AdmissionSettings(
@@ -102,7 +104,7 @@
         propagates_deadline=family.flag("PassesDeadline", False),
         reports_disconnects=family.flag("TellsGone", False),
         marks_retries=top.section("ClientHabits", {}).flag("MarksRetry", False),
-        weighs_work=top.choice("WorthBy", WEIGHS_WORK_WORDS, "request"),
+        weighs_work=top.choice("WorthBy", WEIGHS_WORK_BY_VALUE, "request"),
         over_quota_weight=top.number("OverShareWorth", 1.0),
         downstream=downstream,
         downstream_share=family.number("FairCalls", downstream_default),
@@ -113,7 +115,7 @@
         backpressure_ttl_ns=family.integer("HeardFor", 0),
         relays_retry_after=limits.flag("RetryAfter", False),
         max_retry_after_ns=limits.integer("MaxRetryAfter", 0),
-        preemption=family.choice("Preemption", PREEMPTION_WORDS, "off"),
+        preemption=family.choice("Preemption", PREEMPTION_BY_VALUE, "off"),
         readiness=family.flag("Readiness", False),
         deep_health_checks=family.flag("DeepChecks", False),
         idle_timeout_ns=family.integer("Idle", 0),
@@ -132,14 +134,14 @@
 
 
 def _read_request_classes(top: ObjectReader, family: ObjectReader) -> tuple[RequestClass, ...]:
-    listed = top.items("Classes")
-    if not listed:
+    elements = top.items("Classes")
+    if not elements:
         raise top.invalid_value("Classes", [])
-    calls = _read_array_per_class(family, "ClassCalls", bool, [False] * len(listed))
-    fallbacks = _read_array_per_class(family, "ClassSkipWorth", int | float, [0.0] * len(listed))
+    calls = _read_array_per_class(family, "ClassCalls", bool, [False] * len(elements))
+    fallbacks = _read_array_per_class(family, "ClassSkipWorth", int | float, [0.0] * len(elements))
     classes = tuple(
         _read_request_class(top.element("Classes", index, data), calls[index], fallbacks[index])
-        for index, data in enumerate(listed)
+        for index, data in enumerate(elements)
     )
     names = [c.name for c in classes]
     if len(set(names)) < len(names):
@@ -156,7 +158,7 @@
 
 
 def _read_request_class(table: ObjectReader, calls_downstream: bool, fallback_weight: float) -> RequestClass:
-    idempotency = table.choice("Repeat", IDEMPOTENCY_WORDS)
+    idempotency = table.choice("Repeat", IDEMPOTENCY_BY_VALUE)
     return RequestClass(
         name=table.text("Name"),
         latency_objective_ns=table.integer("Slo", minimum=1),
--- a/ochrehoist/config/source.py
+++ b/ochrehoist/config/source.py
@@ -105,20 +105,22 @@
         with Path(path).open("rb", buffering=0) as file:
             before = os.fstat(file.fileno())
             regular = stat.S_ISREG(before.st_mode)
-            text = yield from _decoded_in_steps(file, before.st_size if regular else None)
+            text = yield from _decode_in_steps(file, before.st_size if regular else None)
             after = os.fstat(file.fileno())
-        if not regular or _identity(before) == _identity(after) == _identity(Path(path).stat()):
+        if not regular or _file_identity(before) == _file_identity(after) == _file_identity(
+            Path(path).stat()
+        ):
             if isinstance(text, FileEncodingError):  # not before: a write in progress may cause it
                 raise text
             return text
     raise FileChangingError
 
 
-def _identity(status: os.stat_result) -> tuple[int, ...]:
+def _file_identity(status: os.stat_result) -> tuple[int, ...]:
     return status.st_dev, status.st_ino, status.st_size, status.st_mtime_ns, status.st_ctime_ns
 
 
-def _decoded_in_steps(
+def _decode_in_steps(
     file: io.FileIO, max_bytes: int | None
 ) -> Generator[None, None, FileText | FileEncodingError]:
     """Returns the decoded text, or the encoding error. Reading stops if the file grows beyond `max_bytes`."""
@@ -132,7 +134,7 @@
         try:
             part = decoder.decode(data, final=not data)
         except UnicodeDecodeError as error:
-            return _undecodable(error, line)
+            return _encoding_error(error, line)
         line += part.count("\n")
         text.parts.append(part)
         text.size_bytes += len(data)
@@ -143,6 +145,6 @@
             yield
 
 
-def _undecodable(error: UnicodeDecodeError, line: int) -> FileEncodingError:
+def _encoding_error(error: UnicodeDecodeError, line: int) -> FileEncodingError:
     line += error.object[: error.start].decode().count("\n")
     return FileEncodingError(f"not UTF-8: {error.reason} (at line {line})")
--- a/ochrehoist/config/tenants.py
+++ b/ochrehoist/config/tenants.py
@@ -31,7 +31,7 @@
         self._current = current
         self._positions: Mapping[str, int] = positions or {}
 
-    def take(self, data: Any, elements: list[Any]) -> None:
+    def append_element(self, data: Any, elements: list[Any]) -> None:
         """Appends a tenant: as a range of positions if unchanged, or as the data itself if invalid.
 
         read_in_steps() reports invalid data, since the index of the element is known only then.
@@ -39,7 +39,7 @@
         position = self._unchanged_position(data)
         if position is None:
             try:
-                elements.append(self._checked(data, ""))
+                elements.append(self._create_tenant(data, ""))
             except InvalidInputError:
                 elements.append(data)
             return
@@ -49,30 +49,32 @@
         else:
             elements.append(range(position, position + 1))
 
-    def read_in_steps(self, listed: Sequence[Any]) -> Generator[None, None, TenantTable]:
-        """Returns all tenants of `listed`: parsed data, tenants, and ranges of active tenants.
+    def read_in_steps(self, items: Sequence[Any]) -> Generator[None, None, TenantTable]:
+        """Returns all tenants of `items`: parsed data, tenants, and ranges of active tenants.
 
         If nothing changed, the result contains the active tuple itself. Raises InvalidInputError for invalid
         data and for duplicate names.
         """
-        merge = _Merge(self._current, self._positions)
-        for number, item in enumerate(listed, start=1):
+        builder = _TenantListBuilder(self._current, self._positions)
+        for number, item in enumerate(items, start=1):
             if isinstance(item, range):
-                merge.add_unchanged(item)
+                builder.add_unchanged(item)
             else:
-                merge.add(item if isinstance(item, Tenant) else self._tenant(item, merge.count))
+                builder.add(item if isinstance(item, Tenant) else self._resolve_tenant(item, builder.count))
             if number % TENANTS_PER_STEP == 0:
                 yield
         tenants = self._current
-        if not merge.unchanged:
-            tenants = yield from concatenated_in_steps(merge.parts, self._current)
-        if merge.positions_unchanged:
+        if not builder.unchanged:
+            tenants = yield from concatenated_in_steps(builder.parts, self._current)
+        if builder.positions_unchanged:
             return TenantTable(tenants, self._positions)
         return TenantTable(tenants, (yield from _positions_in_steps(tenants)))
 
-    def _tenant(self, data: Any, index: int) -> Tenant:
+    def _resolve_tenant(self, data: Any, index: int) -> Tenant:
         position = self._unchanged_position(data)
-        return self._checked(data, f"Tenants[{index}].") if position is None else self._current[position]
+        return (
+            self._create_tenant(data, f"Tenants[{index}].") if position is None else self._current[position]
+        )
 
     def _unchanged_position(self, data: Any) -> int | None:
         """Returns the position of the active tenant with the same values, or None if there is none."""
@@ -87,7 +89,7 @@
         tenant = self._current[position]
         return position if tenant.quota_per_s == quota and tenant.share == share else None
 
-    def _checked(self, data: Any, path: str) -> Tenant:
+    def _create_tenant(self, data: Any, path: str) -> Tenant:
         """Validates and creates a tenant. Raises InvalidInputError; `path` is the prefix of its key."""
         reader = ObjectReader(data, path)
         tenant = Tenant(reader.text("Name"), reader.number("QuotaPerS"), reader.number("Fraction", 0.0))
@@ -107,7 +109,7 @@
             gc.freeze()
 
 
-class _Merge:
+class _TenantListBuilder:
     """Builder of the new list of tenants, which detects what equals the active list."""
 
     def __init__(self, current: tuple[Tenant, ...], positions: Mapping[str, int]) -> None:
--- a/ochrehoist/config/toml_parser.py
+++ b/ochrehoist/config/toml_parser.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class SyntaxFault:
+class TomlErrorDetails:
     """Message and position of a syntax error. Line 0 means the end of the text or an unknown position."""
 
     message: str
@@ -31,12 +31,12 @@
     column: int = 0
 
     @classmethod
-    def of(cls, error: ValueError) -> "SyntaxFault":
-        """Returns the fault that a parser's error describes."""
-        found = _POSITION.fullmatch(str(error))
-        return cls(found[1], int(found[2]), int(found[3])) if found else cls(str(error))
+    def from_error(cls, error: ValueError) -> "TomlErrorDetails":
+        """Returns the details of a parser's error."""
+        match = _POSITION.fullmatch(str(error))
+        return cls(match[1], int(match[2]), int(match[3])) if match else cls(str(error))
 
-    def text(self, line_offset: int) -> str:
+    def shifted_message(self, line_offset: int) -> str:
         """Returns the message with its position, the line number increased by `line_offset`."""
         if not self.line:
             return self.message
--- a/ochrehoist/config/toml_reader.py
+++ b/ochrehoist/config/toml_reader.py
@@ -16,9 +16,9 @@
 from typing import Any
 from zlib import crc32
 
-from ochrehoist.config.json_reader import ArrayPath, TakeElement
+from ochrehoist.config.json_reader import ArrayPath, ElementHandler
 from ochrehoist.config.source import ChunkPositions, ConfigSource, FileText, ParsedFile, with_arrays
-from ochrehoist.config.toml_parser import SyntaxFault, parse, parse_in_steps, parse_in_thread
+from ochrehoist.config.toml_parser import TomlErrorDetails, parse, parse_in_steps, parse_in_thread
 from ochrehoist.errors import OchrehoistError
 
 MAX_CHUNK_ELEMENTS = 64
@@ -27,19 +27,19 @@
 MAX_PREFIX_ATTEMPTS = 32  # for finding a valid prefix before a syntax error
 MAX_REMAINDER_CHARS = 262144
 MAX_ELEMENT_CHARS = 65536  # also the limit of a single line
-MAX_KNOWN_HEADERS = 256
+MAX_CACHED_HEADERS = 256
 DIGEST_BYTES = 16
 
 _HEADER_LINE = re.compile(r"\n[ \t]*\[[^\n]*")  # matches header candidates
 _KEY = r"[A-Za-z_][A-Za-z0-9_-]*"
-_USUAL_HEADER = re.compile(
+_SIMPLE_HEADER = re.compile(
     rf"\n[ \t]*(?:\[({_KEY}(?:\.{_KEY})*)\]|\[\[({_KEY}(?:\.{_KEY})*)\]\])[ \t]*(?:#.*)?"
 )
-_VALUE_WORDS = {"true", "false", "inf", "nan"}  # [true] may be a line of an array
+_VALUE_KEYWORDS = {"true", "false", "inf", "nan"}  # [true] may be a line of an array
 _NO_ARRAY: ArrayPath = ()  # the path of lines that belong to no array of tables
 
 
-class UnusualFormError(OchrehoistError):
+class UnsplittableTextError(OchrehoistError):
     """The text cannot be split into chunks, though it may be valid TOML."""
 
 
@@ -48,7 +48,7 @@
 
 
 def read_in_steps(
-    text: FileText, takers: Mapping[ArrayPath, TakeElement], current: ConfigSource | None
+    text: FileText, element_handlers: Mapping[ArrayPath, ElementHandler], current: ConfigSource | None
 ) -> Generator[None, None, ParsedFile]:
     """Parses a file, reusing unchanged elements of `current`, the source of the active configuration.
 
@@ -56,14 +56,14 @@
     replaces the array in the result. Raises ValueError, which names the line of the error.
     """
     if current is not None and current.digest == text.digest:
-        return _unchanged(current)
+        return _unchanged_file(current)
     try:
-        return (yield from _Splitter(takers, current).read(text))
-    except UnusualFormError:
+        return (yield from _Splitter(element_handlers, current).read(text))
+    except UnsplittableTextError:
         return ParsedFile((yield from parse_in_thread(text.joined())))
 
 
-def _unchanged(current: ConfigSource) -> ParsedFile:
+def _unchanged_file(current: ConfigSource) -> ParsedFile:
     arrays: dict[ArrayPath, list[Any]] = {
         path: [range(len(cached.elements))] for path, cached in current.arrays.items()
     }
@@ -82,39 +82,46 @@
 class _Splitter:
     """Splitter of one text into chunks of elements and the remainder of all other lines."""
 
-    def __init__(self, takers: Mapping[ArrayPath, TakeElement], current: ConfigSource | None) -> None:
-        self._takers = takers
+    def __init__(
+        self, element_handlers: Mapping[ArrayPath, ElementHandler], current: ConfigSource | None
+    ) -> None:
+        self._element_handlers = element_handlers
         self._current = current
-        self._known_chunks: dict[ArrayPath, ChunkPositions] = {
+        self._active_chunks: dict[ArrayPath, ChunkPositions] = {
             path: current.arrays[path].chunks if current is not None and path in current.arrays else {}
-            for path in takers
+            for path in element_handlers
         }
-        self._known_headers: dict[str, ArrayPath | None] = {}
+        self._header_cache: dict[str, ArrayPath | None] = {}
         self._remainder = _Remainder()
         self._arrays: dict[
             ArrayPath, list[Any]
         ] = {}  # a range stands for elements of the active configuration
         self._lines: dict[ArrayPath, array[int]] = {}
         self._chunks: dict[ArrayPath, ChunkPositions] = {}
-        self._path = _NO_ARRAY  # array that the current line belongs to
-        self._chunk: list[str] = []  # elements of `_path` that are not yet parsed
+        self._array_path = _NO_ARRAY  # array that the current line belongs to
+        self._chunk: list[str] = []  # elements of `_array_path` that are not yet parsed
         self._chunk_chars = 0
         self._chunk_line = 0
         self._parsed_since_yield = False
 
     def read(self, text: FileText) -> Generator[None, None, ParsedFile]:
-        """Parses the whole text. Raises UnusualFormError and TomlSyntaxError."""
+        """Parses the whole text. Raises UnsplittableTextError and TomlSyntaxError."""
         try:
             yield from self._split(text)
         except TomlSyntaxError:
-            yield from self._remainder.parsed_in_steps(self._current)  # may raise an error in an earlier line
+            # If the remainder has an error in an earlier line, it is raised instead of this one.
+            yield from self._remainder.parse_data_in_steps(self._current)
             raise
-        data, digest = yield from self._remainder.parsed_in_steps(self._current)
-        others = {path: elements for path, elements in self._arrays.items() if path not in self._takers}
-        taken = {path: elements for path, elements in self._arrays.items() if path in self._takers}
-        remainder = with_arrays(data, others)
-        chunks = {path: self._chunks[path] for path in taken}
-        return ParsedFile(with_arrays(remainder, taken), remainder, digest, chunks, self._lines)
+        data, digest = yield from self._remainder.parse_data_in_steps(self._current)
+        unhandled = {
+            path: elements for path, elements in self._arrays.items() if path not in self._element_handlers
+        }
+        handled = {
+            path: elements for path, elements in self._arrays.items() if path in self._element_handlers
+        }
+        remainder = with_arrays(data, unhandled)
+        chunks = {path: self._chunks[path] for path in handled}
+        return ParsedFile(with_arrays(remainder, handled), remainder, digest, chunks, self._lines)
 
     def _split(self, text: FileText) -> Generator[None, None, None]:
         buffer = "\n"  # always begins with a newline
@@ -122,12 +129,12 @@
         for part in text.parts:
             buffer += part
             if '"""' in buffer or "'''" in buffer:
-                raise UnusualFormError  # an apparent header may be part of a multi-line string
+                raise UnsplittableTextError  # an apparent header may be part of a multi-line string
             consumed = yield from self._consume(buffer, line, last=False)
             line += buffer.count("\n", 0, consumed)
             buffer = buffer[consumed:]
             if len(buffer) > MAX_ELEMENT_CHARS:
-                raise UnusualFormError
+                raise UnsplittableTextError
             yield
         yield from self._consume(buffer, line, last=True)
         self._finish_chunk("")
@@ -137,17 +144,17 @@
         """Processes all complete elements and lines. Returns the number of consumed characters."""
         consumed = 0
         for start, header, path in self._headers(buffer, last=last):
-            if self._path:
+            if self._array_path:
                 line = self._add_element(buffer[consumed:start], line, header)
                 if self._parsed_since_yield:
                     self._parsed_since_yield = False
                     yield
             elif start > consumed:
                 line = self._remainder.add(buffer[consumed:start], line)
-            consumed, self._path = start, path
+            consumed, self._array_path = start, path
         end = self._consumable_end(buffer, consumed, last=last)
         if end > consumed:
-            if self._path:
+            if self._array_path:
                 self._add_element(buffer[consumed:end], line, "")
             else:
                 self._remainder.add(buffer[consumed:end], line)
@@ -156,41 +163,41 @@
     def _headers(self, buffer: str, *, last: bool) -> Iterator[tuple[int, str, ArrayPath]]:
         """Yields start, line and path of each header in the buffer except that of the current element.
 
-        Raises UnusualFormError.
+        Raises UnsplittableTextError.
         """
         for match in _HEADER_LINE.finditer(buffer):
             if match.end() == len(buffer) and not last:
                 return  # the line may be incomplete
             start, header = match.start(), match.group()
-            if start == 0 and self._path:
+            if start == 0 and self._array_path:
                 continue
             path = self._header_path(header)
             if path is not None:
                 yield start, header, path
-            elif self._path:
-                raise UnusualFormError
+            elif self._array_path:
+                raise UnsplittableTextError
 
     def _consumable_end(self, buffer: str, consumed: int, *, last: bool) -> int:
         if last:
             return len(buffer)
-        if self._path:
+        if self._array_path:
             return consumed
         return max(consumed, buffer.rfind("\n"))
 
     def _header_path(self, header: str) -> ArrayPath | None:
         """Returns the array whose element begins here, _NO_ARRAY for a table, None if it is uncertain."""
         try:
-            return self._known_headers[header]
+            return self._header_cache[header]
         except KeyError:
-            path = _parsed_header(header)
-        if len(self._known_headers) < MAX_KNOWN_HEADERS:
-            self._known_headers[header] = path
+            path = _parse_header(header)
+        if len(self._header_cache) < MAX_CACHED_HEADERS:
+            self._header_cache[header] = path
         return path
 
     def _add_element(self, text: str, line: int, next_header: str) -> int:
-        """Adds an element of the array at `_path`. Returns the line number of its end."""
-        path = self._path
-        if path not in self._remainder.current_runs:
+        """Adds an element of the array at `_array_path`. Returns the line number of its end."""
+        path = self._array_path
+        if path not in self._remainder.open_runs:
             self._begin_run(path, text, line)
         chunk = self._chunk
         # Kept inline for speed: this runs for each element at each reload.
@@ -221,35 +228,35 @@
         """Parses the chunk unless it is unchanged; `next_text` is the text that follows it."""
         if not self._chunk:
             return
-        path = self._path
+        path = self._array_path
         text = "".join(self._chunk)
         size = len(self._chunk)
         self._chunk = []
         self._chunk_chars = 0
         elements = self._arrays[path]
-        take = self._takers.get(path)
-        if take is None:
-            elements += self._parsed_chunk(text, next_text)
+        handle_element = self._element_handlers.get(path)
+        if handle_element is None:
+            elements += self._parse_chunk(text, next_text)
             return
         digest = _digest(text)
         end = len(self._lines[path])
         self._chunks[path][digest] = range(end - size, end)
-        known = self._known_chunks[path].get(digest)
-        if known is None:
-            for data in self._parsed_chunk(text, next_text):
-                take(data, elements)
+        active_positions = self._active_chunks[path].get(digest)
+        if active_positions is None:
+            for data in self._parse_chunk(text, next_text):
+                handle_element(data, elements)
             return
-        if elements and type(elements[-1]) is range and elements[-1].stop == known.start:
-            known = range(elements.pop().start, known.stop)
-        elements.append(known)
+        if elements and type(elements[-1]) is range and elements[-1].stop == active_positions.start:
+            active_positions = range(elements.pop().start, active_positions.stop)
+        elements.append(active_positions)
 
-    def _parsed_chunk(self, text: str, next_text: str) -> list[Any]:
+    def _parse_chunk(self, text: str, next_text: str) -> list[Any]:
         try:
             data: Any = parse(text)
         except ValueError as error:
-            fault = SyntaxFault.of(_fault_in_context(error, text, next_text))
-            raise TomlSyntaxError(fault.text(self._chunk_line - 2)) from None
-        for key in self._path:
+            details = TomlErrorDetails.from_error(_error_in_context(error, text, next_text))
+            raise TomlSyntaxError(details.shifted_message(self._chunk_line - 2)) from None
+        for key in self._array_path:
             data = data[key]
         self._parsed_since_yield = True
         elements: list[Any] = data
@@ -260,46 +267,48 @@
     """The document of all lines outside of chunks, with an empty element for each run of elements."""
 
     def __init__(self) -> None:
-        self._pieces: list[
-            tuple[str, int]
-        ] = []  # text from the newline before its first line, and that line's number
-        self.current_runs: set[ArrayPath] = set()  # arrays whose run began after the last other line
+        # Each piece is text that begins with the newline before its first line, with that line's number.
+        self._pieces: list[tuple[str, int]] = []
+        self.open_runs: set[ArrayPath] = set()  # arrays whose run began after the last other line
         self._run_counts: dict[ArrayPath, int] = {}
 
     def add(self, text: str, line: int) -> int:
         """Adds the lines after line number `line` of the file. Returns the number of their last line."""
         self._pieces.append((text, line + 1))
-        self.current_runs.clear()
+        self.open_runs.clear()
         return line + text.count("\n")
 
     def begin_run(self, path: ArrayPath, element: str, line: int) -> None:
         """Adds the header of the first element of a run."""
-        self.current_runs.add(path)
+        self.open_runs.add(path)
         self._run_counts[path] = self._run_counts.get(path, 0) + 1
         end = element.find("\n", 1)
         self._pieces.append((element if end < 0 else element[:end], line + 1))
 
-    def parsed_in_steps(
+    def parse_data_in_steps(
         self, current: ConfigSource | None
     ) -> Generator[None, None, tuple[Mapping[str, Any], bytes]]:
-        """Parses the remainder. Returns its data and digest. Raises UnusualFormError and TomlSyntaxError."""
+        """Parses the remainder and returns its data and digest.
+
+        Raises UnsplittableTextError and TomlSyntaxError.
+        """
         text = "".join(piece for piece, _ in self._pieces)
         if len(text) > MAX_REMAINDER_CHARS:
-            raise UnusualFormError
+            raise UnsplittableTextError
         digest = _digest(text)
         if current is not None and current.remainder_digest == digest:
             return current.remainder, digest
         try:
             data = yield from parse_in_steps(text)
         except ValueError as error:
-            fault = SyntaxFault.of(error)
-            self._require_empty_elements((yield from _parsable_prefix(text, fault.line)), partial=True)
-            raise TomlSyntaxError(fault.text(self._line_offset(fault.line))) from None
+            details = TomlErrorDetails.from_error(error)
+            self._require_empty_elements((yield from _parse_prefix(text, details.line)), partial=True)
+            raise TomlSyntaxError(details.shifted_message(self._line_offset(details.line))) from None
         self._require_empty_elements(data)
         return data, digest
 
     def _require_empty_elements(self, data: Any, *, partial: bool = False) -> None:
-        """Raises UnusualFormError if lines of the remainder belong to an element of a chunk.
+        """Raises UnsplittableTextError if lines of the remainder belong to an element of a chunk.
 
         With `partial`, `data` represents only the beginning of the text.
         """
@@ -310,7 +319,7 @@
             if partial and (table is None or (isinstance(table, list) and not any(table))):
                 continue
             if table != [{}] * count:
-                raise UnusualFormError
+                raise UnsplittableTextError
 
     def _line_offset(self, line: int) -> int:
         """Returns the offset that converts a line number of the remainder to one of the file."""
@@ -323,18 +332,18 @@
         return self._pieces[index][1] - starts[index]
 
 
-def _parsed_header(header: str) -> ArrayPath | None:
-    match = _USUAL_HEADER.fullmatch(header)
+def _parse_header(header: str) -> ArrayPath | None:
+    match = _SIMPLE_HEADER.fullmatch(header)
     if match is None:
         return None
     table, array_of_tables = match.groups()
     keys = tuple((table or array_of_tables).split("."))
-    if keys[0] in _VALUE_WORDS:
+    if keys[0] in _VALUE_KEYWORDS:
         return None
     return keys if array_of_tables else _NO_ARRAY
 
 
-def _fault_in_context(error: ValueError, text: str, next_text: str) -> ValueError:
+def _error_in_context(error: ValueError, text: str, next_text: str) -> ValueError:
     """Returns the error that the parser reports if the next line follows the chunk.
 
     The position of the error in an unterminated value depends on the line after it.
@@ -346,10 +355,10 @@
     return error
 
 
-def _parsable_prefix(text: str, line: int) -> Generator[None, None, dict[str, Any]]:
+def _parse_prefix(text: str, line: int) -> Generator[None, None, dict[str, Any]]:
     """Parses a prefix of the text before the line of the error; line 0 stands for the end of the text.
 
-    Raises UnusualFormError if no tried prefix is valid.
+    Raises UnsplittableTextError if no tried prefix is valid.
     """
     end = len("\n".join(text.split("\n")[: line - 1])) if line else len(text)
     headers = [match.end() for match in _HEADER_LINE.finditer(text)]
@@ -359,4 +368,4 @@
             return (yield from parse_in_steps(text[:candidate]))
         except ValueError:
             continue
-    raise UnusualFormError
+    raise UnsplittableTextError
--- a/ochrehoist/plan/worker_settings.py
+++ b/ochrehoist/plan/worker_settings.py
@@ -4,7 +4,7 @@
 
 from ochrehoist.admission.settings import AdmissionSettings, ObjectiveWeights, RequestClass, Tenant
 from ochrehoist.config.fleet_description import Fleet, Kind
-from ochrehoist.config.settings import IDEMPOTENCY_WORDS
+from ochrehoist.config.settings import IDEMPOTENCY_BY_VALUE
 from ochrehoist.units import NS_PER_MS
 
 COLLAPSE_AFTER_MS = 1500
@@ -25,7 +25,7 @@
                 deadline_ns=int(each.deadline_ms * NS_PER_MS),
                 priority_weight=each.worth,
                 late_weight=each.late_worth,
-                idempotency=IDEMPOTENCY_WORDS[each.repeat],
+                idempotency=IDEMPOTENCY_BY_VALUE[each.repeat],
                 idempotency_window_ns=int(each.window_ms * NS_PER_MS),
             )
             for each in fleet.classes
@@ -95,7 +95,7 @@
 
 def _class_table(request_class: RequestClass) -> dict[str, Any]:
     """One class, as the platform's settings object has it."""
-    repeat_words = {idempotency: word for word, idempotency in IDEMPOTENCY_WORDS.items()}
+    repeat_words = {idempotency: word for word, idempotency in IDEMPOTENCY_BY_VALUE.items()}
     table = {
         "Name": request_class.name,
         "Slo": request_class.latency_objective_ns,
--- a/tests/app/test_reload_appliance.py
+++ b/tests/app/test_reload_appliance.py
@@ -26,9 +26,9 @@
 RUNS_OUT = """
 from ochrehoist.config import loader as config
 whole, failed = config.load_in_steps, []
-def runs_out(*arguments, before=None, **more):
-    steps = whole(*arguments, before=before, **more)
-    if before is not None and not failed:
+def runs_out(*arguments, active_config=None, **more):
+    steps = whole(*arguments, active_config=active_config, **more)
+    if active_config is not None and not failed:
         failed.append(next(steps, None))
         yield
         raise MemoryError
--- a/tests/config/large_configurations.py
+++ b/tests/config/large_configurations.py
@@ -113,14 +113,14 @@
 
         generator = config.load_in_steps(path, {}, before)
         with mock.patch.object(tomli, "loads", loads):
-            checked = TenantReader._checked
+            checked = TenantReader._create_tenant
 
             def counting(one, data, where):
                 self.made += 1
                 self.step += 1
                 return checked(one, data, where)
 
-            with mock.patch.object(TenantReader, "_checked", counting):
+            with mock.patch.object(TenantReader, "_create_tenant", counting):
                 while True:
                     self.step = 0
                     try:
