--- a/benchmarks/planner/fleets.py
+++ b/benchmarks/planner/fleets.py
@@ -20,7 +20,7 @@
 
 def changed_fleet(changes: Description, demand: float) -> Fleet:
     """The small fleet with some tables replaced, at a load in parts of its capacity."""
-    return parse(base_description() | copy.deepcopy(changes)).at(demand)
+    return parse(base_description() | copy.deepcopy(changes)).with_demand(demand)
 
 
 def changed_router(**changes: Any) -> Description:
--- a/ochrehoist/cli/plan/options.py
+++ b/ochrehoist/cli/plan/options.py
@@ -79,7 +79,7 @@
 
     fleet = load(path)
     demand = stored_option("demand")
-    return fleet if demand is None else fleet.at(demand)
+    return fleet if demand is None else fleet.with_demand(demand)
 
 
 fleet_argument = click.argument("fleet_path", metavar="FLEET", type=click.Path(path_type=Path))
--- a/ochrehoist/config/fleet.py
+++ b/ochrehoist/config/fleet.py
@@ -200,10 +200,10 @@
     subject = table.text("of", None)
     if subject is None and kind is BudgetKind.RETRIES:
         return None
-    known = tenants if kind is BudgetKind.TENANT else servers
-    if subject is None or subject not in known:
-        noun = "tenant" if kind is BudgetKind.TENANT else "server"
-        raise table.error("of", f"unknown {noun}: {subject!r}")
+    names = tenants if kind is BudgetKind.TENANT else servers
+    if subject is None or subject not in names:
+        resource = "tenant" if kind is BudgetKind.TENANT else "server"
+        raise table.error("of", f"unknown {resource}: {subject!r}")
     return subject
 
 
--- a/ochrehoist/config/fleet_description.py
+++ b/ochrehoist/config/fleet_description.py
@@ -17,7 +17,7 @@
 
 Share = Annotated[float, Field(ge=0, le=1)]
 Positive = Annotated[float, Field(gt=0)]
-MAX_SHARE_ERROR = 0.01  # allowed rounding error of a sum of shares
+SHARE_SUM_TOLERANCE = 0.01  # allowed rounding error of a sum of shares
 
 
 class FleetDescriptionError(OchrehoistError):
@@ -30,18 +30,18 @@
     model_config = ConfigDict(extra="forbid", frozen=True, ignored_types=(cached_property,))
 
 
-class Choice(StrEnum):
+class WorkerSelection(StrEnum):
     """A router's policy for choosing a worker."""
 
-    ROUND = "round"  # round robin
-    LEAST = "least"  # fewest open requests of this router
-    TWO = "two"  # fewer open requests among two random workers
-    SUBJECT = "subject"  # fixed worker for each request subject
+    ROUND_ROBIN = "round"
+    LEAST_OPEN = "least"  # fewest open requests of this router
+    POWER_OF_TWO = "two"  # fewer open requests among two random workers
+    SUBJECT_HASH = "subject"  # rendezvous hash of the request subject
     WEIGHTED = "weighted"  # random, in proportion to cores and speed
 
 
-class Class(DescriptionTable):
-    """A request class."""
+class RequestClass(DescriptionTable):
+    """Load, time limits and priority weight of one request class."""
 
     name: str
     share: Share
@@ -57,12 +57,12 @@
     heavy_times: Annotated[float, Field(ge=1)] = 1.0
 
     @property
-    def mean_ms(self) -> float:
+    def mean_work_ms(self) -> float:
         """Mean work of one request in ms, heavy requests included."""
         return self.work_ms * (1 + self.heavy_share * (self.heavy_times - 1))
 
     @model_validator(mode="after")
-    def _aim_before_deadline(self) -> Self:
+    def _check_times(self) -> Self:
         if self.aim_ms > self.deadline_ms:
             message = "aim_ms is past deadline_ms"
             raise ValueError(message)
@@ -73,15 +73,15 @@
 
 
 class Tenant(DescriptionTable):
-    """A tenant of the whole fleet."""
+    """Load and quota of one tenant of the fleet."""
 
     name: str
     share: Share
     quota_per_s: Annotated[float, Field(ge=0)] | None = None  # fleet-wide; None: its whole load
 
 
-class Kind(DescriptionTable):
-    """A kind of machine."""
+class MachineKind(DescriptionTable):
+    """Capacity and overload behaviour of one kind of machine."""
 
     name: str
     cores: Annotated[int, Field(ge=1, le=1024)]
@@ -97,13 +97,13 @@
     cold_s: Annotated[float, Field(ge=0)] = 0.0
 
     @property
-    def speeds(self) -> tuple[float, float]:
+    def speed_range(self) -> tuple[float, float]:
         """Speeds of the slowest and the fastest core."""
         return self.speed if isinstance(self.speed, tuple) else (self.speed, self.speed)
 
     @field_validator("speed")
     @classmethod
-    def _ordered(cls, value: Any) -> Any:
+    def _require_ascending_range(cls, value: Any) -> Any:
         if isinstance(value, tuple) and value[0] > value[1]:
             message = "the lower bound of the range is above the upper bound"
             raise ValueError(message)
@@ -120,15 +120,15 @@
 
     @field_validator("networks", "addresses")
     @classmethod
-    def _readable(cls, value: list[str]) -> list[str]:
+    def _require_valid_networks(cls, value: list[str]) -> list[str]:
         for text in value:
-            addresses_of(text)
+            parse_networks(text)
         return value
 
     @cached_property
-    def space(self) -> netaddr.IPSet:
+    def address_set(self) -> netaddr.IPSet:
         """Set of all addresses in the site."""
-        parts = (part for text in (*self.networks, *self.addresses) for part in addresses_of(text))
+        parts = (part for text in (*self.networks, *self.addresses) for part in parse_networks(text))
         return netaddr.IPSet(list(parts))
 
 
@@ -143,7 +143,7 @@
     """A group of routers with the same behaviour."""
 
     addresses: list[str]
-    choice: Choice = Choice.ROUND
+    choice: WorkerSelection = WorkerSelection.ROUND_ROBIN
     retries: Annotated[int, Field(ge=0, le=20)] = 1
     wait_ms: Annotated[float, Field(ge=0)] = 0.0  # delay before a retry
     keep_to: Annotated[int, Field(ge=0)] = 0  # size of each router's fixed subset of workers; 0: all
@@ -187,7 +187,7 @@
     idle_s: Positive = 30.0  # idle time after which routers close a connection
 
 
-class Placed(DescriptionTable):
+class PlacedNode(DescriptionTable):
     """Address and site of one worker or router."""
 
     address: str
@@ -201,9 +201,9 @@
 
     name: str = "fleet"
     load: Load
-    classes: Annotated[list[Class], Field(min_length=1)]
+    classes: Annotated[list[RequestClass], Field(min_length=1)]
     tenants: list[Tenant] = []
-    kinds: Annotated[list[Kind], Field(min_length=1)]
+    kinds: Annotated[list[MachineKind], Field(min_length=1)]
     sites: Annotated[list[Site], Field(min_length=1)]
     workers: Annotated[list[Workers], Field(min_length=1)]
     routers: Annotated[list[Routers], Field(min_length=1)]
@@ -216,9 +216,9 @@
     def _is_consistent(self) -> Self:
         self._check_names()
         self._check_shares()
-        self._check_sites_apart()
+        self._check_sites_disjoint()
         self._check_kinds()
-        self._check_addresses_differ()
+        self._check_addresses_unique()
         return self
 
     def _check_names(self) -> None:
@@ -232,16 +232,16 @@
     def _check_shares(self) -> None:
         for key in ("classes", "tenants"):
             total = sum(part.share for part in getattr(self, key))
-            if getattr(self, key) and abs(total - 1) > MAX_SHARE_ERROR:
+            if getattr(self, key) and abs(total - 1) > SHARE_SUM_TOLERANCE:
                 message = f"{key}: the shares make {total:.3f}, not 1"
                 raise ValueError(message)
 
-    def _check_sites_apart(self) -> None:
+    def _check_sites_disjoint(self) -> None:
         for index, site in enumerate(self.sites):
             for other in self.sites[index + 1 :]:
-                both = site.space & other.space
-                if both:
-                    message = f"sites: {site.name} and {other.name} both hold {both.iter_cidrs()[0]}"
+                overlap = site.address_set & other.address_set
+                if overlap:
+                    message = f"sites: {site.name} and {other.name} both hold {overlap.iter_cidrs()[0]}"
                     raise ValueError(message)
 
     def _check_kinds(self) -> None:
@@ -251,7 +251,7 @@
                 message = f"workers[{index}].kind: no kind {group.kind!r}; there are {sorted(kinds)}"
                 raise ValueError(message)
 
-    def _check_addresses_differ(self) -> None:
+    def _check_addresses_unique(self) -> None:
         seen: set[str] = set()
         for placed in (*self.placed_workers, *self.placed_routers):
             if placed.address in seen:
@@ -259,10 +259,10 @@
                 raise ValueError(message)
             seen.add(placed.address)
 
-    def _place(self, key: str, index: int, addresses: list[str]) -> list[tuple[str, str]]:
+    def _locate(self, key: str, index: int, addresses: list[str]) -> list[tuple[str, str]]:
         """Returns the (address, site) pairs of a group of workers or routers."""
         placed = []
-        for address in self._listed(key, index, addresses):
+        for address in self._expand_addresses(key, index, addresses):
             site = self.site_of(address)
             if site is None:
                 message = f"{key}[{index}].addresses: {address} lies in no site"
@@ -274,10 +274,10 @@
         return placed
 
     @staticmethod
-    def _listed(key: str, index: int, addresses: list[str]) -> Iterator[str]:
+    def _expand_addresses(key: str, index: int, addresses: list[str]) -> Iterator[str]:
         for text in addresses:
             try:
-                listed = [str(ip) for part in addresses_of(text) for ip in part]
+                listed = [str(ip) for part in parse_networks(text) for ip in part]
             except ValueError as error:
                 message = f"{key}[{index}].addresses: {error}"
                 raise ValueError(message) from None
@@ -286,39 +286,39 @@
     def site_of(self, address: str) -> str | None:
         """Returns the name of the site that contains `address`, or None if no site does."""
         ip = netaddr.IPAddress(address)
-        return next((site.name for site in self.sites if ip in site.space), None)
+        return next((site.name for site in self.sites if ip in site.address_set), None)
 
     @cached_property
-    def placed_workers(self) -> list[Placed]:
+    def placed_workers(self) -> list[PlacedNode]:
         """Address, site and machine kind of each worker."""
         return [
-            Placed(address=address, site=site, kind=group.kind)
+            PlacedNode(address=address, site=site, kind=group.kind)
             for index, group in enumerate(self.workers)
-            for address, site in self._place("workers", index, group.addresses)
+            for address, site in self._locate("workers", index, group.addresses)
         ]
 
     @cached_property
-    def placed_routers(self) -> list[Placed]:
+    def placed_routers(self) -> list[PlacedNode]:
         """Address, site and group of each router."""
         return [
-            Placed(address=address, site=site, group=index)
+            PlacedNode(address=address, site=site, group=index)
             for index, group in enumerate(self.routers)
-            for address, site in self._place("routers", index, group.addresses)
+            for address, site in self._locate("routers", index, group.addresses)
         ]
 
-    def kind(self, name: str) -> Kind:
+    def kind(self, name: str) -> MachineKind:
         """Returns the machine kind of the given name, which must exist."""
         return next(kind for kind in self.kinds if kind.name == name)
 
     @property
     def mean_work_s(self) -> float:
         """Mean work of a request of any class, in seconds on a core of speed 1."""
-        return sum(c.share * c.mean_ms for c in self.classes) / 1000
+        return sum(c.share * c.mean_work_ms for c in self.classes) / 1000
 
     @property
     def capacity(self) -> float:
         """Seconds of work that all cores complete per second, at the middle of their speed ranges."""
-        return sum(k.cores * sum(k.speeds) / 2 for k in (self.kind(w.kind) for w in self.placed_workers))
+        return sum(k.cores * sum(k.speed_range) / 2 for k in (self.kind(w.kind) for w in self.placed_workers))
 
     @property
     def demand(self) -> float:
@@ -329,7 +329,7 @@
         """Returns a copy of the fleet with a load of `rate` first attempts per second."""
         return self.model_copy(update={"load": self.load.model_copy(update={"rate": rate})})
 
-    def at(self, demand: float) -> "Fleet":
+    def with_demand(self, demand: float) -> "Fleet":
         """Returns a copy of the fleet whose load needs the fraction `demand` of its capacity."""
         return self.with_load(self.load.rate * demand / self.demand)
 
@@ -338,7 +338,7 @@
         return tenant.quota_per_s if tenant.quota_per_s is not None else tenant.share * self.load.rate
 
 
-def addresses_of(text: str) -> list[netaddr.IPNetwork | netaddr.IPRange]:
+def parse_networks(text: str) -> list[netaddr.IPNetwork | netaddr.IPRange]:
     """Parses an IPv4 or IPv6 address, a network in CIDR notation, or a range FIRST-LAST.
 
     Raises ValueError.
@@ -353,7 +353,7 @@
         raise ValueError(message) from None
 
 
-def fault_lines(error: ValidationError) -> list[str]:
+def error_lines(error: ValidationError) -> list[str]:
     """Returns one line for each validation error, which begins with its key."""
     lines = []
     for fault in error.errors():
@@ -369,7 +369,7 @@
     try:
         return Fleet.model_validate(data)
     except ValidationError as error:
-        raise FleetDescriptionError("\n".join(fault_lines(error))) from None
+        raise FleetDescriptionError("\n".join(error_lines(error))) from None
 
 
 def load(path: Path) -> Fleet:
--- a/ochrehoist/config/toml_reader.py
+++ b/ochrehoist/config/toml_reader.py
@@ -93,9 +93,8 @@
         }
         self._header_cache: dict[str, ArrayPath | None] = {}
         self._remainder = _Remainder()
-        self._arrays: dict[
-            ArrayPath, list[Any]
-        ] = {}  # a range stands for elements of the active configuration
+        # A range in an array stands for elements of the active configuration.
+        self._arrays: dict[ArrayPath, list[Any]] = {}
         self._lines: dict[ArrayPath, array[int]] = {}
         self._chunks: dict[ArrayPath, ChunkPositions] = {}
         self._array_path = _NO_ARRAY  # array that the current line belongs to
--- a/ochrehoist/lab/drill.py
+++ b/ochrehoist/lab/drill.py
@@ -124,7 +124,7 @@
     return {
         "shared": 0,
         "cores": max(1, round(total_cores / len(kinds))),
-        "speed": sum(kind.cores * sum(kind.speeds) / 2 for kind in kinds) / total_cores,
+        "speed": sum(kind.cores * sum(kind.speed_range) / 2 for kind in kinds) / total_cores,
         "cold_from": min(kind.cold_from for kind in kinds),
         "cold_s": max(kind.cold_s for kind in kinds),
     }
@@ -135,7 +135,7 @@
         {
             "name": request_class.name,
             "share": request_class.share,
-            "work_ms": request_class.mean_ms,
+            "work_ms": request_class.mean_work_ms,
             "aim_ms": request_class.aim_ms,
             "deadline_ms": request_class.deadline_ms,
             "worth": request_class.worth,
--- a/ochrehoist/lab/scenario.py
+++ b/ochrehoist/lab/scenario.py
@@ -15,7 +15,7 @@
     FleetDescriptionError,
     Positive,
     Share,
-    fault_lines,
+    error_lines,
 )
 from ochrehoist.errors import OchrehoistError
 from ochrehoist.lab.balancer import BalancerSettings
@@ -181,7 +181,7 @@
     try:
         return Scenario.model_validate(data)
     except ValidationError as error:
-        raise ScenarioError("\n".join(fault_lines(error))) from None
+        raise ScenarioError("\n".join(error_lines(error))) from None
 
 
 def load(path: Path) -> Scenario:
--- a/ochrehoist/plan/analytic.py
+++ b/ochrehoist/plan/analytic.py
@@ -12,7 +12,7 @@
 
 import numpy as np
 
-from ochrehoist.config.fleet_description import Choice, Fleet
+from ochrehoist.config.fleet_description import Fleet, WorkerSelection
 from ochrehoist.plan.demand import FloatArray, zipf_weights
 from ochrehoist.plan.in_time_estimate import USABLE_SHARE, InTimeEstimator
 from ochrehoist.plan.routing import rendezvous
@@ -230,13 +230,13 @@
     for group in groups:
         part = group.weight / total_weight
         match group.choice:
-            case Choice.SUBJECT:
+            case WorkerSelection.SUBJECT_HASH:
                 if by_subject is None:
                     by_subject = _subject_shares(fleet, count)
                 shares += part * by_subject
-            case Choice.WEIGHTED:
+            case WorkerSelection.WEIGHTED:
                 shares += part * capacity / capacity.sum()
-            case Choice.ROUND:
+            case WorkerSelection.ROUND_ROBIN:
                 shares += part / count
             case _:
                 looking += part
@@ -266,8 +266,8 @@
     for each in sorted(fleet.classes, key=lambda request_class: -request_class.worth):
         part = min(1.0, served / each.share) if each.share else 0.0
         served = max(0.0, served - each.share)
-        total += each.share * each.worth * each.mean_ms
-        gained += part * each.share * each.worth * each.mean_ms
+        total += each.share * each.worth * each.mean_work_ms
+        gained += part * each.share * each.worth * each.mean_work_ms
     return gained / total
 
 
--- a/ochrehoist/plan/cores.py
+++ b/ochrehoist/plan/cores.py
@@ -10,7 +10,7 @@
 from heapq import heappop, heappush
 from typing import Self
 
-from ochrehoist.config.fleet_description import Kind
+from ochrehoist.config.fleet_description import MachineKind
 
 BUSY_WINDOW_S = 0.5  # that the gauge of busy cores looks back
 WARMUP_STEP_S = 0.25  # at most between two looks at the speed of a cold machine
@@ -40,7 +40,7 @@
     cold_s: float = 0.0
 
     @classmethod
-    def of_kind(cls, kind: Kind, speed: float) -> Self:
+    def of_kind(cls, kind: MachineKind, speed: float) -> Self:
         """A machine of a described kind, whose cores turned out that fast."""
         return cls(
             cores=kind.cores,
--- a/ochrehoist/plan/demand.py
+++ b/ochrehoist/plan/demand.py
@@ -164,7 +164,7 @@
     """A speed for each worker, drawn from its kind's range; one more worker leaves the others' alone."""
     speeds = []
     for worker in fleet.placed_workers:
-        low, high = fleet.kind(worker.kind).speeds
+        low, high = fleet.kind(worker.kind).speed_range
         speeds.append(float(streams["speeds"].uniform(low, high)))
     return speeds
 
--- a/ochrehoist/plan/fleet_changes.py
+++ b/ochrehoist/plan/fleet_changes.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterable
 
-from ochrehoist.config.fleet_description import Fleet, Kind, Placed, Workers
+from ochrehoist.config.fleet_description import Fleet, MachineKind, PlacedNode, Workers
 from ochrehoist.plan.analytic import Limit
 from ochrehoist.plan.errors import UnanswerableQuestionError
 
@@ -11,7 +11,7 @@
     return Fleet.model_validate(fleet.model_dump() | {"workers": [group.model_dump() for group in groups]})
 
 
-def _single(worker: Placed) -> Workers:
+def _single(worker: PlacedNode) -> Workers:
     return Workers(kind=worker.kind, addresses=[worker.address])
 
 
@@ -33,7 +33,7 @@
 def _free_addresses(fleet: Fleet, first: int, count: int) -> list[str]:
     """Addresses for the workers number `first` to `count` of a kind; the number says whose turn it is."""
     taken = {placed.address for placed in (*fleet.placed_workers, *fleet.placed_routers)}
-    pools = [iter(site.space) for site in fleet.sites]
+    pools = [iter(site.address_set) for site in fleet.sites]
     addresses = []
     for number in range(first, count):
         pool = pools[number % len(pools)]
@@ -50,7 +50,7 @@
 
     def strength(kind_name: str) -> float:
         kind = fleet.kind(kind_name)
-        return kind.cores * sum(kind.speeds)
+        return kind.cores * sum(kind.speed_range)
 
     strongest = max((worker.kind for worker in fleet.placed_workers), key=strength)
     count = sum(worker.kind == strongest for worker in fleet.placed_workers)
@@ -77,7 +77,7 @@
     return fleet.model_copy(update={"kinds": kinds})
 
 
-def _lifted(kind: Kind, limit: Limit) -> Kind:
+def _lifted(kind: MachineKind, limit: Limit) -> MachineKind:
     match limit:
         case Limit.CORES | Limit.READING:
             return kind.model_copy(update={"cores": kind.cores * 2})
@@ -86,4 +86,4 @@
         case Limit.CONNECTIONS:
             return kind.model_copy(update={"connections": kind.connections * 2})
         case Limit.OBJECTIVE:
-            return kind.model_copy(update={"speed": (kind.speeds[0] * 2, kind.speeds[1] * 2)})
+            return kind.model_copy(update={"speed": (kind.speed_range[0] * 2, kind.speed_range[1] * 2)})
--- a/ochrehoist/plan/fleet_run.py
+++ b/ochrehoist/plan/fleet_run.py
@@ -8,7 +8,7 @@
 from enum import Enum
 from typing import Any, NamedTuple
 
-from ochrehoist.config.fleet_description import Fleet, Placed
+from ochrehoist.config.fleet_description import Fleet, PlacedNode
 from ochrehoist.plan.cores import Machine
 from ochrehoist.plan.demand import PlannedCall, Streams, draw_calls, draw_speeds
 from ochrehoist.plan.routing import (
@@ -195,7 +195,7 @@
         up: It can be reached.
     """
 
-    def __init__(self, fleet: Fleet, number: int, placed: Placed, speed: float) -> None:
+    def __init__(self, fleet: Fleet, number: int, placed: PlacedNode, speed: float) -> None:
         self.number = number
         self.kind = fleet.kind(placed.kind)
         self.machine = Machine.of_kind(self.kind, speed)
--- a/ochrehoist/plan/in_time_estimate.py
+++ b/ochrehoist/plan/in_time_estimate.py
@@ -4,7 +4,7 @@
 
 import numpy as np
 
-from ochrehoist.config.fleet_description import Class, Fleet, Kind
+from ochrehoist.config.fleet_description import Fleet, MachineKind, RequestClass
 from ochrehoist.plan.demand import FloatArray, draw_lognormal
 
 USABLE_SHARE = 0.97  # of the cores that a queue which is never empty keeps busy
@@ -52,7 +52,7 @@
         self._seed = seed
         self._known: dict[tuple[str, int, int], InTime] = {}
 
-    def estimate(self, kind: Kind, speed: float, load: float, offered_load: float) -> InTime:
+    def estimate(self, kind: MachineKind, speed: float, load: float, offered_load: float) -> InTime:
         """Of a worker with this load, and this offered load if nothing were rejected."""
         key = (kind.name, round(speed * LOAD_STEPS), round(min(load, 1.0) * LOAD_STEPS))
         if key not in self._known:
@@ -62,7 +62,7 @@
             self._known[key] = self._draw(kind, speed, effective_load, rng)
         return self._known[key]
 
-    def _draw(self, kind: Kind, speed: float, load: float, rng: np.random.Generator) -> InTime:
+    def _draw(self, kind: MachineKind, speed: float, load: float, rng: np.random.Generator) -> InTime:
         gained = 0.0
         total = 0.0
         hopeless = 0.0
@@ -71,7 +71,7 @@
             ends = work + wait
             objective_s = each.aim_ms / 1000
             deadline_s = each.deadline_ms / 1000
-            weight = each.share * each.worth * each.mean_ms
+            weight = each.share * each.worth * each.mean_work_ms
             # Weight is by work: a large one that no idle machine ends in time weighs more than its count.
             in_time = float(work[ends <= objective_s].sum() / work.sum())
             late = float(work[(ends > objective_s) & (ends <= deadline_s)].sum() / work.sum())
@@ -82,7 +82,7 @@
 
 
 def _draw_work_and_wait(
-    request_class: Class, kind: Kind, speed: float, load: float, rng: np.random.Generator
+    request_class: RequestClass, kind: MachineKind, speed: float, load: float, rng: np.random.Generator
 ) -> tuple[FloatArray, FloatArray]:
     """Run times and queueing times (s) of a class at a worker."""
     work: FloatArray = (
--- a/ochrehoist/plan/playbook.py
+++ b/ochrehoist/plan/playbook.py
@@ -8,7 +8,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from ochrehoist.config.fleet_description import Class, Fleet
+from ochrehoist.config.fleet_description import Fleet, RequestClass
 from ochrehoist.plan import analytic
 from ochrehoist.plan.errors import UnanswerableQuestionError
 from ochrehoist.plan.fleet_changes import without_site
@@ -35,16 +35,16 @@
 class ClassShare:
     """One class's part of all work, and the priority weight for each unit of it."""
 
-    request_class: Class
+    request_class: RequestClass
     work_share: float
     weight_by_work: float
 
 
 def class_shares(fleet: Fleet) -> list[ClassShare]:
     """In the order of the description."""
-    total = sum(each.share * each.mean_ms for each in fleet.classes)
+    total = sum(each.share * each.mean_work_ms for each in fleet.classes)
     return [
-        ClassShare(each, each.share * each.mean_ms / total, each.worth / each.mean_ms)
+        ClassShare(each, each.share * each.mean_work_ms / total, each.worth / each.mean_work_ms)
         for each in fleet.classes
     ]
 
@@ -66,7 +66,7 @@
 def remaining_without(fleet: Fleet, site: str) -> Remaining:
     """What the others can take. Raises UnanswerableQuestionError."""
     left = without_site(fleet, site)
-    speeds = [sum(left.kind(placed.kind).speeds) / 2 for placed in left.placed_workers]
+    speeds = [sum(left.kind(placed.kind).speed_range) / 2 for placed in left.placed_workers]
     state = analytic.solve(left, speeds)
     demand = left.load.rate * left.mean_work_s
     # What is rejected is read all the same.
--- a/ochrehoist/plan/rolling_restart.py
+++ b/ochrehoist/plan/rolling_restart.py
@@ -45,7 +45,7 @@
 def estimate_concurrent_restarts(fleet: Fleet, goal: float) -> int:
     """The most whose cores the others can do without, for `goal` of the work; only warm ones are counted."""
     kinds = [fleet.kind(fleet.placed_workers[number].kind) for number in restart_order(fleet)]
-    capacities = [kind.cores * sum(kind.speeds) / 2 for kind in kinds]
+    capacities = [kind.cores * sum(kind.speed_range) / 2 for kind in kinds]
     needed = goal * fleet.load.rate * fleet.mean_work_s * (1 + fleet.intake.share) / USABLE_SHARE
     left = sum(capacities)
     count = 0
--- a/ochrehoist/plan/routing.py
+++ b/ochrehoist/plan/routing.py
@@ -11,7 +11,7 @@
 
 import xxhash
 
-from ochrehoist.config.fleet_description import Choice, Clients, Routers
+from ochrehoist.config.fleet_description import Clients, Routers, WorkerSelection
 
 UNREACHABLE_BACKOFF_S = 1.0  # for which a router avoids a worker that refused its connection
 SUBJECT_MASK = (1 << 64) - 1
@@ -79,18 +79,18 @@
         """The worker for the next attempt; None where none is listed that is worth one."""
         listed = [worker for worker in self.workers if worker in self._listed and worker not in tried]
         available = [worker for worker in listed if self._avoided_until.get(worker, 0.0) <= now]
-        if self.habits.choice is Choice.SUBJECT and subject:
+        if self.habits.choice is WorkerSelection.SUBJECT_HASH and subject:
             # By subject even where all are avoided: the next one by hash is asked in its place.
             return rendezvous(subject, available or listed) if listed else None
         if not available:
             return None
         match self.habits.choice:
-            case Choice.LEAST:
+            case WorkerSelection.LEAST_OPEN:
                 return self._pick_least_open(available)
-            case Choice.TWO:
+            case WorkerSelection.POWER_OF_TWO:
                 two = self._random.sample(available, min(2, len(available)))
                 return min(two, key=lambda worker: self.open_requests[worker])
-            case Choice.WEIGHTED:
+            case WorkerSelection.WEIGHTED:
                 return self._random.choices(available, [self._weights[worker] for worker in available])[0]
         self._turn += 1
         return available[self._turn % len(available)]
--- a/ochrehoist/plan/simulated_worker.py
+++ b/ochrehoist/plan/simulated_worker.py
@@ -7,7 +7,7 @@
 from typing import Protocol, cast
 
 from ochrehoist.admission.events import Outcome
-from ochrehoist.config.fleet_description import Fleet, Placed
+from ochrehoist.config.fleet_description import Fleet, PlacedNode
 from ochrehoist.core.actor import CoreActor
 from ochrehoist.core.messages import (
     CallerDisconnected,
@@ -159,7 +159,7 @@
         cores: Of its machine, since its last start.
     """
 
-    def __init__(self, simulation: SimulationContext, number: int, placed: Placed, speed: float) -> None:
+    def __init__(self, simulation: SimulationContext, number: int, placed: PlacedNode, speed: float) -> None:
         super().__init__(simulation.fleet, number, placed, speed)
         self._simulation = simulation
         self.log = SilentLog()
--- a/ochrehoist/plan/stand_in_machine.py
+++ b/ochrehoist/plan/stand_in_machine.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 from typing import Any, Protocol, cast
 
-from ochrehoist.config.fleet_description import Fleet, Placed
+from ochrehoist.config.fleet_description import Fleet, PlacedNode
 from ochrehoist.plan.cores import Cores
 from ochrehoist.plan.errors import MeasurementError
 from ochrehoist.plan.fleet_run import CoreTask, FleetWorker, TaskKind
@@ -58,7 +58,7 @@
         started_runs: Ids of the requests that the worker has started.
     """
 
-    def __init__(self, run: MeasuredRunContext, number: int, placed: Placed, speed: float) -> None:
+    def __init__(self, run: MeasuredRunContext, number: int, placed: PlacedNode, speed: float) -> None:
         super().__init__(run.fleet, number, placed, speed)
         self._run = run
         self.process: subprocess.Popen[bytes] | None = None
--- a/ochrehoist/plan/worker_settings.py
+++ b/ochrehoist/plan/worker_settings.py
@@ -3,7 +3,7 @@
 from typing import Any
 
 from ochrehoist.admission.settings import AdmissionSettings, ObjectiveWeights, RequestClass, Tenant
-from ochrehoist.config.fleet_description import Fleet, Kind
+from ochrehoist.config.fleet_description import Fleet, MachineKind
 from ochrehoist.config.settings import IDEMPOTENCY_BY_VALUE
 from ochrehoist.units import NS_PER_MS
 
@@ -15,7 +15,7 @@
 OBJECTIVE = ObjectiveWeights(overall=0.45, worst_window=0.15, worst_class=0.3, worst_tenant=0.1)
 
 
-def admission_settings(fleet: Fleet, kind: Kind, cold: bool) -> AdmissionSettings:
+def admission_settings(fleet: Fleet, kind: MachineKind, cold: bool) -> AdmissionSettings:
     """The settings of the decision module of a worker of this kind."""
     return AdmissionSettings(
         classes=tuple(
@@ -57,7 +57,7 @@
     )
 
 
-def platform_settings(fleet: Fleet, kind: Kind) -> dict[str, Any]:
+def platform_settings(fleet: Fleet, kind: MachineKind) -> dict[str, Any]:
     """The same as the platform's settings object, for a real worker."""
     settings = admission_settings(fleet, kind, cold=False)
     return {
--- a/tests/plan/test_measure.py
+++ b/tests/plan/test_measure.py
@@ -24,7 +24,7 @@
         self.assertEqual(dataclasses.replace(told, warmup_ns=0), dataclasses.replace(model, warmup_ns=0))
 
     def test_real_workers_answer_each_call_once_and_a_lost_one_ends_its_own(self):
-        f = fleet(clients__retries=1, membership__lag_s=0.2).at(0.5)
+        f = fleet(clients__retries=1, membership__lag_s=0.2).with_demand(0.5)
         play = MeasuredRun(f, 1, 5.0, settle_s=0.0, outages=(Outage(2.5, (0,), None, "one"),))
         tally = play.run()
         self.assertEqual(sum(tally.outcomes.values()), len(play.calls))
@@ -35,7 +35,7 @@
             self.assertLessEqual(len(stand.started_runs), stand.statistics.tries)
 
     def test_a_call_that_a_busy_machine_sends_late_is_counted_from_when_it_was_due(self):
-        f = fleet().at(0.5)
+        f = fleet().with_demand(0.5)
         first = PlannedCall(0.1, 0, 0, 1, 0.01, 0.01, 0, 20.0)
         wishes = [first, dataclasses.replace(first, starts_at=math.nextafter(1.0, 0.0))]  # begun after 1 s
         play = MeasuredRun(f, 1, 1.0, settle_s=0.0, planned_calls=wishes)
--- a/tests/plan/test_model.py
+++ b/tests/plan/test_model.py
@@ -32,7 +32,7 @@
         by_subject = {"routers__0__choice": "subject", "load__zipf": 0.4}
         for changes in ({}, {"routers__0__choice": "round"}, by_subject):
             for demand in (0.6, 0.9, 1.0, 1.1, 1.4):
-                f = fleet(**changes).at(demand)
+                f = fleet(**changes).with_demand(demand)
                 events = self.goodput(f, seconds=25.0).goodput
                 figures = analytic.solve(f, draw_speeds(f, Streams(1))).goodput
                 # At the capacity itself, in a fleet of three, chance moves work that figures don't follow.
@@ -42,7 +42,7 @@
     def test_slow_machines_behind_round_robin_fill_first_and_hot_subjects_fill_their_worker(self):
         data = copy.deepcopy(EXAMPLE)
         data["routers"] = [{"addresses": ["10.1.9.1"], "choice": "round"}]
-        mixed = parse(data).at(0.85)
+        mixed = parse(data).with_demand(0.85)
         first = analytic.solve(mixed, draw_speeds(mixed, Streams(1))).first_limited
         self.assertEqual((first.kind, first.limit), ("small-node", "cores"))
         counts = self.goodput(mixed).workers
@@ -51,7 +51,7 @@
         self.assertGreater(sum(w.busy for w in small) / len(small), sum(w.busy for w in fast) / len(fast))
         data["routers"][0]["choice"] = "subject"
         data["load"] |= {"hot": 3, "hot_share": 0.24, "zipf": 0.3}
-        hot = parse(data).at(0.7)
+        hot = parse(data).with_demand(0.7)
         tries = sorted((w.tries for w in self.goodput(hot).workers), reverse=True)
         self.assertGreater(tries[0], 1.5 * tries[len(tries) // 2])
 
@@ -65,7 +65,7 @@
         self.assertGreater(tally.workers[0].tries, 0.4 * whole.workers[0].tries)
 
     def test_a_filing_never_runs_twice_at_one_worker_whatever_clients_repeat(self):
-        f = fleet(clients__retries=2, clients__wait_ms=50.0).at(1.3)
+        f = fleet(clients__retries=2, clients__wait_ms=50.0).with_demand(1.3)
         sim = Simulation(f, 3, 14.0, outages=(Outage(7.0, (1,), 8.0, "one"),))
         begun = []
         for w in sim.workers:
@@ -90,7 +90,7 @@
         st.sampled_from(("round", "least")),
     )
     def test_more_machines_faster_or_less_load_never_forecast_less(self, demand, more, faster, less, choice):
-        f = fleet(routers__0__choice=choice).at(demand)
+        f = fleet(routers__0__choice=choice).with_demand(demand)
         bigger, calmer = with_workers(f, "fast-node", 3 + more), f.with_load(f.load.rate * less)
         base, *better = (
             analytic.solve(which, [speed] * len(which.placed_workers)).goodput
--- a/tests/plan/test_plan_answers.py
+++ b/tests/plan/test_plan_answers.py
@@ -66,7 +66,7 @@
         yield "breaks", find_breaking_point(f, (0.6, 1.2), (1, 2), 12.0, 1, quiet)
         yield "size", find_size(f, "fast-node", 0.9, (1,), 12.0, 1, quiet)
         yield "lose", forecast_site_loss(f, "brussels", 6.5, 9.0, (1,), 13.0, 1, quiet)
-        yield "compare", compare_fleets(f, f.at(0.5), (1, 2), 12.0, 1, quiet)
+        yield "compare", compare_fleets(f, f.with_demand(0.5), (1, 2), 12.0, 1, quiet)
         changes = compare_captures(capture(), capture(rate=60.0))
         yield "captures", {"figures": [c.values() for c in changes], "on": []}
         yield "fit", {"estimates": [e.values() for e in estimate_all(capture())]}
@@ -241,7 +241,7 @@
 
     def test_real_workers_record_each_attempt_that_reached_them(self):
         with tempfile.TemporaryDirectory() as folder:
-            f = fleet().at(0.6)
+            f = fleet().with_demand(0.6)
             play = MeasuredRun(
                 f, 1, 4.0, settle_s=0.0, operator_config=f"[capture]\nfolder = {json.dumps(folder)}\n"
             )
@@ -262,7 +262,7 @@
             self.assertTrue(0 < values["goodput"]["mean"] <= 1)
 
     def test_a_measurement_reports_how_late_its_calls_were_sent(self):
-        values = measure(fleet().at(0.4), 1, 6.5, None, quiet)
+        values = measure(fleet().with_demand(0.4), 1, 6.5, None, quiet)
         self.assertGreaterEqual(values["late_p99_ms"], 0)
         self.assertTrue(math.isfinite(values["ratio"]))
 
--- a/tests/plan/test_questions.py
+++ b/tests/plan/test_questions.py
@@ -49,7 +49,7 @@
             self.assertRaises(UnanswerableQuestionError, ask)
 
     def test_the_loss_of_a_site_costs_and_its_return_heals(self):
-        f = fleet(membership__lag_s=0.5, kinds__0__cold_s=1.0).at(0.8)
+        f = fleet(membership__lag_s=0.5, kinds__0__cold_s=1.0).with_demand(0.8)
         said = forecast_site_loss(f, "brussels", 8.0, 14.0, (1, 2), 30.0, 1, quiet)
         self.assertLess(said["during"]["mean"], said["before"]["mean"] - 0.2)
         self.assertEqual((said["tips_over"], said["workers"]), (0, 2))
--- a/tests/plan/test_rolling_restart.py
+++ b/tests/plan/test_rolling_restart.py
@@ -29,7 +29,8 @@
 
     def test_the_more_load_the_fewer_and_never_all(self):
         counts = [
-            estimate_concurrent_restarts(self.fleet.at(demand), 0.95) for demand in (0.1, 0.3, 0.6, 0.95)
+            estimate_concurrent_restarts(self.fleet.with_demand(demand), 0.95)
+            for demand in (0.1, 0.3, 0.6, 0.95)
         ]
         self.assertEqual(counts, sorted(counts, reverse=True))
         self.assertLess(max(counts), len(self.fleet.placed_workers))
@@ -37,8 +38,12 @@
 
     def test_the_simulated_controller_agrees_in_plain_cases(self):
         quiet = lambda *_: None  # noqa: E731
-        self.assertEqual(find_concurrent_restarts(self.fleet.at(0.2), 0.9, 1.0, (1,), 1, quiet)["most"], 2)
-        self.assertEqual(find_concurrent_restarts(self.fleet.at(0.97), 0.99, 3.0, (1,), 1, quiet)["most"], 0)
+        self.assertEqual(
+            find_concurrent_restarts(self.fleet.with_demand(0.2), 0.9, 1.0, (1,), 1, quiet)["most"], 2
+        )
+        self.assertEqual(
+            find_concurrent_restarts(self.fleet.with_demand(0.97), 0.99, 3.0, (1,), 1, quiet)["most"], 0
+        )
         with self.assertRaises(UnanswerableQuestionError):
             find_concurrent_restarts(self.fleet, 1.0, 1.0, (1,), 1, quiet)
 
--- a/tests/plan/test_routing.py
+++ b/tests/plan/test_routing.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from ochrehoist.config.fleet_description import Choice, Clients, Routers
+from ochrehoist.config.fleet_description import Clients, Routers, WorkerSelection
 from ochrehoist.plan.routing import Answer, Call, NextStep, Reply, Router, next_step, rendezvous
 
 
@@ -13,7 +13,7 @@
         return Router(Routers(addresses=[], choice=choice, **more), range(workers), [1.0] * workers, True, 1)
 
     def test_each_choice_keeps_off_the_unlisted_the_tried_and_those_to_stay_away_from(self):
-        for choice in Choice:
+        for choice in WorkerSelection:
             r = self.router(choice)
             r.set_listed(0, False)
             r.avoid(1, 5.0)
@@ -25,7 +25,7 @@
             self.assertIsNone(r.pick(9.0, 1, ()))
 
     def test_least_goes_where_least_is_open_and_two_mostly(self):
-        least, two = self.router(Choice.LEAST), self.router(Choice.TWO)
+        least, two = self.router(WorkerSelection.LEAST_OPEN), self.router(WorkerSelection.POWER_OF_TWO)
         for r in (least, two):
             r.open_requests.update(dict.fromkeys(range(1, 6), 9))
         self.assertEqual({least.pick(0.0, 0, ()) for _ in range(50)}, {0})
