--- a/tests/config/large_configurations.py
+++ b/tests/config/large_configurations.py
@@ -15,14 +15,18 @@
 from tests.support.site_settings import site_settings
 
 
-def tenant(at, **changes):
+def tenant(index, **changes):
     """Returns the tenant with the given index."""
-    return {"Name": f"t{at}", "QuotaPerS": 10.5 + at % 7, "Fraction": 0.5} | changes
+    return {"Name": f"t{index}", "QuotaPerS": 10.5 + index % 7, "Fraction": 0.5} | changes
 
 
-def rule(at, **changes):
+def rule(index, **changes):
     """Returns the route with the given index."""
-    return {"uri": f"/service-{at % 340}/r{at}/*", "methods": ["GET", "HEAD"], "class": "read"} | changes
+    return {
+        "uri": f"/service-{index % 340}/r{index}/*",
+        "methods": ["GET", "HEAD"],
+        "class": "read",
+    } | changes
 
 
 def appliance(tenants, rules, **more):
@@ -47,7 +51,7 @@
     }
 
 
-def steps(generator):
+def run_counting_steps(generator):
     """Runs a generator. Returns its result and the number of its steps."""
     count = 1
     while True:
@@ -76,56 +80,63 @@
         """Loads a text, optionally as a reload that replaces the configuration `before`."""
         return run_to_completion(config.load_in_steps(self.file(text, name), {}, before))
 
-    def refused(self, text, before=None, name="a.toml"):
+    def rejection_message(self, text, before=None, name="a.toml"):
         """Returns the error message with which a text is rejected."""
         with self.assertRaises(InvalidInputError) as raised:
             self.load(text, before, name)
         return str(raised.exception)
 
 
-MANY, ROUTES = 58_000, 3_800
+TENANT_COUNT, ROUTE_COUNT = 58_000, 3_800
 
 
-def large(tenants, routes, **changes):
+def large_toml(tenants, routes, **changes):
     """Returns the TOML text of a large appliance; `changes` has replacements, such as t7 for tenant 7."""
     return toml_file(
         appliance(
-            [changes.get(f"t{at}") or tenant(at) for at in range(tenants)],
-            [changes.get(f"r{at}") or rule(at) for at in range(routes)],
+            [changes.get(f"t{index}") or tenant(index) for index in range(tenants)],
+            [changes.get(f"r{index}") or rule(index) for index in range(routes)],
         )
     )
 
 
-class CountedReading:
+class CountedLoad:
     """Counter of parsed characters and created tenants during one load."""
 
     def __init__(self):
-        self.parsed, self.longest, self.calls, self.made, self.most, self.step = 0, 0, 0, 0, 0, 0
+        (
+            self.parsed_chars,
+            self.longest_document_chars,
+            self.parser_calls,
+            self.created_tenants,
+            self.max_created_per_step,
+            self.created_in_step,
+        ) = 0, 0, 0, 0, 0, 0
 
     def read(self, path, before):
         """Loads a file, optionally as a reload that replaces the configuration `before`."""
 
-        def loads(text, real=tomli.loads):
-            self.parsed += len(text)
-            self.calls += 1
-            self.longest = max(self.longest, len(text))
-            return real(text)
+        def loads(text, original_loads=tomli.loads):
+            self.parsed_chars += len(text)
+            self.parser_calls += 1
+            self.longest_document_chars = max(self.longest_document_chars, len(text))
+            return original_loads(text)
 
         generator = config.load_in_steps(path, {}, before)
         with mock.patch.object(tomli, "loads", loads):
-            checked = TenantReader._create_tenant
+            create_tenant = TenantReader._create_tenant
 
-            def counting(one, data, where):
-                self.made += 1
-                self.step += 1
-                return checked(one, data, where)
+            def counting_create_tenant(reader, data, path_prefix):
+                self.created_tenants += 1
+                self.created_in_step += 1
+                return create_tenant(reader, data, path_prefix)
 
-            with mock.patch.object(TenantReader, "_create_tenant", counting):
+            with mock.patch.object(TenantReader, "_create_tenant", counting_create_tenant):
                 while True:
-                    self.step = 0
+                    self.created_in_step = 0
                     try:
                         next(generator)
                     except StopIteration as end:
                         return end.value
                     finally:
-                        self.most = max(self.most, self.step)
+                        self.max_created_per_step = max(self.max_created_per_step, self.created_in_step)
--- a/tests/config/test_changing_files.py
+++ b/tests/config/test_changing_files.py
@@ -12,7 +12,7 @@
 from tests.config.large_configurations import ConfigurationFilesTestCase, appliance, rule, tenant
 
 
-class Changing(ConfigurationFilesTestCase):
+class ChangingFilesTest(ConfigurationFilesTestCase):
     """A file that is changed during reading is read again as a whole, never as a mixture of two versions."""
 
     def setUp(self):
@@ -25,48 +25,50 @@
             for word in ("old", "new")
         ]
 
-    def interrupted(self, by, path=None):
-        """Returns the prefixes of the tenant names read if `by` changes the file after 80 % of the steps."""
+    def tenant_prefixes_after(self, change, path=None):
+        """Returns the tenant name prefixes read if `change(path)` is called after 80 % of the steps."""
         path = path or self.file(self.texts[0])
         reading = config.load_in_steps(path, {}, None)
         for _ in range(len(self.texts[0]) * 8 // 10 // config_source.READ_BYTES):
             next(reading)
-        by(path)
+        change(path)
         return {t.name[:3] for t in run_to_completion(reading).settings.tenants}
 
     def test_a_file_overwritten_in_place_is_read_again(self):
-        self.assertEqual(self.interrupted(lambda path: Path(path).write_text(self.texts[1])), {"new"})
+        self.assertEqual(
+            self.tenant_prefixes_after(lambda path: Path(path).write_text(self.texts[1])), {"new"}
+        )
 
-    def test_one_that_is_replaced_is_read_anew(self):
+    def test_a_file_replaced_by_another_is_read_again(self):
         other = self.file(self.texts[1], "b")
-        self.assertEqual(self.interrupted(lambda path: os.replace(other, path)), {"new"})
+        self.assertEqual(self.tenant_prefixes_after(lambda path: os.replace(other, path)), {"new"})
 
-    def test_one_whose_name_comes_to_mean_another_is_read_anew(self):
+    def test_a_symbolic_link_redirected_to_another_file_is_read_again(self):
         old, new = self.file(self.texts[0], "old.toml"), self.file(self.texts[1], "new.toml")
         path = f"{old}.link"
         os.symlink(old, path)
 
-        def turn(path):
+        def redirect_link(path):
             os.symlink(new, f"{path}2")
             os.replace(f"{path}2", path)
 
-        self.assertEqual(self.interrupted(turn, path), {"new"})
+        self.assertEqual(self.tenant_prefixes_after(redirect_link, path), {"new"})
 
-    def test_one_that_is_half_written_when_read_first_is_read_again(self):
+    def test_a_half_written_file_with_invalid_utf_8_is_read_again(self):
         half = self.texts[1].encode()[: len(self.texts[1]) // 2] + b"\xff"
 
-        def twice(path):
+        def write_in_two_steps(path):
             Path(path).write_bytes(half)
             Path(path).write_text(self.texts[1])
 
-        self.assertEqual(self.interrupted(twice), {"new"})
+        self.assertEqual(self.tenant_prefixes_after(write_in_two_steps), {"new"})
 
     def test_a_file_that_disappears_is_reported(self):
         with self.assertRaises(InvalidInputError) as raised:
-            self.interrupted(os.remove)
+            self.tenant_prefixes_after(os.remove)
         self.assertIn("setting OCHREHOIST_AJP", str(raised.exception))
 
-    def test_a_file_that_keeps_changing_is_rejected_after_some_attempts(self):
+    def test_a_file_that_keeps_changing_is_rejected_after_a_limited_number_of_attempts(self):
         path, count = self.file(self.texts[0]), 0
         reading = config.load_in_steps(path, {}, None)
         with self.assertRaises(InvalidInputError) as raised:
@@ -80,4 +82,4 @@
     def test_invalid_utf_8_is_reported_with_its_line(self):
         text = self.texts[0].encode().replace(b"old7", b"old\xff")
         line = text[: text.index(b"\xff")].count(b"\n") + 1
-        self.assertIn(f"not UTF-8: invalid start byte (at line {line})", self.refused(text))
+        self.assertIn(f"not UTF-8: invalid start byte (at line {line})", self.rejection_message(text))
--- a/tests/config/test_check_command.py
+++ b/tests/config/test_check_command.py
@@ -10,7 +10,7 @@
 from tests.config.large_configurations import (
     ConfigurationFilesTestCase,
     appliance,
-    large,
+    large_toml,
     platform,
     rule,
     tenant,
@@ -22,8 +22,8 @@
 class CheckCommandTest(ConfigurationFilesTestCase):
     """The command `check` and the imports of the configuration package."""
 
-    def test_check_prints_the_version_and_says_which_form_is_read_as_a_whole(self):
-        text = large(600, 30)
+    def test_check_prints_the_version_and_reports_a_file_parsed_as_a_whole(self):
+        text = large_toml(600, 30)
         done = run_command("check", self.file(text))
         self.assertIn(f"version {self.load(text).version}, 600 tenants, 30 routes", done.stdout)
         self.assertNotIn("as a whole", done.stdout)
@@ -31,7 +31,7 @@
         self.assertEqual(done.returncode, 0)
         self.assertIn("as a whole", done.stdout)
 
-    def test_the_platforms_worker_loads_nothing_for_files_that_it_has_not(self):
+    def test_a_platform_worker_imports_no_modules_for_toml_files(self):
         code = (
             "import sys; from ochrehoist.app import worker; from ochrehoist.config import loader; "
             "loader.load(sys.argv[1], {}); "
@@ -46,13 +46,13 @@
             loaded & {"tomli", "tomllib", "ochrehoist.config.toml_reader", "ochrehoist.config.fleet"}
         )
 
-    def test_a_short_file_does_not_load_the_chunk_reader(self):
+    def test_a_short_file_does_not_import_the_chunk_reader(self):
         code = (
             "import sys; from ochrehoist.config import loader; loader.load(sys.argv[1], {}); "
             "print(*sys.modules)"
         )
         loaded = []
-        for text in (toml_file(appliance([tenant(0)], [rule(0)])), large(1_000, 65)):
+        for text in (toml_file(appliance([tenant(0)], [rule(0)])), large_toml(1_000, 65)):
             done = subprocess.run(
                 [sys.executable, "-c", code, self.file(text)],
                 cwd=ROOT,
@@ -64,7 +64,7 @@
         self.assertEqual(loaded, [False, True])
 
     @staticmethod
-    def imported(path):
+    def imported_modules(path):
         """Returns the names of this package's modules that a file imports, by any form of import."""
         found = set()
         for node in ast.walk(ast.parse(path.read_text())):
@@ -76,12 +76,12 @@
                 found |= {alias.name.removeprefix("ochrehoist.config.") for alias in node.names}
         return found
 
-    def test_no_module_of_the_configuration_needs_one_that_needs_it(self):
+    def test_the_modules_of_the_package_have_no_import_cycle(self):
         package = Path(ROOT, "ochrehoist", "config")
         names = {path.stem for path in package.glob("*.py")} - {"__init__"}
         self.assertGreaterEqual(len(names), 8)
-        needs = {name: self.imported(Path(package, f"{name}.py")) & names for name in names}
-        while needs:
-            free = {name for name, others in needs.items() if not others & needs.keys()}
-            self.assertTrue(free, needs)
-            needs = {name: others for name, others in needs.items() if name not in free}
+        imports = {name: self.imported_modules(Path(package, f"{name}.py")) & names for name in names}
+        while imports:
+            importable = {name for name, imported in imports.items() if not imported & imports.keys()}
+            self.assertTrue(importable, imports)
+            imports = {name: imported for name, imported in imports.items() if name not in importable}
--- a/tests/config/test_config_text.py
+++ b/tests/config/test_config_text.py
@@ -19,11 +19,11 @@
 ARRAY = ("c", "d")
 
 
-def take(data, into):
-    into.append(data)
+def append_element(data, elements):
+    elements.append(data)
 
 
-class ConfigurationFilesCase(unittest.TestCase):
+class TextFilesTestCase(unittest.TestCase):
     """Base class with a method that writes texts to files."""
 
     def setUp(self):
@@ -115,7 +115,7 @@
     return found and (found[1] or "end")
 
 
-class TomlTextTest(ConfigurationFilesCase):
+class TomlTextTest(TextFilesTestCase):
     """The incremental TOML reader, compared with `tomllib`."""
 
     @settings(max_examples=1500, deadline=None)
@@ -126,38 +126,38 @@
         st.sampled_from([1, 5, 4096]),
         st.sampled_from([0, 8192, 8192, 8192]),
     )
-    def test_any_text_gives_the_same_data_or_a_fault_at_the_same_line(
-        self, text, elements, border, part, short
+    def test_any_text_gives_the_same_data_or_an_error_at_the_same_line(
+        self, text, elements, boundary_modulus, read_bytes, single_step_chars
     ):
         path = self.file(text)
-        plain, fault, got = None, None, None
+        expected, fault, actual = None, None, None
         try:
-            plain = tomllib.loads(Path(path).read_text(encoding="utf-8"))
+            expected = tomllib.loads(Path(path).read_text(encoding="utf-8"))
         except ValueError as error:
             fault = error
         with (
-            mock.patch.multiple(toml_reader, MAX_CHUNK_ELEMENTS=elements, BOUNDARY_MODULUS=border),
-            mock.patch.object(toml_parser, "MAX_SINGLE_STEP_CHARS", short),
-            mock.patch.object(config_source, "READ_BYTES", part),
+            mock.patch.multiple(toml_reader, MAX_CHUNK_ELEMENTS=elements, BOUNDARY_MODULUS=boundary_modulus),
+            mock.patch.object(toml_parser, "MAX_SINGLE_STEP_CHARS", single_step_chars),
+            mock.patch.object(config_source, "READ_BYTES", read_bytes),
         ):
             try:
                 text = run_to_completion(config_source.read_text_in_steps(path))
-                got = run_to_completion(toml_reader.read_in_steps(text, {ARRAY: take}, None))
+                actual = run_to_completion(toml_reader.read_in_steps(text, {ARRAY: append_element}, None))
             except ValueError as error:
                 self.assertIsNotNone(fault, (text, error))
                 if line_of(fault):  # tomllib names no line for a number that is too long
                     self.assertEqual(line_of(error), line_of(fault), (error, fault))
                 return
         self.assertIsNone(fault, text)
-        self.assertEqual(got.data, plain)
+        self.assertEqual(actual.data, expected)
 
     @settings(max_examples=300, deadline=None)
     @given(texts(), texts(), st.sampled_from([1, 2, 64]))
-    def test_what_is_known_from_another_text_changes_nothing(self, first, second, elements):
+    def test_reusing_elements_of_another_text_does_not_change_the_data(self, first, second, elements):
         def read(text, before):
             path = self.file(text)
             text = run_to_completion(config_source.read_text_in_steps(path))
-            reading = run_to_completion(toml_reader.read_in_steps(text, {ARRAY: take}, before))
+            reading = run_to_completion(toml_reader.read_in_steps(text, {ARRAY: append_element}, before))
             if reading.remainder is None:
                 return reading.data, None
             listed = reading.data["c"]["d"] if ARRAY in reading.chunks else []
@@ -170,11 +170,11 @@
             source = None
             for text in (first, second + first, first + second, second):
                 try:
-                    plain = tomllib.loads(Path(self.file(text)).read_text(encoding="utf-8"))
+                    expected = tomllib.loads(Path(self.file(text)).read_text(encoding="utf-8"))
                 except ValueError:
                     continue
                 data, source = read(text, source)
-                self.assertEqual(data, plain)
+                self.assertEqual(data, expected)
 
 
 # ---- JSON, compared with json
@@ -197,31 +197,31 @@
     if draw(st.booleans()):  # a duplicate key
         text = text.replace('"a"', '"b"')
     for _ in range(draw(st.integers(0, 2))):
-        at = draw(st.integers(0, len(text)))
+        position = draw(st.integers(0, len(text)))
         text = (
-            text[:at]
+            text[:position]
             + draw(st.sampled_from(["", " ", "\r\n", ",", "{", "]", '"', "\\", "\ufeff", "0"]))
-            + text[at + draw(st.integers(0, 2)) :]
+            + text[position + draw(st.integers(0, 2)) :]
         )
     return text
 
 
-class JsonTextTest(ConfigurationFilesCase):
+class JsonTextTest(TextFilesTestCase):
     """The incremental JSON reader, compared with `json`."""
 
     @settings(max_examples=1500, deadline=None)
     @given(json_texts())
-    def test_any_text_gives_the_same_data_or_a_fault_at_the_same_place(self, text):
+    def test_any_text_gives_the_same_data_or_an_error_at_the_same_position(self, text):
         with mock.patch.multiple(json_reader, MAX_SINGLE_STEP_CHARS=-1, CHARS_PER_STEP=3):
             try:
-                plain = json.loads(text)
+                expected = json.loads(text)
             except json.JSONDecodeError as fault:
                 with self.assertRaises(json.JSONDecodeError) as raised:
-                    run_to_completion(json_reader.read_in_steps(text, {TENANTS: take}))
+                    run_to_completion(json_reader.read_in_steps(text, {TENANTS: append_element}))
                 self.assertEqual((raised.exception.pos, raised.exception.msg), (fault.pos, fault.msg))
                 return
-            got = run_to_completion(json_reader.read_in_steps(text, {TENANTS: take}))
-        self.assertEqual(repr(got), repr(plain))  # repr, because NaN is not equal to itself
+            actual = run_to_completion(json_reader.read_in_steps(text, {TENANTS: append_element}))
+        self.assertEqual(repr(actual), repr(expected))  # repr, because NaN is not equal to itself
 
 
 if __name__ == "__main__":
