--- a/ochrehoist/config/fleet_description.py
+++ b/ochrehoist/config/fleet_description.py
@@ -85,7 +85,7 @@
 
     name: str
     cores: Annotated[int, Field(ge=1, le=1024)]
-    speed: tuple[Positive, Positive] | Positive  # of a core, relative to the core that work_ms refers to
+    speed: tuple[Positive, Positive] | Positive  # speed of a core; 1 is the core that work_ms refers to
     memory_mb: Positive
     connections: Annotated[int, Field(ge=1)] = 300
     full_table_tax: Share = 0.3  # fraction of the capacity lost while the connection table is full
--- a/ochrehoist/config/routes.py
+++ b/ochrehoist/config/routes.py
@@ -63,18 +63,21 @@
         return element
 
     def _validated(self, table: ObjectReader, classes: Collection[str] | None) -> AjpRoute:
-        """Validates a route; any class is accepted if `classes` is None. Raises InvalidInputError."""
+        """Returns the validated route, as the existing object if it is unchanged.
+
+        Any request class is accepted if `classes` is None. Raises InvalidInputError.
+        """
         table.allow_only("uri", "methods", "class")
         request_class = table.text("class")
-        written_methods = table.items("methods", [])
+        method_names = table.items("methods", [])
         if classes is not None and request_class not in classes:
             raise table.error("class", f"unknown class {request_class!r}")
-        if not all(isinstance(method, str) and method for method in written_methods):
-            raise table.invalid_value("methods", written_methods)
+        if not all(isinstance(method, str) and method for method in method_names):
+            raise table.invalid_value("methods", method_names)
         uri = table.text("uri")
         if not uri.startswith("/"):
             raise table.error("uri", f"does not start with /: {uri!r}")
-        methods = frozenset(method.upper() for method in written_methods)
+        methods = frozenset(method.upper() for method in method_names)
         methods = self._method_sets.setdefault(methods, methods)
         position = self._positions.get(_route_key(uri, methods, request_class))
         return AjpRoute(uri, methods, request_class) if position is None else self._current[position]
--- a/ochrehoist/config/source.py
+++ b/ochrehoist/config/source.py
@@ -14,7 +14,7 @@
 from ochrehoist.errors import OchrehoistError
 
 READ_BYTES = 16384  # read in one step
-MAX_READ_ATTEMPTS = 5  # for a file that changes during reading
+MAX_READ_ATTEMPTS = 5  # a file that changes during reading is read again
 
 # Positions of elements by the digest of the chunk of text that defines them. The garbage collector does not
 # track ranges and digests, so a large number of them does not slow it down.
--- a/ochrehoist/config/tables.py
+++ b/ochrehoist/config/tables.py
@@ -172,7 +172,7 @@
     site: str  # name of this worker's site
     site_map: SiteMap | None  # None: members announce their own sites
     playbook: "Playbook | None"
-    recovery_ramp: bool  # whether load returns in stages after an outage
+    recovery_ramp: bool  # load returns in stages after an outage
 
 
 @dataclass(slots=True, frozen=True, kw_only=True)
--- a/ochrehoist/config/toml_reader.py
+++ b/ochrehoist/config/toml_reader.py
@@ -24,7 +24,7 @@
 MAX_CHUNK_ELEMENTS = 64
 MAX_CHUNK_CHARS = 4096  # a single longer element is a chunk of its own
 BOUNDARY_MODULUS = 24  # one element in 24 begins a chunk: this divides the checksum of its text
-MAX_PREFIX_ATTEMPTS = 32  # for finding a valid prefix before a syntax error
+MAX_PREFIX_ATTEMPTS = 32  # prefixes tried until one before the error is valid
 MAX_REMAINDER_CHARS = 262144
 MAX_ELEMENT_CHARS = 65536  # also the limit of a single line
 MAX_CACHED_HEADERS = 256
