--- a/ochrehoist/config/fleet.py
+++ b/ochrehoist/config/fleet.py
@@ -1,4 +1,4 @@
-"""The tables of a fleet: [peers], [sites] and [recovery]. Loaded only where there is one of them."""
+"""Reads the fleet tables [peers], [sites] and [recovery]; imported only if the file has one of them."""
 
 from collections.abc import Container, Generator
 from pathlib import Path
@@ -16,7 +16,7 @@
     SitesConfig,
     StateConfig,
 )
-from ochrehoist.config.values import Address, address, optional_address, parsed_address
+from ochrehoist.config.values import Address, optional_address, parse_address, required_address
 from ochrehoist.errors import InvalidInputError
 
 if TYPE_CHECKING:
@@ -56,19 +56,19 @@
 def read_peers_in_steps(
     top: ObjectReader, tenants: Container[str], ajp: AjpConfig | None
 ) -> Generator[None, None, PeersConfig | None]:
-    """The table [peers]. `tenants`: their names. Raises InvalidInputError."""
+    """Reads the table [peers]; `tenants` contains the tenant names. Raises InvalidInputError."""
     if "peers" not in top.data:
         return None
     table = top.section("peers").allow_only(*_PEERS_KEYS)
-    listen = address(table, "listen", loopback=True)
+    listen = required_address(table, "listen", loopback=True)
     members_table = table.section("members", {})
-    secrets = _secrets(table)
+    secrets = _read_secrets(table)
     lease_grantors = table.texts("voters", [])
     max_ejected_fraction = table.number("most_out", 0.5)
     if max_ejected_fraction >= 1:
-        raise table.error("most_out", f"not below 1: {max_ejected_fraction!r}")
+        raise table.error("most_out", f"must be below 1: {max_ejected_fraction!r}")
     seed_addresses = table.texts("start", [])
-    # That each grantor has a single vote rests on one address for each.
+    # Each grantor must have exactly one address; otherwise it could vote more than once.
     unknown = set(lease_grantors) - {top.text("name"), *members_table.data}
     if unknown:
         raise table.error("voters", f"not in {table.path}members: {sorted(unknown)}")
@@ -80,12 +80,12 @@
         group=table.text("group"),
         site=table.text("site", "") or "",
         secrets=secrets,
-        protocol_period_ms=table.integer("probe_ms", 100, least=20),
+        protocol_period_ms=table.integer("probe_ms", 100, minimum=20),
         members=members,
-        seed_addresses=tuple(parsed_address(table, "start", text, loopback=True) for text in seed_addresses),
+        seed_addresses=tuple(parse_address(table, "start", text, loopback=True) for text in seed_addresses),
         lease_grantors=tuple(sorted(lease_grantors)),
         max_ejected_fraction=max_ejected_fraction,
-        max_requests_per_s=table.number("most_per_s", 3000, least=1),
+        max_requests_per_s=table.number("most_per_s", 3000, minimum=1),
         budgets=budgets,
     )
 
@@ -93,20 +93,22 @@
 def read_sites(
     top: ObjectReader, settings: AdmissionSettings, peers: PeersConfig | None
 ) -> SitesConfig | None:
-    """The table [sites], and the files that it names. Raises InvalidInputError."""
+    """Reads the table [sites] and the files that it names. Raises InvalidInputError."""
     if "sites" not in top.data:
         return None
     table = top.section("sites").allow_only("site", "fleet", "playbook", "pace")
     if peers is None:
-        raise InvalidInputError.in_setting("sites", "needs [peers]: sites are known by their workers")
+        raise InvalidInputError.in_setting(
+            "sites", "needs [peers]: workers learn the state of sites from their peers"
+        )
     recovery_ramp = table.flag("pace", True)
     if recovery_ramp and not peers.lease_grantors:
         raise InvalidInputError.in_setting(
             "peers.voters",
-            "missing: a site that comes back steps by their permit; or set sites.pace = false",
+            "missing: they grant each stage of a recovering site; or set sites.pace = false",
         )
     site_map = _load_site_map(table)
-    site = _own_site(table, site_map, peers)
+    site = _resolve_site(table, site_map, peers)
     playbook = _load_playbook(table, settings)
     return SitesConfig(site=site, site_map=site_map, playbook=playbook, recovery_ramp=recovery_ramp)
 
@@ -114,34 +116,36 @@
 def read_recovery(
     top: ObjectReader, peers: PeersConfig | None, state: StateConfig | None
 ) -> RecoveryConfig | None:
-    """The table [recovery]. Raises InvalidInputError."""
+    """Reads the table [recovery]. Raises InvalidInputError."""
     if "recovery" not in top.data:
         return None
     table = top.section("recovery").allow_only("witnesses", "wait_ms")
     witnesses = table.texts("witnesses", [])
     if witnesses and (peers is None or state is None):
-        raise table.error("witnesses", "need [peers], by which they are told, and [state]")
+        raise table.error("witnesses", "need [peers], for messages to the witnesses, and [state]")
     unknown = sorted(set(witnesses) - set(peers.members)) if peers is not None else []
     if unknown:
         raise table.error("witnesses", f"not in peers.members: {unknown}")
     if top.text("name") in witnesses:
-        raise table.error("witnesses", "this worker itself is none")
+        raise table.error("witnesses", "a worker cannot be its own witness")
     default_timeout = state.max_disk_wait_ms if state is not None else DEFAULT_WITNESS_TIMEOUT_MS
-    timeout = table.number("wait_ms", default_timeout, least=1)
+    timeout = table.number("wait_ms", default_timeout, minimum=1)
     return RecoveryConfig(witnesses=witnesses, witness_timeout_ms=timeout)
 
 
-def _secrets(table: ObjectReader) -> tuple[str, ...]:
+def _read_secrets(table: ObjectReader) -> tuple[str, ...]:
     secrets = table.texts("secrets", REQUIRED)
     if not secrets or min(map(len, secrets)) < MIN_SECRET_CHARS:
-        raise table.error("secrets", f"one at least, each of {MIN_SECRET_CHARS} characters or more")
+        raise table.error(
+            "secrets", f"at least one is required, each of at least {MIN_SECRET_CHARS} characters"
+        )
     return secrets
 
 
 def _read_members_in_steps(table: ObjectReader) -> Generator[None, None, dict[str, Address]]:
     members: dict[str, Address] = {}
     for name in table.data:
-        members[name] = address(table, name, loopback=True)
+        members[name] = required_address(table, name, loopback=True)
         if len(members) % ELEMENTS_PER_STEP == 0:
             yield
     return members
@@ -154,52 +158,52 @@
     budgets: list[BudgetConfig] = []
     for index, data in enumerate(peers.items("budgets", [])):
         table = peers.element("budgets", index, data).allow_only(*_BUDGET_KEYS)
-        budgets.append(_budget(table, tenants, servers, lease_grantors))
+        budgets.append(_read_budget(table, tenants, servers, lease_grantors))
         if len(budgets) % ELEMENTS_PER_STEP == 0:
             yield
     if len({budget.name for budget in budgets}) < len(budgets):
-        raise peers.error("budgets", "two of one name")
+        raise peers.error("budgets", "two budgets have the same name")
     if len({(budget.kind, budget.subject) for budget in budgets}) < len(budgets):
-        raise peers.error("budgets", "two of one of")
+        raise peers.error("budgets", "two budgets have the same keys use and of")
     return tuple(budgets)
 
 
-def _budget(
+def _read_budget(
     table: ObjectReader, tenants: Container[str], servers: set[str], lease_grantors: tuple[str, ...]
 ) -> BudgetConfig:
     kind = table.member("use", BudgetKind)
-    subject = _budget_subject(table, kind, tenants, servers)
+    subject = _read_budget_subject(table, kind, tenants, servers)
     max_run_ms = table.number("longest_ms", 0.0)
     if kind is BudgetKind.SERVER and not max_run_ms:
-        raise table.error("longest_ms", "missing: how long one run may take")
+        raise table.error("longest_ms", "missing: the maximum duration of one run")
     if not lease_grantors:
-        raise InvalidInputError.in_setting("peers.voters", "missing: budgets need them")
+        raise InvalidInputError.in_setting("peers.voters", "missing: budgets need lease grantors")
     floor_fraction = table.number("floor", 0.1)
     if floor_fraction > 1:
-        raise table.error("floor", f"above 1: {floor_fraction!r}")
+        raise table.error("floor", f"must not be above 1: {floor_fraction!r}")
     return BudgetConfig(
         name=table.text("name"),
         kind=kind,
         subject=subject,
-        amount=table.integer("amount", least=1),
-        lease_s=table.number("lease_ms", 2000, least=200) / 1000,
+        amount=table.integer("amount", minimum=1),
+        lease_s=table.number("lease_ms", 2000, minimum=200) / 1000,
         floor_fraction=floor_fraction,
-        floor_lease_s=table.number("floor_lease_s", 30, least=0.2),
+        floor_lease_s=table.number("floor_lease_s", 30, minimum=0.2),
         max_run_s=max_run_ms / 1000 if kind is BudgetKind.SERVER else 0.0,
         slot_count=table.integer("parts", 0),
     )
 
 
-def _budget_subject(
+def _read_budget_subject(
     table: ObjectReader, kind: BudgetKind, tenants: Container[str], servers: set[str]
 ) -> str | None:
     subject = table.text("of", None)
     if subject is None and kind is BudgetKind.RETRIES:
         return None
-    known = tenants if kind is BudgetKind.TENANT else servers
-    if subject is None or subject not in known:
-        noun = "tenant" if kind is BudgetKind.TENANT else "server"
-        raise table.error("of", f"no such {noun}: {subject!r}")
+    names = tenants if kind is BudgetKind.TENANT else servers
+    if subject is None or subject not in names:
+        resource = "tenant" if kind is BudgetKind.TENANT else "server"
+        raise table.error("of", f"unknown {resource}: {subject!r}")
     return subject
 
 
@@ -207,7 +211,7 @@
     file = table.text("fleet", None)
     if file is None:
         return None
-    # Its libraries are for those who have a description of the fleet.
+    # Imported on demand: only workers with a fleet description need its libraries.
     from ochrehoist.config.site_map import FleetSiteMap, SiteMapError
 
     try:
@@ -216,18 +220,18 @@
         raise table.error("fleet", str(error)) from None
 
 
-def _own_site(table: ObjectReader, site_map: SiteMap | None, peers: PeersConfig) -> str:
-    """The site of this worker: as written, else by its address, else as its peers are told."""
+def _resolve_site(table: ObjectReader, site_map: SiteMap | None, peers: PeersConfig) -> str:
+    """Returns the site of this worker: `site`, else the one of its address, else `peers.site`."""
     host = peers.advertised_address[0]
     mapped = site_map.site_of(host) if site_map is not None else None
     site = table.text("site", None) or mapped or peers.site
     if not site:
         raise table.error(
-            "site", f"missing, and no description of the fleet tells of {host}; nor does peers.site"
+            "site", f"missing; neither a fleet description nor peers.site gives the site of {host}"
         )
     if site_map is not None and site not in site_map.site_names:
         file = table.text("fleet")
-        raise table.error("site", f"no such site in {file}: {site!r}; there are {site_map.site_names}")
+        raise table.error("site", f"unknown site {site!r}: {file} has the sites {site_map.site_names}")
     return site
 
 
@@ -235,7 +239,7 @@
     file = table.text("playbook", None)
     if file is None:
         return None
-    from ochrehoist.sites.playbook import PlaybookError  # for those who have one
+    from ochrehoist.sites.playbook import PlaybookError  # imported on demand: few workers have one
     from ochrehoist.sites.playbook_codec import parse
 
     try:
--- a/ochrehoist/config/json_reader.py
+++ b/ochrehoist/config/json_reader.py
@@ -1,4 +1,4 @@
-"""JSON parsed in steps: the elements of large arrays one by one. The result equals that of json.loads()."""
+"""Parses JSON in short steps: large arrays element by element. The result equals that of json.loads()."""
 
 import json
 import re
@@ -8,14 +8,14 @@
 
 from ochrehoist.errors import OchrehoistError
 
-MAX_SINGLE_STEP_CHARS = 32768  # of a text that is parsed by one step
-CHARS_PER_STEP = 8192  # of a longer one
-MAX_STEPPED_DEPTH = 2  # of objects whose members are parsed one by one
+MAX_SINGLE_STEP_CHARS = 32768  # longer texts are parsed in several steps
+CHARS_PER_STEP = 8192
+MAX_STEPPED_DEPTH = 2  # objects nested deeper than this are parsed in a single step
 
-ArrayPath = tuple[str, ...]  # the keys of an array, from the top
-TakeElement = Callable[[Any, list[Any]], None]
+ArrayPath = tuple[str, ...]  # keys that lead from the root to an array
+ElementHandler = Callable[[Any, list[Any]], None]
 
-# What json says of the same faults.
+# Error messages of the standard json module.
 EXTRA_DATA = "Extra data"
 KEY_EXPECTED = "Expecting property name enclosed in double quotes"
 COLON_EXPECTED = "Expecting ':' delimiter"
@@ -26,22 +26,25 @@
 
 
 class NestingError(OchrehoistError, ValueError):
-    """A text whose values are nested deeper than the parser can follow."""
+    """The values of a text are nested too deeply for the parser."""
 
     def __init__(self) -> None:
         super().__init__("nested too deeply")
 
 
-def read_in_steps(text: str, takers: Mapping[ArrayPath, TakeElement]) -> Generator[None, None, Any]:
-    """The value of `text`. A taker adds an element's data to the list that stands for the array at its path.
+def read_in_steps(
+    text: str, element_handlers: Mapping[ArrayPath, ElementHandler]
+) -> Generator[None, None, Any]:
+    """Parses `text`, and passes the elements of an array to the handler for its path, if there is one.
 
-    A short text is parsed at once, without takers. Raises ValueError as json.loads() does, and for what is
-    nested too deeply.
+    A handler appends an element to the list that replaces the array in the result. A short text is parsed in
+    a single step, without handlers. Raises ValueError as json.loads() does, and NestingError if the values
+    are nested too deeply.
     """
     try:
         if len(text) <= MAX_SINGLE_STEP_CHARS or text.startswith("\ufeff"):
             return json.loads(text)
-        value, end = yield from _SteppedDecoder(text, takers).value(_skip_whitespace(text, 0), ())
+        value, end = yield from _SteppedDecoder(text, element_handlers).value(_skip_whitespace(text, 0), ())
     except RecursionError:
         raise NestingError from None
     end = _skip_whitespace(text, end)
@@ -56,15 +59,15 @@
 
 
 class _SteppedDecoder:
-    """Decodes the upper objects and their arrays itself, all other values by json."""
+    """Decodes the outer objects and their arrays step by step, and all other values with json."""
 
-    def __init__(self, text: str, takers: Mapping[ArrayPath, TakeElement]) -> None:
+    def __init__(self, text: str, element_handlers: Mapping[ArrayPath, ElementHandler]) -> None:
         self._text = text
-        self._takers = takers
-        self._last_yield = 0  # position in the text
+        self._element_handlers = element_handlers
+        self._last_yield = 0  # position in the text at the last yield
 
     def value(self, start: int, path: ArrayPath) -> Generator[None, None, tuple[Any, int]]:
-        """The value that begins at `start`, and where it ends."""
+        """Decodes the value that begins at `start`. Returns it with the position after its end."""
         first = self._text[start : start + 1]
         if first == "{" and len(path) < MAX_STEPPED_DEPTH:
             return (yield from self._object(start + 1, path))
@@ -97,7 +100,7 @@
                 yield
 
     def _key(self, position: int) -> tuple[str, int]:
-        """The key of a member, and where its value begins."""
+        """Decodes the key of a member. Returns it with the position where the value begins."""
         text = self._text
         if text[position : position + 1] != '"':
             raise JSONDecodeError(KEY_EXPECTED, text, position)
@@ -110,16 +113,16 @@
     def _array(self, position: int, path: ArrayPath) -> Generator[None, None, tuple[list[Any], int]]:
         elements: list[Any] = []
         text = self._text
-        take = self._takers.get(path)
+        handle_element = self._element_handlers.get(path)
         position = _skip_whitespace(text, position)
         if text[position : position + 1] == "]":
             return elements, position + 1
         while True:
             value, position = _decode_value(text, position)
-            if take is None:
+            if handle_element is None:
                 elements.append(value)
             else:
-                take(value, elements)
+                handle_element(value, elements)
             position = _skip_whitespace(text, position)
             delimiter = text[position : position + 1]
             if delimiter == "]":
--- a/ochrehoist/plan/worker_settings.py
+++ b/ochrehoist/plan/worker_settings.py
@@ -3,8 +3,8 @@
 from typing import Any
 
 from ochrehoist.admission.settings import AdmissionSettings, ObjectiveWeights, RequestClass, Tenant
-from ochrehoist.config.fleet_description import Fleet, Kind
-from ochrehoist.config.settings import IDEMPOTENCY_WORDS
+from ochrehoist.config.fleet_description import Fleet, MachineKind
+from ochrehoist.config.settings import IDEMPOTENCY_BY_VALUE
 from ochrehoist.units import NS_PER_MS
 
 COLLAPSE_AFTER_MS = 1500
@@ -15,7 +15,7 @@
 OBJECTIVE = ObjectiveWeights(overall=0.45, worst_window=0.15, worst_class=0.3, worst_tenant=0.1)
 
 
-def admission_settings(fleet: Fleet, kind: Kind, cold: bool) -> AdmissionSettings:
+def admission_settings(fleet: Fleet, kind: MachineKind, cold: bool) -> AdmissionSettings:
     """The settings of the decision module of a worker of this kind."""
     return AdmissionSettings(
         classes=tuple(
@@ -25,7 +25,7 @@
                 deadline_ns=int(each.deadline_ms * NS_PER_MS),
                 priority_weight=each.worth,
                 late_weight=each.late_worth,
-                idempotency=IDEMPOTENCY_WORDS[each.repeat],
+                idempotency=IDEMPOTENCY_BY_VALUE[each.repeat],
                 idempotency_window_ns=int(each.window_ms * NS_PER_MS),
             )
             for each in fleet.classes
@@ -57,7 +57,7 @@
     )
 
 
-def platform_settings(fleet: Fleet, kind: Kind) -> dict[str, Any]:
+def platform_settings(fleet: Fleet, kind: MachineKind) -> dict[str, Any]:
     """The same as the platform's settings object, for a real worker."""
     settings = admission_settings(fleet, kind, cold=False)
     return {
@@ -95,7 +95,7 @@
 
 def _class_table(request_class: RequestClass) -> dict[str, Any]:
     """One class, as the platform's settings object has it."""
-    repeat_words = {idempotency: word for word, idempotency in IDEMPOTENCY_WORDS.items()}
+    repeat_words = {idempotency: word for word, idempotency in IDEMPOTENCY_BY_VALUE.items()}
     table = {
         "Name": request_class.name,
         "Slo": request_class.latency_objective_ns,
