--- a/ochrehoist/admission/backpressure.py
+++ b/ochrehoist/admission/backpressure.py
@@ -15,7 +15,7 @@
     0.5  # of the mean objective that requests may spend here before callers should send less
 )
 MIN_CHANGE_SHARE = 0.02  # of the value that was sent last: less is not worth sending
-REUSE_SHARE = 0.5  # of idle connections whose callers come back in time: above it they are left open
+MIN_REUSE_SHARE = 0.5  # of idle connections whose callers come back in time: above it they are left open
 
 
 class Backpressure:
@@ -42,10 +42,10 @@
 
     def update(self, healthy: bool) -> list[Action]:
         """What is to be sent and set at a tick, where it differs from the last time."""
-        actions = self._signal(healthy), self._idle_timeout()
+        actions = self._changed_signal(healthy), self._idle_timeout()
         return [action for action in actions if action is not None]
 
-    def _signal(self, healthy: bool) -> SendBackpressure | None:
+    def _changed_signal(self, healthy: bool) -> SendBackpressure | None:
         """The value to send, if it differs enough from the last one."""
         signal = self._settings.backpressure
         if signal is BackpressureSignal.NONE:
@@ -63,7 +63,7 @@
 
     def _window(self) -> float:
         """How many requests one caller may have outstanding, so that they spend the target time here."""
-        rate_per_s = self._policy.full_rate_per_s(self._concurrency.running)
+        rate_per_s = self._policy.saturated_rate_per_s(self._concurrency.running)
         target_ns = TARGET_LATENCY_SHARE * self._mean_objective_ns
         capacity = rate_per_s * (target_ns - self._arrivals.unread_ns.value) / NS_PER_S
         return max(capacity, 1.0) / max(1, len(self._callers.last_seen_ns))
@@ -77,7 +77,7 @@
         settings = self._settings
         timeout_ns = settings.idle_timeout_ns
         reused = 1 - exp(-self._arrivals.rate_per_s * timeout_ns / NS_PER_S / max(1, settings.caller_count))
-        wanted_ns = 0 if reused > REUSE_SHARE else min(timeout_ns, TICK_INTERVAL_NS)
+        wanted_ns = 0 if reused > MIN_REUSE_SHARE else min(timeout_ns, TICK_INTERVAL_NS)
         if wanted_ns == self._sent_idle_timeout_ns:
             return None
         self._sent_idle_timeout_ns = wanted_ns
--- a/ochrehoist/admission/caller_activity.py
+++ b/ochrehoist/admission/caller_activity.py
@@ -10,7 +10,7 @@
 from ochrehoist.admission.job import Job
 from ochrehoist.units import NS_PER_S
 
-CALLER_MEMORY_NS = 10.0 * NS_PER_S  # a caller counts as sending to us for so long after its last request
+CALLER_RETENTION_NS = 10.0 * NS_PER_S  # a caller counts as sending to us for so long after its last request
 CANCELLATIONS_KEPT = 12  # by caller, the newest
 MIN_CANCELLATIONS = CANCELLATIONS_KEPT // 4  # more than these make an estimate
 EARLY_CANCELLATION_SHARE = 0.1  # of the objective: what is cancelled sooner says nothing of the timeout
@@ -43,7 +43,7 @@
         ages.append(now_ns - arrived_at_ns)
         if len(ages) > MIN_CANCELLATIONS:
             upper_quartile_ns = sorted(ages)[len(ages) * 3 // 4]
-            self.timeouts[caller] = TimeoutEstimate(upper_quartile_ns, now_ns + CALLER_MEMORY_NS)
+            self.timeouts[caller] = TimeoutEstimate(upper_quartile_ns, now_ns + CALLER_RETENTION_NS)
 
     def timeout_ns(self, job: Job, now_ns: int) -> int:
         """How long the caller of a request waits; its class's deadline where nothing is known."""
@@ -54,7 +54,7 @@
 
     def expire(self, now_ns: int) -> None:
         """Forgets callers that are silent."""
-        while self.last_seen_ns and now_ns - next(iter(self.last_seen_ns.values())) > CALLER_MEMORY_NS:
+        while self.last_seen_ns and now_ns - next(iter(self.last_seen_ns.values())) > CALLER_RETENTION_NS:
             caller = next(iter(self.last_seen_ns))
             for known in (self.last_seen_ns, self.cancellation_ages_ns, self.timeouts):
                 known.pop(caller, None)
--- a/ochrehoist/admission/concurrency.py
+++ b/ochrehoist/admission/concurrency.py
@@ -53,7 +53,7 @@
         """Takes the limits that were measured outside."""
         self.limits = limits
 
-    def move(self, job: Job, state: JobState) -> None:
+    def set_state(self, job: Job, state: JobState) -> None:
         """Puts a request into another state."""
         was = job.state
         change = (state is JobState.RUNNING) - (was is JobState.RUNNING)
@@ -107,6 +107,6 @@
         if running >= limits.class_caps[at]:
             return Bulkhead.AT_CAP
         if job.expensive:
-            crowded = self._running_expensive >= limits.expensive
-            return Bulkhead.AT_CAP if crowded else Bulkhead.ABOVE_FLOOR
+            at_expensive_limit = self._running_expensive >= limits.expensive
+            return Bulkhead.AT_CAP if at_expensive_limit else Bulkhead.ABOVE_FLOOR
         return Bulkhead.ABOVE_FLOOR if running >= limits.class_floors[at] else Bulkhead.WITHIN_FLOOR
--- a/ochrehoist/admission/controller.py
+++ b/ochrehoist/admission/controller.py
@@ -64,7 +64,7 @@
 TICK_TIMER_ID = 1
 
 
-def _of_open_job(handler: Callable[..., None]) -> Callable[["AdmissionController", Any], None]:
+def _for_open_job(handler: Callable[..., None]) -> Callable[["AdmissionController", Any], None]:
     """Hands an event to `handler` with its request; ignores events of requests that are no longer open."""
 
     def dispatch(controller: "AdmissionController", event: Any) -> None:
@@ -129,7 +129,7 @@
         self.downstream.expire(now_ns)
         self._HANDLERS[type(event)](self, event)
         if self.concurrency.awaiting_call:
-            self._actions += self.downstream.place(now_ns)
+            self._actions += self.downstream.start_due_calls(now_ns)
         if self.queue.jobs:
             self._start_queued()
         return self._actions
@@ -216,7 +216,7 @@
         self._actions.append(AttachDuplicate(job.request.id))
 
     def _queue_or_reject(self, job: Job) -> None:
-        if self.health.stalled or self.shutdown.too_late(job) or not self.memory.can_queue(job):
+        if self.health.stalled or self.shutdown.arrived_after_grace(job) or not self.memory.can_queue(job):
             self._reject(job)
             return
         job.state = JobState.QUEUED
@@ -238,7 +238,7 @@
         job.memory_kb = job.memory_kb * self.settings.run_memory_factor
         self.memory.add(job)
         self.health.observe_progress(self.now_ns)
-        self.concurrency.move(job, JobState.RUNNING)
+        self.concurrency.set_state(job, JobState.RUNNING)
         if job.request_class.idempotency is Idempotency.KEYED:
             self._retain_key(job)
         if event.ended:
@@ -247,7 +247,7 @@
     # Starts
 
     def _start_queued(self) -> None:
-        starts = self._selector.free_starts(self.now_ns)
+        starts = self._selector.allowed_starts(self.now_ns)
         for job in self._selector.startable(self.now_ns, starts, self._reject)[:starts]:
             if self.concurrency.bulkhead(job) is not Bulkhead.AT_CAP and not self._start(job):
                 break
@@ -259,7 +259,7 @@
         self.queue.remove(job)
         if not self.concurrency.running:
             self.health.observe_progress(self.now_ns)
-        self.concurrency.move(job, JobState.RUNNING)
+        self.concurrency.set_state(job, JobState.RUNNING)
         job.started = True
         self.memory.expand(job)
         self._actions.append(StartRun(job.request.id))
@@ -290,10 +290,10 @@
         """Forgets an open request, but for what duplicates of it need."""
         self.queue.remove(job)
         if job.state is JobState.CALLING:  # its caller left, or it was answered: the call may go on
-            self.downstream.release(job, self.now_ns, abandoned=True)
-        self.concurrency.move(job, JobState.ENDED)
+            self.downstream.release_reservation(job, self.now_ns, abandoned=True)
+        self.concurrency.set_state(job, JobState.ENDED)
         self.memory.release(job)
-        self.idempotency.remember_ended(job, self.now_ns)
+        self.idempotency.record_ended(job, self.now_ns)
         self.jobs.pop(job.request.id, None)
 
     # Negative answers
@@ -306,7 +306,7 @@
 
     def _fail(self, job: Job) -> None:
         self._actions.append(FailRequest(job.request.id))
-        if job.waits():
+        if job.has_no_run():
             self._drop(job)
             return
         job.answered = True
@@ -321,7 +321,7 @@
         job.answered = True
         self._end(job)
         if job.followers:
-            leader = job.hand_over_followers()
+            leader = job.promote_follower()
             if leader is not None:
                 self._queue_or_reject(leader)
 
@@ -331,30 +331,30 @@
         if not job.answered and event.gave_up and age_ns > early_ns:
             self.callers.observe_cancellation(job.request.caller, job.arrived_at_ns, self.now_ns)
         job.answered = True
-        if job.waits():
+        if job.has_no_run():
             self._drop(job)
 
     # Downstream calls
 
     def _on_call_needed(self, job: Job, _event: DownstreamCallNeeded) -> None:
         if job.state is JobState.RUNNING:
-            self.downstream.require(job, self.now_ns)
+            self.downstream.request_call(job, self.now_ns)
             self.health.observe_progress(self.now_ns)
 
     def _on_call_ended(self, job: Job, event: DownstreamCallEnded) -> None:
         if job.state is not JobState.CALLING:
             return
-        hopeless = self.downstream.end(job, event, self.now_ns)
+        request_failed = self.downstream.end_call(job, event, self.now_ns)
         if event.outcome is Outcome.OK:
             self.health.observe_progress(self.now_ns)
-        if hopeless:
+        if request_failed:
             self._fail(job)
 
     # Ticks
 
     def _on_tick(self, event: TimerFired) -> None:
-        self._selector.read_gauges(event.gauges, self.now_ns)
-        self.policy.allow_climb()
+        self._selector.update_gauges(event.gauges, self.now_ns)
+        self.policy.reset_climbs()
         self._fail_overdue()
         self._actions.append(SetTimer(TICK_INTERVAL_NS, TICK_TIMER_ID))
         self.activity.next_tick()
@@ -385,10 +385,10 @@
         InstanceStarted: _on_started,
         RequestReceived: _on_received,
         RunAdopted: _on_adopted,
-        RequestCompleted: _of_open_job(_on_completed),
-        DownstreamCallNeeded: _of_open_job(_on_call_needed),
-        DownstreamCallEnded: _of_open_job(_on_call_ended),
-        RequestAbandoned: _of_open_job(_on_abandoned),
+        RequestCompleted: _for_open_job(_on_completed),
+        DownstreamCallNeeded: _for_open_job(_on_call_needed),
+        DownstreamCallEnded: _for_open_job(_on_call_ended),
+        RequestAbandoned: _for_open_job(_on_abandoned),
         TimerFired: _on_tick,
         DrainStarted: _on_drain_started,
         ConcurrencyLimits: _on_limits,
--- a/ochrehoist/admission/downstream_calls.py
+++ b/ochrehoist/admission/downstream_calls.py
@@ -19,11 +19,11 @@
 from ochrehoist.admission.timing import TICK_INTERVAL_NS
 
 USABLE_SHARE = 0.9  # of the calls that this instance is entitled to
-CALL_MEMORY_S = 1.5
-FAILURE_FIRST_WEIGHT = 10.0
+CALL_DECAY_S = 1.5
+FAILURE_INITIAL_WEIGHT = 10.0
 FAILING_SHARE = 0.5  # of the calls that fail: above it the dependency counts as unhealthy
 PROBE_SHARE = 0.1  # of the requests that call an unhealthy dependency all the same
-BACKOFF_NS = TICK_INTERVAL_NS // 4  # before the first retry; doubled with each
+INITIAL_BACKOFF_NS = TICK_INTERVAL_NS // 4  # before the first retry; doubled with each
 MAX_BACKOFF_DOUBLINGS = 5
 MAX_CALLS = 2  # made of one request, unless the calls never took place
 
@@ -38,8 +38,8 @@
 
     def __init__(self, settings: AdmissionSettings, concurrency: ConcurrencyTracker, rng: Random) -> None:
         """No calls were made."""
-        self.latency_ns = DecayingMean(CALL_MEMORY_S)
-        self.failure_share = DecayingMean(CALL_MEMORY_S, 0.0, FAILURE_FIRST_WEIGHT)
+        self.latency_ns = DecayingMean(CALL_DECAY_S)
+        self.failure_share = DecayingMean(CALL_DECAY_S, 0.0, FAILURE_INITIAL_WEIGHT)
         self._settings = settings
         self._shared = settings.downstream is DownstreamScope.SHARED
         self._concurrency = concurrency
@@ -52,34 +52,34 @@
         while self._ended and self._ended[0].released_at_ns <= now_ns:
             self._used_ns -= self._ended.popleft().used_ns
 
-    def require(self, job: Job, now_ns: int) -> None:
+    def request_call(self, job: Job, now_ns: int) -> None:
         """A running request has come to its call."""
-        self._concurrency.move(job, JobState.AWAITING_CALL)
+        self._concurrency.set_state(job, JobState.AWAITING_CALL)
         job.call_retry_at_ns = now_ns
         job.calls_made = 0
 
-    def place(self, now_ns: int) -> list[Action]:
+    def start_due_calls(self, now_ns: int) -> list[Action]:
         """Starts or skips the calls that are due, as far as capacity allows."""
         actions: list[Action] = []
         for job in [job for job in self._concurrency.awaiting_call.values() if not job.answered]:
-            spare_ns = self._spare_ns()
-            has_capacity = self._has_capacity(spare_ns, now_ns)
+            available_ns = self._available_ns()
+            has_capacity = self._has_capacity(available_ns, now_ns)
             if self._uses_fallback(job, has_capacity, now_ns):
                 actions.append(SkipDownstreamCall(job.request.id))
-                self._concurrency.move(job, JobState.RUNNING)
+                self._concurrency.set_state(job, JobState.RUNNING)
             elif has_capacity and now_ns >= job.call_retry_at_ns:
-                actions.append(self._start(job, spare_ns, now_ns))
+                actions.append(self._start(job, available_ns, now_ns))
         return actions
 
-    def _spare_ns(self) -> float:
+    def _available_ns(self) -> float:
         settings = self._settings
         share_ns = USABLE_SHARE * settings.downstream_share * settings.downstream_window_ns
         return (share_ns - self._used_ns - settings.abandoned_call_ns) / 2
 
-    def _has_capacity(self, spare_ns: float, now_ns: int) -> bool:
+    def _has_capacity(self, available_ns: float, now_ns: int) -> bool:
         if self._shared:
-            fits = spare_ns > self.latency_ns.value or not self._used_ns
-            return spare_ns > self._settings.clock_step_ns and fits
+            fits = available_ns > self.latency_ns.value or not self._used_ns
+            return available_ns > self._settings.clock_step_ns and fits
         concurrency = self._concurrency
         return concurrency.calling + concurrency.running < concurrency.ceiling(now_ns)
 
@@ -93,37 +93,37 @@
         unhealthy = failing or now_ns + self.latency_ns.value > job.objective_at_ns
         return unhealthy and self._rng.random() > PROBE_SHARE
 
-    def _start(self, job: Job, spare_ns: float, now_ns: int) -> StartDownstreamCall:
+    def _start(self, job: Job, available_ns: float, now_ns: int) -> StartDownstreamCall:
         settings = self._settings
-        too_late = not job.request_class.fallback_weight or now_ns >= job.objective_at_ns
-        stop_at_ns = job.deadline_ns if too_late else job.objective_at_ns
+        until_deadline = not job.request_class.fallback_weight or now_ns >= job.objective_at_ns
+        stop_at_ns = job.deadline_ns if until_deadline else job.objective_at_ns
         if self._shared:
-            stop_at_ns = min(stop_at_ns, now_ns + int(spare_ns))
-            longest_ns = stop_at_ns + settings.clock_step_ns + settings.abandoned_call_ns - now_ns
+            stop_at_ns = min(stop_at_ns, now_ns + int(available_ns))
+            reserved_ns = stop_at_ns + settings.clock_step_ns + settings.abandoned_call_ns - now_ns
             job.call_started_at_ns = now_ns
-            job.call_reserved_ns = longest_ns
-            self._used_ns += longest_ns
-        self._concurrency.move(job, JobState.CALLING)
+            job.call_reserved_ns = reserved_ns
+            self._used_ns += reserved_ns
+        self._concurrency.set_state(job, JobState.CALLING)
         job.calls_made += 1
         return StartDownstreamCall(job.request.id, stop_at_ns)
 
-    def end(self, job: Job, event: DownstreamCallEnded, now_ns: int) -> bool:
+    def end_call(self, job: Job, event: DownstreamCallEnded, now_ns: int) -> bool:
         """A call has ended; whether that leaves the request without hope of an answer."""
         succeeded = event.outcome is Outcome.OK
         never_ran = event.outcome in NEVER_RAN
-        self.release(job, now_ns, abandoned=not succeeded and not never_ran)
+        self.release_reservation(job, now_ns, abandoned=not succeeded and not never_ran)
         self.failure_share.add(now_ns, not succeeded)
         if succeeded:
             self.latency_ns.add(now_ns, event.duration_ns)
-            self._concurrency.move(job, JobState.RUNNING)
+            self._concurrency.set_state(job, JobState.RUNNING)
             return False
-        self._concurrency.move(job, JobState.AWAITING_CALL)
-        job.call_retry_at_ns = now_ns + BACKOFF_NS * 2 ** min(job.calls_made, MAX_BACKOFF_DOUBLINGS)
+        self._concurrency.set_state(job, JobState.AWAITING_CALL)
+        job.call_retry_at_ns = now_ns + INITIAL_BACKOFF_NS * 2 ** min(job.calls_made, MAX_BACKOFF_DOUBLINGS)
         idempotent = job.request_class.idempotency is Idempotency.IDEMPOTENT
-        final = not never_ran and (not idempotent or job.calls_made >= MAX_CALLS)
-        return final and not job.answered and not job.request_class.fallback_weight
+        not_retryable = not never_ran and (not idempotent or job.calls_made >= MAX_CALLS)
+        return not_retryable and not job.answered and not job.request_class.fallback_weight
 
-    def release(self, job: Job, now_ns: int, abandoned: bool) -> None:
+    def release_reservation(self, job: Job, now_ns: int, abandoned: bool) -> None:
         """Gives back what a call holds of the share, one window after its end.
 
         An abandoned call goes on for a while.
--- a/ochrehoist/admission/graceful_shutdown.py
+++ b/ochrehoist/admission/graceful_shutdown.py
@@ -4,7 +4,7 @@
 from ochrehoist.admission.job import Job
 from ochrehoist.admission.timing import TICK_INTERVAL_NS
 
-RESERVE_NS = 2 * TICK_INTERVAL_NS  # before the end, in which the last answers are sent
+SHUTDOWN_MARGIN_NS = 2 * TICK_INTERVAL_NS  # before the end, in which the last answers are sent
 
 
 class GracefulShutdown:
@@ -24,12 +24,12 @@
     def begin(self, event: DrainStarted, now_ns: int) -> None:
         """Begins to drain."""
         self._began_at_ns = now_ns
-        self._ends_at_ns = now_ns + max(0, event.remaining_ns - RESERVE_NS)
+        self._ends_at_ns = now_ns + max(0, event.remaining_ns - SHUTDOWN_MARGIN_NS)
 
     def limit_deadline(self, job: Job) -> None:
         """Brings the deadline of a request before the end of the instance."""
         job.deadline_ns = min(job.deadline_ns, self._ends_at_ns or job.deadline_ns)
 
-    def too_late(self, job: Job) -> bool:
+    def arrived_after_grace(self, job: Job) -> bool:
         """Whether a request came when its caller should have known."""
         return self._began_at_ns is not None and job.arrived_at_ns > self._began_at_ns + self._grace_ns
--- a/ochrehoist/admission/health.py
+++ b/ochrehoist/admission/health.py
@@ -2,7 +2,7 @@
 
 from ochrehoist.admission.timing import TICK_INTERVAL_NS
 
-OVERDUE_COMPLETIONS = 6.0  # at the mean run time, before runs without any completion count as stalled
+MAX_MISSED_COMPLETIONS = 6.0  # at the mean run time, before runs without any completion count as stalled
 MIN_STALL_TICKS = 2  # what ends sooner was a pause of this process
 
 
@@ -25,7 +25,7 @@
         """The instance starts."""
         self._progress_at_ns = self._last_event_ns = now_ns
 
-    def elapsed_since_last_event(self, now_ns: int) -> int:
+    def record_event(self, now_ns: int) -> int:
         """Time at work since the last event, in ns.
 
         Ticks are events; a longer gap than their interval is a pause of the whole process, not time at work.
@@ -43,7 +43,7 @@
 
     def evaluate(self, now_ns: int, running: int, mean_run_ns: float, draining: bool) -> bool:
         """Decides whether the instance is healthy; true where that has changed."""
-        limit_ns = mean_run_ns * (1 + OVERDUE_COMPLETIONS / max(1, running))
+        limit_ns = mean_run_ns * (1 + MAX_MISSED_COMPLETIONS / max(1, running))
         limit_ns = max(limit_ns, MIN_STALL_TICKS * TICK_INTERVAL_NS)
         self.stalled = running >= self._cores and now_ns - self._progress_at_ns > limit_ns
         was = self._healthy
--- a/ochrehoist/admission/idempotency.py
+++ b/ochrehoist/admission/idempotency.py
@@ -38,7 +38,7 @@
         self.retained.pop(job.request.id, None)
         job.key_retained = False
 
-    def remember_ended(self, job: Job, now_ns: int) -> None:
+    def record_ended(self, job: Job, now_ns: int) -> None:
         """Keeps a request that has ended, if a duplicate of it may still come."""
         ran_with_key = job.started and job.request_class.idempotency is Idempotency.KEYED
         if not ran_with_key and not job.key_retained:
--- a/ochrehoist/admission/job.py
+++ b/ochrehoist/admission/job.py
@@ -75,15 +75,15 @@
         self.objective_at_ns = arrived_at_ns + request_class.latency_objective_ns
         self.tenant: int | None = None  # the one in whose activity it counts
 
-    def waits(self) -> bool:
+    def has_no_run(self) -> bool:
         """Whether it has no run: it can be dropped without cancelling anything."""
-        return self.state in _WITHOUT_RUN
+        return self.state in _STATES_WITHOUT_RUN
 
     def waiting_followers(self) -> list["Job"]:
         """The duplicates that still wait for it to start."""
         return [follower for follower in self.followers if follower.state is JobState.FOLLOWING]
 
-    def hand_over_followers(self) -> "Job | None":
+    def promote_follower(self) -> "Job | None":
         """Makes the first of the waiting duplicates the one that the others follow; that one."""
         waiting = self.waiting_followers()
         if not waiting:
@@ -95,4 +95,4 @@
         return leader
 
 
-_WITHOUT_RUN = (JobState.QUEUED, JobState.ATTACHED, JobState.FOLLOWING)
+_STATES_WITHOUT_RUN = (JobState.QUEUED, JobState.ATTACHED, JobState.FOLLOWING)
--- a/ochrehoist/admission/learned_state.py
+++ b/ochrehoist/admission/learned_state.py
@@ -14,7 +14,7 @@
 from ochrehoist.admission.tenant_activity import MIN_COUNT, TICK_DECAY, RequestCounts
 from ochrehoist.errors import OchrehoistError
 
-LAYOUT = 1  # of the values of a snapshot
+LAYOUT_VERSION = 1  # of the values of a snapshot
 MIN_STORED_STARTS_PER_S = 1e-6  # lower rates of tenants are left out
 CLASS_MEAN_KEYS = "took", "stated", "tells"  # means that are kept for each class
 
@@ -87,11 +87,11 @@
         "ran": {name: starts for name, (_, _, starts) in active.items() if starts > MIN_STORED_STARTS_PER_S},
         "beats": activity.tick,
         "tenants": [
-            [name, asked, served]
-            for name, (asked, served, _) in active.items()
-            if asked > MIN_COUNT or served > MIN_COUNT
+            [name, requested, served]
+            for name, (requested, served, _) in active.items()
+            if requested > MIN_COUNT or served > MIN_COUNT
         ],
-        "asked": [[of.name, counts.asked] for of, counts in by_class],
+        "asked": [[of.name, counts.requested] for of, counts in by_class],
         "served": [[of.name, counts.served] for of, counts in by_class],
     }
 
@@ -150,7 +150,7 @@
     same = (cores, max_concurrency) == (controller.settings.cores, curve.max_concurrency)
     if same and len(observed_s) == len(curve.observed_s) == len(completions):
         curve.restore(_number(peak), _numbers(observed_s), _numbers(completions))
-        controller.policy.restore_floor(int(data["floor"]))
+        controller.policy.set_floor(int(data["floor"]))
 
 
 def _restore_means(controller: AdmissionController, data: Snapshot, now_ns: int) -> None:
@@ -170,7 +170,7 @@
     """The counts of a snapshot, by the positions of the controller that restores it."""
 
     def __init__(self, controller: AdmissionController, data: Snapshot, positions: Mapping[str, int]) -> None:
-        self._asked = {name: _number(value) for name, value in data["asked"]}
+        self._requested = {name: _number(value) for name, value in data["asked"]}
         self._served = {name: _number(value) for name, value in data["served"]}
         self._starts_per_s = {
             positions[name]: _number(rate) for name, rate in data["ran"].items() if name in positions
@@ -178,18 +178,18 @@
         if "beats" in data:
             self._tick = int(data["beats"])
             self._tenants = {
-                positions[name]: RequestCounts(_number(asked), _number(served))
-                for name, asked, served in data["tenants"]
+                positions[name]: RequestCounts(_number(requested), _number(served))
+                for name, requested, served in data["tenants"]
                 if name in positions
             }
         else:
-            self._read_all_tenants(controller, positions)
+            self._read_legacy_counts(controller, positions)
 
-    def _read_all_tenants(self, controller: AdmissionController, positions: Mapping[str, int]) -> None:
+    def _read_legacy_counts(self, controller: AdmissionController, positions: Mapping[str, int]) -> None:
         """From an older release, which stored the counts of all tenants: most were idle, and alike."""
         counts: dict[int, RequestCounts] = {
-            positions[name]: RequestCounts(asked, self._served[name])
-            for name, asked in self._asked.items()
+            positions[name]: RequestCounts(requested, self._served[name])
+            for name, requested in self._requested.items()
             if name in positions
         }
         idle = max(MIN_COUNT, min((value for pair in counts.values() for value in pair), default=1.0))
@@ -198,13 +198,15 @@
         self._starts_per_s = {
             at: rate
             for at, rate in self._starts_per_s.items()
-            if at in self._tenants or rate > controller.activity.first_starts_per_s(at)
+            if at in self._tenants or rate > controller.activity.initial_starts_per_s(at)
         }
 
     def apply(self, controller: AdmissionController) -> None:
         """Sets the counts, and what follows from them."""
         classes = [
-            RequestCounts(self._asked.get(of.name, counts.asked), self._served.get(of.name, counts.served))
+            RequestCounts(
+                self._requested.get(of.name, counts.requested), self._served.get(of.name, counts.served)
+            )
             for of, counts in zip(controller.settings.classes, controller.activity.by_class, strict=True)
         ]
         controller.activity.restore(max(1, self._tick), classes, self._tenants, self._starts_per_s)
--- a/ochrehoist/admission/load_shedding.py
+++ b/ochrehoist/admission/load_shedding.py
@@ -15,9 +15,11 @@
 from ochrehoist.units import NS_PER_S
 
 SAFETY_FACTOR = 1.4  # mean run times left before the objective of what is started: three in four end in time
-RETRY_AFTER_SHARE = 0.25  # of its objective that a rejected request waits at most: later retries end too late
-REJECTION_MEMORY_S = 2.0
-REJECTION_FIRST_WEIGHT = 10.0  # samples that the first value counts as
+MAX_RETRY_AFTER_SHARE = (
+    0.25  # of its objective that a rejected request waits at most: later retries end too late
+)
+REJECTION_DECAY_S = 2.0
+REJECTION_INITIAL_WEIGHT = 10.0  # samples that the first value counts as
 
 
 class CompletionForecast:
@@ -28,7 +30,7 @@
         "_completion_interval_ns",
         "_cores",
         "_floor",
-        "_idle_instance",
+        "_instance_is_idle",
         "_now_ns",
         "_policy",
         "_run_times",
@@ -52,7 +54,7 @@
         self._starts = starts
         self._cores = cores
         self._running = concurrency.running
-        self._idle_instance = not (concurrency.running + concurrency.calling)
+        self._instance_is_idle = not (concurrency.running + concurrency.calling)
         self._speed = concurrency.speed(now_ns)
         self._floor = policy.floor
         self._policy = policy
@@ -71,23 +73,23 @@
         What an idle core takes at once waits for nothing, and needs no margin.
         """
         need_ns = 0.0
-        if position > 1 or not self._idle_instance:
-            crowd = contention(self._running + position, self._floor, self._cores)
-            need_ns = safe_run_ns * self._run_times.size(job) * crowd
+        if position > 1 or not self._instance_is_idle:
+            contention_factor = contention(self._running + position, self._floor, self._cores)
+            need_ns = safe_run_ns * self._run_times.expected_size(job) * contention_factor
         if position <= self._starts and self._running < self._cores:
             need_ns = need_ns / SAFETY_FACTOR
         elif position > self._starts:
-            need_ns = need_ns + (position - self._starts) * self._interval_ns()
+            need_ns = need_ns + (position - self._starts) * self._completion_interval()
         latest_ns = job.objective_at_ns
         if self._callers.timeouts:
             timeout_ns = self._callers.timeout_ns(job, self._now_ns)
             latest_ns = min(latest_ns, job.arrived_at_ns + timeout_ns)
         return self._now_ns + need_ns > latest_ns
 
-    def _interval_ns(self) -> float:
+    def _completion_interval(self) -> float:
         """The expected time between two completions."""
         if self._completion_interval_ns is None:
-            self._completion_interval_ns = NS_PER_S / self._policy.full_rate_per_s(self._running)
+            self._completion_interval_ns = NS_PER_S / self._policy.saturated_rate_per_s(self._running)
         return self._completion_interval_ns
 
 
@@ -104,7 +106,7 @@
         rng: Random,
     ) -> None:
         """Nothing was rejected."""
-        self.rejection_share = DecayingMean(REJECTION_MEMORY_S, 0.0, REJECTION_FIRST_WEIGHT)
+        self.rejection_share = DecayingMean(REJECTION_DECAY_S, 0.0, REJECTION_INITIAL_WEIGHT)
         self._settings = settings
         self._arrivals = arrivals
         self._activity = activity
@@ -123,18 +125,18 @@
         all.
         """
         self.rejection_share.add(now_ns, not unavailable)
-        over_quota = self._activity.over_half_beyond_quota(job.request.tenant_index)
+        over_quota = self._activity.is_mostly_over_quota(job.request.tenant_index)
         limit_ns = self._settings.max_retry_after_ns
         if unavailable:
             return RejectRequest(job.request.id, int(limit_ns), False)
-        rate_per_s = self._policy.full_rate_per_s(self._concurrency.running)
+        rate_per_s = self._policy.saturated_rate_per_s(self._concurrency.running)
         expected_ns = self._arrivals.unread_ns.value + (queued + 1) / rate_per_s * NS_PER_S
         objective_ns = job.request_class.latency_objective_ns
-        retry_after_ns = min(expected_ns, objective_ns * RETRY_AFTER_SHARE, limit_ns)
-        no_retry = job.request.is_retry or over_quota or self._spares_others()
+        retry_after_ns = min(expected_ns, objective_ns * MAX_RETRY_AFTER_SHARE, limit_ns)
+        no_retry = job.request.is_retry or over_quota or self._suppresses_retry_elsewhere()
         return RejectRequest(job.request.id, int(retry_after_ns), no_retry)
 
-    def _spares_others(self) -> bool:
+    def _suppresses_retry_elsewhere(self) -> bool:
         """Whether this time other instances should not be tried either.
 
         In a retry storm what others would reject too is not sent around; where retries are not marked the
--- a/ochrehoist/admission/mpl_policy.py
+++ b/ochrehoist/admission/mpl_policy.py
@@ -20,7 +20,7 @@
 REBUILD_INTERVAL_NS = 5 * NS_PER_S
 ZERO_SIZE_SHARE = 0.25  # the paper's default
 MAX_TABLE_QUEUE = 32  # rows of the table; longer queues read the last one, where K is pinned
-CLIMB_SHARE = 4  # the floor climbs by at most 1/CLIMB_SHARE of the cores from tick to tick
+CLIMB_DIVISOR = 4  # the floor climbs by at most 1/CLIMB_SHARE of the cores from tick to tick
 
 Table = list[list[int]]
 
@@ -75,10 +75,10 @@
         self.curve = curve
         self.floor = cores
         self._cores = cores
-        self._climbs_left = 0
+        self._remaining_climbs = 0
         self._table: Table = []
         self._rebuilt_at_ns = 0
-        self.allow_climb()
+        self.reset_climbs()
 
     def begin(self, now_ns: int) -> None:
         """Builds the first table."""
@@ -100,21 +100,21 @@
         row = self._table[min(queued, MAX_TABLE_QUEUE)]
         return row[min(running + 1, len(row) - 1)] + 1
 
-    def full_rate_per_s(self, running: int) -> float:
+    def saturated_rate_per_s(self, running: int) -> float:
         """Completions per second with the cores full."""
         curve = self.curve
         return curve.rate_per_s(max(self.floor, min(running, curve.max_concurrency)))
 
-    def allow_climb(self) -> None:
+    def reset_climbs(self) -> None:
         """Lets the floor climb again: a new gauge tells whether cores idle."""
-        self._climbs_left = 1 + self._cores // CLIMB_SHARE
+        self._remaining_climbs = 1 + self._cores // CLIMB_DIVISOR
 
     def adjust_floor(self, cores_idle: bool) -> None:
         """At a completion: up while cores idle, as far as one gauge allows, down otherwise."""
-        change = (self._climbs_left > 0) if cores_idle else -1
-        self._climbs_left -= max(0, change)
-        self.restore_floor(self.floor + change)
+        change = (self._remaining_climbs > 0) if cores_idle else -1
+        self._remaining_climbs -= max(0, change)
+        self.set_floor(self.floor + change)
 
-    def restore_floor(self, floor: int) -> None:
+    def set_floor(self, floor: int) -> None:
         """Sets the floor, within what the instance can bear."""
         self.floor = max(self._cores, min(self.curve.max_concurrency, floor))
--- a/ochrehoist/admission/priority.py
+++ b/ochrehoist/admission/priority.py
@@ -46,7 +46,7 @@
         quota_factor = 1.0
         tenant = request.tenant_index
         if tenant is not None:
-            counts = activity.of_tenant(tenant)
+            counts = activity.tenant_counts(tenant)
             within = activity.share_within_quota(tenant, counts.starts_per_s)
             lack = counts.shortfall / activity.total_shortfall / counts.expected_demand
             gain = gain + self._worst_tenant_weight * lack
--- a/ochrehoist/admission/request_queue.py
+++ b/ochrehoist/admission/request_queue.py
@@ -52,7 +52,7 @@
         stated_work = self._weighs_work or request.work_ns
         return request.class_index, request.tenant_index, job.expensive, stated_work
 
-    def evaluates_all(self, now_ns: int) -> bool:
+    def begin_full_evaluation(self, now_ns: int) -> bool:
         """Whether each queued request is to be looked at now; notes that it is.
 
         A long queue is evaluated as a whole only now and then, which bounds the cost of an event; its other
--- a/ochrehoist/admission/run_observer.py
+++ b/ochrehoist/admission/run_observer.py
@@ -35,7 +35,7 @@
 
     def observe_elapsed_time(self, now_ns: int) -> None:
         """Counts the time since the last event, for as many runs as there are."""
-        elapsed_ns = self._health.elapsed_since_last_event(now_ns)
+        elapsed_ns = self._health.record_event(now_ns)
         running = self._concurrency.running
         if running and not self._health.stalled and self._concurrency.is_warm(now_ns):
             self._curve.observe_time(running, elapsed_ns / NS_PER_S)
@@ -52,6 +52,6 @@
     def _learn(self, job: Job, duration_ns: int, now_ns: int) -> None:
         running = self._concurrency.running
         self._curve.observe_completion(running, self._concurrency.is_warm(now_ns))
-        crowd = contention(running, self._policy.floor, self._cores)
-        run_ns = duration_ns * self._concurrency.speed(now_ns) / crowd
+        contention_factor = contention(running, self._policy.floor, self._cores)
+        run_ns = duration_ns * self._concurrency.speed(now_ns) / contention_factor
         self._run_times.observe_run(job, run_ns, now_ns)
--- a/ochrehoist/admission/run_time.py
+++ b/ochrehoist/admission/run_time.py
@@ -3,13 +3,13 @@
 from ochrehoist.admission.decaying_mean import DecayingMean
 from ochrehoist.admission.job import Job
 from ochrehoist.admission.settings import AdmissionSettings
-from ochrehoist.admission.timing import MEMORY_S
+from ochrehoist.admission.timing import DECAY_S
 
 MIN_SIZE = 0.05  # of the usual cost of its class: the least that a request is expected to cost
 MAX_SIZE = 30.0
-RUN_TIME_MEMORY_S = 10.0
-FIRST_OBJECTIVE_SHARE = 4  # a run is expected to take 1/4 of the mean objective until one was seen
-FIRST_WEIGHT = 3.0
+RUN_TIME_DECAY_S = 10.0
+INITIAL_RUN_TIME_DIVISOR = 4  # a run is expected to take 1/4 of the mean objective until one was seen
+INITIAL_WEIGHT = 3.0
 
 
 def contention(running: int, floor: int, cores: int) -> float:
@@ -32,11 +32,11 @@
     def __init__(self, settings: AdmissionSettings, mean_objective_ns: float) -> None:
         """Each class is expected to take a share of the mean objective."""
         classes = settings.classes
-        first_ns = mean_objective_ns / FIRST_OBJECTIVE_SHARE
-        self.mean_run_ns = [DecayingMean(RUN_TIME_MEMORY_S, first_ns, FIRST_WEIGHT) for _ in classes]
-        self.mean_stated_work_ns = [DecayingMean(MEMORY_S, 0.0, 0.0) for _ in classes]
+        first_ns = mean_objective_ns / INITIAL_RUN_TIME_DIVISOR
+        self.mean_run_ns = [DecayingMean(RUN_TIME_DECAY_S, first_ns, INITIAL_WEIGHT) for _ in classes]
+        self.mean_stated_work_ns = [DecayingMean(DECAY_S, 0.0, 0.0) for _ in classes]
         # By how much stated work betters the guess; as long as nothing was seen it is believed.
-        self.stated_work_gain_ns = [DecayingMean(MEMORY_S, 1.0, FIRST_WEIGHT) for _ in classes]
+        self.stated_work_gain_ns = [DecayingMean(DECAY_S, 1.0, INITIAL_WEIGHT) for _ in classes]
 
     def observe_stated_work(self, job: Job, work_ns: int, now_ns: int) -> None:
         """Sets the size of a request that states its work."""
@@ -50,9 +50,9 @@
         mean = self.mean_run_ns[at]
         gain_ns = abs(run_ns - mean.value) - abs(run_ns - mean.value * job.size)
         self.stated_work_gain_ns[at].add(now_ns, gain_ns)
-        mean.add(now_ns, run_ns / self.size(job))
+        mean.add(now_ns, run_ns / self.expected_size(job))
 
-    def size(self, job: Job) -> float:
+    def expected_size(self, job: Job) -> float:
         """How many times the mean of its class the request is expected to take."""
         if self.stated_work_gain_ns[job.request.class_index].value > 0:
             return job.size
--- a/ochrehoist/admission/service_rate.py
+++ b/ochrehoist/admission/service_rate.py
@@ -3,11 +3,11 @@
 from math import exp
 
 from ochrehoist.admission.settings import AdmissionSettings
-from ochrehoist.admission.timing import MEMORY_S
+from ochrehoist.admission.timing import DECAY_S
 from ochrehoist.units import NS_PER_S
 
 SURVIVABLE_SHARE = 0.8  # of the concurrency at which the instance collapses; returns from calls come on top
-FIRST_RUN_SHARE = 4  # a run is taken to last 1/4 of the mean objective until one was seen
+SEED_RUN_TIME_DIVISOR = 4  # a run is taken to last 1/4 of the mean objective until one was seen
 PRIOR_S = 10.0  # of observation at one concurrency that weigh as much as the seed curve
 SEED_DECLINE = 0.95  # share of the peak that the seed curve loses from the cores to the maximum
 MIN_RATE_PER_S = 1e-9
@@ -43,7 +43,7 @@
 
     def decay(self, elapsed_s: float) -> None:
         """Ages all observations by this time, and fits the peak of the seed curve to them."""
-        kept = exp(-elapsed_s / MEMORY_S)
+        kept = exp(-elapsed_s / DECAY_S)
         self.observed_s = [observed * kept for observed in self.observed_s]
         self.completions = [count * kept for count in self.completions]
         offered = sum(observed * self.seed_share(n) for n, observed in enumerate(self.observed_s))
@@ -66,5 +66,5 @@
     """The curve of an instance that has observed nothing yet."""
     cores = settings.cores
     survivable = int(cores * settings.collapse_multiple * SURVIVABLE_SHARE)
-    peak_rate_per_s = cores / (mean_objective_ns / NS_PER_S / FIRST_RUN_SHARE)
+    peak_rate_per_s = cores / (mean_objective_ns / NS_PER_S / SEED_RUN_TIME_DIVISOR)
     return ServiceRateCurve(cores, max(cores + 1, survivable), peak_rate_per_s)
--- a/ochrehoist/admission/start_selection.py
+++ b/ochrehoist/admission/start_selection.py
@@ -40,7 +40,7 @@
         self._callers = callers
         self._gauges = CoreGauges()
 
-    def read_gauges(self, gauges: dict[str, float], now_ns: int) -> None:
+    def update_gauges(self, gauges: dict[str, float], now_ns: int) -> None:
         """Takes what was measured at a tick: `cpu_busy` (share) and `runnable` (threads)."""
         runnable = gauges.get("runnable", 0)
         others = int(max(0, runnable - self._concurrency.running))
@@ -53,7 +53,7 @@
         """
         return self._gauges.busy_share < BUSY_CORES_SHARE and self._gauges.runnable < self._cores
 
-    def free_starts(self, now_ns: int) -> int:
+    def allowed_starts(self, now_ns: int) -> int:
         """How many requests may start now."""
         concurrency = self._concurrency
         policy = self._policy
@@ -80,7 +80,7 @@
         what starts now is evaluated, but for a few times each second.
         """
         queue = self._queue
-        evaluates_all = queue.evaluates_all(now_ns)
+        evaluates_all = queue.begin_full_evaluation(now_ns)
         limit = len(queue.jobs) if evaluates_all else starts
         forecast = self._forecast(now_ns, starts)
         startable: list[Job] = []
@@ -89,12 +89,12 @@
             run_ns = forecast.safe_run_ns(group[0].request.class_index)
             position += len(group)
             just_came = not evaluates_all and group[-1] is queue.newest
-            if just_came and self._is_hopeless(group[-1], position, forecast, run_ns):
+            if just_came and self._should_reject(group[-1], position, forecast, run_ns):
                 reject(group.pop())
             for job in group:
                 if len(startable) >= limit:
                     break
-                if self._is_hopeless(job, len(startable) + 1, forecast, run_ns):
+                if self._should_reject(job, len(startable) + 1, forecast, run_ns):
                     reject(job)
                 else:
                     startable.append(job)
@@ -105,5 +105,5 @@
             now_ns, starts, self._cores, self._concurrency, self._policy, self._run_times, self._callers
         )
 
-    def _is_hopeless(self, job: Job, position: int, forecast: CompletionForecast, run_ns: float) -> bool:
+    def _should_reject(self, job: Job, position: int, forecast: CompletionForecast, run_ns: float) -> bool:
         return self._health.stalled or forecast.misses_objective(job, position, run_ns)
--- a/ochrehoist/admission/tenant_activity.py
+++ b/ochrehoist/admission/tenant_activity.py
@@ -9,10 +9,10 @@
 from typing import NamedTuple
 
 from ochrehoist.admission.settings import AdmissionSettings, Tenant
-from ochrehoist.admission.timing import MEMORY_S, TICK_INTERVAL_NS
+from ochrehoist.admission.timing import DECAY_S, TICK_INTERVAL_NS
 from ochrehoist.units import NS_PER_S
 
-TICK_DECAY = exp(-TICK_INTERVAL_NS / NS_PER_S / MEMORY_S)  # what a tick leaves of a count
+TICK_DECAY = exp(-TICK_INTERVAL_NS / NS_PER_S / DECAY_S)  # what a tick leaves of a count
 MIN_COUNT = 0.1  # a count of requests falls no further
 FULLY_SERVED_SHORTFALL = (1.01 - 1.0) ** 2
 FORGET_AFTER_TICKS = 3000  # after which what is left of counts decides nothing
@@ -22,18 +22,18 @@
 class RequestCounts(NamedTuple):
     """What was asked and what was served of it, each decaying."""
 
-    asked: float
+    requested: float
     served: float
 
 
 class ActivityCounts:
     """Decaying counts of one class or tenant, and what followed from them at the last tick."""
 
-    __slots__ = "asked", "expected_demand", "served", "shortfall", "starts_per_s", "tick"
+    __slots__ = "expected_demand", "requested", "served", "shortfall", "starts_per_s", "tick"
 
     def __init__(self, starts_per_s: float, expected_demand: float) -> None:
         """Asked once, and served; `starts_per_s` is what it is taken to have used so far."""
-        self.asked = 1.0  # requests that are no retries
+        self.requested = 1.0  # requests that are no retries
         self.served = 1.0  # answered within their objective
         self.starts_per_s = starts_per_s
         self.tick = 0  # as of which the counts are
@@ -43,11 +43,11 @@
     def decayed(self, ticks: int) -> tuple[float, float, float]:
         """What is left of `asked`, `served` and `starts_per_s` after so many ticks."""
         kept = TICK_DECAY**ticks
-        asked = self.asked * kept
+        requested = self.requested * kept
         served = self.served * kept
         # No max(): with thousands of active tenants that takes half of the time.
         return (
-            asked if asked > MIN_COUNT else MIN_COUNT,
+            requested if requested > MIN_COUNT else MIN_COUNT,
             served if served > MIN_COUNT else MIN_COUNT,
             self.starts_per_s * kept,
         )
@@ -57,21 +57,21 @@
         last = tick - 1
         if last < self.tick:
             return
-        asked = self.asked
+        requested = self.requested
         served = self.served
         if last > self.tick:
-            asked, served, _ = self.decayed(last - self.tick)
+            requested, served, _ = self.decayed(last - self.tick)
         demand = max_demand if max_demand > MIN_COUNT else MIN_COUNT
-        if asked <= max_demand:
-            demand = asked
+        if requested <= max_demand:
+            demand = requested
         self.expected_demand = demand
         self.shortfall = (1.01 - served / demand) ** 2 if served < demand else FULLY_SERVED_SHORTFALL
-        self.asked, self.served, self.starts_per_s = self.decayed(tick - self.tick)
+        self.requested, self.served, self.starts_per_s = self.decayed(tick - self.tick)
         self.tick = tick
 
-    def restore(self, asked: float, served: float, starts_per_s: float, tick: int) -> None:
+    def restore(self, requested: float, served: float, starts_per_s: float, tick: int) -> None:
         """Continues from counts that were learned elsewhere, as of a tick."""
-        self.asked = asked
+        self.requested = requested
         self.served = served
         self.starts_per_s = starts_per_s
         self.tick = tick
@@ -88,43 +88,43 @@
         self.total_shortfall = 0.0  # of all tenants, as of the last refresh
         self._tenants = settings.tenants
         self._fleet_size = settings.fleet_size
-        self._first_quotas = [tenant.quota_per_s for tenant in settings.tenants]
+        self._initial_quotas = [tenant.quota_per_s for tenant in settings.tenants]
         self._underserved: set[int] = set()  # those that asked since, or were not served in full
 
     def replace_tenants(self, tenants: tuple[Tenant, ...]) -> None:
         """Takes other tenants; those that stay keep their positions, and new ones come behind."""
-        self._first_quotas += [0.0] * (len(tenants) - len(self._first_quotas))
+        self._initial_quotas += [0.0] * (len(tenants) - len(self._initial_quotas))
         self._tenants = tenants
 
-    def of_tenant(self, tenant: int) -> ActivityCounts:
+    def tenant_counts(self, tenant: int) -> ActivityCounts:
         """The counts of a tenant, as of this tick."""
         counts = self.by_tenant.get(tenant)
         if counts is None or counts.tick < self.tick:
-            max_demand = self._tenants[tenant].quota_per_s / self._fleet_size * MEMORY_S
+            max_demand = self._tenants[tenant].quota_per_s / self._fleet_size * DECAY_S
             if counts is None:
-                first_starts_per_s = self._first_quotas[tenant] / self._fleet_size
-                counts = ActivityCounts(first_starts_per_s, min(1.0, max(MIN_COUNT, max_demand)))
+                initial_starts_per_s = self._initial_quotas[tenant] / self._fleet_size
+                counts = ActivityCounts(initial_starts_per_s, min(1.0, max(MIN_COUNT, max_demand)))
             counts.advance(self.tick, max_demand)
             self.by_tenant[tenant] = counts
         return counts
 
     def observe_request(self, class_index: int, tenant: int | None, is_retry: bool) -> None:
         """A request was received."""
-        self.by_class[class_index].asked += not is_retry
+        self.by_class[class_index].requested += not is_retry
         if tenant is not None:
             self._underserved.add(tenant)
-            self.of_tenant(tenant).asked += not is_retry
+            self.tenant_counts(tenant).requested += not is_retry
 
     def observe_start(self, tenant: int | None) -> None:
         """A request starts."""
         if tenant is not None:
-            self.of_tenant(tenant).starts_per_s += 1 / MEMORY_S
+            self.tenant_counts(tenant).starts_per_s += 1 / DECAY_S
 
     def observe_served(self, class_index: int, tenant: int | None) -> None:
         """A request was answered within its objective."""
         self.by_class[class_index].served += 1
         if tenant is not None:
-            self.of_tenant(tenant).served += 1
+            self.tenant_counts(tenant).served += 1
 
     def share_within_quota(self, tenant: int, starts_per_s: float) -> float:
         """The part of a tenant's starts here that its quota covers.
@@ -136,11 +136,11 @@
         rate_per_s = starts_per_s if starts_per_s > MIN_STARTS_PER_S else MIN_STARTS_PER_S
         return 1.0 if quota_per_s >= rate_per_s else quota_per_s / rate_per_s
 
-    def over_half_beyond_quota(self, tenant: int | None) -> bool:
+    def is_mostly_over_quota(self, tenant: int | None) -> bool:
         """Whether more than half of a tenant's starts are beyond its quota."""
         if tenant is None:
             return False
-        return self.share_within_quota(tenant, self.of_tenant(tenant).starts_per_s) < 0.5
+        return self.share_within_quota(tenant, self.tenant_counts(tenant).starts_per_s) < 0.5
 
     def next_tick(self) -> None:
         """Counts one tick, and refreshes what follows from the counts."""
@@ -152,11 +152,13 @@
 
         A tenant that is served in full lacks the same until it asks again, so all such are one product.
         """
-        underserved = {tenant: self.of_tenant(tenant) for tenant in self._underserved}
+        underserved = {tenant: self.tenant_counts(tenant) for tenant in self._underserved}
         served_in_full = len(self._tenants) - len(underserved)
         shortfall = sum(counts.shortfall for counts in underserved.values())
         self.total_shortfall = shortfall + served_in_full * FULLY_SERVED_SHORTFALL
-        self._underserved = {tenant for tenant, counts in underserved.items() if counts.served < counts.asked}
+        self._underserved = {
+            tenant for tenant, counts in underserved.items() if counts.served < counts.requested
+        }
         for counts in self.by_class:
             counts.advance(self.tick, inf)
         if not self.tick % FORGET_AFTER_TICKS:
@@ -169,9 +171,9 @@
             if self.tick - counts.tick < FORGET_AFTER_TICKS
         }
 
-    def first_starts_per_s(self, tenant: int) -> float:
+    def initial_starts_per_s(self, tenant: int) -> float:
         """What a tenant is taken to have used before it was heard of."""
-        return self._first_quotas[tenant] / self._fleet_size
+        return self._initial_quotas[tenant] / self._fleet_size
 
     def restore(
         self,
@@ -186,11 +188,11 @@
         """
         self.by_tenant = {}
         self.tick = tick
-        for counts, (asked, served) in zip(self.by_class, classes, strict=True):
-            counts.restore(asked, served, counts.starts_per_s, tick - 1)
+        for counts, (requested, served) in zip(self.by_class, classes, strict=True):
+            counts.restore(requested, served, counts.starts_per_s, tick - 1)
         for tenant in tenants.keys() | starts_per_s.keys():
-            counts = self.of_tenant(tenant)
-            asked, served = tenants.get(tenant, RequestCounts(counts.asked, counts.served))
-            counts.restore(asked, served, starts_per_s.get(tenant, counts.starts_per_s), tick - 1)
+            counts = self.tenant_counts(tenant)
+            requested, served = tenants.get(tenant, RequestCounts(counts.requested, counts.served))
+            counts.restore(requested, served, starts_per_s.get(tenant, counts.starts_per_s), tick - 1)
         self._underserved = set(tenants)
         self.refresh()
--- a/ochrehoist/store/learned_state_records.py
+++ b/ochrehoist/store/learned_state_records.py
@@ -12,14 +12,16 @@
 
 def learned_state_record(controller: AdmissionController) -> LearnedStateRecord:
     """A snapshot of what a controller has learned."""
-    return LearnedStateRecord(current_timestamp(), learned_state.snapshot(controller), learned_state.LAYOUT)
+    return LearnedStateRecord(
+        current_timestamp(), learned_state.snapshot(controller), learned_state.LAYOUT_VERSION
+    )
 
 
 def restorable_state(
     record: LearnedStateRecord | None, half_life_s: float, cold: bool, log: Any
 ) -> LearnedState | None:
     """The part of a stored snapshot that still counts; None where it is of another layout, or corrupt."""
-    if record is None or record.layout != learned_state.LAYOUT:
+    if record is None or record.layout != learned_state.LAYOUT_VERSION:
         return None
     half_life_ns = int(half_life_s * NS_PER_S)
     try:
--- a/tests/admission/tenant_load.py
+++ b/tests/admission/tenant_load.py
@@ -74,7 +74,7 @@
         """What the goal gains by an answer to it, and the part of what it starts that is within its share."""
         job = Job(RequestReceived("probe", 0, tenant, work_ns=S), self.settings.classes[0], self.now)
         return self.c.priority.value(job), self.c.activity.share_within_quota(
-            tenant, self.c.activity.of_tenant(tenant).starts_per_s
+            tenant, self.c.activity.tenant_counts(tenant).starts_per_s
         )
 
 
@@ -83,7 +83,7 @@
 
     def __init__(self, module):
         self.m, n = module, len(module.settings.tenants)
-        self.asked, self.served = [1.0] * (2 + n), [1.0] * (2 + n)
+        self.requested, self.served = [1.0] * (2 + n), [1.0] * (2 + n)
         self.of = module.settings.tenants
         self.ran = [self.share(t) for t in self.of]
         self.value()
@@ -96,7 +96,7 @@
         """Values all anew."""
         goal, classes = self.m.settings.objective, self.m.settings.classes
         most = [float("inf")] * 2 + [max(0.1, self.share(t) * 20) for t in self.of]
-        asked = [min(a, m) for a, m in zip(self.asked, most, strict=True)]
+        asked = [min(a, m) for a, m in zip(self.requested, most, strict=True)]
         lack = [(1.01 - min(1.0, v / a)) ** 2 for v, a in zip(self.served, asked, strict=True)]
         offered = sum(c.priority_weight * a for c, a in zip(classes, asked, strict=False))
         self.gains = [
@@ -111,7 +111,7 @@
     def tick(self):
         """One tick."""
         self.value()
-        self.asked = [max(0.1, a * DECAY_PER_TICK) for a in self.asked]
+        self.requested = [max(0.1, a * DECAY_PER_TICK) for a in self.requested]
         self.served = [max(0.1, v * DECAY_PER_TICK) for v in self.served]
         self.ran = [r * DECAY_PER_TICK for r in self.ran]
 
--- a/tests/admission/test_short_runs.py
+++ b/tests/admission/test_short_runs.py
@@ -65,8 +65,8 @@
         d = Driver(classes=CLASSES[:1], memory_kb=2_000_000.0, cores=40, collapse_multiple=2.0)
         asked = []
         selector = d.controller._selector
-        plain = selector._is_hopeless
-        selector._is_hopeless = lambda *args: asked.append(1) or plain(*args)
+        plain = selector._should_reject
+        selector._should_reject = lambda *args: asked.append(1) or plain(*args)
         for _ in range(100):
             d.request()
         held, before = len(d.controller.queue.jobs), len(asked)
--- a/tests/admission/test_tenant_learned_state.py
+++ b/tests/admission/test_tenant_learned_state.py
@@ -40,7 +40,7 @@
         learned_state.restore(
             fresh.c, learned_state.snapshot(m.c), fresh.now, {f"tenant{49 - n}": n for n in range(49)}
         )
-        self.assertEqual(fresh.c.activity.of_tenant(48).asked > 1, True)  # tenant1
+        self.assertEqual(fresh.c.activity.tenant_counts(48).requested > 1, True)  # tenant1
         self.assertEqual(len(fresh.c.activity.by_tenant), 6)
 
     def test_a_class_and_a_tenant_of_one_name_keep_their_own_counts(self):
@@ -49,8 +49,8 @@
         for _ in range(9):
             m.serve(1)
         learned_state.restore(fresh.c, learned_state.snapshot(m.c), fresh.now)
-        self.assertLess(fresh.c.activity.of_tenant(0).asked, 1.1)
-        self.assertGreater(fresh.c.activity.by_class[0].asked, 4)
+        self.assertLess(fresh.c.activity.tenant_counts(0).requested, 1.1)
+        self.assertGreater(fresh.c.activity.by_class[0].requested, 4)
 
     def older(self, level, beats):
         """What a program before this told: all tenants, those behind the classes in one list."""
@@ -71,10 +71,10 @@
                 fresh = TenantDriver(tenants(50, 30.0))
                 learned_state.restore(fresh.c, self.older(level, beats), fresh.now)
                 self.assertLessEqual(fresh.c.activity.by_tenant.keys(), {0, 1})
-                first, second, quiet = (fresh.c.activity.of_tenant(n) for n in (0, 1, 30))
-                self.assertAlmostEqual(first.asked, 8.0 * DECAY_PER_TICK)
+                first, second, quiet = (fresh.c.activity.tenant_counts(n) for n in (0, 1, 30))
+                self.assertAlmostEqual(first.requested, 8.0 * DECAY_PER_TICK)
                 self.assertAlmostEqual(second.served, 4.0 * DECAY_PER_TICK)
-                self.assertAlmostEqual(quiet.asked, level, delta=0.011 * level)
+                self.assertAlmostEqual(quiet.requested, level, delta=0.011 * level)
                 self.assertAlmostEqual(fresh.probe(0)[1], 3.0 / (9.0 * DECAY_PER_TICK))
                 self.assertEqual(fresh.probe(30)[1], 1.0)
                 self.assertGreater(fresh.probe(0)[0] / fresh.probe(0)[1], fresh.probe(30)[0] * 0.5)
@@ -86,11 +86,11 @@
             kept = expire_learned_state(lesson, then, later, 60 * S, False)
             fresh = TenantDriver(tenants(50, 30.0))
             learned_state.restore(fresh.c, kept, fresh.now)
-            first = fresh.c.activity.of_tenant(0).asked
+            first = fresh.c.activity.tenant_counts(0).requested
             fresh = TenantDriver(tenants(50, 30.0))
             learned_state.restore(fresh.c, expire_learned_state(lesson, then, then, hour, False), fresh.now)
-            self.assertAlmostEqual(first, fresh.c.activity.of_tenant(0).asked / 2, places=6)
-            self.assertLess(fresh.c.activity.of_tenant(30).asked, 0.9)
+            self.assertAlmostEqual(first, fresh.c.activity.tenant_counts(0).requested / 2, places=6)
+            self.assertLess(fresh.c.activity.tenant_counts(30).requested, 0.9)
 
     def test_a_rate_of_starts_is_stored_until_it_has_decayed_below_the_minimum(self):
         half_life = 3600 * S
--- a/tests/admission/test_tenants_at_size.py
+++ b/tests/admission/test_tenants_at_size.py
@@ -47,7 +47,7 @@
                 kind = (m.number + 1) % 2
                 started = m.serve(tenant, retry, outcome)
                 for at in (kind, 2 + tenant):
-                    full.asked[at] += not retry
+                    full.requested[at] += not retry
                     full.served[at] += started * (outcome is Outcome.OK)
                 full.ran[tenant] += started / 20
             for tenant in rng.sample(range(count), min(count, probes)):
