--- a/ochrehoist/admission/__init__.py
+++ b/ochrehoist/admission/__init__.py
@@ -1,1 +1,4 @@
-"""The decisions: which requests run, wait or are rejected. Pure: no I/O, no clock, no threads."""
+"""Admission decisions: which requests run, wait or are rejected.
+
+The package is pure: it does no I/O, reads no clock and starts no threads.
+"""
--- a/ochrehoist/admission/actions.py
+++ b/ochrehoist/admission/actions.py
@@ -1,6 +1,6 @@
-"""The actions that the admission controller answers its events with.
+"""Actions that the admission controller returns for each event.
 
-Times are in ns of the clock of the events.
+Times are in nanoseconds (`_ns`) on the same clock as the events.
 """
 
 from dataclasses import dataclass
@@ -8,37 +8,37 @@
 
 @dataclass(slots=True)
 class StartRun:
-    """Hand the request to its executor."""
+    """Instruction to hand the request to its executor."""
 
     id: str
 
 
 @dataclass(slots=True)
 class RejectRequest:
-    """Final answer: rejected without having run."""
+    """Final answer to a request that was rejected without having run."""
 
     id: str
     retry_after_ns: int
-    no_retry: bool  # other instances should not be tried either
+    no_retry: bool  # the caller should not retry on other instances either
 
 
 @dataclass(slots=True)
 class FailRequest:
-    """Final answer: an error, which says nothing of whether the request ran."""
+    """Final error answer; the request may or may not have run."""
 
     id: str
 
 
 @dataclass(slots=True)
 class CancelRun:
-    """Cancel the run, where the site allows preemption."""
+    """Instruction to cancel the run; sent only where the site allows preemption."""
 
     id: str
 
 
 @dataclass(slots=True)
 class StartDownstreamCall:
-    """Make the downstream call of the request, until `stop_at_ns` at the latest."""
+    """Instruction to make the downstream call of the request and abandon it at `stop_at_ns`."""
 
     id: str
     stop_at_ns: int
@@ -46,14 +46,14 @@
 
 @dataclass(slots=True)
 class SkipDownstreamCall:
-    """Go on without the downstream call: the answer will be the fallback."""
+    """Instruction to continue the run without its downstream call and answer with the fallback."""
 
     id: str
 
 
 @dataclass(slots=True)
 class RetainKey:
-    """Keep the idempotency key of the request."""
+    """Instruction to keep the idempotency key of the request for `ttl_ns`."""
 
     id: str
     ttl_ns: int
@@ -61,43 +61,43 @@
 
 @dataclass(slots=True)
 class ReleaseKey:
-    """Forget the idempotency key of a request that never ran."""
+    """Instruction to delete the idempotency key of a request that never ran."""
 
     id: str
 
 
 @dataclass(slots=True)
 class AttachDuplicate:
-    """Answer a duplicate with the result of the request that it repeats."""
+    """Instruction to answer a duplicate with the result of the request that it repeats."""
 
     id: str
 
 
 @dataclass(slots=True)
 class SetHealth:
-    """What health checks answer from now on; `cached`: without asking the instance each time."""
+    """The health state to answer health checks with, until the next action of this type."""
 
     healthy: bool
-    cached: bool
+    cached: bool  # health checks are answered without querying the instance each time
 
 
 @dataclass(slots=True)
 class SendBackpressure:
-    """The value that is sent to callers with each answer; its meaning is a `BackpressureSignal`."""
+    """The backpressure value to send with each answer; `BackpressureSignal` defines its meaning."""
 
     value: float
 
 
 @dataclass(slots=True)
 class SetIdleTimeout:
-    """Close connections that were idle for so long."""
+    """The idle time after which connections are closed; 0 keeps them open."""
 
     idle_timeout_ns: int
 
 
 @dataclass(slots=True)
 class SetTimer:
-    """Send a `TimerFired` after `delay_ns`."""
+    """Instruction to send a `TimerFired` after `delay_ns`."""
 
     delay_ns: int
     timer_id: int
@@ -105,7 +105,7 @@
 
 @dataclass(slots=True)
 class LogMessage:
-    """Write a line to the log."""
+    """A line to write to the log."""
 
     text: str
 
--- a/ochrehoist/admission/arrivals.py
+++ b/ochrehoist/admission/arrivals.py
@@ -1,4 +1,4 @@
-"""The rate of arrivals, the share of retries, and how long requests wait to be read."""
+"""Arrival statistics: request rate, share of retries, and how long requests wait to be read."""
 
 from math import exp
 
@@ -10,27 +10,26 @@
 RATE_DECAY_S = 5.0
 DECAY_PER_TICK = exp(-TICK_INTERVAL_NS / NS_PER_S / RATE_DECAY_S)
 RETRY_DECAY_S = 2.0
-RETRY_INITIAL_WEIGHT = 10.0  # samples that the first value counts as
+RETRY_INITIAL_WEIGHT = 10.0  # the initial value counts as this many samples
 UNREAD_DECAY_S = 0.7
 
 
 class ArrivalMonitor:
-    """Means over the requests that were received lately."""
+    """Decaying means over recently received requests."""
 
     def __init__(self) -> None:
-        """Nothing was received."""
         self.rate_per_s = 0.0
         self.retry_share = DecayingMean(RETRY_DECAY_S, 0.0, RETRY_INITIAL_WEIGHT)
-        self.unread_ns = DecayingMean(UNREAD_DECAY_S)  # that requests waited to be read
+        self.unread_ns = DecayingMean(UNREAD_DECAY_S)  # time between arrival and reading
 
     def observe(self, request: RequestReceived, now_ns: int) -> None:
-        """A request was received."""
+        """Counts a received request."""
         self.rate_per_s = self.rate_per_s + 1 / RATE_DECAY_S
         self.retry_share.add(now_ns, request.is_retry)
         self.unread_ns.add(now_ns, request.unread_ns)
 
     def unread_requests(self) -> int:
-        """How many requests wait to be read now, by Little's law."""
+        """Returns the number of requests that are waiting to be read, estimated by Little's law."""
         return int(self.rate_per_s * self.unread_ns.value / NS_PER_S)
 
     def tick(self) -> None:
@@ -38,5 +37,5 @@
         self.rate_per_s *= DECAY_PER_TICK
 
     def restore_rate(self, rate_per_s: float) -> None:
-        """Continues from a rate that was learned elsewhere."""
+        """Sets the rate to one that another controller has learned."""
         self.rate_per_s = rate_per_s
--- a/ochrehoist/admission/backpressure.py
+++ b/ochrehoist/admission/backpressure.py
@@ -1,4 +1,4 @@
-"""What is signalled to callers: the backpressure value, and when idle connections are closed."""
+"""Signals to callers: the backpressure value, and the idle timeout of their connections."""
 
 from math import exp
 
@@ -11,15 +11,15 @@
 from ochrehoist.admission.timing import TICK_INTERVAL_NS
 from ochrehoist.units import NS_PER_S
 
-TARGET_LATENCY_SHARE = (
-    0.5  # of the mean objective that requests may spend here before callers should send less
-)
-MIN_CHANGE_SHARE = 0.02  # of the value that was sent last: less is not worth sending
-MIN_REUSE_SHARE = 0.5  # of idle connections whose callers come back in time: above it they are left open
+# Callers should send less when requests spend more than this share of the mean objective on the instance.
+TARGET_LATENCY_SHARE = 0.5
+MIN_CHANGE_SHARE = 0.02  # a smaller change, relative to the last value sent, is not sent
+# Idle connections stay open if more than this share of callers is expected to reuse them before the timeout.
+MIN_REUSE_SHARE = 0.5
 
 
 class Backpressure:
-    """Computes the value of the site's backpressure signal, and remembers what was sent."""
+    """Computes the site's backpressure value and idle timeout, and sends them when they change."""
 
     def __init__(
         self,
@@ -30,7 +30,7 @@
         arrivals: ArrivalMonitor,
         callers: CallerTracker,
     ) -> None:
-        """Nothing was sent."""
+
         self._settings = settings
         self._mean_objective_ns = mean_objective_ns
         self._policy = policy
@@ -41,12 +41,12 @@
         self._sent_idle_timeout_ns: int | None = None
 
     def update(self, healthy: bool) -> list[Action]:
-        """What is to be sent and set at a tick, where it differs from the last time."""
+        """Returns the actions for the values that have changed since they were last sent."""
         actions = self._changed_signal(healthy), self._idle_timeout()
         return [action for action in actions if action is not None]
 
     def _changed_signal(self, healthy: bool) -> SendBackpressure | None:
-        """The value to send, if it differs enough from the last one."""
+        """Returns the backpressure value if it differs enough from the last one sent."""
         signal = self._settings.backpressure
         if signal is BackpressureSignal.NONE:
             return None
@@ -62,23 +62,27 @@
         return SendBackpressure(value)
 
     def _window(self) -> float:
-        """How many requests one caller may have outstanding, so that they spend the target time here."""
+        """Returns the outstanding requests per caller at which requests meet the target latency."""
         rate_per_s = self._policy.saturated_rate_per_s(self._concurrency.running)
         target_ns = TARGET_LATENCY_SHARE * self._mean_objective_ns
         capacity = rate_per_s * (target_ns - self._arrivals.unread_ns.value) / NS_PER_S
         return max(capacity, 1.0) / max(1, len(self._callers.last_seen_ns))
 
     def _idle_timeout(self) -> SetIdleTimeout | None:
-        """Closes idle connections early where few callers come back to them.
+        """Returns the idle timeout if it has changed: short if few callers reuse connections, else none (0).
 
-        They fill the table, take cores and keep a rush out. Where half of the callers come back in time
-        handshakes cost more. The cost: where few callers send most.
+        Idle connections fill the connection table, take CPU time and keep new callers out in a load peak.
+        Where half of the callers reuse theirs before the timeout, new handshakes would cost more than that.
+        The estimate assumes that callers send alike: it closes too early where a few callers send most of
+        the requests.
         """
         settings = self._settings
         timeout_ns = settings.idle_timeout_ns
-        reused = 1 - exp(-self._arrivals.rate_per_s * timeout_ns / NS_PER_S / max(1, settings.caller_count))
-        wanted_ns = 0 if reused > MIN_REUSE_SHARE else min(timeout_ns, TICK_INTERVAL_NS)
-        if wanted_ns == self._sent_idle_timeout_ns:
+        reuse_share = 1 - exp(
+            -self._arrivals.rate_per_s * timeout_ns / NS_PER_S / max(1, settings.caller_count)
+        )
+        new_timeout_ns = 0 if reuse_share > MIN_REUSE_SHARE else min(timeout_ns, TICK_INTERVAL_NS)
+        if new_timeout_ns == self._sent_idle_timeout_ns:
             return None
-        self._sent_idle_timeout_ns = wanted_ns
-        return SetIdleTimeout(wanted_ns)
+        self._sent_idle_timeout_ns = new_timeout_ns
+        return SetIdleTimeout(new_timeout_ns)
--- a/ochrehoist/admission/controller.py
+++ b/ochrehoist/admission/controller.py
@@ -1,10 +1,10 @@
-"""The admission controller: which requests run, wait, or are rejected.
+"""The admission controller, which decides which requests run, wait or are rejected.
 
-The controller handles events, and answers each with actions; it does no I/O, reads no clock and starts no
-threads. It owns the open requests and dispatches the events. What it decides by is in the parts that it is
-made of: `mpl_policy` and `start_selection` (how many to start), `request_queue` and `priority` (which
-first), `load_shedding` (what cannot meet its objective), `memory_budget`, `concurrency`, `idempotency`,
-`downstream_calls`, `health`, `backpressure`. See docs/design.md.
+The controller handles events and returns actions; it does no I/O, reads no clock and starts no threads. It
+owns the open requests and dispatches the events. The decisions are made by its components: `mpl_policy` and
+`start_selection` (how many requests to start), `request_queue` and `priority` (in which order),
+`load_shedding` (which cannot meet their objective), `memory_budget`, `concurrency`, `idempotency`,
+`downstream_calls`, `health` and `backpressure`. See docs/design.md.
 """
 
 import random
@@ -65,7 +65,7 @@
 
 
 def _for_open_job(handler: Callable[..., None]) -> Callable[["AdmissionController", Any], None]:
-    """Hands an event to `handler` with its request; ignores events of requests that are no longer open."""
+    """Returns a handler that passes the open request of an event on, and ignores events without one."""
 
     def dispatch(controller: "AdmissionController", event: Any) -> None:
         job = controller.jobs.get(event.id)
@@ -76,18 +76,20 @@
 
 
 class AdmissionController:
-    """Decides for one instance; every method runs to its end before the next event is handed in."""
+    """Admission controller of one instance; it is not reentrant and not thread-safe."""
 
     def __init__(self, settings: AdmissionSettings, seed: int) -> None:
-        """`seed`: of the random numbers that decide between alternatives."""
+        """`seed` initialises the random numbers of probabilistic decisions."""
         cores = settings.cores
         classes = settings.classes
-        mean_objective_ns = sum(of.latency_objective_ns for of in classes) / len(classes)
+        mean_objective_ns = sum(request_class.latency_objective_ns for request_class in classes) / len(
+            classes
+        )
         rng = random.Random(seed)
         self.settings = settings
         self.now_ns = 0
         self.jobs: dict[str, Job] = {}  # open requests by id
-        self._actions: list[Action] = []  # of the event that is handled
+        self._actions: list[Action] = []  # actions for the current event
         self.health = HealthMonitor(cores)
         self.shutdown = GracefulShutdown(settings.drain_grace_ns)
         self.concurrency = ConcurrencyTracker(settings)
@@ -121,7 +123,7 @@
         )
 
     def handle(self, now_ns: int, event: Event) -> list[Action]:
-        """Takes an event, and gives the actions that follow from it, in their order."""
+        """Handles an event and returns the resulting actions, to be carried out in this order."""
         self.now_ns = now_ns
         self._actions = []
         self.queue.begin_event()
@@ -163,7 +165,7 @@
         self.jobs[request.id] = job
         self.shutdown.limit_deadline(job)
         self._observe_arrival(job)
-        # An attempt must end a tick before its caller gives up.
+        # Deadlines are checked once per tick, so a run has to end one tick before the caller gives up.
         job.objective_at_ns = min(job.objective_at_ns, job.deadline_ns - TICK_INTERVAL_NS)
         original = self._original_of(request)
         if original is None or original is job:
@@ -188,8 +190,8 @@
         return self.jobs.get(original) or self.idempotency.ended.get(original)
 
     def _admit_duplicate(self, job: Job, original: Job) -> None:
-        """Runs a duplicate only where the original is known never to have run: one effect in all."""
-        # Their client waits since the original came.
+        """Runs a duplicate only if the original is known never to have run, so that it has one effect."""
+        # The client has been waiting since the original request arrived.
         job.objective_at_ns = min(job.objective_at_ns, original.objective_at_ns)
         if original.state is JobState.FOLLOWING and original.leader is not None:
             original = original.leader
@@ -229,7 +231,7 @@
         self._actions.append(RetainKey(job.request.id, ttl_ns))
 
     def _on_adopted(self, event: RunAdopted) -> None:
-        """Counts a run that the instance before this one started."""
+        """Takes over a run that the previous instance started."""
         request = event.request
         job = Job(request, self.settings.classes[request.class_index], self.now_ns)
         self.jobs[request.id] = job
@@ -253,7 +255,7 @@
                 break
 
     def _start(self, job: Job) -> bool:
-        """Starts a queued request; false where there is no memory for its run."""
+        """Starts a queued request; returns False if there is not enough memory for the run."""
         if not self.memory.can_start(job):
             return False
         self.queue.remove(job)
@@ -273,7 +275,7 @@
     # Completions
 
     def _on_completed(self, job: Job, event: RequestCompleted) -> None:
-        if event.outcome in NEVER_RAN:  # nothing is learned of it, and a retry may run
+        if event.outcome in NEVER_RAN:  # no run to learn from, and a retry may run
             job.started = False
             self._drop(job)
             return
@@ -287,16 +289,16 @@
         self._end(job)
 
     def _end(self, job: Job) -> None:
-        """Forgets an open request, but for what duplicates of it need."""
+        """Closes a request, and keeps what later duplicates of it need."""
         self.queue.remove(job)
-        if job.state is JobState.CALLING:  # its caller left, or it was answered: the call may go on
+        if job.state is JobState.CALLING:  # abandoned by its caller, or answered: the call may continue
             self.downstream.release_reservation(job, self.now_ns, abandoned=True)
         self.concurrency.set_state(job, JobState.ENDED)
         self.memory.release(job)
         self.idempotency.record_ended(job, self.now_ns)
         self.jobs.pop(job.request.id, None)
 
-    # Negative answers
+    # Rejections and failures
 
     def _reject(self, job: Job) -> None:
         unavailable = self.health.stalled or self.shutdown.draining
@@ -314,7 +316,7 @@
             self._actions.append(CancelRun(job.request.id))
 
     def _drop(self, job: Job) -> None:
-        """Ends a request that never ran; one of its duplicates takes its place."""
+        """Closes a request that never ran; the first of its waiting duplicates is queued instead."""
         if job.key_retained:
             self._actions.append(ReleaseKey(job.request.id))
             self.idempotency.release(job)
@@ -354,7 +356,7 @@
 
     def _on_tick(self, event: TimerFired) -> None:
         self._selector.update_gauges(event.gauges, self.now_ns)
-        self.policy.reset_climbs()
+        self.policy.reset_rises()
         self._fail_overdue()
         self._actions.append(SetTimer(TICK_INTERVAL_NS, TICK_TIMER_ID))
         self.activity.next_tick()
--- a/ochrehoist/admission/decaying_mean.py
+++ b/ochrehoist/admission/decaying_mean.py
@@ -1,4 +1,4 @@
-"""A mean that favours what was seen last."""
+"""Exponentially decaying mean."""
 
 from math import exp
 
@@ -10,22 +10,22 @@
 
     __slots__ = ("_decay_ns", "_updated_at_ns", "value", "weight")
 
-    def __init__(self, decay_s: float, first: float = 0.0, weight: float = 0.0) -> None:
-        """A sample counts for 1/e after `memory_s`; `first` counts as `weight` samples of now."""
+    def __init__(self, decay_s: float, initial_value: float = 0.0, initial_weight: float = 0.0) -> None:
+        """`decay_s` is the time constant; the initial value counts as `initial_weight` samples."""
         self._decay_ns = decay_s * NS_PER_S
-        self.value = first
-        self.weight = weight
-        self._updated_at_ns: int | None = None  # None until the first sample, whatever the clock shows
+        self.value = initial_value
+        self.weight = initial_weight
+        self._updated_at_ns: int | None = None  # None until the first sample: the clock may start at 0
 
     def add(self, now_ns: int, sample: float) -> None:
-        """Counts a sample."""
+        """Adds a sample with weight 1."""
         age_ns = (self._updated_at_ns or now_ns) - now_ns
         self.weight = self.weight * exp(age_ns / self._decay_ns) + 1
         self.value = self.value + (sample - self.value) / self.weight
         self._updated_at_ns = now_ns
 
     def restore(self, now_ns: int, value: float, weight: float) -> None:
-        """Continues from a mean that was learned elsewhere, as of now."""
+        """Sets a mean that was learned elsewhere, as if its last sample were taken now."""
         self.value = value
         self.weight = weight
         self._updated_at_ns = now_ns
--- a/ochrehoist/admission/downstream_calls.py
+++ b/ochrehoist/admission/downstream_calls.py
@@ -1,9 +1,10 @@
-"""When a running request makes its downstream call, and when it goes on without it.
+"""Scheduling of downstream calls: when a running request makes its call, and when it uses the fallback.
 
-Where all instances share the dependency, each call reserves its longest time of this instance's share, and
-gets half of what is left of that share over its window: no window holds more than the share, whatever ends
-the calls. That guards against a dependency that slows down, callers that leave, and a cold fleet that calls
-more. The cost: a long call is cut off although other instances leave capacity unused.
+Where all instances share the dependency, this instance has a share of its capacity, as call time within a
+sliding window. Each call may last half of the time that is still available, and reserves its maximum duration
+when it starts. So no window holds more call time than the share, however the calls end. That protects the
+dependency when it slows down, when callers abandon requests, and when a cold fleet makes more calls. The
+drawback: a long call is cut off even if other instances leave their capacity unused.
 """
 
 from collections import deque
@@ -18,48 +19,48 @@
 from ochrehoist.admission.settings import AdmissionSettings, DownstreamScope, Idempotency
 from ochrehoist.admission.timing import TICK_INTERVAL_NS
 
-USABLE_SHARE = 0.9  # of the calls that this instance is entitled to
+USABLE_SHARE = 0.9  # of the call time that this instance is entitled to
 CALL_DECAY_S = 1.5
 FAILURE_INITIAL_WEIGHT = 10.0
-FAILING_SHARE = 0.5  # of the calls that fail: above it the dependency counts as unhealthy
-PROBE_SHARE = 0.1  # of the requests that call an unhealthy dependency all the same
-INITIAL_BACKOFF_NS = TICK_INTERVAL_NS // 4  # before the first retry; doubled with each
+FAILING_SHARE = 0.5  # the dependency counts as unhealthy above this share of failed calls
+PROBE_SHARE = 0.1  # of the requests still call an unhealthy dependency
+BASE_BACKOFF_NS = TICK_INTERVAL_NS // 4  # doubled for each call that the request has made
 MAX_BACKOFF_DOUBLINGS = 5
-MAX_CALLS = 2  # made of one request, unless the calls never took place
+MAX_CALLS = 2  # per request; calls that provably never ran are retried beyond it
 
 
 class _EndedCall(NamedTuple):
-    released_at_ns: int  # when its time leaves the window
+    released_at_ns: int  # the call time has left the window
     used_ns: int
 
 
 class DownstreamCalls:
-    """The downstream calls of this instance, and what was learned of the dependency."""
+    """Scheduler of the downstream calls of this instance, with latency and failure rate of the dependency."""
 
     def __init__(self, settings: AdmissionSettings, concurrency: ConcurrencyTracker, rng: Random) -> None:
-        """No calls were made."""
+
         self.latency_ns = DecayingMean(CALL_DECAY_S)
         self.failure_share = DecayingMean(CALL_DECAY_S, 0.0, FAILURE_INITIAL_WEIGHT)
         self._settings = settings
         self._shared = settings.downstream is DownstreamScope.SHARED
         self._concurrency = concurrency
         self._rng = rng
-        self._used_ns = 0  # of the share: used within the window, and reserved
+        self._used_ns = 0  # call time used within the window or reserved by open calls
         self._ended: deque[_EndedCall] = deque()
 
     def expire(self, now_ns: int) -> None:
-        """Gives back the time of calls that have left the window."""
+        """Releases the time of calls that have left the window."""
         while self._ended and self._ended[0].released_at_ns <= now_ns:
             self._used_ns -= self._ended.popleft().used_ns
 
     def request_call(self, job: Job, now_ns: int) -> None:
-        """A running request has come to its call."""
+        """Makes a running request wait for capacity for its call."""
         self._concurrency.set_state(job, JobState.AWAITING_CALL)
         job.call_retry_at_ns = now_ns
         job.calls_made = 0
 
     def start_due_calls(self, now_ns: int) -> list[Action]:
-        """Starts or skips the calls that are due, as far as capacity allows."""
+        """Returns the actions that start or skip the calls that are due, as far as capacity allows."""
         actions: list[Action] = []
         for job in [job for job in self._concurrency.awaiting_call.values() if not job.answered]:
             available_ns = self._available_ns()
@@ -84,7 +85,10 @@
         return concurrency.calling + concurrency.running < concurrency.ceiling(now_ns)
 
     def _uses_fallback(self, job: Job, has_capacity: bool, now_ns: int) -> bool:
-        """Whether the answer will be the fallback: no capacity, a failed call, or one that would be late."""
+        """Returns whether the request skips its call and is answered with the fallback.
+
+        That is so if there is no capacity, its call has failed, or the dependency is unhealthy or too slow.
+        """
         if not job.request_class.fallback_weight:
             return False
         if not has_capacity or job.calls_made:
@@ -108,7 +112,7 @@
         return StartDownstreamCall(job.request.id, stop_at_ns)
 
     def end_call(self, job: Job, event: DownstreamCallEnded, now_ns: int) -> bool:
-        """A call has ended; whether that leaves the request without hope of an answer."""
+        """Ends a call; returns whether the request has failed because the call cannot be retried."""
         succeeded = event.outcome is Outcome.OK
         never_ran = event.outcome in NEVER_RAN
         self.release_reservation(job, now_ns, abandoned=not succeeded and not never_ran)
@@ -118,15 +122,15 @@
             self._concurrency.set_state(job, JobState.RUNNING)
             return False
         self._concurrency.set_state(job, JobState.AWAITING_CALL)
-        job.call_retry_at_ns = now_ns + INITIAL_BACKOFF_NS * 2 ** min(job.calls_made, MAX_BACKOFF_DOUBLINGS)
+        job.call_retry_at_ns = now_ns + BASE_BACKOFF_NS * 2 ** min(job.calls_made, MAX_BACKOFF_DOUBLINGS)
         idempotent = job.request_class.idempotency is Idempotency.IDEMPOTENT
         not_retryable = not never_ran and (not idempotent or job.calls_made >= MAX_CALLS)
         return not_retryable and not job.answered and not job.request_class.fallback_weight
 
     def release_reservation(self, job: Job, now_ns: int, abandoned: bool) -> None:
-        """Gives back what a call holds of the share, one window after its end.
+        """Replaces the reservation of a call by the time it used, which leaves the window later.
 
-        An abandoned call goes on for a while.
+        An abandoned call occupies the dependency for `abandoned_call_ns` longer.
         """
         if not self._shared:
             return
--- a/ochrehoist/admission/events.py
+++ b/ochrehoist/admission/events.py
@@ -1,6 +1,6 @@
-"""The events that the admission controller handles; each is handed to it with the time of handling.
+"""Events that the admission controller handles; each is passed to it with the current time.
 
-Times and spans are whole nanoseconds (`_ns`); positions refer to the tuples of `AdmissionSettings`.
+Times and durations are whole nanoseconds (`_ns`); indices refer to the tuples of `AdmissionSettings`.
 """
 
 from dataclasses import dataclass
@@ -24,38 +24,38 @@
     NOT_STARTED = "not started"
 
 
-# The outcomes that prove that the run or call never took place.
+# Outcomes that prove that the run or call never took place.
 NEVER_RAN = frozenset({Outcome.QUEUE_FULL, Outcome.UNREACHABLE, Outcome.NOT_STARTED})
 
 
 @dataclass(slots=True)
 class InstanceStarted:
-    """The instance is up; sent once, before all other events."""
+    """Start of the instance; sent once, before all other events."""
 
 
 @dataclass(slots=True)
 class RequestReceived:
-    """A request was read whole and waits for a decision."""
+    """A request that was read completely and waits for a decision."""
 
     id: str
     class_index: int
     tenant_index: int | None = None
     routing_key: str | None = None
-    remaining_ns: int | None = None  # until its deadline, where the caller propagates it
-    work_ns: int | None = None  # on a standard core, where the caller states it
+    remaining_ns: int | None = None  # until the deadline; None if the caller does not propagate it
+    work_ns: int | None = None  # CPU time on a standard core; None if the caller does not state it
     memory_kb: float = 0.0
     rank: float = 0.0
     is_retry: bool = False
     is_write: bool = False
     caller: int = 0
-    unread_ns: int = 0  # that it waited to be read
+    unread_ns: int = 0  # time between arrival and reading
     duplicate_of: str | None = None  # id of an earlier attempt with the same idempotency key
-    cost_multiple: float = 1.0  # of the usual cost of its class; above 1 it is limited with its like
+    cost_multiple: float = 1.0  # relative to its class; requests above 1 share a limit of their own
 
 
 @dataclass(slots=True)
 class RunAdopted:
-    """A request that an earlier instance started, and that may have ended: it is never started here."""
+    """A request that an earlier instance started; it is never started again."""
 
     request: RequestReceived
     answered: bool
@@ -64,7 +64,7 @@
 
 @dataclass(slots=True)
 class RequestCompleted:
-    """The run of a request, or of the attempt that it duplicates, has ended."""
+    """End of the run of a request, or of the run that a duplicate is attached to."""
 
     id: str
     outcome: Outcome
@@ -73,14 +73,14 @@
 
 @dataclass(slots=True)
 class DownstreamCallNeeded:
-    """A running request has come to its downstream call."""
+    """A running request that has reached its downstream call."""
 
     id: str
 
 
 @dataclass(slots=True)
 class DownstreamCallEnded:
-    """The downstream call of a request has ended."""
+    """End of the downstream call of a request."""
 
     id: str
     outcome: Outcome
@@ -89,7 +89,7 @@
 
 @dataclass(slots=True)
 class RequestAbandoned:
-    """Nobody waits for the answer any more."""
+    """A request whose caller no longer waits for the answer."""
 
     id: str
     gave_up: bool = True  # the caller gave up; False where its connection was lost
@@ -97,7 +97,7 @@
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer that the controller set has expired; `gauges` are measured at that time."""
+    """Expiry of a timer that the controller set, with gauges measured at that time."""
 
     timer_id: int
     gauges: dict[str, float]
@@ -105,16 +105,17 @@
 
 @dataclass(slots=True)
 class DrainStarted:
-    """The instance is to shut down gracefully in so long."""
+    """Start of a graceful shutdown."""
 
-    remaining_ns: int
+    remaining_ns: int  # until the process ends
 
 
 @dataclass(slots=True, frozen=True)
 class ConcurrencyLimits:
-    """How many requests may run, until the next event of this type, as measured from outside the module.
+    """Externally measured concurrency limits, valid until the next event of this type.
 
-    Up to its floor a class is started first, past its cap it waits; without them all classes are alike.
+    Requests of a class that runs fewer than its floor start first; those of a class at its cap wait. Empty
+    tuples leave the classes unlimited and equal.
     """
 
     total: int = UNLIMITED
@@ -125,10 +126,11 @@
 
 @dataclass(slots=True)
 class TenantsReplaced:
-    """The tenants are these from now on.
+    """A changed list of tenants.
 
-    Positions are stable: a tenant that stays keeps its own, with its learned rates; new ones come behind. The
-    position of one that is gone stays taken until a new module is made, as its open requests refer to it.
+    Indices are stable: a tenant that remains keeps its index and its learned rates; new tenants are appended.
+    The index of a removed tenant stays reserved for the lifetime of the controller, because open requests may
+    refer to it.
     """
 
     tenants: tuple[Tenant, ...]
--- a/ochrehoist/admission/health.py
+++ b/ochrehoist/admission/health.py
@@ -1,20 +1,19 @@
-"""Whether the instance is healthy: it makes progress, and is not shutting down."""
+"""Health of the instance: it is healthy if its runs make progress and it is not draining."""
 
 from ochrehoist.admission.timing import TICK_INTERVAL_NS
 
-MAX_MISSED_COMPLETIONS = 6.0  # at the mean run time, before runs without any completion count as stalled
-MIN_STALL_TICKS = 2  # what ends sooner was a pause of this process
+MAX_MISSED_COMPLETIONS = 6.0  # completions expected at the mean run time before a stall is reported
+MIN_STALL_TICKS = 2  # a shorter time without progress can be a pause of this process
 
 
 class HealthMonitor:
-    """Detects a stall: all cores are taken, and nothing has completed for much longer than usual.
+    """Stall detector: all cores are occupied, and nothing has completed for much longer than usual.
 
-    While it lasts new work goes elsewhere, and nothing is learned. The cost: a healthy instance whose every
-    core has very long work counts as stalled.
+    During a stall new requests are rejected, so that they go to other instances, and nothing is learned. A
+    healthy instance whose cores all run very long requests is wrongly reported as stalled.
     """
 
     def __init__(self, cores: int) -> None:
-        """Healthy."""
         self.stalled = False
         self._healthy = True
         self._cores = cores
@@ -22,13 +21,14 @@
         self._last_event_ns = 0
 
     def begin(self, now_ns: int) -> None:
-        """The instance starts."""
+        """Records the start of the instance."""
         self._progress_at_ns = self._last_event_ns = now_ns
 
     def record_event(self, now_ns: int) -> int:
-        """Time at work since the last event, in ns.
+        """Records an event, and returns the working time since the last one in ns.
 
-        Ticks are events; a longer gap than their interval is a pause of the whole process, not time at work.
+        Ticks are events too, so a gap longer than their interval is a pause of the whole process and does not
+        count as working time.
         """
         gap_ns = now_ns - self._last_event_ns
         self._last_event_ns = now_ns
@@ -38,19 +38,19 @@
         return TICK_INTERVAL_NS
 
     def observe_progress(self, now_ns: int) -> None:
-        """A run or a downstream call went on."""
+        """Records that a run or a downstream call made progress."""
         self._progress_at_ns = now_ns
 
     def evaluate(self, now_ns: int, running: int, mean_run_ns: float, draining: bool) -> bool:
-        """Decides whether the instance is healthy; true where that has changed."""
+        """Decides whether the instance is healthy; returns whether that has changed."""
         limit_ns = mean_run_ns * (1 + MAX_MISSED_COMPLETIONS / max(1, running))
         limit_ns = max(limit_ns, MIN_STALL_TICKS * TICK_INTERVAL_NS)
         self.stalled = running >= self._cores and now_ns - self._progress_at_ns > limit_ns
-        was = self._healthy
+        was_healthy = self._healthy
         self._healthy = not self.stalled and not draining
-        return self._healthy is not was
+        return self._healthy is not was_healthy
 
     @property
     def healthy(self) -> bool:
-        """What health checks are to answer."""
+        """Whether the instance reports itself as healthy."""
         return self._healthy
--- a/ochrehoist/admission/idempotency.py
+++ b/ochrehoist/admission/idempotency.py
@@ -1,4 +1,4 @@
-"""Which idempotency keys are retained, and which requests may have had an effect."""
+"""Index of the retained idempotency keys, and of ended requests that a duplicate may refer to."""
 
 from heapq import heappop, heappush
 from typing import NamedTuple
@@ -10,21 +10,20 @@
 class _Expiry(NamedTuple):
     at_ns: int
     job_id: str
-    of_key: bool  # the key's retention ends; otherwise all memory of the request
+    is_key: bool  # True: the key in `retained` expires; False: the request in `ended`
 
 
 class IdempotencyIndex:
-    """The requests whose keys are retained, and those that ended and may be repeated."""
+    """Requests whose keys are retained, and ended requests of which a duplicate may arrive."""
 
     def __init__(self, settings: AdmissionSettings) -> None:
-        """No keys are retained."""
         self.retained: dict[str, Job] = {}
         self.ended: dict[str, Job] = {}
         self._clock_step_ns = settings.clock_step_ns
         self._expiries: list[_Expiry] = []
 
     def retain(self, job: Job, now_ns: int) -> int:
-        """Retains the key of a request until its window ends; for how long that is, in ns."""
+        """Retains the key of a request until its idempotency window ends; returns the time left in ns."""
         step_ns = self._clock_step_ns
         window_ends_ns = job.arrived_at_ns + job.request_class.idempotency_window_ns + step_ns
         ttl_ns = max(step_ns, window_ends_ns - now_ns)
@@ -34,21 +33,21 @@
         return ttl_ns
 
     def release(self, job: Job) -> None:
-        """Forgets the key of a request that never ran."""
+        """Removes the key of a request that never ran."""
         self.retained.pop(job.request.id, None)
         job.key_retained = False
 
     def record_ended(self, job: Job, now_ns: int) -> None:
-        """Keeps a request that has ended, if a duplicate of it may still come."""
+        """Keeps a request that has ended if a duplicate of it may still arrive."""
         ran_with_key = job.started and job.request_class.idempotency is Idempotency.KEYED
         if not ran_with_key and not job.key_retained:
             return
         self.ended[job.request.id] = job
-        memory_ns = 2 * job.request_class.idempotency_window_ns + job.request_class.deadline_ns
-        heappush(self._expiries, _Expiry(now_ns + memory_ns, job.request.id, False))
+        retention_ns = 2 * job.request_class.idempotency_window_ns + job.request_class.deadline_ns
+        heappush(self._expiries, _Expiry(now_ns + retention_ns, job.request.id, False))
 
     def expire(self, now_ns: int) -> None:
-        """Forgets what is over."""
+        """Removes keys and ended requests whose retention time is over."""
         while self._expiries and self._expiries[0].at_ns <= now_ns:
             expiry = heappop(self._expiries)
-            (self.retained if expiry.of_key else self.ended).pop(expiry.job_id, None)
+            (self.retained if expiry.is_key else self.ended).pop(expiry.job_id, None)
--- a/ochrehoist/admission/job.py
+++ b/ochrehoist/admission/job.py
@@ -1,4 +1,4 @@
-"""A request while the decisions deal with it."""
+"""The controller's record of a request."""
 
 from enum import Enum
 
@@ -7,24 +7,24 @@
 
 
 class JobState(Enum):
-    """Where a request is."""
+    """State of a request in the controller."""
 
     QUEUED = "queued"
     RUNNING = "running"
-    AWAITING_CALL = "awaiting call"  # it runs, and waits for capacity to make its downstream call
-    CALLING = "calling"  # it runs, and its downstream call is in progress
-    ATTACHED = "attached"  # a duplicate that is answered with the result of another run
-    FOLLOWING = "following"  # a duplicate of a queued request, which waits for it to start
+    AWAITING_CALL = "awaiting call"  # run that waits for capacity to make its downstream call
+    CALLING = "calling"  # run with a downstream call in progress
+    ATTACHED = "attached"  # duplicate that is answered with the result of another run
+    FOLLOWING = "following"  # duplicate that waits for a queued request to start
     ENDED = "ended"
 
 
 class Job:
-    """A request with its deadlines and its state; times are in ns of the clock of the events.
+    """A request with its deadlines and its state; times are in ns on the clock of the events.
 
-    A record that the parts of one controller share. Each field has one writer: `state` of a run is set by
+    The components of a controller share this record. Each field has one writer: `state` of a run is set by
     ConcurrencyTracker, `memory_kb` by MemoryBudget, `key_retained` by IdempotencyIndex, `size` by
-    RunTimeModel, the `call_...` fields by DownstreamCalls, `deadline_ns` by GracefulShutdown, all others by
-    the controller.
+    RunTimeModel, the `call_...` fields by DownstreamCalls, `deadline_ns` by GracefulShutdown, and all others
+    by the controller.
     """
 
     __slots__ = (
@@ -50,7 +50,7 @@
     )
 
     def __init__(self, request: RequestReceived, request_class: RequestClass, now_ns: int) -> None:
-        """A request that was read by now; it counts as queued."""
+        """`now_ns` is the time at which the request was read; the job begins as queued."""
         self.request = request
         self.request_class = request_class
         self.state = JobState.QUEUED
@@ -59,12 +59,12 @@
         self.answered = False
         self.key_retained = False
         self.expensive = request.cost_multiple > 1
-        self.size = request.cost_multiple  # how many times the usual cost of its class
+        self.size = request.cost_multiple  # multiple of the usual cost of its class
         self.calls_made = 0
         self.call_retry_at_ns = 0
         self.call_started_at_ns = 0
         self.call_reserved_ns = 0
-        self.leader: Job | None = None  # the queued request that it follows
+        self.leader: Job | None = None  # the queued request that this duplicate follows
         self.followers: list[Job] = []
         arrived_at_ns = now_ns - request.unread_ns
         self.arrived_at_ns = arrived_at_ns
@@ -73,18 +73,18 @@
             now_ns + remaining_ns if remaining_ns else arrived_at_ns + request_class.deadline_ns
         )
         self.objective_at_ns = arrived_at_ns + request_class.latency_objective_ns
-        self.tenant: int | None = None  # the one in whose activity it counts
+        self.tenant: int | None = None  # whose activity counts the request
 
     def has_no_run(self) -> bool:
-        """Whether it has no run: it can be dropped without cancelling anything."""
+        """Returns whether the request has no run of its own, so that dropping it cancels nothing."""
         return self.state in _STATES_WITHOUT_RUN
 
     def waiting_followers(self) -> list["Job"]:
-        """The duplicates that still wait for it to start."""
+        """Returns the duplicates that still wait for this request to start."""
         return [follower for follower in self.followers if follower.state is JobState.FOLLOWING]
 
     def promote_follower(self) -> "Job | None":
-        """Makes the first of the waiting duplicates the one that the others follow; that one."""
+        """Makes the first waiting duplicate the leader of the others; returns it, or None without one."""
         waiting = self.waiting_followers()
         if not waiting:
             return None
--- a/ochrehoist/admission/learned_state.py
+++ b/ochrehoist/admission/learned_state.py
@@ -1,7 +1,7 @@
-"""What a controller has learned, as a snapshot of plain JSON values that another controller can restore.
+"""Snapshots of the learned state of a controller, as plain JSON values that another controller can restore.
 
-Snapshots are handed from process to process and kept on disk, so the names in them are fixed: they stand in
-tables here, and differ from those in the code. Classes and tenants are known by their names.
+Snapshots are passed between processes and stored on disk, so their keys are fixed and differ from the names
+in the code. Classes and tenants are identified by name.
 """
 
 import math
@@ -14,15 +14,15 @@
 from ochrehoist.admission.tenant_activity import MIN_COUNT, TICK_DECAY, RequestCounts
 from ochrehoist.errors import OchrehoistError
 
-LAYOUT_VERSION = 1  # of the values of a snapshot
-MIN_STORED_STARTS_PER_S = 1e-6  # lower rates of tenants are left out
-CLASS_MEAN_KEYS = "took", "stated", "tells"  # means that are kept for each class
+LAYOUT_VERSION = 1  # of snapshots; stored ones of another version are not restored
+MIN_STORED_STARTS_PER_S = 1e-6  # lower start rates of tenants are omitted
+CLASS_MEAN_KEYS = "took", "stated", "tells"  # snapshot keys of the means per class
 
 Snapshot = dict[str, Any]
 
 
 class InvalidLearnedStateError(OchrehoistError):
-    """A value of a snapshot that is no finite number."""
+    """Error for a snapshot value that is not a finite number."""
 
     def __init__(self, value: object) -> None:
         super().__init__(f"learned state: {value!r} is not a finite number")
@@ -30,14 +30,14 @@
 
 
 def _class_means(controller: AdmissionController) -> dict[str, list[DecayingMean]]:
-    """The means of classes by their stored names."""
+    """Returns the means per class by their snapshot keys."""
     run_times = controller.run_times
     means = run_times.mean_run_ns, run_times.mean_stated_work_ns, run_times.stated_work_gain_ns
     return dict(zip(CLASS_MEAN_KEYS, means, strict=True))
 
 
 def _means(controller: AdmissionController) -> dict[str, DecayingMean]:
-    """The other means by their stored names."""
+    """Returns the other means by their snapshot keys."""
     return {
         "latency": controller.downstream.latency_ns,
         "bad_calls": controller.downstream.failure_share,
@@ -48,7 +48,7 @@
 
 
 def snapshot(controller: AdmissionController) -> Snapshot:
-    """All that was learned; of tenants only those active lately, as all others have decayed alike."""
+    """Returns the learned state; inactive tenants are omitted, as their counts have all decayed alike."""
     callers = controller.callers
     now_ns = controller.now_ns
     return {
@@ -70,7 +70,10 @@
 def _class_mean_values(controller: AdmissionController) -> Snapshot:
     classes = controller.settings.classes
     return {
-        key: {of.name: [mean.value, mean.weight] for of, mean in zip(classes, means, strict=True)}
+        key: {
+            request_class.name: [mean.value, mean.weight]
+            for request_class, mean in zip(classes, means, strict=True)
+        }
         for key, means in _class_means(controller).items()
     }
 
@@ -79,8 +82,8 @@
     activity = controller.activity
     settings = controller.settings
     active = {
-        settings.tenants[at].name: counts.decayed(activity.tick - counts.tick)
-        for at, counts in activity.by_tenant.items()
+        settings.tenants[index].name: counts.decayed(activity.tick - counts.tick)
+        for index, counts in activity.by_tenant.items()
     }
     by_class = list(zip(settings.classes, activity.by_class, strict=True))
     return {
@@ -91,8 +94,8 @@
             for name, (requested, served, _) in active.items()
             if requested > MIN_COUNT or served > MIN_COUNT
         ],
-        "asked": [[of.name, counts.requested] for of, counts in by_class],
-        "served": [[of.name, counts.served] for of, counts in by_class],
+        "asked": [[request_class.name, counts.requested] for request_class, counts in by_class],
+        "served": [[request_class.name, counts.served] for request_class, counts in by_class],
     }
 
 
@@ -105,23 +108,24 @@
 def restore(
     controller: AdmissionController, data: Snapshot, now_ns: int, tenants: Mapping[str, int] | None = None
 ) -> None:
-    """Sets in a fresh controller what another one has learned.
+    """Restores a snapshot into a new controller.
 
-    Classes that it does not know by name stay as they are, and unknown tenants are taken to be idle.
-    `tenants`: the positions of the controller's tenants by name, where the caller has them.
+    Classes that the snapshot lacks keep their initial state, and tenants that it lacks count as idle.
+    `tenants` maps the names of the controller's tenants to their indices; without it the mapping is computed.
 
-    Raises InvalidLearnedStateError where a value is no number, and KeyError, TypeError or ValueError where
-    one is missing or has another form; the controller must not be used then unless it may learn anew.
+    Raises InvalidLearnedStateError for a value that is not a finite number, and KeyError, TypeError or
+    ValueError if one is missing or malformed. The controller is partly restored then and should be discarded,
+    unless it may start with what was restored and learn the rest again.
     """
-    positions = tenants
-    if positions is None:
-        positions = {tenant.name: at for at, tenant in enumerate(controller.settings.tenants)}
-    activity = _RestoredActivity(controller, data, positions)
+    tenant_indices = tenants
+    if tenant_indices is None:
+        tenant_indices = {tenant.name: index for index, tenant in enumerate(controller.settings.tenants)}
+    activity = _RestoredActivity(controller, data, tenant_indices)
     last_seen_ns = {int(caller): now_ns - int(age) for caller, age in data["heard"]}
     ages_ns = {int(caller): [int(age) for age in ages] for caller, ages in data["left"]}
     timeouts = {
-        int(caller): TimeoutEstimate(int(timeout), now_ns + int(left))
-        for caller, timeout, left in data["patience"]
+        int(caller): TimeoutEstimate(int(timeout), now_ns + int(remaining))
+        for caller, timeout, remaining in data["patience"]
     }
     _restore_curve(controller, data)
     controller.arrivals.restore_rate(_number(data["sent"]))
@@ -137,28 +141,28 @@
 
 
 def _numbers(values: list[Any]) -> list[float]:
-    """As `_number`, of many at once."""
+    """Does the same as `_number` for a list, faster."""
     if set(map(type, values)) <= {int, float} and all(map(math.isfinite, values)):
         return list(values)
     return [_number(value) for value in values]
 
 
 def _restore_curve(controller: AdmissionController, data: Snapshot) -> None:
-    """Takes the curve over where it is of the same cores and the same maximum."""
+    """Restores the curve if it belongs to the same number of cores and the same maximum concurrency."""
     curve = controller.curve
     cores, max_concurrency, peak, observed_s, completions = data["curve"]
-    same = (cores, max_concurrency) == (controller.settings.cores, curve.max_concurrency)
-    if same and len(observed_s) == len(curve.observed_s) == len(completions):
+    same_capacity = (cores, max_concurrency) == (controller.settings.cores, curve.max_concurrency)
+    if same_capacity and len(observed_s) == len(curve.observed_s) == len(completions):
         curve.restore(_number(peak), _numbers(observed_s), _numbers(completions))
         controller.policy.set_floor(int(data["floor"]))
 
 
 def _restore_means(controller: AdmissionController, data: Snapshot, now_ns: int) -> None:
-    """Older snapshots lack some of them."""
+    """Restores the means; older snapshots lack some of them."""
     for key, means in _class_means(controller).items():
-        for of, mean in zip(controller.settings.classes, means, strict=True):
-            if of.name in data.get(key, ()):
-                value, weight = data[key][of.name]
+        for request_class, mean in zip(controller.settings.classes, means, strict=True):
+            if request_class.name in data.get(key, ()):
+                value, weight = data[key][request_class.name]
                 mean.restore(now_ns, _number(value), _number(weight))
     for key, mean in _means(controller).items():
         if key in data["means"]:
@@ -167,47 +171,57 @@
 
 
 class _RestoredActivity:
-    """The counts of a snapshot, by the positions of the controller that restores it."""
+    """Activity counts of a snapshot, by the tenant indices of the controller that restores it."""
 
-    def __init__(self, controller: AdmissionController, data: Snapshot, positions: Mapping[str, int]) -> None:
+    def __init__(
+        self, controller: AdmissionController, data: Snapshot, tenant_indices: Mapping[str, int]
+    ) -> None:
         self._requested = {name: _number(value) for name, value in data["asked"]}
         self._served = {name: _number(value) for name, value in data["served"]}
         self._starts_per_s = {
-            positions[name]: _number(rate) for name, rate in data["ran"].items() if name in positions
+            tenant_indices[name]: _number(rate)
+            for name, rate in data["ran"].items()
+            if name in tenant_indices
         }
         if "beats" in data:
             self._tick = int(data["beats"])
             self._tenants = {
-                positions[name]: RequestCounts(_number(requested), _number(served))
+                tenant_indices[name]: RequestCounts(_number(requested), _number(served))
                 for name, requested, served in data["tenants"]
-                if name in positions
+                if name in tenant_indices
             }
         else:
-            self._read_legacy_counts(controller, positions)
+            self._read_legacy_counts(controller, tenant_indices)
+
+    def _read_legacy_counts(self, controller: AdmissionController, tenant_indices: Mapping[str, int]) -> None:
+        """Reads a snapshot of an older release, which stored the counts of all tenants.
 
-    def _read_legacy_counts(self, controller: AdmissionController, positions: Mapping[str, int]) -> None:
-        """From an older release, which stored the counts of all tenants: most were idle, and alike."""
+        Most of those tenants are idle and have the same count, which determines the tick; they are skipped.
+        """
         counts: dict[int, RequestCounts] = {
-            positions[name]: RequestCounts(requested, self._served[name])
+            tenant_indices[name]: RequestCounts(requested, self._served[name])
             for name, requested in self._requested.items()
-            if name in positions
+            if name in tenant_indices
         }
-        idle = max(MIN_COUNT, min((value for pair in counts.values() for value in pair), default=1.0))
-        self._tick = round(math.log(idle) / math.log(TICK_DECAY))
-        self._tenants = {at: pair for at, pair in counts.items() if max(pair) > idle}
+        idle_count = max(MIN_COUNT, min((count for pair in counts.values() for count in pair), default=1.0))
+        self._tick = round(math.log(idle_count) / math.log(TICK_DECAY))
+        self._tenants = {index: pair for index, pair in counts.items() if max(pair) > idle_count}
         self._starts_per_s = {
-            at: rate
-            for at, rate in self._starts_per_s.items()
-            if at in self._tenants or rate > controller.activity.initial_starts_per_s(at)
+            index: rate
+            for index, rate in self._starts_per_s.items()
+            if index in self._tenants or rate > controller.activity.initial_starts_per_s(index)
         }
 
     def apply(self, controller: AdmissionController) -> None:
-        """Sets the counts, and what follows from them."""
+        """Sets the counts in the controller, and refreshes its priorities."""
         classes = [
             RequestCounts(
-                self._requested.get(of.name, counts.requested), self._served.get(of.name, counts.served)
+                self._requested.get(request_class.name, counts.requested),
+                self._served.get(request_class.name, counts.served),
+            )
+            for request_class, counts in zip(
+                controller.settings.classes, controller.activity.by_class, strict=True
             )
-            for of, counts in zip(controller.settings.classes, controller.activity.by_class, strict=True)
         ]
         controller.activity.restore(max(1, self._tick), classes, self._tenants, self._starts_per_s)
         controller.priority.refresh()
--- a/ochrehoist/admission/load_shedding.py
+++ b/ochrehoist/admission/load_shedding.py
@@ -1,4 +1,4 @@
-"""Which queued requests cannot meet their objective, and how requests are rejected."""
+"""Load shedding: forecasts which requests miss their latency objective, and builds rejections."""
 
 from random import Random
 
@@ -14,16 +14,15 @@
 from ochrehoist.admission.tenant_activity import ActivityTracker
 from ochrehoist.units import NS_PER_S
 
-SAFETY_FACTOR = 1.4  # mean run times left before the objective of what is started: three in four end in time
-MAX_RETRY_AFTER_SHARE = (
-    0.25  # of its objective that a rejected request waits at most: later retries end too late
-)
+# A request is started if this many mean run times are left before its objective; three in four then meet it.
+SAFETY_FACTOR = 1.4
+MAX_RETRY_AFTER_SHARE = 0.25  # of the latency objective: later retries would complete too late
 REJECTION_DECAY_S = 2.0
-REJECTION_INITIAL_WEIGHT = 10.0  # samples that the first value counts as
+REJECTION_INITIAL_WEIGHT = 10.0  # the initial value counts as this many samples
 
 
 class CompletionForecast:
-    """When queued requests would complete, as of one moment."""
+    """Forecast of the completion times of queued requests, made at one time."""
 
     __slots__ = (
         "_callers",
@@ -49,7 +48,7 @@
         run_times: RunTimeModel,
         callers: CallerTracker,
     ) -> None:
-        """`starts`: how many of the queue start now."""
+        """`starts` is the number of queued requests that start now."""
         self._now_ns = now_ns
         self._starts = starts
         self._cores = cores
@@ -58,19 +57,20 @@
         self._speed = concurrency.speed(now_ns)
         self._floor = policy.floor
         self._policy = policy
-        self._completion_interval_ns: float | None = None  # computed where something has to wait
+        self._completion_interval_ns: float | None = None  # computed when a request has to wait
         self._run_times = run_times
         self._callers = callers
 
     def safe_run_ns(self, class_index: int) -> float:
-        """The run time that three in four of a class stay below, on idle cores."""
+        """Returns the run time that three in four runs of a class do not exceed on idle cores, in ns."""
         return SAFETY_FACTOR * self._run_times.mean_run_ns[class_index].value / self._speed
 
     def misses_objective(self, job: Job, position: int, safe_run_ns: float) -> bool:
-        """Whether the request at this position would complete after its objective or its caller's timeout.
+        """Returns whether the request at this position would miss its objective or its caller's timeout.
 
-        An idle instance always tries one: a mean run time that was learned in trouble could keep work away.
-        What an idle core takes at once waits for nothing, and needs no margin.
+        An idle instance always accepts one request; otherwise a mean run time that was learned during a fault
+        could keep all requests away. A request that starts at once on an idle core needs no safety margin,
+        because it does not wait for other runs.
         """
         need_ns = 0.0
         if position > 1 or not self._instance_is_idle:
@@ -87,14 +87,14 @@
         return self._now_ns + need_ns > latest_ns
 
     def _completion_interval(self) -> float:
-        """The expected time between two completions."""
+        """Returns the expected time between two completions, in ns."""
         if self._completion_interval_ns is None:
             self._completion_interval_ns = NS_PER_S / self._policy.saturated_rate_per_s(self._running)
         return self._completion_interval_ns
 
 
 class LoadShedder:
-    """Rejects requests: with the wait before a retry, and whether other instances should be spared it."""
+    """Builds rejections, with the time before a retry and whether to retry on other instances at all."""
 
     def __init__(
         self,
@@ -105,7 +105,7 @@
         concurrency: ConcurrencyTracker,
         rng: Random,
     ) -> None:
-        """Nothing was rejected."""
+
         self.rejection_share = DecayingMean(REJECTION_DECAY_S, 0.0, REJECTION_INITIAL_WEIGHT)
         self._settings = settings
         self._arrivals = arrivals
@@ -115,14 +115,14 @@
         self._rng = rng
 
     def observe_start(self, now_ns: int) -> None:
-        """A request was started."""
+        """Counts a started request in the share of rejections."""
         self.rejection_share.add(now_ns, False)
 
     def reject(self, job: Job, now_ns: int, queued: int, unavailable: bool) -> RejectRequest:
-        """The rejection of a request.
+        """Returns the rejection of a request.
 
-        `queued` requests wait, and it may be one of them; `unavailable`: the instance takes no request at
-        all.
+        `queued` is the length of the queue, which may include the request; `unavailable` means that the
+        instance accepts no requests at all.
         """
         self.rejection_share.add(now_ns, not unavailable)
         over_quota = self._activity.is_mostly_over_quota(job.request.tenant_index)
@@ -133,15 +133,16 @@
         expected_ns = self._arrivals.unread_ns.value + (queued + 1) / rate_per_s * NS_PER_S
         objective_ns = job.request_class.latency_objective_ns
         retry_after_ns = min(expected_ns, objective_ns * MAX_RETRY_AFTER_SHARE, limit_ns)
+        # A request over its tenant's quota has a low priority on every instance.
         no_retry = job.request.is_retry or over_quota or self._suppresses_retry_elsewhere()
         return RejectRequest(job.request.id, int(retry_after_ns), no_retry)
 
     def _suppresses_retry_elsewhere(self) -> bool:
-        """Whether this time other instances should not be tried either.
+        """Decides at random whether the caller should not retry on other instances either.
 
-        In a retry storm what others would reject too is not sent around; where retries are not marked the
-        share that is rejected here is the evidence. What is over its tenant's quota has little weight
-        anywhere. The cost: where this instance alone is full or slow, what others had capacity for is lost.
+        In a retry storm other instances would reject the request too. The probability follows the share of
+        retries or, where callers do not mark them, the share of rejections on this instance. The drawback:
+        if only this instance is full or slow, requests are lost for which others had capacity.
         """
-        storm = self._arrivals.retry_share if self._settings.marks_retries else self.rejection_share
-        return self._rng.random() < 2 * storm.value
+        storm_share = self._arrivals.retry_share if self._settings.marks_retries else self.rejection_share
+        return self._rng.random() < 2 * storm_share.value
--- a/ochrehoist/admission/memory_budget.py
+++ b/ochrehoist/admission/memory_budget.py
@@ -1,20 +1,20 @@
-"""The memory that requests and idempotency keys take."""
+"""Memory budget for open requests and idempotency keys."""
 
 from ochrehoist.admission.concurrency import ConcurrencyTracker
 from ochrehoist.admission.idempotency import IdempotencyIndex
 from ochrehoist.admission.job import Job
 from ochrehoist.admission.settings import AdmissionSettings, Idempotency
 
-USABLE_SHARE = 0.97  # sizes are known exactly; the rest is for what is read at the same moment
+USABLE_SHARE = 0.97  # sizes are exact; the rest is for requests being read at the same time
 
 
 class MemoryBudget:
-    """Tracks the memory of open requests, in kB, against what the instance has."""
+    """Memory use of open requests and keys, in kB, against the memory of the instance."""
 
     def __init__(
         self, settings: AdmissionSettings, concurrency: ConcurrencyTracker, index: IdempotencyIndex
     ) -> None:
-        """All of it is free."""
+
         self.used_kb = 0.0
         self._settings = settings
         self._concurrency = concurrency
@@ -22,22 +22,22 @@
         self._usable_kb = settings.memory_kb * USABLE_SHARE
 
     def add(self, job: Job) -> None:
-        """Counts a request that was read."""
+        """Adds the memory of a request that was read."""
         self.used_kb += job.memory_kb
 
     def expand(self, job: Job) -> None:
-        """A request starts, and takes more from now on."""
+        """Adds the memory that a request needs in addition while it runs."""
         growth_kb = self._growth_kb(job)
         job.memory_kb += growth_kb
         self.used_kb += growth_kb
 
     def release(self, job: Job) -> None:
-        """Gives back all that the request took."""
+        """Releases all memory of a request."""
         self.used_kb -= job.memory_kb
         job.memory_kb = 0.0
 
     def can_queue(self, job: Job) -> bool:
-        """Whether a request can be kept, with its key and with memory for runs on all idle cores."""
+        """Returns whether a request and its key fit, with memory left to start runs on all idle cores."""
         settings = self._settings
         concurrency = self._concurrency
         keys = len(self._index.retained) + (job.request_class.idempotency is Idempotency.KEYED)
@@ -47,12 +47,12 @@
         return self.used_kb + keys * settings.key_kb + growth_kb <= self._usable_kb
 
     def can_start(self, job: Job) -> bool:
-        """Whether a queued request can run."""
+        """Returns whether the memory suffices to run a queued request."""
         keys_kb = len(self._index.retained) * self._settings.key_kb
         return self.used_kb + self._growth_kb(job) + keys_kb <= self._usable_kb
 
     def can_attach(self) -> bool:
-        """Whether a duplicate can be kept until the result is there."""
+        """Returns whether a duplicate, already counted, can be kept until the result is available."""
         return self.used_kb + len(self._index.retained) * self._settings.key_kb <= self._usable_kb
 
     def _growth_kb(self, job: Job) -> float:
--- a/ochrehoist/admission/priority.py
+++ b/ochrehoist/admission/priority.py
@@ -1,4 +1,4 @@
-"""The priority of requests: what the objective gains by each unit of expected work."""
+"""Priority of requests: the gain of the objective per unit of expected work."""
 
 from ochrehoist.admission.job import Job
 from ochrehoist.admission.run_time import RunTimeModel
@@ -9,12 +9,12 @@
 
 
 class PriorityModel:
-    """Values requests by their class, their tenant and the work that they are expected to take."""
+    """Priority model based on the class, the tenant and the expected work of a request."""
 
     def __init__(
         self, settings: AdmissionSettings, activity: ActivityTracker, run_times: RunTimeModel
     ) -> None:
-        """The values of classes follow from the first `refresh`."""
+        """`refresh` has to be called before the first `value`."""
         self._settings = settings
         self._worst_tenant_weight = settings.objective.worst_tenant
         self._activity = activity
@@ -22,23 +22,24 @@
         self._class_gains: list[float] = []
 
     def refresh(self) -> None:
-        """Computes what one more answer of each class adds to the objective, as of this tick."""
+        """Recomputes how much one more answer of each class adds to the objective at this tick."""
         classes = self._settings.classes
         by_class = self._activity.by_class
         objective = self._settings.objective
         shortfall = sum(counts.shortfall for counts in by_class)
         offered = sum(
-            of.priority_weight * counts.expected_demand for of, counts in zip(classes, by_class, strict=True)
+            request_class.priority_weight * counts.expected_demand
+            for request_class, counts in zip(classes, by_class, strict=True)
         )
         offered = max(MIN_OFFERED_WEIGHT, offered)
         self._class_gains = [
-            (objective.overall + objective.worst_window) * of.priority_weight / offered
+            (objective.overall + objective.worst_window) * request_class.priority_weight / offered
             + objective.worst_class * (counts.shortfall / shortfall / counts.expected_demand)
-            for of, counts in zip(classes, by_class, strict=True)
+            for request_class, counts in zip(classes, by_class, strict=True)
         ]
 
     def value(self, job: Job) -> float:
-        """What the objective gains by each unit of the request's expected work."""
+        """Returns the gain of the objective per unit of the request's expected work."""
         request = job.request
         settings = self._settings
         activity = self._activity
@@ -47,11 +48,11 @@
         tenant = request.tenant_index
         if tenant is not None:
             counts = activity.tenant_counts(tenant)
-            within = activity.share_within_quota(tenant, counts.starts_per_s)
-            lack = counts.shortfall / activity.total_shortfall / counts.expected_demand
-            gain = gain + self._worst_tenant_weight * lack
-            if within != 1:
-                quota_factor = within**2 + (1 - within**2) * settings.over_quota_weight
+            within_quota = activity.share_within_quota(tenant, counts.starts_per_s)
+            shortfall_gain = counts.shortfall / activity.total_shortfall / counts.expected_demand
+            gain = gain + self._worst_tenant_weight * shortfall_gain
+            if within_quota != 1:
+                quota_factor = within_quota**2 + (1 - within_quota**2) * settings.over_quota_weight
         work = 1.0
         if not settings.weighs_work:
             work = request.work_ns or self._run_times.mean_run_ns[request.class_index].value
--- a/ochrehoist/admission/request_queue.py
+++ b/ochrehoist/admission/request_queue.py
@@ -1,4 +1,4 @@
-"""The queue of requests that wait to be started, in groups of equal priority."""
+"""Queue of requests that wait to start, in groups of equal priority."""
 
 from collections.abc import Callable
 
@@ -7,28 +7,28 @@
 from ochrehoist.admission.priority import PriorityModel
 from ochrehoist.units import NS_PER_S
 
-SHORT_QUEUE = 8  # requests; a queue up to this length is evaluated as a whole at every event
-EVALUATION_INTERVAL_NS = NS_PER_S // 200  # between two evaluations of a longer queue as a whole
+SHORT_QUEUE = 8  # queues up to this length are fully evaluated at every event
+EVALUATION_INTERVAL_NS = NS_PER_S // 200  # between two full evaluations of a longer queue
 
-# What requests of equal priority share: class, tenant, whether expensive, stated work.
+# Class, tenant, whether expensive, and stated work, which determine the priority.
 GroupKey = tuple[int, int | None, bool, bool | int | None]
 
 
 class RequestQueue:
-    """Queued requests by id, and in groups of equal priority in order of their arrival."""
+    """Queued requests by id, and by groups of equal priority in arrival order."""
 
     def __init__(self, weighs_work: bool, concurrency: ConcurrencyTracker, priority: PriorityModel) -> None:
-        """The queue is empty. `weighs_work`: the weight of a request counts per unit of its work."""
+        """With `weighs_work` the weight of a request counts per unit of its work."""
         self.jobs: dict[str, Job] = {}
         self.groups: dict[GroupKey, dict[str, Job]] = {}
-        self.newest: Job | None = None  # what was queued in this event
+        self.newest: Job | None = None  # the last request queued during the current event
         self._evaluated_at_ns = 0
         self._weighs_work = weighs_work
         self._concurrency = concurrency
         self._priority = priority
 
     def begin_event(self) -> None:
-        """Nothing has come in this event yet."""
+        """Resets what refers to the current event."""
         self.newest = None
 
     def add(self, job: Job) -> None:
@@ -38,7 +38,7 @@
         self.newest = job
 
     def remove(self, job: Job) -> None:
-        """Takes a request out, if it is queued."""
+        """Removes a request if it is queued."""
         if self.jobs.pop(job.request.id, None) is None:
             return
         key = self._group_key(job)
@@ -53,10 +53,10 @@
         return request.class_index, request.tenant_index, job.expensive, stated_work
 
     def begin_full_evaluation(self, now_ns: int) -> bool:
-        """Whether each queued request is to be looked at now; notes that it is.
+        """Returns whether a full evaluation of the queue is due, and records its time if so.
 
-        A long queue is evaluated as a whole only now and then, which bounds the cost of an event; its other
-        requests are rejected that much later.
+        A long queue is fully evaluated only at intervals, which bounds the cost of an event. Requests in it
+        that would miss their objective are rejected later by up to that interval.
         """
         age_ns = now_ns - self._evaluated_at_ns
         due = len(self.jobs) <= SHORT_QUEUE or age_ns >= EVALUATION_INTERVAL_NS
@@ -65,7 +65,7 @@
         return due
 
     def by_priority(self) -> list[list[Job]]:
-        """The groups, highest priority first."""
+        """Returns the groups in order of priority, highest first."""
         groups = [list(group.values()) for group in self.groups.values()]
         if len(groups) > 1:
             groups.sort(key=self._group_order())
--- a/ochrehoist/admission/run_observer.py
+++ b/ochrehoist/admission/run_observer.py
@@ -1,4 +1,4 @@
-"""What is learned from runs: the service rates, the run times, and the floor of the concurrency."""
+"""Learning from runs: service rates, run times, and the concurrency floor."""
 
 from ochrehoist.admission.concurrency import ConcurrencyTracker
 from ochrehoist.admission.events import Outcome, RequestCompleted
@@ -11,9 +11,10 @@
 
 
 class RunObserver:
-    """Hands on what is seen of runs; nothing is learned of an instance that is stalled.
+    """Observer that updates the learned models with elapsed time and completed runs.
 
-    A cold one teaches run times, at its speed, but no service rates.
+    Nothing is learned while the instance is stalled. During warm-up it learns run times, corrected for its
+    speed, but no service rates.
     """
 
     def __init__(
@@ -25,7 +26,7 @@
         curve: ServiceRateCurve,
         run_times: RunTimeModel,
     ) -> None:
-        """All of these belong to one controller."""
+        """All components must belong to the same controller."""
         self._cores = cores
         self._health = health
         self._concurrency = concurrency
@@ -34,7 +35,7 @@
         self._run_times = run_times
 
     def observe_elapsed_time(self, now_ns: int) -> None:
-        """Counts the time since the last event, for as many runs as there are."""
+        """Adds the time since the last event to the service rate curve, at the current concurrency."""
         elapsed_ns = self._health.record_event(now_ns)
         running = self._concurrency.running
         if running and not self._health.stalled and self._concurrency.is_warm(now_ns):
@@ -43,7 +44,7 @@
     def observe_completion(
         self, job: Job, event: RequestCompleted, now_ns: int, idle_while_queued: bool
     ) -> None:
-        """A run has ended; `idle_while_queued`: cores are idle although requests wait."""
+        """Records the end of a run; `idle_while_queued` means that cores are idle although requests wait."""
         if event.outcome is Outcome.OK and not self._health.stalled:
             self._learn(job, event.duration_ns, now_ns)
         self._policy.adjust_floor(idle_while_queued)
--- a/ochrehoist/admission/settings.py
+++ b/ochrehoist/admission/settings.py
@@ -1,9 +1,8 @@
-"""The settings of an admission controller: classes, tenants, capacity and the rules of a site.
+"""Settings of an admission controller: classes, tenants, capacity and the rules of a site.
 
-Times and spans are whole nanoseconds (`_ns`), memory is in kilobytes (`_kb`), work is time on a standard
-core.
-The values are read and checked by `ochrehoist.config`; a site that lacks one leaves it at its default, which
-decides nothing.
+Times and durations are whole nanoseconds (`_ns`), memory is in kilobytes (`_kb`), and work is CPU time on a
+standard core. `ochrehoist.config` reads and checks the values; the default of a setting has no effect on
+decisions.
 """
 
 from dataclasses import dataclass, field
@@ -11,15 +10,15 @@
 
 
 class Idempotency(Enum):
-    """Whether a request may be run again."""
+    """Retry semantics of a request class."""
 
-    IDEMPOTENT = "idempotent"  # at any time
-    KEYED = "keyed"  # it carries an idempotency key: a retry gets the first result
+    IDEMPOTENT = "idempotent"  # may be run again at any time
+    KEYED = "keyed"  # requests carry an idempotency key: a retry gets the first result
     AT_MOST_ONCE = "at most once"
 
 
 class DownstreamScope(Enum):
-    """What requests call while they run."""
+    """Kind of dependency that requests call while they run."""
 
     NONE = "none"
     SHARED = "shared"  # one dependency of all instances
@@ -27,7 +26,7 @@
 
 
 class BackpressureSignal(Enum):
-    """How callers read the value that is sent with each answer."""
+    """Meaning of the backpressure value that is sent to callers with each answer."""
 
     NONE = "none"
     WINDOW = "window"  # requests that one caller may have outstanding
@@ -36,7 +35,7 @@
 
 
 class Preemption(Enum):
-    """What cancelling a run does."""
+    """Effect of cancelling a run."""
 
     NONE = "none"
     DROP = "drop"
@@ -53,15 +52,15 @@
     priority_weight: float = 1.0
     late_weight: float = 0.0  # weight of an answer after the objective and by the deadline
     idempotency: Idempotency = Idempotency.AT_MOST_ONCE
-    idempotency_window_ns: int = 0  # for which a retry with the same key gets the first result
+    idempotency_window_ns: int = 0  # a retry with the same key within it gets the first result
     objective_stretch: float = 0.0
     calls_downstream: bool = False
-    fallback_weight: float = 0.0  # weight of an answer without its downstream call; 0: it needs the call
+    fallback_weight: float = 0.0  # weight of an answer without the downstream call; 0: no fallback
 
 
 @dataclass(slots=True, frozen=True)
 class Tenant:
-    """A tenant and the load that it is entitled to, over the whole fleet."""
+    """A tenant and its load quota across the whole fleet."""
 
     name: str
     quota_per_s: float
@@ -70,7 +69,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ObjectiveWeights:
-    """The weights of the parts of the result that the decisions maximise."""
+    """Weights of the components of the objective that admission decisions maximise."""
 
     overall: float
     worst_window: float = 0.0
@@ -80,35 +79,37 @@
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class AdmissionSettings:
-    """All that the admission controller knows of its site."""
+    """Configuration of the admission controller for its site."""
 
     classes: tuple[RequestClass, ...]
     cores: int
     memory_kb: float
     collapse_multiple: float  # concurrent runs per core at which the instance collapses
-    collapse_after_ns: int  # for which it bears that
-    run_memory_factor: float = 1.0  # memory of a request that runs, as a multiple of one that is queued
+    collapse_after_ns: int  # time that the instance survives at that concurrency
+    run_memory_factor: float = 1.0  # memory of a running request, as a multiple of a queued one
     drain_grace_ns: int = 0
     answer_grace_ns: int = 0
     objective: ObjectiveWeights = ObjectiveWeights(1.0)
     tenants: tuple[Tenant, ...] = ()
     prices: dict[str, float] = field(default_factory=dict)
     fleet_size: int = 1
-    tier: int = 0  # 0: clients call directly; above: other tiers do
+    tier: int = 0  # 0: called by clients; above 0: called by other tiers
     caller_count: int = 0
     key_kb: float = 0.0  # memory of one idempotency key
     cold_start: bool = False
     warmup_ns: int = 0
-    warmup_speed: float = 1.0  # at its beginning, as a share of the full speed
+    warmup_speed: float = 1.0  # initial speed during warm-up, as a share of the full speed
     propagates_deadline: bool = False
     reports_disconnects: bool = False
     marks_retries: bool = False
-    weighs_work: bool = False  # the weight of a request counts per unit of its work
-    over_quota_weight: float = 1.0  # of requests beyond the tenant's quota, as a share of their weight
+    weighs_work: bool = False  # the weight of a request is per unit of its work
+    over_quota_weight: float = (
+        1.0  # weight of requests over their tenant's quota, as a share of the normal weight
+    )
     downstream: DownstreamScope = DownstreamScope.NONE
     downstream_share: float = 0.0  # concurrent calls that this instance is entitled to
-    downstream_window_ns: int = 0  # over which that share is averaged
-    abandoned_call_ns: int = 0  # for which a call goes on once it was abandoned
+    downstream_window_ns: int = 0  # averaging window of that share
+    abandoned_call_ns: int = 0  # time that an abandoned call continues to occupy the dependency
     freshness_ns: int = 0
     backpressure: BackpressureSignal = BackpressureSignal.NONE
     backpressure_ttl_ns: int = 0
--- a/ochrehoist/admission/start_selection.py
+++ b/ochrehoist/admission/start_selection.py
@@ -1,4 +1,4 @@
-"""Which of the queued requests start now, and which are rejected because they would be late."""
+"""Selection of queued requests to start now, and of those to reject because they would be late."""
 
 from collections.abc import Callable
 
@@ -12,11 +12,14 @@
 from ochrehoist.admission.request_queue import RequestQueue
 from ochrehoist.admission.run_time import RunTimeModel
 
-BUSY_CORES_SHARE = 0.9  # of the cores' time; below it they count as idle
+BUSY_CORES_SHARE = 0.9  # cores count as idle below this share of their time
 
 
 class StartSelector:
-    """Combines the policy, the limits and the queue; it changes none of them."""
+    """Selector that combines the multiprogramming limit, the concurrency limits and the queue.
+
+    It changes none of them.
+    """
 
     def __init__(
         self,
@@ -29,7 +32,7 @@
         run_times: RunTimeModel,
         callers: CallerTracker,
     ) -> None:
-        """Nothing was measured yet."""
+
         self._cores = cores
         self._health = health
         self._concurrency = concurrency
@@ -41,25 +44,25 @@
         self._gauges = CoreGauges()
 
     def update_gauges(self, gauges: dict[str, float], now_ns: int) -> None:
-        """Takes what was measured at a tick: `cpu_busy` (share) and `runnable` (threads)."""
+        """Stores the gauges measured at a tick: `cpu_busy` (share of time) and `runnable` (threads)."""
         runnable = gauges.get("runnable", 0)
-        others = int(max(0, runnable - self._concurrency.running))
-        self._gauges = CoreGauges(gauges.get("cpu_busy", 1.0), runnable, others, now_ns)
+        other_runnable = int(max(0, runnable - self._concurrency.running))
+        self._gauges = CoreGauges(gauges.get("cpu_busy", 1.0), runnable, other_runnable, now_ns)
 
     def cores_idle(self) -> bool:
-        """Whether cores were idle at the last tick.
+        """Returns whether cores were idle at the last tick.
 
-        The share of time lags, so that the threads that want a core have to say so too.
+        The busy share lags behind, so the number of runnable threads has to be below the cores as well.
         """
         return self._gauges.busy_share < BUSY_CORES_SHARE and self._gauges.runnable < self._cores
 
     def allowed_starts(self, now_ns: int) -> int:
-        """How many requests may start now."""
+        """Returns how many requests may start now."""
         concurrency = self._concurrency
         policy = self._policy
         running = concurrency.running
         ceiling = concurrency.ceiling(now_ns)
-        unread = self._arrivals.unread_requests()  # they wait too, and take cores while they are read
+        unread = self._arrivals.unread_requests()  # they are waiting too, and reading them takes CPU time
         occupied = running
         if unread and self._gauges_are_fresh(now_ns):
             occupied += min(self._gauges.other_runnable, unread)
@@ -70,26 +73,27 @@
         return max(0, min(wanted, allowed))
 
     def _gauges_are_fresh(self, now_ns: int) -> bool:
-        """Whether the gauges are younger than a run; older ones would keep work from cores that are idle."""
+        """Returns whether the gauges are younger than a run; older ones could keep idle cores unused."""
         return now_ns - self._gauges.measured_at_ns < self._run_times.shortest_mean_ns()
 
     def startable(self, now_ns: int, starts: int, reject: Callable[[Job], None]) -> list[Job]:
-        """The queue by priority, without what cannot meet its objective: that is handed to `reject`.
+        """Returns queued requests that can meet their objective, by priority; passes the others to `reject`.
 
-        It is rejected now, while its client can go elsewhere. Of a long queue only what has just come and
-        what starts now is evaluated, but for a few times each second.
+        The others are rejected immediately, while their clients still have time
+        to retry elsewhere. In a long queue only the newest request and those that start now are evaluated,
+        except at fixed intervals.
         """
         queue = self._queue
-        evaluates_all = queue.begin_full_evaluation(now_ns)
-        limit = len(queue.jobs) if evaluates_all else starts
+        evaluate_all = queue.begin_full_evaluation(now_ns)
+        limit = len(queue.jobs) if evaluate_all else starts
         forecast = self._forecast(now_ns, starts)
         startable: list[Job] = []
         position = 0
         for group in queue.by_priority():
             run_ns = forecast.safe_run_ns(group[0].request.class_index)
             position += len(group)
-            just_came = not evaluates_all and group[-1] is queue.newest
-            if just_came and self._should_reject(group[-1], position, forecast, run_ns):
+            is_newest = not evaluate_all and group[-1] is queue.newest
+            if is_newest and self._should_reject(group[-1], position, forecast, run_ns):
                 reject(group.pop())
             for job in group:
                 if len(startable) >= limit:
--- a/ochrehoist/admission/timing.py
+++ b/ochrehoist/admission/timing.py
@@ -1,6 +1,6 @@
-"""The periods that all parts of the decisions share."""
+"""Time constants shared by the components of the admission controller."""
 
 from ochrehoist.units import NS_PER_S
 
 TICK_INTERVAL_NS = NS_PER_S // 10  # between two checks of deadlines, backpressure and health
-DECAY_S = 20.0  # after which an observation counts for 1/e
+DECAY_S = 20.0  # decay time constant: an observation of this age counts for 1/e
