--- a/tests/admission/controller_driver.py
+++ b/tests/admission/controller_driver.py
@@ -102,13 +102,13 @@
     def __init__(self, **changes):
         self.settings = settings(**changes)
         self.controller = AdmissionController(self.settings, 7)
-        self.now, self.count, self.log, self.arrived = 1000 * S, 0, [], {}
+        self.now_ns, self.count, self.log, self.arrived = 1000 * S, 0, [], {}
         self.send(InstanceStarted())
 
     def send(self, event):
         """One event; the actions that follow."""
-        actions = self.controller.handle(self.now, event)
-        self.log += [(self.now, a) for a in actions]
+        actions = self.controller.handle(self.now_ns, event)
+        self.log += [(self.now_ns, a) for a in actions]
         return actions
 
     def request(self, class_index=0, remaining_ns=3 * S, **changes):
@@ -130,30 +130,30 @@
             duplicate_of=None,
         )
         event = dataclasses.replace(base, **changes)
-        self.arrived[event.id] = self.now - event.unread_ns
+        self.arrived[event.id] = self.now_ns - event.unread_ns
         return event.id, self.send(event)
 
-    def done(self, job_id, outcome=Outcome.OK, took=100 * MS):
+    def complete(self, job_id, outcome=Outcome.OK, duration_ns=100 * MS):
         """A run that ends; the actions that follow."""
-        return self.send(RequestCompleted(job_id, outcome, took))
+        return self.send(RequestCompleted(job_id, outcome, duration_ns))
 
-    def run_for(self, span, every=25 * MS, gauges=None):
+    def advance(self, span_ns, step_ns=25 * MS, gauges=None):
         """Let time pass, the sweep timer ringing."""
         out = []
-        end = self.now + span
-        while self.now < end:
-            self.now = min(end, self.now + every)
+        end = self.now_ns + span_ns
+        while self.now_ns < end:
+            self.now_ns = min(end, self.now_ns + step_ns)
             out += self.send(TimerFired(1, gauges if gauges is not None else {"cpu_busy": 1.0}))
         return out
 
-    def said(self, kind):
+    def actions_of(self, kind):
         """All actions of a kind so far."""
         return [a for _, a in self.log if isinstance(a, kind)]
 
     def ids(self, kind):
         """The ids in all actions of a kind so far."""
-        return [a.id for a in self.said(kind)]
+        return [a.id for a in self.actions_of(kind)]
 
-    def at(self, kind, job_id):
+    def times_of(self, kind, job_id):
         """When an action of a kind came for a request."""
         return [t for t, a in self.log if isinstance(a, kind) and a.id == job_id]
--- a/tests/admission/tenant_load.py
+++ b/tests/admission/tenant_load.py
@@ -41,12 +41,12 @@
         goal = ObjectiveWeights(0.45, 0.15, 0.3, 0.1)
         self.settings = settings(tenants=of, objective=goal, classes=CLASSES[:1] * 2, **changes)
         self.c = AdmissionController(self.settings, 1)
-        self.now, self.number, self.actions = 1000 * S, 0, []
+        self.now_ns, self.number, self.actions = 1000 * S, 0, []
         self.send(InstanceStarted())
 
     def send(self, event):
         """One event; the actions that follow."""
-        acts = self.c.handle(self.now, event)
+        acts = self.c.handle(self.now_ns, event)
         self.actions += acts
         return acts
 
@@ -67,12 +67,12 @@
     def tick(self, count=1):
         """So many ticks."""
         for _ in range(count):
-            self.now += TICK_NS
+            self.now_ns += TICK_NS
             self.send(TimerFired(1, {"cpu_busy": 0.5}))
 
     def probe(self, tenant):
         """What the goal gains by an answer to it, and the part of what it starts that is within its share."""
-        job = Job(RequestReceived("probe", 0, tenant, work_ns=S), self.settings.classes[0], self.now)
+        job = Job(RequestReceived("probe", 0, tenant, work_ns=S), self.settings.classes[0], self.now_ns)
         return self.c.priority.value(job), self.c.activity.share_within_quota(
             tenant, self.c.activity.tenant_counts(tenant).starts_per_s
         )
--- a/tests/admission/test_backpressure.py
+++ b/tests/admission/test_backpressure.py
@@ -15,16 +15,16 @@
 @pytest.mark.parametrize("advice", list(BackpressureSignal))
 def test_each_backpressure_signal_makes_callers_send_less_in_overload(advice):
     d = Driver(backpressure=advice)
-    d.run_for(S)
-    calm = d.said(SendBackpressure)[-1].value if d.said(SendBackpressure) else None
+    d.advance(S)
+    calm = d.actions_of(SendBackpressure)[-1].value if d.actions_of(SendBackpressure) else None
     for _ in range(60):
         for _ in range(4):
             d.request(unread_ns=900 * MS)
-        d.run_for(50 * MS)
+        d.advance(50 * MS)
     if advice is BackpressureSignal.NONE:
-        assert not d.said(SendBackpressure), "advice where it is off"
+        assert not d.actions_of(SendBackpressure), "advice where it is off"
         return
-    busy = d.said(SendBackpressure)[-1].value
+    busy = d.actions_of(SendBackpressure)[-1].value
     assert busy > (calm or 0) if advice is BackpressureSignal.THRESHOLD else busy < calm
 
 
@@ -35,9 +35,9 @@
         d = Driver(caller_count=callers)
         for n in range(120):
             job_id, _ = d.request(caller=n % callers)
-            d.done(job_id)
-            d.run_for(100 * MS, every=100 * MS)
-        assert (d.said(SetIdleTimeout)[-1].idle_timeout_ns == 0) is kept
+            d.complete(job_id)
+            d.advance(100 * MS, step_ns=100 * MS)
+        assert (d.actions_of(SetIdleTimeout)[-1].idle_timeout_ns == 0) is kept
 
 
 @pytest.mark.parametrize(
@@ -45,5 +45,5 @@
 )
 def test_the_same_backpressure_is_not_sent_again(advice):
     d = Driver(backpressure=advice)
-    d.run_for(5 * S, every=100 * MS)
-    assert len(d.said(SendBackpressure)) == 1
+    d.advance(5 * S, step_ns=100 * MS)
+    assert len(d.actions_of(SendBackpressure)) == 1
--- a/tests/admission/test_caller_timeouts.py
+++ b/tests/admission/test_caller_timeouts.py
@@ -10,9 +10,9 @@
     d = Driver(marks_retries=True)
     for _ in range(8):
         job_id, _ = d.request()
-        d.now += waits
+        d.now_ns += waits
         d.send(RequestAbandoned(job_id, gave_up))
-        d.done(job_id, took=400 * MS)
+        d.complete(job_id, duration_ns=400 * MS)
     for _ in range(4):
         d.request(caller=2)  # every core has work
     return d
@@ -28,7 +28,7 @@
 
 def test_a_timeout_is_forgotten_when_nothing_is_cancelled_any_more():
     d = driver(400 * MS)
-    d.now += 11 * S
+    d.now_ns += 11 * S
     again, _ = d.request()
     assert again not in d.ids(RejectRequest)
 
@@ -44,7 +44,7 @@
     d.send(TimerFired(1, {"cpu_busy": 0.2, "runnable": 9}))
     ids = [d.request()[0] for _ in range(12)]
     for job_id in ids[:4]:
-        d.done(job_id, took=50 * MS)
+        d.complete(job_id, duration_ns=50 * MS)
     assert d.controller.policy.floor == d.settings.cores
 
 
@@ -52,6 +52,6 @@
     d = Driver(cold_start=True, warmup_speed=0.25)
     before = d.controller.run_times.mean_run_ns[0].value
     job_id, _ = d.request()
-    d.now += 100 * MS
-    d.done(job_id, took=before * 4)  # a quarter of the speed
+    d.now_ns += 100 * MS
+    d.complete(job_id, duration_ns=before * 4)  # a quarter of the speed
     assert d.controller.run_times.mean_run_ns[0].value < before * 1.1
--- a/tests/admission/test_concurrency.py
+++ b/tests/admission/test_concurrency.py
@@ -13,7 +13,7 @@
     d = Driver(cold_start=cold, memory_kb=1e9)
     for _ in range(200):
         d.request(remaining_ns=60 * S)
-        d.run_for(5 * MS, every=5 * MS, gauges={"cpu_busy": 0.1})
+        d.advance(5 * MS, step_ns=5 * MS, gauges={"cpu_busy": 0.1})
     running = len(d.ids(StartRun))
     assert running <= 4 * (1 + 4 * (0.25 + 0.75 * 0.1 if cold else 1))
 
@@ -27,10 +27,10 @@
     for _ in range(40):  # runs that wait for disk: cores idle, work waits, each finish raises the floor
         for _ in range(8):
             d.request(remaining_ns=60 * S)
-        d.run_for(25 * MS, gauges={"cpu_busy": 0.1})
+        d.advance(25 * MS, gauges={"cpu_busy": 0.1})
         running = [x for x in d.ids(StartRun) if x in d.controller.jobs]
         most = max(most, len(running))
-        d.done(running[0])
+        d.complete(running[0])
     assert (4 if cold else 5) <= most <= 4 * (1 + 2 * (0.26 if cold else 1))
 
 
@@ -49,8 +49,8 @@
     for unread, runnable, running in ((0, 0, 3), (0, 3, 3), (900 * MS, 3, 1)):
         d = Driver(cores=2, collapse_multiple=8.0, classes=(CLASSES[0],) * 4)
         for _ in range(30):
-            d.run_for(500 * MS, every=100 * MS, gauges={"cpu_busy": 1.0, "runnable": runnable})
-            d.done(d.request(unread_ns=unread)[0])
+            d.advance(500 * MS, step_ns=100 * MS, gauges={"cpu_busy": 1.0, "runnable": runnable})
+            d.complete(d.request(unread_ns=unread)[0])
         for _ in range(3):
             d.request(unread_ns=unread)
         assert d.controller.concurrency.running == running
@@ -61,6 +61,6 @@
     for _ in range(40):  # idle cores raise the floor, as with runs that wait for disk
         for _ in range(3):
             d.request(remaining_ns=60 * S)
-        d.run_for(25 * MS, gauges={"cpu_busy": 0.1})
+        d.advance(25 * MS, gauges={"cpu_busy": 0.1})
         assert d.controller.memory.used_kb <= 700.0
-        d.done(next(x for x in d.ids(StartRun) if x in d.controller.jobs))
+        d.complete(next(x for x in d.ids(StartRun) if x in d.controller.jobs))
--- a/tests/admission/test_controller.py
+++ b/tests/admission/test_controller.py
@@ -29,8 +29,8 @@
         for n in range(40):
             d.request(class_index=n % 3, caller=n % 4, is_retry=n % 3 == 0)
             if n % 4 == 0 and d.ids(StartRun):
-                d.done(d.ids(StartRun)[-1])
-            d.run_for(50 * MS)
+                d.complete(d.ids(StartRun)[-1])
+            d.advance(50 * MS)
         return d.log
 
     assert play() == play()
@@ -40,14 +40,14 @@
     d = Driver(backpressure=BackpressureSignal.WINDOW)
     for n in range(3000):
         d.request(caller=n, remaining_ns=20 * MS)
-        d.run_for(25 * MS)
+        d.advance(25 * MS)
     assert len(d.controller.callers.last_seen_ns) < 500 and not d.controller.jobs
 
 
 def test_the_first_values_of_the_means_count_whatever_the_clock_shows():
     d = Driver()
     before = d.controller.run_times.mean_run_ns[0].value
-    d.done(d.request()[0], took=1 * MS)
+    d.complete(d.request()[0], duration_ns=1 * MS)
     assert d.controller.run_times.mean_run_ns[0].value > before / 2
 
 
@@ -84,12 +84,12 @@
         job_id, _ = d.request(class_index=n % 4, caller=n, tenant_index=0 if d.settings.tenants else None)
         if d.settings.reports_disconnects and n % 3 == 0:
             d.send(RequestAbandoned(job_id))
-        d.run_for(100 * MS, every=100 * MS, gauges={})
+        d.advance(100 * MS, step_ns=100 * MS, gauges={})
         if job_id in d.ids(StartRun):
             d.send(DownstreamCallNeeded(job_id))
-            d.done(job_id)
+            d.complete(job_id)
     d.send(DrainStarted(0))
-    d.run_for(6 * S, gauges={})
+    d.advance(6 * S, gauges={})
     assert not d.controller.jobs and d.ids(StartRun)
 
 
--- a/tests/admission/test_deadlines.py
+++ b/tests/admission/test_deadlines.py
@@ -21,9 +21,9 @@
 def test_queued_and_running_are_answered_by_their_deadline_while_runs_hang():
     d = Driver()
     ids = [d.request(class_index=k % 3)[0] for k in range(12)]
-    d.run_for(3 * S + 100 * MS)
+    d.advance(3 * S + 100 * MS)
     for job_id in ids:
-        answers = d.at(FailRequest, job_id) + d.at(RejectRequest, job_id)
+        answers = d.times_of(FailRequest, job_id) + d.times_of(RejectRequest, job_id)
         assert len(answers) == 1
         assert answers[0] <= 1000 * S + 3 * S + 100 * MS
 
@@ -32,26 +32,26 @@
     d = Driver(propagates_deadline=False)
     job_id, actions = d.request(remaining_ns=None, unread_ns=1 * S)
     assert StartRun(job_id) in actions
-    d.run_for(5 * S)
-    assert d.at(FailRequest, job_id)[0] <= 1000 * S + 4 * S + 100 * MS
+    d.advance(5 * S)
+    assert d.times_of(FailRequest, job_id)[0] <= 1000 * S + 4 * S + 100 * MS
 
 
 def test_overdue_runs_are_cancelled_where_the_site_allows_it():
     d = Driver(preemption=Preemption.DROP)
     job_id, _ = d.request()
-    d.run_for(3 * S)
+    d.advance(3 * S)
     assert d.ids(FailRequest) == [job_id] and d.ids(CancelRun) == [job_id]
 
 
 def test_what_has_ended_is_not_answered_again():
     d = Driver()
     job_id, _ = d.request()
-    d.done(job_id)
-    d.done(job_id)
+    d.complete(job_id)
+    d.complete(job_id)
     d.send(RequestAbandoned(job_id))
     d.send(DownstreamCallNeeded(job_id))
     d.send(DownstreamCallEnded(job_id, Outcome.OK, 1))
-    d.run_for(4 * S)
+    d.advance(4 * S)
     assert not d.ids(FailRequest) and not d.ids(RejectRequest)
 
 
@@ -61,7 +61,7 @@
     held = [x for x in ids if x not in d.ids(StartRun) + d.ids(RejectRequest)]
     assert held
     d.send(RequestAbandoned(held[0]))
-    d.run_for(4 * S)
+    d.advance(4 * S)
     assert held[0] not in d.ids(FailRequest) + d.ids(RejectRequest) + d.ids(StartRun)
 
 
@@ -71,9 +71,9 @@
     d.request(remaining_ns=60 * S)  # the server is not empty
     short, _ = d.request(remaining_ns=50 * MS)
     again, _ = d.request(class_index=WRITE, duplicate_of=first, is_retry=True, remaining_ns=50 * MS)
-    assert d.at(RejectRequest, short) + d.at(StartRun, short) == [d.now] and d.at(FailRequest, again) == [
-        d.now
-    ]
+    assert d.times_of(RejectRequest, short) + d.times_of(StartRun, short) == [d.now_ns] and d.times_of(
+        FailRequest, again
+    ) == [d.now_ns]
     d = Driver()
     alone, _ = d.request(remaining_ns=50 * MS)
-    assert d.at(RejectRequest, alone) == [d.now]
+    assert d.times_of(RejectRequest, alone) == [d.now_ns]
--- a/tests/admission/test_downstream_calls.py
+++ b/tests/admission/test_downstream_calls.py
@@ -32,7 +32,7 @@
         d.send(DownstreamCallNeeded(job_id))
         assert d.ids(StartDownstreamCall) == [job_id]
         d.send(DownstreamCallEnded(job_id, outcome, 10 * MS))
-        d.run_for(2 * S)
+        d.advance(2 * S)
         assert len(d.ids(StartDownstreamCall)) == (2 if outcome in NEVER_RAN else 1)
 
 
@@ -59,7 +59,7 @@
         self.seen = len(self.d.log)
 
     def cut(self, job_id, linger=True):
-        self.spans[job_id][-1][1] = self.d.now + (self.d.settings.abandoned_call_ns if linger else 0)
+        self.spans[job_id][-1][1] = self.d.now_ns + (self.d.settings.abandoned_call_ns if linger else 0)
 
     def worst(self):
         over = self.d.settings.downstream_window_ns
@@ -97,19 +97,19 @@
             below.look()
             if out not in d.controller.jobs or d.controller.jobs[out].state is not JobState.CALLING:
                 continue
-            if ending in ("gone", "answered") and d.now - spans[-1][0] > 30 * MS * (n % 9):
+            if ending in ("gone", "answered") and d.now_ns - spans[-1][0] > 30 * MS * (n % 9):
                 below.cut(out)
                 if ending == "gone":
                     d.send(RequestAbandoned(out))
-                d.done(out, Outcome.CANCELLED)
-            elif ending is Outcome.QUEUE_FULL and d.now - spans[-1][0] > 40 * MS:
+                d.complete(out, Outcome.CANCELLED)
+            elif ending is Outcome.QUEUE_FULL and d.now_ns - spans[-1][0] > 40 * MS:
                 below.cut(out, linger=False)
                 d.send(DownstreamCallEnded(out, ending, 40 * MS))
-            elif d.now >= spans[-1][1] - d.settings.abandoned_call_ns:
+            elif d.now_ns >= spans[-1][1] - d.settings.abandoned_call_ns:
                 below.cut(out)
-                d.send(DownstreamCallEnded(out, Outcome.TIMED_OUT, d.now - spans[-1][0]))
-                d.done(out, Outcome.FAILED) if out in d.controller.jobs else None
-        d.run_for(10 * MS)
+                d.send(DownstreamCallEnded(out, Outcome.TIMED_OUT, d.now_ns - spans[-1][0]))
+                d.complete(out, Outcome.FAILED) if out in d.controller.jobs else None
+        d.advance(10 * MS)
         below.look()
     assert len(below.spans) > 3 and below.worst() <= fair
 
@@ -142,7 +142,7 @@
     )
     for _ in range(60):
         job_id, _ = d.request(remaining_ns=60 * S)
-        d.run_for(5 * MS, every=5 * MS, gauges={"cpu_busy": 0.1})
+        d.advance(5 * MS, step_ns=5 * MS, gauges={"cpu_busy": 0.1})
         if job_id in d.ids(StartRun):
             d.send(DownstreamCallNeeded(job_id))
     assert 6 <= len(d.ids(StartRun)) <= 4 * 3
@@ -163,10 +163,10 @@
         job_id, _ = d.request(class_index=READ)
         d.send(DownstreamCallNeeded(job_id))
         if job_id in d.ids(StartDownstreamCall):
-            d.now += 900 * MS
+            d.now_ns += 900 * MS
             d.send(DownstreamCallEnded(job_id, Outcome.OK, 1100 * MS))
     calls = len(d.ids(StartDownstreamCall))
-    d.run_for(6 * S, every=100 * MS)
+    d.advance(6 * S, step_ns=100 * MS)
     job_id, _ = d.request(class_index=READ)
     d.send(DownstreamCallNeeded(job_id))
     assert len(d.ids(StartDownstreamCall)) > calls
--- a/tests/admission/test_health.py
+++ b/tests/admission/test_health.py
@@ -17,12 +17,12 @@
 def test_a_stall_rejects_arrivals_reports_bad_health_and_ends_with_the_first_completion():
     d = Driver()
     ids = [d.request(remaining_ns=20 * S)[0] for _ in range(4)]
-    d.run_for(3 * S)
-    assert SetHealth(False, True) in d.said(SetHealth)
+    d.advance(3 * S)
+    assert SetHealth(False, True) in d.actions_of(SetHealth)
     refused, _ = d.request(remaining_ns=20 * S)
     assert refused in d.ids(RejectRequest)
-    d.done(ids[0], took=3 * S)
-    d.run_for(50 * MS)
+    d.complete(ids[0], duration_ns=3 * S)
+    d.advance(50 * MS)
     taken, _ = d.request(remaining_ns=20 * S)
     assert taken in d.ids(StartRun)
 
@@ -32,8 +32,8 @@
     before = [d.controller.curve.rate_per_s(n) for n in range(1, 10)]
     for _ in range(20):
         job_id, _ = d.request()
-        d.now += 2 * MS
-        d.done(job_id, Outcome.FAILED, took=2 * MS)
+        d.now_ns += 2 * MS
+        d.complete(job_id, Outcome.FAILED, duration_ns=2 * MS)
     after = [d.controller.curve.rate_per_s(n) for n in range(1, 10)]
     assert after == pytest.approx(before, rel=0.02)
 
@@ -45,16 +45,16 @@
     for _ in range(60):
         for _ in range(3):
             d.request(remaining_ns=1 * MS)
-        d.run_for(25 * MS)
-    assert len(d.ids(RejectRequest)) == 180 and d.said(SetHealth) == [SetHealth(True, True)]
+        d.advance(25 * MS)
+    assert len(d.ids(RejectRequest)) == 180 and d.actions_of(SetHealth) == [SetHealth(True, True)]
 
 
 def test_a_pause_of_the_process_is_neither_time_at_work_nor_a_stall():
     d = Driver()
     for _ in range(4):
         d.request(remaining_ns=20 * S)
-    d.run_for(500 * MS, every=100 * MS)
-    before, d.now = sum(d.controller.curve.observed_s), d.now + 30 * S
+    d.advance(500 * MS, step_ns=100 * MS)
+    before, d.now_ns = sum(d.controller.curve.observed_s), d.now_ns + 30 * S
     d.send(TimerFired(1, {"cpu_busy": 1.0}))
     assert sum(d.controller.curve.observed_s) - before <= 0.11
-    assert SetHealth(False, True) not in d.said(SetHealth)
+    assert SetHealth(False, True) not in d.actions_of(SetHealth)
--- a/tests/admission/test_idempotency.py
+++ b/tests/admission/test_idempotency.py
@@ -30,10 +30,10 @@
         d = Driver()
         first, _ = d.request(class_index=WRITE)
         if ending:
-            d.done(first, ending)
+            d.complete(first, ending)
         again, actions = d.request(class_index=WRITE, duplicate_of=first, is_retry=True)
         assert AttachDuplicate(again) in actions
-        d.run_for(4 * S)
+        d.advance(4 * S)
         assert again not in d.ids(StartRun) + d.ids(RejectRequest)
 
 
@@ -49,7 +49,7 @@
     again, actions = d.request(class_index=WRITE, duplicate_of=held, is_retry=True)
     assert not actions
     for job_id in d.ids(StartRun):
-        d.done(job_id)
+        d.complete(job_id)
     assert held in d.ids(StartRun) and again in d.ids(AttachDuplicate) and again not in d.ids(StartRun)
 
 
@@ -60,27 +60,29 @@
     third, _ = d.request(class_index=WRITE, duplicate_of=held, is_retry=True)
     d.send(RequestAbandoned(held))
     for job_id in d.ids(StartRun):
-        d.done(job_id)
+        d.complete(job_id)
     assert again in d.ids(StartRun) and third in d.ids(AttachDuplicate) and held not in d.ids(StartRun)
-    kept = [a.id for a in d.said(RetainKey)]
+    kept = [a.id for a in d.actions_of(RetainKey)]
     assert kept.index(again) > kept.index(held) and held in d.ids(ReleaseKey)
-    d.run_for(4 * S)
+    d.advance(4 * S)
     assert not d.controller.queue.jobs
 
 
 def test_duplicates_of_a_queued_request_are_answered_at_once_when_it_is_dropped():
     d, held = held_write()
     again, _ = d.request(class_index=WRITE, duplicate_of=held, is_retry=True)
-    d.run_for(2 * S)
-    told = d.at(RejectRequest, held) + d.at(RejectRequest, again)  # the aim of both is the first try's
+    d.advance(2 * S)
+    told = d.times_of(RejectRequest, held) + d.times_of(
+        RejectRequest, again
+    )  # the aim of both is the first try's
     assert len(told) == 2 and told[1] - told[0] <= 25 * MS
 
 
 def test_a_duplicate_near_the_end_of_the_window_and_read_after_it_is_not_run():
     d = Driver()
     first, _ = d.request(class_index=WRITE)
-    d.done(first)
-    d.run_for(10 * S + 500 * MS)
+    d.complete(first)
+    d.advance(10 * S + 500 * MS)
     again, _ = d.request(class_index=WRITE, duplicate_of=first, is_retry=True, unread_ns=700 * MS)
     assert again in d.ids(AttachDuplicate) and again not in d.ids(StartRun)
 
--- a/tests/admission/test_idle_cores.py
+++ b/tests/admission/test_idle_cores.py
@@ -10,9 +10,9 @@
         job_id, said = d.request()
         assert StartRun(job_id) in said
         d.controller.policy.floor = d.controller.concurrency.running = 8
-        d.done(job_id, took=1600 * MS)
+        d.complete(job_id, duration_ns=1600 * MS)
         d.controller.concurrency.running = 0
-        d.now += 1000 * MS
+        d.now_ns += 1000 * MS
     d.controller.policy.floor = 4
     d.request()
     fresh, said = d.request()  # beside one that runs; alone on its core it ends within its aim
--- a/tests/admission/test_load_shedding.py
+++ b/tests/admission/test_load_shedding.py
@@ -17,8 +17,8 @@
     # Held until it was hopeless, a client had no time left to go elsewhere (bc-coast-later overload).
     d = Driver(classes=(CLASSES[0],) * 4)
     ids = [d.request()[0] for _ in range(60)]
-    told = [d.at(RejectRequest, x) for x in ids if x in d.ids(RejectRequest)]
-    assert told and all(t == [d.now] for t in told)
+    told = [d.times_of(RejectRequest, x) for x in ids if x in d.ids(RejectRequest)]
+    assert told and all(t == [d.now_ns] for t in told)
 
 
 def test_retry_after_of_a_rejected_request_is_a_part_of_its_objective_at_most():
@@ -26,7 +26,7 @@
     d = Driver(classes=(CLASSES[0],) * 4, max_retry_after_ns=10 * S)
     for _ in range(60):
         d.request()
-    told = [a.retry_after_ns for a in d.said(RejectRequest)]
+    told = [a.retry_after_ns for a in d.actions_of(RejectRequest)]
     assert told and 0 < max(told) <= 500 * MS
 
 
@@ -36,8 +36,8 @@
     d = Driver(marks_retries=marked, classes=(CLASSES[0],) * 4)
     for n in range(200):
         d.request(is_retry=marked and n % 3 > 0)
-        d.now += 10 * MS
-    said = [a.no_retry for a in d.said(RejectRequest)]
+        d.now_ns += 10 * MS
+    said = [a.no_retry for a in d.actions_of(RejectRequest)]
     assert marked or not all(said[:10])
     assert sum(said[-50:]) > 35
 
@@ -57,9 +57,9 @@
     d = tenants_driver(marks_retries=False)
     for n in range(400):
         d.request(tenant_index=0 if n % 4 else 1)
-        d.run_for(200 * MS, every=100 * MS)
+        d.advance(200 * MS, step_ns=100 * MS)
         if n % 2 == 0:
-            d.done(next(x for x in d.ids(StartRun) if x in d.controller.jobs))
+            d.complete(next(x for x in d.ids(StartRun) if x in d.controller.jobs))
     large, small = ({f"r{n + 1}" for n in range(200, 400) if (n % 4 > 0) is big} for big in (True, False))
     started = set(d.ids(StartRun))
     assert len(started & small) / len(small) > 0.8 > 0.5 > len(started & large) / len(large) > 0.1
@@ -69,9 +69,9 @@
     d = tenants_driver()
     c = d.controller
     for _ in range(10):
-        d.done(d.request(tenant_index=1)[0])
+        d.complete(d.request(tenant_index=1)[0])
         d.request(tenant_index=0, remaining_ns=20 * MS)
-        d.run_for(200 * MS)
+        d.advance(200 * MS)
     d.request(tenant_index=0, id="a"), d.request(tenant_index=1, id="b")
     jobs = dict(c.jobs)
     assert c.priority.value(jobs["a"]) > c.priority.value(jobs["b"]) > 0  # the one turned away lacks more
@@ -81,8 +81,8 @@
     d = tenants_driver(marks_retries=True, fleet_size=40)
     for n in range(60):
         d.request(tenant_index=0)
-        d.run_for(100 * MS, every=100 * MS)
+        d.advance(100 * MS, step_ns=100 * MS)
         if n % 3 == 0:
-            d.done(next(x for x in d.ids(StartRun) if x in d.controller.jobs))
-    said = [a.no_retry for a in d.said(RejectRequest)]
+            d.complete(next(x for x in d.ids(StartRun) if x in d.controller.jobs))
+    said = [a.no_retry for a in d.actions_of(RejectRequest)]
     assert len(said) > 20 and all(said[-10:])
--- a/tests/admission/test_random_events.py
+++ b/tests/admission/test_random_events.py
@@ -109,16 +109,16 @@
                 place.remove(job)
         if outcome is not Outcome.CANCELLED:
             self.open.pop(job, None)
-        self.d.done(job, outcome)
+        self.d.complete(job, outcome)
 
     def step(self, what, n=0, *rest):  # noqa: C901 - one branch an event
         d = self.d
         if what == "request":
             remaining, unread, repeat = rest
-            keyed = [k for k in self.kept if self.kept[k] > d.now - unread * MS and k in self.kind]
+            keyed = [k for k in self.kept if self.kept[k] > d.now_ns - unread * MS and k in self.kind]
             original = keyed[repeat % len(keyed)] if n == 1 and keyed and repeat < 4 else None
             job = f"r{d.count + 1}"
-            self.kind[job], self.open[job] = n, d.now + remaining * MS
+            self.kind[job], self.open[job] = n, d.now_ns + remaining * MS
             if original:
                 self.root[job] = self.root.get(original, original)
             d.request(
@@ -150,7 +150,7 @@
                 self.end(job)
         elif what == "wait":
             for _ in range(max(1, n // 25)):
-                d.run_for(25 * MS)
+                d.advance(25 * MS)
                 self.check()
         self.check()
 
@@ -161,13 +161,13 @@
     world = World(site)
     for step in before:
         world.step(*step)
-    world.leave = world.d.now
+    world.leave = world.d.now_ns
     world.d.send(DrainStarted(4 * S))
     world.check()
     for step in after:
-        if world.d.now < world.leave + 2500 * MS:
+        if world.d.now_ns < world.leave + 2500 * MS:
             world.step(*step)
-    world.step("wait", max(0, (world.leave + 4 * S - world.d.now) // MS))
+    world.step("wait", max(0, (world.leave + 4 * S - world.d.now_ns) // MS))
     assert not world.open, "read and never answered"
 
 
--- a/tests/admission/test_short_runs.py
+++ b/tests/admission/test_short_runs.py
@@ -14,8 +14,8 @@
     d = Driver(classes=SHORT, cores=cores, memory_kb=2_000_000.0, **changes)
     for _ in range(60):
         job, _ = d.request(remaining_ns=None)
-        d.now += 5 * MS
-        d.done(job, took=5 * MS)
+        d.now_ns += 5 * MS
+        d.complete(job, duration_ns=5 * MS)
     return d
 
 
@@ -30,8 +30,8 @@
         running = [x for x in d.ids(StartRun) if x in d.controller.jobs]
         d.send(TimerFired(1, {"cpu_busy": 0.9, "runnable": 40.0}))
         for job in running:  # they end within the time of a run or two, long before the next gauge
-            d.now += 10 * MS
-            d.done(job, took=5 * MS)
+            d.now_ns += 10 * MS
+            d.complete(job, duration_ns=5 * MS)
         self.assertEqual(d.controller.concurrency.running, 4)
         self.assertTrue(d.controller.queue.jobs)
 
@@ -42,8 +42,8 @@
             d.request(remaining_ns=None)
         top, finishes = 0, 0
         while job := next((x for x, j in d.controller.jobs.items() if j.started), None):
-            d.now += MS // 2
-            d.done(job, took=5 * MS)
+            d.now_ns += MS // 2
+            d.complete(job, duration_ns=5 * MS)
             top, finishes = max(top, d.controller.policy.floor), finishes + 1
         self.assertGreater(finishes, 20)
         self.assertLessEqual(top, 8 + 3)
@@ -53,11 +53,11 @@
         for _ in range(4):
             d.request(remaining_ns=None)
         for _ in range(3):
-            d.now += 50 * MS
+            d.now_ns += 50 * MS
             d.send(TimerFired(1, {"cpu_busy": 1.0, "runnable": 4.0}))
             self.assertFalse(d.controller.health.stalled)
         for _ in range(2):
-            d.now += 50 * MS
+            d.now_ns += 50 * MS
             d.send(TimerFired(1, {"cpu_busy": 1.0, "runnable": 4.0}))
         self.assertTrue(d.controller.health.stalled)
 
--- a/tests/admission/test_stated_work.py
+++ b/tests/admission/test_stated_work.py
@@ -19,9 +19,9 @@
         for _ in range(count):
             work = int(100 * MS * rng.lognormvariate(-0.3, 0.8))
             rid, _ = d.request(remaining_ns=None, work_ns=work)
-            d.now += 150 * MS
+            d.now_ns += 150 * MS
             if rid in d.ids(StartRun):
-                d.done(rid, took=work if tells else int(100 * MS * rng.lognormvariate(-0.3, 0.8)))
+                d.complete(rid, duration_ns=work if tells else int(100 * MS * rng.lognormvariate(-0.3, 0.8)))
         self.assertFalse(d.ids(RejectRequest))
         return d
 
@@ -59,18 +59,18 @@
         before = d.controller.run_times.mean_run_ns[0].value
         for _ in range(5):
             rid, _ = d.request(remaining_ns=None, work_ns=1500 * MS)
-            d.now += 1600 * MS
-            d.done(rid, took=1500 * MS)
+            d.now_ns += 1600 * MS
+            d.complete(rid, duration_ns=1500 * MS)
         self.assertLess(d.controller.run_times.mean_run_ns[0].value, 1.5 * before)
 
     def test_it_is_in_the_snapshot_and_one_of_an_older_program_is_restored_too(self):
         d = self.taught()
         learned = learned_state.snapshot(d.controller)
-        now = Timestamp(d.now, 0, "b")
+        now = Timestamp(d.now_ns, 0, "b")
         kept = expire_learned_state(learned, now, now, 3600 * S, False)
         for told in (learned, kept):
             fresh = Driver(marks_retries=False)
-            learned_state.restore(fresh.controller, told, fresh.now)
+            learned_state.restore(fresh.controller, told, fresh.now_ns)
             self.assertAlmostEqual(
                 fresh.controller.run_times.mean_stated_work_ns[0].value,
                 d.controller.run_times.mean_stated_work_ns[0].value,
@@ -80,7 +80,7 @@
                 d.controller.run_times.stated_work_gain_ns[0].value,
             )
         older = {name: value for name, value in learned.items() if name not in ("stated", "tells")}
-        learned_state.restore(Driver(marks_retries=False).controller, older, d.now)
+        learned_state.restore(Driver(marks_retries=False).controller, older, d.now_ns)
         self.assertNotIn("stated", expire_learned_state(older, now, now, 3600 * S, False))
 
 
--- a/tests/admission/test_tenant_learned_state.py
+++ b/tests/admission/test_tenant_learned_state.py
@@ -30,7 +30,7 @@
 
     def test_a_new_controller_values_all_as_the_one_whose_snapshot_it_restored(self):
         m, fresh = self.active(), TenantDriver(tenants(50, 30.0))
-        learned_state.restore(fresh.c, json.loads(json.dumps(learned_state.snapshot(m.c))), fresh.now)
+        learned_state.restore(fresh.c, json.loads(json.dumps(learned_state.snapshot(m.c))), fresh.now_ns)
         for tenant in (0, 1, 6, 7, 49):  # a beat lies between them
             self.alike(fresh, m, tenant)
 
@@ -38,7 +38,7 @@
         m = self.active()
         fresh = TenantDriver(tuple(reversed(tenants(50, 30.0)))[:-1])
         learned_state.restore(
-            fresh.c, learned_state.snapshot(m.c), fresh.now, {f"tenant{49 - n}": n for n in range(49)}
+            fresh.c, learned_state.snapshot(m.c), fresh.now_ns, {f"tenant{49 - n}": n for n in range(49)}
         )
         self.assertEqual(fresh.c.activity.tenant_counts(48).requested > 1, True)  # tenant1
         self.assertEqual(len(fresh.c.activity.by_tenant), 6)
@@ -48,7 +48,7 @@
         m, fresh = TenantDriver(named), TenantDriver(named)
         for _ in range(9):
             m.serve(1)
-        learned_state.restore(fresh.c, learned_state.snapshot(m.c), fresh.now)
+        learned_state.restore(fresh.c, learned_state.snapshot(m.c), fresh.now_ns)
         self.assertLess(fresh.c.activity.tenant_counts(0).requested, 1.1)
         self.assertGreater(fresh.c.activity.by_class[0].requested, 4)
 
@@ -69,7 +69,7 @@
             with self.subTest(beats=beats):
                 level = max(0.1, DECAY_PER_TICK**beats)
                 fresh = TenantDriver(tenants(50, 30.0))
-                learned_state.restore(fresh.c, self.older(level, beats), fresh.now)
+                learned_state.restore(fresh.c, self.older(level, beats), fresh.now_ns)
                 self.assertLessEqual(fresh.c.activity.by_tenant.keys(), {0, 1})
                 first, second, quiet = (fresh.c.activity.tenant_counts(n) for n in (0, 1, 30))
                 self.assertAlmostEqual(first.requested, 8.0 * DECAY_PER_TICK)
@@ -85,10 +85,12 @@
         for lesson in (learned_state.snapshot(self.active().c), self.older(0.5, 139)):
             kept = expire_learned_state(lesson, then, later, 60 * S, False)
             fresh = TenantDriver(tenants(50, 30.0))
-            learned_state.restore(fresh.c, kept, fresh.now)
+            learned_state.restore(fresh.c, kept, fresh.now_ns)
             first = fresh.c.activity.tenant_counts(0).requested
             fresh = TenantDriver(tenants(50, 30.0))
-            learned_state.restore(fresh.c, expire_learned_state(lesson, then, then, hour, False), fresh.now)
+            learned_state.restore(
+                fresh.c, expire_learned_state(lesson, then, then, hour, False), fresh.now_ns
+            )
             self.assertAlmostEqual(first, fresh.c.activity.tenant_counts(0).requested / 2, places=6)
             self.assertLess(fresh.c.activity.tenant_counts(30).requested, 0.9)
 
@@ -101,5 +103,5 @@
                 later = Timestamp(half_lives * half_life)
                 decayed = expire_learned_state(stored, Timestamp(0), later, half_life, False)
                 fresh = TenantDriver(tenants(50, 30.0))
-                learned_state.restore(fresh.c, decayed, fresh.now)
+                learned_state.restore(fresh.c, decayed, fresh.now_ns)
                 self.assertEqual(len(learned_state.snapshot(fresh.c)["ran"]), expected)
--- a/tests/admission/test_tenants_at_size.py
+++ b/tests/admission/test_tenants_at_size.py
@@ -148,7 +148,7 @@
             lesson = {}
             told.append(self.cost(m, lambda m=m, lesson=lesson: lesson.update(learned_state.snapshot(m.c))))
             fresh = TenantDriver(CountingTable(tenants(size)))
-            teach = partial(learned_state.restore, fresh.c, lesson, fresh.now, positions)
+            teach = partial(learned_state.restore, fresh.c, lesson, fresh.now_ns, positions)
             taught.append(self.cost(fresh, teach))
         self.assertEqual(told, [told[0]] * len(SIZES))
         self.assertEqual(taught, [taught[0]] * len(SIZES))
--- a/tests/overload/test_controller_limits.py
+++ b/tests/overload/test_controller_limits.py
@@ -30,7 +30,7 @@
             d = self.driver(total=total)
             ids = self.fill(d, *[0] * 8)
             self.assertEqual(d.ids(StartRun), ids[:most])
-            d.done(ids[0])
+            d.complete(ids[0])
             self.assertIn(len(d.ids(StartRun)), (most + 1,) if total == 2 else (most + 1, most + 2))
 
     def test_up_to_its_floor_a_class_starts_before_one_of_higher_priority(self):
@@ -38,14 +38,14 @@
             d = self.driver(total=4, class_floors=floors)
             running = self.fill(d, 0, 0, 0, 0)
             wanted = dict(enumerate(self.fill(d, 0, 1)))
-            d.done(running[0])
+            d.complete(running[0])
             self.assertEqual(d.ids(StartRun)[-1], wanted[first])
 
     def test_past_its_cap_a_class_waits_though_cores_are_free(self):
         d = self.driver(total=4, class_caps=(2, 99, 99))
         ids = self.fill(d, 0, 0, 0, 1)
         self.assertEqual(d.ids(StartRun), [ids[0], ids[1], ids[3]])
-        d.done(ids[0])
+        d.complete(ids[0])
         self.assertEqual(d.ids(StartRun)[-1], ids[2])
 
     def test_expensive_requests_stay_in_the_low_priority_lane_and_count_by_their_usual_cost(self):
@@ -54,8 +54,8 @@
         heavy = self.fill(d, 0, 0, times=10.0)
         light = self.fill(d, 0, 0)
         self.assertEqual(d.ids(StartRun), [heavy[0], *light])
-        d.now += S
-        d.done(heavy[0], took=10 * usual)
+        d.now_ns += S
+        d.complete(heavy[0], duration_ns=10 * usual)
         self.assertAlmostEqual(d.controller.run_times.mean_run_ns[0].value / usual, 1.0, delta=0.05)
         self.assertIn(heavy[1], d.ids(StartRun) + d.ids(RejectRequest))
 
@@ -76,8 +76,8 @@
             running = [r for r in d.ids(StartRun) if r not in d.ended]
             for r in running[:ends]:
                 d.ended.add(r)
-                d.now += 10 * MS
-                d.done(r)
+                d.now_ns += 10 * MS
+                d.complete(r)
             running = [r for r in d.ids(StartRun) if r not in d.ended]
             self.assertLessEqual(len(running), total)
             for at in (0, 1):
