--- a/tests/admission/controller_driver.py
+++ b/tests/admission/controller_driver.py
@@ -1,4 +1,4 @@
-"""Settings and a driver for tests of the controller: events in, actions out, no model of a server's speed."""
+"""Settings and a driver for tests of the controller; the driver does not model the speed of a server."""
 
 import dataclasses
 
@@ -24,7 +24,7 @@
 
 
 def request_class(**changes):
-    """A class with usual values for what is not given."""
+    """Returns a request class with default values for the fields that are not given."""
     base = RequestClass(
         name="read",
         latency_objective_ns=2 * S,
@@ -53,7 +53,7 @@
 
 
 def settings(**changes):
-    """Settings with usual values for what is not given."""
+    """Returns settings with default values for the fields that are not given."""
     base = AdmissionSettings(
         classes=CLASSES,
         tenants=(),
@@ -97,25 +97,25 @@
 
 
 class Driver:
-    """One controller, its clock, and all that it has said."""
+    """A controller with its clock and the log of its actions."""
 
     def __init__(self, **changes):
         self.settings = settings(**changes)
         self.controller = AdmissionController(self.settings, 7)
-        self.now_ns, self.count, self.log, self.arrived = 1000 * S, 0, [], {}
+        self.now_ns, self.request_count, self.log, self.arrived_at_ns = 1000 * S, 0, [], {}
         self.send(InstanceStarted())
 
     def send(self, event):
-        """One event; the actions that follow."""
+        """Passes an event to the controller and returns the resulting actions."""
         actions = self.controller.handle(self.now_ns, event)
-        self.log += [(self.now_ns, a) for a in actions]
+        self.log += [(self.now_ns, action) for action in actions]
         return actions
 
     def request(self, class_index=0, remaining_ns=3 * S, **changes):
-        """A request that arrives; its id, and the actions that follow."""
-        self.count += 1
+        """Sends a request; returns its id and the resulting actions."""
+        self.request_count += 1
         base = RequestReceived(
-            id=f"r{self.count}",
+            id=f"r{self.request_count}",
             class_index=class_index,
             tenant_index=None,
             routing_key=None,
@@ -130,30 +130,32 @@
             duplicate_of=None,
         )
         event = dataclasses.replace(base, **changes)
-        self.arrived[event.id] = self.now_ns - event.unread_ns
+        self.arrived_at_ns[event.id] = self.now_ns - event.unread_ns
         return event.id, self.send(event)
 
     def complete(self, job_id, outcome=Outcome.OK, duration_ns=100 * MS):
-        """A run that ends; the actions that follow."""
+        """Completes a run and returns the resulting actions."""
         return self.send(RequestCompleted(job_id, outcome, duration_ns))
 
     def advance(self, span_ns, step_ns=25 * MS, gauges=None):
-        """Let time pass, the sweep timer ringing."""
-        out = []
-        end = self.now_ns + span_ns
-        while self.now_ns < end:
-            self.now_ns = min(end, self.now_ns + step_ns)
-            out += self.send(TimerFired(1, gauges if gauges is not None else {"cpu_busy": 1.0}))
-        return out
-
-    def actions_of(self, kind):
-        """All actions of a kind so far."""
-        return [a for _, a in self.log if isinstance(a, kind)]
-
-    def ids(self, kind):
-        """The ids in all actions of a kind so far."""
-        return [a.id for a in self.actions_of(kind)]
-
-    def times_of(self, kind, job_id):
-        """When an action of a kind came for a request."""
-        return [t for t, a in self.log if isinstance(a, kind) and a.id == job_id]
+        """Advances the clock in steps, firing the tick timer at each; returns the resulting actions."""
+        actions = []
+        end_ns = self.now_ns + span_ns
+        while self.now_ns < end_ns:
+            self.now_ns = min(end_ns, self.now_ns + step_ns)
+            actions += self.send(TimerFired(1, gauges if gauges is not None else {"cpu_busy": 1.0}))
+        return actions
+
+    def actions_of(self, action_type):
+        """Returns all actions of a type so far."""
+        return [action for _, action in self.log if isinstance(action, action_type)]
+
+    def ids(self, action_type):
+        """Returns the request ids of all actions of a type so far."""
+        return [action.id for action in self.actions_of(action_type)]
+
+    def times_of(self, action_type, job_id):
+        """Returns the times of all actions of a type for a request, in ns."""
+        return [
+            time_ns for time_ns, action in self.log if isinstance(action, action_type) and action.id == job_id
+        ]
--- a/tests/admission/tenant_load.py
+++ b/tests/admission/tenant_load.py
@@ -40,13 +40,13 @@
     def __init__(self, of, **changes):
         goal = ObjectiveWeights(0.45, 0.15, 0.3, 0.1)
         self.settings = settings(tenants=of, objective=goal, classes=CLASSES[:1] * 2, **changes)
-        self.c = AdmissionController(self.settings, 1)
+        self.controller = AdmissionController(self.settings, 1)
         self.now_ns, self.number, self.actions = 1000 * S, 0, []
         self.send(InstanceStarted())
 
     def send(self, event):
         """One event; the actions that follow."""
-        acts = self.c.handle(self.now_ns, event)
+        acts = self.controller.handle(self.now_ns, event)
         self.actions += acts
         return acts
 
@@ -73,8 +73,8 @@
     def probe(self, tenant):
         """What the goal gains by an answer to it, and the part of what it starts that is within its share."""
         job = Job(RequestReceived("probe", 0, tenant, work_ns=S), self.settings.classes[0], self.now_ns)
-        return self.c.priority.value(job), self.c.activity.share_within_quota(
-            tenant, self.c.activity.tenant_counts(tenant).starts_per_s
+        return self.controller.priority.value(job), self.controller.activity.share_within_quota(
+            tenant, self.controller.activity.tenant_counts(tenant).starts_per_s
         )
 
 
@@ -96,7 +96,7 @@
         """Values all anew."""
         goal, classes = self.m.settings.objective, self.m.settings.classes
         most = [float("inf")] * 2 + [max(0.1, self.share(t) * 20) for t in self.of]
-        asked = [min(a, m) for a, m in zip(self.requested, most, strict=True)]
+        asked = [min(a, driver) for a, driver in zip(self.requested, most, strict=True)]
         lack = [(1.01 - min(1.0, v / a)) ** 2 for v, a in zip(self.served, asked, strict=True)]
         offered = sum(c.priority_weight * a for c, a in zip(classes, asked, strict=False))
         self.gains = [
--- a/tests/admission/test_controller.py
+++ b/tests/admission/test_controller.py
@@ -1,4 +1,4 @@
-"""The controller as a whole: determinism, settings at their edges, and bounded cost."""
+"""The controller as a whole: determinism, settings at their limits, and bounded cost."""
 
 import pytest
 
@@ -24,31 +24,31 @@
 
 
 def test_same_events_same_actions():
-    def play():
-        d = Driver(backpressure=BackpressureSignal.WINDOW)
+    def run_events():
+        driver = Driver(backpressure=BackpressureSignal.WINDOW)
         for n in range(40):
-            d.request(class_index=n % 3, caller=n % 4, is_retry=n % 3 == 0)
-            if n % 4 == 0 and d.ids(StartRun):
-                d.complete(d.ids(StartRun)[-1])
-            d.advance(50 * MS)
-        return d.log
+            driver.request(class_index=n % 3, caller=n % 4, is_retry=n % 3 == 0)
+            if n % 4 == 0 and driver.ids(StartRun):
+                driver.complete(driver.ids(StartRun)[-1])
+            driver.advance(50 * MS)
+        return driver.log
 
-    assert play() == play()
+    assert run_events() == run_events()
 
 
-def test_callers_are_forgotten_and_a_tick_costs_the_same_with_many():
-    d = Driver(backpressure=BackpressureSignal.WINDOW)
+def test_silent_callers_are_removed_so_that_the_cost_of_a_tick_stays_bounded():
+    driver = Driver(backpressure=BackpressureSignal.WINDOW)
     for n in range(3000):
-        d.request(caller=n, remaining_ns=20 * MS)
-        d.advance(25 * MS)
-    assert len(d.controller.callers.last_seen_ns) < 500 and not d.controller.jobs
+        driver.request(caller=n, remaining_ns=20 * MS)
+        driver.advance(25 * MS)
+    assert len(driver.controller.callers.last_seen_ns) < 500 and not driver.controller.jobs
 
 
-def test_the_first_values_of_the_means_count_whatever_the_clock_shows():
-    d = Driver()
-    before = d.controller.run_times.mean_run_ns[0].value
-    d.complete(d.request()[0], duration_ns=1 * MS)
-    assert d.controller.run_times.mean_run_ns[0].value > before / 2
+def test_the_initial_values_of_means_keep_their_weight_at_any_clock_time():
+    driver = Driver()
+    mean_before_ns = driver.controller.run_times.mean_run_ns[0].value
+    driver.complete(driver.request()[0], duration_ns=1 * MS)
+    assert driver.controller.run_times.mean_run_ns[0].value > mean_before_ns / 2
 
 
 @pytest.mark.parametrize(
@@ -74,30 +74,32 @@
             "downstream_window_ns": 5 * S,
             "abandoned_call_ns": 200 * MS,
             "marks_retries": False,
-            "tenants": (Tenant("far over", 1.0, 0.4), *(Tenant(f"t{n}", 90.0, 0.15) for n in range(4))),
+            "tenants": (Tenant("far over quota", 1.0, 0.4), *(Tenant(f"t{n}", 90.0, 0.15) for n in range(4))),
         },
     ],
 )
-def test_settings_at_their_edges_and_missing_gauges_decide_without_a_fault(changes):
-    d = Driver(**changes)
+def test_settings_at_their_limits_and_missing_gauges_cause_no_error(changes):
+    driver = Driver(**changes)
     for n in range(40):
-        job_id, _ = d.request(class_index=n % 4, caller=n, tenant_index=0 if d.settings.tenants else None)
-        if d.settings.reports_disconnects and n % 3 == 0:
-            d.send(RequestAbandoned(job_id))
-        d.advance(100 * MS, step_ns=100 * MS, gauges={})
-        if job_id in d.ids(StartRun):
-            d.send(DownstreamCallNeeded(job_id))
-            d.complete(job_id)
-    d.send(DrainStarted(0))
-    d.advance(6 * S, gauges={})
-    assert not d.controller.jobs and d.ids(StartRun)
+        job_id, _ = driver.request(
+            class_index=n % 4, caller=n, tenant_index=0 if driver.settings.tenants else None
+        )
+        if driver.settings.reports_disconnects and n % 3 == 0:
+            driver.send(RequestAbandoned(job_id))
+        driver.advance(100 * MS, step_ns=100 * MS, gauges={})
+        if job_id in driver.ids(StartRun):
+            driver.send(DownstreamCallNeeded(job_id))
+            driver.complete(job_id)
+    driver.send(DrainStarted(0))
+    driver.advance(6 * S, gauges={})
+    assert not driver.controller.jobs and driver.ids(StartRun)
 
 
-def test_what_a_site_lacks_can_be_left_out():
-    page = RequestClass(name="page", latency_objective_ns=2 * S, deadline_ns=5 * S)
-    bare = AdmissionSettings(
-        classes=(page,), cores=2, memory_kb=1000.0, collapse_multiple=3.0, collapse_after_ns=S
+def test_optional_settings_can_be_omitted():
+    page_class = RequestClass(name="page", latency_objective_ns=2 * S, deadline_ns=5 * S)
+    minimal_settings = AdmissionSettings(
+        classes=(page_class,), cores=2, memory_kb=1000.0, collapse_multiple=3.0, collapse_after_ns=S
     )
-    c = AdmissionController(bare, 1)
-    c.handle(0, InstanceStarted())
-    assert StartRun("a") in c.handle(0, RequestReceived("a", 0))
+    controller = AdmissionController(minimal_settings, 1)
+    controller.handle(0, InstanceStarted())
+    assert StartRun("a") in controller.handle(0, RequestReceived("a", 0))
--- a/tests/admission/test_graceful_shutdown.py
+++ b/tests/admission/test_graceful_shutdown.py
@@ -13,32 +13,32 @@
 
 
 def test_nothing_that_arrives_after_the_drain_grace_is_run_and_all_is_answered_before_the_end():
-    d = Driver()
-    early = [d.request()[0] for _ in range(8)]
-    d.send(DrainStarted(4 * S))
-    d.advance(2 * S + 100 * MS)
-    late, _ = d.request(remaining_ns=30 * S)
-    late_arrival_before_grace, _ = d.request(remaining_ns=30 * S, unread_ns=1500 * MS)
-    d.advance(1900 * MS)
-    assert late in d.ids(RejectRequest) and late not in d.ids(StartRun)
+    driver = Driver()
+    early = [driver.request()[0] for _ in range(8)]
+    driver.send(DrainStarted(4 * S))
+    driver.advance(2 * S + 100 * MS)
+    late, _ = driver.request(remaining_ns=30 * S)
+    late_arrival_before_grace, _ = driver.request(remaining_ns=30 * S, unread_ns=1500 * MS)
+    driver.advance(1900 * MS)
+    assert late in driver.ids(RejectRequest) and late not in driver.ids(StartRun)
     for job_id in [*early, late_arrival_before_grace]:
-        assert len(d.times_of(FailRequest, job_id) + d.times_of(RejectRequest, job_id)) == 1
-    assert SetHealth(False, True) in d.actions_of(SetHealth)
+        assert len(driver.times_of(FailRequest, job_id) + driver.times_of(RejectRequest, job_id)) == 1
+    assert SetHealth(False, True) in driver.actions_of(SetHealth)
 
 
 def test_what_may_wait_longer_than_the_process_lives_is_answered_before_its_end():
-    d = Driver()
-    job_id, _ = d.request(remaining_ns=30 * S)
-    d.send(DrainStarted(3 * S))
-    d.advance(3 * S)
-    assert d.ids(FailRequest) == [job_id]
+    driver = Driver()
+    job_id, _ = driver.request(remaining_ns=30 * S)
+    driver.send(DrainStarted(3 * S))
+    driver.advance(3 * S)
+    assert driver.ids(FailRequest) == [job_id]
 
 
 def test_an_idle_instance_runs_what_arrived_within_the_drain_grace_and_nothing_later():
-    d = Driver()
-    d.send(DrainStarted(5 * S))
-    d.advance(2100 * MS)
-    in_time, _ = d.request(remaining_ns=30 * S, unread_ns=150 * MS)
-    late, _ = d.request(remaining_ns=30 * S, unread_ns=50 * MS)
-    d.advance(1 * S)
-    assert d.ids(StartRun) == [in_time] and d.ids(RejectRequest) == [late]
+    driver = Driver()
+    driver.send(DrainStarted(5 * S))
+    driver.advance(2100 * MS)
+    in_time, _ = driver.request(remaining_ns=30 * S, unread_ns=150 * MS)
+    late, _ = driver.request(remaining_ns=30 * S, unread_ns=50 * MS)
+    driver.advance(1 * S)
+    assert driver.ids(StartRun) == [in_time] and driver.ids(RejectRequest) == [late]
--- a/tests/admission/test_idle_cores.py
+++ b/tests/admission/test_idle_cores.py
@@ -5,15 +5,15 @@
 
 
 def test_times_learned_under_contention_do_not_keep_out_work_once_cores_are_idle():
-    d = Driver()
+    driver = Driver()
     for _ in range(12):  # beside twice as many as the cores run, each takes twice as long as it would alone
-        job_id, said = d.request()
+        job_id, said = driver.request()
         assert StartRun(job_id) in said
-        d.controller.policy.floor = d.controller.concurrency.running = 8
-        d.complete(job_id, duration_ns=1600 * MS)
-        d.controller.concurrency.running = 0
-        d.now_ns += 1000 * MS
-    d.controller.policy.floor = 4
-    d.request()
-    fresh, said = d.request()  # beside one that runs; alone on its core it ends within its aim
+        driver.controller.policy.floor = driver.controller.concurrency.running = 8
+        driver.complete(job_id, duration_ns=1600 * MS)
+        driver.controller.concurrency.running = 0
+        driver.now_ns += 1000 * MS
+    driver.controller.policy.floor = 4
+    driver.request()
+    fresh, said = driver.request()  # beside one that runs; alone on its core it ends within its aim
     assert StartRun(fresh) in said
--- a/tests/admission/test_random_events.py
+++ b/tests/admission/test_random_events.py
@@ -1,4 +1,4 @@
-"""The four rules on random sequences of events; no model of a server's speed."""
+"""Invariants of admission on random sequences of events, without a model of the speed of a server."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -27,10 +27,10 @@
     st.tuples(
         st.just("request"), st.integers(0, 3), st.integers(50, 6000), st.integers(0, 1500), st.integers(0, 9)
     ),
-    st.tuples(st.just("finish"), st.integers(0, 20), st.sampled_from([Outcome.OK, Outcome.FAILED])),
-    st.tuples(st.just("needs"), st.integers(0, 20)),
-    st.tuples(st.just("called"), st.integers(0, 20), st.sampled_from(list(Outcome))),
-    st.tuples(st.just("gone"), st.integers(0, 20)),
+    st.tuples(st.just("complete"), st.integers(0, 20), st.sampled_from([Outcome.OK, Outcome.FAILED])),
+    st.tuples(st.just("call needed"), st.integers(0, 20)),
+    st.tuples(st.just("call ended"), st.integers(0, 20), st.sampled_from(list(Outcome))),
+    st.tuples(st.just("abandon"), st.integers(0, 20)),
     st.tuples(st.just("wait"), st.integers(1, 1200)),
 )
 SITES = (
@@ -57,118 +57,149 @@
 )
 
 
-class World:
-    """Keeps the state that the wire would keep, and checks each action against the rules."""
+class ModelCheck:
+    """Model of the requests as the network side sees them; checks each action against the invariants."""
 
     def __init__(self, site):
-        self.d = Driver(**site)
-        self.running, self.at_call, self.out, self.joined, self.open = [], [], [], [], {}
-        self.kind, self.ran, self.kept, self.root, self.leave, self.seen = {}, set(), {}, {}, None, 0
+        self.driver = Driver(**site)
+        self.running, self.awaiting_call, self.calling, self.attached, self.deadlines_ns = [], [], [], [], {}
+        (
+            self.class_indices,
+            self.started,
+            self.key_expiries_ns,
+            self.originals,
+            self.drain_started_at_ns,
+            self.checked_count,
+        ) = {}, set(), {}, {}, None, 0
 
     def check(self):
-        for now, a in self.d.log[self.seen :]:
-            job = getattr(a, "id", None)
-            if isinstance(a, StartRun):
-                assert job in self.open and job not in self.ran and self.root.get(job, job) not in self.ran
-                assert CLASSES[self.kind[job]].idempotency is not Idempotency.KEYED or job in self.kept
+        for time_ns, action in self.driver.log[self.checked_count :]:
+            job_id = getattr(action, "id", None)
+            if isinstance(action, StartRun):
                 assert (
-                    self.leave is None or self.d.arrived[job] <= self.leave + self.d.settings.drain_grace_ns
+                    job_id in self.deadlines_ns
+                    and job_id not in self.started
+                    and self.originals.get(job_id, job_id) not in self.started
                 )
-                self.ran.add(job)
-                self.running.append(job)
-            elif isinstance(a, RejectRequest | FailRequest):
-                assert job in self.open, "a second final answer"
-                assert now <= self.open.pop(job) + self.d.settings.answer_grace_ns
+                assert (
+                    CLASSES[self.class_indices[job_id]].idempotency is not Idempotency.KEYED
+                    or job_id in self.key_expiries_ns
+                )
+                assert (
+                    self.drain_started_at_ns is None
+                    or self.driver.arrived_at_ns[job_id]
+                    <= self.drain_started_at_ns + self.driver.settings.drain_grace_ns
+                )
+                self.started.add(job_id)
+                self.running.append(job_id)
+            elif isinstance(action, RejectRequest | FailRequest):
+                assert job_id in self.deadlines_ns, "second final answer to a request"
+                assert time_ns <= self.deadlines_ns.pop(job_id) + self.driver.settings.answer_grace_ns
                 assert not (
-                    isinstance(a, RejectRequest) and (job in self.ran or self.root.get(job) in self.ran)
+                    isinstance(action, RejectRequest)
+                    and (job_id in self.started or self.originals.get(job_id) in self.started)
                 )
-                if job in self.joined:
-                    self.joined.remove(job)
-                if job in self.at_call + self.out:
-                    self.end(job)
-            elif isinstance(a, AttachDuplicate):
-                self.joined.append(job)
-            elif isinstance(a, RetainKey):
-                self.kept[job] = now + a.ttl_ns
-            elif isinstance(a, ReleaseKey):
-                del self.kept[job]
-            elif isinstance(a, StartDownstreamCall | SkipDownstreamCall):
-                self.at_call.remove(job)
-                (self.out if isinstance(a, StartDownstreamCall) else self.running).append(job)
-        self.seen = len(self.d.log)
-        c = self.d.controller
+                if job_id in self.attached:
+                    self.attached.remove(job_id)
+                if job_id in self.awaiting_call + self.calling:
+                    self.end(job_id)
+            elif isinstance(action, AttachDuplicate):
+                self.attached.append(job_id)
+            elif isinstance(action, RetainKey):
+                self.key_expiries_ns[job_id] = time_ns + action.ttl_ns
+            elif isinstance(action, ReleaseKey):
+                del self.key_expiries_ns[job_id]
+            elif isinstance(action, StartDownstreamCall | SkipDownstreamCall):
+                self.awaiting_call.remove(job_id)
+                (self.calling if isinstance(action, StartDownstreamCall) else self.running).append(job_id)
+        self.checked_count = len(self.driver.log)
+        admission = self.driver.controller
         assert (
-            len(self.running) == c.concurrency.running
-            and c.memory.used_kb + 50.0 * len(c.idempotency.retained) <= self.d.settings.memory_kb
+            len(self.running) == admission.concurrency.running
+            and admission.memory.used_kb + 50.0 * len(admission.idempotency.retained)
+            <= self.driver.settings.memory_kb
+        )
+        assert (
+            admission.concurrency.running
+            <= self.driver.settings.cores * self.driver.settings.collapse_multiple
         )
-        assert c.concurrency.running <= self.d.settings.cores * self.d.settings.collapse_multiple
 
-    def end(self, job, outcome=Outcome.CANCELLED):
-        for place in (self.running, self.at_call, self.out):
-            if job in place:
-                place.remove(job)
+    def end(self, job_id, outcome=Outcome.CANCELLED):
+        for jobs in (self.running, self.awaiting_call, self.calling):
+            if job_id in jobs:
+                jobs.remove(job_id)
         if outcome is not Outcome.CANCELLED:
-            self.open.pop(job, None)
-        self.d.complete(job, outcome)
+            self.deadlines_ns.pop(job_id, None)
+        self.driver.complete(job_id, outcome)
 
-    def step(self, what, n=0, *rest):  # noqa: C901 - one branch an event
-        d = self.d
-        if what == "request":
-            remaining, unread, repeat = rest
-            keyed = [k for k in self.kept if self.kept[k] > d.now_ns - unread * MS and k in self.kind]
-            original = keyed[repeat % len(keyed)] if n == 1 and keyed and repeat < 4 else None
-            job = f"r{d.count + 1}"
-            self.kind[job], self.open[job] = n, d.now_ns + remaining * MS
+    def step(self, kind, value=0, *rest):  # noqa: C901 - one branch per event
+        driver = self.driver
+        if kind == "request":
+            remaining_ms, unread_ms, duplicate_choice = rest
+            keyed = [
+                key
+                for key in self.key_expiries_ns
+                if self.key_expiries_ns[key] > driver.now_ns - unread_ms * MS and key in self.class_indices
+            ]
+            original = (
+                keyed[duplicate_choice % len(keyed)]
+                if value == 1 and keyed and duplicate_choice < 4
+                else None
+            )
+            job_id = f"r{driver.request_count + 1}"
+            self.class_indices[job_id], self.deadlines_ns[job_id] = value, driver.now_ns + remaining_ms * MS
             if original:
-                self.root[job] = self.root.get(original, original)
-            d.request(
-                class_index=n,
-                remaining_ns=remaining * MS,
-                unread_ns=unread * MS,
+                self.originals[job_id] = self.originals.get(original, original)
+            driver.request(
+                class_index=value,
+                remaining_ns=remaining_ms * MS,
+                unread_ns=unread_ms * MS,
                 duplicate_of=original,
                 is_retry=bool(original),
             )
-        elif what == "finish" and self.running:
-            self.end(self.running[n % len(self.running)], *rest)
-        elif what == "needs" and self.running and d.settings.downstream is not DownstreamScope.NONE:
-            job = self.running.pop(n % len(self.running))
-            self.at_call.append(job)
-            d.send(DownstreamCallNeeded(job))
-            if job not in self.open:
-                self.end(job)
-        elif what == "called" and self.out:
-            job = self.out.pop(n % len(self.out))
-            (self.running if rest[0] is Outcome.OK else self.at_call).append(job)
-            d.send(DownstreamCallEnded(job, rest[0], 50 * MS))
-        elif what == "gone" and self.open:
-            job = list(self.open)[n % len(self.open)]
-            del self.open[job]
-            d.send(RequestAbandoned(job))
-            if job in self.joined:
-                self.joined.remove(job)
-            if job in self.at_call + self.out:
-                self.end(job)
-        elif what == "wait":
-            for _ in range(max(1, n // 25)):
-                d.advance(25 * MS)
+        elif kind == "complete" and self.running:
+            self.end(self.running[value % len(self.running)], *rest)
+        elif (
+            kind == "call needed" and self.running and driver.settings.downstream is not DownstreamScope.NONE
+        ):
+            job_id = self.running.pop(value % len(self.running))
+            self.awaiting_call.append(job_id)
+            driver.send(DownstreamCallNeeded(job_id))
+            if job_id not in self.deadlines_ns:
+                self.end(job_id)
+        elif kind == "call ended" and self.calling:
+            job_id = self.calling.pop(value % len(self.calling))
+            (self.running if rest[0] is Outcome.OK else self.awaiting_call).append(job_id)
+            driver.send(DownstreamCallEnded(job_id, rest[0], 50 * MS))
+        elif kind == "abandon" and self.deadlines_ns:
+            job_id = list(self.deadlines_ns)[value % len(self.deadlines_ns)]
+            del self.deadlines_ns[job_id]
+            driver.send(RequestAbandoned(job_id))
+            if job_id in self.attached:
+                self.attached.remove(job_id)
+            if job_id in self.awaiting_call + self.calling:
+                self.end(job_id)
+        elif kind == "wait":
+            for _ in range(max(1, value // 25)):
+                driver.advance(25 * MS)
                 self.check()
         self.check()
 
 
 @settings(derandomize=True, deadline=None, max_examples=150)
 @given(st.sampled_from(SITES), st.lists(STEP, max_size=60), st.lists(STEP, max_size=25))
-def test_the_four_rules_hold_on_any_sequence(site, before, after):
-    world = World(site)
-    for step in before:
-        world.step(*step)
-    world.leave = world.d.now_ns
-    world.d.send(DrainStarted(4 * S))
-    world.check()
-    for step in after:
-        if world.d.now_ns < world.leave + 2500 * MS:
-            world.step(*step)
-    world.step("wait", max(0, (world.leave + 4 * S - world.d.now_ns) // MS))
-    assert not world.open, "read and never answered"
+def test_the_invariants_hold_on_any_sequence_of_events(site, steps_before_drain, steps_during_drain):
+    model = ModelCheck(site)
+    for step in steps_before_drain:
+        model.step(*step)
+    model.drain_started_at_ns = model.driver.now_ns
+    model.driver.send(DrainStarted(4 * S))
+    model.check()
+    for step in steps_during_drain:
+        if model.driver.now_ns < model.drain_started_at_ns + 2500 * MS:
+            model.step(*step)
+    model.step("wait", max(0, (model.drain_started_at_ns + 4 * S - model.driver.now_ns) // MS))
+    assert not model.deadlines_ns, "requests were read but never answered"
 
 
 @settings(derandomize=True, deadline=None, max_examples=30)
@@ -176,8 +207,8 @@
 def test_same_events_same_actions_on_any_sequence(site, steps):
     logs = []
     for _ in range(2):
-        world = World(site)
+        model = ModelCheck(site)
         for step in steps:
-            world.step(*step)
-        logs.append(world.d.log)
+            model.step(*step)
+        logs.append(model.driver.log)
     assert logs[0] == logs[1]
--- a/tests/admission/test_tenants_at_size.py
+++ b/tests/admission/test_tenants_at_size.py
@@ -37,26 +37,28 @@
         live = tuple(
             MutableTenant(f"tenant{n}", rng.choice((0.0, quota, quota * rng.random()))) for n in range(count)
         )
-        m = TenantDriver(live, fleet_size=rng.choice((1, 10)), over_quota_weight=rng.choice((0.0, 0.1, 1.0)))
-        full, some = FullRecomputation(m), rng.sample(range(count), min(count, 40))
+        driver = TenantDriver(
+            live, fleet_size=rng.choice((1, 10)), over_quota_weight=rng.choice((0.0, 0.1, 1.0))
+        )
+        full, some = FullRecomputation(driver), rng.sample(range(count), min(count, 40))
         for _ in range(steps):
             tenant = rng.choice(some)
             for _ in range(rng.choice((1, 1, 1, 8))):
                 retry = rng.random() < 0.2
                 outcome = rng.choice((Outcome.OK, Outcome.OK, Outcome.FAILED))
-                kind = (m.number + 1) % 2
-                started = m.serve(tenant, retry, outcome)
+                kind = (driver.number + 1) % 2
+                started = driver.serve(tenant, retry, outcome)
                 for at in (kind, 2 + tenant):
                     full.requested[at] += not retry
                     full.served[at] += started * (outcome is Outcome.OK)
                 full.ran[tenant] += started / 20
             for tenant in rng.sample(range(count), min(count, probes)):
-                for ours, theirs in zip(m.probe(tenant), full.probe(tenant), strict=True):
+                for ours, theirs in zip(driver.probe(tenant), full.probe(tenant), strict=True):
                     self.assertAlmostEqual(ours, theirs, delta=apart * abs(theirs))
             if rng.random() < 0.1:  # looked at once a beat, and at the start
                 live[rng.choice(some)].quota_per_s = rng.choice((0.0, quota * rng.random()))
             for _ in range(rng.choice(pauses)):
-                m.tick()
+                driver.tick()
                 full.tick()
 
     def test_a_few_tenants_are_valued_as_when_all_are_gone_through(self):
@@ -69,11 +71,11 @@
             self.play(seed, 1 + seed % 6, 15, 4, 40.0, (1, 700, 4000), apart=1e-6)
 
     def test_what_was_started_counts_for_minutes_though_nobody_looks(self):
-        m = TenantDriver(tenants(2, 0.05), fleet_size=1)
-        started = sum(m.serve(0) for _ in range(200))
-        m.tick(650)
-        self.assertAlmostEqual(m.probe(0)[1], 0.05 / ((0.05 + started / 20) * DECAY_PER_TICK**650))
-        self.assertLess(m.probe(0)[1], 0.2)
+        driver = TenantDriver(tenants(2, 0.05), fleet_size=1)
+        started = sum(driver.serve(0) for _ in range(200))
+        driver.tick(650)
+        self.assertAlmostEqual(driver.probe(0)[1], 0.05 / ((0.05 + started / 20) * DECAY_PER_TICK**650))
+        self.assertLess(driver.probe(0)[1], 0.2)
 
     def test_so_are_2000(self):
         self.play(1, 2000, 25, 100, 40.0, (1, 1, 10))
@@ -93,62 +95,69 @@
         return steps, CountingTable.times
 
     def quiet(self, size):
-        m = TenantDriver(CountingTable(tenants(size)))
-        m.tick(3)
-        return m
+        driver = TenantDriver(CountingTable(tenants(size)))
+        driver.tick(3)
+        return driver
 
     def same(self, call):
-        costs = [self.cost(m, lambda m=m: call(m)) for m in map(self.quiet, SIZES)]
+        costs = [self.cost(driver, lambda driver=driver: call(driver)) for driver in map(self.quiet, SIZES)]
         self.assertEqual(costs, [costs[0]] * len(SIZES))
 
     def test_a_tick_costs_the_same_however_many_are_quiet(self):
-        self.same(lambda m: m.tick())
+        self.same(lambda driver: driver.tick())
 
     def test_a_request_costs_the_same_however_many_there_are(self):
-        self.same(lambda m: m.serve(1))
+        self.same(lambda driver: driver.serve(1))
 
     def test_a_change_of_tenants_goes_through_none(self):
         changed = {
             size: CountingTable((*tenants(size - 1), Tenant("other", 5.0, 0.1), Tenant("new", 5.0, 0.1)))
             for size in SIZES
         }
-        self.same(lambda m: m.send(TenantsReplaced(changed[len(m.settings.tenants)])))
+        self.same(lambda driver: driver.send(TenantsReplaced(changed[len(driver.settings.tenants)])))
 
     def test_a_tick_grows_with_the_underserved_alone(self):
-        m = self.quiet(58_000)
-        quiet, _ = self.cost(m, m.tick)
+        driver = self.quiet(58_000)
+        quiet, _ = self.cost(driver, driver.tick)
         for tenant in range(2000):
-            m.serve(tenant, outcome=Outcome.FAILED)
-        lacking, looked = self.cost(m, m.tick)
+            driver.serve(tenant, outcome=Outcome.FAILED)
+        lacking, looked = self.cost(driver, driver.tick)
         self.assertLess(lacking - quiet, 250 * 2000)
         self.assertLessEqual(looked, 3 * 2000)
         for tenant in range(2000):  # its repeat is served: it lacks nothing any more
-            m.serve(tenant, retry=True)
-        m.tick()
-        self.assertLess(self.cost(m, m.tick)[0] - quiet, 50)
+            driver.serve(tenant, retry=True)
+        driver.tick()
+        self.assertLess(self.cost(driver, driver.tick)[0] - quiet, 50)
 
     def test_once_quiet_again_they_cost_nothing_and_are_forgotten(self):
-        m = self.quiet(2000)
-        quiet = self.cost(m, m.tick)
+        driver = self.quiet(2000)
+        quiet = self.cost(driver, driver.tick)
         for tenant in range(500):
-            m.serve(tenant, outcome=Outcome.FAILED)
-        m.tick(700)
-        again = self.cost(m, m.tick)
+            driver.serve(tenant, outcome=Outcome.FAILED)
+        driver.tick(700)
+        again = self.cost(driver, driver.tick)
         self.assertLess(again[0] - quiet[0], 50)
         self.assertEqual(again[1], 0)
-        m.tick(6000)
-        self.assertEqual(len(m.c.activity.by_tenant), 0)
+        driver.tick(6000)
+        self.assertEqual(len(driver.controller.activity.by_tenant), 0)
 
     def test_a_snapshot_is_taken_and_restored_by_those_active(self):
         told, taught = [], []
         for size in SIZES:
-            m, positions = self.quiet(size), {t.name: at for at, t in enumerate(tenants(size))}
+            driver, positions = self.quiet(size), {t.name: at for at, t in enumerate(tenants(size))}
             for tenant in (0, 2):
-                m.serve(tenant)
+                driver.serve(tenant)
             lesson = {}
-            told.append(self.cost(m, lambda m=m, lesson=lesson: lesson.update(learned_state.snapshot(m.c))))
+            told.append(
+                self.cost(
+                    driver,
+                    lambda driver=driver, lesson=lesson: lesson.update(
+                        learned_state.snapshot(driver.controller)
+                    ),
+                )
+            )
             fresh = TenantDriver(CountingTable(tenants(size)))
-            teach = partial(learned_state.restore, fresh.c, lesson, fresh.now_ns, positions)
+            teach = partial(learned_state.restore, fresh.controller, lesson, fresh.now_ns, positions)
             taught.append(self.cost(fresh, teach))
         self.assertEqual(told, [told[0]] * len(SIZES))
         self.assertEqual(taught, [taught[0]] * len(SIZES))
@@ -156,9 +165,11 @@
     def test_the_state_for_another_process_does_not_grow_with_those_that_are_quiet(self):
         sizes = []
         for size in SIZES:
-            m = self.quiet(size)
-            m.serve(0)
-            state = CoreSnapshot(learned_state.snapshot(m.c), idempotency=IdempotencyTable(0, 0))
+            driver = self.quiet(size)
+            driver.serve(0)
+            state = CoreSnapshot(
+                learned_state.snapshot(driver.controller), idempotency=IdempotencyTable(0, 0)
+            )
             sizes.append(sum(len(json.dumps(line)) for line in snapshot_lines(state, 0, None)))
         self.assertEqual(sizes, [sizes[0]] * len(SIZES))
 
@@ -167,47 +178,47 @@
     """Tenants and quotas that change while requests are open."""
 
     def test_a_tenant_that_stays_keeps_its_rates_and_a_new_one_starts_as_a_quiet_one(self):
-        m = TenantDriver(tenants(3, 100.0))
+        driver = TenantDriver(tenants(3, 100.0))
         for _ in range(40):
-            m.serve(1)
-        m.tick(20)
-        before, quiet = m.probe(1), m.probe(0)
-        m.send(TenantsReplaced((*tenants(3, 100.0), Tenant("new", 100.0, 0.1))))
-        self.assertEqual((m.probe(1), m.probe(0)), (before, quiet))
-        self.assertEqual(m.probe(3), quiet)
-        m.serve(3)
-        m.tick(2)
-        self.assertGreater(m.probe(3)[0], 0)
+            driver.serve(1)
+        driver.tick(20)
+        before, quiet = driver.probe(1), driver.probe(0)
+        driver.send(TenantsReplaced((*tenants(3, 100.0), Tenant("new", 100.0, 0.1))))
+        self.assertEqual((driver.probe(1), driver.probe(0)), (before, quiet))
+        self.assertEqual(driver.probe(3), quiet)
+        driver.serve(3)
+        driver.tick(2)
+        self.assertGreater(driver.probe(3)[0], 0)
 
     def test_open_requests_of_a_removed_tenant_continue(self):
-        m = TenantDriver(tenants(2))
-        started = [a.id for a in m.request(1) if isinstance(a, StartRun)]
-        m.send(TenantsReplaced((tenants(2)[0], Tenant("", 0.0, 0.0))))
-        m.tick()
-        m.send(RequestCompleted(started[0], Outcome.OK, MS))
-        self.assertFalse(m.c.jobs)
-        m.tick(30)
-        self.assertFalse([a for a in m.actions if isinstance(a, FailRequest)])
+        driver = TenantDriver(tenants(2))
+        started = [a.id for a in driver.request(1) if isinstance(a, StartRun)]
+        driver.send(TenantsReplaced((tenants(2)[0], Tenant("", 0.0, 0.0))))
+        driver.tick()
+        driver.send(RequestCompleted(started[0], Outcome.OK, MS))
+        self.assertFalse(driver.controller.jobs)
+        driver.tick(30)
+        self.assertFalse([a for a in driver.actions if isinstance(a, FailRequest)])
 
     def test_a_quota_of_nothing_is_one_whenever_it_comes(self):
         none, some = tenants(2, 0.0)[:1] + tenants(2)[1:], tenants(2)
         from_start, later = TenantDriver(none), TenantDriver(some)
         later.send(TenantsReplaced(none))
-        for m in (from_start, later):
-            m.tick()
+        for driver in (from_start, later):
+            driver.tick()
             for n in range(60):
-                m.request(n % 2)
+                driver.request(n % 2)
                 if n % 5 == 0:
-                    m.tick()
+                    driver.tick()
         self.assertEqual(from_start.actions, later.actions)
         self.assertEqual(from_start.probe(0), later.probe(0))
         self.assertEqual(later.probe(0)[1], 0.0)
         self.assertTrue([a for a in later.actions if isinstance(a, RejectRequest)])
 
     def test_a_quota_that_grows_again_is_used_at_once(self):
-        m = TenantDriver(tenants(2, 1.0))
+        driver = TenantDriver(tenants(2, 1.0))
         for _ in range(40):
-            m.serve(0)
-        self.assertLess(m.probe(0)[1], 0.5)
-        m.send(TenantsReplaced(tenants(2, 1000.0)))
-        self.assertEqual(m.probe(0)[1], 1.0)
+            driver.serve(0)
+        self.assertLess(driver.probe(0)[1], 0.5)
+        driver.send(TenantsReplaced(tenants(2, 1000.0)))
+        self.assertEqual(driver.probe(0)[1], 1.0)
