--- a/tests/admission/test_graceful_shutdown.py
+++ b/tests/admission/test_graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""What a controller still starts, and answers, while its process is to end."""
+"""Starts and answers of a controller during a graceful shutdown."""
 
 from ochrehoist.admission.actions import (
     FailRequest,
@@ -12,7 +12,7 @@
 from tests.admission.controller_driver import MS, Driver, S
 
 
-def test_nothing_that_arrives_after_the_drain_grace_is_run_and_all_is_answered_before_the_end():
+def test_requests_after_the_drain_grace_never_run_and_all_are_answered_before_the_end():
     driver = Driver()
     early = [driver.request()[0] for _ in range(8)]
     driver.send(DrainStarted(4 * S))
@@ -26,7 +26,7 @@
     assert SetHealth(False, True) in driver.actions_of(SetHealth)
 
 
-def test_what_may_wait_longer_than_the_process_lives_is_answered_before_its_end():
+def test_a_request_with_a_deadline_after_the_end_of_the_process_is_answered_before_it():
     driver = Driver()
     job_id, _ = driver.request(remaining_ns=30 * S)
     driver.send(DrainStarted(3 * S))
@@ -34,7 +34,7 @@
     assert driver.ids(FailRequest) == [job_id]
 
 
-def test_an_idle_instance_runs_what_arrived_within_the_drain_grace_and_nothing_later():
+def test_an_idle_instance_runs_requests_that_arrived_within_the_drain_grace_and_no_later_ones():
     driver = Driver()
     driver.send(DrainStarted(5 * S))
     driver.advance(2100 * MS)
--- a/tests/admission/test_health.py
+++ b/tests/admission/test_health.py
@@ -1,4 +1,4 @@
-"""When an instance reports bad health: stalls, and what is none."""
+"""Health reports of an instance: stalls, and conditions that are not a stall."""
 
 import pytest
 
@@ -19,29 +19,32 @@
     ids = [driver.request(remaining_ns=20 * S)[0] for _ in range(4)]
     driver.advance(3 * S)
     assert SetHealth(False, True) in driver.actions_of(SetHealth)
-    refused, _ = driver.request(remaining_ns=20 * S)
-    assert refused in driver.ids(RejectRequest)
+    during_stall, _ = driver.request(remaining_ns=20 * S)
+    assert during_stall in driver.ids(RejectRequest)
     driver.complete(ids[0], duration_ns=3 * S)
     driver.advance(50 * MS)
-    taken, _ = driver.request(remaining_ns=20 * S)
-    assert taken in driver.ids(StartRun)
+    after_stall, _ = driver.request(remaining_ns=20 * S)
+    assert after_stall in driver.ids(StartRun)
 
 
 def test_a_stall_and_quick_failures_do_not_move_the_service_rate_curve():
     driver = Driver()
-    before = [driver.controller.curve.rate_per_s(n) for n in range(1, 10)]
+    rates_before = [driver.controller.curve.rate_per_s(n) for n in range(1, 10)]
     for _ in range(20):
         job_id, _ = driver.request()
         driver.now_ns += 2 * MS
         driver.complete(job_id, Outcome.FAILED, duration_ns=2 * MS)
-    after = [driver.controller.curve.rate_per_s(n) for n in range(1, 10)]
-    assert after == pytest.approx(before, rel=0.02)
+    rates_after = [driver.controller.curve.rate_per_s(n) for n in range(1, 10)]
+    assert rates_after == pytest.approx(rates_before, rel=0.02)
 
 
 def test_rejections_alone_never_report_bad_health():
-    # Swamped servers that left the list took the whole fleet with them in overload (incident i50d041).
+    # Overloaded servers that reported bad health were removed from the list of instances, which took the
+    # whole fleet down (incident i50d041).
     driver = Driver(marks_retries=False)
-    driver.request(remaining_ns=60 * S)  # one runs, so that what cannot meet its aim is not tried
+    driver.request(
+        remaining_ns=60 * S
+    )  # an idle instance would try a request even if it misses its objective
     for _ in range(60):
         for _ in range(3):
             driver.request(remaining_ns=1 * MS)
@@ -49,12 +52,12 @@
     assert len(driver.ids(RejectRequest)) == 180 and driver.actions_of(SetHealth) == [SetHealth(True, True)]
 
 
-def test_a_pause_of_the_process_is_neither_time_at_work_nor_a_stall():
+def test_a_pause_of_the_process_is_neither_working_time_nor_a_stall():
     driver = Driver()
     for _ in range(4):
         driver.request(remaining_ns=20 * S)
     driver.advance(500 * MS, step_ns=100 * MS)
-    before, driver.now_ns = sum(driver.controller.curve.observed_s), driver.now_ns + 30 * S
+    observed_before_s, driver.now_ns = sum(driver.controller.curve.observed_s), driver.now_ns + 30 * S
     driver.send(TimerFired(1, {"cpu_busy": 1.0}))
-    assert sum(driver.controller.curve.observed_s) - before <= 0.11
+    assert sum(driver.controller.curve.observed_s) - observed_before_s <= 0.11
     assert SetHealth(False, True) not in driver.actions_of(SetHealth)
