--- a/tests/admission/tenant_load.py
+++ b/tests/admission/tenant_load.py
@@ -1,4 +1,4 @@
-"""Controllers with many tenants, and one that goes through all of them at each tick."""
+"""A driver for controllers with many tenants, and a reference that recomputes all of them at each tick."""
 
 from math import exp
 
@@ -23,55 +23,59 @@
 
 
 class MutableTenant:
-    """A tenant whose quota follows something else."""
+    """Tenant whose quota a test changes during a run."""
 
     def __init__(self, name, quota):
         self.name, self.quota_per_s, self.share = name, quota, 1.0
 
 
 def tenants(count, quota=20.0):
-    """So many tenants of one quota."""
+    """Returns `count` tenants with the same quota."""
     return tuple(Tenant(f"tenant{n}", quota, 1 / count) for n in range(count))
 
 
 class TenantDriver:
-    """The controller, its clock, and requests that end well at once."""
+    """Controller with its clock, whose requests complete as soon as they start."""
 
-    def __init__(self, of, **changes):
-        goal = ObjectiveWeights(0.45, 0.15, 0.3, 0.1)
-        self.settings = settings(tenants=of, objective=goal, classes=CLASSES[:1] * 2, **changes)
+    def __init__(self, initial_tenants, **changes):
+        weights = ObjectiveWeights(0.45, 0.15, 0.3, 0.1)
+        self.settings = settings(
+            tenants=initial_tenants, objective=weights, classes=CLASSES[:1] * 2, **changes
+        )
         self.controller = AdmissionController(self.settings, 1)
-        self.now_ns, self.number, self.actions = 1000 * S, 0, []
+        self.now_ns, self.request_count, self.actions = 1000 * S, 0, []
         self.send(InstanceStarted())
 
     def send(self, event):
-        """One event; the actions that follow."""
-        acts = self.controller.handle(self.now_ns, event)
-        self.actions += acts
-        return acts
+        """Passes an event to the controller and returns the resulting actions."""
+        new_actions = self.controller.handle(self.now_ns, event)
+        self.actions += new_actions
+        return new_actions
 
     def request(self, tenant, retry=False):
-        """A request of a tenant; the actions that follow."""
-        self.number += 1
+        """Sends a request of a tenant and returns the resulting actions."""
+        self.request_count += 1
         return self.send(
-            RequestReceived(f"r{self.number}", self.number % 2, tenant, is_retry=retry, caller=1)
+            RequestReceived(
+                f"r{self.request_count}", self.request_count % 2, tenant, is_retry=retry, caller=1
+            )
         )
 
     def serve(self, tenant, retry=False, outcome=Outcome.OK):
-        """A request of a tenant that runs to its end if it is started; how many were."""
-        started = [a.id for a in self.request(tenant, retry) if isinstance(a, StartRun)]
-        for job in started:
-            self.send(RequestCompleted(job, outcome, 10 * MS))
+        """Sends a request of a tenant, completes the runs that start, and returns their number."""
+        started = [action.id for action in self.request(tenant, retry) if isinstance(action, StartRun)]
+        for job_id in started:
+            self.send(RequestCompleted(job_id, outcome, 10 * MS))
         return len(started)
 
     def tick(self, count=1):
-        """So many ticks."""
+        """Advances by `count` ticks."""
         for _ in range(count):
             self.now_ns += TICK_NS
             self.send(TimerFired(1, {"cpu_busy": 0.5}))
 
     def probe(self, tenant):
-        """What the goal gains by an answer to it, and the part of what it starts that is within its share."""
+        """Returns the priority of a request of a tenant, and the share of its starts within its quota."""
         job = Job(RequestReceived("probe", 0, tenant, work_ns=S), self.settings.classes[0], self.now_ns)
         return self.controller.priority.value(job), self.controller.activity.share_within_quota(
             tenant, self.controller.activity.tenant_counts(tenant).starts_per_s
@@ -79,58 +83,71 @@
 
 
 class FullRecomputation:
-    """The same, with every tenant gone through at each tick: as the design's formulas are written down."""
-
-    def __init__(self, module):
-        self.m, n = module, len(module.settings.tenants)
-        self.requested, self.served = [1.0] * (2 + n), [1.0] * (2 + n)
-        self.of = module.settings.tenants
-        self.ran = [self.share(t) for t in self.of]
-        self.value()
-
-    def share(self, tenant):
-        """What a tenant may start a second at this instance."""
-        return tenant.quota_per_s / self.m.settings.fleet_size
-
-    def value(self):
-        """Values all anew."""
-        goal, classes = self.m.settings.objective, self.m.settings.classes
-        most = [float("inf")] * 2 + [max(0.1, self.share(t) * 20) for t in self.of]
-        asked = [min(a, driver) for a, driver in zip(self.requested, most, strict=True)]
-        lack = [(1.01 - min(1.0, v / a)) ** 2 for v, a in zip(self.served, asked, strict=True)]
-        offered = sum(c.priority_weight * a for c, a in zip(classes, asked, strict=False))
-        self.gains = [
-            (goal.overall + goal.worst_window) * classes[at].priority_weight / offered
-            + goal.worst_class * lack[at] / sum(lack[:2]) / asked[at]
-            for at in range(2)
+    """Reference for the priorities that evaluates the formulas of the design for every tenant at each tick.
+
+    The lists of counts hold the two classes first, then the tenants.
+    """
+
+    def __init__(self, tenant_driver):
+        self.driver, tenant_count = tenant_driver, len(tenant_driver.settings.tenants)
+        self.requested, self.served = [1.0] * (2 + tenant_count), [1.0] * (2 + tenant_count)
+        self.all_tenants = tenant_driver.settings.tenants
+        self.starts_per_s = [self.local_quota_per_s(tenant) for tenant in self.all_tenants]
+        self.recompute()
+
+    def local_quota_per_s(self, tenant):
+        """Returns the part of a tenant's quota for this instance."""
+        return tenant.quota_per_s / self.driver.settings.fleet_size
+
+    def recompute(self):
+        """Recomputes the gains of all classes and tenants."""
+        weights, classes = self.driver.settings.objective, self.driver.settings.classes
+        max_demands = [float("inf")] * 2 + [
+            max(0.1, self.local_quota_per_s(tenant) * 20) for tenant in self.all_tenants
+        ]
+        demands = [min(count, limit) for count, limit in zip(self.requested, max_demands, strict=True)]
+        shortfalls = [
+            (1.01 - min(1.0, served_count / demand)) ** 2
+            for served_count, demand in zip(self.served, demands, strict=True)
         ]
-        self.plus = [
-            goal.worst_tenant * miss / sum(lack[2:]) / a for miss, a in zip(lack[2:], asked[2:], strict=True)
+        offered_weight = sum(
+            each.priority_weight * demand for each, demand in zip(classes, demands, strict=False)
+        )
+        self.class_gains = [
+            (weights.overall + weights.worst_window) * classes[index].priority_weight / offered_weight
+            + weights.worst_class * shortfalls[index] / sum(shortfalls[:2]) / demands[index]
+            for index in range(2)
+        ]
+        self.tenant_gains = [
+            weights.worst_tenant * shortfall / sum(shortfalls[2:]) / demand
+            for shortfall, demand in zip(shortfalls[2:], demands[2:], strict=True)
         ]
 
     def tick(self):
-        """One tick."""
-        self.value()
-        self.requested = [max(0.1, a * DECAY_PER_TICK) for a in self.requested]
-        self.served = [max(0.1, v * DECAY_PER_TICK) for v in self.served]
-        self.ran = [r * DECAY_PER_TICK for r in self.ran]
+        """Advances by one tick: recomputes the gains, then decays all counts."""
+        self.recompute()
+        self.requested = [max(0.1, count * DECAY_PER_TICK) for count in self.requested]
+        self.served = [max(0.1, served_count * DECAY_PER_TICK) for served_count in self.served]
+        self.starts_per_s = [rate * DECAY_PER_TICK for rate in self.starts_per_s]
 
     def probe(self, tenant):
-        """As `TenantDriver.probe`."""
-        inside = min(1.0, self.share(self.of[tenant]) / max(1e-9, self.ran[tenant]))
-        times = inside**2 + (1 - inside**2) * self.m.settings.over_quota_weight
-        return (self.gains[0] + self.plus[tenant]) * times / S, inside
+        """Returns the same pair as `TenantDriver.probe`."""
+        within_quota = min(
+            1.0, self.local_quota_per_s(self.all_tenants[tenant]) / max(1e-9, self.starts_per_s[tenant])
+        )
+        factor = within_quota**2 + (1 - within_quota**2) * self.driver.settings.over_quota_weight
+        return (self.class_gains[0] + self.tenant_gains[tenant]) * factor / S, within_quota
 
 
-class CountingTable(tuple):
-    """Tenants that count who goes through them, in C as well."""
+class CountingTenants(tuple):
+    """Tuple of tenants that counts how many of them are accessed, also from C code."""
 
-    times = 0
+    accesses = 0
 
     def __iter__(self):
-        CountingTable.times += len(self)
+        CountingTenants.accesses += len(self)
         return super().__iter__()
 
-    def __getitem__(self, at):
-        CountingTable.times += len(range(len(self))[at]) if isinstance(at, slice) else 1
-        return super().__getitem__(at)
+    def __getitem__(self, index):
+        CountingTenants.accesses += len(range(len(self))[index]) if isinstance(index, slice) else 1
+        return super().__getitem__(index)
