--- a/tests/admission/test_stated_work.py
+++ b/tests/admission/test_stated_work.py
@@ -1,4 +1,4 @@
-"""What a request will take is told from the work that it states, where that proves to tell."""
+"""Prediction of run times from the work that requests state, if the statements prove to be accurate."""
 
 import unittest
 from random import Random
@@ -13,67 +13,68 @@
 class StatedWorkTest(unittest.TestCase):
     """Run times predicted from the work that requests state."""
 
-    def taught(self, tells=True, count=80):
-        """A module whose runs take 100 ms on the mean, as they state; or whatever they state."""
+    def driver_after_runs(self, accurate=True, count=80):
+        """Returns a driver after runs with a mean of 100 ms, which take the stated work if `accurate`."""
         driver, rng = Driver(marks_retries=False), Random(1)
         for _ in range(count):
-            work = int(100 * MS * rng.lognormvariate(-0.3, 0.8))
-            rid, _ = driver.request(remaining_ns=None, work_ns=work)
+            stated_ns = int(100 * MS * rng.lognormvariate(-0.3, 0.8))
+            job_id, _ = driver.request(remaining_ns=None, work_ns=stated_ns)
             driver.now_ns += 150 * MS
-            if rid in driver.ids(StartRun):
+            if job_id in driver.ids(StartRun):
                 driver.complete(
-                    rid, duration_ns=work if tells else int(100 * MS * rng.lognormvariate(-0.3, 0.8))
+                    job_id,
+                    duration_ns=stated_ns if accurate else int(100 * MS * rng.lognormvariate(-0.3, 0.8)),
                 )
         self.assertFalse(driver.ids(RejectRequest))
         return driver
 
-    def held(self, driver, *works):
-        """All cores with work that does not end, then these."""
+    def request_on_busy_cores(self, driver, *works):
+        """Occupies all cores, sends requests of these amounts of work, and returns their ids."""
         for _ in range(driver.settings.cores):
             driver.request(remaining_ns=None, work_ns=100 * MS)
-        return [driver.request(remaining_ns=None, work_ns=w)[0] for w in works]
+        return [driver.request(remaining_ns=None, work_ns=work)[0] for work in works]
 
-    def test_a_large_one_that_would_end_too_late_is_rejected_and_a_small_one_waits(self):
-        driver = self.taught()
-        large, small = self.held(driver, 1800 * MS, 20 * MS)
+    def test_a_large_request_that_would_end_too_late_is_rejected_and_a_small_one_waits(self):
+        driver = self.driver_after_runs()
+        large, small = self.request_on_busy_cores(driver, 1800 * MS, 20 * MS)
         self.assertIn(large, driver.ids(RejectRequest))
         self.assertNotIn(small, driver.ids(RejectRequest))
 
-    def test_where_stated_work_means_nothing_all_of_a_class_are_alike(self):
-        driver = self.taught(tells=False)
+    def test_inaccurate_stated_work_is_ignored(self):
+        driver = self.driver_after_runs(accurate=False)
         self.assertLess(driver.controller.run_times.stated_work_gain_ns[0].value, 0)
-        large, small = self.held(driver, 1800 * MS, 20 * MS)
+        large, small = self.request_on_busy_cores(driver, 1800 * MS, 20 * MS)
         self.assertNotIn(large, driver.ids(RejectRequest))
         self.assertNotIn(small, driver.ids(RejectRequest))
 
-    def test_an_idle_core_takes_what_can_just_end_in_time(self):
-        driver = self.taught()
-        usual = (
+    def test_an_idle_core_starts_a_request_that_can_just_meet_its_objective(self):
+        driver = self.driver_after_runs()
+        run_time_per_work = (
             driver.controller.run_times.mean_run_ns[0].value
             / driver.controller.run_times.mean_stated_work_ns[0].value
         )
-        just, over = int(1600 * MS / usual), int(4000 * MS / usual)
-        driver.request(remaining_ns=None, work_ns=100 * MS)  # an empty server tries anything
-        self.assertIn(driver.request(remaining_ns=None, work_ns=just)[0], driver.ids(StartRun))
-        self.assertIn(driver.request(remaining_ns=None, work_ns=over)[0], driver.ids(RejectRequest))
+        in_time_ns, too_late_ns = int(1600 * MS / run_time_per_work), int(4000 * MS / run_time_per_work)
+        driver.request(remaining_ns=None, work_ns=100 * MS)  # an idle instance accepts any request
+        self.assertIn(driver.request(remaining_ns=None, work_ns=in_time_ns)[0], driver.ids(StartRun))
+        self.assertIn(driver.request(remaining_ns=None, work_ns=too_late_ns)[0], driver.ids(RejectRequest))
 
     def test_large_requests_do_not_distort_the_run_time_of_the_class(self):
-        driver = self.taught()
-        before = driver.controller.run_times.mean_run_ns[0].value
+        driver = self.driver_after_runs()
+        mean_before_ns = driver.controller.run_times.mean_run_ns[0].value
         for _ in range(5):
-            rid, _ = driver.request(remaining_ns=None, work_ns=1500 * MS)
+            job_id, _ = driver.request(remaining_ns=None, work_ns=1500 * MS)
             driver.now_ns += 1600 * MS
-            driver.complete(rid, duration_ns=1500 * MS)
-        self.assertLess(driver.controller.run_times.mean_run_ns[0].value, 1.5 * before)
+            driver.complete(job_id, duration_ns=1500 * MS)
+        self.assertLess(driver.controller.run_times.mean_run_ns[0].value, 1.5 * mean_before_ns)
 
-    def test_it_is_in_the_snapshot_and_one_of_an_older_program_is_restored_too(self):
-        driver = self.taught()
+    def test_stated_work_is_in_the_snapshot_and_a_snapshot_without_it_is_restored(self):
+        driver = self.driver_after_runs()
         learned = learned_state.snapshot(driver.controller)
         now = Timestamp(driver.now_ns, 0, "b")
-        kept = expire_learned_state(learned, now, now, 3600 * S, False)
-        for told in (learned, kept):
+        stored = expire_learned_state(learned, now, now, 3600 * S, False)
+        for data in (learned, stored):
             fresh = Driver(marks_retries=False)
-            learned_state.restore(fresh.controller, told, fresh.now_ns)
+            learned_state.restore(fresh.controller, data, fresh.now_ns)
             self.assertAlmostEqual(
                 fresh.controller.run_times.mean_stated_work_ns[0].value,
                 driver.controller.run_times.mean_stated_work_ns[0].value,
