--- a/ochrehoist/admission/backpressure.py
+++ b/ochrehoist/admission/backpressure.py
@@ -30,7 +30,6 @@
         arrivals: ArrivalMonitor,
         callers: CallerTracker,
     ) -> None:
-
         self._settings = settings
         self._mean_objective_ns = mean_objective_ns
         self._policy = policy
@@ -69,12 +68,12 @@
         return max(capacity, 1.0) / max(1, len(self._callers.last_seen_ns))
 
     def _idle_timeout(self) -> SetIdleTimeout | None:
-        """Returns the idle timeout if it has changed: short if few callers reuse connections, else none (0).
+        """Returns the idle timeout if it has changed; 0 keeps idle connections open.
 
-        Idle connections fill the connection table, take CPU time and keep new callers out in a load peak.
-        Where half of the callers reuse theirs before the timeout, new handshakes would cost more than that.
-        The estimate assumes that callers send alike: it closes too early where a few callers send most of
-        the requests.
+        The timeout is short where few callers reuse their connections: idle connections fill the connection
+        table, take CPU time and keep new callers out in a load peak. Where more than half of the callers
+        reuse theirs, new handshakes would cost more than idle connections. The estimate assumes that all
+        callers send alike; where a few send most of the requests, their connections are closed too early.
         """
         settings = self._settings
         timeout_ns = settings.idle_timeout_ns
--- a/ochrehoist/admission/caller_activity.py
+++ b/ochrehoist/admission/caller_activity.py
@@ -12,7 +12,7 @@
 from ochrehoist.units import NS_PER_S
 
 CALLER_RETENTION_NS = 10.0 * NS_PER_S  # a caller counts as active for this time after its last request
-CANCELLATIONS_KEPT = 12  # the newest ones of each caller
+CANCELLATIONS_KEPT = 12  # only the newest cancellations of each caller are kept
 MIN_CANCELLATIONS = CANCELLATIONS_KEPT // 4  # a timeout is estimated from more cancellations than this
 # A cancellation before this share of the latency objective is no evidence of a timeout.
 EARLY_CANCELLATION_SHARE = 0.1
--- a/ochrehoist/admission/decaying_mean.py
+++ b/ochrehoist/admission/decaying_mean.py
@@ -15,7 +15,7 @@
         self._decay_ns = decay_s * NS_PER_S
         self.value = initial_value
         self.weight = initial_weight
-        self._updated_at_ns: int | None = None  # None until the first sample: the clock may start at 0
+        self._updated_at_ns: int | None = None  # None: the initial value does not age before the first sample
 
     def add(self, now_ns: int, sample: float) -> None:
         """Adds a sample with weight 1."""
--- a/ochrehoist/admission/downstream_calls.py
+++ b/ochrehoist/admission/downstream_calls.py
@@ -19,18 +19,18 @@
 from ochrehoist.admission.settings import AdmissionSettings, DownstreamScope, Idempotency
 from ochrehoist.admission.timing import TICK_INTERVAL_NS
 
-USABLE_SHARE = 0.9  # of the call time that this instance is entitled to
+USABLE_SHARE = 0.9  # share of the granted call time that this instance uses
 CALL_DECAY_S = 1.5
 FAILURE_INITIAL_WEIGHT = 10.0
 FAILING_SHARE = 0.5  # the dependency counts as unhealthy above this share of failed calls
-PROBE_SHARE = 0.1  # of the requests still call an unhealthy dependency
+PROBE_SHARE = 0.1  # share of the requests that still call an unhealthy dependency
 BASE_BACKOFF_NS = TICK_INTERVAL_NS // 4  # doubled for each call that the request has made
 MAX_BACKOFF_DOUBLINGS = 5
-MAX_CALLS = 2  # per request; calls that provably never ran are retried beyond it
+MAX_CALLS = 2  # limit per request; calls that provably never ran may be retried beyond it
 
 
 class _EndedCall(NamedTuple):
-    released_at_ns: int  # the call time has left the window
+    released_at_ns: int  # time at which the used time leaves the window
     used_ns: int
 
 
@@ -38,7 +38,6 @@
     """Scheduler of the downstream calls of this instance, with latency and failure rate of the dependency."""
 
     def __init__(self, settings: AdmissionSettings, concurrency: ConcurrencyTracker, rng: Random) -> None:
-
         self.latency_ns = DecayingMean(CALL_DECAY_S)
         self.failure_share = DecayingMean(CALL_DECAY_S, 0.0, FAILURE_INITIAL_WEIGHT)
         self._settings = settings
--- a/ochrehoist/admission/events.py
+++ b/ochrehoist/admission/events.py
@@ -41,7 +41,7 @@
     class_index: int
     tenant_index: int | None = None
     routing_key: str | None = None
-    remaining_ns: int | None = None  # until the deadline; None if the caller does not propagate it
+    remaining_ns: int | None = None  # time until the deadline; None if the caller does not propagate it
     work_ns: int | None = None  # CPU time on a standard core; None if the caller does not state it
     memory_kb: float = 0.0
     rank: float = 0.0
@@ -50,7 +50,7 @@
     caller: int = 0
     unread_ns: int = 0  # time between arrival and reading
     duplicate_of: str | None = None  # id of an earlier attempt with the same idempotency key
-    cost_multiple: float = 1.0  # relative to its class; requests above 1 share a limit of their own
+    cost_multiple: float = 1.0  # relative to the usual cost of the class; requests above 1 share a limit
 
 
 @dataclass(slots=True)
@@ -107,7 +107,7 @@
 class DrainStarted:
     """Start of a graceful shutdown."""
 
-    remaining_ns: int  # until the process ends
+    remaining_ns: int  # time until the process ends
 
 
 @dataclass(slots=True, frozen=True)
@@ -121,7 +121,7 @@
     total: int = UNLIMITED
     class_floors: tuple[int, ...] = ()
     class_caps: tuple[int, ...] = ()
-    expensive: int = UNLIMITED  # requests with a cost multiple above 1, of all classes together
+    expensive: int = UNLIMITED  # limit for requests with a cost multiple above 1, of all classes together
 
 
 @dataclass(slots=True)
--- a/ochrehoist/admission/health.py
+++ b/ochrehoist/admission/health.py
@@ -2,7 +2,7 @@
 
 from ochrehoist.admission.timing import TICK_INTERVAL_NS
 
-MAX_MISSED_COMPLETIONS = 6.0  # completions expected at the mean run time before a stall is reported
+MAX_MISSED_COMPLETIONS = 6.0  # a stall is reported after this many expected completions are overdue
 MIN_STALL_TICKS = 2  # a shorter time without progress can be a pause of this process
 
 
--- a/ochrehoist/admission/job.py
+++ b/ochrehoist/admission/job.py
@@ -55,7 +55,7 @@
         self.request_class = request_class
         self.state = JobState.QUEUED
         self.memory_kb = request.memory_kb
-        self.started = False  # by this instance or the one before it
+        self.started = False  # a run was started, by this instance or the previous one
         self.answered = False
         self.key_retained = False
         self.expensive = request.cost_multiple > 1
@@ -73,7 +73,7 @@
             now_ns + remaining_ns if remaining_ns else arrived_at_ns + request_class.deadline_ns
         )
         self.objective_at_ns = arrived_at_ns + request_class.latency_objective_ns
-        self.tenant: int | None = None  # whose activity counts the request
+        self.tenant: int | None = None  # the tenant whose activity counts the request
 
     def has_no_run(self) -> bool:
         """Returns whether the request has no run of its own, so that dropping it cancels nothing."""
--- a/ochrehoist/admission/learned_state.py
+++ b/ochrehoist/admission/learned_state.py
@@ -14,7 +14,7 @@
 from ochrehoist.admission.tenant_activity import MIN_COUNT, TICK_DECAY, RequestCounts
 from ochrehoist.errors import OchrehoistError
 
-LAYOUT_VERSION = 1  # of snapshots; stored ones of another version are not restored
+LAYOUT_VERSION = 1  # stored snapshots of another version are not restored
 MIN_STORED_STARTS_PER_S = 1e-6  # lower start rates of tenants are omitted
 CLASS_MEAN_KEYS = "took", "stated", "tells"  # snapshot keys of the means per class
 
@@ -114,8 +114,8 @@
     `tenants` maps the names of the controller's tenants to their indices; without it the mapping is computed.
 
     Raises InvalidLearnedStateError for a value that is not a finite number, and KeyError, TypeError or
-    ValueError if one is missing or malformed. The controller is partly restored then and should be discarded,
-    unless it may start with what was restored and learn the rest again.
+    ValueError if one is missing or malformed. The controller may be partly restored then; it must not be used
+    unless it is acceptable that it learns anew.
     """
     tenant_indices = tenants
     if tenant_indices is None:
--- a/ochrehoist/admission/memory_budget.py
+++ b/ochrehoist/admission/memory_budget.py
@@ -14,7 +14,6 @@
     def __init__(
         self, settings: AdmissionSettings, concurrency: ConcurrencyTracker, index: IdempotencyIndex
     ) -> None:
-
         self.used_kb = 0.0
         self._settings = settings
         self._concurrency = concurrency
--- a/ochrehoist/admission/mpl_policy.py
+++ b/ochrehoist/admission/mpl_policy.py
@@ -32,7 +32,7 @@
 
     `rates[n]` is the service rate with n running, for n up to `max_running` + 1.
     """
-    one_more, two_more = 1 - zero_size_share, (1 - zero_size_share) ** 2
+    one_nonzero, both_nonzero = 1 - zero_size_share, (1 - zero_size_share) ** 2
     both_zero = zero_size_share * zero_size_share
     costs = [_costs_without_queue(rates, max_running)]
     table = [[START_NONE] * (max_running + 1)]
@@ -41,12 +41,12 @@
         after_two = costs[queued - 2]  # used only if at least two are queued
         row_costs = [0.0] * (max_running + 1)
         row = [START_ONE] * (max_running + 1)
-        # `jobs` is the number in the system beside the one started; at equal cost fewer are started.
+        # `jobs` is the number in the system besides the one started; at equal cost fewer are started.
         for running, jobs in enumerate(range(queued, queued + max_running), start=1):
-            cost = jobs / rates[running] * one_more + after_one[running]
+            cost = jobs / rates[running] * one_nonzero + after_one[running]
             if queued > 1 and running < max_running:
                 remaining = (1 - both_zero) * after_two[running + 1] + both_zero * after_two[running]
-                if (two_cost := two_more * jobs / rates[running + 1] + remaining) < cost:
+                if (two_cost := both_nonzero * jobs / rates[running + 1] + remaining) < cost:
                     cost, row[running] = two_cost, START_TWO
             if running > 1 and (none_cost := jobs / rates[running - 1] + row_costs[running - 1]) <= cost:
                 cost, row[running] = none_cost, START_NONE
--- a/ochrehoist/admission/request_queue.py
+++ b/ochrehoist/admission/request_queue.py
@@ -8,7 +8,7 @@
 from ochrehoist.units import NS_PER_S
 
 SHORT_QUEUE = 8  # queues up to this length are fully evaluated at every event
-EVALUATION_INTERVAL_NS = NS_PER_S // 200  # between two full evaluations of a longer queue
+EVALUATION_INTERVAL_NS = NS_PER_S // 200  # minimum time between full evaluations of a longer queue
 
 # Class, tenant, whether expensive, and stated work, which determine the priority.
 GroupKey = tuple[int, int | None, bool, bool | int | None]
--- a/ochrehoist/admission/settings.py
+++ b/ochrehoist/admission/settings.py
@@ -103,9 +103,7 @@
     reports_disconnects: bool = False
     marks_retries: bool = False
     weighs_work: bool = False  # the weight of a request is per unit of its work
-    over_quota_weight: float = (
-        1.0  # weight of requests over their tenant's quota, as a share of the normal weight
-    )
+    over_quota_weight: float = 1.0  # weight factor of requests over their tenant's quota
     downstream: DownstreamScope = DownstreamScope.NONE
     downstream_share: float = 0.0  # concurrent calls that this instance is entitled to
     downstream_window_ns: int = 0  # averaging window of that share
--- a/ochrehoist/admission/start_selection.py
+++ b/ochrehoist/admission/start_selection.py
@@ -32,7 +32,6 @@
         run_times: RunTimeModel,
         callers: CallerTracker,
     ) -> None:
-
         self._cores = cores
         self._health = health
         self._concurrency = concurrency
@@ -62,7 +61,9 @@
         policy = self._policy
         running = concurrency.running
         ceiling = concurrency.ceiling(now_ns)
-        unread = self._arrivals.unread_requests()  # they are waiting too, and reading them takes CPU time
+        unread = (
+            self._arrivals.unread_requests()
+        )  # unread requests are waiting too, and reading takes CPU time
         occupied = running
         if unread and self._gauges_are_fresh(now_ns):
             occupied += min(self._gauges.other_runnable, unread)
@@ -79,9 +80,8 @@
     def startable(self, now_ns: int, starts: int, reject: Callable[[Job], None]) -> list[Job]:
         """Returns queued requests that can meet their objective, by priority; passes the others to `reject`.
 
-        The others are rejected immediately, while their clients still have time
-        to retry elsewhere. In a long queue only the newest request and those that start now are evaluated,
-        except at fixed intervals.
+        The others are rejected immediately, while their clients still have time to retry elsewhere. In a long
+        queue only the newest request and those that start now are evaluated, except at fixed intervals.
         """
         queue = self._queue
         evaluate_all = queue.begin_full_evaluation(now_ns)
--- a/ochrehoist/admission/tenant_activity.py
+++ b/ochrehoist/admission/tenant_activity.py
@@ -33,10 +33,10 @@
 
     def __init__(self, starts_per_s: float, expected_demand: float) -> None:
         """The counts begin at one request, served; `starts_per_s` is the assumed rate so far."""
-        self.requested = 1.0  # first attempts
-        self.served = 1.0  # answered within the latency objective
+        self.requested = 1.0  # received requests other than retries
+        self.served = 1.0  # requests answered within the latency objective
         self.starts_per_s = starts_per_s
-        self.tick = 0  # at which the counts are valid
+        self.tick = 0  # the counts are valid at this tick
         self.expected_demand = expected_demand
         self.shortfall = FULLY_SERVED_SHORTFALL  # squared share of demand not served, with an offset of 0.01
 
@@ -45,7 +45,7 @@
         decay = TICK_DECAY**ticks
         requested = self.requested * decay
         served = self.served * decay
-        # Conditional expressions in place of max(), which takes half of the time with thousands of tenants.
+        # max() is avoided: with thousands of active tenants it takes half of the time.
         return (
             requested if requested > MIN_COUNT else MIN_COUNT,
             served if served > MIN_COUNT else MIN_COUNT,
@@ -85,7 +85,7 @@
         self.tick = 0
         self.by_class = [ActivityCounts(0.0, 1.0) for _ in settings.classes]
         self.by_tenant: dict[int, ActivityCounts] = {}
-        self.total_shortfall = 0.0  # of all tenants, at the last refresh
+        self.total_shortfall = 0.0  # sum over all tenants at the last refresh
         self._tenants = settings.tenants
         self._fleet_size = settings.fleet_size
         self._initial_quotas = [tenant.quota_per_s for tenant in settings.tenants]
--- a/ochrehoist/admission/timing.py
+++ b/ochrehoist/admission/timing.py
@@ -2,5 +2,5 @@
 
 from ochrehoist.units import NS_PER_S
 
-TICK_INTERVAL_NS = NS_PER_S // 10  # between two checks of deadlines, backpressure and health
+TICK_INTERVAL_NS = NS_PER_S // 10  # interval between checks of deadlines, backpressure and health
 DECAY_S = 20.0  # decay time constant: an observation of this age counts for 1/e
--- a/tests/admission/test_health.py
+++ b/tests/admission/test_health.py
@@ -42,9 +42,8 @@
     # Overloaded servers that reported bad health were removed from the list of instances, which took the
     # whole fleet down (incident i50d041).
     driver = Driver(marks_retries=False)
-    driver.request(
-        remaining_ns=60 * S
-    )  # an idle instance would try a request even if it misses its objective
+    # An idle instance would start a request even if it misses its objective.
+    driver.request(remaining_ns=60 * S)
     for _ in range(60):
         for _ in range(3):
             driver.request(remaining_ns=1 * MS)
