--- a/ochrehoist/admission/arrivals.py
+++ b/ochrehoist/admission/arrivals.py
@@ -7,11 +7,11 @@
 from ochrehoist.admission.timing import TICK_INTERVAL_NS
 from ochrehoist.units import NS_PER_S
 
-RATE_DECAY_S = 5.0
-DECAY_PER_TICK = exp(-TICK_INTERVAL_NS / NS_PER_S / RATE_DECAY_S)
-RETRY_DECAY_S = 2.0
+RATE_DECAY_TIME_S = 5.0
+DECAY_PER_TICK = exp(-TICK_INTERVAL_NS / NS_PER_S / RATE_DECAY_TIME_S)
+RETRY_DECAY_TIME_S = 2.0
 RETRY_INITIAL_WEIGHT = 10.0  # the initial value counts as this many samples
-UNREAD_DECAY_S = 0.7
+UNREAD_DECAY_TIME_S = 0.7
 
 
 class ArrivalMonitor:
@@ -19,12 +19,12 @@
 
     def __init__(self) -> None:
         self.rate_per_s = 0.0
-        self.retry_share = DecayingMean(RETRY_DECAY_S, 0.0, RETRY_INITIAL_WEIGHT)
-        self.unread_ns = DecayingMean(UNREAD_DECAY_S)  # time between arrival and reading
+        self.retry_share = DecayingMean(RETRY_DECAY_TIME_S, 0.0, RETRY_INITIAL_WEIGHT)
+        self.unread_ns = DecayingMean(UNREAD_DECAY_TIME_S)  # time between arrival and reading
 
     def observe(self, request: RequestReceived, now_ns: int) -> None:
         """Counts a received request."""
-        self.rate_per_s = self.rate_per_s + 1 / RATE_DECAY_S
+        self.rate_per_s = self.rate_per_s + 1 / RATE_DECAY_TIME_S
         self.retry_share.add(now_ns, request.is_retry)
         self.unread_ns.add(now_ns, request.unread_ns)
 
--- a/ochrehoist/admission/backpressure.py
+++ b/ochrehoist/admission/backpressure.py
@@ -19,7 +19,7 @@
 
 
 class Backpressure:
-    """Computes the site's backpressure value and idle timeout, and sends them when they change."""
+    """Backpressure value and idle timeout of the site, which are sent to callers when they change."""
 
     def __init__(
         self,
--- a/ochrehoist/admission/concurrency.py
+++ b/ochrehoist/admission/concurrency.py
@@ -30,7 +30,7 @@
 
 
 class ConcurrencyTracker:
-    """Counts requests by state and class, and computes how many may run."""
+    """Counts of requests by state and class, and the limits on how many may run."""
 
     def __init__(self, settings: AdmissionSettings) -> None:
         self.running = 0
--- a/ochrehoist/admission/decaying_mean.py
+++ b/ochrehoist/admission/decaying_mean.py
@@ -8,19 +8,19 @@
 class DecayingMean:
     """A mean of samples whose weights decay exponentially with their age."""
 
-    __slots__ = ("_decay_ns", "_updated_at_ns", "value", "weight")
+    __slots__ = ("_decay_time_ns", "_updated_at_ns", "value", "weight")
 
-    def __init__(self, decay_s: float, initial_value: float = 0.0, initial_weight: float = 0.0) -> None:
-        """`decay_s` is the time constant; the initial value counts as `initial_weight` samples."""
-        self._decay_ns = decay_s * NS_PER_S
+    def __init__(self, decay_time_s: float, initial_value: float = 0.0, initial_weight: float = 0.0) -> None:
+        """`decay_time_s` is the time constant; the initial value counts as `initial_weight` samples."""
+        self._decay_time_ns = decay_time_s * NS_PER_S
         self.value = initial_value
         self.weight = initial_weight
         self._updated_at_ns: int | None = None  # None: the initial value does not age before the first sample
 
     def add(self, now_ns: int, sample: float) -> None:
         """Adds a sample with weight 1."""
-        age_ns = (self._updated_at_ns or now_ns) - now_ns
-        self.weight = self.weight * exp(age_ns / self._decay_ns) + 1
+        negative_age_ns = (self._updated_at_ns or now_ns) - now_ns
+        self.weight = self.weight * exp(negative_age_ns / self._decay_time_ns) + 1
         self.value = self.value + (sample - self.value) / self.weight
         self._updated_at_ns = now_ns
 
--- a/ochrehoist/admission/downstream_calls.py
+++ b/ochrehoist/admission/downstream_calls.py
@@ -20,7 +20,7 @@
 from ochrehoist.admission.timing import TICK_INTERVAL_NS
 
 USABLE_SHARE = 0.9  # share of the granted call time that this instance uses
-CALL_DECAY_S = 1.5
+CALL_DECAY_TIME_S = 1.5
 FAILURE_INITIAL_WEIGHT = 10.0
 FAILING_SHARE = 0.5  # the dependency counts as unhealthy above this share of failed calls
 PROBE_SHARE = 0.1  # share of the requests that still call an unhealthy dependency
@@ -38,8 +38,8 @@
     """Scheduler of the downstream calls of this instance, with latency and failure rate of the dependency."""
 
     def __init__(self, settings: AdmissionSettings, concurrency: ConcurrencyTracker, rng: Random) -> None:
-        self.latency_ns = DecayingMean(CALL_DECAY_S)
-        self.failure_share = DecayingMean(CALL_DECAY_S, 0.0, FAILURE_INITIAL_WEIGHT)
+        self.latency_ns = DecayingMean(CALL_DECAY_TIME_S)
+        self.failure_share = DecayingMean(CALL_DECAY_TIME_S, 0.0, FAILURE_INITIAL_WEIGHT)
         self._settings = settings
         self._shared = settings.downstream is DownstreamScope.SHARED
         self._concurrency = concurrency
--- a/ochrehoist/admission/events.py
+++ b/ochrehoist/admission/events.py
@@ -42,7 +42,7 @@
     tenant_index: int | None = None
     routing_key: str | None = None
     remaining_ns: int | None = None  # time until the deadline; None if the caller does not propagate it
-    work_ns: int | None = None  # CPU time on a standard core; None if the caller does not state it
+    work_ns: int | None = None  # time on a standard core; None if the caller does not state it
     memory_kb: float = 0.0
     rank: float = 0.0
     is_retry: bool = False
--- a/ochrehoist/admission/learned_state.py
+++ b/ochrehoist/admission/learned_state.py
@@ -36,7 +36,7 @@
     return dict(zip(CLASS_MEAN_KEYS, means, strict=True))
 
 
-def _means(controller: AdmissionController) -> dict[str, DecayingMean]:
+def _other_means(controller: AdmissionController) -> dict[str, DecayingMean]:
     """Returns the other means by their snapshot keys."""
     return {
         "latency": controller.downstream.latency_ns,
@@ -54,7 +54,7 @@
     return {
         **_class_mean_values(controller),
         **_activity_values(controller),
-        "means": {name: [mean.value, mean.weight] for name, mean in _means(controller).items()},
+        "means": {name: [mean.value, mean.weight] for name, mean in _other_means(controller).items()},
         "curve": _curve_values(controller),
         "floor": controller.policy.floor,
         "sent": controller.arrivals.rate_per_s,
@@ -128,23 +128,23 @@
         for caller, timeout, remaining in data["patience"]
     }
     _restore_curve(controller, data)
-    controller.arrivals.restore_rate(_number(data["sent"]))
+    controller.arrivals.restore_rate(_finite_number(data["sent"]))
     _restore_means(controller, data, now_ns)
     activity.apply(controller)
     controller.callers.restore(last_seen_ns, ages_ns, timeouts)
 
 
-def _number(value: Any) -> float:
+def _finite_number(value: Any) -> float:
     if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value):
         raise InvalidLearnedStateError(value)
     return value
 
 
-def _numbers(values: list[Any]) -> list[float]:
-    """Does the same as `_number` for a list, faster."""
+def _finite_numbers(values: list[Any]) -> list[float]:
+    """Does the same as `_finite_number` for a list, faster."""
     if set(map(type, values)) <= {int, float} and all(map(math.isfinite, values)):
         return list(values)
-    return [_number(value) for value in values]
+    return [_finite_number(value) for value in values]
 
 
 def _restore_curve(controller: AdmissionController, data: Snapshot) -> None:
@@ -153,7 +153,7 @@
     cores, max_concurrency, peak, observed_s, completions = data["curve"]
     same_capacity = (cores, max_concurrency) == (controller.settings.cores, curve.max_concurrency)
     if same_capacity and len(observed_s) == len(curve.observed_s) == len(completions):
-        curve.restore(_number(peak), _numbers(observed_s), _numbers(completions))
+        curve.restore(_finite_number(peak), _finite_numbers(observed_s), _finite_numbers(completions))
         controller.policy.set_floor(int(data["floor"]))
 
 
@@ -163,11 +163,11 @@
         for request_class, mean in zip(controller.settings.classes, means, strict=True):
             if request_class.name in data.get(key, ()):
                 value, weight = data[key][request_class.name]
-                mean.restore(now_ns, _number(value), _number(weight))
-    for key, mean in _means(controller).items():
+                mean.restore(now_ns, _finite_number(value), _finite_number(weight))
+    for key, mean in _other_means(controller).items():
         if key in data["means"]:
             value, weight = data["means"][key]
-            mean.restore(now_ns, _number(value), _number(weight))
+            mean.restore(now_ns, _finite_number(value), _finite_number(weight))
 
 
 class _RestoredActivity:
@@ -176,17 +176,17 @@
     def __init__(
         self, controller: AdmissionController, data: Snapshot, tenant_indices: Mapping[str, int]
     ) -> None:
-        self._requested = {name: _number(value) for name, value in data["asked"]}
-        self._served = {name: _number(value) for name, value in data["served"]}
+        self._requested = {name: _finite_number(value) for name, value in data["asked"]}
+        self._served = {name: _finite_number(value) for name, value in data["served"]}
         self._starts_per_s = {
-            tenant_indices[name]: _number(rate)
+            tenant_indices[name]: _finite_number(rate)
             for name, rate in data["ran"].items()
             if name in tenant_indices
         }
         if "beats" in data:
             self._tick = int(data["beats"])
             self._tenants = {
-                tenant_indices[name]: RequestCounts(_number(requested), _number(served))
+                tenant_indices[name]: RequestCounts(_finite_number(requested), _finite_number(served))
                 for name, requested, served in data["tenants"]
                 if name in tenant_indices
             }
--- a/ochrehoist/admission/load_shedding.py
+++ b/ochrehoist/admission/load_shedding.py
@@ -17,7 +17,7 @@
 # A request is started if this many mean run times are left before its objective; three in four then meet it.
 SAFETY_FACTOR = 1.4
 MAX_RETRY_AFTER_SHARE = 0.25  # share of the latency objective; a later retry would miss it
-REJECTION_DECAY_S = 2.0
+REJECTION_DECAY_TIME_S = 2.0
 REJECTION_INITIAL_WEIGHT = 10.0  # the initial value counts as this many samples
 
 
@@ -94,7 +94,7 @@
 
 
 class LoadShedder:
-    """Builds rejections, with the time before a retry and whether to retry on other instances at all."""
+    """Source of rejections, with the time before a retry and whether to retry on other instances at all."""
 
     def __init__(
         self,
@@ -105,7 +105,7 @@
         concurrency: ConcurrencyTracker,
         rng: Random,
     ) -> None:
-        self.rejection_share = DecayingMean(REJECTION_DECAY_S, 0.0, REJECTION_INITIAL_WEIGHT)
+        self.rejection_share = DecayingMean(REJECTION_DECAY_TIME_S, 0.0, REJECTION_INITIAL_WEIGHT)
         self._settings = settings
         self._arrivals = arrivals
         self._activity = activity
--- a/ochrehoist/admission/run_time.py
+++ b/ochrehoist/admission/run_time.py
@@ -3,11 +3,11 @@
 from ochrehoist.admission.decaying_mean import DecayingMean
 from ochrehoist.admission.job import Job
 from ochrehoist.admission.settings import AdmissionSettings
-from ochrehoist.admission.timing import DECAY_S
+from ochrehoist.admission.timing import DECAY_TIME_S
 
 MIN_SIZE = 0.05  # bounds of the expected cost of a request, as a multiple of the usual cost of its class
 MAX_SIZE = 30.0
-RUN_TIME_DECAY_S = 10.0
+RUN_DECAY_TIME_S = 10.0
 INITIAL_RUN_TIME_DIVISOR = 4  # the initial estimate is 1/4 of the mean latency objective
 INITIAL_WEIGHT = 3.0
 
@@ -33,10 +33,10 @@
         """Initially runs of each class are expected to take a share of the mean latency objective."""
         classes = settings.classes
         initial_ns = mean_objective_ns / INITIAL_RUN_TIME_DIVISOR
-        self.mean_run_ns = [DecayingMean(RUN_TIME_DECAY_S, initial_ns, INITIAL_WEIGHT) for _ in classes]
-        self.mean_stated_work_ns = [DecayingMean(DECAY_S, 0.0, 0.0) for _ in classes]
+        self.mean_run_ns = [DecayingMean(RUN_DECAY_TIME_S, initial_ns, INITIAL_WEIGHT) for _ in classes]
+        self.mean_stated_work_ns = [DecayingMean(DECAY_TIME_S, 0.0, 0.0) for _ in classes]
         # Reduction of the prediction error by stated work; initially positive, so that stated work is used.
-        self.stated_work_gain_ns = [DecayingMean(DECAY_S, 1.0, INITIAL_WEIGHT) for _ in classes]
+        self.stated_work_gain_ns = [DecayingMean(DECAY_TIME_S, 1.0, INITIAL_WEIGHT) for _ in classes]
 
     def observe_stated_work(self, job: Job, work_ns: int, now_ns: int) -> None:
         """Sets the size of a request that states its work."""
--- a/ochrehoist/admission/service_rate.py
+++ b/ochrehoist/admission/service_rate.py
@@ -3,7 +3,7 @@
 from math import exp
 
 from ochrehoist.admission.settings import AdmissionSettings
-from ochrehoist.admission.timing import DECAY_S
+from ochrehoist.admission.timing import DECAY_TIME_S
 from ochrehoist.units import NS_PER_S
 
 # Share of the concurrency at which the instance collapses; the rest is for runs that return from their calls.
@@ -44,7 +44,7 @@
 
     def decay(self, elapsed_s: float) -> None:
         """Decays all observations by this time, and fits the peak of the seed curve to them."""
-        kept = exp(-elapsed_s / DECAY_S)
+        kept = exp(-elapsed_s / DECAY_TIME_S)
         self.observed_s = [observed * kept for observed in self.observed_s]
         self.completions = [count * kept for count in self.completions]
         offered = sum(observed * self.seed_share(n) for n, observed in enumerate(self.observed_s))
--- a/ochrehoist/admission/settings.py
+++ b/ochrehoist/admission/settings.py
@@ -1,8 +1,8 @@
 """Settings of an admission controller: classes, tenants, capacity and the rules of a site.
 
-Times and durations are whole nanoseconds (`_ns`), memory is in kilobytes (`_kb`), and work is CPU time on a
-standard core. `ochrehoist.config` reads and checks the values; the default of a setting has no effect on
-decisions.
+Times and durations are whole nanoseconds (`_ns`), memory is in kilobytes (`_kb`), and work is time on a
+standard core. `ochrehoist.config` reads and checks the values. A site without a feature leaves its settings
+at the defaults, which have no effect on decisions.
 """
 
 from dataclasses import dataclass, field
--- a/ochrehoist/admission/tenant_activity.py
+++ b/ochrehoist/admission/tenant_activity.py
@@ -9,10 +9,10 @@
 from typing import NamedTuple
 
 from ochrehoist.admission.settings import AdmissionSettings, Tenant
-from ochrehoist.admission.timing import DECAY_S, TICK_INTERVAL_NS
+from ochrehoist.admission.timing import DECAY_TIME_S, TICK_INTERVAL_NS
 from ochrehoist.units import NS_PER_S
 
-TICK_DECAY = exp(-TICK_INTERVAL_NS / NS_PER_S / DECAY_S)  # factor by which counts decay per tick
+TICK_DECAY = exp(-TICK_INTERVAL_NS / NS_PER_S / DECAY_TIME_S)  # factor by which counts decay per tick
 MIN_COUNT = 0.1  # lower bound of request counts
 FULLY_SERVED_SHORTFALL = (1.01 - 1.0) ** 2
 FORGET_AFTER_TICKS = 3000  # counts have decayed too far by then to influence decisions
@@ -100,7 +100,7 @@
         """Returns the counts of a tenant, brought up to the current tick."""
         counts = self.by_tenant.get(tenant)
         if counts is None or counts.tick < self.tick:
-            max_demand = self._tenants[tenant].quota_per_s / self._fleet_size * DECAY_S
+            max_demand = self._tenants[tenant].quota_per_s / self._fleet_size * DECAY_TIME_S
             if counts is None:
                 initial_starts_per_s = self._initial_quotas[tenant] / self._fleet_size
                 counts = ActivityCounts(initial_starts_per_s, min(1.0, max(MIN_COUNT, max_demand)))
@@ -118,7 +118,7 @@
     def observe_start(self, tenant: int | None) -> None:
         """Counts a start in the start rate of its tenant."""
         if tenant is not None:
-            self.tenant_counts(tenant).starts_per_s += 1 / DECAY_S
+            self.tenant_counts(tenant).starts_per_s += 1 / DECAY_TIME_S
 
     def observe_served(self, class_index: int, tenant: int | None) -> None:
         """Counts a request that was answered within its latency objective."""
