--- a/ochrehoist/admission/events.py
+++ b/ochrehoist/admission/events.py
@@ -55,7 +55,7 @@
 
 @dataclass(slots=True)
 class RunAdopted:
-    """A request that an earlier instance started; it is never started again."""
+    """A request that an earlier instance started and that may have ended; it is never started again."""
 
     request: RequestReceived
     answered: bool
