--- a/ochrehoist/admission/controller.py
+++ b/ochrehoist/admission/controller.py
@@ -1,10 +1,10 @@
-"""The admission controller: which requests run, wait, or are rejected.
+"""The admission controller, which decides which requests run, wait or are rejected.
 
-The controller handles events, and answers each with actions; it does no I/O, reads no clock and starts no
-threads. It owns the open requests and dispatches the events. What it decides by is in the parts that it is
-made of: `mpl_policy` and `start_selection` (how many to start), `request_queue` and `priority` (which
-first), `load_shedding` (what cannot meet its objective), `memory_budget`, `concurrency`, `idempotency`,
-`downstream_calls`, `health`, `backpressure`. See docs/design.md.
+The controller handles events and returns actions; it does no I/O, reads no clock and starts no threads. It
+owns the open requests and dispatches the events. The decisions are made by its components: `mpl_policy` and
+`start_selection` (how many requests to start), `request_queue` and `priority` (in which order),
+`load_shedding` (which cannot meet their objective), `memory_budget`, `concurrency`, `idempotency`,
+`downstream_calls`, `health` and `backpressure`. See docs/design.md.
 """
 
 import random
@@ -64,8 +64,8 @@
 TICK_TIMER_ID = 1
 
 
-def _of_open_job(handler: Callable[..., None]) -> Callable[["AdmissionController", Any], None]:
-    """Hands an event to `handler` with its request; ignores events of requests that are no longer open."""
+def _for_open_job(handler: Callable[..., None]) -> Callable[["AdmissionController", Any], None]:
+    """Returns a handler that passes the open request of an event on, and ignores events without one."""
 
     def dispatch(controller: "AdmissionController", event: Any) -> None:
         job = controller.jobs.get(event.id)
@@ -76,18 +76,20 @@
 
 
 class AdmissionController:
-    """Decides for one instance; every method runs to its end before the next event is handed in."""
+    """Admission controller of one instance; it is not reentrant and not thread-safe."""
 
     def __init__(self, settings: AdmissionSettings, seed: int) -> None:
-        """`seed`: of the random numbers that decide between alternatives."""
+        """`seed` initialises the random numbers of probabilistic decisions."""
         cores = settings.cores
         classes = settings.classes
-        mean_objective_ns = sum(of.latency_objective_ns for of in classes) / len(classes)
+        mean_objective_ns = sum(request_class.latency_objective_ns for request_class in classes) / len(
+            classes
+        )
         rng = random.Random(seed)
         self.settings = settings
         self.now_ns = 0
         self.jobs: dict[str, Job] = {}  # open requests by id
-        self._actions: list[Action] = []  # of the event that is handled
+        self._actions: list[Action] = []  # actions for the current event
         self.health = HealthMonitor(cores)
         self.shutdown = GracefulShutdown(settings.drain_grace_ns)
         self.concurrency = ConcurrencyTracker(settings)
@@ -121,7 +123,7 @@
         )
 
     def handle(self, now_ns: int, event: Event) -> list[Action]:
-        """Takes an event, and gives the actions that follow from it, in their order."""
+        """Handles an event and returns the resulting actions, to be carried out in this order."""
         self.now_ns = now_ns
         self._actions = []
         self.queue.begin_event()
@@ -129,7 +131,7 @@
         self.downstream.expire(now_ns)
         self._HANDLERS[type(event)](self, event)
         if self.concurrency.awaiting_call:
-            self._actions += self.downstream.place(now_ns)
+            self._actions += self.downstream.start_due_calls(now_ns)
         if self.queue.jobs:
             self._start_queued()
         return self._actions
@@ -163,7 +165,7 @@
         self.jobs[request.id] = job
         self.shutdown.limit_deadline(job)
         self._observe_arrival(job)
-        # An attempt must end a tick before its caller gives up.
+        # Deadlines are checked once per tick, so a run has to end one tick before the caller gives up.
         job.objective_at_ns = min(job.objective_at_ns, job.deadline_ns - TICK_INTERVAL_NS)
         original = self._original_of(request)
         if original is None or original is job:
@@ -188,8 +190,8 @@
         return self.jobs.get(original) or self.idempotency.ended.get(original)
 
     def _admit_duplicate(self, job: Job, original: Job) -> None:
-        """Runs a duplicate only where the original is known never to have run: one effect in all."""
-        # Their client waits since the original came.
+        """Runs a duplicate only if the original is known never to have run, so that it has one effect."""
+        # The client has been waiting since the original request arrived.
         job.objective_at_ns = min(job.objective_at_ns, original.objective_at_ns)
         if original.state is JobState.FOLLOWING and original.leader is not None:
             original = original.leader
@@ -216,7 +218,7 @@
         self._actions.append(AttachDuplicate(job.request.id))
 
     def _queue_or_reject(self, job: Job) -> None:
-        if self.health.stalled or self.shutdown.too_late(job) or not self.memory.can_queue(job):
+        if self.health.stalled or self.shutdown.arrived_after_grace(job) or not self.memory.can_queue(job):
             self._reject(job)
             return
         job.state = JobState.QUEUED
@@ -229,7 +231,7 @@
         self._actions.append(RetainKey(job.request.id, ttl_ns))
 
     def _on_adopted(self, event: RunAdopted) -> None:
-        """Counts a run that the instance before this one started."""
+        """Takes over a run that the previous instance started."""
         request = event.request
         job = Job(request, self.settings.classes[request.class_index], self.now_ns)
         self.jobs[request.id] = job
@@ -238,7 +240,7 @@
         job.memory_kb = job.memory_kb * self.settings.run_memory_factor
         self.memory.add(job)
         self.health.observe_progress(self.now_ns)
-        self.concurrency.move(job, JobState.RUNNING)
+        self.concurrency.set_state(job, JobState.RUNNING)
         if job.request_class.idempotency is Idempotency.KEYED:
             self._retain_key(job)
         if event.ended:
@@ -247,19 +249,19 @@
     # Starts
 
     def _start_queued(self) -> None:
-        starts = self._selector.free_starts(self.now_ns)
+        starts = self._selector.allowed_starts(self.now_ns)
         for job in self._selector.startable(self.now_ns, starts, self._reject)[:starts]:
             if self.concurrency.bulkhead(job) is not Bulkhead.AT_CAP and not self._start(job):
                 break
 
     def _start(self, job: Job) -> bool:
-        """Starts a queued request; false where there is no memory for its run."""
+        """Starts a queued request; returns False if there is not enough memory for the run."""
         if not self.memory.can_start(job):
             return False
         self.queue.remove(job)
         if not self.concurrency.running:
             self.health.observe_progress(self.now_ns)
-        self.concurrency.move(job, JobState.RUNNING)
+        self.concurrency.set_state(job, JobState.RUNNING)
         job.started = True
         self.memory.expand(job)
         self._actions.append(StartRun(job.request.id))
@@ -273,7 +275,7 @@
     # Completions
 
     def _on_completed(self, job: Job, event: RequestCompleted) -> None:
-        if event.outcome in NEVER_RAN:  # nothing is learned of it, and a retry may run
+        if event.outcome in NEVER_RAN:  # no run to learn from, and a retry may run
             job.started = False
             self._drop(job)
             return
@@ -287,16 +289,16 @@
         self._end(job)
 
     def _end(self, job: Job) -> None:
-        """Forgets an open request, but for what duplicates of it need."""
+        """Closes a request, and keeps what later duplicates of it need."""
         self.queue.remove(job)
-        if job.state is JobState.CALLING:  # its caller left, or it was answered: the call may go on
-            self.downstream.release(job, self.now_ns, abandoned=True)
-        self.concurrency.move(job, JobState.ENDED)
+        if job.state is JobState.CALLING:  # abandoned by its caller, or answered: the call may continue
+            self.downstream.release_reservation(job, self.now_ns, abandoned=True)
+        self.concurrency.set_state(job, JobState.ENDED)
         self.memory.release(job)
-        self.idempotency.remember_ended(job, self.now_ns)
+        self.idempotency.record_ended(job, self.now_ns)
         self.jobs.pop(job.request.id, None)
 
-    # Negative answers
+    # Rejections and failures
 
     def _reject(self, job: Job) -> None:
         unavailable = self.health.stalled or self.shutdown.draining
@@ -306,7 +308,7 @@
 
     def _fail(self, job: Job) -> None:
         self._actions.append(FailRequest(job.request.id))
-        if job.waits():
+        if job.has_no_run():
             self._drop(job)
             return
         job.answered = True
@@ -314,14 +316,14 @@
             self._actions.append(CancelRun(job.request.id))
 
     def _drop(self, job: Job) -> None:
-        """Ends a request that never ran; one of its duplicates takes its place."""
+        """Closes a request that never ran; the first of its waiting duplicates is queued instead."""
         if job.key_retained:
             self._actions.append(ReleaseKey(job.request.id))
             self.idempotency.release(job)
         job.answered = True
         self._end(job)
         if job.followers:
-            leader = job.hand_over_followers()
+            leader = job.promote_follower()
             if leader is not None:
                 self._queue_or_reject(leader)
 
@@ -331,30 +333,30 @@
         if not job.answered and event.gave_up and age_ns > early_ns:
             self.callers.observe_cancellation(job.request.caller, job.arrived_at_ns, self.now_ns)
         job.answered = True
-        if job.waits():
+        if job.has_no_run():
             self._drop(job)
 
     # Downstream calls
 
     def _on_call_needed(self, job: Job, _event: DownstreamCallNeeded) -> None:
         if job.state is JobState.RUNNING:
-            self.downstream.require(job, self.now_ns)
+            self.downstream.request_call(job, self.now_ns)
             self.health.observe_progress(self.now_ns)
 
     def _on_call_ended(self, job: Job, event: DownstreamCallEnded) -> None:
         if job.state is not JobState.CALLING:
             return
-        hopeless = self.downstream.end(job, event, self.now_ns)
+        request_failed = self.downstream.end_call(job, event, self.now_ns)
         if event.outcome is Outcome.OK:
             self.health.observe_progress(self.now_ns)
-        if hopeless:
+        if request_failed:
             self._fail(job)
 
     # Ticks
 
     def _on_tick(self, event: TimerFired) -> None:
-        self._selector.read_gauges(event.gauges, self.now_ns)
-        self.policy.allow_climb()
+        self._selector.update_gauges(event.gauges, self.now_ns)
+        self.policy.reset_rises()
         self._fail_overdue()
         self._actions.append(SetTimer(TICK_INTERVAL_NS, TICK_TIMER_ID))
         self.activity.next_tick()
@@ -385,10 +387,10 @@
         InstanceStarted: _on_started,
         RequestReceived: _on_received,
         RunAdopted: _on_adopted,
-        RequestCompleted: _of_open_job(_on_completed),
-        DownstreamCallNeeded: _of_open_job(_on_call_needed),
-        DownstreamCallEnded: _of_open_job(_on_call_ended),
-        RequestAbandoned: _of_open_job(_on_abandoned),
+        RequestCompleted: _for_open_job(_on_completed),
+        DownstreamCallNeeded: _for_open_job(_on_call_needed),
+        DownstreamCallEnded: _for_open_job(_on_call_ended),
+        RequestAbandoned: _for_open_job(_on_abandoned),
         TimerFired: _on_tick,
         DrainStarted: _on_drain_started,
         ConcurrencyLimits: _on_limits,
--- a/ochrehoist/admission/timing.py
+++ b/ochrehoist/admission/timing.py
@@ -1,6 +1,6 @@
-"""The periods that all parts of the decisions share."""
+"""Time constants shared by the components of the admission controller."""
 
 from ochrehoist.units import NS_PER_S
 
-TICK_INTERVAL_NS = NS_PER_S // 10  # between two checks of deadlines, backpressure and health
-MEMORY_S = 20.0  # after which an observation counts for 1/e
+TICK_INTERVAL_NS = NS_PER_S // 10  # interval between checks of deadlines, backpressure and health
+DECAY_TIME_S = 20.0  # time constant of decaying observations: one of this age counts for 1/e
--- a/tests/admission/test_health.py
+++ b/tests/admission/test_health.py
@@ -1,4 +1,4 @@
-"""When an instance reports bad health: stalls, and what is none."""
+"""Health reports of an instance: stalls, and conditions that are not a stall."""
 
 import pytest
 
@@ -15,46 +15,48 @@
 
 
 def test_a_stall_rejects_arrivals_reports_bad_health_and_ends_with_the_first_completion():
-    d = Driver()
-    ids = [d.request(remaining_ns=20 * S)[0] for _ in range(4)]
-    d.run_for(3 * S)
-    assert SetHealth(False, True) in d.said(SetHealth)
-    refused, _ = d.request(remaining_ns=20 * S)
-    assert refused in d.ids(RejectRequest)
-    d.done(ids[0], took=3 * S)
-    d.run_for(50 * MS)
-    taken, _ = d.request(remaining_ns=20 * S)
-    assert taken in d.ids(StartRun)
+    driver = Driver()
+    ids = [driver.request(remaining_ns=20 * S)[0] for _ in range(4)]
+    driver.advance(3 * S)
+    assert SetHealth(False, True) in driver.actions_of(SetHealth)
+    during_stall, _ = driver.request(remaining_ns=20 * S)
+    assert during_stall in driver.ids(RejectRequest)
+    driver.complete(ids[0], duration_ns=3 * S)
+    driver.advance(50 * MS)
+    after_stall, _ = driver.request(remaining_ns=20 * S)
+    assert after_stall in driver.ids(StartRun)
 
 
 def test_a_stall_and_quick_failures_do_not_move_the_service_rate_curve():
-    d = Driver()
-    before = [d.controller.curve.rate_per_s(n) for n in range(1, 10)]
+    driver = Driver()
+    rates_before = [driver.controller.curve.rate_per_s(n) for n in range(1, 10)]
     for _ in range(20):
-        job_id, _ = d.request()
-        d.now += 2 * MS
-        d.done(job_id, Outcome.FAILED, took=2 * MS)
-    after = [d.controller.curve.rate_per_s(n) for n in range(1, 10)]
-    assert after == pytest.approx(before, rel=0.02)
+        job_id, _ = driver.request()
+        driver.now_ns += 2 * MS
+        driver.complete(job_id, Outcome.FAILED, duration_ns=2 * MS)
+    rates_after = [driver.controller.curve.rate_per_s(n) for n in range(1, 10)]
+    assert rates_after == pytest.approx(rates_before, rel=0.02)
 
 
 def test_rejections_alone_never_report_bad_health():
-    # Swamped servers that left the list took the whole fleet with them in overload (incident i50d041).
-    d = Driver(marks_retries=False)
-    d.request(remaining_ns=60 * S)  # one runs, so that what cannot meet its aim is not tried
+    # Overloaded servers that reported bad health were removed from the list of instances, which took the
+    # whole fleet down (incident i50d041).
+    driver = Driver(marks_retries=False)
+    # An idle instance would start a request even if it misses its objective.
+    driver.request(remaining_ns=60 * S)
     for _ in range(60):
         for _ in range(3):
-            d.request(remaining_ns=1 * MS)
-        d.run_for(25 * MS)
-    assert len(d.ids(RejectRequest)) == 180 and d.said(SetHealth) == [SetHealth(True, True)]
+            driver.request(remaining_ns=1 * MS)
+        driver.advance(25 * MS)
+    assert len(driver.ids(RejectRequest)) == 180 and driver.actions_of(SetHealth) == [SetHealth(True, True)]
 
 
-def test_a_pause_of_the_process_is_neither_time_at_work_nor_a_stall():
-    d = Driver()
+def test_a_pause_of_the_process_is_neither_working_time_nor_a_stall():
+    driver = Driver()
     for _ in range(4):
-        d.request(remaining_ns=20 * S)
-    d.run_for(500 * MS, every=100 * MS)
-    before, d.now = sum(d.controller.curve.observed_s), d.now + 30 * S
-    d.send(TimerFired(1, {"cpu_busy": 1.0}))
-    assert sum(d.controller.curve.observed_s) - before <= 0.11
-    assert SetHealth(False, True) not in d.said(SetHealth)
+        driver.request(remaining_ns=20 * S)
+    driver.advance(500 * MS, step_ns=100 * MS)
+    observed_before_s, driver.now_ns = sum(driver.controller.curve.observed_s), driver.now_ns + 30 * S
+    driver.send(TimerFired(1, {"cpu_busy": 1.0}))
+    assert sum(driver.controller.curve.observed_s) - observed_before_s <= 0.11
+    assert SetHealth(False, True) not in driver.actions_of(SetHealth)
