--- a/benchmarks/scaling/core_probes.py
+++ b/benchmarks/scaling/core_probes.py
@@ -68,16 +68,16 @@
 
     def fill() -> None:
         for number in range(size):
-            deadlines.answer_by(number * MS, f"request-{number}")
+            deadlines.set_answer_deadline(number * MS, f"request-{number}")
 
     _, heap_bytes = with_memory_growth(fill)
     numbers = iter(range(size, 10**9))
 
     def add_and_take_one() -> None:
-        deadlines.answer_by(next(numbers) * MS, "request")
+        deadlines.set_answer_deadline(next(numbers) * MS, "request")
         due_ns = deadlines.next_due_ns()
         assert due_ns is not None
-        next(iter(deadlines.take_overdue_requests(due_ns)), None)
+        next(iter(deadlines.pop_overdue_requests(due_ns)), None)
 
     return {"bytes": heap_bytes, "request_us": short_call_cpu_us(add_and_take_one, TIMED_DEADLINES)}
 
--- a/ochrehoist/core/__init__.py
+++ b/ochrehoist/core/__init__.py
@@ -1,4 +1,4 @@
 """The core: requests, idempotent runs, results and the task that owns the admission controller.
 
-It knows no wire and does no I/O.
+It is independent of the wire protocols and does no I/O.
 """
--- a/ochrehoist/core/action_handlers.py
+++ b/ochrehoist/core/action_handlers.py
@@ -1,4 +1,4 @@
-"""How the core carries out each action of the admission controller."""
+"""Handlers that carry out the actions of the admission controller, one for each type of action."""
 
 from collections.abc import Callable
 from typing import Any
@@ -28,11 +28,11 @@
 
 
 def start_run(core: CoreContext, action: StartRun) -> None:
-    """Starts a run: a filing goes on record first."""
+    """Starts the run of a request; a filing is recorded in the journal first."""
     request = core.open_requests.get(action.id)
-    if (
-        request is None
-    ):  # over already, as after a fault: the controller must not count it as running for ever
+    if request is None:
+        # The request has ended already, for example after a fault. Without a completion the controller
+        # would count it as running forever.
         core.post(RunCompleted(action.id, RunResult(Outcome.NOT_STARTED), 0))
         return
     if request.started:
@@ -42,7 +42,8 @@
         request.started = True
         core.execute(request)
         return
-    if not core.idempotency.may_run(key, request.arrived_ns):  # the controller's rule, kept here once more
+    if not core.idempotency.may_run(key, request.arrived_ns):
+        # The controller enforces the same rule; this check guards against a fault in it.
         core.log.error("duplicate_run_prevented", id=request.id)
         request.started = True
         core.post(RunCompleted(request.id, RunResult(Outcome.FAILED), 0))
@@ -54,7 +55,7 @@
 
 
 def reject_request(core: CoreContext, action: RejectRequest) -> None:
-    """Rejects a request that did not run; the limiter may lengthen its Retry-After."""
+    """Rejects a request that did not run; the limiter may increase its Retry-After."""
     request = core.open_requests.get(action.id)
     if request is None:
         return
@@ -65,7 +66,7 @@
 
 
 def fail_request(core: CoreContext, action: FailRequest) -> None:
-    """Fails a request at its deadline."""
+    """Fails a request that has reached its deadline."""
     request = core.open_requests.get(action.id)
     if request is not None:
         core.responses.fail(request, FailureReason.DEADLINE_PASSED)
@@ -81,25 +82,25 @@
 
 
 def release_key(core: CoreContext, action: ReleaseKey) -> None:
-    """Ends the hold on an idempotency key."""
+    """Releases the idempotency key that the request holds."""
     core.idempotency.release(action.id)
 
 
 def attach_duplicate(core: CoreContext, action: AttachDuplicate) -> None:
-    """Lets a duplicate have the result of the run that it duplicates."""
+    """Attaches a duplicate to the run that it duplicates, so that it is answered with the same result."""
     request = core.open_requests.get(action.id)
     if request is not None:
         core.idempotent_runs.attach(request)
 
 
 def set_health(core: CoreContext, action: SetHealth) -> None:
-    """Takes in what the controller says of its health."""
+    """Updates the worker's health after a change in the controller's health."""
     core.controller_healthy = action.healthy
     core.update_health()
 
 
 def set_idle_timeout(core: CoreContext, action: SetIdleTimeout) -> None:
-    """Tells the fronts how long to keep idle connections."""
+    """Notifies the listeners of the time after which idle connections are closed."""
     for listener in core.listeners:
         listener.idle_timeout_changed(action.idle_timeout_ns or core.settings.idle_timeout_ns)
 
@@ -110,18 +111,18 @@
 
 
 def send_backpressure(core: CoreContext, action: SendBackpressure) -> None:
-    """Sets the weight that load reports ask for."""
+    """Sets the weight that load reports request from routers."""
     if core.settings.backpressure is BackpressureSignal.WEIGHT:
         core.backpressure_weight_pct = max(1, min(100, round(action.value * 100)))
 
 
 def log_message(core: CoreContext, action: LogMessage) -> None:
-    """Logs what the controller says."""
+    """Logs a message of the controller."""
     core.log.info("controller_message", text=action.text)
 
 
-def unsupported(core: CoreContext, action: Action) -> None:
-    """Logs an action that this worker cannot carry out."""
+def log_unsupported_action(core: CoreContext, action: Action) -> None:
+    """Logs an action that workers do not support."""
     core.log.error("action_unsupported", action=type(action).__name__)
 
 
@@ -136,8 +137,8 @@
     SetIdleTimeout: set_idle_timeout,
     SetTimer: set_timer,
     LogMessage: log_message,
-    CancelRun: unsupported,
-    StartDownstreamCall: unsupported,
-    SkipDownstreamCall: unsupported,
+    CancelRun: log_unsupported_action,
+    StartDownstreamCall: log_unsupported_action,
+    SkipDownstreamCall: log_unsupported_action,
     SendBackpressure: send_backpressure,
 }
--- a/ochrehoist/core/actor.py
+++ b/ochrehoist/core/actor.py
@@ -1,6 +1,7 @@
-"""The one task that owns the admission controller: it alone hands events in and carries actions out.
+"""The actor that owns the admission controller: only its task dispatches events and carries out actions.
 
-All other tasks post messages to its inbox. It knows no wire and no scheduler: it sleeps on a Waker.
+All other tasks post messages to its inbox. It is independent of the wire protocols and of the scheduler: it
+sleeps on a Waker.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 from ochrehoist.core.action_handlers import ACTION_HANDLERS
 from ochrehoist.core.context import CoreContext
 from ochrehoist.core.forwarder import Forwarder
-from ochrehoist.core.handover_lines import Send
+from ochrehoist.core.handover_lines import SendLine
 from ochrehoist.core.idempotency_table import IdempotencyTable
 from ochrehoist.core.message_handlers import MESSAGE_HANDLERS
 from ochrehoist.core.messages import RunCompleted
@@ -35,15 +36,15 @@
 if TYPE_CHECKING:
     from ochrehoist.core.protocols import ConcurrencyLimiter, DetailCodec, Logger, Waker
 
-LIMITS_PERIOD_NS = 100 * NS_PER_MS  # between two evaluations of the limits, where there are any
-EXPIRY_PERIOD_NS = NS_PER_S  # between two searches for idempotent runs that have expired
-STANDING_STILL_PERIOD_S = 0.01  # between two looks at what is due while another process decides
+LIMIT_EVALUATION_PERIOD_NS = 100 * NS_PER_MS
+EXPIRY_PERIOD_NS = NS_PER_S  # interval between searches for expired idempotent runs
+FROZEN_POLL_INTERVAL_S = 0.01  # poll interval while frozen or while another process decides
 
 Step = Callable[[], None]
 
 
 class CoreActor(CoreContext):
-    """The core. All its methods but `post` are called by the one task that runs it."""
+    """The core as an actor. All methods except `post` may be called only by the task that runs it."""
 
     def __init__(
         self,
@@ -61,53 +62,54 @@
         self.last_expiry_ns = self._last_limits_ns = 0
 
     def instrument_step(self, wrap: Callable[[Step], Step]) -> None:
-        """Puts a wrapper, such as a timer, around each step of `run`."""
+        """Wraps each step of `run`, for example with a timer."""
         self._instrumented_step = wrap(self._instrumented_step)
 
     # The loop.
 
     def run(self) -> None:
-        """Runs for ever."""
+        """Runs the message loop; never returns."""
         while True:
             self._instrumented_step()
             self.waker.wait(self._timeout_s())
 
     def step(self) -> None:
-        """Takes all that waits in the inbox, and does all that is due."""
+        """Handles all messages in the inbox, then all work that is due."""
         while self.inbox and not self.frozen:
             self._update_now()
             message = self.inbox.popleft()
             try:
                 if self.forwarder is not None:
-                    self.forwarder.take(message)
+                    self.forwarder.handle_message(message)
                 else:
                     MESSAGE_HANDLERS[type(message)](self, message)
-            except Exception:  # a fault of ours must not end the process: what is open fails when overdue
+            except Exception:
+                # A bug in a handler must not end the process: open requests fail once they are overdue.
                 self.log.exception("core_fault", message=type(message).__name__)
         self._update_now()
         if self.forwarder is not None:
             self.forwarder.tick()
         elif not self.frozen:
-            self._do_what_is_due()
+            self._run_due_work()
 
     def _update_now(self) -> None:
         self.now_ns = max(self.now_ns, self.clock())
 
     def _timeout_s(self) -> float | None:
-        """How long the core may sleep; None: until it is woken."""
+        """Returns how long the core may sleep; None means until it is woken."""
         if self.frozen or self.forwarder is not None:
-            return 0.0 if self.inbox and not self.frozen else STANDING_STILL_PERIOD_S
+            return 0.0 if self.inbox and not self.frozen else FROZEN_POLL_INTERVAL_S
         if self.inbox:
             return 0.0
         due_ns = self.deadlines.next_due_ns()
         return None if due_ns is None else max(0, due_ns - self.clock()) / NS_PER_S
 
-    def _do_what_is_due(self) -> None:
-        for request_id in self.deadlines.take_overdue_requests(self.now_ns):
+    def _run_due_work(self) -> None:
+        for request_id in self.deadlines.pop_overdue_requests(self.now_ns):
             message_handlers.answer_overdue_request(self, request_id)
         if self.deadlines.collect_due_timers(self.now_ns):
             self.request_gauges()
-        if self.deadlines.gauges_overdue(self.now_ns):
+        if self.deadlines.gauges_wait_expired(self.now_ns):
             message_handlers.fire_due_timers(self)
         if self.now_ns - self.last_expiry_ns >= EXPIRY_PERIOD_NS:
             self.last_expiry_ns = self.now_ns
@@ -116,22 +118,24 @@
             self._evaluate_limits(self.limiter)
 
     def _evaluate_limits(self, limiter: ConcurrencyLimiter) -> None:
-        """Tells the controller of new limits, now and then."""
-        if self.now_ns - self._last_limits_ns < LIMITS_PERIOD_NS:
+        """Passes changed concurrency limits to the controller, at most once per evaluation period."""
+        if self.now_ns - self._last_limits_ns < LIMIT_EVALUATION_PERIOD_NS:
             return
         self._last_limits_ns = self.now_ns
         waiting = Counter(
-            r.request_class.name for r in self.open_requests.values() if not r.started and not r.answered
+            request.request_class.name
+            for request in self.open_requests.values()
+            if not request.started and not request.answered
         )
         limits = limiter.evaluate(self.now_ns, waiting)
-        # Limits are by position: the controller must know the same classes.
+        # Limits are indexed by the position of the class, so the controller must have the same classes.
         if limits is not None and self.class_indices.keys() == self.served_classes:
             self.dispatch(limits)
 
     # The controller.
 
-    def boot(self, settings: AdmissionSettings) -> None:
-        """Creates a fresh controller for these settings; the executor must be up."""
+    def start_controller(self, settings: AdmissionSettings) -> None:
+        """Creates a new controller for these settings; the executor must be ready."""
         ready = self.executor_ready
         self.deadlines.clear_timers()
         self.index_classes(settings)
@@ -145,9 +149,9 @@
         self.idempotent_runs.restore_learned_state()
 
     def dispatch(self, event: Event, at_ns: int | None = None) -> bool:
-        """Gives the controller an event and carries out its actions; False after a fault of the controller.
+        """Passes an event to the controller and carries out the actions that it returns.
 
-        `at_ns` is the time of the event where that is not now.
+        `at_ns` is the time of the event; the default is now. Returns False if the controller raised.
         """
         try:
             actions = self.controller.handle(self.now_ns if at_ns is None else at_ns, event)  # type: ignore[union-attr]
@@ -163,20 +167,20 @@
         return True
 
     def _fail_after_fault(self, event: Event) -> None:
-        """Answers the request that the controller failed to decide on, unless it runs."""
+        """Fails the request that the controller could not decide on because it raised, unless it runs."""
         request = self.open_requests.get(getattr(event, "id", ""))
         if request is not None and not request.answered and not request.started:
             self.responses.fail(request, FailureReason.INTERNAL)
             message_handlers.release_slot(self, request)
 
     def received_event(self, request: InboundRequest) -> RequestReceived:
-        """The event that tells the controller of the request."""
+        """Returns the event that announces the request to the controller."""
         if self.limiter is not None:
             request.cost_multiple = self.limiter.estimate_cost(request, self.now_ns)
         key = request.idempotency_key
         original: str | None = None
         if key is not None:
-            original = self.idempotency.original(key, request.arrived_ns)
+            original = self.idempotency.original_request_id(key, request.arrived_ns)
             if original is not None:
                 self.idempotent_runs.adopt_if_restored(key)
         return RequestReceived(
@@ -196,7 +200,7 @@
         )
 
     def execute(self, request: InboundRequest) -> None:
-        """Gives the request to its executor."""
+        """Starts the request on its executor."""
         request.started_ns = self.now_ns
         if self.limiter is not None:
             self.limiter.run_started(request, self.now_ns)
@@ -205,25 +209,25 @@
         if not self.responses.execute(request):
             self.post(RunCompleted(request.id, RunResult(Outcome.FAILED), 0))
 
-    # Replacing the process: the old one's side.
+    # Process replacement: the side of the old process.
 
     def freeze(self) -> CoreSnapshot:
-        """Stands still, so that what is handed over is what the other process goes on from."""
+        """Stops message handling and returns a snapshot, which stays accurate until `thaw`."""
         self.frozen = True
         return state_transfer.take_snapshot(self)
 
     def thaw(self) -> None:
-        """Goes on from where it stood: the other process did not agree."""
+        """Resumes message handling, for example after the other process has refused the handover."""
         self.frozen = False
         self.waker.set()
 
-    def hand_over(self, send: Send, codec: DetailCodec) -> Forwarder:
-        """Lets the other process decide from now on."""
+    def hand_over(self, send: SendLine, codec: DetailCodec) -> Forwarder:
+        """Hands control to the other process; this core only forwards messages afterwards."""
         self.forwarder = Forwarder(
             dict(self.open_requests), send, codec, self.responses, self.clock, self.wall_clock
         )
         self.controller = None
         self.responses.clear()
-        self.idempotency = IdempotencyTable(0, 0)  # its memory is the other's to use
+        self.idempotency = IdempotencyTable(0, 0)  # frees the memory: the other process has the entries now
         self.thaw()
         return self.forwarder
--- a/ochrehoist/core/context.py
+++ b/ochrehoist/core/context.py
@@ -129,7 +129,7 @@
         """
 
     @abstractmethod
-    def boot(self, settings: AdmissionSettings) -> None:
+    def start_controller(self, settings: AdmissionSettings) -> None:
         """Creates a fresh controller for these settings."""
 
     @abstractmethod
@@ -162,7 +162,7 @@
             if self.stop_ns is not None:
                 due_ns = min(due_ns, self.stop_ns - SHUTDOWN_ANSWER_MARGIN_NS)
             request.due_ns = due_ns
-            self.deadlines.answer_by(due_ns, request.id)
+            self.deadlines.set_answer_deadline(due_ns, request.id)
 
     def reject(self, request: InboundRequest, retry_after_ns: int = NS_PER_S, no_retry: bool = False) -> None:
         """Rejects a request that the controller never sees."""
--- a/ochrehoist/core/deadlines.py
+++ b/ochrehoist/core/deadlines.py
@@ -1,4 +1,4 @@
-"""What is due when: the controller's timers, which fire with fresh gauges, and each request's last moment."""
+"""Schedules the controller's timers, which fire with fresh gauges, and the answer deadlines of requests."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass, field
@@ -6,54 +6,57 @@
 
 from ochrehoist.units import NS_PER_MS
 
-# A timer fires so long after it was due at the latest, with or without fresh gauges.
+# Maximum time that a due timer waits for fresh gauges; after it the timer fires without them.
 GAUGES_WAIT_NS = 25 * NS_PER_MS
-REARM_DELAY_NS = 100 * NS_PER_MS  # a timer is set again so long after a fault in the controller
+REARM_DELAY_NS = 100 * NS_PER_MS  # delay before a timer on which the controller failed is retried
 
 
 @dataclass(slots=True)
 class DueTimers:
-    """Timers that are due and wait for gauges."""
+    """Timers that are due and wait for gauges, until `gauges_wait_end_ns` at the latest."""
 
-    give_up_ns: int
+    gauges_wait_end_ns: int
     timer_ids: list[int] = field(default_factory=list)
 
 
 class Deadlines:
-    """Times are ns of the core's clock."""
+    """Timers of the controller and answer deadlines of requests. Times are ns of the core's clock."""
 
     def __init__(self) -> None:
         self._timers: list[tuple[int, int]] = []
-        self._answer_by: list[tuple[int, str]] = []
+        self._answer_deadlines: list[tuple[int, str]] = []
         self._due_timers: DueTimers | None = None
 
     def clear_timers(self) -> None:
-        """Forgets the timers of a controller that is gone."""
+        """Discards all timers, as the controller that set them has been replaced."""
         self._timers = []
         self._due_timers = None
 
     def set_timer(self, due_ns: int, timer_id: int) -> None:
-        """Lets a timer of the controller become due then."""
+        """Sets a timer of the controller."""
         heappush(self._timers, (due_ns, timer_id))
 
-    def answer_by(self, due_ns: int, request_id: str) -> None:
-        """Lets the request become overdue then."""
-        heappush(self._answer_by, (due_ns, request_id))
+    def set_answer_deadline(self, due_ns: int, request_id: str) -> None:
+        """Sets when the request becomes overdue."""
+        heappush(self._answer_deadlines, (due_ns, request_id))
 
     def next_due_ns(self) -> int | None:
-        """When something is due next; None where nothing is."""
-        times = [heap[0][0] for heap in (self._timers, self._answer_by) if heap]
+        """Returns when the next timer or deadline is due; None if there is none."""
+        times = [heap[0][0] for heap in (self._timers, self._answer_deadlines) if heap]
         if self._due_timers is not None:
-            times.append(self._due_timers.give_up_ns)
+            times.append(self._due_timers.gauges_wait_end_ns)
         return min(times) if times else None
 
-    def take_overdue_requests(self, now_ns: int) -> Iterator[str]:
-        """Requests whose last moment has come, whether they are answered or not."""
-        while self._answer_by and self._answer_by[0][0] <= now_ns:
-            yield heappop(self._answer_by)[1]
+    def pop_overdue_requests(self, now_ns: int) -> Iterator[str]:
+        """Removes and yields the ids of requests whose deadline has passed, answered or not."""
+        while self._answer_deadlines and self._answer_deadlines[0][0] <= now_ns:
+            yield heappop(self._answer_deadlines)[1]
 
     def collect_due_timers(self, now_ns: int) -> bool:
-        """Collects the timers that are due; whether gauges must be requested, as they are not yet."""
+        """Collects the timers that are due. Returns whether gauges must be requested for them.
+
+        They need not be where a request for gauges is already pending.
+        """
         timer_ids = []
         while self._timers and self._timers[0][0] <= now_ns:
             timer_ids.append(heappop(self._timers)[1])
@@ -65,12 +68,12 @@
         self._due_timers = DueTimers(now_ns + GAUGES_WAIT_NS, timer_ids)
         return True
 
-    def gauges_overdue(self, now_ns: int) -> bool:
-        """Whether timers have waited long enough for gauges."""
-        return self._due_timers is not None and self._due_timers.give_up_ns <= now_ns
+    def gauges_wait_expired(self, now_ns: int) -> bool:
+        """Returns whether due timers have waited for gauges for the maximum time."""
+        return self._due_timers is not None and self._due_timers.gauges_wait_end_ns <= now_ns
 
-    def take_due_timers(self) -> list[int]:
-        """The ids of the timers that are due; they are forgotten here."""
+    def pop_due_timers(self) -> list[int]:
+        """Removes the timers that are due and returns their ids."""
         due = self._due_timers
         self._due_timers = None
         return due.timer_ids if due is not None else []
--- a/ochrehoist/core/errors.py
+++ b/ochrehoist/core/errors.py
@@ -1,47 +1,47 @@
-"""Errors of the core."""
+"""Exceptions that the core raises."""
 
 from ochrehoist.errors import OchrehoistError
 
 
 class InvalidStateError(OchrehoistError):
-    """A state that was handed over or stored cannot be restored; the text says what is wrong with it."""
+    """Raised for a handed-over state that cannot be restored; the message names the problem."""
 
 
 class UnknownLineError(InvalidStateError):
-    """A line of a snapshot is of an unknown kind."""
+    """Raised for a snapshot line of an unknown kind."""
 
     def __init__(self, kind: object) -> None:
-        super().__init__(f"an unknown line {kind!r}")
+        super().__init__(f"snapshot line has unknown kind {kind!r}")
         self.kind = kind
 
 
 class DamagedLineError(InvalidStateError):
-    """A line of a snapshot lacks a field, or has one of a wrong type."""
+    """Raised for a snapshot line with a missing field or a field of the wrong type."""
 
     def __init__(self, cause: Exception) -> None:
-        super().__init__(f"a line of the state: {cause!r}")
+        super().__init__(f"snapshot line is damaged: {cause!r}")
         self.cause = cause
 
 
 class UnsupportedVersionError(InvalidStateError):
-    """A snapshot has another layout than this release reads."""
+    """Raised for a snapshot in a format that this release does not read."""
 
     def __init__(self, version: object) -> None:
-        super().__init__(f"another version of the state: {version}")
+        super().__init__(f"snapshot has unsupported format version {version}")
         self.version = version
 
 
 class LearnedStateTypeError(InvalidStateError):
-    """The learned state of a snapshot is not an object."""
+    """Raised for a snapshot whose learned state is not an object."""
 
     def __init__(self, found: object) -> None:
-        super().__init__("no learned means")
+        super().__init__(f"learned state must be an object, not {type(found).__name__}")
         self.found = found
 
 
 class RequestOwnerDisconnectedError(OchrehoistError):
-    """The process that read a request is gone, so the request cannot be run."""
+    """Raised when a request cannot be run because the process that read it has disconnected."""
 
     def __init__(self, request_id: str) -> None:
-        super().__init__(f"the process that read request {request_id} is gone")
+        super().__init__(f"the process that read request {request_id} has disconnected")
         self.request_id = request_id
--- a/ochrehoist/core/forwarder.py
+++ b/ochrehoist/core/forwarder.py
@@ -16,7 +16,7 @@
     Line,
     RejectionDecided,
     ResultDecided,
-    Send,
+    SendLine,
     decision_from_json,
     message_to_json,
 )
@@ -50,7 +50,7 @@
     def __init__(
         self,
         pending: dict[str, InboundRequest],
-        send: Send,
+        send: SendLine,
         codec: DetailCodec,
         responses: ResponseTracker,
         clock: Callable[[], int],
@@ -62,18 +62,18 @@
         self._log = responses.log
         self._clock = clock
         self._wall_clock = wall_clock
-        self._send: Send | None = send  # None: the other process is gone
-        self._ends_ns: int | None = None
+        self._send: SendLine | None = send  # None: the other process is gone
+        self._process_end_ns: int | None = None
         # Runs that have ended, whose answer is still to be decided.
         self._completed: dict[str, RunCompleted] = {}
 
-    def answer_all_by(self, ends_ns: int) -> None:
+    def set_process_end(self, ends_ns: int) -> None:
         """Lets what is open then (by the core's clock) be failed, for this process ends."""
-        self._ends_ns = ends_ns
+        self._process_end_ns = ends_ns
 
     # What this process's own parts post.
 
-    def take(self, message: Message) -> None:
+    def handle_message(self, message: Message) -> None:
         """Forwards a message of this process.
 
         Gauges, resolved duplicates and the order to shut down concern the process that decides.
@@ -183,8 +183,8 @@
         now_ns = self._clock()
         for request in list(self.pending.values()):
             due_ns = request.due_ns + ANSWER_GRACE_NS
-            if self._ends_ns is not None:
-                due_ns = min(due_ns, self._ends_ns)
+            if self._process_end_ns is not None:
+                due_ns = min(due_ns, self._process_end_ns)
             if not request.answered and due_ns <= now_ns:
                 self._log.warning("forwarded_request_overdue", id=request.id)
                 self._fail(request, FailureReason.DEADLINE_PASSED)
--- a/ochrehoist/core/handover_lines.py
+++ b/ochrehoist/core/handover_lines.py
@@ -30,7 +30,7 @@
     from ochrehoist.core.protocols import DetailCodec
 
 Line = dict[str, Any]
-Send = Callable[[Line], bool | None]  # False where the other process is gone
+SendLine = Callable[[Line], bool | None]  # False where the other process is gone
 
 # The fields of a request that are written as they are, by their written name.
 PLAIN_REQUEST_FIELDS = {
@@ -224,12 +224,12 @@
 class RemoteRequestOwner:
     """Responder and Executor of a request that another process read: that one answers it, and runs it."""
 
-    def __init__(self, request_id: str, send: Send, codec: DetailCodec) -> None:
+    def __init__(self, request_id: str, send: SendLine, codec: DetailCodec) -> None:
         self.id = request_id
         self._send = send
         self._codec = codec
 
-    def is_reached_by(self, send: Send) -> bool:
+    def sends_through(self, send: SendLine) -> bool:
         """Whether `send` is how the other process is reached."""
         return self._send == send
 
@@ -289,7 +289,7 @@
 
 
 def message_from_json(
-    line: Line, send: Send, codec: DetailCodec, classes: Iterable[RequestClass]
+    line: Line, send: SendLine, codec: DetailCodec, classes: Iterable[RequestClass]
 ) -> ForwardedMessage | None:
     """The message of a line; None where it is of an unknown kind.
 
--- a/ochrehoist/core/handover_snapshot.py
+++ b/ochrehoist/core/handover_snapshot.py
@@ -19,7 +19,7 @@
 from ochrehoist.core.handover_lines import (
     Line,
     RemoteRequestOwner,
-    Send,
+    SendLine,
     fingerprint_from_json,
     fingerprint_to_json,
     key_from_json,
@@ -36,7 +36,7 @@
 if TYPE_CHECKING:
     from ochrehoist.core.protocols import DetailCodec
 
-LAYOUT_VERSION = 1  # of these lines
+SNAPSHOT_FORMAT_VERSION = 1  # of these lines
 
 
 def snapshot_lines(snapshot: CoreSnapshot, clock_offset_ns: int, codec: DetailCodec) -> Iterator[Line]:
@@ -46,7 +46,7 @@
     """
     yield {
         "m": "state",
-        "version": LAYOUT_VERSION,
+        "version": SNAPSHOT_FORMAT_VERSION,
         "learned": snapshot.learned_state,
         "standby": snapshot.standby,
     }
@@ -95,7 +95,7 @@
         classes: dict[str, RequestClass],
         max_result_bytes: int,
         result_overhead_bytes: int,
-        send: Send,
+        send: SendLine,
         codec: DetailCodec,
     ) -> None:
         self._clock_offset_ns = clock_offset_ns
@@ -130,7 +130,7 @@
         return reader
 
     def _read_state(self, line: Line) -> None:
-        if line["version"] != LAYOUT_VERSION:
+        if line["version"] != SNAPSHOT_FORMAT_VERSION:
             raise UnsupportedVersionError(line["version"])
         self.snapshot.learned_state = line["learned"]
         self.snapshot.standby = bool(line["standby"])
--- a/ochrehoist/core/idempotency_table.py
+++ b/ochrehoist/core/idempotency_table.py
@@ -50,7 +50,7 @@
     waiters: tuple[str, ...] = ()
 
     @property
-    def is_over(self) -> bool:
+    def has_ended(self) -> bool:
         """Whether it has ended, with its result at hand or evicted."""
         return self.result is not None or self.result_evicted
 
@@ -76,7 +76,7 @@
         # Sizes of the results that are kept, oldest first.
         self._result_sizes: OrderedDict[IdempotencyKey, int] = OrderedDict()
 
-    def original(self, key: IdempotencyKey, arrived_ns: int) -> str | None:
+    def original_request_id(self, key: IdempotencyKey, arrived_ns: int) -> str | None:
         """The id of the attempt that one which arrived then duplicates.
 
         It is judged by its arrival, however late it is read.
@@ -123,7 +123,7 @@
     def may_run(self, key: IdempotencyKey, arrived_ns: int) -> bool:
         """Whether no run of the filing is known whose window covers that arrival, or that is not over."""
         run = self.runs.get(key)
-        return run is None or (arrived_ns > run.window_end_ns and run.is_over)
+        return run is None or (arrived_ns > run.window_end_ns and run.has_ended)
 
     def run_started(
         self, key: IdempotencyKey, request_id: str, window_end_ns: int, fingerprint: Fingerprint | None
@@ -132,7 +132,7 @@
         self._drop_result(key)
         self.runs[key] = IdempotentRun(request_id, window_end_ns + WINDOW_MARGIN_NS, fingerprint)
 
-    def run_never_began(self, key: IdempotencyKey, request_id: str) -> list[str]:
+    def remove_unstarted_run(self, key: IdempotencyKey, request_id: str) -> list[str]:
         """Takes back a run that was never begun: a later attempt may run. Returns the ids that waited."""
         run = self.runs.get(key)
         if run is None or run.id != request_id:
@@ -173,7 +173,7 @@
         for key in [k for k, record in self.records.items() if record.expires_ns < oldest_arrival_ns]:
             self._drop_record(key)
         expired = [
-            key for key, run in self.runs.items() if run.window_end_ns < oldest_arrival_ns and run.is_over
+            key for key, run in self.runs.items() if run.window_end_ns < oldest_arrival_ns and run.has_ended
         ]
         for key in expired:
             self._drop_result(key)
--- a/ochrehoist/core/idempotent_runs.py
+++ b/ochrehoist/core/idempotent_runs.py
@@ -75,13 +75,13 @@
         """Lets runs go on record from now on."""
         self._journal = journal
 
-    def answered_on_arrival(self, request: InboundRequest) -> bool:
+    def try_answer_on_arrival(self, request: InboundRequest) -> bool:
         """Answers a filing that can't go on record now, unless another attempt is known; whether it did."""
         core = self._core
         key = request.idempotency_key
         if self._journal is None or key is None:
             return False
-        if core.idempotency.original(key, request.arrived_ns) is not None:
+        if core.idempotency.original_request_id(key, request.arrived_ns) is not None:
             return False
         rejection = self._journal.rejection_for(key)
         if rejection is None:
@@ -112,12 +112,14 @@
             run.begun = True
             core.execute(request)
         else:  # nobody waits for it any more, or it can't be put on record: it was never begun
-            self._take_back(request, request.idempotency_key, message.retry_after_ns)
+            self._cancel_unstarted_run(request, request.idempotency_key, message.retry_after_ns)
 
-    def _take_back(self, request: InboundRequest, key: IdempotencyKey, retry_after_ns: int) -> None:
+    def _cancel_unstarted_run(
+        self, request: InboundRequest, key: IdempotencyKey, retry_after_ns: int
+    ) -> None:
         """Rejects a run that was never begun, and the duplicates that wait for it."""
         core = self._core
-        waiters = core.idempotency.run_never_began(key, request.id)
+        waiters = core.idempotency.remove_unstarted_run(key, request.id)
         if self._journal is not None:
             self._journal.never_ran(key)
         for request_id in (request.id, *waiters):
@@ -131,7 +133,7 @@
         """Keeps the result of a run, and gives it to the duplicates that wait for it."""
         core = self._core
         if result.outcome in NEVER_RAN:
-            waiters = core.idempotency.run_never_began(key, request.id)
+            waiters = core.idempotency.remove_unstarted_run(key, request.id)
             if self._journal is not None:
                 self._journal.never_ran(key)
         else:
@@ -149,7 +151,7 @@
         key = request.idempotency_key
         request.attached_ns = core.now_ns
         run = core.idempotency.runs.get(key) if key is not None else None
-        if run is not None and not run.is_over:
+        if run is not None and not run.has_ended:
             run.waiters += (request.id,)
         elif run is not None and run.result is not None:
             core.post(DuplicateResolved(request.id, run.result))
--- a/ochrehoist/core/kernel_link_monitor.py
+++ b/ochrehoist/core/kernel_link_monitor.py
@@ -7,10 +7,10 @@
 
 from dataclasses import dataclass
 
-CUT_OFF_AFTER_S = 2.0  # without a link: a move to another address and a broken link take far less
+DISCONNECT_GRACE_S = 2.0  # without a link: a move to another address and a broken link take far less
 # Between two reads of the configuration: doubled each time up to the longest.
-FIRST_RETRY_S = 1.0
-MAX_RETRY_S = 10.0
+FIRST_RELOAD_INTERVAL_S = 1.0
+MAX_RELOAD_INTERVAL_S = 10.0
 
 
 @dataclass(slots=True, frozen=True)
@@ -24,11 +24,11 @@
 class KernelLinkMonitor:
     """Fed with the link's state now and then (times in seconds, of one clock that never goes back)."""
 
-    def __init__(self, cut_off_after_s: float = CUT_OFF_AFTER_S) -> None:
-        self._cut_off_after_s = cut_off_after_s
+    def __init__(self, disconnect_grace_s: float = DISCONNECT_GRACE_S) -> None:
+        self._disconnect_grace_s = disconnect_grace_s
         self._down_since_s: float | None = None
         self._reload_at_s = 0.0
-        self._retry_s = FIRST_RETRY_S
+        self._reload_interval_s = FIRST_RELOAD_INTERVAL_S
         self._address: object = None
 
     def evaluate(self, now_s: float, connected: bool, address: object) -> KernelLinkStatus:
@@ -45,16 +45,16 @@
             return KernelLinkStatus(healthy=True)
         if self._down_since_s is None:
             self._down_since_s = now_s
-            self._retry_s = FIRST_RETRY_S
+            self._reload_interval_s = FIRST_RELOAD_INTERVAL_S
             self._address = address
-            self._reload_at_s = now_s + self._cut_off_after_s
-        healthy = now_s - self._down_since_s < self._cut_off_after_s
+            self._reload_at_s = now_s + self._disconnect_grace_s
+        healthy = now_s - self._down_since_s < self._disconnect_grace_s
         if address != self._address:
             self._address = address
-            self._retry_s = FIRST_RETRY_S
-            self._reload_at_s = now_s + FIRST_RETRY_S
+            self._reload_interval_s = FIRST_RELOAD_INTERVAL_S
+            self._reload_at_s = now_s + FIRST_RELOAD_INTERVAL_S
         if healthy or now_s < self._reload_at_s:
             return KernelLinkStatus(healthy)
-        self._reload_at_s = now_s + self._retry_s
-        self._retry_s = min(MAX_RETRY_S, 2 * self._retry_s)
+        self._reload_at_s = now_s + self._reload_interval_s
+        self._reload_interval_s = min(MAX_RELOAD_INTERVAL_S, 2 * self._reload_interval_s)
         return KernelLinkStatus(healthy=False, reload_due=True)
--- a/ochrehoist/core/message_handlers.py
+++ b/ochrehoist/core/message_handlers.py
@@ -38,7 +38,7 @@
     if core.request_predecessor_state is not None:  # it may have keys: nothing is decided without them
         core.request_predecessor_state()
     else:
-        core.boot(core.settings)
+        core.start_controller(core.settings)
 
 
 def request_arrived(core: CoreContext, message: RequestArrived) -> None:
@@ -55,7 +55,7 @@
     request.arrived_ns = core.now_ns - max(0, core.wall_clock() - request.arrived_ns)
     for observer in core.responses.observers:
         observer.request_arrived(request)
-    if arrival_checks.answered_on_arrival(core, request):
+    if arrival_checks.try_answer_on_arrival(core, request):
         return
     core.track(request)
     core.dispatch(core.received_event(request))
@@ -108,7 +108,7 @@
 
 def fire_due_timers(core: CoreContext) -> None:
     """Fires all due timers of the controller; a timer that met a fault is set again."""
-    for timer_id in core.deadlines.take_due_timers():
+    for timer_id in core.deadlines.pop_due_timers():
         if not core.dispatch(TimerFired(timer_id, dict(core.gauges))):
             core.deadlines.set_timer(core.now_ns + REARM_DELAY_NS, timer_id)
 
@@ -121,7 +121,7 @@
     core.stop_ns = core.now_ns + message.remaining_ns
     for request in core.open_requests.values():
         if not request.answered:
-            core.deadlines.answer_by(core.stop_ns - SHUTDOWN_ANSWER_MARGIN_NS, request.id)
+            core.deadlines.set_answer_deadline(core.stop_ns - SHUTDOWN_ANSWER_MARGIN_NS, request.id)
     if core.controller is not None:
         core.dispatch(DrainStarted(message.remaining_ns))
     for listener in core.listeners:
@@ -150,7 +150,7 @@
     if core.controller is not None:
         return
     if message.state is None:
-        core.boot(core.settings)
+        core.start_controller(core.settings)
         return
     core.standby = core.inherited_standby = message.state.standby
     state_transfer.adopt_snapshot(core, message.state)
--- a/ochrehoist/core/snapshot.py
+++ b/ochrehoist/core/snapshot.py
@@ -10,7 +10,7 @@
 LearnedState = learned_state.Snapshot
 
 
-def _no_keys() -> IdempotencyTable:
+def _empty_idempotency_table() -> IdempotencyTable:
     return IdempotencyTable(read_delay_ns=0, max_bytes=0)
 
 
@@ -29,7 +29,7 @@
     learned_state: LearnedState | None = None
     standby: bool = False
     requests: list[InboundRequest] = field(default_factory=list)
-    idempotency: IdempotencyTable = field(default_factory=_no_keys)
+    idempotency: IdempotencyTable = field(default_factory=_empty_idempotency_table)
     classes: dict[str, RequestClass] = field(default_factory=dict)
 
     def settings_with_removed_classes(self, settings: AdmissionSettings) -> AdmissionSettings:
--- a/ochrehoist/core/state_transfer.py
+++ b/ochrehoist/core/state_transfer.py
@@ -29,7 +29,7 @@
     state.idempotency.read_delay_ns = max(c.deadline_ns for c in classes) + NS_PER_S
     core.idempotency = state.idempotency
     core.responses.clear()
-    core.boot(state.settings_with_removed_classes(core.settings))
+    core.start_controller(state.settings_with_removed_classes(core.settings))
     begun = {r.id: r for r in state.requests if r.started}
     _adopt_idempotent_runs(core, state, begun)
     for request in begun.values():
--- a/ochrehoist/core/tenants.py
+++ b/ochrehoist/core/tenants.py
@@ -10,9 +10,9 @@
 from ochrehoist.admission.settings import Tenant
 
 NAMES_PER_STEP = 400  # names looked at in a step
-COMPARED_PER_STEP = 8192  # unchanged tenants compared in a step: by identity, in C
-MIN_RETIRED_PLACES = 1024  # positions of removed tenants that are kept in any case,
-PLACES_PER_RETIRED = 10  # and more of them up to one in so many
+TENANTS_COMPARED_PER_STEP = 8192  # unchanged tenants compared in a step: by identity, in C
+MIN_RETIRED_POSITIONS = 1024  # positions of removed tenants that are kept in any case,
+POSITIONS_PER_RETIRED = 10  # and more of them up to one in so many
 
 Tenants = tuple[Tenant, ...]
 
@@ -64,7 +64,7 @@
     @property
     def needs_compaction(self) -> bool:
         """Whether removed tenants take too many positions: a fresh controller is due."""
-        return len(self.retired) > max(MIN_RETIRED_PLACES, len(self.by_position) // PLACES_PER_RETIRED)
+        return len(self.retired) > max(MIN_RETIRED_POSITIONS, len(self.by_position) // POSITIONS_PER_RETIRED)
 
 
 def initial_table(listed: Tenants) -> TenantTable:
@@ -77,7 +77,7 @@
     at = 0
     limit = min(len(old), len(new))
     while at < limit:
-        size = min(COMPARED_PER_STEP, limit - at)
+        size = min(TENANTS_COMPARED_PER_STEP, limit - at)
         while old[at : at + size] != new[at : at + size]:
             if size == 1:
                 return at
@@ -91,7 +91,7 @@
     """How many tenants are the same at the end of both, of `limit`."""
     count = 0
     while count < limit:
-        size = min(COMPARED_PER_STEP, limit - count)
+        size = min(TENANTS_COMPARED_PER_STEP, limit - count)
         while (
             old[len(old) - count - size : len(old) - count] != new[len(new) - count - size : len(new) - count]
         ):
--- a/ochrehoist/net/handover_client.py
+++ b/ochrehoist/net/handover_client.py
@@ -185,7 +185,7 @@
     def _is_of_predecessor(self, request: InboundRequest) -> bool:
         """Whether the predecessor read the request, and answers it."""
         responder = request.responder
-        return isinstance(responder, RemoteRequestOwner) and responder.is_reached_by(self._send)
+        return isinstance(responder, RemoteRequestOwner) and responder.sends_through(self._send)
 
     def _predecessor_ended(self) -> None:
         """What it had not begun has no caller any more. What it had begun counts as run, and failed."""
--- a/ochrehoist/net/process_shutdown.py
+++ b/ochrehoist/net/process_shutdown.py
@@ -122,7 +122,7 @@
         time_left_s = min(longest_ns / NS_PER_S, MAX_RETIREMENT_S) + RETIREMENT_GRACE_S
         # What has no answer by then would end with this process, and its caller get nothing.
         answer_within_ns = int((time_left_s - FINAL_ANSWER_MARGIN_S) * NS_PER_S)
-        forwarder.answer_all_by(self._core.clock() + answer_within_ns)
+        forwarder.set_process_end(self._core.clock() + answer_within_ns)
         reported: OpenConnections | None = None
 
         def is_busy() -> bool:
--- a/ochrehoist/overload/bulkheads.py
+++ b/ochrehoist/overload/bulkheads.py
@@ -14,12 +14,12 @@
 from ochrehoist.admission.settings import AdmissionSettings, Idempotency
 
 LOW_COST_FRACTION = 0.2  # of the mean cost of all that runs or waits, up to which a class is low-cost
-LOW_COST_RESERVE = 0.1  # of the limit, reserved for low-cost classes
-LOW_COST_RESERVE_S = 10.0  # since one of them came, for which the reserve stands
-CLASS_FLOOR = 0.1  # of the limit
-KEYED_FLOOR = 0.25  # of the limit: filings have the highest priority weight
-MAX_FLOORS = 0.8  # of the limit, together: the rest goes by priority
-LOW_PRIORITY_LANE = 0.15  # of the limit, for requests that cost many times what is usual
+LOW_COST_RESERVE_FRACTION = 0.1  # of the limit, reserved for low-cost classes
+LOW_COST_RESERVE_DURATION_S = 10.0  # since one of them came, for which the reserve stands
+CLASS_FLOOR_FRACTION = 0.1  # of the limit
+KEYED_FLOOR_FRACTION = 0.25  # of the limit: filings have the highest priority weight
+MAX_FLOORS_FRACTION = 0.8  # of the limit, together: the rest goes by priority
+LOW_PRIORITY_LANE_FRACTION = 0.15  # of the limit, for requests that cost many times what is usual
 
 
 @dataclass(slots=True)
@@ -68,7 +68,7 @@
         total=total,
         class_floors=tuple(map(max, _class_floors(slots, settings), reserves)),
         class_caps=tuple(cap - reserved + own_reserve for own_reserve in reserves),
-        expensive=max(1, int(slots * LOW_PRIORITY_LANE)) if low_priority_lane else UNLIMITED,
+        expensive=max(1, int(slots * LOW_PRIORITY_LANE_FRACTION)) if low_priority_lane else UNLIMITED,
     )
 
 
@@ -77,16 +77,19 @@
 ) -> int:
     """Slots that only low-cost classes may use: some while one of these has come lately, else none."""
     recent = (activity[name].last_arrival_s for name in low_cost if name in activity)
-    if not any(now_s - arrival_s <= LOW_COST_RESERVE_S for arrival_s in recent):
+    if not any(now_s - arrival_s <= LOW_COST_RESERVE_DURATION_S for arrival_s in recent):
         return 0
-    return min(slots - 1, max(1, math.ceil(slots * LOW_COST_RESERVE)))
+    return min(slots - 1, max(1, math.ceil(slots * LOW_COST_RESERVE_FRACTION)))
 
 
 def _class_floors(slots: int, settings: AdmissionSettings) -> Sequence[int]:
     """Slots for each class: at least one where there are as many slots as classes, else none for anybody."""
     classes = settings.classes
-    fractions = [KEYED_FLOOR if known.idempotency is Idempotency.KEYED else CLASS_FLOOR for known in classes]
-    scale = min(1.0, MAX_FLOORS / max(1e-9, sum(fractions)))
+    fractions = [
+        KEYED_FLOOR_FRACTION if known.idempotency is Idempotency.KEYED else CLASS_FLOOR_FRACTION
+        for known in classes
+    ]
+    scale = min(1.0, MAX_FLOORS_FRACTION / max(1e-9, sum(fractions)))
     floors = [max(1, int(slots * fraction * scale)) for fraction in fractions]
     while sum(floors) > slots and max(floors) > 1:
         floors[floors.index(max(floors))] -= 1
--- a/ochrehoist/overload/completion_window.py
+++ b/ochrehoist/overload/completion_window.py
@@ -4,7 +4,7 @@
 
 MIN_WINDOW_S = 0.5
 MIN_COMPLETIONS = 10
-MIN_RUN_TIMES = 3.0  # that a window lasts: so many times the mean time of a run
+MIN_RUN_TIME_MULTIPLE = 3.0  # that a window lasts: so many times the mean time of a run
 RUN_TIME_SMOOTHING = 0.05
 
 
@@ -57,7 +57,10 @@
             self._opened_s = now_s
             self._clear()
         span_s = now_s - self._opened_s
-        if span_s < max(MIN_WINDOW_S, MIN_RUN_TIMES * self._run_time_s) or self._count < MIN_COMPLETIONS:
+        if (
+            span_s < max(MIN_WINDOW_S, MIN_RUN_TIME_MULTIPLE * self._run_time_s)
+            or self._count < MIN_COMPLETIONS
+        ):
             return None
         window = CompletionWindow(
             throughput=self._work / span_s,
--- a/ochrehoist/overload/concurrency_limits.py
+++ b/ochrehoist/overload/concurrency_limits.py
@@ -210,7 +210,7 @@
         self.limit = limit
         self.bounds = bounds or LimitBounds()
         self._centre = limit
-        self._probes_high = False
+        self._probing_high = False
         self._low_throughput: float | None = None
         self._probe()
 
@@ -219,21 +219,21 @@
         self._high = min(
             max(self._low + 1, math.ceil(self._centre * (1 + self.PROBE_WIDTH))), self.bounds.maximum
         )
-        self.limit = self._high if self._probes_high else self._low
+        self.limit = self._high if self._probing_high else self._low
 
     def update(self, window: CompletionWindow) -> float:
         """Takes one window and gives the limit from now on."""
         if not _limit_reached(window, self.limit):
             self._low_throughput = None
-            self._probes_high = True  # nobody is kept from reaching it
+            self._probing_high = True  # nobody is kept from reaching it
             self._probe()
             return self.limit
         throughput = window.concurrency / window.time_per_work
-        if not self._probes_high:
+        if not self._probing_high:
             self._low_throughput = throughput
         elif self._low_throughput is not None and self._high > self._low:
             self._move(throughput / self._low_throughput)
-        self._probes_high = not self._probes_high
+        self._probing_high = not self._probing_high
         self._probe()
         return self.limit
 
--- a/ochrehoist/overload/early_rejection.py
+++ b/ochrehoist/overload/early_rejection.py
@@ -17,14 +17,14 @@
 from ochrehoist.overload.overload_detector import OverloadDetector
 from ochrehoist.overload.weighted_allocation import AllocationRequest, allocate
 
-CLASS_MINIMUM = 0.05  # of what is admitted, for each class: none starves, whatever its weight
+MIN_CLASS_FRACTION = 0.05  # of what is admitted, for each class: none starves, whatever its weight
 BURST_INTERVALS = 2.0  # whose allowance may be used in one, and one more request
 MAX_CALLERS = 512  # told apart in an interval; those beyond share one allowance
 MIN_RETRY_AFTER_NS = 500_000_000  # and up to twice as much: callers must not come back at one moment
-MAX_AGE_OF_OBJECTIVE = 1.0  # past which one that was read late is of no use to its caller
-OLD_DEMAND_WEIGHT = 0.7  # of the earlier intervals in the mean,
-NEW_DEMAND_WEIGHT = 0.3  # and of the latest
-FORGOTTEN_DEMAND = 0.05  # requests an interval, below which a caller is forgotten
+MAX_AGE_OBJECTIVE_MULTIPLE = 1.0  # past which one that was read late is of no use to its caller
+PREVIOUS_DEMAND_WEIGHT = 0.7  # of the earlier intervals in the mean,
+LATEST_DEMAND_WEIGHT = 0.3  # and of the latest
+MIN_TRACKED_DEMAND = 0.05  # requests an interval, below which a caller is forgotten
 DEMAND_HEADROOM = 1.1  # of the expected demand that may be admitted, and one request more
 MIN_TENANT_SHARE = 1e-3
 
@@ -98,7 +98,7 @@
         if not self._detector.overloaded or not self.may_reject(class_name):
             self.interval_counts.admitted += 1
             return None
-        if age_ns >= MAX_AGE_OF_OBJECTIVE * self._objectives_ns[class_name]:
+        if age_ns >= MAX_AGE_OBJECTIVE_MULTIPLE * self._objectives_ns[class_name]:
             return self._reject(class_name, RejectionReason.READ_TOO_LATE)
         if not self._take_token(key):
             return self._reject(class_name, RejectionReason.OVERLOADED)
@@ -146,8 +146,10 @@
     def _update_demand(self) -> None:
         demand = self._demand
         for key in set(demand) | set(self._arrivals):
-            mean = OLD_DEMAND_WEIGHT * demand.get(key, 0.0) + NEW_DEMAND_WEIGHT * self._arrivals.get(key, 0)
-            if mean < FORGOTTEN_DEMAND:
+            mean = PREVIOUS_DEMAND_WEIGHT * demand.get(key, 0.0) + LATEST_DEMAND_WEIGHT * self._arrivals.get(
+                key, 0
+            )
+            if mean < MIN_TRACKED_DEMAND:
                 demand.pop(key, None)
             else:
                 demand[key] = mean
@@ -189,7 +191,7 @@
                     rank=self._ranks[class_name],
                     demand=DEMAND_HEADROOM * self._demand[key] + 1,
                     weight=self._tenant_weight(tenant) * part,
-                    minimum=CLASS_MINIMUM * capacity * part / tenants[class_name],
+                    minimum=MIN_CLASS_FRACTION * capacity * part / tenants[class_name],
                 )
             )
         return claims
--- a/ochrehoist/overload/limiter.py
+++ b/ochrehoist/overload/limiter.py
@@ -21,7 +21,7 @@
 from ochrehoist.overload.retry_budget import RetryBudget
 from ochrehoist.units import NS_PER_S
 
-OVER_BUDGET_BACKOFF_NS = NS_PER_S  # that a caller over its retry budget gets, before jitter
+RETRY_DENIED_BACKOFF_NS = NS_PER_S  # that a caller over its retry budget gets, before jitter
 MAX_REPORTED_MULTIPLE = (
     4.0  # of the usual that the controller hears of a run: rare ones must not teach a class
 )
@@ -45,7 +45,7 @@
         self._windows = WindowAggregator()
         self._work_units: dict[str, float] = {}  # what a run of a class counts as, fixed once known (s)
         self._updated_s = 0.0
-        self._announced: ConcurrencyLimits | None = None
+        self._last_limits: ConcurrencyLimits | None = None
         self._mispredicted = 0  # ran as expensive and were not predicted to
         self.configure(settings, config)
 
@@ -65,7 +65,7 @@
             self.algorithm.limit = bounds.clamp(self.algorithm.limit)
         before = self.activity
         self.activity = {known.name: before.get(known.name, ClassActivity()) for known in settings.classes}
-        self._announced = None
+        self._last_limits = None
 
     def check_arrival(self, request: InboundRequest, now_ns: int) -> Rejection | None:
         """Whether a request that never ran is rejected before the admission controller hears of it."""
@@ -82,7 +82,7 @@
             # A filing is worth more than a first attempt at a read; low-cost classes cost little more than
             # their rejection would.
             return None
-        return Rejection(self.retry_budget.jittered(OVER_BUDGET_BACKOFF_NS))
+        return Rejection(self.retry_budget.jittered(RETRY_DENIED_BACKOFF_NS))
 
     def estimate_cost(self, request: InboundRequest, now_ns: int) -> float:
         """How many times the usual the request will cost."""
@@ -146,15 +146,15 @@
         limit = None if self.config.controller is LimitController.MODULE else self.algorithm.limit
         lane = self.config.low_priority_lane
         limits = bulkhead_limits(limit, self.settings, self.activity, now_s, self.low_cost, lane)
-        if limits == self._announced:
+        if limits == self._last_limits:
             return None
-        self._announced = limits
+        self._last_limits = limits
         return limits
 
     def status_section(self) -> dict[str, Any]:
         """For operators, in plain values, under the published status keys."""
         classes = [request_class.name for request_class in self.settings.classes]
-        floors = self._announced.class_floors if self._announced else ()
+        floors = self._last_limits.class_floors if self._last_limits else ()
         predicted = Counter({str(basis): count for basis, count in self.cost_predictor.predicted.items()})
         return {
             "limit": None
--- a/ochrehoist/overload/overload_detector.py
+++ b/ochrehoist/overload/overload_detector.py
@@ -18,13 +18,13 @@
 OVERLOAD_DELAY_S = (
     0.020  # loop delay from which on it counts as overloaded: less than half of the 50 ms promised
 )
-CALM_DELAY_S = 0.010  # and under which it may count as well again
-CALM_LOAD_FRACTION = 0.9  # of the affordable rate, under which all that is offered must be
+RECOVERY_DELAY_S = 0.010  # and under which it may count as well again
+RECOVERY_LOAD_FRACTION = 0.9  # of the affordable rate, under which all that is offered must be
 MIN_UTILISATION_TO_LEARN = 0.25  # of the processor time available: below, the program's own work would count
 MIN_REQUESTS_TO_LEARN = 5
 MIN_BUSY_S_FOR_SHARE = 5 * MILLISECOND_S  # in a sample, for it to tell our share of a processor
 BUSY_LOOP_FRACTION = 0.7  # of the time in loop iterations, from which on an excess rate counts as overload
-CALM_SAMPLES_TO_RECOVER = 10  # as long as two bursts are apart, or the state would flap with each
+SAMPLES_TO_RECOVER = 10  # as long as two bursts are apart, or the state would flap with each
 SAMPLES_TO_OVERLOAD = 2  # one late sample is a garbage collection, or a pause of the machine
 MEMORY_HIGH_FRACTION = 0.80  # of the limit, from where on less is admitted,
 MEMORY_FULL_FRACTION = 0.95  # and nothing but filings
@@ -73,7 +73,7 @@
     delays: DelayHistogram = field(default_factory=DelayHistogram)
     _sampled_s: float | None = None
     _overloaded_samples: int = 0
-    _calm_samples: int = 0
+    _recovery_samples: int = 0
 
     def observe(self, sample: LoadSample) -> None:
         """Takes a sample and decides anew."""
@@ -118,7 +118,7 @@
     def _adjust_delay_gain(self, sample: LoadSample) -> None:
         if sample.loop_delay_s > OVERLOAD_DELAY_S:
             self.delay_gain = max(MIN_DELAY_GAIN, self.delay_gain * 0.9)
-        elif sample.loop_delay_s < CALM_DELAY_S:
+        elif sample.loop_delay_s < RECOVERY_DELAY_S:
             self.delay_gain = min(1.0, self.delay_gain + 0.02)
 
     def _affordable_rate(self, sample: LoadSample) -> float:
@@ -149,17 +149,17 @@
         )
         late = sample.loop_delay_s > OVERLOAD_DELAY_S
         calm = (
-            self.offered_per_s < CALM_LOAD_FRACTION * self.affordable_per_s
-            and sample.loop_delay_s < CALM_DELAY_S
+            self.offered_per_s < RECOVERY_LOAD_FRACTION * self.affordable_per_s
+            and sample.loop_delay_s < RECOVERY_DELAY_S
         )
         self._overloaded_samples = self._overloaded_samples + 1 if late or too_much_offered else 0
-        self._calm_samples = self._calm_samples + 1 if calm else 0
+        self._recovery_samples = self._recovery_samples + 1 if calm else 0
         if not self.overloaded and self._overloaded_samples >= SAMPLES_TO_OVERLOAD:
             self.overloaded = True
             self.changed_s = sample.at_s
             self.overload_count += 1
-            self._calm_samples = 0
-        elif self.overloaded and self._calm_samples >= CALM_SAMPLES_TO_RECOVER:
+            self._recovery_samples = 0
+        elif self.overloaded and self._recovery_samples >= SAMPLES_TO_RECOVER:
             self.overloaded = False
             self.changed_s = sample.at_s
             self.delay_gain = 1.0
--- a/tests/app/test_reload_order.py
+++ b/tests/app/test_reload_order.py
@@ -6,7 +6,7 @@
 
 from ochrehoist.app.worker import Worker
 from ochrehoist.config.loader import load
-from ochrehoist.core.tenants import MIN_RETIRED_PLACES
+from ochrehoist.core.tenants import MIN_RETIRED_POSITIONS
 from ochrehoist.steps import run_to_completion
 from tests.app.tenant_reload import appliance, brought_into_force, close_worker
 from tests.support.environment import WAIT_LIMIT_S
@@ -18,7 +18,7 @@
     def test_positions_of_removed_tenants_are_freed_except_those_with_a_known_filing(self):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
-        path = appliance(folder.name, range(MIN_RETIRED_PLACES + 50), 1)
+        path = appliance(folder.name, range(MIN_RETIRED_POSITIONS + 50), 1)
         worker = Worker(load(path), path)
         self.addCleanup(close_worker, worker)
         owner, reloading = worker.parts.core, worker.parts.reloading
@@ -32,7 +32,7 @@
             return sorted(owner.tenants.retired)
 
         # Of those that go in one change, one more request may have been read: they stay until the next.
-        self.assertEqual(len(change(range(3))), MIN_RETIRED_PLACES + 47)
+        self.assertEqual(len(change(range(3))), MIN_RETIRED_POSITIONS + 47)
         self.assertIsNot(owner.controller, module)
         self.assertEqual(change(range(3)), ["t40"])
         self.assertEqual([t.name for t in owner.controller.settings.tenants], ["t0", "t1", "t2", "t40"])
--- a/tests/app/test_replacement.py
+++ b/tests/app/test_replacement.py
@@ -354,7 +354,7 @@
                 answers = ResponseTracker(Metrics(["read"]), mock.Mock())
                 f = Forwarder({"r1": r}, lambda line: None, mock.Mock(), answers, lambda: now[0], lambda: 0)
                 if ends_at is not None:
-                    f.answer_all_by(ends_at)
+                    f.set_process_end(ends_at)
                 for at in (1, 2, 3):
                     now[0] = at * S
                     f.tick()
--- a/tests/core/test_tenants.py
+++ b/tests/core/test_tenants.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ochrehoist.core.tenants import MIN_RETIRED_PLACES, compacted_table, initial_table, updated_table
+from ochrehoist.core.tenants import MIN_RETIRED_POSITIONS, compacted_table, initial_table, updated_table
 from ochrehoist.steps import run_to_completion
 from tests.app.tenant_reload import NAMES, tenants
 
@@ -44,10 +44,10 @@
 
     def test_compaction_is_due_once_removed_tenants_exceed_the_spare_positions_and_a_tenth(self):
         for stay, gone, crowded in (
-            (0, MIN_RETIRED_PLACES, False),
-            (0, MIN_RETIRED_PLACES + 1, True),
-            (20 * MIN_RETIRED_PLACES, 2 * MIN_RETIRED_PLACES, False),
-            (20 * MIN_RETIRED_PLACES, 3 * MIN_RETIRED_PLACES, True),
+            (0, MIN_RETIRED_POSITIONS, False),
+            (0, MIN_RETIRED_POSITIONS + 1, True),
+            (20 * MIN_RETIRED_POSITIONS, 2 * MIN_RETIRED_POSITIONS, False),
+            (20 * MIN_RETIRED_POSITIONS, 3 * MIN_RETIRED_POSITIONS, True),
         ):
             table = run_to_completion(
                 updated_table(initial_table(tenants(range(stay + gone))), tenants(range(stay)))
--- a/tests/overload/test_bulkheads.py
+++ b/tests/overload/test_bulkheads.py
@@ -4,7 +4,7 @@
 
 from ochrehoist.admission.events import UNLIMITED, ConcurrencyLimits
 from ochrehoist.overload.bulkheads import (
-    LOW_COST_RESERVE_S,
+    LOW_COST_RESERVE_DURATION_S,
     ClassActivity,
     bulkhead_limits,
     low_cost_classes,
@@ -27,10 +27,12 @@
 
     def test_low_cost_classes_keep_a_reserve_while_they_arrive(self):
         activity = {"low": ClassActivity(last_arrival_s=100.0), "read": ClassActivity()}
-        reported = bulkhead_limits(20, SITE, activity, 100.0 + LOW_COST_RESERVE_S, {"low"}, False)
+        reported = bulkhead_limits(20, SITE, activity, 100.0 + LOW_COST_RESERVE_DURATION_S, {"low"}, False)
         self.assertEqual((reported.class_caps, reported.class_floors[1]), ((18, 20, 18), 2))
         self.assertEqual(
-            bulkhead_limits(20, SITE, activity, 101.0 + LOW_COST_RESERVE_S, {"low"}, False).class_caps,
+            bulkhead_limits(
+                20, SITE, activity, 101.0 + LOW_COST_RESERVE_DURATION_S, {"low"}, False
+            ).class_caps,
             (20, 20, 20),
         )
 
--- a/tests/overload/test_concurrency_limits.py
+++ b/tests/overload/test_concurrency_limits.py
@@ -29,9 +29,9 @@
                     ExtremumSeekingLimit(float(start), LimitBounds(1, 10 * cores)), self.machine(cores)
                 )
                 self.assertTrue(0.8 * cores <= found <= 1.8 * cores, (cores, start, found))
-        half = self.machine(8), self.machine(4)
+        machines = self.machine(8), self.machine(4)
         moved = ExtremumSeekingLimit(8.0, LimitBounds(1, 64))
-        found = self.settled(moved, lambda n, at: half[at > 100](n, at), windows=600)
+        found = self.settled(moved, lambda n, at: machines[at > 100](n, at), windows=600)
         self.assertTrue(3 <= found <= 7.5, found)
 
     def test_no_limit_leaves_its_bounds_and_an_unused_limit_does_not_move(self):
--- a/tests/overload/test_early_rejection.py
+++ b/tests/overload/test_early_rejection.py
@@ -4,7 +4,7 @@
 from random import Random
 
 from ochrehoist.admission.settings import AdmissionSettings
-from ochrehoist.overload.early_rejection import CLASS_MINIMUM, EarlyRejection
+from ochrehoist.overload.early_rejection import MIN_CLASS_FRACTION, EarlyRejection
 from ochrehoist.overload.overload_detector import SAMPLE_INTERVAL_S, OverloadDetector
 from tests.overload.overload_requests import FILING, SITE, S
 
@@ -41,7 +41,7 @@
     def test_by_priority_weight_but_no_class_starves(self):
         admitted = self.played(self.admission(1000), {("read", "a", 1): 300, ("low", "a", 1): 300})
         self.assertGreater(admitted["read", "a", 1], 85)
-        self.assertGreaterEqual(admitted["low", "a", 1], 0.9 * CLASS_MINIMUM * 100)
+        self.assertGreaterEqual(admitted["low", "a", 1], 0.9 * MIN_CLASS_FRACTION * 100)
 
     def test_a_flood_of_one_caller_or_tenant_takes_nothing_from_another(self):
         load = {("read", "a", 1): 900, ("read", "a", 2): 20, ("read", "b", 3): 20}
