--- a/ochrehoist/__init__.py
+++ b/ochrehoist/__init__.py
@@ -1,1 +1,1 @@
-"""ochrehoist: admission control inside each server of a fleet."""
+"""ochrehoist: admission control that runs inside each server of a fleet."""
--- a/ochrehoist/__main__.py
+++ b/ochrehoist/__main__.py
@@ -1,4 +1,4 @@
-"""The program's entry point; the command line is loaded only for what is not a plain `run`."""
+"""The program's entry point. A plain `run` does not import the command-line interface."""
 
 import sys
 
@@ -8,7 +8,7 @@
 
 
 def run_worker() -> int:
-    """Serves with the configuration that the environment names. Returns the exit code."""
+    """Runs a worker with the configuration that the environment names. Returns the exit code."""
     from ochrehoist.app.worker import serve
 
     try:
@@ -19,7 +19,7 @@
 
 
 def command_line() -> None:
-    """The command `ochrehoist`; ends the process."""
+    """Runs the command `ochrehoist`; ends the process."""
     if sys.argv[1:] in ([], ["run"]):
         sys.exit(run_worker())
     from ochrehoist.cli.main import main
--- a/ochrehoist/core/context.py
+++ b/ochrehoist/core/context.py
@@ -1,4 +1,4 @@
-"""What the parts of the core share: its state, and the calls that they make to each other."""
+"""The state that the parts of the core share, and the interface through which they call each other."""
 
 from __future__ import annotations
 
@@ -33,38 +33,40 @@
         Waker,
     )
 
-# So long before the process is stopped, whatever is still open is failed.
+# Requests that are still open are failed this long before the process is stopped.
 SHUTDOWN_ANSWER_MARGIN_NS = 150 * NS_PER_MS
 
-# Gives the tenants by position for a table and the number of workers of the fleet.
+# Returns the tenants by position, given a tenant table and the number of workers in the fleet.
 TenantQuotas = Callable[[TenantTable, int], tuple[Tenant, ...]]
 
 
 class CoreContext(ABC):
-    """State of the core.
+    """Shared state of the core, and the calls between its parts.
 
     Attributes:
         settings: The settings in force.
-        clock: Unix time (ns) that runs steadily.
-        wall_clock: The Unix clock (ns) as it stands, which may be set.
-        request_gauges: Asks for gauges; they come back as a GaugesMeasured message, late or never.
-        now_ns: The time of what is being handled, by `clock`.
-        controller: None until the executor is up, and once another process decides.
-        controller_healthy: What the controller says of its health.
-        kernel_connected: Whether what runs the requests is within reach.
-        standby: Whether the operators want the worker empty.
-        inherited_standby: Whether `standby` came from the process before this one.
-        healthy: What checks and reports say: it depends on `controller_healthy`, `kernel_connected`,
-            `standby` and the order to shut down.
-        load_fraction: The part of its usual load that this worker asks for; 0: none.
-        backpressure_weight_pct: The part of its usual share that the controller asks for.
-        drain_started_ns: When the order to shut down came; None before.
-        stop_ns: When the process will be stopped; None before the order.
-        executor_ready: None until the executor is up.
-        instance_started_ns: When the executor came up.
-        request_predecessor_state: Asks the process before this one for its state; None where there is none.
-        frozen: Whether this core stands still while the next process takes its state.
-        forwarder: What this core is reduced to once another process decides; None before.
+        clock: Returns Unix time (ns) that increases steadily, also when the system clock is set.
+        wall_clock: Returns the system's Unix clock (ns), which may be set while the worker runs.
+        request_gauges: Requests a measurement of the gauges. The answer is a GaugesMeasured message, which
+            may be late or never arrive.
+        now_ns: The time, by `clock`, of the message that is being handled.
+        controller: The admission controller; None until the executor is ready, and again once another
+            process decides.
+        controller_healthy: Whether the controller reports itself as healthy.
+        kernel_connected: Whether the kernel, which runs the requests, is reachable.
+        standby: Whether the operators have ordered the worker to be empty.
+        inherited_standby: Whether `standby` was taken over from the predecessor process.
+        healthy: Health as published in checks and reports. Derived from `controller_healthy`,
+            `kernel_connected`, `standby` and `drain_started_ns`.
+        load_fraction: Fraction of its usual load that this worker requests from routers; 0 for none.
+        backpressure_weight_pct: Percentage of its usual share that the controller requests.
+        drain_started_ns: When the shutdown order arrived; None before.
+        stop_ns: When the process will be stopped; None before the shutdown order.
+        executor_ready: The message that reported the executor as ready; None before.
+        instance_started_ns: When the executor became ready.
+        request_predecessor_state: Requests the state of the predecessor process; None without a predecessor.
+        frozen: Whether message handling is stopped while the successor process takes over the state.
+        forwarder: Forwards messages to the process that decides; None while this process decides.
     """
 
     def __init__(
@@ -123,39 +125,39 @@
 
     @abstractmethod
     def dispatch(self, event: Event, at_ns: int | None = None) -> bool:
-        """Gives the controller an event and carries out its actions; False after a fault of the controller.
+        """Passes an event to the controller and carries out the actions that it returns.
 
-        `at_ns` is the time of the event where that is not now.
+        `at_ns` is the time of the event; the default is now. Returns False if the controller raised.
         """
 
     @abstractmethod
     def start_controller(self, settings: AdmissionSettings) -> None:
-        """Creates a fresh controller for these settings."""
+        """Creates a new controller for these settings."""
 
     @abstractmethod
     def execute(self, request: InboundRequest) -> None:
-        """Gives the request to its executor."""
+        """Starts the request on its executor."""
 
     @abstractmethod
     def received_event(self, request: InboundRequest) -> RequestReceived:
-        """The event that tells the controller of the request."""
+        """Returns the event that announces the request to the controller."""
 
     def post(self, message: Message) -> None:
-        """Takes a message from any task, and wakes the core."""
+        """Adds a message to the inbox and wakes the core; may be called by any task."""
         self.inbox.append(message)
         self.waker.set()
 
     def index_classes(self, settings: AdmissionSettings) -> None:
-        """Learns the positions of classes in the controller's settings.
+        """Updates the positions of classes in the controller's settings.
 
-        Only its events speak of positions. Behind the classes of the settings
-        there may be removed ones that still have requests or keys.
+        Only the controller's events use positions. The classes in force come first; they may be followed by
+        removed classes that still have requests or keys.
         """
-        self.class_indices = {c.name: at for at, c in enumerate(settings.classes)}
+        self.class_indices = {c.name: index for index, c in enumerate(settings.classes)}
         self.served_classes = {c.name for c in self.settings.classes}
 
     def track(self, request: InboundRequest) -> None:
-        """Makes the request one of the core's, and sets when it must have been answered."""
+        """Adds an accepted request and sets its answer deadline."""
         self.responses.track(request)
         if not request.answered:
             due_ns = max(self.now_ns, request.arrived_ns + request.request_class.deadline_ns)
@@ -165,15 +167,15 @@
             self.deadlines.set_answer_deadline(due_ns, request.id)
 
     def reject(self, request: InboundRequest, retry_after_ns: int = NS_PER_S, no_retry: bool = False) -> None:
-        """Rejects a request that the controller never sees."""
+        """Rejects a request that was not passed to the controller."""
         self.responses.reject_untracked(request, retry_after_ns, no_retry)
 
     def fail(self, request: InboundRequest, reason: FailureReason) -> None:
-        """Fails a request that the controller never sees."""
+        """Fails a request that was not passed to the controller."""
         self.responses.fail_untracked(request, reason)
 
     def update_health(self) -> None:
-        """Notifies the listeners where the worker's health has changed."""
+        """Recomputes the worker's health and notifies the listeners if it has changed."""
         healthy = (
             self.controller_healthy
             and self.kernel_connected
@@ -185,57 +187,58 @@
             for listener in self.listeners:
                 listener.health_changed(healthy)
 
-    # Parts that can be switched on.
+    # Optional parts.
 
     def register_limiter(self, limiter: ConcurrencyLimiter) -> None:
-        """Sets what measures this worker and limits its controller."""
+        """Sets the limiter that bounds the controller's concurrency."""
         self.limiter = limiter
 
     def register_fleet_admission(self, fleet_admission: FleetAdmission) -> None:
-        """Sets what decides with the whole fleet in view."""
+        """Sets the admission check that takes the state of the whole fleet into account."""
         self.fleet_admission = fleet_admission
 
     def register_journal(self, journal: IdempotencyJournal) -> None:
-        """Lets idempotent runs go on record from now on."""
+        """Sets the journal in which idempotent runs are recorded."""
         self.idempotent_runs.register_journal(journal)
 
     def register_listener(self, listener: LifecycleListener) -> None:
-        """Adds a listener, which is notified after those added before."""
+        """Adds a listener; listeners are notified in the order in which they were added."""
         self.listeners.append(listener)
 
     def register_observer(self, observer: RequestObserver) -> None:
-        """Adds an observer of requests, which is notified after those added before."""
+        """Adds an observer of requests; observers are notified in the order in which they were added."""
         self.responses.observers.append(observer)
 
     def register_tenant_quotas(self, quotas: TenantQuotas) -> None:
-        """Lets the tenants' quotas of this worker follow what `quotas` gives."""
+        """Sets the function that computes this worker's tenant quotas."""
         self._tenant_quotas = quotas
 
     def register_predecessor(self, request_state: Callable[[], None]) -> None:
-        """Waits for the state of the process before this one.
+        """Makes the core wait for the state of the predecessor process before it creates a controller.
 
-        `request_state` is called once the executor is up, and a StateTransferred must follow.
+        `request_state` is called once the executor is ready; a StateTransferred message must follow.
         """
         self.request_predecessor_state = request_state
 
     def set_load_fraction(self, fraction: float) -> None:
-        """Sets the part of its usual load that this worker asks for."""
+        """Sets the fraction of its usual load that this worker requests from routers."""
         self.load_fraction = fraction
 
-    # What others ask of the core.
+    # State that other parts of the worker read.
 
     @property
     def controller_tenants(self) -> tuple[Tenant, ...]:
-        """Tenants by position, as the controller is told of them."""
+        """The tenants by position, with this worker's quotas."""
         if self._tenant_quotas is None:
             return self.tenants.by_position
         return self._tenant_quotas(self.tenants, self.settings.fleet_size)
 
     @property
     def ready(self) -> bool:
-        """Whether this process is to serve: its controller is up and healthy, and it is not shutting down.
+        """Whether this process can serve: its controller is up and healthy, and it is not shutting down.
 
-        One that took over on standby is ready to replace the old process, or it would never be let go.
+        A process that took over while on standby counts as ready too; otherwise the old process would never
+        be released.
         """
         if self.controller is None or self.drain_started_ns is not None or self.forwarder is not None:
             return False
@@ -245,25 +248,25 @@
 
     @property
     def decides(self) -> bool:
-        """Whether requests are decided on here and now.
+        """Whether this core decides on requests now.
 
-        They are not while another process decides, and before the controller is up.
+        False before the controller is up, while frozen, during shutdown, and while another process decides.
         """
         return self.controller is not None and not self.frozen and self.drain_started_ns is None
 
     @property
     def unanswered(self) -> int:
-        """Requests that are owed an answer here or at a process that this one decides for."""
+        """Number of unanswered requests, including those of other processes that this one decides for."""
         return self.responses.unanswered
 
     @property
     def started_cold(self) -> bool:
-        """Whether the executor said that it starts cold."""
+        """Whether the executor reported a cold start."""
         return self.executor_ready is not None and bool(self.executor_ready.cold_start)
 
     @property
     def own_unanswered(self) -> int:
-        """Requests that this process read and has not answered."""
+        """Number of requests that this process read and has not answered."""
         if self.forwarder is not None:
             return sum(not r.is_remote and not r.answered for r in self.forwarder.pending.values())
         return self.unanswered - sum(r.is_remote and not r.answered for r in self.open_requests.values())
--- a/ochrehoist/core/forwarder.py
+++ b/ochrehoist/core/forwarder.py
@@ -1,7 +1,7 @@
-"""What is left of a core whose state another process has taken over: it forwards what it is posted.
+"""Forwards the messages of a core whose state another process has taken over.
 
-The requests it read stay here, with their payloads and responders. The other process decides; this one runs
-what it is told to run, answers as it is told, and reports how runs end.
+The requests that this process read stay here, with their payloads and responders. The other process decides;
+this process runs and answers requests as instructed, and reports how runs end.
 """
 
 from __future__ import annotations
@@ -36,15 +36,15 @@
 if TYPE_CHECKING:
     from ochrehoist.core.protocols import DetailCodec
 
-# So long past its due time a request is answered here, whatever the other process does.
+# Time past its due time after which a request is failed here if the other process has not decided.
 ANSWER_GRACE_NS = 25 * NS_PER_MS
 
 
 class Forwarder:
-    """Forwards messages to the process that decides, and carries its decisions out.
+    """Forwards messages to the process that decides, and carries out its decisions.
 
     Attributes:
-        pending: Requests by id that are not answered, or still run here.
+        pending: Requests, by id, that are unanswered or still running here.
     """
 
     def __init__(
@@ -62,21 +62,21 @@
         self._log = responses.log
         self._clock = clock
         self._wall_clock = wall_clock
-        self._send: SendLine | None = send  # None: the other process is gone
+        self._send: SendLine | None = send  # None once the other process has disconnected
         self._process_end_ns: int | None = None
-        # Runs that have ended, whose answer is still to be decided.
+        # Completed runs, by request id, whose answer is not decided yet.
         self._completed: dict[str, RunCompleted] = {}
 
-    def set_process_end(self, ends_ns: int) -> None:
-        """Lets what is open then (by the core's clock) be failed, for this process ends."""
-        self._process_end_ns = ends_ns
+    def set_process_end(self, process_end_ns: int) -> None:
+        """Sets when (by the core's clock) this process ends; requests still open then are failed."""
+        self._process_end_ns = process_end_ns
 
-    # What this process's own parts post.
+    # Messages of this process.
 
     def handle_message(self, message: Message) -> None:
-        """Forwards a message of this process.
+        """Forwards a message that this process posted.
 
-        Gauges, resolved duplicates and the order to shut down concern the process that decides.
+        Gauges, resolved duplicates and shutdown orders are dropped: they concern only a core that decides.
         """
         if isinstance(message, RequestArrived):
             self._request_arrived(message.request)
@@ -98,7 +98,7 @@
         age_ns = max(0, self._wall_clock() - request.arrived_ns)
         request.due_ns = max(now_ns, now_ns - age_ns + request.request_class.deadline_ns)
         if request.id in self.pending or self._send is None:
-            # Whether a filing has run is known only to the other process: no rejection can be given.
+            # A rejection would claim that the request never ran, which only the other process knows.
             self._fail(request, FailureReason.INTERNAL)
             return
         self.pending[request.id] = request
@@ -112,7 +112,7 @@
             self._drop_if_over(request)
 
     def _intent_recorded(self, message: IntentRecorded) -> None:
-        """A filing that was on its way to the disk when the other process took over."""
+        """Handles the journal's answer for a filing that was being recorded at the time of the takeover."""
         request = self.pending.get(message.id)
         if request is None:
             return
@@ -131,12 +131,12 @@
         self._completed[message.id] = message
         self._drop_if_over(request)
 
-    # What the other process decides.
+    # Decisions of the other process.
 
     def receive(self, line: Line) -> None:
-        """Carries a decision of the other process out.
+        """Carries out a decision of the other process.
 
-        Raises KeyError, TypeError or ValueError where the line is damaged.
+        Raises KeyError, TypeError or ValueError if the line is damaged.
         """
         request = self.pending.get(line.get("id", ""))
         if line["m"] == "start":
@@ -154,7 +154,7 @@
         self._drop_if_over(request)
 
     def _start(self, request_id: str, request: InboundRequest | None) -> None:
-        if request is None:  # its caller has left: nothing is begun
+        if request is None:  # the caller has disconnected, so nothing is started
             self._forward(RunCompleted(request_id, RunResult(Outcome.NOT_STARTED), 0))
         elif not request.started:
             request.started = True
@@ -166,7 +166,7 @@
             self._run_completed(RunCompleted(request.id, RunResult(Outcome.FAILED), 0))
 
     def connection_lost(self) -> None:
-        """The other process is gone. What runs here is answered when it ends; nothing else is begun."""
+        """Handles the loss of the other process: running requests are still answered, no others started."""
         self._send = None
         for request in list(self.pending.values()):
             if request.answered:
@@ -179,7 +179,7 @@
             self._drop_if_over(request)
 
     def tick(self) -> None:
-        """Fails what is overdue."""
+        """Fails overdue requests."""
         now_ns = self._clock()
         for request in list(self.pending.values()):
             due_ns = request.due_ns + ANSWER_GRACE_NS
@@ -201,7 +201,7 @@
         self._responses.fail_untracked(request, reason)
 
     def _drop_if_over(self, request: InboundRequest) -> None:
-        """Forgets a request that is answered and does not run."""
+        """Drops a request that is answered and not running."""
         if request.answered and (not request.started or request.id in self._completed):
             self.pending.pop(request.id, None)
             self._completed.pop(request.id, None)
--- a/ochrehoist/core/handover_lines.py
+++ b/ochrehoist/core/handover_lines.py
@@ -1,8 +1,8 @@
-"""The lines by which a process hands its core over to the process that replaces it: one JSON object each.
+"""The line protocol by which a process hands its core over to its successor: one JSON object per line.
 
-Times are in ns of the clock that all processes of the machine share. What the results of executors carry for
-their own front (`detail`) is put into JSON by a codec of that side. Two releases talk to each other by these
-lines: their field names stay as they are.
+Times are in ns of the clock that all processes of the machine share. The `detail` of a result belongs to the
+executor and is converted to and from JSON by a codec. Field names are part of the protocol between releases
+and must not change.
 """
 
 from __future__ import annotations
@@ -30,9 +30,9 @@
     from ochrehoist.core.protocols import DetailCodec
 
 Line = dict[str, Any]
-SendLine = Callable[[Line], bool | None]  # False where the other process is gone
+SendLine = Callable[[Line], bool | None]  # returns False once the other process has disconnected
 
-# The fields of a request that are written as they are, by their written name.
+# Fields of a request that are written without conversion: attribute names by written name.
 PLAIN_REQUEST_FIELDS = {
     "id": "id",
     "tenant": "tenant",
@@ -48,7 +48,7 @@
 }
 
 
-# Values.
+# Conversion of values.
 
 
 def _bytes_to_json(data: bytes | None) -> str | None:
@@ -64,12 +64,12 @@
 
 
 def fingerprint_to_json(value: Fingerprint | None) -> list[str | None] | None:
-    """The fingerprint as a part of a line."""
+    """Returns the JSON value of a fingerprint."""
     return None if value is None else [_bytes_to_json(value[0]), _bytes_to_json(value[1])]
 
 
 def fingerprint_from_json(data: list[str] | None) -> Fingerprint | None:
-    """The fingerprint of a part of a line."""
+    """Returns the fingerprint for a JSON value."""
     return None if data is None else (_bytes_from_json(data[0]), _body_from_json(data[1]))
 
 
@@ -78,13 +78,13 @@
 
 
 def key_from_json(data: list[Any]) -> IdempotencyKey:
-    """The idempotency key of a part of a line."""
-    tenant, class_name, text = data
-    return tenant, class_name, text
+    """Returns the idempotency key for a JSON value."""
+    tenant, class_name, caller_key = data
+    return tenant, class_name, caller_key
 
 
 def result_to_json(result: RunResult, codec: DetailCodec) -> Line:
-    """The result as a part of a line."""
+    """Returns the JSON value of a result."""
     return {
         "outcome": OUTCOME_NAMES[result.outcome],
         "body": _bytes_to_json(result.body),
@@ -95,7 +95,7 @@
 
 
 def result_from_json(data: Line, codec: DetailCodec) -> RunResult:
-    """The result of a part of a line; raises KeyError, TypeError or ValueError where it is none."""
+    """Returns the result for a JSON value; raises KeyError, TypeError or ValueError if it is invalid."""
     return RunResult(
         OUTCOMES_BY_NAME[data["outcome"]],
         _body_from_json(data["body"]),
@@ -106,7 +106,7 @@
 
 
 def optional_result_to_json(result: RunResult | None, codec: DetailCodec) -> Line | None:
-    """The result as a part of a line, or null."""
+    """Returns the JSON value of a result, or None without one."""
     return None if result is None else result_to_json(result, codec)
 
 
@@ -115,8 +115,11 @@
 
 
 def request_to_json(request: InboundRequest, arrived_ns: int) -> Line:
-    """All but what stays with the process that read it: its payload, responder and executor."""
-    return {written: getattr(request, field) for written, field in PLAIN_REQUEST_FIELDS.items()} | {
+    """Returns the fields of a request's line.
+
+    The payload, responder and executor stay in the process that read the request.
+    """
+    return {name: getattr(request, field) for name, field in PLAIN_REQUEST_FIELDS.items()} | {
         "cls": class_to_json(request.request_class),
         "arrived": arrived_ns,
         "token": request.idempotency_key,
@@ -127,14 +130,14 @@
 def request_from_json(
     data: Line, remote: RemoteRequestOwner, classes: dict[str, RequestClass]
 ) -> InboundRequest:
-    """The request of a line, which `remote` answers and runs.
+    """Returns the request of a line; `remote` answers and runs it.
 
-    Raises KeyError, TypeError or ValueError where the line has none. `classes`: those known here by name; a
-    class that is not among them is as the line says.
+    `classes` are this process's classes by name; a class that is not among them is read from the line.
+    Raises KeyError, TypeError or ValueError if the line is invalid.
     """
-    known = classes.get(data["cls"]["name"])
+    local_class = classes.get(data["cls"]["name"])
     return InboundRequest(
-        request_class=known or class_from_json(data["cls"]),
+        request_class=local_class or class_from_json(data["cls"]),
         arrived_ns=int(data["arrived"]),
         payload=None,
         responder=remote,
@@ -142,23 +145,23 @@
         idempotency_key=_optional_key_from_json(data["token"]),
         fingerprint=fingerprint_from_json(data["fingerprint"]),
         is_remote=True,
-        **{field: data[written] for written, field in PLAIN_REQUEST_FIELDS.items()},
+        **{field: data[name] for name, field in PLAIN_REQUEST_FIELDS.items()},
     )
 
 
-# From the process that decides to the one that read the requests.
+# Decisions, sent by the process that decides to the process that read the requests.
 
 
 @dataclass(slots=True, frozen=True)
 class StartDecided:
-    """Run the request."""
+    """Decision to run a request."""
 
     id: str
 
 
 @dataclass(slots=True, frozen=True)
 class ResultDecided:
-    """Answer the request with this result."""
+    """Decision to answer a request with a result."""
 
     id: str
     result: RunResult
@@ -166,7 +169,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RejectionDecided:
-    """Reject the request."""
+    """Decision to reject a request."""
 
     id: str
     retry_after_ns: int
@@ -175,7 +178,7 @@
 
 @dataclass(slots=True, frozen=True)
 class FailureDecided:
-    """Fail the request."""
+    """Decision to fail a request; `result` is that of its run, if it has ended."""
 
     id: str
     reason: FailureReason
@@ -186,7 +189,7 @@
 
 
 def decision_to_json(decision: Decision, codec: DetailCodec) -> Line:
-    """The line of a decision."""
+    """Returns the line for a decision."""
     match decision:
         case StartDecided(request_id):
             return {"m": "start", "id": request_id}
@@ -204,9 +207,9 @@
 
 
 def decision_from_json(line: Line, codec: DetailCodec) -> Decision | None:
-    """The decision of a line; None where it is of an unknown kind.
+    """Returns the decision of a line; None if the line is of an unknown kind.
 
-    Raises KeyError, TypeError or ValueError where a known one is damaged.
+    Raises KeyError, TypeError or ValueError if a line of a known kind is damaged.
     """
     kind = line["m"]
     if kind == "start":
@@ -222,7 +225,7 @@
 
 
 class RemoteRequestOwner:
-    """Responder and Executor of a request that another process read: that one answers it, and runs it."""
+    """Responder and Executor of a request that another process read: delegates both to that process."""
 
     def __init__(self, request_id: str, send: SendLine, codec: DetailCodec) -> None:
         self.id = request_id
@@ -230,47 +233,47 @@
         self._codec = codec
 
     def sends_through(self, send: SendLine) -> bool:
-        """Whether `send` is how the other process is reached."""
+        """Returns whether decisions go to the process behind `send`."""
         return self._send == send
 
     def _send_decision(self, decision: Decision) -> bool | None:
         return self._send(decision_to_json(decision, self._codec))
 
     def served(self, result: RunResult) -> bool:
-        """Lets the other process answer with the result."""
+        """Instructs the other process to answer with the result."""
         self._send_decision(ResultDecided(self.id, result))
         return True
 
     def rejected(self, retry_after_ns: int, no_retry: bool) -> None:
-        """Lets the other process reject the request."""
+        """Instructs the other process to reject the request."""
         self._send_decision(RejectionDecided(self.id, retry_after_ns, no_retry))
 
     def failed(self, reason: FailureReason, result: RunResult | None = None) -> None:
-        """Lets the other process fail the request."""
+        """Instructs the other process to fail the request."""
         self._send_decision(FailureDecided(self.id, reason, result))
 
     def origin(self) -> tuple[str, str]:
-        """Not known here."""
+        """Returns empty texts: the origin is known only to the other process."""
         return "", ""
 
     def start(self, request: InboundRequest) -> None:
-        """Lets the other process run the request.
+        """Instructs the other process to run the request.
 
-        Raises RequestOwnerDisconnectedError where that process is gone.
+        Raises RequestOwnerDisconnectedError if that process has disconnected.
         """
         if self._send_decision(StartDecided(self.id)) is False:
             raise RequestOwnerDisconnectedError(request.id)
 
 
-# From the process that read the requests to the one that decides: messages to the core.
+# Messages, sent by the process that read the requests to the core of the process that decides.
 
 ForwardedMessage = RequestArrived | CallerDisconnected | RunCompleted | StandbyChanged
 
 
 def message_to_json(message: ForwardedMessage, codec: DetailCodec) -> Line:
-    """The line of a message that the other process is to handle.
+    """Returns the line for a message that the other process must handle.
 
-    A request's arrival is by the Unix clock.
+    The arrival time of a request is Unix time.
     """
     match message:
         case RequestArrived(request):
@@ -291,10 +294,10 @@
 def message_from_json(
     line: Line, send: SendLine, codec: DetailCodec, classes: Iterable[RequestClass]
 ) -> ForwardedMessage | None:
-    """The message of a line; None where it is of an unknown kind.
+    """Returns the message of a line; None if the line is of an unknown kind.
 
-    Raises KeyError, TypeError or ValueError where a known one is damaged. `send` reaches the process that
-    read the request; `classes`: those known here.
+    `send` sends lines to the process that read the request; `classes` are this process's classes. Raises
+    KeyError, TypeError or ValueError if a line of a known kind is damaged.
     """
     kind = line["m"]
     if kind == "arrived":
--- a/ochrehoist/core/handover_snapshot.py
+++ b/ochrehoist/core/handover_snapshot.py
@@ -1,6 +1,6 @@
-"""A core's snapshot as lines: one JSON object each, to the process that replaces this one.
+"""Writes and reads a core's snapshot as lines of the handover protocol: one JSON object per line.
 
-Two releases talk to each other by these lines: their field names stay as they are.
+Field names are part of the protocol between releases and must not change.
 """
 
 from __future__ import annotations
@@ -36,13 +36,13 @@
 if TYPE_CHECKING:
     from ochrehoist.core.protocols import DetailCodec
 
-SNAPSHOT_FORMAT_VERSION = 1  # of these lines
+SNAPSHOT_FORMAT_VERSION = 1
 
 
 def snapshot_lines(snapshot: CoreSnapshot, clock_offset_ns: int, codec: DetailCodec) -> Iterator[Line]:
-    """The snapshot as lines.
+    """Yields the lines of the snapshot.
 
-    `clock_offset_ns` is what the core's clock has over the one that all processes share.
+    `clock_offset_ns` is the core's clock minus the clock that all processes of the machine share.
     """
     yield {
         "m": "state",
@@ -87,7 +87,7 @@
 
 
 class SnapshotReader:
-    """Builds a snapshot of lines, and checks each; it is complete once `done`."""
+    """Validates lines and builds a snapshot from them; `done` is set once the snapshot is complete."""
 
     def __init__(
         self,
@@ -115,7 +115,7 @@
         self.snapshot = CoreSnapshot(idempotency=IdempotencyTable(0, max_result_bytes))
 
     def read(self, line: Line) -> None:
-        """Takes one line in; raises InvalidStateError where it is damaged or of another layout."""
+        """Reads one line; raises InvalidStateError if it is damaged or of an unsupported format."""
         try:
             self._reader(line["m"])(line)
         except InvalidStateError:
--- a/ochrehoist/core/idempotency_table.py
+++ b/ochrehoist/core/idempotency_table.py
@@ -1,6 +1,6 @@
-"""Filings by their idempotency key: which attempt holds the key, which one ran, and what came of it.
+"""Table of filings by idempotency key: the attempt that holds the key, the one that ran, and its result.
 
-Guards the rule that a filing never runs twice, whichever front its attempts come by.
+It enforces that a filing never runs twice, even if its attempts arrive at different fronts.
 """
 
 from collections import OrderedDict
@@ -9,14 +9,15 @@
 from ochrehoist.core.request import Fingerprint, IdempotencyKey
 from ochrehoist.core.results import RunResult
 
-# A run stays known for so long beyond its window: times come in whole ms, and two clocks are read for each,
-# one after the other, by a process that may be stopped in between. A result given too long harms nobody.
+# Time for which a run is kept beyond its window. It covers the error of arrival times, which are rounded to
+# ms and derived from two clocks that are read one after the other, possibly with a pause of the process in
+# between. Serving a result for longer than the window is harmless.
 WINDOW_MARGIN_NS = 100_000_000
 
 
 @dataclass(slots=True, frozen=True)
 class IdempotencyRecord:
-    """The attempt that holds a key, whether or not it runs."""
+    """The attempt that holds a key, whether or not it has been started."""
 
     request_id: str
     expires_ns: int
@@ -29,14 +30,14 @@
 
     Attributes:
         id: Id of that attempt.
-        window_end_ns: The window counts from that attempt's arrival, and ends a margin later.
-        fingerprint: Of its content, where known.
-        result: None until it ended, and again once it was evicted.
-        result_evicted: The result took too much memory; the run itself is never forgotten early.
-        result_stored: The result is on record, and can be fetched from there.
-        begun: Given to its executor, once on record; meaningless without a journal.
-        restored: Of before a restart, and the controller has not been told of it.
-        waiters: Ids of attempts that wait for its result.
+        window_end_ns: End of the idempotency window, which starts with the attempt's arrival, plus a margin.
+        fingerprint: Fingerprint of its content; None if unknown.
+        result: The result; None until the run has ended, and again after eviction.
+        result_evicted: Whether the result was evicted to save memory; the run itself is kept.
+        result_stored: Whether the result is in the journal and can be fetched from it.
+        begun: Whether the run was recorded and started on its executor; unused without a journal.
+        restored: Whether the run dates from before a restart and the controller has not adopted it yet.
+        waiters: Ids of duplicates that wait for the result.
     """
 
     id: str
@@ -51,7 +52,7 @@
 
     @property
     def has_ended(self) -> bool:
-        """Whether it has ended, with its result at hand or evicted."""
+        """Whether the run has ended; its result is available or was evicted."""
         return self.result is not None or self.result_evicted
 
 
@@ -59,9 +60,9 @@
     """Records and runs by idempotency key.
 
     Attributes:
-        read_delay_ns: How long after its arrival an attempt may still be read.
-        max_bytes: Memory for results; the oldest are evicted beyond it.
-        bytes: Memory that results take now.
+        read_delay_ns: Maximum time between the arrival of an attempt and its reading.
+        max_bytes: Maximum memory for results; beyond it the oldest results are evicted.
+        bytes: Memory that results use now.
         records: The attempt that holds each key.
         runs: The attempt that ran for each key.
     """
@@ -73,13 +74,13 @@
         self.records: dict[IdempotencyKey, IdempotencyRecord] = {}
         self.runs: dict[IdempotencyKey, IdempotentRun] = {}
         self._keys_by_holder: dict[str, IdempotencyKey] = {}
-        # Sizes of the results that are kept, oldest first.
+        # Sizes (bytes) of the results in memory, oldest first.
         self._result_sizes: OrderedDict[IdempotencyKey, int] = OrderedDict()
 
     def original_request_id(self, key: IdempotencyKey, arrived_ns: int) -> str | None:
-        """The id of the attempt that one which arrived then duplicates.
+        """Returns the id of the attempt that an attempt with this arrival time duplicates, if any.
 
-        It is judged by its arrival, however late it is read.
+        Expiry is compared with the time of arrival, not with the possibly later time of reading.
         """
         record = self.records.get(key)
         if record is not None and arrived_ns <= record.expires_ns:
@@ -88,29 +89,29 @@
         return run.id if run is not None and arrived_ns <= run.window_end_ns else None
 
     def has_same_content(self, key: IdempotencyKey, arrived_ns: int, fingerprint: Fingerprint | None) -> bool:
-        """False where the key stands for other content, as far as both are known."""
+        """Returns False if the key belongs to different content; True where a fingerprint is unknown."""
         record = self.records.get(key)
-        expires_ns, known = (0, None) if record is None else (record.expires_ns, record.fingerprint)
+        expires_ns, original = (0, None) if record is None else (record.expires_ns, record.fingerprint)
         run = self.runs.get(key)
         if run is not None and arrived_ns <= run.window_end_ns:
             expires_ns = run.window_end_ns
-            known = known or run.fingerprint
-        if arrived_ns > expires_ns or known is None or fingerprint is None:
+            original = original or run.fingerprint
+        if arrived_ns > expires_ns or original is None or fingerprint is None:
             return True
-        # Only one wire tells a target: there it counts, the body counts everywhere.
-        targets = {known[0], fingerprint[0]} - {None}
-        return known[1] == fingerprint[1] and len(targets) < 2
+        # Bodies are always compared; targets only if both are known, as only one wire protocol has them.
+        targets = {original[0], fingerprint[0]} - {None}
+        return original[1] == fingerprint[1] and len(targets) < 2
 
     def retain(
         self, key: IdempotencyKey, request_id: str, expires_ns: int, fingerprint: Fingerprint | None
     ) -> None:
-        """Makes the attempt the holder of its key."""
+        """Makes the attempt the holder of its key until `expires_ns`."""
         self._drop_record(key)
         self.records[key] = IdempotencyRecord(request_id, expires_ns, fingerprint)
         self._keys_by_holder[request_id] = key
 
     def release(self, request_id: str) -> None:
-        """Drops the record that the attempt holds, if any."""
+        """Releases the key that the attempt holds, if any."""
         key = self._keys_by_holder.get(request_id)
         if key is not None:
             self._drop_record(key)
@@ -121,19 +122,25 @@
             del self._keys_by_holder[record.request_id]
 
     def may_run(self, key: IdempotencyKey, arrived_ns: int) -> bool:
-        """Whether no run of the filing is known whose window covers that arrival, or that is not over."""
+        """Returns whether an attempt with this arrival time may run.
+
+        It may not while another run of the filing is in progress, or if it arrived within the window of one.
+        """
         run = self.runs.get(key)
         return run is None or (arrived_ns > run.window_end_ns and run.has_ended)
 
     def run_started(
         self, key: IdempotencyKey, request_id: str, window_end_ns: int, fingerprint: Fingerprint | None
     ) -> None:
-        """Remembers that the attempt runs; it replaces an earlier run of the same key."""
+        """Adds the run of an attempt; it replaces an earlier run of the same key."""
         self._drop_result(key)
         self.runs[key] = IdempotentRun(request_id, window_end_ns + WINDOW_MARGIN_NS, fingerprint)
 
     def remove_unstarted_run(self, key: IdempotencyKey, request_id: str) -> list[str]:
-        """Takes back a run that was never begun: a later attempt may run. Returns the ids that waited."""
+        """Removes a run that was not started, so that a later attempt may run.
+
+        Returns the ids of the duplicates that waited for it.
+        """
         run = self.runs.get(key)
         if run is None or run.id != request_id:
             return []
@@ -143,7 +150,7 @@
     def run_ended(
         self, key: IdempotencyKey, request_id: str, result: RunResult, size_bytes: int
     ) -> list[str]:
-        """Keeps the result of a run and returns the ids of the attempts that waited for it."""
+        """Stores the result of a run and returns the ids of the duplicates that waited for it."""
         run = self.runs.get(key)
         if run is None or run.id != request_id:
             return []
@@ -156,7 +163,7 @@
         return waiters
 
     def _evict_results(self) -> None:
-        """Drops the oldest results while they take too much memory; their runs stay known."""
+        """Evicts the oldest results while results exceed `max_bytes`; their runs are kept."""
         while self.bytes > self.max_bytes:
             oldest = next(iter(self._result_sizes))
             self.runs[oldest].result_evicted = True
@@ -168,7 +175,10 @@
             self.runs[key].result = None
 
     def expire(self, now_ns: int) -> list[IdempotencyKey]:
-        """Forgets what no attempt that can still be read would name; returns the keys of expired runs."""
+        """Removes records and runs that no attempt still to be read can refer to.
+
+        Returns the keys of the removed runs.
+        """
         oldest_arrival_ns = now_ns - self.read_delay_ns
         for key in [k for k, record in self.records.items() if record.expires_ns < oldest_arrival_ns]:
             self._drop_record(key)
--- a/ochrehoist/core/idempotent_runs.py
+++ b/ochrehoist/core/idempotent_runs.py
@@ -1,4 +1,4 @@
-"""Idempotent runs through the journal: none begins before it is on record, and what was is known again."""
+"""Runs of filings with a journal: a run starts only once recorded, and is restored after a restart."""
 
 from __future__ import annotations
 
@@ -26,11 +26,11 @@
 if TYPE_CHECKING:
     from ochrehoist.core.protocols import IdempotencyJournal, Logger
 
-RESULT_OVERHEAD_BYTES = 600  # that one remembered run takes beyond its result
+RESULT_OVERHEAD_BYTES = 600  # memory of one run in the table, without its result
 
 
 class Core(Protocol):
-    """What idempotent runs need of the core that they belong to."""
+    """Interface of the core that idempotent runs use."""
 
     idempotency: IdempotencyTable
     open_requests: dict[str, InboundRequest]
@@ -42,41 +42,44 @@
     log: Logger
 
     def dispatch(self, event: Event, at_ns: int | None = None) -> bool:
-        """Gives the controller an event and carries out its actions."""
+        """Passes an event to the controller and carries out the actions that it returns."""
         ...
 
     def post(self, message: Message) -> None:
-        """Takes a message for later."""
+        """Adds a message to the core's inbox."""
         ...
 
     def execute(self, request: InboundRequest) -> None:
-        """Gives the request to its executor."""
+        """Starts the request on its executor."""
         ...
 
     def reject(self, request: InboundRequest, retry_after_ns: int = NS_PER_S, no_retry: bool = False) -> None:
-        """Rejects a request that the controller never sees."""
+        """Rejects a request that was not passed to the controller."""
         ...
 
     def fail(self, request: InboundRequest, reason: FailureReason) -> None:
-        """Fails a request that the controller never sees."""
+        """Fails a request that was not passed to the controller."""
         ...
 
 
 class IdempotentRuns:
-    """The core's dealings with its journal; without one, idempotent runs are as safe as the process."""
+    """Runs of filings, recorded in a journal if there is one; without one, a restart forgets them."""
 
     def __init__(self, core: Core) -> None:
         self._core = core
         self._journal: IdempotencyJournal | None = None
-        # What was learned before, for a controller that is not up yet.
+        # Learned state from the store, kept until the controller is up.
         self._learned_state: LearnedState | None = None
 
     def register_journal(self, journal: IdempotencyJournal) -> None:
-        """Lets runs go on record from now on."""
+        """Sets the journal in which runs are recorded."""
         self._journal = journal
 
     def try_answer_on_arrival(self, request: InboundRequest) -> bool:
-        """Answers a filing that can't go on record now, unless another attempt is known; whether it did."""
+        """Answers a filing that the journal cannot record now, unless another attempt of it is known.
+
+        Returns whether the filing was answered.
+        """
         core = self._core
         key = request.idempotency_key
         if self._journal is None or key is None:
@@ -93,14 +96,17 @@
         return True
 
     def begin(self, request: InboundRequest) -> None:
-        """Runs it once it is on record, which an IntentRecorded reports."""
+        """Records the intent to run the request; the run starts when an IntentRecorded message arrives.
+
+        Without a journal the run starts at once.
+        """
         if self._journal is None or request.idempotency_key is None:
             self._core.execute(request)
         else:
             self._journal.begin(request, self._core.idempotency.runs[request.idempotency_key])
 
     def intent_recorded(self, message: IntentRecorded) -> None:
-        """Begins a run that is on record, or takes it back."""
+        """Starts a run whose intent is recorded, or cancels it if it could not be recorded."""
         core = self._core
         request = self._core.open_requests.get(message.id)
         if request is None or request.idempotency_key is None:
@@ -111,13 +117,13 @@
         if message.recorded and (not request.answered or run.waiters):
             run.begun = True
             core.execute(request)
-        else:  # nobody waits for it any more, or it can't be put on record: it was never begun
+        else:  # it could not be recorded, or no caller waits for it any more
             self._cancel_unstarted_run(request, request.idempotency_key, message.retry_after_ns)
 
     def _cancel_unstarted_run(
         self, request: InboundRequest, key: IdempotencyKey, retry_after_ns: int
     ) -> None:
-        """Rejects a run that was never begun, and the duplicates that wait for it."""
+        """Removes a run that was not started; rejects its request and the duplicates that wait for it."""
         core = self._core
         waiters = core.idempotency.remove_unstarted_run(key, request.id)
         if self._journal is not None:
@@ -130,7 +136,7 @@
                 core.dispatch(RequestCompleted(request_id, Outcome.NOT_STARTED, 0))
 
     def run_ended(self, request: InboundRequest, key: IdempotencyKey, result: RunResult) -> None:
-        """Keeps the result of a run, and gives it to the duplicates that wait for it."""
+        """Stores the result of a run and answers the duplicates that wait for it."""
         core = self._core
         if result.outcome in NEVER_RAN:
             waiters = core.idempotency.remove_unstarted_run(key, request.id)
@@ -146,7 +152,7 @@
             core.post(DuplicateResolved(waiter, result))
 
     def attach(self, request: InboundRequest) -> None:
-        """Gives a duplicate the result of the run that it duplicates, at once or when it is there."""
+        """Answers a duplicate with the result of the run that it duplicates, now or once the run ends."""
         core = self._core
         key = request.idempotency_key
         request.attached_ns = core.now_ns
@@ -157,24 +163,24 @@
             core.post(DuplicateResolved(request.id, run.result))
         elif run is not None and run.result_stored and self._journal is not None and key is not None:
             self._journal.fetch(key, request.id)
-        else:  # a run whose result was evicted, or never known, can't be served again, only failed
+        else:  # the result was evicted or never known, so the duplicate can only fail
             core.post(DuplicateResolved(request.id, RunResult(Outcome.FAILED)))
 
     def expire(self) -> None:
-        """Forgets runs whose window is over, here and on record."""
+        """Removes runs whose window has ended from the table and the journal."""
         for key in self._core.idempotency.expire(self._core.now_ns):
             if self._journal is not None:
                 self._journal.drop(key)
 
     def restore(self, message: StateRestored) -> None:
-        """Adopts what was on record; what has come since takes precedence."""
+        """Adopts the runs and learned state read from the store; runs added since take precedence."""
         message.runs.update(self._core.idempotency.runs)
         self._core.idempotency.runs = message.runs
         self._learned_state = message.learned_state
         self.restore_learned_state()
 
     def restore_learned_state(self) -> None:
-        """Gives the controller what was learned before, as soon as there is one."""
+        """Restores the learned state from the store into the controller, once the controller is up."""
         controller = self._core.controller
         if self._learned_state is None or controller is None:
             return
@@ -182,13 +188,13 @@
         self._learned_state = None
         try:
             learned_state.restore(controller, learned, self._core.now_ns, self._core.tenants.positions)
-        except Exception:  # it learns anew
+        except Exception:  # the controller then starts without learned state
             self._core.log.exception("learned_state_not_restored", source="store")
 
     def adopt_if_restored(self, key: IdempotencyKey) -> None:
-        """Tells the controller of a run of before a restart, now that it is asked for.
+        """Makes the controller adopt a run from before a restart when an attempt of it arrives.
 
-        All of them at once would take too long.
+        Adopting all restored runs at once would take too long.
         """
         run = self._core.idempotency.runs.get(key)
         if run is not None and run.restored:
@@ -196,7 +202,7 @@
             self.adopt(key, run)
 
     def adopt(self, key: IdempotencyKey, run: IdempotentRun) -> None:
-        """Tells the controller of a run that it did not start."""
+        """Makes the controller adopt a run that it did not start."""
         core = self._core
         if core.controller is None:
             return
--- a/ochrehoist/core/kernel_link_monitor.py
+++ b/ochrehoist/core/kernel_link_monitor.py
@@ -1,28 +1,31 @@
-"""When a worker counts as cut off from what runs its requests, and when it reads its configuration again.
+"""Decides when a worker without a kernel link is unhealthy, and when it reloads its configuration.
 
-A worker that cannot run anything takes requests all the same and fails each at its due time, while routers
-that choose by how little is in flight send it more. So it reports itself unhealthy, and reads its
-configuration again: an order to do so may never have come, or may have met a file that could not be used.
+A worker that has lost the kernel accepts requests and fails each at its due time. Routers that prefer workers
+with few requests in flight would send it even more. So it reports itself as unhealthy, and reloads its
+configuration, which may hold a new address: the reload signal may have been lost, or the file may have been
+invalid at that time.
 """
 
 from dataclasses import dataclass
 
-DISCONNECT_GRACE_S = 2.0  # without a link: a move to another address and a broken link take far less
-# Between two reads of the configuration: doubled each time up to the longest.
+# Time without a link after which the worker is unhealthy. Reconnecting, also to another address, takes far
+# less.
+DISCONNECT_GRACE_S = 2.0
+# The interval between reloads of the configuration starts with the first value and doubles up to the second.
 FIRST_RELOAD_INTERVAL_S = 1.0
 MAX_RELOAD_INTERVAL_S = 10.0
 
 
 @dataclass(slots=True, frozen=True)
 class KernelLinkStatus:
-    """What the link's state means now."""
+    """Health and reload decision derived from the state of the link."""
 
-    healthy: bool  # requests can be run, or may be again in a moment
-    reload_due: bool = False  # the configuration should be read now
+    healthy: bool  # the link is up, or has been down for less than the grace period
+    reload_due: bool = False  # the configuration must be reloaded now
 
 
 class KernelLinkMonitor:
-    """Fed with the link's state now and then (times in seconds, of one clock that never goes back)."""
+    """Evaluates periodic reports of the link's state. Times are seconds of one monotonic clock."""
 
     def __init__(self, disconnect_grace_s: float = DISCONNECT_GRACE_S) -> None:
         self._disconnect_grace_s = disconnect_grace_s
@@ -32,13 +35,13 @@
         self._address: object = None
 
     def evaluate(self, now_s: float, connected: bool, address: object) -> KernelLinkStatus:
-        """Takes the link's state in, and says what it means.
+        """Returns what follows from the link's state.
 
         Args:
             now_s: The time of this state.
             connected: Whether the link is up.
-            address: Where the link is tried: another one is given its own time to answer. The worker stays
-                cut off meanwhile: only a link that is up makes it healthy again.
+            address: The address that the worker tries to reach. A changed address delays the next reload, so
+                that the link can be set up; the worker becomes healthy again only once the link is up.
         """
         if connected:
             self._down_since_s = None
--- a/ochrehoist/core/message_handlers.py
+++ b/ochrehoist/core/message_handlers.py
@@ -1,4 +1,4 @@
-"""How the core takes in each message that other tasks post to it."""
+"""Handlers for the messages that other tasks post to the core, one for each type of message."""
 
 from collections.abc import Callable
 from typing import Any
@@ -30,12 +30,13 @@
 
 
 def executor_ready(core: CoreContext, message: ExecutorReady) -> None:
-    """Creates the controller, or asks the process before this one for its state first."""
+    """Creates the controller, or first requests the state of the predecessor process if there is one."""
     if core.controller is not None or core.executor_ready is not None:
         return
     core.executor_ready = message
     core.instance_started_ns = core.now_ns - message.age_ns
-    if core.request_predecessor_state is not None:  # it may have keys: nothing is decided without them
+    if core.request_predecessor_state is not None:
+        # The predecessor may hold idempotency keys, so no request is decided on before they are known.
         core.request_predecessor_state()
     else:
         core.start_controller(core.settings)
@@ -44,14 +45,14 @@
 def request_arrived(core: CoreContext, message: RequestArrived) -> None:
     """Accepts a request and lets the controller decide on it, or answers it at once."""
     request = message.request
-    if core.controller is None:  # nothing ran: the controller is not up
+    if core.controller is None:  # no request runs before the controller is up
         core.reject(request)
         return
-    if request.id in core.open_requests:  # an id that comes twice while the first is open
+    if request.id in core.open_requests:  # the id is in use by an open request
         core.fail(request, FailureReason.INTERNAL)
         return
-    # Told by the Unix clock, which may have been set since the start: only its distance from now counts.
-    # A time to come would put off the due time, and the window.
+    # The arrival is Unix time, which may have been set since the process started, so only the age is used.
+    # The age is not negative: an arrival in the future would extend the deadline and the window.
     request.arrived_ns = core.now_ns - max(0, core.wall_clock() - request.arrived_ns)
     for observer in core.responses.observers:
         observer.request_arrived(request)
@@ -62,7 +63,7 @@
 
 
 def caller_disconnected(core: CoreContext, message: CallerDisconnected) -> None:
-    """Tells the controller that nobody waits for the request any more."""
+    """Marks the request as abandoned by its caller and notifies the controller."""
     request = core.open_requests.get(message.id)
     if request is None:
         return
@@ -71,14 +72,14 @@
 
 
 def run_completed(core: CoreContext, message: RunCompleted) -> None:
-    """Answers the request, and the duplicates that wait for the same result."""
+    """Answers the request and the duplicates that wait for the same result."""
     request = core.open_requests.pop(message.id, None)
     outcome = message.result.outcome
-    if request is None:  # the controller let it go before, or never knew that it was over
+    if request is None:  # closed before; the controller may still count it as running
         core.dispatch(RequestCompleted(message.id, outcome, message.duration_ns))
         return
     duration_ns = message.duration_ns
-    if request.started_ns:  # what was held back never counted as running
+    if request.started_ns:  # otherwise it was never counted as running
         if core.limiter is not None:
             duration_ns = core.limiter.run_ended(request, core.now_ns, message.duration_ns, outcome)
         if core.fleet_admission is not None:
@@ -101,20 +102,20 @@
 
 
 def gauges_measured(core: CoreContext, message: GaugesMeasured) -> None:
-    """Fires the timers that waited for the gauges."""
+    """Updates the gauges and fires the timers that waited for them."""
     core.gauges = message.values
     fire_due_timers(core)
 
 
 def fire_due_timers(core: CoreContext) -> None:
-    """Fires all due timers of the controller; a timer that met a fault is set again."""
+    """Fires all due timers of the controller; a timer on which the controller fails is set again."""
     for timer_id in core.deadlines.pop_due_timers():
         if not core.dispatch(TimerFired(timer_id, dict(core.gauges))):
             core.deadlines.set_timer(core.now_ns + REARM_DELAY_NS, timer_id)
 
 
 def shutdown_requested(core: CoreContext, message: ShutdownRequested) -> None:
-    """Starts to drain: what is open must be answered before the process is stopped."""
+    """Starts the drain: open requests must be answered before the process is stopped."""
     if core.drain_started_ns is not None:
         return
     core.drain_started_ns = core.now_ns - message.age_ns
@@ -130,7 +131,7 @@
 
 
 def standby_changed(core: CoreContext, message: StandbyChanged) -> None:
-    """Reports the worker as unhealthy while the operators want it empty."""
+    """Reports the worker as unhealthy while it is on standby."""
     core.inherited_standby = False
     if message.enabled != core.standby:
         core.standby = message.enabled
@@ -139,13 +140,13 @@
 
 
 def kernel_link_changed(core: CoreContext, message: KernelLinkChanged) -> None:
-    """Reports the worker as unhealthy while it cannot run anything."""
+    """Reports the worker as unhealthy while the kernel is unreachable."""
     core.kernel_connected = message.connected
     core.update_health()
 
 
 def state_transferred(core: CoreContext, message: StateTransferred) -> None:
-    """Goes on from the state of the process before this one, or from nothing."""
+    """Creates the controller from the state of the predecessor process, or a new one without state."""
     core.request_predecessor_state = None
     if core.controller is not None:
         return
@@ -158,19 +159,20 @@
 
 
 def intent_recorded(core: CoreContext, message: IntentRecorded) -> None:
-    """Begins a filing that is on record."""
+    """Starts a filing whose intent is recorded, or rejects it if it could not be recorded."""
     core.idempotent_runs.intent_recorded(message)
 
 
 def state_restored(core: CoreContext, message: StateRestored) -> None:
-    """Adopts what was on record before a restart."""
+    """Adopts the runs and learned state that were recorded before a restart."""
     core.idempotent_runs.restore(message)
 
 
 def answer_overdue_request(core: CoreContext, request_id: str) -> None:
-    """Fails a request whose last moment has come, if it is still owed an answer.
+    """Fails a request whose deadline has passed, if it is unanswered.
 
-    The controller should have: there was a fault, or its timer came late.
+    The controller fails requests at their deadline itself, so this is needed only after a fault or if its
+    timer was late.
     """
     request = core.open_requests.get(request_id)
     if request is None or request.answered:
@@ -182,7 +184,10 @@
 
 
 def release_slot(core: CoreContext, request: InboundRequest) -> None:
-    """After a fault the controller may count as running what was never started: its slot is given back."""
+    """Releases the slot of a request that was not started but that the controller may count as running.
+
+    The two can differ after a fault of the controller.
+    """
     if not request.started:
         core.post(RunCompleted(request.id, RunResult(Outcome.NOT_STARTED), 0))
 
--- a/ochrehoist/core/messages.py
+++ b/ochrehoist/core/messages.py
@@ -1,4 +1,4 @@
-"""What other tasks post to the core: each message says what happened, and to what."""
+"""Messages that other tasks post to the core."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -13,10 +13,10 @@
 
 @dataclass(slots=True)
 class ExecutorReady:
-    """The executor is up: the controller can be created."""
+    """The executor is ready, so the controller can be created."""
 
-    cold_start: bool | None  # None: as the settings say
-    age_ns: int  # how long ago it came up
+    cold_start: bool | None  # None: the settings decide
+    age_ns: int  # time since the executor became ready
 
 
 @dataclass(slots=True)
@@ -28,15 +28,15 @@
 
 @dataclass(slots=True)
 class CallerDisconnected:
-    """The caller of a request waits no longer."""
+    """The caller of a request no longer waits for the answer."""
 
     id: str
-    gave_up: bool = True  # False where its connection was lost
+    gave_up: bool = True  # False if its connection was lost
 
 
 @dataclass(slots=True)
 class RunCompleted:
-    """The executor's run of a request ended."""
+    """The executor has ended the run of a request."""
 
     id: str
     result: RunResult
@@ -45,7 +45,7 @@
 
 @dataclass(slots=True)
 class DuplicateResolved:
-    """A duplicate that waited for, or found, the result of the run that it duplicates."""
+    """The result for a duplicate, from the run that it duplicates."""
 
     id: str
     result: RunResult
@@ -53,31 +53,31 @@
 
 @dataclass(slots=True)
 class GaugesMeasured:
-    """Gauges of the executor, as they were asked for."""
+    """Gauges of the executor, measured on request."""
 
     values: dict[str, float] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
 class ShutdownRequested:
-    """The process is to end."""
+    """The process was ordered to shut down."""
 
-    remaining_ns: int
-    age_ns: int = 0  # how long ago, at the most, the order came
+    remaining_ns: int  # time until the process is stopped
+    age_ns: int = 0  # maximum time since the order arrived
 
 
 @dataclass(slots=True)
 class StandbyChanged:
-    """The operators empty the worker, or take that back: checks turn bad, and nothing else changes."""
+    """The operators set or cleared standby, which affects only the health that the worker reports."""
 
     enabled: bool
 
 
 @dataclass(slots=True)
 class IntentRecorded:
-    """Whether a filing that was to begin is on record.
+    """The journal's answer to the intent to run a filing.
 
-    If not, it is rejected and may come again after `retry_after_ns`.
+    A filing whose intent was not recorded is rejected with `retry_after_ns`.
     """
 
     id: str
@@ -87,7 +87,7 @@
 
 @dataclass(slots=True)
 class StateRestored:
-    """What was on record: runs by idempotency key, and the learned state."""
+    """State read from the store: runs by idempotency key, and the learned state."""
 
     runs: dict[IdempotencyKey, IdempotentRun]
     learned_state: LearnedState | None
@@ -95,22 +95,22 @@
 
 @dataclass(slots=True)
 class KernelLinkChanged:
-    """Whether what runs the requests is within reach; a short break is not reported."""
+    """The kernel became reachable or unreachable; short interruptions are not reported."""
 
     connected: bool
 
 
 @dataclass(slots=True)
 class SettingsChanged:
-    """New settings, read while the worker runs."""
+    """New settings from a configuration reload."""
 
     settings: AdmissionSettings
-    tenants: TenantTable | None = None  # where their table was made beforehand
+    tenants: TenantTable | None = None  # their tenant table, if it was built in advance
 
 
 @dataclass(slots=True)
 class TenantsChanged:
-    """New settings that differ in nothing but tenants."""
+    """New settings from a configuration reload that differ only in tenants."""
 
     settings: AdmissionSettings
     tenants: TenantTable
@@ -118,18 +118,18 @@
 
 @dataclass(slots=True)
 class ConfigurationSwitched:
-    """A configuration read again comes into force between two messages: at all parts, and in the core."""
+    """A reloaded configuration takes effect between two messages, in the core and in all other parts."""
 
-    apply_parts: Callable[[], None]
-    core_change: SettingsChanged | TenantsChanged | None  # None where the core is not concerned
+    apply_parts: Callable[[], None]  # applies the configuration to the other parts
+    core_change: SettingsChanged | TenantsChanged | None  # None if nothing changes for the core
     on_done: Callable[[], None]
 
 
 @dataclass(slots=True)
 class StateTransferred:
-    """How asking the process before this one ended."""
+    """The answer to the request for the predecessor process's state."""
 
-    state: CoreSnapshot | None  # None: there is nothing to adopt
+    state: CoreSnapshot | None  # None if there is no state to adopt
 
 
 Message = (
--- a/ochrehoist/core/metrics.py
+++ b/ochrehoist/core/metrics.py
@@ -1,13 +1,10 @@
-"""Counters of this process by request class, and their text for scrapers.
-
-The text is the exposition format 0.0.4 of Prometheus.
-"""
+"""Counters of this process by request class, exported in the Prometheus text exposition format 0.0.4."""
 
 from collections.abc import Iterable, Mapping
 from enum import StrEnum
 
 METRICS_CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
-PREFIX = "app_"
+METRIC_PREFIX = "app_"
 CLASS_LABEL = "group"
 
 
@@ -46,9 +43,9 @@
 
 
 def format_samples(values: Mapping[str, Iterable[tuple[str, float]]]) -> str:
-    """Lines of further metrics: samples by metric name, each with its labels.
+    """Returns the exposition text of metrics; `values` maps metric names to labels and values of samples.
 
-    Names that end in `_total` are exported as counters, all others as gauges.
+    Metrics whose name ends in `_total` are exported as counters, all others as gauges.
     """
     lines = []
     for name, samples in values.items():
@@ -58,15 +55,15 @@
 
 
 def _family(name: str, kind: str, help_text: str, samples: Iterable[tuple[str, int]]) -> list[str]:
-    """The lines of one metric family."""
-    full_name = PREFIX + name
+    """Returns the lines of one metric family."""
+    full_name = METRIC_PREFIX + name
     lines = [f"# HELP {full_name} {help_text}", f"# TYPE {full_name} {kind}"]
     lines.extend(f"{full_name}{label} {value}" for label, value in samples)
     return lines
 
 
 class Metrics:
-    """Counters that start at 0 with the process. A class that was known stays listed: no counter goes."""
+    """Counters since the start of the process. Counters of removed classes stay exported."""
 
     def __init__(self, class_names: Iterable[str]) -> None:
         self._by_class: dict[RequestCounter, dict[str, int]] = {name: {} for name in RequestCounter}
@@ -74,29 +71,29 @@
         self.add_classes(class_names)
 
     def add_classes(self, class_names: Iterable[str]) -> None:
-        """Starts the counters of classes that were not known before, at 0."""
+        """Adds counters for new classes, starting at 0."""
         for name in class_names:
             for counts in self._by_class.values():
                 counts.setdefault(name, 0)
 
     def count(self, counter: RequestCounter, class_name: str) -> None:
-        """Adds one request of the class."""
+        """Increments the counter for the class."""
         self._by_class[counter][class_name] += 1
 
     def count_reload(self, counter: ReloadCounter) -> None:
-        """Adds one reload."""
+        """Increments the counter of reloads."""
         self._reloads[counter] += 1
 
     def total(self, counter: RequestCounter) -> int:
-        """The count over all classes."""
+        """Returns the count over all classes."""
         return sum(self._by_class[counter].values())
 
     def by_class(self, counter: RequestCounter) -> Mapping[str, int]:
-        """The count of each class."""
+        """Returns the count of each class."""
         return self._by_class[counter]
 
     def text(self, open_requests: int) -> str:
-        """All counters, and the gauge of open requests, in the exposition format."""
+        """Returns all counters and the gauge of open requests in the exposition format."""
         lines: list[str] = []
         for counter, help_text in REQUEST_COUNTER_HELP.items():
             samples = (
--- a/ochrehoist/core/persisted_names.py
+++ b/ochrehoist/core/persisted_names.py
@@ -1,8 +1,7 @@
-"""The names under which outcomes, failure reasons and request classes are written.
+"""Names under which outcomes, failure reasons and request classes are written.
 
-They stand in the store, exports and handover lines.
-They are part of stored formats and of the protocol between two releases, so they stay as they are when the
-types in the code are renamed.
+They appear in the store, in exports and in handover lines. As parts of stored formats and of the protocol
+between releases they must not change when the types in the code are renamed.
 """
 
 from typing import Any
@@ -39,7 +38,7 @@
 }
 IDEMPOTENCY_BY_NAME = {name: idempotency for idempotency, name in IDEMPOTENCY_NAMES.items()}
 
-# By persisted name, in the order in which they are written.
+# Attribute names by persisted name, in the order in which they are written.
 CLASS_FIELDS = {
     "name": "name",
     "aim": "latency_objective_ns",
@@ -55,14 +54,14 @@
 
 
 def class_to_json(request_class: RequestClass) -> dict[str, Any]:
-    """The request class as it is written."""
+    """Returns the JSON value of a request class."""
     data = {persisted: getattr(request_class, field) for persisted, field in CLASS_FIELDS.items()}
     data["repeat"] = IDEMPOTENCY_NAMES[request_class.idempotency]
     return data
 
 
 def class_from_json(data: dict[str, Any]) -> RequestClass:
-    """The request class that was written; raises KeyError or TypeError where it was not one."""
+    """Returns the request class for a JSON value; raises KeyError or TypeError if it is invalid."""
     values = {CLASS_FIELDS[persisted]: value for persisted, value in data.items()}
     values["idempotency"] = IDEMPOTENCY_BY_NAME[data["repeat"]]
     return RequestClass(**values)
--- a/ochrehoist/core/protocols.py
+++ b/ochrehoist/core/protocols.py
@@ -1,6 +1,6 @@
-"""What the core needs of its fronts, executors and the parts that can be switched on.
+"""Interfaces that the core requires of its fronts, its executors and the optional parts.
 
-None of these calls may block: they run in the task that owns the admission controller. Times are ns of the
+These methods must not block, as they run in the task that owns the admission controller. Times are ns of the
 core's clock unless a name says otherwise.
 """
 
@@ -19,30 +19,30 @@
 
 
 class Logger(Protocol):
-    """Writes log events: a name in snake_case and typed fields."""
+    """Writes log events, which have a name in snake_case and typed fields."""
 
     def info(self, event: str, **fields: object) -> None:
-        """Logs what is worth knowing."""
+        """Logs an event for information."""
         ...
 
     def warning(self, event: str, **fields: object) -> None:
-        """Logs what may need attention."""
+        """Logs an event that may need attention."""
         ...
 
     def error(self, event: str, **fields: object) -> None:
-        """Logs what needs attention."""
+        """Logs an event that needs attention."""
         ...
 
     def exception(self, event: str, **fields: object) -> None:
-        """Logs an error with the traceback of the exception that is being handled."""
+        """Logs an error with the traceback of the current exception."""
         ...
 
 
 class Responder(Protocol):
-    """Carries one final answer to the caller. A caller that has left is no error."""
+    """Sends one final answer to the caller. A caller that has disconnected is not an error."""
 
     def served(self, result: RunResult) -> bool:
-        """Sends a result; False where the wire cannot carry it and a failure was sent instead."""
+        """Sends a result; returns False if the wire protocol cannot carry it and a failure was sent."""
         ...
 
     def rejected(self, retry_after_ns: int, no_retry: bool) -> None:
@@ -50,11 +50,11 @@
         ...
 
     def failed(self, reason: FailureReason, result: RunResult | None = None) -> None:
-        """Sends a failure; `result` is that of the run where it has ended."""
+        """Sends a failure; `result` is that of the run, if it has ended."""
         ...
 
     def origin(self) -> tuple[str, str]:
-        """The name of the front, and the caller's address; empty where not known."""
+        """Returns the name of the front and the caller's address; empty texts if unknown."""
         ...
 
 
@@ -62,166 +62,176 @@
     """Runs requests."""
 
     def start(self, request: InboundRequest) -> None:
-        """Starts a run. Exactly one RunCompleted is posted for each start, whatever happens."""
+        """Starts a run.
+
+        Exactly one RunCompleted message is posted for each start, also after a failure. If this method
+        raises, the core posts it.
+        """
         ...
 
 
 class RequestObserver(Protocol):
-    """Is notified of each request that the core decides on. It changes nothing."""
+    """Observer of the requests that the core decides on. It must not modify them."""
 
     def request_arrived(self, request: InboundRequest) -> None:
-        """The request was read; its `arrived_ns` is by the core's clock."""
+        """Called when a request was accepted; its `arrived_ns` is by the core's clock."""
         ...
 
     def request_answered(
         self, request: InboundRequest, counter: RequestCounter | None, retry_after_ns: int
     ) -> None:
-        """No answer is owed any more.
+        """Called when a request was answered or its caller has disconnected.
 
-        `counter` is the one that counted it, None where its caller left; `retry_after_ns` is what a rejected
-        caller received.
+        `counter` is the counter that was incremented, None if the caller has disconnected; `retry_after_ns`
+        is the Retry-After of a rejection.
         """
         ...
 
 
 class Waker(Protocol):
-    """Lets one task sleep until it is woken or a time in seconds is over."""
+    """Lets one task sleep until it is woken or a timeout (s) expires."""
 
     def set(self) -> None:
         """Wakes the task."""
         ...
 
     def wait(self, timeout: float | None) -> bool:
-        """Sleeps; whether it was woken."""
+        """Sleeps; returns whether the task was woken before the timeout."""
         ...
 
 
 class LifecycleListener(Protocol):
-    """Is notified of what concerns the process as a whole."""
+    """Listener for events that concern the whole process."""
 
     def health_changed(self, good: bool) -> None:
-        """The worker became healthy or unhealthy."""
+        """Called when the worker became healthy or unhealthy."""
         ...
 
     def idle_timeout_changed(self, idle_timeout_ns: int) -> None:
-        """Idle connections are to be kept for so long from now on."""
+        """Called with the new time after which idle connections are closed."""
         ...
 
     def shutdown_started(self, remaining_ns: int) -> None:
-        """The worker drains, and will be stopped after this time."""
+        """Called when the drain starts; the process is stopped after `remaining_ns`."""
         ...
 
 
 class AdmissionFilter(Protocol):
-    """Asked by fronts before a request becomes one of the core's, while the core decides here."""
+    """Filter that fronts apply before they post a request to the core, while this process decides."""
+
+    def check_admission(self, class_name: str, tenant: str | None, caller: int, age_ns: int) -> int | None:
+        """Returns None to admit a request, else the Retry-After (ns) of its rejection.
 
-    def admits(self, class_name: str, tenant: str | None, caller: int, age_ns: int) -> int | None:
-        """None to admit it, or the Retry-After (ns) of its rejection; `age_ns`: since it arrived."""
+        `age_ns` is the time since the request arrived.
+        """
         ...
 
 
 class ConcurrencyLimiter(Protocol):
-    """What a worker measures of itself: it says which limits the controller is to keep to."""
+    """Determines the concurrency limits of the controller from measurements of this worker."""
 
     def check_arrival(self, request: InboundRequest, now_ns: int) -> Rejection | None:
-        """Whether a request that never ran is rejected before the controller sees it."""
+        """Returns a rejection if a request that never ran must not reach the controller."""
         ...
 
     def estimate_cost(self, request: InboundRequest, now_ns: int) -> float:
-        """The predicted cost as a multiple of the usual cost of its class."""
+        """Returns the predicted cost as a multiple of the usual cost of the class."""
         ...
 
     def run_started(self, request: InboundRequest, now_ns: int) -> None:
-        """The request was given to its executor."""
+        """Called when the request is started on its executor."""
         ...
 
     def run_ended(self, request: InboundRequest, now_ns: int, duration_ns: int, outcome: Outcome) -> int:
-        """The run ended; returns the duration that the controller is to learn from."""
+        """Called when the run has ended; returns the duration (ns) to report to the controller."""
         ...
 
     def request_rejected(self, request: InboundRequest, retry_after_ns: int, now_ns: int) -> int:
-        """The controller rejected it; returns the Retry-After (ns) for its caller."""
+        """Called when the controller rejected the request; returns the Retry-After (ns) to send."""
         ...
 
     def evaluate(self, now_ns: int, waiting: Mapping[str, int]) -> ConcurrencyLimits | None:
-        """New limits, if any; `waiting`: requests by class that are neither started nor answered."""
+        """Returns the limits if they have changed.
+
+        `waiting` counts, by class, the requests that are neither started nor answered.
+        """
         ...
 
 
 class FleetAdmission(Protocol):
-    """Decides with the whole fleet in view which of the requests that never ran are admitted."""
+    """Admission check for requests that never ran, based on the state of the whole fleet."""
 
     def check_arrival(self, request: InboundRequest, now_ns: int) -> Rejection | None:
-        """Whether a request that never ran is rejected before the controller sees it."""
+        """Returns a rejection if a request that never ran must not reach the controller."""
         ...
 
     def run_started(self, request: InboundRequest, now_ns: int) -> None:
-        """The request was given to its executor."""
+        """Called when the request is started on its executor."""
         ...
 
     def run_ended(self, request: InboundRequest, now_ns: int, duration_ns: int, outcome: Outcome) -> None:
-        """The run ended."""
+        """Called when the run has ended."""
         ...
 
 
 class IntentReplicator(Protocol):
-    """Other workers that know which filings were begun here.
+    """Replicates to other workers which filings were started on this one.
 
-    It answers the journal by messages; keys are those on record.
+    It reports to the journal by messages. Keys are in the encoding of the store.
     """
 
     def journal_opened(self, keys: list[bytes]) -> None:
-        """The store is in use, and these keys are on record."""
+        """Called when the store is open; `keys` are those that it holds."""
         ...
 
     def may_have_run(self, key: bytes) -> bool:
-        """Whether a filing that is not on record may have run all the same."""
+        """Returns whether a filing that the store does not hold may nevertheless have run."""
         ...
 
     def begin(self, request_id: str, key: bytes, window_left_s: float) -> None:
-        """Records the intent at the replicas; the journal's `replication_ended` follows."""
+        """Records the intent at the replicas; the journal's `replication_ended` is called afterwards."""
         ...
 
     def drop(self, key: bytes) -> None:
-        """The intent never became a run."""
+        """Removes an intent that did not become a run."""
         ...
 
 
 class IdempotencyJournal(Protocol):
-    """Keeps idempotent runs beyond the process. It reports by messages what has come of a call."""
+    """Persistent record of idempotent runs. It reports the results of calls by messages to the core."""
 
     def rejection_for(self, key: IdempotencyKey) -> Rejection | None:
-        """Why a filing cannot go on record now; None where it can."""
+        """Returns a rejection if a filing cannot be recorded now, else None."""
         ...
 
     def begin(self, request: InboundRequest, run: IdempotentRun) -> None:
-        """Puts the run on record. An IntentRecorded follows, in any case and soon."""
+        """Records the intent to run. An IntentRecorded message always follows, within a bounded time."""
         ...
 
     def end(self, key: IdempotencyKey, run: IdempotentRun, result: RunResult) -> None:
-        """Puts its result on record."""
+        """Records the result of a run."""
         ...
 
     def drop(self, key: IdempotencyKey) -> None:
-        """Its window is over."""
+        """Removes a run whose window has ended."""
         ...
 
     def never_ran(self, key: IdempotencyKey) -> None:
-        """It was to begin, and did not."""
+        """Removes an intent that did not become a run."""
         ...
 
     def fetch(self, key: IdempotencyKey, request_id: str) -> None:
-        """Reads a stored result for the request. A DuplicateResolved follows."""
+        """Reads a stored result for the request. A DuplicateResolved message follows."""
         ...
 
 
 class DetailCodec(Protocol):
-    """Puts the `detail` of a result into JSON and back."""
+    """Converts the `detail` of a result to JSON values and back."""
 
     def to_json(self, detail: Any) -> Any:
-        """The detail as JSON values."""
+        """Returns the JSON value of a detail."""
         ...
 
     def from_json(self, data: Any) -> Any:
-        """The detail of these JSON values."""
+        """Returns the detail for a JSON value."""
         ...
--- a/ochrehoist/core/reconfiguration.py
+++ b/ochrehoist/core/reconfiguration.py
@@ -1,4 +1,4 @@
-"""How the core takes new settings, between two events: only what differs."""
+"""Applies changed settings to the core between two events; only the parts that differ are replaced."""
 
 from ochrehoist.admission.events import TenantsReplaced
 from ochrehoist.core import state_transfer
@@ -9,7 +9,7 @@
 
 
 def change_settings(core: CoreContext, message: SettingsChanged) -> None:
-    """Boots a fresh controller and replays all that is open to it: the cost grows with that."""
+    """Creates a new controller and replays all open requests and runs; the cost grows with their number."""
     tenants = message.tenants
     if tenants is None:
         tenants = run_to_completion(updated_table(core.tenants, message.settings.tenants))
@@ -28,9 +28,9 @@
 
 
 def change_tenants(core: CoreContext, message: TenantsChanged) -> None:
-    """Replaces the tenants in the present controller.
+    """Replaces the tenants of the current controller.
 
-    Positions stay, so nothing that is open need be replayed.
+    Tenants keep their positions, so open requests need not be replayed.
     """
     core.settings = message.settings
     core.tenants = message.tenants
@@ -39,9 +39,9 @@
 
 
 def switch_configuration(core: CoreContext, message: ConfigurationSwitched) -> None:
-    """Brings a whole configuration into force between two messages.
+    """Applies a whole configuration between two messages.
 
-    What was read before it was decided by what was in force before; no request meets half of a change.
+    Requests read before it were decided on under the old configuration; none sees a partial change.
     """
     try:
         message.apply_parts()
--- a/ochrehoist/core/request.py
+++ b/ochrehoist/core/request.py
@@ -1,4 +1,4 @@
-"""A request that was read completely, and how far it has come."""
+"""A completely read request and the state of its handling."""
 
 from __future__ import annotations
 
@@ -10,42 +10,43 @@
 if TYPE_CHECKING:
     from ochrehoist.core.protocols import Executor, Responder
 
-# Names of tenant and class, and the caller's own key: identifies one filing.
+# Identifies one filing: the names of its tenant and class, and the key that the caller chose.
 IdempotencyKey = tuple[str | None, str, str]
 
-# Digests of what one filing says: of its target, where the wire has one, and of its body.
+# Digests of a filing's target (None if the wire protocol has none) and of its body.
 Fingerprint = tuple[bytes | None, bytes]
 
 
 @dataclass(slots=True, eq=False)
 class InboundRequest:
-    """One request that was read completely, and how far it has come.
+    """One completely read request and the state of its handling.
 
     Attributes:
         id: Unique among the requests of this worker.
-        request_class: As it was when the request was read: an open request keeps it.
-        arrived_ns: When it reached the machine: Unix time from the front, the core's clock once accepted.
-        payload: For the executor; the core does not read it.
-        responder: Carries the answer to the caller.
+        request_class: The class as configured when the request was read; later settings do not change it.
+        arrived_ns: When the request reached the machine: Unix time from the front, the core's clock once
+            accepted.
+        payload: Data for the executor; the core does not read it.
+        responder: Sends the answer to the caller.
         executor: Runs the request.
         tenant: Name of the tenant, if any.
-        routing_key: The key by which routers place the request, if any.
+        routing_key: The key by which routers choose the worker, if any.
         idempotency_key: Set for filings only.
         fingerprint: Digests of the content, for requests with an idempotency key.
-        subject_hash: Hash of what is asked and by whom, the same in all attempts; 0 where unknown.
+        subject_hash: Hash of the subject and the caller, the same for all attempts; 0 if unknown.
         work_ns: CPU time that the caller stated, if any.
-        memory_kb: Memory that the run will take.
-        rank: The caller's own priority within its class.
-        is_retry: Whether the caller marked it as a retry.
-        is_write: Whether running it changes data.
-        caller: Identifies the connection that it came by.
-        due_ns: When it must have been answered, by the core's clock.
-        started_ns: When the executor was given it; 0 if it was not.
-        attached_ns: When it was attached to the run that it duplicates; 0 if it was not.
-        cost_multiple: Its predicted cost as a multiple of the usual cost of its class.
-        answered: No answer is owed: it was sent, or the caller has disconnected.
-        started: The controller has decided to run it.
-        is_remote: Read by another process, which answers it, counts it and runs it.
+        memory_kb: Memory that the run will use.
+        rank: Priority within the class, chosen by the caller.
+        is_retry: Whether the caller marked the request as a retry.
+        is_write: Whether running the request changes data.
+        caller: Identifies the connection on which the request arrived.
+        due_ns: Answer deadline, by the core's clock.
+        started_ns: When the request was started on its executor; 0 before.
+        attached_ns: When the request was attached to the run that it duplicates; 0 if it was not.
+        cost_multiple: Predicted cost as a multiple of the usual cost of the class.
+        answered: Whether an answer was sent or the caller has disconnected.
+        started: Whether the controller has decided to run the request.
+        is_remote: Whether another process read the request, and answers, counts and runs it.
     """
 
     id: str
--- a/ochrehoist/core/response_tracker.py
+++ b/ochrehoist/core/response_tracker.py
@@ -1,4 +1,4 @@
-"""The one final answer of each request: sent once, and counted as what its caller received."""
+"""Sends exactly one final answer to each request and counts it by the kind that was sent."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 if TYPE_CHECKING:
     from ochrehoist.core.protocols import Logger, RequestObserver
 
-# Sends one answer; False where the front had to report a failure instead.
+# Sends one answer; returns False if the front had to send a failure instead.
 Delivery = Callable[[], bool | None]
 Sender = Callable[[InboundRequest, RequestCounter, Delivery, int], None]
 
 
 class ResponseTracker:
-    """Knows which requests are owed an answer, and sends each exactly one.
+    """Tracks unanswered requests and sends each exactly one answer.
 
     Attributes:
-        open_requests: Requests by id that are owed an answer or still running.
-        unanswered: How many of them are owed an answer.
+        open_requests: Requests, by id, that are unanswered or still running.
+        unanswered: Number of unanswered requests.
     """
 
     def __init__(self, metrics: Metrics, log: Logger) -> None:
@@ -35,11 +35,11 @@
         self._send: Sender = self._deliver
 
     def instrument_send(self, wrap: Callable[[Sender], Sender]) -> None:
-        """Puts a wrapper, such as a timer, around the sending of each answer."""
+        """Wraps the sending of each answer, for example with a timer."""
         self._send = wrap(self._send)
 
     def clear(self) -> None:
-        """Forgets all requests: another core answers them, or this one takes them up anew."""
+        """Removes all requests, as another core answers them or this one adopts them again."""
         self.open_requests.clear()
         self.unanswered = 0
 
@@ -49,7 +49,7 @@
         self.unanswered += not request.answered
 
     def resolve(self, request: InboundRequest) -> bool:
-        """Marks that no answer is owed any more; whether one was owed."""
+        """Marks the request as answered; returns False if it was answered already."""
         if request.answered:
             return False
         request.answered = True
@@ -59,40 +59,43 @@
         return True
 
     def complete(self, request: InboundRequest, result: RunResult) -> None:
-        """Answers with the result of its run, or of the run that it duplicates."""
+        """Answers with the result of the request's run, or of the run that it duplicates."""
         if self.resolve(request):
             self.send_result(request, result)
 
     def fail(self, request: InboundRequest, reason: FailureReason) -> None:
-        """Answers with a failure, if an answer is owed."""
+        """Answers with a failure, unless the request is answered."""
         if self.resolve(request):
             self.send_failure(request, reason)
 
     def reject(self, request: InboundRequest, retry_after_ns: int, no_retry: bool = False) -> None:
-        """Answers with a rejection, if an answer is owed: the request did not run."""
+        """Answers with a rejection, unless the request is answered; the request must not have run."""
         if self.resolve(request):
             self.send_rejection(request, retry_after_ns, no_retry)
 
     def reject_untracked(self, request: InboundRequest, retry_after_ns: int, no_retry: bool = False) -> None:
-        """Rejects a request that was never tracked."""
+        """Rejects a request that is not tracked."""
         request.answered = True
         self.send_rejection(request, retry_after_ns, no_retry)
 
     def fail_untracked(
         self, request: InboundRequest, reason: FailureReason, result: RunResult | None = None
     ) -> None:
-        """Fails a request that was never tracked."""
+        """Fails a request that is not tracked."""
         request.answered = True
         self.send_failure(request, reason, result)
 
     def caller_disconnected(self, request: InboundRequest) -> None:
-        """Drops the answer of a request whose caller has left."""
+        """Marks a request as answered without an answer, as its caller has disconnected."""
         if self.resolve(request):
             for observer in self.observers:
                 observer.request_answered(request, None, 0)
 
     def send_result(self, request: InboundRequest, result: RunResult) -> None:
-        """Sends the result of a run, as success or failure; the request must be marked as answered."""
+        """Sends the result of a run, or a failure if it did not succeed.
+
+        The request must be marked as answered.
+        """
         if result.outcome is Outcome.OK:
             self._send(request, RequestCounter.ANSWERED, lambda: request.responder.served(result), 0)
         else:
@@ -114,7 +117,10 @@
         )
 
     def relay_rejection(self, request: InboundRequest, retry_after_ns: int, no_retry: bool) -> None:
-        """Sends a rejection that another process decided on: its observers hear the time, not those here."""
+        """Sends a rejection that another process decided on.
+
+        Observers are given a Retry-After of 0, as those of the deciding process are given the real one.
+        """
         request.answered = True
         self._send(
             request,
@@ -126,7 +132,7 @@
     def _deliver(
         self, request: InboundRequest, counter: RequestCounter, deliver: Delivery, retry_after_ns: int
     ) -> None:
-        """Sends one answer, counts it and tells the observers. Never raises."""
+        """Sends one answer, counts it and notifies the observers. Never raises."""
         try:
             if deliver() is False:
                 counter = RequestCounter.FAILED
@@ -138,7 +144,7 @@
             self.log.exception("response_not_sent", id=request.id)
 
     def execute(self, request: InboundRequest) -> bool:
-        """Gives the request to its executor; False if that raised."""
+        """Starts the request on its executor; returns False if the executor raised."""
         if not request.is_remote:
             self.metrics.count(RequestCounter.RUNS_STARTED, request.request_class.name)
         try:
--- a/ochrehoist/core/results.py
+++ b/ochrehoist/core/results.py
@@ -1,4 +1,4 @@
-"""What becomes of a request: the result of its run, why it failed, or why it was rejected."""
+"""The possible ends of a request: the result of its run, a failure or a rejection."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -8,7 +8,7 @@
 
 
 class FailureReason(Enum):
-    """Why a request failed. The values are the texts that fronts give to callers."""
+    """Reason for which a request failed. The values are the texts that fronts send to callers."""
 
     DEADLINE_PASSED = "no answer by the due time"
     EXECUTOR_FAILED = "the run failed"
@@ -19,14 +19,14 @@
 
 @dataclass(slots=True, frozen=True)
 class RunResult:
-    """How a run ended.
+    """Result of a run.
 
     Attributes:
-        outcome: Whether it ran, and how it ended.
+        outcome: Whether the request ran, and how the run ended.
         body: The answer for the caller.
-        detail: Belongs to the executor that made it; the core passes it on unread.
-        detail_bytes: Memory that `detail` takes.
-        success: Whether the caller is told of success: a run may complete with an application error.
+        detail: Data of the executor that created the result; the core does not read it.
+        detail_bytes: Memory that `detail` uses.
+        success: Whether the caller receives a success. A completed run may have an application error.
     """
 
     outcome: Outcome
@@ -38,12 +38,13 @@
 
 @dataclass(slots=True, frozen=True)
 class Rejection:
-    """Why a request is not accepted now.
+    """Rejection of a request on arrival.
 
     Attributes:
-        retry_after_ns: How long the caller should wait before its next attempt.
-        outcome_unknown: Whether an earlier attempt ran is not known yet: it fails and is not rejected.
-        no_retry: No other worker would accept it either.
+        retry_after_ns: Time that the caller should wait before its next attempt.
+        outcome_unknown: Set if it is not known yet whether an earlier attempt ran. The request is then failed
+            instead of rejected.
+        no_retry: Whether the other workers would reject the request too.
     """
 
     retry_after_ns: int
--- a/ochrehoist/core/snapshot.py
+++ b/ochrehoist/core/snapshot.py
@@ -1,4 +1,4 @@
-"""A core's state as another core can adopt it: in the process that follows, or after new settings."""
+"""A core's state in a form that another controller can adopt, after a handover or a change of settings."""
 
 from dataclasses import dataclass, field, replace
 
@@ -16,14 +16,14 @@
 
 @dataclass
 class CoreSnapshot:
-    """What one core hands to another.
+    """State that one core hands to another.
 
     Attributes:
-        learned_state: None where there was no controller.
-        standby: Whether the operators want the worker empty.
-        requests: Those that are open.
+        learned_state: Learned state of the controller; None if there was no controller.
+        standby: Whether the operators have ordered the worker to be empty.
+        requests: The open requests.
         idempotency: The idempotent runs and records.
-        classes: By name, those that requests or keys of this snapshot belong to.
+        classes: The classes, by name, to which requests or keys of this snapshot belong.
     """
 
     learned_state: LearnedState | None = None
@@ -33,7 +33,7 @@
     classes: dict[str, RequestClass] = field(default_factory=dict)
 
     def settings_with_removed_classes(self, settings: AdmissionSettings) -> AdmissionSettings:
-        """The settings, and behind their classes those that were removed but are in use here."""
-        known = {c.name for c in settings.classes}
-        removed = [c for name, c in self.classes.items() if name not in known]
+        """Returns the settings, extended by removed classes that requests or keys here still use."""
+        class_names = {c.name for c in settings.classes}
+        removed = [c for name, c in self.classes.items() if name not in class_names]
         return replace(settings, classes=settings.classes + tuple(removed))
--- a/ochrehoist/core/tenants.py
+++ b/ochrehoist/core/tenants.py
@@ -1,7 +1,7 @@
-"""Tenants by name, and the position at which the controller knows each.
+"""Tenants by name, and the position of each in the controller's tuple of tenants.
 
-A table is never changed: the next one is built beside it, in steps that take well under a millisecond each,
-and takes its place in one assignment. Whoever needs a tenant asks the table in force.
+Tables are immutable: a new one is built in steps of well under a millisecond each and replaces the current
+one in a single assignment. Users always look tenants up in the current table.
 """
 
 from collections.abc import Collection, Generator
@@ -9,24 +9,27 @@
 
 from ochrehoist.admission.settings import Tenant
 
-NAMES_PER_STEP = 400  # names looked at in a step
-TENANTS_COMPARED_PER_STEP = 8192  # unchanged tenants compared in a step: by identity, in C
-MIN_RETIRED_POSITIONS = 1024  # positions of removed tenants that are kept in any case,
-POSITIONS_PER_RETIRED = 10  # and more of them up to one in so many
+NAMES_PER_STEP = 400
+TENANTS_COMPARED_PER_STEP = 8192  # unchanged tenants compare by identity, in C, so that more fit into a step
+# Before a compaction is due, removed tenants may take this many positions, or one in POSITIONS_PER_RETIRED if
+# that is more.
+MIN_RETIRED_POSITIONS = 1024
+POSITIONS_PER_RETIRED = 10
 
 Tenants = tuple[Tenant, ...]
 
 
 @dataclass(slots=True, frozen=True, eq=False)
 class TenantTable:
-    """Tenants in force, and those that were.
+    """Immutable table of the current and the removed tenants.
 
     Attributes:
-        listed: Those in force, in the order of the settings.
-        by_position: What the controller is told: a tenant that stays keeps its position, a new one comes
-            behind, and one that is removed keeps its own, to which it comes back.
-        positions: Positions of those in force, by name.
-        retired: Positions of those that were removed, by name.
+        listed: The current tenants, in the order of the settings.
+        by_position: The tenants as passed to the controller. Current and removed tenants keep their
+            positions, so that a removed tenant that is added again has its old position; other new tenants
+            are appended.
+        positions: Positions of the current tenants, by name.
+        retired: Positions of the removed tenants, by name.
     """
 
     listed: Tenants = ()
@@ -38,57 +41,57 @@
         return len(self.positions)
 
     def __contains__(self, name: object) -> bool:
-        """Whether it is in force."""
+        """Returns whether this is the name of a current tenant."""
         return name in self.positions
 
     def __getitem__(self, name: str) -> int:
-        """The position of one that is in force."""
+        """Returns the position of a current tenant; raises KeyError if there is none of this name."""
         return self.positions[name]
 
     def get(self, name: str | None) -> Tenant | None:
-        """One that is in force, by its name."""
+        """Returns the current tenant of this name, if any."""
         position = None if name is None else self.positions.get(name)
         return None if position is None else self.by_position[position]
 
     def position(self, name: str | None) -> int | None:
-        """The position of one that is in force or was."""
+        """Returns the position of a current or removed tenant; None if it is unknown."""
         if name is None:
             return None
         position = self.positions.get(name)
         return self.retired.get(name) if position is None else position
 
     def is_known(self, name: str) -> bool:
-        """Whether it is in force or was."""
+        """Returns whether this is the name of a current or removed tenant."""
         return name in self.positions or name in self.retired
 
     @property
     def needs_compaction(self) -> bool:
-        """Whether removed tenants take too many positions: a fresh controller is due."""
+        """Whether removed tenants take so many positions that a new, compact controller is needed."""
         return len(self.retired) > max(MIN_RETIRED_POSITIONS, len(self.by_position) // POSITIONS_PER_RETIRED)
 
 
 def initial_table(listed: Tenants) -> TenantTable:
-    """The table at the start of a process, at once."""
-    return TenantTable(listed, listed, {t.name: n for n, t in enumerate(listed)})
+    """Returns the table for the start of a process, built in a single step."""
+    return TenantTable(listed, listed, {t.name: position for position, t in enumerate(listed)})
 
 
 def _common_prefix(old: Tenants, new: Tenants) -> Generator[None, None, int]:
-    """How many tenants are the same at the beginning of both."""
-    at = 0
+    """Returns the length of the common prefix."""
+    count = 0
     limit = min(len(old), len(new))
-    while at < limit:
-        size = min(TENANTS_COMPARED_PER_STEP, limit - at)
-        while old[at : at + size] != new[at : at + size]:
+    while count < limit:
+        size = min(TENANTS_COMPARED_PER_STEP, limit - count)
+        while old[count : count + size] != new[count : count + size]:
             if size == 1:
-                return at
+                return count
             size = max(1, size // 8)
-        at += size
+        count += size
         yield
     return limit
 
 
 def _common_suffix(old: Tenants, new: Tenants, limit: int) -> Generator[None, None, int]:
-    """How many tenants are the same at the end of both, of `limit`."""
+    """Returns the length of the common suffix, at most `limit`."""
     count = 0
     while count < limit:
         size = min(TENANTS_COMPARED_PER_STEP, limit - count)
@@ -104,7 +107,7 @@
 
 
 def updated_table(before: TenantTable, listed: Tenants) -> Generator[None, None, TenantTable]:
-    """The table for other settings; `before` itself where nothing differs."""
+    """Returns the table for a new list of tenants; `before` itself if nothing differs."""
     old = before.listed
     if listed is old:
         return before
@@ -114,7 +117,9 @@
     suffix = yield from _common_suffix(old, listed, min(len(old), len(listed)) - prefix)
     if len(old) == len(listed) and (yield from _same_names(old, listed, prefix, len(old) - suffix)):
         by_position = (
-            listed if before.by_position is old else (yield from _replaced(before, listed, prefix, suffix))
+            listed
+            if before.by_position is old
+            else (yield from _updated_positions(before, listed, prefix, suffix))
         )
         return TenantTable(listed, by_position, before.positions, before.retired)
     return (yield from _repositioned(before, listed, prefix, suffix))
@@ -123,22 +128,22 @@
 def _repositioned(
     before: TenantTable, listed: Tenants, prefix: int, suffix: int
 ) -> Generator[None, None, TenantTable]:
-    """The table where tenants were added or removed between the common prefix and suffix."""
+    """Returns the table after tenants were added or removed between the common prefix and suffix."""
     old = before.listed
     positions = before.positions.copy()
     retired = before.retired.copy()
     yield
     by_position = list(before.by_position)
     yield
-    for n in range(prefix, len(old) - suffix):
-        name = old[n].name
+    for index in range(prefix, len(old) - suffix):
+        name = old[index].name
         position = positions.pop(name, None)
         if position is not None:
             retired[name] = position
-        if n % NAMES_PER_STEP == 0:
+        if index % NAMES_PER_STEP == 0:
             yield
-    for n in range(prefix, len(listed) - suffix):
-        tenant = listed[n]
+    for index in range(prefix, len(listed) - suffix):
+        tenant = listed[index]
         position = retired.pop(tenant.name, None)
         if position is None:
             position = len(by_position)
@@ -146,51 +151,53 @@
         else:
             by_position[position] = tenant
         positions[tenant.name] = position
-        if n % NAMES_PER_STEP == 0:
+        if index % NAMES_PER_STEP == 0:
             yield
     yield
-    if prefix == len(old) and before.by_position is old:  # all that is new stands behind in both
+    if (
+        prefix == len(old) and before.by_position is old
+    ):  # tenants were only appended: both orders are the same
         return TenantTable(listed, listed, positions, retired)
     return TenantTable(listed, tuple(by_position), positions, retired)
 
 
 def _same_names(old: Tenants, new: Tenants, start: int, stop: int) -> Generator[None, None, bool]:
-    """Whether both have the same names in the range."""
-    for n in range(start, stop):
-        if old[n].name != new[n].name:
+    """Returns whether both have the same names in the range."""
+    for index in range(start, stop):
+        if old[index].name != new[index].name:
             return False
-        if n % NAMES_PER_STEP == 0:
+        if index % NAMES_PER_STEP == 0:
             yield
     return True
 
 
-def _replaced(
+def _updated_positions(
     before: TenantTable, listed: Tenants, prefix: int, suffix: int
 ) -> Generator[None, None, Tenants]:
-    """The tenants by position, where only what is told of tenants differs."""
+    """Returns the tenants by position after a change that left all names the same."""
     by_position = list(before.by_position)
     yield
-    for n in range(prefix, len(listed) - suffix):
-        by_position[before.positions[listed[n].name]] = listed[n]
-        if n % NAMES_PER_STEP == 0:
+    for index in range(prefix, len(listed) - suffix):
+        by_position[before.positions[listed[index].name]] = listed[index]
+        if index % NAMES_PER_STEP == 0:
             yield
     return tuple(by_position)
 
 
 def compacted_table(table: TenantTable, used: Collection[str | None]) -> Generator[None, None, TenantTable]:
-    """The same tenants for a fresh controller, without those that were removed and are not `used`."""
+    """Returns a table with new positions for a new controller; removed tenants not in `used` are left out."""
     positions: dict[str, int] = {}
-    for n, tenant in enumerate(table.listed):
-        positions[tenant.name] = n
-        if n % NAMES_PER_STEP == 0:
+    for index, tenant in enumerate(table.listed):
+        positions[tenant.name] = index
+        if index % NAMES_PER_STEP == 0:
             yield
     by_position = list(table.listed)
     retired = {}
     yield
-    for n, (name, position) in enumerate(table.retired.items()):
+    for index, (name, position) in enumerate(table.retired.items()):
         if name in used:
             retired[name] = len(by_position)
             by_position.append(table.by_position[position])
-        if n % NAMES_PER_STEP == 0:
+        if index % NAMES_PER_STEP == 0:
             yield
     return TenantTable(table.listed, tuple(by_position), positions, retired)
--- a/ochrehoist/loop_protocols.py
+++ b/ochrehoist/loop_protocols.py
@@ -1,38 +1,41 @@
-"""What the store and the load recorder need of the worker's loop; `net/` implements it."""
+"""Interfaces of the worker's event loop for the store and the load recorder; implemented in `net/`."""
 
 from collections.abc import Callable
 from typing import Any, Protocol
 
-Done = Callable[[Any, Exception | None], None]  # gets the result of a call, or its exception
+Done = Callable[[Any, Exception | None], None]  # called with the result of a call and its exception, if any
 
 
 class PendingCall(Protocol):
-    """A call that is due at a time."""
+    """Handle of a scheduled call."""
 
     def cancel(self) -> None:
-        """The call is not made."""
+        """Cancels the call."""
 
 
 class TimerLoop(Protocol):
-    """Makes calls later, on the worker's only thread of decisions."""
+    """Schedules calls on the thread of the event loop, which is the only one that makes decisions."""
 
     def call_later(self, seconds: float, call: Callable[[], object]) -> PendingCall:
-        """Makes the call after so many seconds."""
+        """Schedules the call after this delay (s)."""
         ...
 
 
 class BlockingCalls(Protocol):
-    """A thread for calls that may block."""
+    """Thread for calls that may block."""
 
     def submit(self, call: Callable[[], Any], done: Done) -> None:
-        """Makes the call on the thread; `done` then gets its result or its exception, on the loop."""
+        """Makes the call on the thread, then calls `done` on the event loop with its result or exception."""
 
     def deliver(self) -> None:
-        """Gives the results that are there to their callers, on the thread of the loop."""
+        """Passes the available results to `done`; must be called on the thread of the event loop."""
 
     def close(self, timeout_s: float) -> bool:
-        """Ends the thread once all calls are made, and delivers their results; whether that was in time."""
+        """Completes all calls, delivers their results and ends the thread.
+
+        Returns whether this was done within the timeout.
+        """
         ...
 
 
-StartBlockingCalls = Callable[[str], BlockingCalls]  # by the thread's name
+StartBlockingCalls = Callable[[str], BlockingCalls]  # called with the name of the thread
--- a/ochrehoist/net/front.py
+++ b/ochrehoist/net/front.py
@@ -107,7 +107,7 @@
         """The Retry-After of a request that is rejected before the core sees it; None to admit it."""
         if self.admission_filter is None or not self.core.decides:
             return None
-        return self.admission_filter.admits(class_name, tenant, caller, age_ns)
+        return self.admission_filter.check_admission(class_name, tenant, caller, age_ns)
 
     def unsent_bytes(self) -> int:
         """Bytes of all answers that were written and not yet taken."""
--- a/ochrehoist/overload/early_rejection.py
+++ b/ochrehoist/overload/early_rejection.py
@@ -84,7 +84,7 @@
         """Whether requests of this class may be rejected here: not filings, nor what may run only once."""
         return self._idempotent.get(class_name, False)
 
-    def admits(self, class_name: str, tenant: str | None, caller: int, age_ns: int) -> int | None:
+    def check_admission(self, class_name: str, tenant: str | None, caller: int, age_ns: int) -> int | None:
         """None where the request is admitted; else the Retry-After (ns) that its caller gets.
 
         Args:
--- a/ochrehoist/steps.py
+++ b/ochrehoist/steps.py
@@ -1,4 +1,4 @@
-"""Long computations as generators of short steps, so that the event loop gets its turn between them."""
+"""Long computations as generators of short steps, between which the event loop can run other tasks."""
 
 import gc
 from collections.abc import Generator, Sequence
@@ -10,7 +10,7 @@
 
 
 def run_to_completion(steps: Generator[None, None, T]) -> T:
-    """The value that `steps` returns, computed without a pause."""
+    """Runs all steps without interruption and returns the generator's result."""
     while True:
         try:
             next(steps)
@@ -22,9 +22,9 @@
 def concatenated_in_steps(
     parts: Sequence[range | list[T]], current: tuple[T, ...]
 ) -> Generator[None, None, tuple[T, ...]]:
-    """All elements of `parts` as one tuple; a range stands for these elements of `current`.
+    """Returns all elements of `parts` as one tuple; a range selects elements of `current`.
 
-    A sole list is emptied, so that its memory is not held twice.
+    If `parts` is a single list, the list is cleared, so that its elements are not held in memory twice.
     """
     elements = _concatenated(parts, current)
     if len(elements) <= ELEMENTS_PER_STEP:
@@ -33,8 +33,8 @@
     result = tuple(elements)
     elements.clear()
     yield
-    # A new tuple is traversed by the first collection after it. Done here it happens once, while the elements
-    # are in the processor's caches; later it would happen twice and take longer.
+    # The garbage collector traverses a new tuple in its next collection. Collecting here traverses it once,
+    # while the elements are in the CPU caches; later it would be traversed twice and more slowly.
     gc.collect(1)
     yield
     return result
--- a/tests/overload/test_early_rejection.py
+++ b/tests/overload/test_early_rejection.py
@@ -24,7 +24,7 @@
             arrivals = [g for g, many in load.items() for _ in range(many)]
             Random(n).shuffle(arrivals)
             for g in arrivals:
-                if admission.admits(*g, 0) is None and n >= count_from:
+                if admission.check_admission(*g, 0) is None and n >= count_from:
                     admitted[g] += 1
             admission.end_interval(SAMPLE_INTERVAL_S)
         return {g: n / (looks - count_from) for g, n in admitted.items()}
@@ -59,20 +59,20 @@
 
     def test_read_too_late_is_counted_so_and_each_gets_a_retry_after_of_its_own(self):
         admission = self.admission(10_000)
-        self.assertIsNotNone(admission.admits("read", "a", 1, 2 * S))
-        reported = {admission.admits("read", "a", 1, 3 * S) for _ in range(50)}
+        self.assertIsNotNone(admission.check_admission("read", "a", 1, 2 * S))
+        reported = {admission.check_admission("read", "a", 1, 3 * S) for _ in range(50)}
         self.assertGreater(len(reported), 40)
         self.assertTrue(all(S // 2 <= backoff <= S for backoff in reported))
         self.assertEqual(admission.interval_counts.rejected["read", "read too late"], 51)
 
     def test_new_settings_are_taken_while_it_rejects(self):
         admission = self.admission(0.0)
-        admission.admits("read", "a", 1, 0)
+        admission.check_admission("read", "a", 1, 0)
         admission.configure(
             AdmissionSettings(
                 classes=(FILING,), cores=4, memory_kb=1e6, collapse_multiple=8.0, collapse_after_ns=S
             )
         )
         # Of a class that is gone only the core can speak.
-        self.assertIsNone(admission.admits("read", "a", 1, 0))
+        self.assertIsNone(admission.check_admission("read", "a", 1, 0))
         admission.end_interval(SAMPLE_INTERVAL_S)
