--- a/ochrehoist/core/tenants.py
+++ b/ochrehoist/core/tenants.py
@@ -154,9 +154,7 @@
         if index % NAMES_PER_STEP == 0:
             yield
     yield
-    if (
-        prefix == len(old) and before.by_position is old
-    ):  # tenants were only appended: both orders are the same
+    if prefix == len(old) and before.by_position is old:  # tenants were only appended, so both are equal
         return TenantTable(listed, listed, positions, retired)
     return TenantTable(listed, tuple(by_position), positions, retired)
 
--- a/ochrehoist/overload/__init__.py
+++ b/ochrehoist/overload/__init__.py
@@ -1,8 +1,8 @@
-"""Overload control: measures whether the worker keeps up, and sheds load early.
+"""Overload control: detects overload of the worker and sheds load early.
 
-No I/O, and no clock of its own.
+The package does no I/O and reads no clock.
 
-`overload_detector` tells whether the worker is overloaded and how many requests a second it can afford;
-`early_rejection` keeps to that rate before requests reach the core. `limiter` bounds what runs at once,
-with the help of `concurrency_limits`, `bulkheads`, `cost_prediction` and `retry_budget`.
+`overload_detector` detects overload and estimates the request rate that the worker can afford;
+`early_rejection` enforces that rate before requests reach the core. `limiter` bounds the concurrency, using
+`concurrency_limits`, `bulkheads`, `cost_prediction` and `retry_budget`.
 """
--- a/ochrehoist/overload/completion_window.py
+++ b/ochrehoist/overload/completion_window.py
@@ -1,33 +1,33 @@
-"""Gathers completions into windows, from which a concurrency limit is found."""
+"""Aggregates completed runs into time windows, the input of the concurrency limit algorithms."""
 
 from dataclasses import dataclass
 
 MIN_WINDOW_S = 0.5
 MIN_COMPLETIONS = 10
-MIN_RUN_TIME_MULTIPLE = 3.0  # that a window lasts: so many times the mean time of a run
+MIN_RUN_TIME_MULTIPLE = 3.0  # minimum length of a window as a multiple of the mean run time
 RUN_TIME_SMOOTHING = 0.05
 
 
 @dataclass(slots=True, frozen=True)
 class CompletionWindow:
-    """What completed in one span of time."""
+    """Statistics of the runs that completed in one time window."""
 
-    throughput: float  # work done a second
-    time_per_work: float  # s that a unit of work took, on the mean
-    concurrency: float  # runs at once, on the mean
+    throughput: float  # units of work per second
+    time_per_work: float  # mean run time (s) per unit of work
+    concurrency: float  # mean number of concurrent runs
     count: int
 
 
 class WindowAggregator:
-    """Builds one window after the other.
+    """Builds consecutive windows.
 
-    Work is in seconds as stated, or 1 for each run where nothing is stated. Runs that began before the
-    window tell of the limit before it, and are left out.
+    A run's work is its stated work (s), or 1 without stated work. Runs that started before a window are not
+    counted in it, as the previous limit applied to them.
     """
 
     def __init__(self) -> None:
         self._opened_s: float | None = None
-        self._run_time_s = 0.0  # a moving mean
+        self._run_time_s = 0.0  # moving mean
         self._clear()
 
     def _clear(self) -> None:
@@ -37,7 +37,7 @@
         self._count = 0
 
     def record_completion(self, now_s: float, work: float, duration_s: float) -> None:
-        """Takes a run that ended at `now_s`."""
+        """Adds a run that ended at `now_s`."""
         if self._run_time_s:
             self._run_time_s += RUN_TIME_SMOOTHING * (duration_s - self._run_time_s)
         else:
@@ -48,11 +48,14 @@
             self._count += 1
 
     def record_concurrency(self, span_s: float, running: int) -> None:
-        """Takes a span in which so many ran."""
+        """Adds a time span during which `running` requests ran."""
         self._running_seconds += span_s * running
 
     def close(self, now_s: float) -> CompletionWindow | None:
-        """Ends the window and opens the next, once it is long enough and holds enough; else None."""
+        """Closes and returns the window and opens the next one.
+
+        Returns None while the window is too short or has too few completions.
+        """
         if self._opened_s is None:
             self._opened_s = now_s
             self._clear()
--- a/ochrehoist/overload/concurrency_limits.py
+++ b/ochrehoist/overload/concurrency_limits.py
@@ -1,12 +1,12 @@
-"""Algorithms that find how many requests may run at once from what completes, without knowing the machine.
+"""Adaptive concurrency limits: algorithms that derive a limit from completed runs only.
 
-Published: AIMD (Chiu and Jain, 1989), Vegas (Brakmo and Peterson, 1994, as used on concurrency), the second
-gradient limit of Netflix's concurrency-limits (2018) and hill climbing by incremental steps (Heiss and
-Wagner, 1991). Extremum seeking on the elasticity of throughput is ours; `python -m benchmarks
-limit-algorithms` compares them all.
+Published algorithms: AIMD (Chiu and Jain, 1989), Vegas (Brakmo and Peterson, 1994, applied to concurrency),
+the second gradient limit of Netflix's concurrency-limits (2018) and hill climbing by incremental steps (Heiss
+and Wagner, 1991). Extremum seeking on the elasticity of throughput was developed for this project;
+`python -m benchmarks limit-algorithms` compares all of them.
 
-Times are a run's time for each unit of its stated work, where it states any, so that a mix of large and small
-requests does not look like a change of the machine.
+Times are run times per unit of stated work, if a request states any, so that a mix of large and small
+requests is not mistaken for a change in the machine's speed.
 """
 
 import math
@@ -16,24 +16,24 @@
 from ochrehoist.config.tables import LimitController
 from ochrehoist.overload.completion_window import CompletionWindow
 
-MIN_UTILISATION = 0.8  # of the limit that must run for a window to say anything about it
-BEST_TIME_DRIFT = 1.002  # by which the best time ever seen is raised with each window
+MIN_UTILISATION = 0.8  # fraction of the limit that must be in use for a window to be significant
+BEST_TIME_DRIFT = 1.002  # factor that raises the best time with each window, so that old ones expire
 
 
 @dataclass
 class LimitBounds:
-    """Between which a limit stays."""
+    """Minimum and maximum of a concurrency limit."""
 
     minimum: float = 1.0
     maximum: float = 1000.0
 
     def clamp(self, limit: float) -> float:
-        """The limit, or the bound that it exceeds."""
+        """Returns the limit restricted to these bounds."""
         return min(self.maximum, max(self.minimum, limit))
 
 
 class LimitAlgorithm(Protocol):
-    """Finds a concurrency limit from one window of completions after the other."""
+    """Adapts a concurrency limit to consecutive windows of completions."""
 
     limit: float
     bounds: LimitBounds
@@ -41,7 +41,7 @@
     def __init__(self, limit: float, bounds: LimitBounds | None = None) -> None: ...
 
     def update(self, window: CompletionWindow) -> float:
-        """Takes one window and gives the limit from now on."""
+        """Updates the limit from one window and returns it."""
         ...
 
 
@@ -50,21 +50,21 @@
 
 
 class FixedLimit:
-    """The limit that it was given, for good."""
+    """A constant limit."""
 
     def __init__(self, limit: float, bounds: LimitBounds | None = None) -> None:
         self.limit = limit
         self.bounds = bounds or LimitBounds()
 
     def update(self, window: CompletionWindow) -> float:  # noqa: ARG002 (the algorithms' common signature)
-        """Changes nothing."""
+        """Returns the constant limit."""
         return self.limit
 
 
 class AimdLimit:
-    """Additive increase while times stay near the best ever seen, else multiplicative decrease."""
+    """Additive increase while run times stay close to the best time, else multiplicative decrease."""
 
-    SLOW_MULTIPLE = 2.0  # of the best time
+    SLOW_MULTIPLE = 2.0  # multiple of the best time above which the limit is decreased
     DECREASE = 0.9
 
     def __init__(self, limit: float, bounds: LimitBounds | None = None) -> None:
@@ -73,7 +73,7 @@
         self._best_time = math.inf
 
     def update(self, window: CompletionWindow) -> float:
-        """Takes one window and gives the limit from now on."""
+        """Updates the limit from one window and returns it."""
         self._best_time = min(self._best_time * BEST_TIME_DRIFT, window.time_per_work)
         if window.time_per_work > self.SLOW_MULTIPLE * self._best_time:
             self.limit *= self.DECREASE
@@ -84,10 +84,10 @@
 
 
 class VegasLimit:
-    """Estimates how many of those running only wait, and keeps that between two bounds."""
+    """Estimates how many of the running requests only wait, and keeps that number between two bounds."""
 
-    MIN_QUEUE = 3.0  # the published alpha
-    MAX_QUEUE = 6.0  # and beta
+    MIN_QUEUE = 3.0  # alpha in the publication
+    MAX_QUEUE = 6.0  # beta in the publication
 
     def __init__(self, limit: float, bounds: LimitBounds | None = None) -> None:
         self.limit = limit
@@ -95,7 +95,7 @@
         self._best_time = math.inf
 
     def update(self, window: CompletionWindow) -> float:
-        """Takes one window and gives the limit from now on."""
+        """Updates the limit from one window and returns it."""
         self._best_time = min(self._best_time * BEST_TIME_DRIFT, window.time_per_work)
         queue = self.limit * (1 - self._best_time / window.time_per_work)
         scale = max(1.0, math.log10(self.limit))
@@ -108,9 +108,9 @@
 
 
 class GradientLimit:
-    """Follows the ratio of the long-term to the latest time, with room for a short queue."""
+    """Follows the ratio of the long-term time to the latest time, and allows for a short queue."""
 
-    TOLERANCE = 1.5  # of the long-term time, up to which the limit is not lowered
+    TOLERANCE = 1.5  # multiple of the long-term time up to which the limit is not decreased
     SMOOTHING = 0.2
     LONG_TERM_WINDOWS = 60
 
@@ -120,7 +120,7 @@
         self._long_term_time = 0.0
 
     def update(self, window: CompletionWindow) -> float:
-        """Takes one window and gives the limit from now on."""
+        """Updates the limit from one window and returns it."""
         self._update_long_term(window.time_per_work)
         if not _limit_reached(window, self.limit):
             return self.limit
@@ -134,30 +134,31 @@
             self._long_term_time = time
         else:
             self._long_term_time += (time - self._long_term_time) * 2 / (self.LONG_TERM_WINDOWS + 1)
-        if self._long_term_time / time > 2:  # after a load that has gone, it must not teach a wide limit
+        if self._long_term_time / time > 2:
+            # After a heavy load has ended, the long-term time is too high and would raise the limit too far.
             self._long_term_time *= 0.95
 
 
 @dataclass(slots=True, frozen=True)
 class StepResult:
-    """What a limit brought."""
+    """Throughput that was measured at a limit."""
 
     limit: float
     throughput: float
 
 
 class HillClimbingLimit:
-    """Climbs the throughput by steps: goes on while a step brought more, and turns where it did not.
+    """Changes the limit in steps in the direction that increases throughput, and reverses otherwise.
 
-    It needs no time that counts as good. Some windows together are compared with the mean of those at the
-    limit before; a difference within the noise of counting is none, and then fewer is better: what runs
-    takes memory, and what waits unstarted can still be rejected.
+    It needs no reference time. The throughput of several windows is compared with that at the previous limit.
+    A difference within the counting noise is ignored, and the limit is decreased then: running requests use
+    memory, and waiting requests can still be rejected.
     """
 
-    STEP = 0.08  # of the limit
+    STEP = 0.08  # fraction of the limit
     WINDOWS_PER_STEP = 2
     MIN_COMPLETIONS = 40
-    NOISE = 1.5  # standard deviations of a count, within which a change says nothing
+    NOISE = 1.5  # standard deviations of a count within which a change is not significant
 
     def __init__(self, limit: float, bounds: LimitBounds | None = None) -> None:
         self.limit = limit
@@ -167,15 +168,15 @@
         self._increasing = True
 
     def update(self, window: CompletionWindow) -> float:
-        """Takes one window and gives the limit from now on."""
+        """Updates the limit from one window and returns it."""
         if not _limit_reached(window, self.limit):
             self._windows.clear()
             return self.limit
         self._windows.append(window)
-        count = sum(known.count for known in self._windows)
+        count = sum(past.count for past in self._windows)
         if len(self._windows) < self.WINDOWS_PER_STEP or count < self.MIN_COMPLETIONS:
             return self.limit
-        throughput = sum(known.throughput * known.count for known in self._windows) / count
+        throughput = sum(past.throughput * past.count for past in self._windows) / count
         self._windows.clear()
         if self._previous is not None:
             self._choose_direction(self._previous, throughput, count)
@@ -195,15 +196,15 @@
 
 
 class ExtremumSeekingLimit:
-    """Probes a little below and a little above by turns, and moves to where more concurrency brings more.
+    """Probes limits below and above the current centre in turn, and moves the centre by the result.
 
-    It holds the elasticity of throughput: one per cent more running brings one per cent more below the
-    knee, and nothing or less past it. Throughput is taken as concurrency over the time of a unit of work
-    (Little's law), which varies far less than counts of completions.
+    It keeps the elasticity of throughput at a target: 1 % more concurrency gives 1 % more throughput below
+    the knee of the curve, and no more throughput, or less, beyond it. Throughput is computed as concurrency
+    divided by the time per unit of work (Little's law), which varies much less than the count of completions.
     """
 
-    PROBE_WIDTH = 0.15  # of the limit, each way
-    GAIN = 0.2  # of a pair of probes
+    PROBE_WIDTH = 0.15  # distance of each probe from the centre, as a fraction of the centre
+    GAIN = 0.2  # change of the centre's logarithm per unit of elasticity error
     ELASTICITY_TARGET = 0.12
 
     def __init__(self, limit: float, bounds: LimitBounds | None = None) -> None:
@@ -222,10 +223,10 @@
         self.limit = self._high if self._probing_high else self._low
 
     def update(self, window: CompletionWindow) -> float:
-        """Takes one window and gives the limit from now on."""
+        """Updates the limit from one window and returns it."""
         if not _limit_reached(window, self.limit):
             self._low_throughput = None
-            self._probing_high = True  # nobody is kept from reaching it
+            self._probing_high = True  # the high probe does not restrict a load that stays below the limit
             self._probe()
             return self.limit
         throughput = window.concurrency / window.time_per_work
@@ -243,7 +244,7 @@
         self._centre = self.bounds.clamp(self._centre * math.exp(move))
 
 
-# Every other controller of the configuration stands for a fixed limit.
+# A controller of the configuration that is not listed here uses FixedLimit.
 LIMIT_ALGORITHMS: dict[LimitController, type[LimitAlgorithm]] = {
     LimitController.SEEK: ExtremumSeekingLimit,
     LimitController.STEPS: HillClimbingLimit,
--- a/ochrehoist/overload/early_rejection.py
+++ b/ochrehoist/overload/early_rejection.py
@@ -1,9 +1,9 @@
 """Early rejection: while the worker is overloaded, rejects requests before they reach the core.
 
-Everything is admitted unless the detector says that the worker is overloaded. Then the affordable rate is
-shared out among classes by priority weight, among tenants by share, and among callers alike. A filing is
-always admitted: only the core knows whether it ran, and nothing that ran may be rejected. What is rejected
-gets a Retry-After at once.
+All requests are admitted unless the detector reports overload. Then the affordable rate is divided among
+classes by priority weight, among tenants by their shares, and equally among callers. Filings are always
+admitted: only the core knows whether a filing ran, and one that ran must not be rejected. Rejected requests
+receive a Retry-After at once.
 """
 
 from collections import Counter
@@ -17,22 +17,22 @@
 from ochrehoist.overload.overload_detector import OverloadDetector
 from ochrehoist.overload.weighted_allocation import AllocationRequest, allocate
 
-MIN_CLASS_FRACTION = 0.05  # of what is admitted, for each class: none starves, whatever its weight
-BURST_INTERVALS = 2.0  # whose allowance may be used in one, and one more request
-MAX_CALLERS = 512  # told apart in an interval; those beyond share one allowance
-MIN_RETRY_AFTER_NS = 500_000_000  # and up to twice as much: callers must not come back at one moment
-MAX_AGE_OBJECTIVE_MULTIPLE = 1.0  # past which one that was read late is of no use to its caller
-PREVIOUS_DEMAND_WEIGHT = 0.7  # of the earlier intervals in the mean,
-LATEST_DEMAND_WEIGHT = 0.3  # and of the latest
-MIN_TRACKED_DEMAND = 0.05  # requests an interval, below which a caller is forgotten
-DEMAND_HEADROOM = 1.1  # of the expected demand that may be admitted, and one request more
+MIN_CLASS_FRACTION = 0.05  # guaranteed fraction of the admitted rate for each class, to prevent starvation
+BURST_INTERVALS = 2.0  # capacity of a bucket in allowances of one interval; one token is added
+MAX_CALLERS = 512  # callers with a bucket of their own; all others share one
+MIN_RETRY_AFTER_NS = 500_000_000  # up to as much again is added, so that callers retry at different times
+MAX_AGE_OBJECTIVE_MULTIPLE = 1.0  # age, in latency objectives, from which an answer is useless to the caller
+PREVIOUS_DEMAND_WEIGHT = 0.7  # weight of the previous mean in the moving mean of the demand
+LATEST_DEMAND_WEIGHT = 0.3  # weight of the latest interval in the same mean
+MIN_TRACKED_DEMAND = 0.05  # requests per interval below which a caller is dropped
+DEMAND_HEADROOM = 1.1  # factor on the expected demand of a caller; one request is added
 MIN_TENANT_SHARE = 1e-3
 
-CallerKey = tuple[str, str | None, int]  # class, tenant, caller: plain, as one is made for each request
+CallerKey = tuple[str, str | None, int]  # class, tenant, caller; a plain tuple, as each request creates one
 
 
 class RejectionReason(StrEnum):
-    """Why a request was rejected early, as published in status and metrics."""
+    """Reason for an early rejection, as published in status and metrics."""
 
     OVERLOADED = "behind"
     READ_TOO_LATE = "read too late"
@@ -40,19 +40,19 @@
 
 @dataclass(slots=True)
 class AdmissionCounts:
-    """How many requests were admitted, and how many rejected by class and reason."""
+    """Counts of admitted requests, and of rejected requests by class and reason."""
 
     admitted: int = 0
     rejected: Counter[tuple[str, RejectionReason]] = field(default_factory=Counter)
 
     @property
     def rejected_total(self) -> int:
-        """All that were rejected."""
+        """Number of rejected requests of all classes."""
         return sum(self.rejected.values())
 
 
 class EarlyRejection:
-    """The core's AdmissionFilter: token buckets by class, tenant and caller, refilled once an interval."""
+    """AdmissionFilter with a token bucket per class, tenant and caller, refilled once per interval."""
 
     def __init__(
         self,
@@ -61,37 +61,37 @@
         seed: int,
         tenants: TenantTable | None = None,
     ) -> None:
-        self.counts = AdmissionCounts()  # of all intervals that are over
-        self.interval_counts = AdmissionCounts()  # of the current one
+        self.counts = AdmissionCounts()  # totals of all past intervals
+        self.interval_counts = AdmissionCounts()  # counts of the current interval
         self._detector = detector
         self._random = Random(seed)
         self._arrivals: Counter[CallerKey] = Counter()  # in the current interval
-        self._demand: dict[CallerKey, float] = {}  # requests an interval, a moving mean
+        self._demand: dict[CallerKey, float] = {}  # moving mean of requests per interval
         self._tokens: dict[CallerKey, float] = {}
         self._shared_tokens = 0.0  # for callers without a bucket
         self.configure(settings, tenants)
 
     def configure(self, settings: AdmissionSettings, tenants: TenantTable | None = None) -> None:
-        """Takes new classes and tenants; requests that were admitted are not concerned."""
+        """Sets new classes and tenants; requests that were already admitted are not affected."""
         classes = settings.classes
-        weights = sorted({known.priority_weight for known in classes}, reverse=True)
-        self._ranks = {known.name: weights.index(known.priority_weight) for known in classes}
-        self._idempotent = {known.name: known.idempotency is Idempotency.IDEMPOTENT for known in classes}
-        self._objectives_ns = {known.name: known.latency_objective_ns for known in classes}
+        weights = sorted({c.priority_weight for c in classes}, reverse=True)
+        self._ranks = {c.name: weights.index(c.priority_weight) for c in classes}
+        self._idempotent = {c.name: c.idempotency is Idempotency.IDEMPOTENT for c in classes}
+        self._objectives_ns = {c.name: c.latency_objective_ns for c in classes}
         self._tenants = tenants if tenants is not None else initial_table(settings.tenants)
 
     def may_reject(self, class_name: str) -> bool:
-        """Whether requests of this class may be rejected here: not filings, nor what may run only once."""
+        """Returns whether requests of this class may be rejected early: only those of idempotent classes."""
         return self._idempotent.get(class_name, False)
 
     def check_admission(self, class_name: str, tenant: str | None, caller: int, age_ns: int) -> int | None:
-        """None where the request is admitted; else the Retry-After (ns) that its caller gets.
+        """Returns None if the request is admitted, else the Retry-After (ns) for its caller.
 
         Args:
-            class_name: the name of its class.
-            tenant: the name of its tenant.
-            caller: tells the callers of a tenant apart.
-            age_ns: since it reached the machine.
+            class_name: Name of the request's class.
+            tenant: Name of its tenant, if any.
+            caller: Identifies the caller within the tenant.
+            age_ns: Time since the request reached the machine.
         """
         key = (class_name, tenant, caller)
         self._arrivals[key] += 1
@@ -106,7 +106,10 @@
         return None
 
     def end_interval(self, interval_s: float) -> AdmissionCounts:
-        """Ends the current interval, gives its counts, and allots the next, of so many seconds."""
+        """Ends the current interval and refills the buckets for the next, which lasts `interval_s`.
+
+        Returns the counts of the interval that ended.
+        """
         ended = self.interval_counts
         self.interval_counts = AdmissionCounts()
         self.counts.admitted += ended.admitted
@@ -119,7 +122,7 @@
         return ended
 
     def status_section(self) -> dict[str, Any]:
-        """For operators, under the published status keys."""
+        """Returns the counts under the published status keys."""
         return {
             "let_in": self.counts.admitted,
             "shed": {
@@ -159,7 +162,7 @@
         self._arrivals.clear()
 
     def _refill(self, interval_s: float) -> None:
-        """Allots what can be admitted in the next interval, of which filings are expected to take theirs."""
+        """Divides the affordable requests of the next interval, less the expected filings, among callers."""
         capacity = self._detector.affordable_per_s * interval_s
         always_admitted = sum(
             demand for (class_name, *_), demand in self._demand.items() if not self.may_reject(class_name)
@@ -170,31 +173,31 @@
             self._tokens = {}
             self._shared_tokens = capacity
             return
-        allocated = allocate(capacity, self._claims(keys, capacity))
-        # Fractions of a token are kept, or whoever asks seldom would never have a whole one.
+        allocated = allocate(capacity, self._allocation_requests(keys, capacity))
+        # Fractions of a token are carried over; otherwise a caller with a low rate would never get a token.
         self._tokens = {
             key: min(self._tokens.get(key, 0.0) + amount, BURST_INTERVALS * amount + 1)
             for key, amount in zip(keys, allocated, strict=True)
         }
         self._shared_tokens = max(1.0, capacity - sum(allocated))
 
-    def _claims(self, keys: list[CallerKey], capacity: float) -> list[AllocationRequest]:
-        """One claim for each caller, which has an equal part of what its tenant has in the class."""
+    def _allocation_requests(self, keys: list[CallerKey], capacity: float) -> list[AllocationRequest]:
+        """Returns one allocation request per caller; callers of a tenant have equal parts of its weight."""
         callers = Counter((class_name, tenant) for class_name, tenant, _ in keys)
         tenants = Counter(class_name for class_name, _ in callers)
-        claims = []
+        requests = []
         for key in keys:
             class_name, tenant, _ = key
-            part = 1 / callers[class_name, tenant]
-            claims.append(
+            caller_fraction = 1 / callers[class_name, tenant]
+            requests.append(
                 AllocationRequest(
                     rank=self._ranks[class_name],
                     demand=DEMAND_HEADROOM * self._demand[key] + 1,
-                    weight=self._tenant_weight(tenant) * part,
-                    minimum=MIN_CLASS_FRACTION * capacity * part / tenants[class_name],
+                    weight=self._tenant_weight(tenant) * caller_fraction,
+                    minimum=MIN_CLASS_FRACTION * capacity * caller_fraction / tenants[class_name],
                 )
             )
-        return claims
+        return requests
 
     def _tenant_weight(self, name: str | None) -> float:
         tenant = self._tenants.get(name)
--- a/ochrehoist/overload/limiter.py
+++ b/ochrehoist/overload/limiter.py
@@ -1,4 +1,4 @@
-"""Bounds what runs at once on one worker, from what it sees of arrivals, starts and completions."""
+"""Limits the concurrency of one worker, based on arrivals, starts and completions of requests."""
 
 from collections import Counter
 from collections.abc import Hashable, Mapping
@@ -21,17 +21,17 @@
 from ochrehoist.overload.retry_budget import RetryBudget
 from ochrehoist.units import NS_PER_S
 
-RETRY_DENIED_BACKOFF_NS = NS_PER_S  # that a caller over its retry budget gets, before jitter
-MAX_REPORTED_MULTIPLE = (
-    4.0  # of the usual that the controller hears of a run: rare ones must not teach a class
-)
-COLLAPSE_MARGIN = 0.8  # of the concurrency that the cores survive, up to which a limit goes by default
+RETRY_DENIED_BACKOFF_NS = NS_PER_S  # Retry-After of a caller over its retry budget, before jitter
+# Maximum run time, as a multiple of the usual, that is reported to the controller for an expensive run that
+# was not predicted. Rare runs must not raise the controller's estimate for a class.
+MAX_REPORTED_MULTIPLE = 4.0
+COLLAPSE_MARGIN = 0.8  # default maximum limit, as a fraction of the concurrency at which throughput collapses
 
 
 class AdaptiveLimiter:
-    """The core's ConcurrencyLimiter: tells the admission controller its limits, and rejects excess retries.
+    """ConcurrencyLimiter that computes the admission controller's limits and rejects excess retries.
 
-    It never blocks and has no clock: times are in ns by the core's clock.
+    It never blocks and reads no clock; times are ns of the core's clock.
     """
 
     def __init__(self, config: OverloadConfig, settings: AdmissionSettings, seed: int) -> None:
@@ -43,55 +43,57 @@
         self.low_cost: set[str] = set()
         self.algorithm: LimitAlgorithm = FixedLimit(1.0)
         self._windows = WindowAggregator()
-        self._work_units: dict[str, float] = {}  # what a run of a class counts as, fixed once known (s)
+        self._work_units: dict[str, float] = {}  # usual run time (s) by class, fixed once established
         self._updated_s = 0.0
         self._last_limits: ConcurrencyLimits | None = None
-        self._mispredicted = 0  # ran as expensive and were not predicted to
+        self._mispredicted = 0  # count of expensive runs that were not predicted
         self.configure(settings, config)
 
     def configure(self, settings: AdmissionSettings, config: OverloadConfig) -> None:
-        """Takes new settings; what was learned of classes that stay is kept."""
+        """Sets new settings; the learned state of remaining classes is kept."""
         self.settings = settings
         self.config = config
-        survived = max(settings.cores + 1, int(settings.cores * settings.collapse_multiple * COLLAPSE_MARGIN))
+        default_max = max(
+            settings.cores + 1, int(settings.cores * settings.collapse_multiple * COLLAPSE_MARGIN)
+        )
         bounds = LimitBounds(
-            config.min_running or max(1, settings.cores // 4), config.max_running or survived
+            config.min_running or max(1, settings.cores // 4), config.max_running or default_max
         )
-        chosen = LIMIT_ALGORITHMS.get(config.controller, FixedLimit)
-        if not isinstance(self.algorithm, chosen) or chosen is FixedLimit:
-            self.algorithm = chosen(bounds.clamp(float(settings.cores)), bounds)
+        algorithm_type = LIMIT_ALGORITHMS.get(config.controller, FixedLimit)
+        if not isinstance(self.algorithm, algorithm_type) or algorithm_type is FixedLimit:
+            self.algorithm = algorithm_type(bounds.clamp(float(settings.cores)), bounds)
         else:
             self.algorithm.bounds = bounds
             self.algorithm.limit = bounds.clamp(self.algorithm.limit)
-        before = self.activity
-        self.activity = {known.name: before.get(known.name, ClassActivity()) for known in settings.classes}
+        previous = self.activity
+        self.activity = {c.name: previous.get(c.name, ClassActivity()) for c in settings.classes}
         self._last_limits = None
 
     def check_arrival(self, request: InboundRequest, now_ns: int) -> Rejection | None:
-        """Whether a request that never ran is rejected before the admission controller hears of it."""
+        """Returns a rejection if the request, which never ran, is a retry over its caller's budget."""
         now_s = self._advance(now_ns)
         activity = self.activity.get(request.request_class.name)
         if activity is not None:
             activity.last_arrival_s = now_s
         if not self.config.retry_budget:
             return None
-        allowed = self.retry_budget.allows(
+        allowed = self.retry_budget.admit_attempt(
             self._caller(request), self._signature(request), request.is_retry, self._saturated, now_s
         )
         if allowed or request.idempotency_key is not None or request.request_class.name in self.low_cost:
-            # A filing is worth more than a first attempt at a read; low-cost classes cost little more than
-            # their rejection would.
+            # Retries of filings have precedence over first attempts at reads, and running a request of a
+            # low-cost class costs little more than rejecting it.
             return None
-        return Rejection(self.retry_budget.jittered(RETRY_DENIED_BACKOFF_NS))
+        return Rejection(self.retry_budget.with_jitter(RETRY_DENIED_BACKOFF_NS))
 
     def estimate_cost(self, request: InboundRequest, now_ns: int) -> float:
-        """How many times the usual the request will cost."""
+        """Returns the predicted cost as a multiple of the usual cost of the class."""
         if not self.config.low_priority_lane:
             return 1.0
         return self.cost_predictor.cost_multiple(request, now_ns / NS_PER_S)
 
     def run_started(self, request: InboundRequest, now_ns: int) -> None:
-        """A run was started."""
+        """Counts a run that was started."""
         self._advance(now_ns)
         self.running += 1
         activity = self.activity.get(request.request_class.name)
@@ -99,7 +101,7 @@
             activity.running += 1
 
     def run_ended(self, request: InboundRequest, now_ns: int, duration_ns: int, outcome: Outcome) -> int:
-        """Learns from a run that has ended; gives the duration (ns) that the controller is to learn from."""
+        """Learns from a run that has ended; returns the duration (ns) to report to the controller."""
         now_s = self._advance(now_ns)
         contention = max(1.0, self.running / max(1, self.settings.cores))
         self.running = max(0, self.running - 1)
@@ -123,16 +125,16 @@
         return duration_ns
 
     def request_rejected(self, request: InboundRequest, retry_after_ns: int, now_ns: int) -> int:
-        """A request was rejected; gives the backoff (ns) that its caller is to hear."""
+        """Records a rejected request; returns the Retry-After (ns) to send to its caller."""
         if not self.config.retry_budget:
             return retry_after_ns
         self.retry_budget.record_rejection(self._signature(request), now_ns / NS_PER_S)
-        return self.retry_budget.jittered(retry_after_ns)
+        return self.retry_budget.with_jitter(retry_after_ns)
 
     def evaluate(self, now_ns: int, waiting: Mapping[str, int]) -> ConcurrencyLimits | None:
-        """The limits to keep to from now on, where they have changed.
+        """Returns the concurrency limits if they have changed.
 
-        `waiting`: requests by class that are neither started nor answered.
+        `waiting` counts, by class, the requests that are neither started nor answered.
         """
         now_s = self._advance(now_ns)
         for name, activity in self.activity.items():
@@ -152,7 +154,7 @@
         return limits
 
     def status_section(self) -> dict[str, Any]:
-        """For operators, in plain values, under the published status keys."""
+        """Returns the limiter's state as plain values under the published status keys."""
         classes = [request_class.name for request_class in self.settings.classes]
         floors = self._last_limits.class_floors if self._last_limits else ()
         predicted = Counter({str(basis): count for basis, count in self.cost_predictor.predicted.items()})
@@ -178,7 +180,7 @@
         }
 
     def _advance(self, now_ns: int) -> float:
-        """Counts the time since the last event with what ran in it; gives `now` in seconds."""
+        """Adds the time since the last event to the current window; returns `now_ns` in seconds."""
         now_s = now_ns / NS_PER_S
         span_s = max(0.0, now_s - self._updated_s) if self._updated_s else 0.0
         self._windows.record_concurrency(span_s, self.running)
@@ -199,7 +201,10 @@
             activity.cost_s = baseline.usual_duration_s
 
     def _work_done(self, request: InboundRequest, cost_multiple: float) -> float:
-        """In s as stated; else in units of its class, or an expensive run would look like a slow machine."""
+        """Returns the work of a run (s): as stated, else estimated from the usual run time of its class.
+
+        Expensive runs count as correspondingly more work, so that they are not mistaken for a slow machine.
+        """
         if request.work_ns:
             return request.work_ns / NS_PER_S
         unit = self._work_units.get(request.request_class.name, 1.0)
@@ -210,7 +215,7 @@
         return request.caller or request.responder.origin()[1]
 
     def _signature(self, request: InboundRequest) -> Hashable:
-        """Equal for all attempts at one request, marked or not."""
+        """Returns a value that is equal for all attempts of one request, marked as retries or not."""
         return (
             self._caller(request),
             request.request_class.name,
--- a/ochrehoist/overload/overload_control.py
+++ b/ochrehoist/overload/overload_control.py
@@ -1,4 +1,4 @@
-"""All overload control of one worker: what the core, its fronts and the self-monitoring share."""
+"""Assembles the overload control of one worker, which the core, the fronts and self-monitoring share."""
 
 from ochrehoist.admission.settings import AdmissionSettings
 from ochrehoist.config.tables import OverloadConfig
@@ -10,7 +10,7 @@
 
 
 class OverloadControl:
-    """The detector and what goes by it. The core asks `limiter`, the fronts `early_rejection`."""
+    """The overload detector with the `limiter` of the core and the `early_rejection` of the fronts."""
 
     def __init__(
         self, config: OverloadConfig, settings: AdmissionSettings, seed: int, memory_limit_bytes: int
@@ -25,7 +25,7 @@
     def configure(
         self, settings: AdmissionSettings, config: OverloadConfig | None, tenants: TenantTable
     ) -> None:
-        """Takes reloaded settings. What was off at the start stays off, and the other way round."""
+        """Applies reloaded settings. Early rejection cannot be switched on or off by a reload."""
         self.limiter.configure(settings, config if config is not None else self.limiter.config)
         if self.early_rejection is not None:
             self.early_rejection.configure(settings, tenants)
--- a/ochrehoist/overload/overload_detector.py
+++ b/ochrehoist/overload/overload_detector.py
@@ -1,8 +1,9 @@
-"""Whether a worker is overloaded, and what request rate it can afford, from samples of itself.
+"""Detects overload of a worker, and estimates the request rate that it can afford, from periodic samples.
 
-It is overloaded when what is offered costs more processor time than there is, or when tasks run late. Both
-are needed: delay tells it at once but vanishes as soon as load shedding helps, so it can't tell when
-shedding may end; the processor time that all that is offered would cost can, as it counts what is shed too.
+A worker is overloaded if the offered load costs more CPU time than is available, or if the event loop is
+late. Both signals are needed. The loop delay shows overload at once, but falls as soon as load is shed, so it
+cannot tell when shedding may end. The CPU time of the whole offered load can, as it also counts requests that
+are rejected.
 """
 
 from dataclasses import dataclass, field
@@ -13,25 +14,30 @@
 MILLISECOND_S = 0.001
 MICROSECOND_S = 1e-6
 SAMPLE_INTERVAL_S = 0.1
-SMOOTHING = 0.3  # weight of the latest sample
-CPU_UTILISATION_TARGET = 0.85  # of the processor time available: bursts and collections need the rest
-OVERLOAD_DELAY_S = (
-    0.020  # loop delay from which on it counts as overloaded: less than half of the 50 ms promised
-)
-RECOVERY_DELAY_S = 0.010  # and under which it may count as well again
-RECOVERY_LOAD_FRACTION = 0.9  # of the affordable rate, under which all that is offered must be
-MIN_UTILISATION_TO_LEARN = 0.25  # of the processor time available: below, the program's own work would count
+SMOOTHING = 0.3  # weight of the latest sample in moving means
+CPU_UTILISATION_TARGET = 0.85  # of the available CPU time; bursts and garbage collections need the rest
+OVERLOAD_DELAY_S = 0.020  # loop delay that counts as overload; less than half of the guaranteed 50 ms
+# Recovery requires a loop delay below the first value, and an offered rate below this fraction of the
+# affordable rate.
+RECOVERY_DELAY_S = 0.010
+RECOVERY_LOAD_FRACTION = 0.9
+# Costs are learned above this fraction of the available CPU time; below it the CPU time that does not depend
+# on requests would distort them.
+MIN_UTILISATION_TO_LEARN = 0.25
 MIN_REQUESTS_TO_LEARN = 5
-MIN_BUSY_S_FOR_SHARE = 5 * MILLISECOND_S  # in a sample, for it to tell our share of a processor
-BUSY_LOOP_FRACTION = 0.7  # of the time in loop iterations, from which on an excess rate counts as overload
-SAMPLES_TO_RECOVER = 10  # as long as two bursts are apart, or the state would flap with each
-SAMPLES_TO_OVERLOAD = 2  # one late sample is a garbage collection, or a pause of the machine
-MEMORY_HIGH_FRACTION = 0.80  # of the limit, from where on less is admitted,
-MEMORY_FULL_FRACTION = 0.95  # and nothing but filings
-MIN_ADMITTED_PER_RUN_STARTED = 2.0  # what is admitted whatever comes: so many times the run rate,
-MIN_EXTRA_ADMITTED_PER_S = 20.0  # and so many more
-MIN_CPU_SHARE = 0.02  # that a starved worker is taken to have
-INITIAL_COST_S = 300e-6  # processor time of a request, until it is measured
+MIN_BUSY_S_FOR_SHARE = 5 * MILLISECOND_S  # busy time that a sample needs for measuring the CPU share
+BUSY_LOOP_FRACTION = 0.7  # busy fraction of the event loop above which an excessive rate counts as overload
+SAMPLES_TO_RECOVER = 10  # the usual time between bursts, so that the state does not flap with each burst
+SAMPLES_TO_OVERLOAD = 2  # a single late sample may be a garbage collection or a pause of the machine
+# Memory use, as a fraction of the limit, from which the admitted rate is reduced, and from which it is zero
+# (filings are always admitted).
+MEMORY_HIGH_FRACTION = 0.80
+MEMORY_FULL_FRACTION = 0.95
+# Minimum affordable rate: this multiple of the rate of started runs, plus this number of requests per second.
+MIN_ADMITTED_PER_RUN_STARTED = 2.0
+MIN_EXTRA_ADMITTED_PER_S = 20.0
+MIN_CPU_SHARE = 0.02
+INITIAL_COST_S = 300e-6  # CPU time of a request until it is measured
 MIN_ADMITTED_COST_S = 20 * MICROSECOND_S
 MIN_REJECTED_COST_S = 5 * MICROSECOND_S
 MIN_DELAY_GAIN = 0.2
@@ -39,16 +45,16 @@
 
 @dataclass(slots=True)
 class LoadSample:
-    """What was counted since the sample before."""
+    """Measurements since the previous sample."""
 
     at_s: float
-    cpu_s: float  # processor time of this process
-    busy_s: float  # time that iterations of the event loop took
-    loop_delay_s: float  # the longest that anything runnable waited
+    cpu_s: float  # CPU time of this process
+    busy_s: float  # wall time in iterations of the event loop
+    loop_delay_s: float  # longest delay of a runnable task
     admitted: int = 0  # requests that passed early rejection
-    rejected: int = 0  # and those that did not
+    rejected: int = 0  # requests that were rejected early
     rss_bytes: int = 0
-    unread_bytes: int = 0  # in the socket buffers
+    unread_bytes: int = 0  # bytes in the socket buffers
     runs_started: int = 0
 
 
@@ -58,16 +64,16 @@
 
     memory_limit_bytes: int
     overloaded: bool = False
-    affordable_per_s: float = float("inf")  # requests that may be admitted
-    cpu_share: float = 1.0  # of a processor, that this process gets while it wants one
-    admitted_cost_s: float = INITIAL_COST_S  # processor time of one request that is admitted
-    rejected_cost_s: float = INITIAL_COST_S / 4  # and of one that is rejected early
-    offered_per_s: float = 0.0  # requests, with those rejected early
+    affordable_per_s: float = float("inf")  # requests that can be admitted per second
+    cpu_share: float = 1.0  # fraction of a CPU that this process gets while it is busy
+    admitted_cost_s: float = INITIAL_COST_S  # CPU time of an admitted request
+    rejected_cost_s: float = INITIAL_COST_S / 4  # CPU time of an early rejection
+    offered_per_s: float = 0.0  # requests per second, including those rejected early
     runs_started_per_s: float = 0.0
     loop_delay_s: float = 0.0
     rss_bytes: int = 0
     unread_bytes: int = 0
-    delay_gain: float = 1.0  # lowers the affordable rate while the loop is late whatever the costs say
+    delay_gain: float = 1.0  # factor that lowers the affordable rate while the loop is late
     overload_count: int = 0
     changed_s: float = 0.0  # when `overloaded` last changed
     delays: DelayHistogram = field(default_factory=DelayHistogram)
@@ -76,7 +82,7 @@
     _recovery_samples: int = 0
 
     def observe(self, sample: LoadSample) -> None:
-        """Takes a sample and decides anew."""
+        """Updates all estimates and the overload state from a sample."""
         interval_s = SAMPLE_INTERVAL_S
         if self._sampled_s is not None:
             interval_s = max(1e-3, sample.at_s - self._sampled_s)
@@ -86,14 +92,14 @@
         self.unread_bytes = sample.unread_bytes
         self._learn_cpu_share(sample)
         self._learn_costs(sample, interval_s)
-        # By the interval as measured: a pause of the machine brings in one sample what came in all of it.
+        # Rates use the measured interval, as the sample after a pause of the machine covers the whole pause.
         self.offered_per_s += SMOOTHING * (
             (sample.admitted + sample.rejected) / interval_s - self.offered_per_s
         )
         self.runs_started_per_s += SMOOTHING * (sample.runs_started / interval_s - self.runs_started_per_s)
         self._adjust_delay_gain(sample)
         self.affordable_per_s = self._affordable_rate(sample)
-        self._decide(sample, interval_s)
+        self._update_state(sample, interval_s)
 
     def _learn_cpu_share(self, sample: LoadSample) -> None:
         if sample.busy_s > MIN_BUSY_S_FOR_SHARE:
@@ -101,7 +107,7 @@
             self.cpu_share += SMOOTHING * (measured - self.cpu_share)
 
     def _learn_costs(self, sample: LoadSample, interval_s: float) -> None:
-        """One sample tells one of the two costs at most, the other taken as known."""
+        """Updates at most one of the two costs from a sample; the other is assumed to be correct."""
         if sample.admitted + sample.rejected < MIN_REQUESTS_TO_LEARN:
             return
         if sample.cpu_s < MIN_UTILISATION_TO_LEARN * self.cpu_share * interval_s:
@@ -122,38 +128,39 @@
             self.delay_gain = min(1.0, self.delay_gain + 0.02)
 
     def _affordable_rate(self, sample: LoadSample) -> float:
-        """Requests a second that fit into the processor time left by rejecting all others, and into memory.
+        """Returns the rate (per second) of requests that CPU time and memory allow to admit.
 
-        Solved for the admitted rate `a`: a * admitted_cost + (offered - a) * rejected_cost = cpu_budget.
+        It is the admitted rate `a` that solves
+        a * admitted_cost + (offered - a) * rejected_cost = cpu_budget.
         """
         cpu_budget = self.cpu_share * CPU_UTILISATION_TARGET * self.delay_gain
         rate = (cpu_budget - self.offered_per_s * self.rejected_cost_s) / max(
             1e-9, self.admitted_cost_s - self.rejected_cost_s
         )
-        # A flood may cost more to reject than there is: the cores must have something to run all the same.
+        # Rejecting a flood may cost more CPU time than is available; the cores must be kept busy even then.
         minimum = MIN_ADMITTED_PER_RUN_STARTED * self.runs_started_per_s + MIN_EXTRA_ADMITTED_PER_S
         return max(minimum, rate) * self._memory_headroom(sample.rss_bytes)
 
     def _memory_headroom(self, rss_bytes: int) -> float:
-        """From 1 at the high mark down to 0 at the full mark."""
+        """Returns 1 up to the high fraction of memory use, falling linearly to 0 at the full fraction."""
         used = rss_bytes / self.memory_limit_bytes
         return min(
             1.0,
             max(0.0, (MEMORY_FULL_FRACTION - used) / (MEMORY_FULL_FRACTION - MEMORY_HIGH_FRACTION)),
         )
 
-    def _decide(self, sample: LoadSample, interval_s: float) -> None:
-        """Several samples in a row must agree before the state changes."""
-        too_much_offered = (
+    def _update_state(self, sample: LoadSample, interval_s: float) -> None:
+        """Changes the overload state after several consecutive samples that agree."""
+        rate_exceeded = (
             self.offered_per_s > self.affordable_per_s and sample.busy_s > BUSY_LOOP_FRACTION * interval_s
         )
         late = sample.loop_delay_s > OVERLOAD_DELAY_S
-        calm = (
+        recovered = (
             self.offered_per_s < RECOVERY_LOAD_FRACTION * self.affordable_per_s
             and sample.loop_delay_s < RECOVERY_DELAY_S
         )
-        self._overloaded_samples = self._overloaded_samples + 1 if late or too_much_offered else 0
-        self._recovery_samples = self._recovery_samples + 1 if calm else 0
+        self._overloaded_samples = self._overloaded_samples + 1 if late or rate_exceeded else 0
+        self._recovery_samples = self._recovery_samples + 1 if recovered else 0
         if not self.overloaded and self._overloaded_samples >= SAMPLES_TO_OVERLOAD:
             self.overloaded = True
             self.changed_s = sample.at_s
@@ -165,7 +172,7 @@
             self.delay_gain = 1.0
 
     def status_section(self) -> dict[str, Any]:
-        """For operators, in plain values, under the published status keys."""
+        """Returns the detector's state as plain values under the published status keys."""
         return {
             "behind": self.overloaded,
             "times_behind": self.overload_count,
--- a/ochrehoist/overload/retry_budget.py
+++ b/ochrehoist/overload/retry_budget.py
@@ -1,9 +1,8 @@
-"""Retry budgets: bounds how many retries each caller may add to an overload, and jitters their backoff.
+"""Retry budgets: limits the retries of each caller during overload, and adds jitter to their backoff.
 
-A retry is as good as a first attempt while there is capacity, so nothing is denied then. Once requests are
-being rejected, a caller whose retries exceed a fraction of its first attempts multiplies the load that
-caused them. Retries are recognised by their mark, or by being alike to a request that was rejected a moment
-ago.
+While there is capacity, a retry is treated like a first attempt and never denied. Once requests are being
+rejected, a caller whose retries exceed a fraction of its first attempts multiplies the load that caused them.
+Retries are recognised by the caller's mark, or by the signature of a request that was rejected recently.
 """
 
 from collections import OrderedDict
@@ -12,27 +11,27 @@
 from random import Random
 
 RETRIES_PER_FIRST_ATTEMPT = 0.2
-MIN_RETRIES_PER_S = 0.5  # that any caller may make
-MAX_SAVED_RETRIES = 10.0  # that a caller may accumulate
-REJECTED_FRACTION = 0.02  # of the recent attempts, from which on budgets are enforced
-MIN_RECENT_ATTEMPTS = 20  # below which that fraction says nothing
-RECENT_S = 2.0  # over which it is taken
-MAX_CALLERS = 1024  # remembered, the latest
-MAX_REJECTIONS = 4096  # remembered, the latest, to recognise unmarked retries
+MIN_RETRIES_PER_S = 0.5  # retries that each caller may always make
+MAX_SAVED_RETRIES = 10.0  # retries that a caller may accumulate
+REJECTED_FRACTION = 0.02  # rejected fraction of recent attempts above which budgets are enforced
+MIN_RECENT_ATTEMPTS = 20  # attempts below which that fraction is not significant
+RECENT_S = 2.0  # time over which recent attempts and rejections decay
+MAX_CALLERS = 1024  # callers to remember; the least recently active are dropped
+MAX_REJECTIONS = 4096  # rejections to remember for recognising unmarked retries
 REJECTION_MEMORY_S = 3.0
-MAX_BACKOFF_JITTER = 0.5  # of the backoff, added to it
+MAX_BACKOFF_JITTER = 0.5  # maximum jitter as a fraction of the backoff
 
 
 @dataclass(slots=True)
 class CallerBudget:
-    """What one caller may still retry, and when (s) that was last brought up to date."""
+    """Remaining retries of one caller, and the time (s) of the last update."""
 
     saved_retries: float
     updated_s: float
 
 
 class RetryBudget:
-    """The retry budgets of all callers of one worker. Times are seconds of one monotonic clock."""
+    """Retry budgets of all callers of one worker. Times are seconds of one monotonic clock."""
 
     def __init__(self, seed: int) -> None:
         self.marked_retries = 0
@@ -47,28 +46,28 @@
 
     @property
     def enforced(self) -> bool:
-        """Whether enough of the recent attempts were rejected for budgets to be kept to."""
+        """Whether so many recent attempts were rejected that budgets are enforced."""
         return (
             self._recent_attempts > MIN_RECENT_ATTEMPTS
             and self._recent_rejections > REJECTED_FRACTION * self._recent_attempts
         )
 
-    def allows(
+    def admit_attempt(
         self, caller: int | str, signature: Hashable, marked_retry: bool, saturated: bool, now_s: float
     ) -> bool:
-        """Counts one attempt, and tells whether it is within its caller's budget.
+        """Counts one attempt and returns whether it may proceed.
 
         Args:
-            caller: whose budget it is.
-            signature: equal for all attempts at one request.
-            marked_retry: whether the caller says that it is a retry.
-            saturated: whether all cores are busy and requests wait; else no retry is denied.
-            now_s: the time of the attempt.
+            caller: Identifies the caller.
+            signature: Equal for all attempts of one request.
+            marked_retry: Whether the caller marked the attempt as a retry.
+            saturated: Whether all cores are busy and requests wait; otherwise no retry is denied.
+            now_s: The time of the attempt.
         """
         self._decay(now_s)
         self._recent_attempts += 1
         is_retry = self._follows_rejection(signature, now_s) or marked_retry
-        budget = self._replenished(caller, is_retry, now_s)
+        budget = self._replenish_budget(caller, is_retry, now_s)
         if not is_retry:
             return True
         if marked_retry:
@@ -82,7 +81,7 @@
         return False
 
     def record_rejection(self, signature: Hashable, now_s: float) -> None:
-        """Remembers that a request was rejected, so that its next attempt is recognised."""
+        """Records a rejected request, so that its next attempt is recognised as a retry."""
         self._decay(now_s)
         self._recent_rejections += 1
         self._rejections[signature] = now_s
@@ -90,8 +89,8 @@
         if len(self._rejections) > MAX_REJECTIONS:
             self._rejections.popitem(last=False)
 
-    def jittered(self, backoff_ns: int) -> int:
-        """The backoff, lengthened at random: told alike, callers would return at one moment."""
+    def with_jitter(self, backoff_ns: int) -> int:
+        """Returns the backoff plus random jitter, so that callers do not all retry at the same time."""
         return int(backoff_ns * (1 + MAX_BACKOFF_JITTER * self._random.random()))
 
     def _decay(self, now_s: float) -> None:
@@ -101,12 +100,12 @@
         self._decayed_s = now_s
 
     def _follows_rejection(self, signature: Hashable, now_s: float) -> bool:
-        """Whether a request like it was rejected a moment ago; that rejection is then forgotten."""
+        """Returns whether a request with this signature was rejected recently; removes that rejection."""
         rejected_s = self._rejections.pop(signature, None)
         return rejected_s is not None and now_s - rejected_s <= REJECTION_MEMORY_S
 
-    def _replenished(self, caller: int | str, is_retry: bool, now_s: float) -> CallerBudget:
-        """The caller's budget with what time and a first attempt add to it; the latest callers are kept."""
+    def _replenish_budget(self, caller: int | str, is_retry: bool, now_s: float) -> CallerBudget:
+        """Adds the retries earned by elapsed time and a first attempt; returns the caller's budget."""
         budget = self._budgets.pop(caller, None) or CallerBudget(MAX_SAVED_RETRIES, now_s)
         self._budgets[caller] = budget
         if len(self._budgets) > MAX_CALLERS:
--- a/ochrehoist/overload/stage_timings.py
+++ b/ochrehoist/overload/stage_timings.py
@@ -1,4 +1,4 @@
-"""Wall time spent in each stage of a request's handling, by exclusive time."""
+"""Measures the wall time spent in each stage of request handling, excluding nested stages."""
 
 from collections.abc import Callable
 from time import perf_counter
@@ -8,16 +8,16 @@
 
 
 class StageTimings:
-    """Seconds by stage; what runs within another stage is taken off that one."""
+    """Exclusive wall time (s) by stage: time in nested stages counts only for the innermost stage."""
 
     def __init__(self) -> None:
         self.spent_s: dict[str, float] = {}
-        self._nested_s: list[float] = []  # for each stage that is running, what stages within it took
+        self._nested_s: list[float] = []  # stack of running stages: time spent in their nested stages
 
     def timed(self, stage: str, call: Callable[..., T]) -> Callable[..., T]:
-        """`call`, with the time of each of its runs added to `stage`, whether it returns or raises.
+        """Returns `call` wrapped so that its time is added to `stage`, whether it returns or raises.
 
-        It takes positional arguments alone: keywords would cost each call a dictionary.
+        The wrapper accepts only positional arguments, as keyword arguments would cost a dictionary per call.
         """
         self.spent_s.setdefault(stage, 0.0)
 
