--- a/tests/core/test_growth.py
+++ b/tests/core/test_growth.py
@@ -1,6 +1,7 @@
-"""What grows with the size, counted: bytecodes, bytes, lines and records, never time.
+"""Tests how costs grow with the size of the configuration and the load.
 
-The stated slopes are those of docs/CAPACITY.md. What does not grow is compared for equality at three sizes.
+Costs are counts of bytecode instructions, bytes, lines and records, never times. The expected slopes are
+those of docs/CAPACITY.md. Costs that must not grow are compared for equality at three sizes.
 """
 
 import gc
@@ -27,57 +28,57 @@
 from tests.support.site_settings import site_settings
 
 SIZES = 3, 300, 3000
-LEARNED = 85  # bytes a tenant, of what was learned, before there is much to tell
+LEARNED_BYTES_PER_TENANT = 85  # learned state of a new tenant
 
 
 class InstructionCountTest(unittest.TestCase):
-    """The count itself."""
+    """Tests of the instruction counter."""
 
-    def test_a_loop_within_a_call_counts(self):
+    def test_instructions_of_a_loop_are_counted(self):
         few, many = (count_instructions(lambda n=n: [x + 1 for x in range(n)]) for n in (10, 110))
         self.assertGreater(many - few, 100)
 
-    def test_the_same_call_counts_the_same(self):
+    def test_the_count_of_the_same_call_is_reproducible(self):
         self.assertEqual(*(count_instructions(lambda: sum(x for x in range(50))) for _ in "ab"))
 
-    def test_neither_the_collector_nor_its_callbacks_count(self):
+    def test_garbage_collection_and_its_callbacks_are_not_counted(self):
         def call():
-            return [[] for _ in range(50)]  # at a threshold of one object, the collector comes in for each
+            return [[] for _ in range(50)]  # with a threshold of one object, each starts a collection
 
-        alone, seen = count_instructions(call), []
+        expected, phases = count_instructions(call), []
 
         def callback(phase, info):
-            seen.append(phase)
+            phases.append(phase)
 
         self.addCleanup(gc.set_threshold, *gc.get_threshold())
         self.addCleanup(gc.callbacks.remove, callback)
         gc.callbacks.append(callback)
         gc.set_threshold(1)
         call()
-        self.assertGreater(len(seen), 0)  # such as Hypothesis leaves there
-        self.assertEqual(count_instructions(call), alone)
+        self.assertGreater(len(phases), 0)  # Hypothesis installs such callbacks too
+        self.assertEqual(count_instructions(call), expected)
         self.assertIn(callback, gc.callbacks)
         self.assertTrue(gc.isenabled())
 
 
-class Runs:
-    """An executor that keeps what it is given; a responder that is told; a waker that nobody waits for."""
+class RecordingParts:
+    """Executor and Responder that record their calls, and a Waker that does nothing."""
 
     def __init__(self):
-        self.started, self.told = [], []
+        self.started, self.answers = [], []
 
     def start(self, request):
         self.started.append(request)
 
     def served(self, result):
-        self.told.append(result)
+        self.answers.append(result)
         return True
 
-    def rejected(self, backoff, no_retry):
-        self.told.append(backoff)
+    def rejected(self, retry_after_ns, no_retry):
+        self.answers.append(retry_after_ns)
 
     def failed(self, reason, result=None):
-        self.told.append(reason)
+        self.answers.append(reason)
 
     def origin(self):
         return "", ""
@@ -86,8 +87,8 @@
         pass
 
 
-class Core:
-    """A core on a clock of its own."""
+class CoreHarness:
+    """A core with a simulated clock and recording parts."""
 
     def __init__(self, tenants=3, classes=2):
         site = site_settings()
@@ -98,212 +99,220 @@
         site["Tenants"] = [
             {"Name": f"tenant-{n:06}", "QuotaPerS": 100.0, "Fraction": 1 / tenants} for n in range(tenants)
         ]
-        self.now, self.part, self.sent = 10**18, Runs(), 0
-        self.owner = CoreActor(
+        self.now_ns, self.parts, self.request_count = 10**18, RecordingParts(), 0
+        self.actor = CoreActor(
             settings_from(site),
             7,
-            self.part,
-            lambda: self.now,
-            lambda: self.now,
+            self.parts,
+            lambda: self.now_ns,
+            lambda: self.now_ns,
             logging.getLogger("growth"),
             10**9,
             lambda: None,
         )
-        self.owner.post(ExecutorReady(False, 0))
-        self.owner.step()
-
-    def comes(self, kind=0, key=None):
-        self.sent += 1
-        cls, tenant = self.owner.settings.classes[kind], self.owner.settings.tenants[0].name
-        token = (tenant, cls.name, key) if key else None
-        r = InboundRequest(
-            f"r{self.sent:08}",
-            cls,
-            self.now,
+        self.actor.post(ExecutorReady(False, 0))
+        self.actor.step()
+
+    def arrive(self, class_index=0, key=None):
+        self.request_count += 1
+        request_class, tenant = (
+            self.actor.settings.classes[class_index],
+            self.actor.settings.tenants[0].name,
+        )
+        filing_key = (tenant, request_class.name, key) if key else None
+        request = InboundRequest(
+            f"r{self.request_count:08}",
+            request_class,
+            self.now_ns,
             None,
-            self.part,
-            self.part,
+            self.parts,
+            self.parts,
             tenant,
             memory_kb=1.0,
-            idempotency_key=token,
+            idempotency_key=filing_key,
             fingerprint=(None, bytes(32)) if key else None,
         )
-        self.owner.post(RequestArrived(r))
-        self.owner.step()
-        return r
-
-    def ends(self, r):
-        self.now += MS
-        self.owner.post(RunCompleted(r.id, RunResult(Outcome.OK, b"done"), MS))
-        self.owner.step()
-
-    def goes_through(self, kind=0, key=None):
-        r = self.comes(kind, key)
-        self.ends(r)
-        assert r.answered and len(self.part.told) and isinstance(self.part.told[-1], RunResult), (
-            self.part.told
-        )
+        self.actor.post(RequestArrived(request))
+        self.actor.step()
+        return request
+
+    def complete(self, request):
+        self.now_ns += MS
+        self.actor.post(RunCompleted(request.id, RunResult(Outcome.OK, b"done"), MS))
+        self.actor.step()
+
+    def serve(self, class_index=0, key=None):
+        request = self.arrive(class_index, key)
+        self.complete(request)
+        assert (
+            request.answered and len(self.parts.answers) and isinstance(self.parts.answers[-1], RunResult)
+        ), self.parts.answers
+
 
+def instructions_per_request(core):
+    """Returns the instructions that the core takes for one request, from arrival to answer.
 
-def one_request(core):
-    """Its way through the core, whole; nothing else falls due meanwhile."""
-    core.owner.last_expiry_ns = core.now
+    The expiry time is advanced so that no expiry search falls into the measured call.
+    """
+    core.actor.last_expiry_ns = core.now_ns
     for _ in range(3):
-        core.goes_through()
-    core.owner.last_expiry_ns = core.now
-    return count_instructions(core.goes_through)
+        core.serve()
+    core.actor.last_expiry_ns = core.now_ns
+    return count_instructions(core.serve)
 
 
-class RequestsWay(unittest.TestCase):
-    """One request: read, decided, begun, ended and answered. The module's beat has tests of its own."""
+class RequestCostTest(unittest.TestCase):
+    """Instructions of the core per request, from arrival to answer; periodic work is tested elsewhere."""
 
-    def test_the_same_whatever_tenants_there_are(self):
-        counts = {n: one_request(Core(tenants=n)) for n in SIZES}
+    def test_cost_does_not_grow_with_tenants(self):
+        counts = {n: instructions_per_request(CoreHarness(tenants=n)) for n in SIZES}
         self.assertEqual(len(set(counts.values())), 1, counts)
 
-    def test_the_same_whatever_filings_are_within_their_window(self):
+    def test_cost_does_not_grow_with_filings_within_their_window(self):
         counts = {}
         for size in (3, 100, 600):
-            core = Core()
+            core = CoreHarness()
             for n in range(size):
-                core.goes_through(1, f"key {n}")
-            self.assertEqual(len(core.owner.idempotency.runs), size)
-            counts[size] = one_request(core)
-        # Branches of the clock differ by a few; a loop over them would add one for each at least.
+                core.serve(1, f"key {n}")
+            self.assertEqual(len(core.actor.idempotency.runs), size)
+            counts[size] = instructions_per_request(core)
+        # Time-dependent branches cause a small difference; a loop over all filings would add at least one
+        # instruction for each.
         self.assertLess(max(counts.values()) - min(counts.values()), 600 - 100, counts)
 
-    def test_the_same_whatever_runs_beside_it(self):
-        """But for the heap of last moments, which goes with the logarithm, in C."""
+    def test_cost_does_not_grow_with_open_requests(self):
+        """The heap of deadlines grows with the logarithm, but in C, which is not counted."""
         counts = {}
         for size in (3, 100, 600):
-            core = Core()
+            core = CoreHarness()
             for _ in range(size):
-                core.comes()
-            self.assertEqual(len(core.owner.open_requests), size)
-            counts[size] = one_request(core)
+                core.arrive()
+            self.assertEqual(len(core.actor.open_requests), size)
+            counts[size] = instructions_per_request(core)
         self.assertEqual(len(set(counts.values())), 1, counts)
 
 
-class Told(unittest.TestCase):
-    """What is told to whoever asks: figures, and the report to the membership service."""
+class ReportSizeTest(unittest.TestCase):
+    """Sizes of the exported metrics and of the heartbeat to the membership service."""
 
-    def test_figures_do_not_grow_with_tenants(self):
-        texts = {Core(tenants=n).owner.metrics.text(0) for n in SIZES}
+    def test_metrics_do_not_grow_with_tenants(self):
+        texts = {CoreHarness(tenants=n).actor.metrics.text(0) for n in SIZES}
         self.assertEqual(len(texts), 1)
 
-    def test_figures_grow_by_the_same_for_each_class(self):
+    def test_metrics_grow_linearly_with_classes(self):
         def length(count):
             return len(Metrics(f"class-{n:04}" for n in range(count)).text(0))
 
         a, b, c = (length(n) for n in (10, 110, 210))
         self.assertEqual(b - a, c - b)
-        self.assertLessEqual((b - a) / 100, 160, "the slope that the page states, in bytes a class")
+        self.assertLessEqual((b - a) / 100, 160, "the documented slope, in bytes per class")
 
-    def test_a_report_is_the_same_whatever_the_worker_holds(self):
+    def test_a_heartbeat_does_not_grow_with_tenants(self):
         reports = set()
         for size in SIZES:
-            core, loop = Core(tenants=size), mock.Mock()
-            heartbeat = MembershipHeartbeat(loop, core.owner, ("127.0.0.1", 9), "worker-0001", core.owner.log)
+            core, loop = CoreHarness(tenants=size), mock.Mock()
+            heartbeat = MembershipHeartbeat(loop, core.actor, ("127.0.0.1", 9), "worker-0001", core.actor.log)
             reports.add(heartbeat._encode(Phase.UP))
         self.assertEqual(len(reports), 1)
         self.assertLess(len(reports.pop()), 200)
 
 
-class PlainReplyCodec:
-    """Replies as they are."""
+class IdentityCodec:
+    """Returns details unchanged."""
 
     def to_json(self, detail):
         return detail
 
 
-def handed(core):
-    return [len(json.dumps(line)) for line in snapshot_lines(core.owner.freeze(), 0, PlainReplyCodec())]
+def snapshot_line_lengths(core):
+    return [len(json.dumps(line)) for line in snapshot_lines(core.actor.freeze(), 0, IdentityCodec())]
 
 
-class HandedOver(unittest.TestCase):
-    """What a process hands to the one that replaces it."""
+class HandoverSizeTest(unittest.TestCase):
+    """Sizes of the state that a process hands over to its successor."""
 
-    def test_two_lines_a_filing_and_one_a_request(self):
+    def test_a_filing_takes_two_lines_and_a_request_one(self):
         counts = {}
         for filings, requests in ((0, 0), (10, 0), (20, 0), (0, 10), (0, 20)):
-            core = Core()
+            core = CoreHarness()
             for n in range(filings):
-                core.goes_through(1, f"key {n:04}")
+                core.serve(1, f"key {n:04}")
             for _ in range(requests):
-                core.comes()
-            counts[filings, requests] = len(handed(core))
-        least = counts[0, 0]
-        # The first filing brings its class with it; so does the first request.
-        self.assertEqual([counts[10, 0] - least - 1, counts[20, 0] - least - 1], [20, 40])
-        self.assertEqual([counts[0, 10] - least - 1, counts[0, 20] - least - 1], [10, 20])
-
-    def test_what_a_filing_takes_does_not_grow_with_tenants(self):
-        longest = {}
+                core.arrive()
+            counts[filings, requests] = len(snapshot_line_lengths(core))
+        base = counts[0, 0]
+        # One more line is written for the class to which the filings or requests belong.
+        self.assertEqual([counts[10, 0] - base - 1, counts[20, 0] - base - 1], [20, 40])
+        self.assertEqual([counts[0, 10] - base - 1, counts[0, 20] - base - 1], [10, 20])
+
+    def test_bytes_of_a_filing_do_not_grow_with_tenants(self):
+        totals = {}
         for size in SIZES:
-            core = Core(tenants=size)
-            core.goes_through(1, "key 0001")
-            _first, *rest = handed(core)
-            longest[size] = sum(rest)
-        self.assertLess(max(longest.values()) - min(longest.values()), 30, longest)  # digits of times
-        self.assertLess(max(longest.values()), 1500)
-
-    def test_what_was_learned_grows_by_the_stated_bytes_a_tenant(self):
-        a, b = (handed(Core(tenants=n))[0] for n in (1000, 3000))
-        # Names and values as they are at the start; values that were learned have more digits.
-        self.assertLessEqual((b - a) / 2000, LEARNED)
-
-
-class StoredOperationsTest(unittest.TestCase):
-    """What a filing writes to the store."""
-
-    def test_a_filing_is_one_change_whatever_its_steps(self):
-        token = "tenant-000001", "class-1", "key"
-        begun = IntentRecord(token, "r1", 1, 1, None, None, bytes(32))
-        key = encode_key(token)
-        steps = [PutIntent("r1", key, begun), PutResult(key, ResultRecord("OK", True, bytes(300)))]
+            core = CoreHarness(tenants=size)
+            core.serve(1, "key 0001")
+            _state_line, *rest = snapshot_line_lengths(core)
+            totals[size] = sum(rest)
+        # Times may have different numbers of digits.
+        self.assertLess(max(totals.values()) - min(totals.values()), 30, totals)
+        self.assertLess(max(totals.values()), 1500)
+
+    def test_learned_state_grows_by_the_documented_bytes_per_tenant(self):
+        a, b = (snapshot_line_lengths(CoreHarness(tenants=n))[0] for n in (1000, 3000))
+        # The values are initial ones; learned values have more digits.
+        self.assertLessEqual((b - a) / 2000, LEARNED_BYTES_PER_TENANT)
+
+
+class StoreOperationSizeTest(unittest.TestCase):
+    """Sizes of what a filing writes to the store."""
+
+    def test_steps_of_a_filing_are_coalesced_into_one_change(self):
+        filing_key = "tenant-000001", "class-1", "key"
+        intent_record = IntentRecord(filing_key, "r1", 1, 1, None, None, bytes(32))
+        key = encode_key(filing_key)
+        steps = [PutIntent("r1", key, intent_record), PutResult(key, ResultRecord("OK", True, bytes(300)))]
         changes = coalesce(steps)
         self.assertEqual((len(changes.by_key), len(changes.named)), (1, 0))
         changes = coalesce([*steps, DeleteIntent(key)])
         self.assertIsNone(changes.by_key[key].intent)
 
-    def test_its_bytes_do_not_grow_with_how_many_there_are(self):
+    def test_record_size_does_not_grow_with_the_number_of_filings(self):
         sizes = set()
         for n in (1, 10**3, 10**6):
-            token = "tenant-000001", "class-1", f"key {n:032}"
+            filing_key = "tenant-000001", "class-1", f"key {n:032}"
             sizes.add(
                 len(
                     encode_record(
-                        encode_key(token), IntentRecord(token, f"r{n:08}", 1, 1, None, None, bytes(32))
+                        encode_key(filing_key),
+                        IntentRecord(filing_key, f"r{n:08}", 1, 1, None, None, bytes(32)),
                     )
                 )
             )
         self.assertEqual(len(sizes), 1)
 
 
-class MemberMessagesTest(unittest.TestCase):
-    """What members send each other."""
+class PeerMessageSizeTest(unittest.TestCase):
+    """Sizes of the messages between workers."""
 
     def _counters(self, number, tenants):
         counters = ReplicatedCounters(wire.Incarnation(f"worker-{number:04}", 1 << 40, 1 << 61), 3000)
         for n in range(tenants):
-            for word in ("answered", "deferred", "errored"):
-                counters.add(f"tenant/tenant-{n:06}/{word}", 1000)
+            for counter_name in ("answered", "deferred", "errored"):
+                counters.add(f"tenant/tenant-{n:06}/{counter_name}", 1000)
         return counters
 
-    def _answer(self, tenants, members):
-        mine = self._counters(1, tenants)
+    def _ack_bytes(self, tenants, members):
+        counters = self._counters(1, tenants)
         for n in range(members):
-            mine.merge_snapshot(self._counters(n + 2, tenants).snapshots(0.0)[0], 0, 0)
-        return len(wire._encode([wire.Ack(1 << 61, "", [], [], mine.snapshots(1.0))]))
+            counters.merge_snapshot(self._counters(n + 2, tenants).snapshots(0.0)[0], 0, 0)
+        return len(wire._encode([wire.Ack(1 << 61, "", [], [], counters.snapshots(1.0))]))
 
-    def test_counts_in_an_answer_do_not_grow_with_the_fleet(self):
-        self.assertEqual(len({self._answer(10, n) for n in (4, 100, 400)}), 1)
+    def test_counters_in_an_ack_do_not_grow_with_the_fleet(self):
+        self.assertEqual(len({self._ack_bytes(10, n) for n in (4, 100, 400)}), 1)
 
-    def test_an_answer_fits_a_datagram_whatever_tenants_were_answered(self):
-        sizes = {n: self._answer(n, 4) for n in SIZES}
-        self.assertLess(
-            max(sizes.values()), 0.8 * wire.MAX_DATAGRAM_BYTES, sizes
-        )  # the rest is for states and statuses
+    def test_an_ack_fits_into_a_datagram_with_any_number_of_tenants(self):
+        sizes = {n: self._ack_bytes(n, 4) for n in SIZES}
+        # The rest of the datagram is needed for member states and statuses.
+        self.assertLess(max(sizes.values()), 0.8 * wire.MAX_DATAGRAM_BYTES, sizes)
 
 
 if __name__ == "__main__":
--- a/tests/core/test_idempotent_runs.py
+++ b/tests/core/test_idempotent_runs.py
@@ -1,4 +1,4 @@
-"""The core between its controller and a journal: what begins, what is rejected, what a restart restores."""
+"""Tests of filings in a core with a journal: their start, rejection and restoration after a restart."""
 
 import unittest
 from types import SimpleNamespace
@@ -34,7 +34,7 @@
 )
 
 
-def settings(*classes, **more):
+def settings(*classes, **fields):
     return AdmissionSettings(
         classes=classes or (FILING, READ),
         cores=2,
@@ -43,207 +43,215 @@
         collapse_after_ns=2 * S,
         tenants=(Tenant("acme", 50.0, 1.0),),
         max_retry_after_ns=S,
-        **more,
+        **fields,
     )
 
 
 class RecordingJournal:
-    """A journal that writes down what it is told."""
+    """A journal that records its calls and returns a configurable rejection."""
 
     def __init__(self):
-        self.told, self.refusal = [], None
+        self.calls, self.rejection = [], None
 
-    def rejection_for(self, token):
-        return self.refusal
+    def rejection_for(self, filing_key):
+        return self.rejection
 
     def begin(self, r, run):
-        self.told.append(("begin", r.id))
+        self.calls.append(("begin", r.id))
 
-    def end(self, token, run, result):
+    def end(self, filing_key, run, result):
         run.result_stored = True
-        self.told.append(("end", token[2], result.body))
+        self.calls.append(("end", filing_key[2], result.body))
 
-    def drop(self, token):
-        self.told.append(("drop", token[2]))
+    def drop(self, filing_key):
+        self.calls.append(("drop", filing_key[2]))
 
-    def never_ran(self, token):
-        self.drop(token)
+    def never_ran(self, filing_key):
+        self.drop(filing_key)
 
-    def fetch(self, token, request_id):
-        self.told.append(("fetch", token[2], request_id))
+    def fetch(self, filing_key, request_id):
+        self.calls.append(("fetch", filing_key[2], request_id))
 
 
 class IdempotentRunsTest(unittest.TestCase):
-    """Filings and reads from their arrival to their end."""
+    """Filings and reads from their arrival to their answer."""
 
     def setUp(self):
-        self.now, self.ends, self.started, self.n = 1000 * S, {}, [], 0
-        quiet = SimpleNamespace(info=self.said, warning=self.said, error=self.said, exception=self.fault)
+        self.now_ns, self.answers, self.started, self.request_count = 1000 * S, {}, [], 0
+        log = SimpleNamespace(
+            info=self.ignore_event,
+            warning=self.ignore_event,
+            error=self.ignore_event,
+            exception=self.fail_on_exception,
+        )
         waker = SimpleNamespace(set=lambda: None)
-        self.owner = CoreActor(
-            settings(), 1, waker, lambda: self.now, lambda: self.now, quiet, 10**6, lambda: None
+        self.actor = CoreActor(
+            settings(), 1, waker, lambda: self.now_ns, lambda: self.now_ns, log, 10**6, lambda: None
         )
         self.journal = RecordingJournal()
-        self.owner.register_journal(self.journal)
-        self.do(ExecutorReady(None, 0))
+        self.actor.register_journal(self.journal)
+        self.post_and_step(ExecutorReady(None, 0))
 
-    def said(self, *args, **more):
+    def ignore_event(self, *args, **fields):
         pass
 
-    def fault(self, event, **more):
-        raise AssertionError((event, more))
+    def fail_on_exception(self, event, **fields):
+        raise AssertionError((event, fields))
 
-    def do(self, *messages):
+    def post_and_step(self, *messages):
         for message in messages:
-            self.owner.post(message)
-        self.owner.step()
+            self.actor.post(message)
+        self.actor.step()
 
-    def arrive(self, key="k", cls=FILING, retry=False):
-        self.n += 1
-        rid = f"r{self.n}"
-        ends = self.ends.setdefault(rid, [])
+    def arrive(self, key="k", request_class=FILING, retry=False):
+        self.request_count += 1
+        request_id = f"r{self.request_count}"
+        answers = self.answers.setdefault(request_id, [])
         responder = SimpleNamespace(
-            served=lambda result: ends.append(("served", result.body)),
-            rejected=lambda backoff, no_retry: ends.append(("refused", backoff)),
-            failed=lambda reason, result=None: ends.append(("failed", reason)),
+            served=lambda result: answers.append(("served", result.body)),
+            rejected=lambda retry_after_ns, no_retry: answers.append(("refused", retry_after_ns)),
+            failed=lambda reason, result=None: answers.append(("failed", reason)),
         )
         executor = SimpleNamespace(start=lambda r: self.started.append(r.id))
-        token = ("acme", cls.name, key) if cls is FILING else None
-        self.do(
+        filing_key = ("acme", request_class.name, key) if request_class is FILING else None
+        self.post_and_step(
             RequestArrived(
                 InboundRequest(
-                    rid,
-                    cls,
-                    self.now,
+                    request_id,
+                    request_class,
+                    self.now_ns,
                     None,
                     responder,
                     executor,
                     "acme",
-                    idempotency_key=token,
+                    idempotency_key=filing_key,
                     is_retry=retry,
-                    fingerprint=(None, b"x") if token else None,
+                    fingerprint=(None, b"x") if filing_key else None,
                     work_ns=10**7,
                     memory_kb=10.0,
                 )
             )
         )
-        return rid
+        return request_id
 
     def running(self):
-        return self.owner.controller.concurrency.running
+        return self.actor.controller.concurrency.running
 
-    def test_a_filing_begins_once_it_is_on_record_and_a_read_at_once(self):
-        filing, read = self.arrive(), self.arrive(cls=READ)
-        self.assertEqual((self.started, self.journal.told), ([read], [("begin", filing)]))
-        self.do(IntentRecorded(filing, True))
-        self.do(IntentRecorded(filing, True))
+    def test_a_filing_starts_once_recorded_and_a_read_at_once(self):
+        filing, read = self.arrive(), self.arrive(request_class=READ)
+        self.assertEqual((self.started, self.journal.calls), ([read], [("begin", filing)]))
+        self.post_and_step(IntentRecorded(filing, True))
+        self.post_and_step(IntentRecorded(filing, True))
         self.assertEqual(self.started, [read, filing])
-        self.do(RunCompleted(filing, RunResult(Outcome.OK, b"done"), S))
-        self.assertEqual(self.journal.told[1:], [("end", "k", b"done")])
-        self.assertEqual(self.ends[filing], [("served", b"done")])
+        self.post_and_step(RunCompleted(filing, RunResult(Outcome.OK, b"done"), S))
+        self.assertEqual(self.journal.calls[1:], [("end", "k", b"done")])
+        self.assertEqual(self.answers[filing], [("served", b"done")])
 
-    def test_one_that_can_not_be_recorded_is_refused_with_its_repeats_and_its_slot_is_free(self):
+    def test_a_filing_that_cannot_be_recorded_is_rejected_with_its_retries_and_frees_its_slot(self):
         first = self.arrive()
-        repeat = self.arrive(retry=True)
+        retried = self.arrive(retry=True)
         self.assertEqual(self.running(), 1)
-        self.do(IntentRecorded(first, False, S))
-        self.assertEqual((self.ends[first], self.ends[repeat]), ([("refused", S)], [("refused", S)]))
-        self.assertEqual((self.running(), self.owner.open_requests, self.started), (0, {}, []))
-        self.assertEqual(self.journal.told, [("begin", first), ("drop", "k")])
-        again = self.arrive()
-        self.do(IntentRecorded(again, True))
-        self.assertEqual(self.started, [again])
+        self.post_and_step(IntentRecorded(first, False, S))
+        self.assertEqual((self.answers[first], self.answers[retried]), ([("refused", S)], [("refused", S)]))
+        self.assertEqual((self.running(), self.actor.open_requests, self.started), (0, {}, []))
+        self.assertEqual(self.journal.calls, [("begin", first), ("drop", "k")])
+        next_attempt = self.arrive()
+        self.post_and_step(IntentRecorded(next_attempt, True))
+        self.assertEqual(self.started, [next_attempt])
 
     def test_a_filing_whose_caller_has_left_starts_only_for_a_retry(self):
-        left = self.arrive()
-        self.do(CallerDisconnected(left), IntentRecorded(left, True))
+        abandoned = self.arrive()
+        self.post_and_step(CallerDisconnected(abandoned), IntentRecorded(abandoned, True))
         self.assertEqual((self.started, self.running()), ([], 0))
-        self.assertEqual(self.journal.told[-1], ("drop", "k"))
-        left = self.arrive("other")
-        repeat = self.arrive("other", retry=True)
-        self.do(CallerDisconnected(left), IntentRecorded(left, True))
-        self.assertEqual(self.started, [left])
-        self.do(RunCompleted(left, RunResult(Outcome.OK, b"done"), S))
-        self.assertEqual(self.ends[repeat], [("served", b"done")])
-
-    def test_what_never_ran_is_taken_out_again(self):
+        self.assertEqual(self.journal.calls[-1], ("drop", "k"))
+        abandoned = self.arrive("other")
+        retried = self.arrive("other", retry=True)
+        self.post_and_step(CallerDisconnected(abandoned), IntentRecorded(abandoned, True))
+        self.assertEqual(self.started, [abandoned])
+        self.post_and_step(RunCompleted(abandoned, RunResult(Outcome.OK, b"done"), S))
+        self.assertEqual(self.answers[retried], [("served", b"done")])
+
+    def test_a_filing_that_never_ran_is_removed_from_the_journal(self):
         filing = self.arrive()
-        self.do(IntentRecorded(filing, True), RunCompleted(filing, RunResult(Outcome.UNREACHABLE), 0))
-        self.assertEqual(self.journal.told[-1], ("drop", "k"))
+        self.post_and_step(
+            IntentRecorded(filing, True), RunCompleted(filing, RunResult(Outcome.UNREACHABLE), 0)
+        )
+        self.assertEqual(self.journal.calls[-1], ("drop", "k"))
 
-    def test_while_the_journal_refuses_only_unknown_filings_are_rejected(self):
+    def test_while_the_journal_rejects_only_unknown_filings_are_rejected(self):
         done = self.arrive("done")
-        self.do(IntentRecorded(done, True), RunCompleted(done, RunResult(Outcome.OK, b"done"), S))
-        for refusal, end in (
+        self.post_and_step(IntentRecorded(done, True), RunCompleted(done, RunResult(Outcome.OK, b"done"), S))
+        for rejection, answer in (
             (Rejection(7 * S), ("refused", 7 * S)),
             (Rejection(0, outcome_unknown=True), ("failed", FailureReason.OUTCOME_UNKNOWN)),
         ):
-            self.journal.refusal = refusal
-            self.assertEqual(self.ends[self.arrive("new")], [end])
-            self.assertEqual(self.ends[self.arrive("done", retry=True)], [("served", b"done")])
-            read = self.arrive(cls=READ)
+            self.journal.rejection = rejection
+            self.assertEqual(self.answers[self.arrive("new")], [answer])
+            self.assertEqual(self.answers[self.arrive("done", retry=True)], [("served", b"done")])
+            read = self.arrive(request_class=READ)
             self.assertEqual(self.started[-1], read)
 
-    def restore(self, **more):
+    def restore(self, **runs_by_key):
         runs = {
             ("acme", "filing", key): IdempotentRun(
-                f"old {key}", self.now + 9 * S, (None, b"x"), result_evicted=True, restored=True, **values
+                f"old {key}", self.now_ns + 9 * S, (None, b"x"), result_evicted=True, restored=True, **values
             )
-            for key, values in more.items()
+            for key, values in runs_by_key.items()
         }
-        self.do(StateRestored(runs, None))
+        self.post_and_step(StateRestored(runs, None))
 
     def test_after_a_restart_results_are_fetched_and_what_may_have_run_fails(self):
         self.restore(ended={"result_stored": True}, begun={})
-        self.assertEqual(len(self.owner.controller.idempotency.retained), 0)  # the module hears of none yet
+        # The controller adopts restored runs only when an attempt of them arrives.
+        self.assertEqual(len(self.actor.controller.idempotency.retained), 0)
         ended, begun = self.arrive("ended", retry=True), self.arrive("begun", retry=True)
-        self.assertEqual(self.journal.told, [("fetch", "ended", ended)])
-        self.assertEqual(self.ends[begun], [("failed", FailureReason.EXECUTOR_FAILED)])
-        self.do(DuplicateResolved(ended, RunResult(Outcome.OK, b"kept")))
-        self.assertEqual(self.ends[ended], [("served", b"kept")])
-        self.assertEqual((self.started, len(self.owner.controller.idempotency.retained)), ([], 2))
+        self.assertEqual(self.journal.calls, [("fetch", "ended", ended)])
+        self.assertEqual(self.answers[begun], [("failed", FailureReason.EXECUTOR_FAILED)])
+        self.post_and_step(DuplicateResolved(ended, RunResult(Outcome.OK, b"kept")))
+        self.assertEqual(self.answers[ended], [("served", b"kept")])
+        self.assertEqual((self.started, len(self.actor.controller.idempotency.retained)), ([], 2))
         self.assertEqual(
-            self.ends[self.arrive("begun", retry=True)], [("failed", FailureReason.EXECUTOR_FAILED)]
+            self.answers[self.arrive("begun", retry=True)], [("failed", FailureReason.EXECUTOR_FAILED)]
         )
-        self.assertEqual(len(self.owner.controller.idempotency.retained), 2)
+        self.assertEqual(len(self.actor.controller.idempotency.retained), 2)
 
-    def test_what_came_before_the_store_was_read_goes_before_it(self):
-        mine = self.arrive("k")
-        self.do(IntentRecorded(mine, True))
+    def test_a_filing_that_arrived_before_the_restore_takes_precedence(self):
+        own_filing = self.arrive("k")
+        self.post_and_step(IntentRecorded(own_filing, True))
         self.restore(k={"result_stored": True})
-        self.do(RunCompleted(mine, RunResult(Outcome.OK, b"mine"), S))
-        self.assertEqual(self.ends[mine], [("served", b"mine")])
+        self.post_and_step(RunCompleted(own_filing, RunResult(Outcome.OK, b"mine"), S))
+        self.assertEqual(self.answers[own_filing], [("served", b"mine")])
 
-    def test_restored_filings_outlive_new_settings_without_their_class_and_expire(self):
+    def test_restored_filings_survive_settings_without_their_class_and_expire(self):
         self.restore(k={"result_stored": True})
-        self.do(SettingsChanged(settings(READ)))
-        self.do(SettingsChanged(settings()))
+        self.post_and_step(SettingsChanged(settings(READ)))
+        self.post_and_step(SettingsChanged(settings()))
         self.arrive("k", retry=True)
-        self.assertEqual(self.journal.told[-1][:2], ("fetch", "k"))
+        self.assertEqual(self.journal.calls[-1][:2], ("fetch", "k"))
         self.restore(late={})
-        self.now += 60 * S
-        self.do()
-        self.assertIn(("drop", "late"), self.journal.told)
-        self.assertNotIn(("acme", "filing", "late"), self.owner.idempotency.runs)
+        self.now_ns += 60 * S
+        self.post_and_step()
+        self.assertIn(("drop", "late"), self.journal.calls)
+        self.assertNotIn(("acme", "filing", "late"), self.actor.idempotency.runs)
 
     def test_learned_state_is_restored_at_once_or_when_the_controller_starts(self):
         for n in range(6):
-            rid = self.arrive(f"k{n}")
-            self.do(IntentRecorded(rid, True))
-            self.now += 300_000_000
-            self.do(RunCompleted(rid, RunResult(Outcome.OK), 300_000_000))
-        lesson = snapshot(self.owner.controller)
-        taught = self.owner.controller.run_times.mean_run_ns[0].value
-        for late in (False, True):
+            request_id = self.arrive(f"k{n}")
+            self.post_and_step(IntentRecorded(request_id, True))
+            self.now_ns += 300_000_000
+            self.post_and_step(RunCompleted(request_id, RunResult(Outcome.OK), 300_000_000))
+        learned_state = snapshot(self.actor.controller)
+        learned_mean = self.actor.controller.run_times.mean_run_ns[0].value
+        for controller_late in (False, True):
             self.setUp()
-            fresh = self.owner.controller.run_times.mean_run_ns[0].value
-            self.assertNotEqual(fresh, taught)
-            if late:
-                self.owner.controller, self.owner.executor_ready = None, None
-            self.do(StateRestored({}, lesson))
-            if late:
-                self.do(ExecutorReady(None, 0))
-            self.assertEqual(self.owner.controller.run_times.mean_run_ns[0].value, taught)
+            initial_mean = self.actor.controller.run_times.mean_run_ns[0].value
+            self.assertNotEqual(initial_mean, learned_mean)
+            if controller_late:
+                self.actor.controller, self.actor.executor_ready = None, None
+            self.post_and_step(StateRestored({}, learned_state))
+            if controller_late:
+                self.post_and_step(ExecutorReady(None, 0))
+            self.assertEqual(self.actor.controller.run_times.mean_run_ns[0].value, learned_mean)
 
 
 if __name__ == "__main__":
--- a/tests/core/test_kernel_link_monitor.py
+++ b/tests/core/test_kernel_link_monitor.py
@@ -1,4 +1,4 @@
-"""When a worker counts as cut off, and when it reads its configuration again by itself."""
+"""Tests when a worker without a kernel link becomes unhealthy, and when it reloads its configuration."""
 
 import itertools
 import unittest
@@ -14,38 +14,40 @@
     KernelLinkStatus,
 )
 
-STEP = 0.25
+EVALUATION_PERIOD_S = 0.25
 
 
 def evaluate_for(monitor, seconds, start=0.0, up=False, address="a"):
-    """The status by time, every STEP."""
+    """Returns pairs of time and status, one per evaluation period."""
     return [
-        (start + n * STEP, monitor.evaluate(start + n * STEP, up, address))
-        for n in range(int(seconds / STEP))
+        (start + n * EVALUATION_PERIOD_S, monitor.evaluate(start + n * EVALUATION_PERIOD_S, up, address))
+        for n in range(int(seconds / EVALUATION_PERIOD_S))
     ]
 
 
 class KernelLinkMonitorTest(unittest.TestCase):
-    """Breaks of the link, short and long."""
+    """Short and long interruptions of the link."""
 
-    def test_a_short_break_means_nothing(self):
+    def test_a_short_interruption_is_ignored(self):
         monitor = KernelLinkMonitor()
         monitor.evaluate(0.0, True, "a")
         self.assertTrue(
-            all(v == KernelLinkStatus(True) for _, v in evaluate_for(monitor, DISCONNECT_GRACE_S))
+            all(status == KernelLinkStatus(True) for _, status in evaluate_for(monitor, DISCONNECT_GRACE_S))
         )
         self.assertEqual(monitor.evaluate(DISCONNECT_GRACE_S, True, "a"), KernelLinkStatus(True))
-        self.assertEqual(
-            monitor.evaluate(DISCONNECT_GRACE_S + 1, False, "a"), KernelLinkStatus(True)
-        )  # counted anew
+        # The next interruption has a grace period of its own.
+        self.assertEqual(monitor.evaluate(DISCONNECT_GRACE_S + 1, False, "a"), KernelLinkStatus(True))
 
-    def test_a_long_one_is_bad_health_and_looks_ever_more_seldom(self):
-        seen = evaluate_for(KernelLinkMonitor(), 60)
-        self.assertEqual([v.healthy for _, v in seen], [at < DISCONNECT_GRACE_S for at, _ in seen])
-        times = [at for at, v in seen if v.reload_due]
-        gaps = [b - a for a, b in itertools.pairwise(times)]
+    def test_a_long_interruption_is_unhealthy_and_reloads_back_off(self):
+        statuses = evaluate_for(KernelLinkMonitor(), 60)
+        self.assertEqual(
+            [status.healthy for _, status in statuses],
+            [time_s < DISCONNECT_GRACE_S for time_s, _ in statuses],
+        )
+        reload_times = [time_s for time_s, status in statuses if status.reload_due]
+        intervals = [b - a for a, b in itertools.pairwise(reload_times)]
         self.assertEqual(
-            (times[0], gaps),
+            (reload_times[0], intervals),
             (
                 DISCONNECT_GRACE_S,
                 [
@@ -54,30 +56,34 @@
                     4 * FIRST_RELOAD_INTERVAL_S,
                     8 * FIRST_RELOAD_INTERVAL_S,
                 ]
-                + [MAX_RELOAD_INTERVAL_S] * (len(gaps) - 4),
+                + [MAX_RELOAD_INTERVAL_S] * (len(intervals) - 4),
             ),
         )
 
-    def test_a_new_address_is_given_time_but_no_health_before_its_link_is_up(self):
+    def test_a_new_address_delays_the_reload_but_is_unhealthy_until_its_link_is_up(self):
         monitor = KernelLinkMonitor()
         evaluate_for(monitor, 20)
-        seen = evaluate_for(monitor, FIRST_RELOAD_INTERVAL_S, start=20, address="b")
-        self.assertEqual({v for _, v in seen}, {KernelLinkStatus(False)})
+        statuses = evaluate_for(monitor, FIRST_RELOAD_INTERVAL_S, start=20, address="b")
+        self.assertEqual({status for _, status in statuses}, {KernelLinkStatus(False)})
         self.assertTrue(monitor.evaluate(20.0 + FIRST_RELOAD_INTERVAL_S, False, "b").reload_due)
         self.assertEqual(monitor.evaluate(21.1, True, "b"), KernelLinkStatus(True))
 
     @given(st.lists(st.tuples(st.floats(0.01, 3), st.booleans(), st.sampled_from("abc")), max_size=60))
-    def test_whatever_happens_an_up_link_is_good_and_looks_are_rare(self, steps):
-        monitor, now, down, last = KernelLinkMonitor(), 0.0, None, None
-        for gap, up, address in steps:
-            now += gap
-            status = monitor.evaluate(now, up, address)
-            down = None if up else now if down is None else down
-            self.assertEqual(status.healthy, up or now - down < DISCONNECT_GRACE_S)
+    def test_over_any_events_a_connected_link_is_healthy_and_reloads_are_rare(self, steps):
+        monitor, now_s, down_since_s, reloaded_s = KernelLinkMonitor(), 0.0, None, None
+        for interval_s, connected, address in steps:
+            now_s += interval_s
+            status = monitor.evaluate(now_s, connected, address)
+            down_since_s = None if connected else now_s if down_since_s is None else down_since_s
+            self.assertEqual(status.healthy, connected or now_s - down_since_s < DISCONNECT_GRACE_S)
             if status.reload_due:
                 self.assertFalse(status.healthy)
-                self.assertTrue(last is None or last < down or now - last >= FIRST_RELOAD_INTERVAL_S - 1e-9)
-                last = now
+                self.assertTrue(
+                    reloaded_s is None
+                    or reloaded_s < down_since_s
+                    or now_s - reloaded_s >= FIRST_RELOAD_INTERVAL_S - 1e-9
+                )
+                reloaded_s = now_s
 
 
 if __name__ == "__main__":
--- a/tests/core/test_tenants.py
+++ b/tests/core/test_tenants.py
@@ -1,4 +1,4 @@
-"""Positions of tenants over changes, and when a compact table is due."""
+"""Tests of tenant positions over changes of the tenants, and of the compaction of tables."""
 
 import unittest
 
@@ -11,10 +11,10 @@
 
 
 class TenantTableTest(unittest.TestCase):
-    """Any history of changes."""
+    """Tenant tables after random and specific changes."""
 
     @given(st.lists(st.tuples(NAMES, st.sampled_from([1.0, 2.0])), max_size=8))
-    def test_over_any_history_who_stays_keeps_its_position_and_who_comes_back_finds_it(self, history):
+    def test_over_any_history_tenants_keep_their_positions_also_after_a_removal(self, history):
         table, positions = initial_table(()), {}
         for numbers, quota in history:
             listed = tuple(tenants(numbers, quota))
@@ -33,23 +33,23 @@
                 self.assertIs(table, before)
 
     @given(NAMES, NAMES, NAMES)
-    def test_a_compact_table_has_listed_tenants_first_and_only_the_used_of_the_removed(self, old, new, used):
+    def test_a_compacted_table_has_current_tenants_first_and_only_used_removed_ones(self, old, new, used):
         table = run_to_completion(updated_table(initial_table(tenants(old)), tenants(new)))
         names = {f"t{n}" for n in used}
-        got = run_to_completion(compacted_table(table, names))
-        self.assertEqual(got.by_position[: len(new)], tenants(new))
-        self.assertEqual(set(got.retired), {f"t{n}" for n in set(old) - set(new)} & names)
-        for name, position in (got.positions | got.retired).items():
-            self.assertEqual(got.by_position[position].name, name)
-
-    def test_compaction_is_due_once_removed_tenants_exceed_the_spare_positions_and_a_tenth(self):
-        for stay, gone, crowded in (
+        compacted = run_to_completion(compacted_table(table, names))
+        self.assertEqual(compacted.by_position[: len(new)], tenants(new))
+        self.assertEqual(set(compacted.retired), {f"t{n}" for n in set(old) - set(new)} & names)
+        for name, position in (compacted.positions | compacted.retired).items():
+            self.assertEqual(compacted.by_position[position].name, name)
+
+    def test_compaction_is_due_once_removed_tenants_exceed_the_minimum_and_a_tenth(self):
+        for kept, removed, due in (
             (0, MIN_RETIRED_POSITIONS, False),
             (0, MIN_RETIRED_POSITIONS + 1, True),
             (20 * MIN_RETIRED_POSITIONS, 2 * MIN_RETIRED_POSITIONS, False),
             (20 * MIN_RETIRED_POSITIONS, 3 * MIN_RETIRED_POSITIONS, True),
         ):
             table = run_to_completion(
-                updated_table(initial_table(tenants(range(stay + gone))), tenants(range(stay)))
+                updated_table(initial_table(tenants(range(kept + removed))), tenants(range(kept)))
             )
-            self.assertEqual(table.needs_compaction, crowded, (stay, gone))
+            self.assertEqual(table.needs_compaction, due, (kept, removed))
