--- a/tests/overload/overload_requests.py
+++ b/tests/overload/overload_requests.py
@@ -4,7 +4,7 @@
 
 from ochrehoist.admission.settings import AdmissionSettings, Idempotency, RequestClass, Tenant
 from ochrehoist.core.request import InboundRequest
-from tests.admission.controller_driver import Driver as Plain
+from tests.admission.controller_driver import Driver as ControllerDriver
 
 S, MS = 10**9, 10**6
 
@@ -33,7 +33,7 @@
     idempotency_window_ns=S,
 )
 
-SITE = AdmissionSettings(
+SETTINGS = AdmissionSettings(
     classes=(READ, LOW, FILING),
     cores=4,
     memory_kb=1e6,
@@ -43,33 +43,33 @@
 )
 
 
-class Driver(Plain):
-    """Remembers which requests have ended."""
+class Driver(ControllerDriver):
+    """A controller driver with a set of the ids of ended requests."""
 
     def __init__(self, **changes):
         self.ended = set()
         super().__init__(**changes)
 
 
-class Nobody:
-    """Stands for a caller that is never answered."""
+class SilentResponder:
+    """Responder for requests that are never answered."""
 
     def origin(self):
-        """Where the request came from."""
+        """Returns the name of the front and the caller's address."""
         return "test", "127.0.0.1"
 
 
-NUMBERS = itertools.count()
+REQUEST_NUMBERS = itertools.count()
 
 
-def request(cls=READ, key=None, work=None, kb=20.0, retry=False, caller=1):
-    """A request with usual values for what is not given."""
+def make_request(class_settings=READ, key=None, work=None, kb=20.0, retry=False, caller=1):
+    """Returns a request with default values for arguments that are not given."""
     return InboundRequest(
-        id=f"r{next(NUMBERS)}",
-        request_class=cls,
+        id=f"r{next(REQUEST_NUMBERS)}",
+        request_class=class_settings,
         arrived_ns=0,
         payload=None,
-        responder=Nobody(),
+        responder=SilentResponder(),
         executor=None,
         routing_key=key,
         work_ns=work,
--- a/tests/overload/test_concurrency_limits.py
+++ b/tests/overload/test_concurrency_limits.py
@@ -1,4 +1,4 @@
-"""Concurrency limits found on servers that nobody described."""
+"""Tests of adaptive concurrency limits on simulated machines."""
 
 import unittest
 from random import Random
@@ -8,36 +8,36 @@
 
 
 class ConcurrencyLimitTest(unittest.TestCase):
-    """Limits that search for the best concurrency."""
+    """Convergence and bounds of the limit algorithms."""
 
-    def settled(self, controller, time_of, windows=400, noise=0.05, seed=1):
-        rng, limits_seen = Random(seed), []
+    def mean_settled_limit(self, controller, time_of, windows=400, noise=0.05, seed=1):
+        rng, limits = Random(seed), []
         for n in range(windows):
             running = int(controller.limit)
             time = time_of(running, n) * rng.lognormvariate(0, noise)
             controller.update(CompletionWindow(running / time, time, running, 30))
-            limits_seen.append(controller.limit)
-        return sum(limits_seen[windows // 2 :]) / (windows // 2)
+            limits.append(controller.limit)
+        return sum(limits[windows // 2 :]) / (windows // 2)
 
     def machine(self, cores, slow=0.08):
         return lambda n, _: max(1.0, n / cores) * (1 + slow * max(0, n - 1.3 * cores))
 
-    def test_extremum_seeking_settles_near_the_knee_from_any_start_and_follows_it(self):
+    def test_extremum_seeking_converges_to_the_knee_from_any_start_and_follows_it(self):
         for cores in (3, 6, 16):
             for start in (1, cores, 8 * cores):
-                found = self.settled(
+                found = self.mean_settled_limit(
                     ExtremumSeekingLimit(float(start), LimitBounds(1, 10 * cores)), self.machine(cores)
                 )
                 self.assertTrue(0.8 * cores <= found <= 1.8 * cores, (cores, start, found))
         machines = self.machine(8), self.machine(4)
-        moved = ExtremumSeekingLimit(8.0, LimitBounds(1, 64))
-        found = self.settled(moved, lambda n, at: machines[at > 100](n, at), windows=600)
+        algorithm = ExtremumSeekingLimit(8.0, LimitBounds(1, 64))
+        found = self.mean_settled_limit(algorithm, lambda n, at: machines[at > 100](n, at), windows=600)
         self.assertTrue(3 <= found <= 7.5, found)
 
     def test_no_limit_leaves_its_bounds_and_an_unused_limit_does_not_move(self):
         for name, kind in LIMIT_ALGORITHMS.items():
             controller = kind(5.0, LimitBounds(2, 9))
-            self.settled(controller, lambda n, at: 1.0 + (at % 7), windows=300, noise=1.0)
+            self.mean_settled_limit(controller, lambda n, at: 1.0 + (at % 7), windows=300, noise=1.0)
             self.assertTrue(2 <= controller.limit <= 9, name)
             idle = kind(6.0, LimitBounds(1, 60))
             for _ in range(200):
@@ -47,9 +47,9 @@
     def test_a_window_counts_only_runs_that_began_in_it(self):
         windows = WindowAggregator()
         self.assertIsNone(windows.close(0.0))
-        windows.record_completion(0.1, 1.0, 0.5)  # began before
+        windows.record_completion(0.1, 1.0, 0.5)  # started before the window
         for n in range(20):
             windows.record_completion(0.2 + n * 0.05, 0.1, 0.05)
         windows.record_concurrency(3.0, 4)
-        w = windows.close(3.0)
-        self.assertEqual((w.count, round(w.time_per_work, 3), w.concurrency), (20, 0.5, 4.0))
+        window = windows.close(3.0)
+        self.assertEqual((window.count, round(window.time_per_work, 3), window.concurrency), (20, 0.5, 4.0))
--- a/tests/overload/test_overload_detector.py
+++ b/tests/overload/test_overload_detector.py
@@ -1,4 +1,4 @@
-"""When a worker is overloaded, and what it then admits."""
+"""Tests of overload detection and of the affordable rate."""
 
 import unittest
 
@@ -6,76 +6,89 @@
 from ochrehoist.overload.stage_timings import StageTimings
 
 
-def sample(at, admitted=0, shed=0, cost=300e-6, shed_cost=60e-6, late=0.001, rss=20_000_000, share=1.0):
-    """What a worker measures that has so much to do, and a share of a processor."""
-    cpu = admitted * cost + shed * shed_cost
-    return LoadSample(at, cpu, cpu / share, late, admitted, shed, rss)
+def sample(
+    at_s,
+    admitted=0,
+    rejected=0,
+    cost_s=300e-6,
+    rejected_cost_s=60e-6,
+    delay_s=0.001,
+    rss=20_000_000,
+    share=1.0,
+):
+    """Returns the sample of a worker with this load, which gets `share` of a CPU."""
+    cpu_s = admitted * cost_s + rejected * rejected_cost_s
+    return LoadSample(at_s, cpu_s, cpu_s / share, delay_s, admitted, rejected, rss)
 
 
 class OverloadDetectorTest(unittest.TestCase):
-    """Loads a worker can carry and loads it cannot."""
+    """Affordable and excessive loads on a simulated worker."""
 
-    def loaded(self, offered, seconds, detector=None, share=1.0, start=0.0, cost=300e-6):
-        """A worker that is offered so much a second, admits what it may, and is late by what it can't do."""
+    def simulate(self, offered, seconds, detector=None, share=1.0, start=0.0, cost=300e-6):
+        """Simulates a worker; returns its detector and the changes of the overload state.
+
+        It is offered `offered` requests per second, admits the affordable rate while overloaded, and its loop
+        delay grows with the work that it could not complete.
+        """
         detector = detector or OverloadDetector(100_000_000)
-        turns, backlog, at = [], 0.0, start
+        changes, backlog, at_s = [], 0.0, start
         for _ in range(int(seconds / SAMPLE_INTERVAL_S)):
-            at += SAMPLE_INTERVAL_S
-            arrivals = offered(at) * SAMPLE_INTERVAL_S if callable(offered) else offered * SAMPLE_INTERVAL_S
+            at_s += SAMPLE_INTERVAL_S
+            arrivals = offered(at_s) * SAMPLE_INTERVAL_S if callable(offered) else offered * SAMPLE_INTERVAL_S
             admitted = (
                 min(arrivals, detector.affordable_per_s * SAMPLE_INTERVAL_S)
                 if detector.overloaded
                 else arrivals
             )
-            need = admitted * cost + (arrivals - admitted) * 60e-6
-            backlog = max(0.0, backlog + need - SAMPLE_INTERVAL_S * share)
-            done = min(need, SAMPLE_INTERVAL_S * share)
-            was = detector.overloaded
+            required_s = admitted * cost + (arrivals - admitted) * 60e-6
+            backlog = max(0.0, backlog + required_s - SAMPLE_INTERVAL_S * share)
+            cpu_s = min(required_s, SAMPLE_INTERVAL_S * share)
+            was_overloaded = detector.overloaded
             detector.observe(
                 LoadSample(
-                    at,
-                    done,
-                    done / share,
+                    at_s,
+                    cpu_s,
+                    cpu_s / share,
                     0.001 + backlog / share,
                     round(admitted),
                     round(arrivals - admitted),
                     20_000_000,
                 )
             )
-            if detector.overloaded != was:
-                turns.append((round(at, 1), detector.overloaded))
-        return detector, turns
+            if detector.overloaded != was_overloaded:
+                changes.append((round(at_s, 1), detector.overloaded))
+        return detector, changes
 
-    def test_a_load_it_can_carry_is_never_overload(self):
+    def test_an_affordable_load_is_never_overload(self):
         for offered in (10, 500, 2000, 2700):
-            detector, turns = self.loaded(offered, 20)
-            self.assertEqual((detector.overloaded, turns), (False, []), offered)
+            detector, changes = self.simulate(offered, 20)
+            self.assertEqual((detector.overloaded, changes), (False, []), offered)
 
-    def test_twice_its_capacity_is_found_out_at_once_and_lateness_stays_bounded(self):
-        detector, turns = self.loaded(7000, 20)
+    def test_twice_the_capacity_is_detected_quickly_and_the_loop_delay_stays_bounded(self):
+        detector, changes = self.simulate(7000, 20)
         self.assertTrue(detector.overloaded)
-        self.assertLess(turns[0][0], 1.0)
+        self.assertLess(changes[0][0], 1.0)
         self.assertLess(detector.loop_delay_s, 0.05)
         self.assertGreater(detector.affordable_per_s, 0.5 * (0.85 - 7000 * 60e-6) / 240e-6)
 
-    def test_it_does_not_oscillate_under_steady_load_and_recovers_once_when_the_load_ends(self):
-        _detector, turns = self.loaded(lambda t: 7000 if t < 10 else 500, 30)
-        self.assertEqual([overloaded for _, overloaded in turns], [True, False])
-        self.assertLess(turns[1][0], 14.0)
+    def test_the_state_is_stable_under_steady_load_and_recovers_once_the_load_ends(self):
+        _detector, changes = self.simulate(lambda t: 7000 if t < 10 else 500, 30)
+        self.assertEqual([overloaded for _, overloaded in changes], [True, False])
+        self.assertLess(changes[1][0], 14.0)
 
-    def test_bursts_that_come_and_go_do_not_turn_it_each_time(self):
-        _, turns = self.loaded(lambda t: 9000 if t % 1 < 0.5 else 100, 30)
-        self.assertLessEqual(len(turns), 3, turns)
+    def test_the_state_does_not_flap_with_repeated_bursts(self):
+        _, changes = self.simulate(lambda t: 9000 if t % 1 < 0.5 else 100, 30)
+        self.assertLessEqual(len(changes), 3, changes)
 
-    def test_a_worker_that_gets_a_third_of_its_core_lets_in_about_a_third(self):
-        whole, _ = self.loaded(7000, 20)
-        starved, _ = self.loaded(3000, 20, share=1 / 3)
+    def test_a_worker_with_a_third_of_a_cpu_admits_about_a_third(self):
+        whole, _ = self.simulate(7000, 20)
+        starved, _ = self.simulate(3000, 20, share=1 / 3)
         self.assertAlmostEqual(starved.cpu_share, 1 / 3, delta=0.02)
         self.assertTrue(starved.overloaded)
         self.assertLess(starved.affordable_per_s, 0.6 * whole.affordable_per_s + 300)
         self.assertGreater(starved.affordable_per_s, 100)
 
-    def test_a_flood_too_costly_even_to_reject_leaves_the_cores_their_work(self):
+    def test_a_flood_that_is_too_costly_to_reject_still_leaves_a_minimum_rate(self):
         detector = OverloadDetector(100_000_000)
         for n in range(60):
             detector.observe(
@@ -86,14 +99,14 @@
         detector.observe(LoadSample(7.0, 0.099, 0.099, 0.03, 3, 4000, 99_000_000, runs_started=3))
         self.assertEqual(detector.affordable_per_s, 0.0)
 
-    def test_one_pause_of_the_machine_or_collection_is_no_reason(self):
-        detector, _ = self.loaded(500, 5)
-        detector.observe(sample(6.0, admitted=500, late=1.0))
+    def test_a_single_pause_is_not_overload(self):
+        detector, _ = self.simulate(500, 5)
+        detector.observe(sample(6.0, admitted=500, delay_s=1.0))
         self.assertFalse(detector.overloaded)
-        detector, _turns = self.loaded(500, 5, detector, start=6.0)
+        detector, _changes = self.simulate(500, 5, detector, start=6.0)
         self.assertFalse(detector.overloaded)
 
-    def test_memory_closes_admission_before_the_limit(self):
+    def test_admission_falls_to_zero_before_the_memory_limit(self):
         detector = OverloadDetector(100_000_000)
         rates = []
         for mb in (50, 79, 85, 90, 95, 99):
@@ -103,7 +116,7 @@
         self.assertGreater(rates[1], 0)
         self.assertEqual(rates[-2:], [0.0, 0.0])
 
-    def test_stages_count_their_own_time_only(self):
+    def test_stage_timings_exclude_nested_stages(self):
         timings = StageTimings()
         inner = timings.timed("inner", lambda: sum(range(20_000)))
         outer = timings.timed("outer", lambda: inner() and None)
--- a/tests/overload/test_overloaded_worker.py
+++ b/tests/overload/test_overloaded_worker.py
@@ -1,4 +1,4 @@
-"""An overloaded worker: the real program, whose module was made slow, under a flood on both fronts."""
+"""Tests of an overloaded worker: the real program with a slowed controller, under a flood of requests."""
 
 import json
 import subprocess
@@ -20,8 +20,9 @@
 from tests.support.worker_cases import WorkerTestCase
 from tests.support.worker_process import run_command
 
-# Run at the start of the interpreter: each decision takes 3 ms more, on whatever machine.
-SLOW = """
+# Executed when the worker's interpreter starts: lengthens each decision by 3 ms, so that every machine is
+# overloaded by the same load.
+SLOW_CONTROLLER_CODE = """
 import sys, time
 if "-m" in sys.orig_argv and "ochrehoist" in sys.orig_argv:
     from ochrehoist.admission.controller import AdmissionController
@@ -36,10 +37,10 @@
 
 
 class Flood:
-    """Keeps so many reads open on some connections until it is told to end; every answer is kept."""
+    """Keeps `each` reads open on each connection until `end` is called, and counts all answers."""
 
     def __init__(self, address, connections=6, each=30):
-        self.going, self.kinds, self.backoffs, self.faults, self.sent = True, {}, [], [], 0
+        self.running, self.answer_counts, self.backoffs, self.errors, self.sent = True, {}, [], [], 0
         self.threads = [threading.Thread(target=self._run, args=(address, each)) for _ in range(connections)]
         for thread in self.threads:
             thread.start()
@@ -47,23 +48,23 @@
     def _run(self, address, each):
         try:
             client = ThriftRouter(address)
-            open_ones = [client.invoke(obj=f"{n}") for n in range(each)]
+            open_ids = [client.invoke(obj=f"{n}") for n in range(each)]
             count = each
-            while open_ones:
-                kind, fields, _ = client.answer(open_ones.pop(0))
-                self.kinds[kind] = self.kinds.get(kind, 0) + 1
+            while open_ids:
+                kind, fields, _ = client.answer(open_ids.pop(0))
+                self.answer_counts[kind] = self.answer_counts.get(kind, 0) + 1
                 if kind == "Throttled":
                     self.backoffs.append(int(fields.get("backoff", 0)))
-                if self.going:
-                    open_ones.append(client.invoke(obj=f"{count}"))
+                if self.running:
+                    open_ids.append(client.invoke(obj=f"{count}"))
                     count += 1
             self.sent += count
             client.close()
         except Exception as error:
-            self.faults.append(repr(error))
+            self.errors.append(repr(error))
 
     def end(self):
-        self.going = False
+        self.running = False
         for thread in self.threads:
             thread.join(WAIT_LIMIT_S)
         return self
@@ -72,25 +73,27 @@
 class OverloadedWorkerTest(WorkerTestCase):
     """A worker under a flood."""
 
-    def program(self, **how):
+    def program(self, **options):
         return self.start(
-            site=short_deadline_settings(), kernel=InstantKernel(), **({"overload": {}, "fault": SLOW} | how)
+            site=short_deadline_settings(),
+            kernel=InstantKernel(),
+            **({"overload": {}, "fault": SLOW_CONTROLLER_CODE} | options),
         )
 
     def status(self, program):
         return json.loads(program.operator_call()[1])
 
-    def until(self, program, good):
+    def wait_for_status(self, program, condition):
         end = time.monotonic() + WAIT_LIMIT_S
-        while not good(status := self.status(program)):
+        while not condition(status := self.status(program)):
             self.assertLess(time.monotonic(), end, status)
             time.sleep(0.02)
         return status
 
-    def test_a_flood_is_rejected_early_filings_are_served_and_it_is_over_once_the_flood_ends(self):
+    def test_a_flood_is_rejected_early_filings_are_served_and_overload_ends_with_the_flood(self):
         program = self.program()
         flood = Flood(program.addresses["ThriftFront"])
-        self.until(program, lambda s: s["overload"]["admission"]["shed"])
+        self.wait_for_status(program, lambda s: s["overload"]["admission"]["shed"])
         client, served = program.thrift_router(), 0
         for n in range(12):
             kind = client.call(method="filing", token=f"{n:032x}")[0]
@@ -99,14 +102,18 @@
             client.ping()
             self.assertTrue(client.good)
         self.assertGreater(served, 0)
-        status = self.until(program, lambda s: sum(s["overload"]["admission"]["shed"].values()) > 200)
-        self.assertFalse([g for g in status["overload"]["admission"]["shed"] if g.startswith("filing")])
+        status = self.wait_for_status(
+            program, lambda s: sum(s["overload"]["admission"]["shed"].values()) > 200
+        )
+        self.assertFalse(
+            [reason for reason in status["overload"]["admission"]["shed"] if reason.startswith("filing")]
+        )
         flood.end()
-        self.assertEqual(flood.faults, [])
-        self.assertEqual(sum(flood.kinds.values()), flood.sent)
+        self.assertEqual(flood.errors, [])
+        self.assertEqual(sum(flood.answer_counts.values()), flood.sent)
         self.assertGreaterEqual(min(flood.backoffs), 0)
         self.assertGreater(len(set(flood.backoffs)), 20)
-        after = self.until(program, lambda s: not s["overload"]["loop"]["behind"])
+        after = self.wait_for_status(program, lambda s: not s["overload"]["loop"]["behind"])
         self.assertEqual(after["in_hand"], 0)
         counted = after["served"] + after["refused"] + after["failed"]
         self.assertEqual(counted, flood.sent + 12)
@@ -122,40 +129,40 @@
         first = program.thrift_router().call(method="filing", token="0" * 31 + "1")
         self.assertEqual(first[0], "Answer")
         flood = Flood(program.addresses["ThriftFront"])
-        self.until(program, lambda s: s["overload"]["admission"]["shed"])
+        self.wait_for_status(program, lambda s: s["overload"]["admission"]["shed"])
         web, refused = program.ajp_client(), 0
         end = time.monotonic() + WAIT_LIMIT_S
         while not refused and time.monotonic() < end:
             status, headers, _ = web.call("GET", "/reads/1")
             refused += status == 503
-            self.assertIn(status, (200, 503, 504))  # the last: its time was over
+            self.assertIn(status, (200, 503, 504))  # 504: the deadline passed
             if status == 503:
                 self.assertGreaterEqual(int(headers["Retry-After"]), 1)
             status, _, _ = web.call("POST", "/reads/1", body=b"x" * 9000, rest=b"x" * 814)
-            self.assertIn(status, (200, 503, 504))  # the last: its time was over
+            self.assertIn(status, (200, 503, 504))  # 504: the deadline passed
         self.assertTrue(refused)
         again = program.thrift_router().call(method="filing", token="0" * 31 + "1")
         self.assertEqual((again[0], again[2]), ("Answer", first[2]))
         flood.end()
-        self.assertEqual(flood.faults, [])
+        self.assertEqual(flood.errors, [])
         self.assertEqual(program.kernel.scheduled.qsize(), 0)
 
     def test_a_graceful_shutdown_while_overloaded_answers_all_that_was_read_and_ends(self):
         program = self.program()
         flood = Flood(program.addresses["ThriftFront"], connections=2, each=20)
-        self.until(program, lambda s: s["overload"]["loop"]["behind"])
-        flood.going = False
+        self.wait_for_status(program, lambda s: s["overload"]["loop"]["behind"])
+        flood.running = False
         program.process.terminate()
         flood.end()
         self.assertEqual(program.process.wait(WAIT_LIMIT_S), 0)
-        self.assertEqual(flood.faults, [])
-        self.assertEqual(sum(flood.kinds.values()), flood.sent)
+        self.assertEqual(flood.errors, [])
+        self.assertEqual(sum(flood.answer_counts.values()), flood.sent)
 
-    def test_sighup_changes_it_and_a_bad_table_is_turned_down_by_its_key(self):
+    def test_a_reload_changes_the_controller_and_rejects_an_invalid_table(self):
         program = self.program(fault=None)
         self.assertEqual(self.status(program)["overload"]["running"]["controller"], "module")
         program.reload("operators.toml", toml_file({"overload": {"controller": "seek", "most_running": 4}}))
-        self.until(program, lambda s: s["overload"]["running"]["controller"] == "seek")
+        self.wait_for_status(program, lambda s: s["overload"]["running"]["controller"] == "seek")
         program.reload(
             "operators.toml",
             toml_file({"overload": {"controller": "best"}}),
@@ -164,7 +171,7 @@
         self.assertEqual(self.status(program)["overload"]["running"]["controller"], "seek")
         self.assertEqual(program.thrift_router().call()[0], "Answer")
 
-    def test_a_replaced_process_goes_on_with_limits_of_its_own(self):
+    def test_a_successor_process_uses_limits_of_its_own(self):
         before = self.program(fault=None)
         client = before.thrift_router()
         token = "a" * 32
@@ -177,25 +184,25 @@
 
 
 class OverloadSettingsTest(WorkerTestCase):
-    """The table of overload control, and a worker without it."""
+    """The configuration table of overload control, and a worker without it."""
 
     def test_without_its_table_overload_control_is_neither_loaded_nor_reported(self):
-        done = subprocess.run(
+        completed = subprocess.run(
             [sys.executable, "-c", "import ochrehoist.app.worker, sys; print(*sys.modules)"],
             cwd=ROOT,
             capture_output=True,
             text=True,
             timeout=WAIT_LIMIT_S,
         )
-        loaded = done.stdout.split()
+        loaded = completed.stdout.split()
         self.assertIn("ochrehoist.core.actor", loaded)
         self.assertEqual([m for m in loaded if m.startswith(("ochrehoist.overload", "hdrh"))], [])
         program = self.start(site=site_settings(), kernel=InstantKernel())
         self.assertNotIn("overload", json.loads(program.operator_call()[1]))
         self.assertNotIn("app_loop_delay", program.operator_call(path="/status/metrics")[1])
 
-    def test_each_fault_is_named_by_its_key(self):
-        whole = (ROOT / "deploy/ajp.toml").read_text()
+    def test_each_invalid_setting_is_reported_by_its_key(self):
+        base_text = (ROOT / "deploy/ajp.toml").read_text()
         for table, key in (
             ("admission = 1", "overload.admission"),
             ("door = 1", "overload.door"),
@@ -206,22 +213,22 @@
             ("least_running = 9\nmost_running = 4", "overload.least_running"),
         ):
             with self.subTest(table):
-                path = self.write(whole + f"\n[overload]\n{table}\n")
+                path = self.write(base_text + f"\n[overload]\n{table}\n")
                 with self.assertRaises(InvalidInputError) as raised:
                     load_appliance(path, {})
                 self.assertIn(key, str(raised.exception))
 
-    def test_the_older_name_of_a_key_is_still_taken(self):
-        whole = (ROOT / "deploy/ajp.toml").read_text()
-        for table, told in (
+    def test_the_previous_name_of_a_key_is_still_accepted(self):
+        base_text = (ROOT / "deploy/ajp.toml").read_text()
+        for table, expected in (
             ("", True),
             ("admission = false", False),
             ("door = false", False),
             ("door = true", True),
         ):
             with self.subTest(table):
-                config = load_appliance(self.write(whole + f"\n[overload]\n{table}\n"), {})
-                self.assertIs(config.overload.admission, told)
+                config = load_appliance(self.write(base_text + f"\n[overload]\n{table}\n"), {})
+                self.assertIs(config.overload.admission, expected)
 
     def write(self, text):
         folder = tempfile.TemporaryDirectory()
@@ -230,9 +237,9 @@
         path.write_text(text)
         return str(path)
 
-    def test_the_example_is_good(self):
-        done = run_command("check", str(ROOT / "deploy/overload.toml"))
-        self.assertEqual(done.returncode, 0, done.stderr)
+    def test_the_example_configuration_is_valid(self):
+        completed = run_command("check", str(ROOT / "deploy/overload.toml"))
+        self.assertEqual(completed.returncode, 0, completed.stderr)
 
 
 if __name__ == "__main__":
--- a/tests/overload/test_retry_budget.py
+++ b/tests/overload/test_retry_budget.py
@@ -1,21 +1,21 @@
-"""Retries under pressure: who may send how many."""
+"""Tests of the retry budgets of callers during overload."""
 
 import unittest
 
 from ochrehoist.config.tables import OverloadConfig
 from ochrehoist.overload.limiter import AdaptiveLimiter
 from ochrehoist.overload.retry_budget import RetryBudget
-from tests.overload.overload_requests import FILING, MS, SITE, S, request
+from tests.overload.overload_requests import FILING, MS, SETTINGS, S, make_request
 
 
 class RetryBudgetTest(unittest.TestCase):
-    """Retries by caller, marked or not."""
+    """Budgets by caller, for marked and unmarked retries."""
 
-    def test_only_under_pressure_only_retries_and_each_caller_by_itself(self):
+    def test_only_retries_are_denied_per_caller_and_only_during_overload(self):
         budget, now = RetryBudget(1), 0.0
         for n in range(200):
             now += 0.01
-            self.assertTrue(budget.admit_attempt(1, ("x", n), True, True, now))  # nothing is turned away
+            self.assertTrue(budget.admit_attempt(1, ("x", n), True, True, now))  # no rejections: no denials
         denied = {1: 0, 2: 0}
         for n in range(400):
             now += 0.01
@@ -41,16 +41,18 @@
         self.assertTrue(all(S <= t <= 1.5 * S for t in reported))
         self.assertGreater(len(set(reported)), 40)
 
-    def test_filings_and_cheap_classes_are_never_denied(self):
-        limiter = AdaptiveLimiter(OverloadConfig(retry_budget=True), SITE, 1)
+    def test_filings_and_low_cost_classes_are_never_denied(self):
+        limiter = AdaptiveLimiter(OverloadConfig(retry_budget=True), SETTINGS, 1)
         limiter.running, limiter.activity["read"].queued = 9, 3
         for n in range(60):
-            limiter.request_rejected(request(), S, n * MS)
+            limiter.request_rejected(make_request(), S, n * MS)
             limiter.retry_budget.admit_attempt(1, ("read", n), False, True, n / 1000)
-        reads = [limiter.check_arrival(request(retry=True), 100 * MS) for _ in range(40)]
+        reads = [limiter.check_arrival(make_request(retry=True), 100 * MS) for _ in range(40)]
         self.assertTrue(any(reads))
-        filing = request(FILING, retry=True)
+        filing = make_request(FILING, retry=True)
         filing.idempotency_key = ("a", "filing", "t")
         self.assertEqual({limiter.check_arrival(filing, 100 * MS) for _ in range(40)}, {None})
         limiter.low_cost = {"read"}
-        self.assertEqual({limiter.check_arrival(request(retry=True), 100 * MS) for _ in range(40)}, {None})
+        self.assertEqual(
+            {limiter.check_arrival(make_request(retry=True), 100 * MS) for _ in range(40)}, {None}
+        )
