--- a/ochrehoist/core/deadlines.py
+++ b/ochrehoist/core/deadlines.py
@@ -55,7 +55,7 @@
     def collect_due_timers(self, now_ns: int) -> bool:
         """Collects the timers that are due. Returns whether gauges must be requested for them.
 
-        They need not be where a request for gauges is already pending.
+        They need not be requested while a request for gauges is already pending.
         """
         timer_ids = []
         while self._timers and self._timers[0][0] <= now_ns:
--- a/ochrehoist/core/errors.py
+++ b/ochrehoist/core/errors.py
@@ -4,7 +4,7 @@
 
 
 class InvalidStateError(OchrehoistError):
-    """Raised for a handed-over state that cannot be restored; the message names the problem."""
+    """Raised for a handed-over or stored state that cannot be restored; the message names the problem."""
 
 
 class UnknownLineError(InvalidStateError):
--- a/ochrehoist/core/forwarder.py
+++ b/ochrehoist/core/forwarder.py
@@ -41,7 +41,7 @@
 
 
 class Forwarder:
-    """Forwards messages to the process that decides, and carries out its decisions.
+    """Forwarder of messages to the process that decides, which carries out the decisions of that process.
 
     Attributes:
         pending: Requests, by id, that are unanswered or still running here.
--- a/ochrehoist/core/handover_snapshot.py
+++ b/ochrehoist/core/handover_snapshot.py
@@ -70,7 +70,7 @@
         "fingerprint": fingerprint_to_json(run.fingerprint),
         "dropped": run.result_evicted,
         "stored": run.result_stored,
-        "begun": run.begun,
+        "begun": run.started,
         "asleep": run.restored,
         "result": optional_result_to_json(run.result, codec),
     }
@@ -87,7 +87,7 @@
 
 
 class SnapshotReader:
-    """Validates lines and builds a snapshot from them; `done` is set once the snapshot is complete."""
+    """Validating reader of snapshot lines; `done` is set once the snapshot is complete."""
 
     def __init__(
         self,
@@ -143,7 +143,7 @@
             fingerprint_from_json(line["fingerprint"]),
             result_evicted=bool(line["dropped"]),
             result_stored=bool(line.get("stored")),
-            begun=bool(line.get("begun")),
+            started=bool(line.get("begun")),
             restored=bool(line.get("asleep")),
         )
         table = self.snapshot.idempotency
--- a/ochrehoist/core/idempotency_table.py
+++ b/ochrehoist/core/idempotency_table.py
@@ -35,7 +35,7 @@
         result: The result; None until the run has ended, and again after eviction.
         result_evicted: Whether the result was evicted to save memory; the run itself is kept.
         result_stored: Whether the result is in the journal and can be fetched from it.
-        begun: Whether the run was recorded and started on its executor; unused without a journal.
+        started: Whether the run was recorded and started on its executor; unused without a journal.
         restored: Whether the run dates from before a restart and the controller has not adopted it yet.
         waiters: Ids of duplicates that wait for the result.
     """
@@ -46,7 +46,7 @@
     result: RunResult | None = None
     result_evicted: bool = False
     result_stored: bool = False
-    begun: bool = False
+    started: bool = False
     restored: bool = False
     waiters: tuple[str, ...] = ()
 
@@ -89,7 +89,7 @@
         return run.id if run is not None and arrived_ns <= run.window_end_ns else None
 
     def has_same_content(self, key: IdempotencyKey, arrived_ns: int, fingerprint: Fingerprint | None) -> bool:
-        """Returns False if the key belongs to different content; True where a fingerprint is unknown."""
+        """Returns False if the key belongs to different content; True if a fingerprint is unknown."""
         record = self.records.get(key)
         expires_ns, original = (0, None) if record is None else (record.expires_ns, record.fingerprint)
         run = self.runs.get(key)
--- a/ochrehoist/core/idempotent_runs.py
+++ b/ochrehoist/core/idempotent_runs.py
@@ -112,10 +112,10 @@
         if request is None or request.idempotency_key is None:
             return
         run = core.idempotency.runs.get(request.idempotency_key)
-        if run is None or run.id != request.id or run.begun:
+        if run is None or run.id != request.id or run.started:
             return
         if message.recorded and (not request.answered or run.waiters):
-            run.begun = True
+            run.started = True
             core.execute(request)
         else:  # it could not be recorded, or no caller waits for it any more
             self._cancel_unstarted_run(request, request.idempotency_key, message.retry_after_ns)
--- a/ochrehoist/core/kernel_link_monitor.py
+++ b/ochrehoist/core/kernel_link_monitor.py
@@ -25,7 +25,7 @@
 
 
 class KernelLinkMonitor:
-    """Evaluates periodic reports of the link's state. Times are seconds of one monotonic clock."""
+    """Evaluation of periodic reports of the link's state. Times are seconds of one monotonic clock."""
 
     def __init__(self, disconnect_grace_s: float = DISCONNECT_GRACE_S) -> None:
         self._disconnect_grace_s = disconnect_grace_s
--- a/ochrehoist/core/messages.py
+++ b/ochrehoist/core/messages.py
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True)
 class ExecutorReady:
-    """The executor is ready, so the controller can be created."""
+    """Notification that the executor is ready, so that the controller can be created."""
 
     cold_start: bool | None  # None: the settings decide
     age_ns: int  # time since the executor became ready
@@ -21,14 +21,14 @@
 
 @dataclass(slots=True)
 class RequestArrived:
-    """A front has read a request."""
+    """Notification that a front has read a request."""
 
     request: InboundRequest
 
 
 @dataclass(slots=True)
 class CallerDisconnected:
-    """The caller of a request no longer waits for the answer."""
+    """Notification that the caller of a request no longer waits for the answer."""
 
     id: str
     gave_up: bool = True  # False if its connection was lost
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True)
 class RunCompleted:
-    """The executor has ended the run of a request."""
+    """Notification that the run of a request has ended."""
 
     id: str
     result: RunResult
@@ -60,7 +60,7 @@
 
 @dataclass(slots=True)
 class ShutdownRequested:
-    """The process was ordered to shut down."""
+    """Order to shut the process down."""
 
     remaining_ns: int  # time until the process is stopped
     age_ns: int = 0  # maximum time since the order arrived
@@ -68,7 +68,7 @@
 
 @dataclass(slots=True)
 class StandbyChanged:
-    """The operators set or cleared standby, which affects only the health that the worker reports."""
+    """Order of the operators to set or clear standby, which only affects the reported health."""
 
     enabled: bool
 
@@ -95,7 +95,7 @@
 
 @dataclass(slots=True)
 class KernelLinkChanged:
-    """The kernel became reachable or unreachable; short interruptions are not reported."""
+    """Notification that the kernel became reachable or unreachable; short interruptions are not reported."""
 
     connected: bool
 
@@ -118,7 +118,7 @@
 
 @dataclass(slots=True)
 class ConfigurationSwitched:
-    """A reloaded configuration takes effect between two messages, in the core and in all other parts."""
+    """Order to apply a reloaded configuration between two messages, in the core and in all other parts."""
 
     apply_parts: Callable[[], None]  # applies the configuration to the other parts
     core_change: SettingsChanged | TenantsChanged | None  # None if nothing changes for the core
--- a/ochrehoist/core/protocols.py
+++ b/ochrehoist/core/protocols.py
@@ -19,7 +19,7 @@
 
 
 class Logger(Protocol):
-    """Writes log events, which have a name in snake_case and typed fields."""
+    """Writer of log events, which have a name in snake_case and typed fields."""
 
     def info(self, event: str, **fields: object) -> None:
         """Logs an event for information."""
@@ -39,7 +39,7 @@
 
 
 class Responder(Protocol):
-    """Sends one final answer to the caller. A caller that has disconnected is not an error."""
+    """Sender of one final answer to the caller. A caller that has disconnected is not an error."""
 
     def served(self, result: RunResult) -> bool:
         """Sends a result; returns False if the wire protocol cannot carry it and a failure was sent."""
@@ -59,7 +59,7 @@
 
 
 class Executor(Protocol):
-    """Runs requests."""
+    """Service that runs requests."""
 
     def start(self, request: InboundRequest) -> None:
         """Starts a run.
@@ -89,7 +89,7 @@
 
 
 class Waker(Protocol):
-    """Lets one task sleep until it is woken or a timeout (s) expires."""
+    """Event on which one task sleeps until it is woken or a timeout (s) expires."""
 
     def set(self) -> None:
         """Wakes the task."""
@@ -128,7 +128,7 @@
 
 
 class ConcurrencyLimiter(Protocol):
-    """Determines the concurrency limits of the controller from measurements of this worker."""
+    """Source of the controller's concurrency limits, based on measurements of this worker."""
 
     def check_arrival(self, request: InboundRequest, now_ns: int) -> Rejection | None:
         """Returns a rejection if a request that never ran must not reach the controller."""
@@ -175,7 +175,7 @@
 
 
 class IntentReplicator(Protocol):
-    """Replicates to other workers which filings were started on this one.
+    """Replication, to other workers, of the intents to run filings on this one.
 
     It reports to the journal by messages. Keys are in the encoding of the store.
     """
@@ -226,7 +226,7 @@
 
 
 class DetailCodec(Protocol):
-    """Converts the `detail` of a result to JSON values and back."""
+    """Conversion of the `detail` of a result to JSON values and back."""
 
     def to_json(self, detail: Any) -> Any:
         """Returns the JSON value of a detail."""
--- a/ochrehoist/core/response_tracker.py
+++ b/ochrehoist/core/response_tracker.py
@@ -19,7 +19,7 @@
 
 
 class ResponseTracker:
-    """Tracks unanswered requests and sends each exactly one answer.
+    """Table of open requests, which sends each exactly one answer.
 
     Attributes:
         open_requests: Requests, by id, that are unanswered or still running.
--- a/ochrehoist/loop_protocols.py
+++ b/ochrehoist/loop_protocols.py
@@ -14,7 +14,7 @@
 
 
 class TimerLoop(Protocol):
-    """Schedules calls on the thread of the event loop, which is the only one that makes decisions."""
+    """Timers on the thread of the event loop, which is the only one that makes decisions."""
 
     def call_later(self, seconds: float, call: Callable[[], object]) -> PendingCall:
         """Schedules the call after this delay (s)."""
--- a/ochrehoist/overload/completion_window.py
+++ b/ochrehoist/overload/completion_window.py
@@ -19,7 +19,7 @@
 
 
 class WindowAggregator:
-    """Builds consecutive windows.
+    """Builder of consecutive windows.
 
     A run's work is its stated work (s), or 1 without stated work. Runs that started before a window are not
     counted in it, as the previous limit applied to them.
--- a/ochrehoist/overload/concurrency_limits.py
+++ b/ochrehoist/overload/concurrency_limits.py
@@ -33,7 +33,7 @@
 
 
 class LimitAlgorithm(Protocol):
-    """Adapts a concurrency limit to consecutive windows of completions."""
+    """Concurrency limit that adapts to consecutive windows of completions."""
 
     limit: float
     bounds: LimitBounds
@@ -62,7 +62,7 @@
 
 
 class AimdLimit:
-    """Additive increase while run times stay close to the best time, else multiplicative decrease."""
+    """Limit with additive increase while times stay close to the best time, else multiplicative decrease."""
 
     SLOW_MULTIPLE = 2.0  # multiple of the best time above which the limit is decreased
     DECREASE = 0.9
@@ -84,7 +84,7 @@
 
 
 class VegasLimit:
-    """Estimates how many of the running requests only wait, and keeps that number between two bounds."""
+    """Limit that keeps the estimated number of running requests that only wait between two bounds."""
 
     MIN_QUEUE = 3.0  # alpha in the publication
     MAX_QUEUE = 6.0  # beta in the publication
@@ -108,7 +108,7 @@
 
 
 class GradientLimit:
-    """Follows the ratio of the long-term time to the latest time, and allows for a short queue."""
+    """Limit that follows the ratio of the long-term time to the latest time, and allows for a short queue."""
 
     TOLERANCE = 1.5  # multiple of the long-term time up to which the limit is not decreased
     SMOOTHING = 0.2
@@ -148,7 +148,7 @@
 
 
 class HillClimbingLimit:
-    """Changes the limit in steps in the direction that increases throughput, and reverses otherwise.
+    """Limit that moves in steps, in the direction that increases throughput, and reverses otherwise.
 
     It needs no reference time. The throughput of several windows is compared with that at the previous limit.
     A difference within the counting noise is ignored, and the limit is decreased then: running requests use
@@ -196,7 +196,7 @@
 
 
 class ExtremumSeekingLimit:
-    """Probes limits below and above the current centre in turn, and moves the centre by the result.
+    """Limit that probes below and above a centre in turn, and moves the centre by the result.
 
     It keeps the elasticity of throughput at a target: 1 % more concurrency gives 1 % more throughput below
     the knee of the curve, and no more throughput, or less, beyond it. Throughput is computed as concurrency
--- a/ochrehoist/overload/cost_prediction.py
+++ b/ochrehoist/overload/cost_prediction.py
@@ -147,7 +147,7 @@
 
 
 class CostPredictor:
-    """Learns the usual cost of each class from completions, and predicts costs as multiples of it."""
+    """Predictor that learns the usual cost of each class, and predicts costs as multiples of it."""
 
     def __init__(self) -> None:
         self.baselines: dict[str, ClassBaseline] = {}
--- a/ochrehoist/overload/overload_detector.py
+++ b/ochrehoist/overload/overload_detector.py
@@ -60,7 +60,7 @@
 
 @dataclass
 class OverloadDetector:
-    """Detects overload with hysteresis, and estimates the request rate that the worker can afford."""
+    """Overload detection with hysteresis, and an estimate of the request rate that the worker can afford."""
 
     memory_limit_bytes: int
     overloaded: bool = False
--- a/ochrehoist/store/journal_records.py
+++ b/ochrehoist/store/journal_records.py
@@ -61,7 +61,7 @@
             fingerprint=fingerprint,
             result_evicted=True,
             result_stored=intent.has_result,
-            begun=False,
+            started=False,
             restored=True,
         )
     return runs
--- a/tests/core/test_growth.py
+++ b/tests/core/test_growth.py
@@ -218,7 +218,7 @@
 
 
 class IdentityCodec:
-    """Returns details unchanged."""
+    """Codec that returns details unchanged."""
 
     def to_json(self, detail):
         return detail
--- a/tests/overload/test_overloaded_worker.py
+++ b/tests/overload/test_overloaded_worker.py
@@ -37,7 +37,7 @@
 
 
 class Flood:
-    """Keeps `each` reads open on each connection until `end` is called, and counts all answers."""
+    """Load that keeps `each` reads open on each connection until `end` is called, and counts all answers."""
 
     def __init__(self, address, connections=6, each=30):
         self.running, self.answer_counts, self.backoffs, self.errors, self.sent = True, {}, [], [], 0
