--- a/ochrehoist/core/action_handlers.py
+++ b/ochrehoist/core/action_handlers.py
@@ -51,7 +51,7 @@
     window_end_ns = request.arrived_ns + request.request_class.idempotency_window_ns
     core.idempotency.run_started(key, request.id, window_end_ns, request.fingerprint)
     request.started = True
-    core.idempotent_runs.begin(request)
+    core.idempotent_runs.record_and_start(request)
 
 
 def reject_request(core: CoreContext, action: RejectRequest) -> None:
--- a/ochrehoist/core/forwarder.py
+++ b/ochrehoist/core/forwarder.py
@@ -109,7 +109,7 @@
         if request is not None:
             request.answered = True
             self._forward(message)
-            self._drop_if_over(request)
+            self._drop_if_finished(request)
 
     def _intent_recorded(self, message: IntentRecorded) -> None:
         """Handles the journal's answer for a filing that was being recorded at the time of the takeover."""
@@ -129,7 +129,7 @@
         if self._send is None and not request.answered:
             self._complete(request, message.result)
         self._completed[message.id] = message
-        self._drop_if_over(request)
+        self._drop_if_finished(request)
 
     # Decisions of the other process.
 
@@ -151,7 +151,7 @@
             self._responses.relay_rejection(request, decision.retry_after_ns, decision.no_retry)
         elif isinstance(decision, FailureDecided):
             self._responses.fail_untracked(request, decision.reason, decision.result)
-        self._drop_if_over(request)
+        self._drop_if_finished(request)
 
     def _start(self, request_id: str, request: InboundRequest | None) -> None:
         if request is None:  # the caller has disconnected, so nothing is started
@@ -176,7 +176,7 @@
                 self._complete(request, completed.result)
             elif not request.started:
                 self._fail(request, FailureReason.INTERNAL)
-            self._drop_if_over(request)
+            self._drop_if_finished(request)
 
     def tick(self) -> None:
         """Fails overdue requests."""
@@ -189,7 +189,7 @@
                 self._log.warning("forwarded_request_overdue", id=request.id)
                 self._fail(request, FailureReason.DEADLINE_PASSED)
                 self._forward(CallerDisconnected(request.id, gave_up=False))
-                self._drop_if_over(request)
+                self._drop_if_finished(request)
 
     # Answers.
 
@@ -200,7 +200,7 @@
     def _fail(self, request: InboundRequest, reason: FailureReason) -> None:
         self._responses.fail_untracked(request, reason)
 
-    def _drop_if_over(self, request: InboundRequest) -> None:
+    def _drop_if_finished(self, request: InboundRequest) -> None:
         """Drops a request that is answered and not running."""
         if request.answered and (not request.started or request.id in self._completed):
             self.pending.pop(request.id, None)
--- a/ochrehoist/core/idempotency_table.py
+++ b/ochrehoist/core/idempotency_table.py
@@ -137,7 +137,7 @@
         self.runs[key] = IdempotentRun(request_id, window_end_ns + WINDOW_MARGIN_NS, fingerprint)
 
     def remove_unstarted_run(self, key: IdempotencyKey, request_id: str) -> list[str]:
-        """Removes a run that was not started, so that a later attempt may run.
+        """Removes a run that was not started or never executed, so that a later attempt may run.
 
         Returns the ids of the duplicates that waited for it.
         """
--- a/ochrehoist/core/idempotent_runs.py
+++ b/ochrehoist/core/idempotent_runs.py
@@ -95,7 +95,7 @@
             core.reject(request, rejection.retry_after_ns)
         return True
 
-    def begin(self, request: InboundRequest) -> None:
+    def record_and_start(self, request: InboundRequest) -> None:
         """Records the intent to run the request; the run starts when an IntentRecorded message arrives.
 
         Without a journal the run starts at once.
--- a/ochrehoist/core/tenants.py
+++ b/ochrehoist/core/tenants.py
@@ -106,34 +106,34 @@
     return count
 
 
-def updated_table(before: TenantTable, listed: Tenants) -> Generator[None, None, TenantTable]:
-    """Returns the table for a new list of tenants; `before` itself if nothing differs."""
-    old = before.listed
+def updated_table(previous: TenantTable, listed: Tenants) -> Generator[None, None, TenantTable]:
+    """Returns the table for a new list of tenants; `previous` itself if nothing differs."""
+    old = previous.listed
     if listed is old:
-        return before
+        return previous
     prefix = yield from _common_prefix(old, listed)
     if prefix == len(old) == len(listed):
-        return before
+        return previous
     suffix = yield from _common_suffix(old, listed, min(len(old), len(listed)) - prefix)
     if len(old) == len(listed) and (yield from _same_names(old, listed, prefix, len(old) - suffix)):
         by_position = (
             listed
-            if before.by_position is old
-            else (yield from _updated_positions(before, listed, prefix, suffix))
+            if previous.by_position is old
+            else (yield from _with_replaced_tenants(previous, listed, prefix, suffix))
         )
-        return TenantTable(listed, by_position, before.positions, before.retired)
-    return (yield from _repositioned(before, listed, prefix, suffix))
+        return TenantTable(listed, by_position, previous.positions, previous.retired)
+    return (yield from _with_changed_names(previous, listed, prefix, suffix))
 
 
-def _repositioned(
-    before: TenantTable, listed: Tenants, prefix: int, suffix: int
+def _with_changed_names(
+    previous: TenantTable, listed: Tenants, prefix: int, suffix: int
 ) -> Generator[None, None, TenantTable]:
     """Returns the table after tenants were added or removed between the common prefix and suffix."""
-    old = before.listed
-    positions = before.positions.copy()
-    retired = before.retired.copy()
+    old = previous.listed
+    positions = previous.positions.copy()
+    retired = previous.retired.copy()
     yield
-    by_position = list(before.by_position)
+    by_position = list(previous.by_position)
     yield
     for index in range(prefix, len(old) - suffix):
         name = old[index].name
@@ -154,7 +154,7 @@
         if index % NAMES_PER_STEP == 0:
             yield
     yield
-    if prefix == len(old) and before.by_position is old:  # tenants were only appended, so both are equal
+    if prefix == len(old) and previous.by_position is old:  # tenants were only appended, so both are equal
         return TenantTable(listed, listed, positions, retired)
     return TenantTable(listed, tuple(by_position), positions, retired)
 
@@ -169,14 +169,14 @@
     return True
 
 
-def _updated_positions(
-    before: TenantTable, listed: Tenants, prefix: int, suffix: int
+def _with_replaced_tenants(
+    previous: TenantTable, listed: Tenants, prefix: int, suffix: int
 ) -> Generator[None, None, Tenants]:
     """Returns the tenants by position after a change that left all names the same."""
-    by_position = list(before.by_position)
+    by_position = list(previous.by_position)
     yield
     for index in range(prefix, len(listed) - suffix):
-        by_position[before.positions[listed[index].name]] = listed[index]
+        by_position[previous.positions[listed[index].name]] = listed[index]
         if index % NAMES_PER_STEP == 0:
             yield
     return tuple(by_position)
--- a/ochrehoist/overload/limiter.py
+++ b/ochrehoist/overload/limiter.py
@@ -81,7 +81,7 @@
             self._caller(request), self._signature(request), request.is_retry, self._saturated, now_s
         )
         if allowed or request.idempotency_key is not None or request.request_class.name in self.low_cost:
-            # Retries of filings have precedence over first attempts at reads, and running a request of a
+            # A filing has a higher priority than even a first attempt at a read, and running a request of a
             # low-cost class costs little more than rejecting it.
             return None
         return Rejection(self.retry_budget.with_jitter(RETRY_DENIED_BACKOFF_NS))
--- a/tests/overload/test_controller_limits.py
+++ b/tests/overload/test_controller_limits.py
@@ -14,52 +14,56 @@
     """Limits are passed by an event; within them the controller starts and rejects requests as usual."""
 
     def driver(self, **limits):
-        d = Driver(classes=(READ, LOW, FILING), memory_kb=1e6, marks_retries=False)
+        harness = Driver(classes=(READ, LOW, FILING), memory_kb=1e6, marks_retries=False)
         if limits:
-            d.send(ConcurrencyLimits(**({"class_floors": (0, 0, 0), "class_caps": (99, 99, 99)} | limits)))
-        return d
+            harness.send(
+                ConcurrencyLimits(**({"class_floors": (0, 0, 0), "class_caps": (99, 99, 99)} | limits))
+            )
+        return harness
 
-    def fill(self, d, *class_indices, multiple=1.0):
+    def fill(self, harness, *class_indices, multiple=1.0):
         return [
-            d.request(class_index=index, remaining_ns=None, cost_multiple=multiple if index == 0 else 1.0)[0]
+            harness.request(
+                class_index=index, remaining_ns=None, cost_multiple=multiple if index == 0 else 1.0
+            )[0]
             for index in class_indices
         ]
 
     def test_a_total_limit_is_kept_and_without_one_the_controller_decides_alone(self):
         for total, expected in ((2, 2), (UNLIMITED, 4)):
-            d = self.driver(total=total)
-            ids = self.fill(d, *[0] * 8)
-            self.assertEqual(d.ids(StartRun), ids[:expected])
-            d.done(ids[0])
+            harness = self.driver(total=total)
+            ids = self.fill(harness, *[0] * 8)
+            self.assertEqual(harness.ids(StartRun), ids[:expected])
+            harness.done(ids[0])
             self.assertIn(
-                len(d.ids(StartRun)), (expected + 1,) if total == 2 else (expected + 1, expected + 2)
+                len(harness.ids(StartRun)), (expected + 1,) if total == 2 else (expected + 1, expected + 2)
             )
 
     def test_up_to_its_floor_a_class_starts_before_one_of_higher_priority(self):
         for floors, first in (((0, 0, 0), 0), ((0, 1, 0), 1)):
-            d = self.driver(total=4, class_floors=floors)
-            running = self.fill(d, 0, 0, 0, 0)
-            waiting = dict(enumerate(self.fill(d, 0, 1)))
-            d.done(running[0])
-            self.assertEqual(d.ids(StartRun)[-1], waiting[first])
+            harness = self.driver(total=4, class_floors=floors)
+            running = self.fill(harness, 0, 0, 0, 0)
+            waiting = dict(enumerate(self.fill(harness, 0, 1)))
+            harness.done(running[0])
+            self.assertEqual(harness.ids(StartRun)[-1], waiting[first])
 
     def test_a_class_at_its_cap_waits_even_if_cores_are_free(self):
-        d = self.driver(total=4, class_caps=(2, 99, 99))
-        ids = self.fill(d, 0, 0, 0, 1)
-        self.assertEqual(d.ids(StartRun), [ids[0], ids[1], ids[3]])
-        d.done(ids[0])
-        self.assertEqual(d.ids(StartRun)[-1], ids[2])
+        harness = self.driver(total=4, class_caps=(2, 99, 99))
+        ids = self.fill(harness, 0, 0, 0, 1)
+        self.assertEqual(harness.ids(StartRun), [ids[0], ids[1], ids[3]])
+        harness.done(ids[0])
+        self.assertEqual(harness.ids(StartRun)[-1], ids[2])
 
     def test_expensive_requests_use_the_low_priority_lane_and_are_learned_at_the_usual_cost(self):
-        d = self.driver(total=4, expensive=1)
-        usual = d.controller.run_times.mean_run_ns[0].value
-        expensive_ids = self.fill(d, 0, 0, multiple=10.0)
-        normal_ids = self.fill(d, 0, 0)
-        self.assertEqual(d.ids(StartRun), [expensive_ids[0], *normal_ids])
-        d.now += S
-        d.done(expensive_ids[0], took=10 * usual)
-        self.assertAlmostEqual(d.controller.run_times.mean_run_ns[0].value / usual, 1.0, delta=0.05)
-        self.assertIn(expensive_ids[1], d.ids(StartRun) + d.ids(RejectRequest))
+        harness = self.driver(total=4, expensive=1)
+        usual = harness.controller.run_times.mean_run_ns[0].value
+        expensive_ids = self.fill(harness, 0, 0, multiple=10.0)
+        normal_ids = self.fill(harness, 0, 0)
+        self.assertEqual(harness.ids(StartRun), [expensive_ids[0], *normal_ids])
+        harness.now += S
+        harness.done(expensive_ids[0], took=10 * usual)
+        self.assertAlmostEqual(harness.controller.run_times.mean_run_ns[0].value / usual, 1.0, delta=0.05)
+        self.assertIn(expensive_ids[1], harness.ids(StartRun) + harness.ids(RejectRequest))
 
     @settings(max_examples=60, deadline=None)
     @given(
@@ -69,23 +73,23 @@
         st.integers(1, 3),
     )
     def test_over_any_events_limits_hold_and_each_request_is_decided_once(self, steps, total, cap, lane):
-        d = self.driver(total=total, class_caps=(cap, cap, 99), class_floors=(1, 0, 0), expensive=lane)
+        harness = self.driver(total=total, class_caps=(cap, cap, 99), class_floors=(1, 0, 0), expensive=lane)
         class_indices, expensive_ids, running = {}, set(), []
         for index, is_expensive, completions in steps:
-            request_id, _ = d.request(
+            request_id, _ = harness.request(
                 class_index=index, remaining_ns=None, cost_multiple=9.0 if is_expensive else 1.0
             )
             class_indices[request_id] = index
             expensive_ids |= {request_id} if is_expensive else set()
-            running = [r for r in d.ids(StartRun) if r not in d.ended]
+            running = [r for r in harness.ids(StartRun) if r not in harness.ended]
             for r in running[:completions]:
-                d.ended.add(r)
-                d.now += 10 * MS
-                d.done(r)
-            running = [r for r in d.ids(StartRun) if r not in d.ended]
+                harness.ended.add(r)
+                harness.now += 10 * MS
+                harness.done(r)
+            running = [r for r in harness.ids(StartRun) if r not in harness.ended]
             self.assertLessEqual(len(running), total)
             for capped in (0, 1):
                 self.assertLessEqual(sum(class_indices[r] == capped for r in running), cap)
             self.assertLessEqual(len(expensive_ids & set(running)), lane)
-        decided = d.ids(StartRun) + d.ids(RejectRequest) + d.ids(FailRequest)
+        decided = harness.ids(StartRun) + harness.ids(RejectRequest) + harness.ids(FailRequest)
         self.assertEqual(len(decided), len(set(decided)))
--- a/tests/overload/test_cost_prediction.py
+++ b/tests/overload/test_cost_prediction.py
@@ -22,13 +22,13 @@
         for n in range(count):
             expensive = rng.random() < expensive_share
             duration = 0.1 * rng.lognormvariate(0, 0.5) * (15 if expensive else 1)
-            r = make_request(
+            request = make_request(
                 work=int(duration * S * rng.lognormvariate(0, 0.2)) if stated else None,
                 key=key(expensive, rng) if key else None,
                 kb=kb(expensive, rng) if kb else 20.0,
             )
-            predicted = predictor.cost_multiple(r, n * 0.05)
-            predictor.learn(r, n * 0.05, duration, 1.0)
+            predicted = predictor.cost_multiple(request, n * 0.05)
+            predictor.learn(request, n * 0.05, duration, 1.0)
             if n > count // 2:
                 right, wrong, missed = (
                     right + (expensive and predicted > 1),
@@ -61,18 +61,18 @@
     def test_stated_work_that_does_not_correlate_is_ignored(self):
         rng, predictor = Random(1), CostPredictor()
         for n in range(500):
-            r = make_request(work=int(rng.lognormvariate(-2, 1.5) * S))
-            predictor.learn(r, n, 0.1 * rng.lognormvariate(0, 0.5), 1.0)
+            request = make_request(work=int(rng.lognormvariate(-2, 1.5) * S))
+            predictor.learn(request, n, 0.1 * rng.lognormvariate(0, 0.5), 1.0)
         self.assertEqual(predictor.cost_multiple(make_request(work=100 * S), 500.0), 1.0)
 
     def test_expensive_runs_do_not_change_the_run_time_of_a_class(self):
         limiter, now = AdaptiveLimiter(OverloadConfig(low_priority_lane=True), SETTINGS, 1), 0
         reported = []
         for n in range(400):
-            r, duration = make_request(), (1500 if n % 40 == 39 else 100) * MS
+            request, duration = make_request(), (1500 if n % 40 == 39 else 100) * MS
             now += S // 10
-            limiter.run_started(r, now)
-            reported.append(limiter.run_ended(r, now, duration, Outcome.OK))
+            limiter.run_started(request, now)
+            reported.append(limiter.run_ended(request, now, duration, Outcome.OK))
         self.assertLess(max(reported[100:]), 1500 * MS / 2)
         self.assertEqual({t for t in reported[100:] if t <= 100 * MS}, {100 * MS})
         self.assertEqual(limiter.running, 0)
@@ -84,9 +84,9 @@
     def test_a_predicted_expensive_request_that_never_runs_leaves_no_state(self):
         limiter = AdaptiveLimiter(OverloadConfig(low_priority_lane=True), SETTINGS, 1)
         for n in range(100):
-            r, duration = make_request(work=(100 + n) * MS), (100 + n) * MS
-            limiter.run_started(r, n * S)
-            limiter.run_ended(r, n * S, duration, Outcome.OK)
+            request, duration = make_request(work=(100 + n) * MS), (100 + n) * MS
+            limiter.run_started(request, n * S)
+            limiter.run_ended(request, n * S, duration, Outcome.OK)
         sizes = {name: len(v) for name, v in vars(limiter).items() if hasattr(v, "__len__")}
         for _ in range(50):
             self.assertGreater(limiter.estimate_cost(make_request(work=5 * S), 100 * S), 1)
