--- a/ochrehoist/overload/bulkheads.py
+++ b/ochrehoist/overload/bulkheads.py
@@ -15,7 +15,7 @@
 
 # A class is low-cost up to this fraction of the mean cost of all running and waiting requests.
 LOW_COST_FRACTION = 0.2
-LOW_COST_RESERVE_FRACTION = 0.1  # fraction of the limit
+LOW_COST_RESERVE_FRACTION = 0.1  # reserved fraction of the limit
 # The reserve for low-cost classes lasts for this time after the last arrival of one of their requests.
 LOW_COST_RESERVE_DURATION_S = 10.0
 # Fractions of the limit:
--- a/ochrehoist/overload/overload_detector.py
+++ b/ochrehoist/overload/overload_detector.py
@@ -15,28 +15,24 @@
 MICROSECOND_S = 1e-6
 SAMPLE_INTERVAL_S = 0.1
 SMOOTHING = 0.3  # weight of the latest sample in moving means
-CPU_UTILISATION_TARGET = 0.85  # of the available CPU time; bursts and garbage collections need the rest
+CPU_UTILISATION_TARGET = 0.85  # bursts and garbage collections need the rest of the available CPU time
 OVERLOAD_DELAY_S = 0.020  # loop delay that counts as overload; less than half of the guaranteed 50 ms
-# Recovery requires a loop delay below the first value, and an offered rate below this fraction of the
-# affordable rate.
-RECOVERY_DELAY_S = 0.010
-RECOVERY_LOAD_FRACTION = 0.9
+RECOVERY_DELAY_S = 0.010  # loop delay below which the worker can recover
+RECOVERY_LOAD_FRACTION = 0.9  # offered rate below which it can recover, as a fraction of the affordable rate
 # Costs are learned above this fraction of the available CPU time; below it the CPU time that does not depend
 # on requests would distort them.
 MIN_UTILISATION_TO_LEARN = 0.25
 MIN_REQUESTS_TO_LEARN = 5
 MIN_BUSY_S_FOR_SHARE = 5 * MILLISECOND_S  # busy time that a sample needs for measuring the CPU share
 BUSY_LOOP_FRACTION = 0.7  # busy fraction of the event loop above which an excessive rate counts as overload
-SAMPLES_TO_RECOVER = 10  # the usual time between bursts, so that the state does not flap with each burst
+SAMPLES_TO_RECOVER = 10  # spans the usual time between bursts, so that the state does not flap with each
 SAMPLES_TO_OVERLOAD = 2  # a single late sample may be a garbage collection or a pause of the machine
-# Memory use, as a fraction of the limit, from which the admitted rate is reduced, and from which it is zero
-# (filings are always admitted).
-MEMORY_HIGH_FRACTION = 0.80
-MEMORY_FULL_FRACTION = 0.95
+MEMORY_HIGH_FRACTION = 0.80  # fraction of the memory limit from which the admitted rate is reduced
+MEMORY_FULL_FRACTION = 0.95  # fraction of the memory limit from which only filings are admitted
 # Minimum affordable rate: this multiple of the rate of started runs, plus this number of requests per second.
 MIN_ADMITTED_PER_RUN_STARTED = 2.0
 MIN_EXTRA_ADMITTED_PER_S = 20.0
-MIN_CPU_SHARE = 0.02
+MIN_CPU_SHARE = 0.02  # lower bound of the measured CPU share, for a starved worker
 INITIAL_COST_S = 300e-6  # CPU time of a request until it is measured
 MIN_ADMITTED_COST_S = 20 * MICROSECOND_S
 MIN_REJECTED_COST_S = 5 * MICROSECOND_S
@@ -73,7 +69,7 @@
     loop_delay_s: float = 0.0
     rss_bytes: int = 0
     unread_bytes: int = 0
-    delay_gain: float = 1.0  # factor that lowers the affordable rate while the loop is late
+    delay_gain: float = 1.0  # lowers the affordable rate while the loop is late, independently of the costs
     overload_count: int = 0
     changed_s: float = 0.0  # when `overloaded` last changed
     delays: DelayHistogram = field(default_factory=DelayHistogram)
@@ -128,7 +124,7 @@
             self.delay_gain = min(1.0, self.delay_gain + 0.02)
 
     def _affordable_rate(self, sample: LoadSample) -> float:
-        """Returns the rate (per second) of requests that CPU time and memory allow to admit.
+        """Returns the rate (per second) at which requests can be admitted with the CPU time and memory left.
 
         It is the admitted rate `a` that solves
         a * admitted_cost + (offered - a) * rejected_cost = cpu_budget.
