--- a/ochrehoist/core/metrics.py
+++ b/ochrehoist/core/metrics.py
@@ -54,7 +54,7 @@
     return "\n".join(lines) + "\n"
 
 
-def _family(name: str, kind: str, help_text: str, samples: Iterable[tuple[str, int]]) -> list[str]:
+def _family_lines(name: str, kind: str, help_text: str, samples: Iterable[tuple[str, int]]) -> list[str]:
     """Returns the lines of one metric family."""
     full_name = METRIC_PREFIX + name
     lines = [f"# HELP {full_name} {help_text}", f"# TYPE {full_name} {kind}"]
@@ -100,8 +100,10 @@
                 (f'{{{CLASS_LABEL}="{_escaped(class_name)}"}}', count)
                 for class_name, count in self._by_class[counter].items()
             )
-            lines += _family(counter, "counter", help_text, samples)
-        lines += _family("current", "gauge", "Requests taken and not yet ended.", [("", open_requests)])
+            lines += _family_lines(counter, "counter", help_text, samples)
+        lines += _family_lines("current", "gauge", "Requests taken and not yet ended.", [("", open_requests)])
         for reload_counter, help_text in RELOAD_COUNTER_HELP.items():
-            lines += _family(reload_counter, "counter", help_text, [("", self._reloads[reload_counter])])
+            lines += _family_lines(
+                reload_counter, "counter", help_text, [("", self._reloads[reload_counter])]
+            )
         return "\n".join(lines) + "\n"
--- a/ochrehoist/core/protocols.py
+++ b/ochrehoist/core/protocols.py
@@ -74,7 +74,7 @@
     """Observer of the requests that the core decides on. It must not modify them."""
 
     def request_arrived(self, request: InboundRequest) -> None:
-        """Called when a request was accepted; its `arrived_ns` is by the core's clock."""
+        """Called when a request arrived, before it is decided on; `arrived_ns` is by the core's clock."""
         ...
 
     def request_answered(
@@ -103,7 +103,7 @@
 class LifecycleListener(Protocol):
     """Listener for events that concern the whole process."""
 
-    def health_changed(self, good: bool) -> None:
+    def health_changed(self, healthy: bool) -> None:
         """Called when the worker became healthy or unhealthy."""
         ...
 
@@ -217,7 +217,7 @@
         ...
 
     def never_ran(self, key: IdempotencyKey) -> None:
-        """Removes an intent that did not become a run."""
+        """Removes a recorded intent whose run did not take place."""
         ...
 
     def fetch(self, key: IdempotencyKey, request_id: str) -> None:
--- a/ochrehoist/overload/concurrency_limits.py
+++ b/ochrehoist/overload/concurrency_limits.py
@@ -125,16 +125,16 @@
         if not _limit_reached(window, self.limit):
             return self.limit
         gradient = max(0.5, min(1.0, self.TOLERANCE * self._long_term_time / window.time_per_work))
-        wanted = self.limit * gradient + math.sqrt(self.limit)
-        self.limit = self.bounds.clamp(self.limit * (1 - self.SMOOTHING) + wanted * self.SMOOTHING)
+        target_limit = self.limit * gradient + math.sqrt(self.limit)
+        self.limit = self.bounds.clamp(self.limit * (1 - self.SMOOTHING) + target_limit * self.SMOOTHING)
         return self.limit
 
-    def _update_long_term(self, time: float) -> None:
+    def _update_long_term(self, latest_time: float) -> None:
         if not self._long_term_time:
-            self._long_term_time = time
+            self._long_term_time = latest_time
         else:
-            self._long_term_time += (time - self._long_term_time) * 2 / (self.LONG_TERM_WINDOWS + 1)
-        if self._long_term_time / time > 2:
+            self._long_term_time += (latest_time - self._long_term_time) * 2 / (self.LONG_TERM_WINDOWS + 1)
+        if self._long_term_time / latest_time > 2:
             # After a heavy load has ended, the long-term time is too high and would raise the limit too far.
             self._long_term_time *= 0.95
 
@@ -240,8 +240,8 @@
 
     def _move(self, throughput_ratio: float) -> None:
         elasticity = math.log(throughput_ratio) / math.log(self._high / self._low)
-        move = self.GAIN * (max(-1.0, min(1.0, elasticity)) - self.ELASTICITY_TARGET)
-        self._centre = self.bounds.clamp(self._centre * math.exp(move))
+        log_step = self.GAIN * (max(-1.0, min(1.0, elasticity)) - self.ELASTICITY_TARGET)
+        self._centre = self.bounds.clamp(self._centre * math.exp(log_step))
 
 
 # A controller of the configuration that is not listed here uses FixedLimit.
