--- a/ochrehoist/core/forwarder.py
+++ b/ochrehoist/core/forwarder.py
@@ -1,7 +1,7 @@
-"""What is left of a core whose state another process has taken over: it forwards what it is posted.
+"""Forwards the messages of a core whose state another process has taken over.
 
-The requests it read stay here, with their payloads and responders. The other process decides; this one runs
-what it is told to run, answers as it is told, and reports how runs end.
+The requests that this process read stay here, with their payloads and responders. The other process decides;
+this process runs and answers requests as instructed, and reports how runs end.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
     Line,
     RejectionDecided,
     ResultDecided,
-    Send,
+    SendLine,
     decision_from_json,
     message_to_json,
 )
@@ -36,21 +36,21 @@
 if TYPE_CHECKING:
     from ochrehoist.core.protocols import DetailCodec
 
-# So long past its due time a request is answered here, whatever the other process does.
+# Time past its due time after which a request is failed here if the other process has not decided.
 ANSWER_GRACE_NS = 25 * NS_PER_MS
 
 
 class Forwarder:
-    """Forwards messages to the process that decides, and carries its decisions out.
+    """Forwarder of messages to the process that decides, which carries out the decisions of that process.
 
     Attributes:
-        pending: Requests by id that are not answered, or still run here.
+        pending: Requests, by id, that are unanswered or still running here.
     """
 
     def __init__(
         self,
         pending: dict[str, InboundRequest],
-        send: Send,
+        send: SendLine,
         codec: DetailCodec,
         responses: ResponseTracker,
         clock: Callable[[], int],
@@ -62,21 +62,21 @@
         self._log = responses.log
         self._clock = clock
         self._wall_clock = wall_clock
-        self._send: Send | None = send  # None: the other process is gone
-        self._ends_ns: int | None = None
-        # Runs that have ended, whose answer is still to be decided.
+        self._send: SendLine | None = send  # None once the other process has disconnected
+        self._process_end_ns: int | None = None
+        # Completed runs, by request id, whose answer is not decided yet.
         self._completed: dict[str, RunCompleted] = {}
 
-    def answer_all_by(self, ends_ns: int) -> None:
-        """Lets what is open then (by the core's clock) be failed, for this process ends."""
-        self._ends_ns = ends_ns
+    def set_process_end(self, process_end_ns: int) -> None:
+        """Sets when (by the core's clock) this process ends; requests still open then are failed."""
+        self._process_end_ns = process_end_ns
 
-    # What this process's own parts post.
+    # Messages of this process.
 
-    def take(self, message: Message) -> None:
-        """Forwards a message of this process.
+    def handle_message(self, message: Message) -> None:
+        """Forwards a message that this process posted.
 
-        Gauges, resolved duplicates and the order to shut down concern the process that decides.
+        Gauges, resolved duplicates and shutdown orders are dropped: they concern only a core that decides.
         """
         if isinstance(message, RequestArrived):
             self._request_arrived(message.request)
@@ -98,7 +98,7 @@
         age_ns = max(0, self._wall_clock() - request.arrived_ns)
         request.due_ns = max(now_ns, now_ns - age_ns + request.request_class.deadline_ns)
         if request.id in self.pending or self._send is None:
-            # Whether a filing has run is known only to the other process: no rejection can be given.
+            # A rejection would claim that the request never ran, which only the other process knows.
             self._fail(request, FailureReason.INTERNAL)
             return
         self.pending[request.id] = request
@@ -109,10 +109,10 @@
         if request is not None:
             request.answered = True
             self._forward(message)
-            self._drop_if_over(request)
+            self._drop_if_finished(request)
 
     def _intent_recorded(self, message: IntentRecorded) -> None:
-        """A filing that was on its way to the disk when the other process took over."""
+        """Handles the journal's answer for a filing that was being recorded at the time of the takeover."""
         request = self.pending.get(message.id)
         if request is None:
             return
@@ -129,14 +129,14 @@
         if self._send is None and not request.answered:
             self._complete(request, message.result)
         self._completed[message.id] = message
-        self._drop_if_over(request)
+        self._drop_if_finished(request)
 
-    # What the other process decides.
+    # Decisions of the other process.
 
     def receive(self, line: Line) -> None:
-        """Carries a decision of the other process out.
+        """Carries out a decision of the other process.
 
-        Raises KeyError, TypeError or ValueError where the line is damaged.
+        Raises KeyError, TypeError or ValueError if the line is damaged.
         """
         request = self.pending.get(line.get("id", ""))
         if line["m"] == "start":
@@ -151,10 +151,10 @@
             self._responses.relay_rejection(request, decision.retry_after_ns, decision.no_retry)
         elif isinstance(decision, FailureDecided):
             self._responses.fail_untracked(request, decision.reason, decision.result)
-        self._drop_if_over(request)
+        self._drop_if_finished(request)
 
     def _start(self, request_id: str, request: InboundRequest | None) -> None:
-        if request is None:  # its caller has left: nothing is begun
+        if request is None:  # the caller has disconnected, so nothing is started
             self._forward(RunCompleted(request_id, RunResult(Outcome.NOT_STARTED), 0))
         elif not request.started:
             request.started = True
@@ -166,7 +166,7 @@
             self._run_completed(RunCompleted(request.id, RunResult(Outcome.FAILED), 0))
 
     def connection_lost(self) -> None:
-        """The other process is gone. What runs here is answered when it ends; nothing else is begun."""
+        """Handles the loss of the other process: running requests are still answered, no others started."""
         self._send = None
         for request in list(self.pending.values()):
             if request.answered:
@@ -176,20 +176,20 @@
                 self._complete(request, completed.result)
             elif not request.started:
                 self._fail(request, FailureReason.INTERNAL)
-            self._drop_if_over(request)
+            self._drop_if_finished(request)
 
     def tick(self) -> None:
-        """Fails what is overdue."""
+        """Fails overdue requests."""
         now_ns = self._clock()
         for request in list(self.pending.values()):
             due_ns = request.due_ns + ANSWER_GRACE_NS
-            if self._ends_ns is not None:
-                due_ns = min(due_ns, self._ends_ns)
+            if self._process_end_ns is not None:
+                due_ns = min(due_ns, self._process_end_ns)
             if not request.answered and due_ns <= now_ns:
                 self._log.warning("forwarded_request_overdue", id=request.id)
                 self._fail(request, FailureReason.DEADLINE_PASSED)
                 self._forward(CallerDisconnected(request.id, gave_up=False))
-                self._drop_if_over(request)
+                self._drop_if_finished(request)
 
     # Answers.
 
@@ -200,8 +200,8 @@
     def _fail(self, request: InboundRequest, reason: FailureReason) -> None:
         self._responses.fail_untracked(request, reason)
 
-    def _drop_if_over(self, request: InboundRequest) -> None:
-        """Forgets a request that is answered and does not run."""
+    def _drop_if_finished(self, request: InboundRequest) -> None:
+        """Drops a request that is answered and not running."""
         if request.answered and (not request.started or request.id in self._completed):
             self.pending.pop(request.id, None)
             self._completed.pop(request.id, None)
--- a/ochrehoist/core/handover_snapshot.py
+++ b/ochrehoist/core/handover_snapshot.py
@@ -1,6 +1,6 @@
-"""A core's snapshot as lines: one JSON object each, to the process that replaces this one.
+"""Writes and reads a core's snapshot as lines of the handover protocol: one JSON object per line.
 
-Two releases talk to each other by these lines: their field names stay as they are.
+Field names are part of the protocol between releases and must not change.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from ochrehoist.core.handover_lines import (
     Line,
     RemoteRequestOwner,
-    Send,
+    SendLine,
     fingerprint_from_json,
     fingerprint_to_json,
     key_from_json,
@@ -36,17 +36,17 @@
 if TYPE_CHECKING:
     from ochrehoist.core.protocols import DetailCodec
 
-LAYOUT_VERSION = 1  # of these lines
+SNAPSHOT_FORMAT_VERSION = 1
 
 
 def snapshot_lines(snapshot: CoreSnapshot, clock_offset_ns: int, codec: DetailCodec) -> Iterator[Line]:
-    """The snapshot as lines.
+    """Yields the lines of the snapshot.
 
-    `clock_offset_ns` is what the core's clock has over the one that all processes share.
+    `clock_offset_ns` is the core's clock minus the clock that all processes of the machine share.
     """
     yield {
         "m": "state",
-        "version": LAYOUT_VERSION,
+        "version": SNAPSHOT_FORMAT_VERSION,
         "learned": snapshot.learned_state,
         "standby": snapshot.standby,
     }
@@ -70,7 +70,7 @@
         "fingerprint": fingerprint_to_json(run.fingerprint),
         "dropped": run.result_evicted,
         "stored": run.result_stored,
-        "begun": run.begun,
+        "begun": run.started,
         "asleep": run.restored,
         "result": optional_result_to_json(run.result, codec),
     }
@@ -87,7 +87,7 @@
 
 
 class SnapshotReader:
-    """Builds a snapshot of lines, and checks each; it is complete once `done`."""
+    """Validating reader of snapshot lines; `done` is set once the snapshot is complete."""
 
     def __init__(
         self,
@@ -95,7 +95,7 @@
         classes: dict[str, RequestClass],
         max_result_bytes: int,
         result_overhead_bytes: int,
-        send: Send,
+        send: SendLine,
         codec: DetailCodec,
     ) -> None:
         self._clock_offset_ns = clock_offset_ns
@@ -115,7 +115,7 @@
         self.snapshot = CoreSnapshot(idempotency=IdempotencyTable(0, max_result_bytes))
 
     def read(self, line: Line) -> None:
-        """Takes one line in; raises InvalidStateError where it is damaged or of another layout."""
+        """Reads one line; raises InvalidStateError if it is damaged or of an unsupported format."""
         try:
             self._reader(line["m"])(line)
         except InvalidStateError:
@@ -130,7 +130,7 @@
         return reader
 
     def _read_state(self, line: Line) -> None:
-        if line["version"] != LAYOUT_VERSION:
+        if line["version"] != SNAPSHOT_FORMAT_VERSION:
             raise UnsupportedVersionError(line["version"])
         self.snapshot.learned_state = line["learned"]
         self.snapshot.standby = bool(line["standby"])
@@ -143,7 +143,7 @@
             fingerprint_from_json(line["fingerprint"]),
             result_evicted=bool(line["dropped"]),
             result_stored=bool(line.get("stored")),
-            begun=bool(line.get("begun")),
+            started=bool(line.get("begun")),
             restored=bool(line.get("asleep")),
         )
         table = self.snapshot.idempotency
