--- a/ochrehoist/peers/__init__.py
+++ b/ochrehoist/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Several workers as one fleet: who is there, and what they share within stated bounds. No I/O."""
+"""Fleet coordination: membership, budget leases, replicated counters and outlier detection. No I/O."""
--- a/ochrehoist/peers/budget.py
+++ b/ochrehoist/peers/budget.py
@@ -1,70 +1,71 @@
-"""What a budget shared by a fleet consists of: its amount, cut into lease slots, and who grants these.
+"""Budgets shared by a fleet: an amount divided into lease slots, and the members that grant them.
 
-All members compute the same from the same settings. No I/O; times in seconds.
+All members derive the same slots and grantors from the same settings. No I/O; times in seconds.
 """
 
 from dataclasses import dataclass
 from hashlib import blake2b
 
-CLOCK_DRIFT = 0.02  # fraction by which two steady clocks may differ in speed
-GRANT_GUARD_S = 0.05  # by which a grantor honours a grant longer than the drift asks for
-RATE_WINDOW_S = 1.0  # a budget of a rate holds in any span of this length
-MAX_SLOTS = 64  # of a budget
-SLOTS_PER_GRANTOR = 10  # where the settings give no number
+CLOCK_DRIFT = 0.02  # maximum relative difference in speed between two steady clocks
+GRANT_GUARD_S = 0.05  # added to each grant's duration at the grantor, on top of the clock drift
+RATE_WINDOW_S = 1.0  # a rate budget is not exceeded in any interval of this length
+MAX_SLOTS = 64  # per budget
+SLOTS_PER_GRANTOR = 10  # default if the settings give no slot count
 
 
 @dataclass(frozen=True)
 class Budget:
-    """An amount that a fleet shares, and the terms on which parts of it are leased.
+    """An amount shared by a fleet, and the terms on which parts of it are leased.
 
-    With `concurrent` the amount bounds how many uses run at once, each of at most `max_run_s`; without, how
-    many begin in any second. The amount is divided over numbered lease slots. Each slot has a home, one of
-    the grantors; `floor_fraction` of a home's slots is leased to that home alone, for `floor_lease_s`.
+    If `concurrent` is set, the amount limits the number of simultaneous uses, each at most `max_run_s` long;
+    otherwise it limits the number of uses that begin in any second. The amount is divided into numbered
+    lease slots. Each slot has one of the grantors as its home. A fraction `floor_fraction` of each home's
+    slots are floor slots: they are leased to their home only, for `floor_lease_s`.
     """
 
     name: str
     amount: int
-    grantors: tuple[str, ...]  # names of members
+    grantors: tuple[str, ...]  # member names
     concurrent: bool = False
     lease_s: float = 2.0
     floor_fraction: float = 0.1
     floor_lease_s: float = 30.0
     max_run_s: float = 0.0
-    configured_slots: int = 0  # 0: SLOTS_PER_GRANTOR for each grantor
+    configured_slots: int = 0  # 0: SLOTS_PER_GRANTOR per grantor
 
     @property
     def slot_count(self) -> int:
-        """Number of lease slots; no slot is empty."""
+        """The number of lease slots; each slot has an amount of at least 1."""
         wanted = self.configured_slots or SLOTS_PER_GRANTOR * len(self.grantors)
         return max(1, min(self.amount, wanted, MAX_SLOTS))
 
     def slot_amount(self, slot: int) -> int:
-        """The part of the amount that a slot stands for; all slots together come to the amount."""
+        """Returns the part of the amount that a slot represents; the slots add up to the whole amount."""
         share, remainder = divmod(self.amount, self.slot_count)
-        # Floor slots come first and are the small ones.
+        # The last slots get the remainder; floor slots have the lowest numbers, so they are the smaller ones.
         return share + (slot >= self.slot_count - remainder)
 
     def home_of(self, slot: int) -> str:
-        """The member that a slot falls to first."""
+        """Returns the grantor that has the first claim to a slot."""
         return self.grantors[slot % len(self.grantors)]
 
     def is_floor(self, slot: int) -> bool:
-        """Whether a slot is leased to its home alone."""
+        """Returns whether a slot is leased to its home only."""
         slots_of_home = range(slot % len(self.grantors), self.slot_count, len(self.grantors))
         return slot // len(self.grantors) < int(len(slots_of_home) * self.floor_fraction)
 
     def lease_duration_s(self, slot: int) -> float:
-        """How long a lease of a slot lasts, from when it was requested."""
+        """Returns the duration of a lease of a slot, counted from its request."""
         return (self.floor_lease_s if self.is_floor(slot) else self.lease_s) + self.max_run_s
 
     @property
     def quorum(self) -> int:
-        """The number of grantors that makes a lease valid: a majority."""
+        """The number of grants that make a lease valid: a majority of the grantors."""
         return len(self.grantors) // 2 + 1
 
     @property
     def terms_digest(self) -> str:
-        """A digest of all terms: grantors serve only requests that were made on the same ones."""
+        """A digest of all terms; grantors reject requests made on different terms."""
         terms = (
             self.name,
             self.amount,
--- a/ochrehoist/peers/counter_encoding.py
+++ b/ochrehoist/peers/counter_encoding.py
@@ -1,4 +1,4 @@
-"""How counters are cut to what fits into an answer: bounded in bytes, in the order of their keys. No I/O."""
+"""Division of counters into deltas that fit into one answer: size-limited, in key order. No I/O."""
 
 from bisect import bisect_right
 from collections.abc import Mapping, Sequence
@@ -7,15 +7,17 @@
 from ochrehoist.peers.own_counters import OwnCounters
 from ochrehoist.peers.wire import CounterCursor, CounterDelta, CounterSnapshot
 
-MAX_DELTA_BYTES = 1536  # of all deltas in an answer,
-MAX_OWN_BYTES = 1024  # and of its own incarnation's: those that ended are told by others alone
-MAX_SNAPSHOT_BYTES = 12_288  # of snapshots in an answer to a member of an older release
-HEADER_BYTES = 72  # of a delta or snapshot without its name and its keys, at the most
-ENTRY_BYTES = 12  # of a key's length and its count, at the most
+MAX_DELTA_BYTES = 1536  # all deltas in an answer
+# The delta of the answering incarnation must leave room for replicas: the counters of an incarnation
+# that has ended can only be obtained from other members.
+MAX_OWN_BYTES = 1024
+MAX_SNAPSHOT_BYTES = 12_288  # all snapshots in an answer to a member of an older release
+HEADER_BYTES = 72  # upper bound for a delta or snapshot without its name and keys
+ENTRY_BYTES = 12  # upper bound for a key's length prefix and its count
 
 
 def age_ms(span_s: float) -> int:
-    """A span in ms, rounded up."""
+    """Returns a time span in ms, rounded up."""
     return max(0, int(span_s * 1000) + 1)
 
 
@@ -29,13 +31,13 @@
 
 
 def max_snapshot_size(snapshot: CounterSnapshot) -> int:
-    """Upper bound of the encoded size of a snapshot in bytes."""
+    """Returns an upper bound of the encoded size of a snapshot in bytes."""
     name_size = len(snapshot.incarnation.name.encode())
     return HEADER_BYTES + name_size + sum(_entry_size(key) for key in snapshot.counts)
 
 
 class DeltaWriter:
-    """Collects the deltas of one answer, as far as they fit."""
+    """Collector of the deltas of one answer, limited to `MAX_DELTA_BYTES`."""
 
     def __init__(self) -> None:
         self.deltas: list[CounterDelta] = []
@@ -50,7 +52,7 @@
     def write_replica(
         self, delta: CounterDelta, replica: CounterReplica, cursor: CounterCursor | None
     ) -> None:
-        """Adds the counters of another incarnation where the cursor asks for them, else its version only."""
+        """Adds the counters of another incarnation, or only its version if the cursor requests none."""
         if cursor is not None and cursor.version < replica.version:
             delta.since_version = 0
             delta.after_key = cursor.after_key
@@ -69,16 +71,16 @@
     changed_at_version: Mapping[str, int] | None,
     max_bytes: int,
 ) -> int:
-    """Adds counts to a delta and notes up to which key.
+    """Adds counts to a delta in key order and sets its `up_to_key`.
 
-    Returns the bytes that are left after it, negative where there is no room for the next key.
+    Returns the remaining bytes, negative if not even one key fits.
     """
     free = max_bytes - _header_size(delta)
     for index in range(bisect_right(sorted_keys, delta.after_key), len(sorted_keys)):
         key = sorted_keys[index]
         if changed_at_version is not None and changed_at_version[key] <= delta.since_version:
             continue
-        if _entry_size(key) + len(key.encode()) > free:  # it may be `up_to_key` as well
+        if _entry_size(key) + len(key.encode()) > free:  # the key may also become `up_to_key`
             delta.up_to_key = next(reversed(delta.counts), "")
             return free - len(delta.up_to_key.encode()) if delta.up_to_key else -1
         delta.counts[key] = counts[key]
--- a/ochrehoist/peers/counters.py
+++ b/ochrehoist/peers/counters.py
@@ -1,10 +1,10 @@
-"""Replicated grow-only counters: each incarnation counts for itself, and its counts only grow.
+"""Replicated grow-only counters (G-counters): each incarnation increments only its own counts.
 
-Nothing is counted twice, and what is missing is bounded by the age of what was received. What is sent at
-once is bounded in bytes, so a replica may arrive in parts (`counter_encoding`): in the order of its keys,
-each part all that changed in its range. Who asks names the version that it has all of and the key that it has
-come to; the answer continues from there. A part that is lost is asked for again, and who answers keeps
-nothing of who asked. No I/O; times in seconds.
+Nothing is counted twice, and the missing amount is bounded by the age of the received counts. The bytes sent
+at a time are limited, so a replica may arrive in parts (`counter_encoding`). Parts follow the order of the
+keys; each part contains all counts that changed in its key range. A request names the version that the
+requester has completely and the last key that it received; the answer continues from there. A lost part is
+requested again; the answering member keeps no state about the requester. No I/O; times in seconds.
 """
 
 from collections import Counter
@@ -21,16 +21,17 @@
 from ochrehoist.peers.own_counters import MAX_KEYS, OwnCounters
 from ochrehoist.peers.wire import CounterCursor, CounterDelta, CounterSnapshot, Incarnation
 
-MAX_INCARNATIONS = 16  # of one name whose counters are kept apart; older ones are added up
-MAX_OTHERS_SENT = 4  # incarnations of others in an answer
-ROUNDING_UP = 0.999  # readings of a bound are whole numbers, rounded up
+MAX_INCARNATIONS = 16  # separate replicas per name; the counts of older incarnations are added up
+MAX_OTHERS_SENT = 4  # replicas in an answer
+ROUNDING_UP = 0.999  # rounds the bounds of a reading up to whole numbers
 
 
 class ReplicatedCounters:
-    """The counters of this incarnation and its replicas of all others'.
+    """The counters of this incarnation, and replicas of the counters of all others.
 
-    `max_rate_per_s` is the most that one worker can count in a second, of all keys together: the bound of
-    what is missing rests on it. `started_at` is when this incarnation had counted nothing, None if unknown.
+    `max_rate_per_s` is the maximum that one worker can count per second over all keys; the bound of the
+    missing counts depends on it. `started_at` is a time at which all counts of this incarnation were 0, or
+    None if unknown.
     """
 
     def __init__(
@@ -40,33 +41,33 @@
         self.max_rate_per_s = max_rate_per_s
         self.own = OwnCounters()
         self.replicas: dict[Incarnation, CounterReplica] = {}
-        self.incomplete: dict[Incarnation, None] = {}  # replicas of which further parts are to arrive
-        self.folded_counts: dict[str, Counter[str]] = {}  # by name, of old incarnations added up
+        self.incomplete: dict[Incarnation, None] = {}  # replicas with further parts outstanding
+        self.folded_counts: dict[str, Counter[str]] = {}  # by name: sum over the oldest incarnations
         self._started_at = started_at
         self._last_folded: dict[str, tuple[int, int]] = {}  # by name: number and boot id
-        self._by_number: dict[tuple[str, int], Incarnation] = {}  # of the replicas
+        self._by_number: dict[tuple[str, int], Incarnation] = {}  # replicas by name and number
         self._cursor_turn = 0
         self._send_turn = 0
 
     def reconfigure(self, max_rate_per_s: float) -> None:
-        """Takes a new bound of what one worker counts."""
+        """Sets a new upper bound of one worker's counting rate."""
         self.max_rate_per_s = max_rate_per_s
 
     def follow(self, incarnation: Incarnation) -> None:
-        """This process is known by this incarnation from now on."""
+        """Sets the incarnation under which this process is known to other members."""
         self.incarnation = incarnation
 
     def add(self, key: str, count: int = 1) -> None:
-        """Counts `key`, which reads kind/name/word."""
+        """Adds `count` to the counter `key`, which has the form kind/name/word."""
         self.own.add(key, count)
 
     # ---- what is received
     def merge_snapshot(
         self, snapshot: CounterSnapshot, round_trip_s: float, now: float, is_present: bool = False
     ) -> None:
-        """Merges a whole snapshot, of a member of an older release.
+        """Merges a complete snapshot from a member of an older release.
 
-        `is_present`: the incarnation is known to be there, whoever says that it ended.
+        If `is_present` is set, the incarnation is known to be running, and its `ended` flag is ignored.
         """
         if not self._accepts(snapshot.incarnation, len(snapshot.counts)):
             return
@@ -75,7 +76,7 @@
         if replica is None:
             replica = CounterReplica(dict(snapshot.counts), snapshot.version, as_of)
             self._add_replica(snapshot.incarnation, replica)
-        elif snapshot.version >= replica.version:  # an earlier one adds nothing
+        elif snapshot.version >= replica.version:  # an older snapshot contains nothing new
             replica.merge(snapshot.counts)
             replica.complete(snapshot.version, as_of)
             self._track_incomplete(snapshot.incarnation, replica)
@@ -84,7 +85,7 @@
     def merge_delta(
         self, delta: CounterDelta, round_trip_s: float, now: float, is_present: bool = False
     ) -> None:
-        """Merges a part; `is_present` as for `merge_snapshot`."""
+        """Merges a delta; `is_present` has the same meaning as in `merge_snapshot`."""
         if not self._accepts(delta.incarnation, len(delta.counts)):
             return
         as_of = now - round_trip_s - max(0, delta.age_ms) / 1000
@@ -94,13 +95,13 @@
             self._add_replica(delta.incarnation, replica)
         replica.ended = replica.ended or (delta.ended and not is_present)
         replica.merge(delta.counts)
-        if delta.since_version <= replica.version:  # else it leaves out what is not known here
+        if delta.since_version <= replica.version:  # otherwise it omits counts that are missing here
             replica.advance(delta, as_of)
             self._track_incomplete(delta.incarnation, replica)
 
     @staticmethod
     def _empty_replica(delta: CounterDelta, round_trip_s: float, now: float) -> CounterReplica:
-        """A replica of the beginning, so that what is missing is bounded from the first part on."""
+        """Returns an empty replica as of the incarnation's start, so that its missing counts are bounded."""
         if delta.started_ms_ago < 0:
             return CounterReplica({}, 0, None)
         started_at = now - round_trip_s - delta.started_ms_ago / 1000 * (1 + CLOCK_DRIFT)
@@ -117,7 +118,7 @@
         self._fold_oldest(incarnation.name)
 
     def _fold_oldest(self, name: str) -> None:
-        """Adds up the counts of all but the latest incarnations of a name."""
+        """Merges all but the latest incarnations of a name into their sum."""
         of_name = (incarnation for incarnation in self.replicas if incarnation.name == name)
         oldest_first = sorted(of_name, key=lambda incarnation: (incarnation.number, incarnation.boot_id))
         for incarnation in oldest_first[:-MAX_INCARNATIONS]:
@@ -134,13 +135,13 @@
             self.incomplete.pop(incarnation, None)
 
     def mark_ended(self, incarnation: Incarnation) -> None:
-        """It counts no more: what is missing of it stays as it is."""
+        """Marks an incarnation as ended, so that its missing counts no longer grow."""
         replica = self.replicas.get(incarnation)
         if replica is not None:
             replica.ended = True
 
     def mark_present(self, incarnation: Incarnation) -> None:
-        """It was believed to have ended, and is there."""
+        """Reverts `mark_ended` for an incarnation that turned out to be running."""
         replica = self.replicas.get(incarnation)
         if replica is not None:
             replica.ended = False
@@ -149,14 +150,14 @@
     def read(
         self, key: str, now: float, ended_at: Mapping[Incarnation, float] | None = None
     ) -> CounterReading:
-        """The total of a key and its bounds; `ended_at`: when incarnations were found to have ended."""
+        """Returns the total of a key with its bounds; `ended_at` has the end times of ended incarnations."""
         total = self.own.counts[key]
         for folded in self.folded_counts.values():
             total += folded[key]
         age_s = missing = lost = 0.0
         for incarnation, replica in self.replicas.items():
             if replica.as_of is None:
-                continue  # bounded by nothing yet, like one that is not known at all
+                continue  # no bound yet, as for an unknown incarnation
             total += replica.counts.get(key, 0)
             until = (ended_at or {}).get(incarnation, now)
             unknown_s = max(0.0, until - replica.as_of)
@@ -168,7 +169,7 @@
         return CounterReading(total, age_s, int(missing + ROUNDING_UP), int(lost + ROUNDING_UP))
 
     def sorted_keys(self) -> list[str]:
-        """All keys that were ever counted, sorted."""
+        """Returns all keys of all incarnations, sorted."""
         keys = set(self.own.counts)
         for replica in self.replicas.values():
             keys |= replica.counts.keys()
@@ -178,12 +179,12 @@
 
     # ---- what is sent
     def cursors_for(self, name: str, number: int) -> list[CounterCursor]:
-        """For a ping to this incarnation: how far its counters are known, and in turn those of others."""
+        """Returns the cursors for a ping: the target's, and in rotation those of other incarnations."""
         target = self._by_number.get((name, number))
         wanted = [target] if target is not None else []
         cursors = [CounterCursor(name, number, 0, "")] if target is None else []
         self._cursor_turn += 1
-        turns = (list(self.incomplete), list(self.replicas))  # one that is incomplete, and one of all
+        turns = (list(self.incomplete), list(self.replicas))  # one incomplete replica, and one of all
         wanted += [candidates[self._cursor_turn % len(candidates)] for candidates in turns if candidates]
         return cursors + [self._cursor(incarnation) for incarnation in dict.fromkeys(wanted)]
 
@@ -192,10 +193,10 @@
         return CounterCursor(incarnation.name, incarnation.number, replica.version, replica.complete_up_to)
 
     def deltas_for(self, cursors: Sequence[CounterCursor], now: float) -> list[CounterDelta]:
-        """Answers the cursors of a ping, bounded in bytes.
+        """Returns the answer to the cursors of a ping, limited in bytes.
 
-        With this incarnation's counters, those of others that were asked for, and the known versions of some
-        further ones.
+        The answer contains this incarnation's counters, the requested replicas, and the versions of some
+        further replicas.
         """
         by_number = {(cursor.name, cursor.number): cursor for cursor in cursors[:MAX_OTHERS_SENT]}
         own_cursor = by_number.pop((self.incarnation.name, self.incarnation.number), None)
@@ -252,9 +253,9 @@
         return selected
 
     def snapshots(self, now: float, max_bytes: int = MAX_SNAPSHOT_BYTES) -> list[CounterSnapshot]:
-        """For a member of an older release: whole snapshots, this incarnation's first, as far as they fit.
+        """Returns complete snapshots for a member of an older release, this incarnation's first.
 
-        Of what does not fit that member learns nothing, and its bound of what is missing grows.
+        Snapshots beyond `max_bytes` are omitted, so that member's bound of the missing counts grows.
         """
         own = CounterSnapshot(self.incarnation, self.own.version, 0, False, dict(self.own.counts))
         selected = []
@@ -270,7 +271,7 @@
         for incarnation in self._next_others(MAX_OTHERS_SENT):
             replica = self.replicas[incarnation]
             if replica.as_of is None or replica.complete_up_to:
-                continue  # not all of one version
+                continue  # contains counts of several versions
             age = age_ms(now - replica.as_of)
             snapshots.append(
                 CounterSnapshot(incarnation, replica.version, age, replica.ended, replica.counts)
--- a/ochrehoist/peers/group.py
+++ b/ochrehoist/peers/group.py
@@ -1,7 +1,7 @@
-"""One worker's part in its fleet, on explicit time: takes messages and ticks, gives messages to send. No I/O.
+"""One worker as a member of its fleet: processes messages and ticks, and returns messages to send. No I/O.
 
-It composes membership, leases, counters and outlier detection. What other members may change here enters by
-`Group.receive`, and nowhere else.
+Combines membership, leases, counters and outlier detection; the caller passes the time. Other members can
+change the state of this worker only through `Group.receive`.
 """
 
 from collections.abc import Callable, Mapping
@@ -33,32 +33,32 @@
     Superseded,
 )
 
-EVALUATION_INTERVAL_S = 0.05  # between two evaluations of the services
+EVALUATION_INTERVAL_S = 0.05  # outlier detection
 
 
 class Extension(Protocol):
-    """Something else that workers share; times as the group's."""
+    """A component that exchanges data with other workers through the group; same clock as the group."""
 
     def status_report(self, now: float) -> bytes:
-        """What all others are to know of this worker; small, as it travels with each answer."""
+        """Returns the data to publish to all members; must be small, as every answer carries it."""
         ...
 
     def messages_to_send(self, now: float) -> list[tuple[str, str, bytes]]:
-        """Messages to members: name, topic, data. Asked for at each tick."""
+        """Returns messages to members as (name, topic, data); called at each tick."""
         ...
 
     def message_received(
         self, sender: Incarnation, topic: str, data: bytes, now: float
     ) -> list[tuple[str, bytes]]:
-        """One that was received; answers to its sender, as topic and data."""
+        """Processes a received message; returns answers to its sender as (topic, data)."""
         ...
 
 
 class Group:
-    """One worker's part in its fleet.
+    """One worker as a member of its fleet.
 
-    `now` is in seconds of the worker's steady clock in all calls. Every call that returns messages expects
-    them to be sent at once; each may be lost.
+    `now` is always in seconds of the worker's steady clock. Returned messages are to be sent immediately;
+    any of them may be lost.
     """
 
     def __init__(self, settings: FleetSettings, incarnation: Incarnation, now: float, seed: int) -> None:
@@ -74,7 +74,7 @@
             seed,
         )
         self.counters = ReplicatedCounters(incarnation, settings.max_rate_per_s, now)
-        self.ended_at: dict[Incarnation, float] = {}  # when incarnations were found to have ended
+        self.ended_at: dict[Incarnation, float] = {}  # time at which each incarnation was found to have ended
         self.peer_statuses = PeerStatuses(self.members)
         self.own_status = OwnStatus(settings, self.members)
         self.outliers = OutlierDetector(
@@ -89,7 +89,7 @@
         self.pings = PingExchange(self.members, self.counters, self.own_status, self.outbound, self.rng)
         self.leases = LeaseManager(self.members, self.peer_statuses, self.outbound, self.rng)
         self.leases.configure(settings.budgets, now)
-        self._extensions: dict[str, Extension] = {}  # by the topic that their messages begin with
+        self._extensions: dict[str, Extension] = {}  # by topic prefix
         self._now = now
         self._last_evaluation_at = now
         self._handlers: Mapping[type, Callable[[Any, Incarnation, float], list[OutgoingMessage]]] = {
@@ -106,10 +106,10 @@
         }
 
     def _max_fleet_size(self) -> int:
-        """Workers that may be trying an ejected service now.
+        """Returns the number of workers that may currently send trial calls to an ejected service.
 
-        One that is not heard may only be cut off, and trying too: a service that returns must not get the
-        whole fleet's trials from each part of it.
+        Unreachable workers count, as they may only be partitioned and send trials too. Otherwise each side of
+        a partition would send as many trials as the whole fleet.
         """
         known = self.settings.addresses_of_others().keys() | self.members.members.keys()
         left = {name for name, member in self.members.members.items() if member.state == MemberState.LEFT}
@@ -117,25 +117,25 @@
 
     @property
     def incarnation(self) -> Incarnation:
-        """This process as other members know it."""
+        """The incarnation under which other members know this process."""
         return self.members.incarnation
 
     @property
     def yielded(self) -> bool:
-        """Whether another process is this member now, so that no budget may be used here."""
+        """Whether another process has replaced this one as the member; no budget may then be used here."""
         return self.leases.yielded
 
     @property
     def shares(self) -> dict[str, BudgetShare]:
-        """This worker's part in each budget, by name."""
+        """This worker's shares of all budgets, by budget name."""
         return self.leases.shares
 
     def add_extension(self, topic: str, extension: Extension) -> None:
-        """Lets something else use the group; its messages begin with `topic`."""
+        """Registers an extension; `topic` is the prefix of the topics of its messages."""
         self._extensions[topic] = extension
 
     def reconfigure(self, settings: FleetSettings, now: float) -> None:
-        """Takes new settings while it runs."""
+        """Applies new settings."""
         self.settings = settings
         self.members.reconfigure(settings.addresses_of_others(), settings.site, settings.protocol_period_s)
         self.counters.reconfigure(settings.max_rate_per_s)
@@ -145,12 +145,12 @@
         self.leases.configure(settings.budgets, now)
 
     def announce_leaving(self) -> None:
-        """Tells others with the next answers that this worker shuts down; it requests no further leases."""
+        """Starts to report in answers that this worker shuts down, and stops requesting new leases."""
         self.own_status.leaving = True
 
     # ---- time
     def tick(self, now: float) -> list[OutgoingMessage]:
-        """Lets time pass, some twenty times a second."""
+        """Performs the periodic work and returns the messages to send; called about 20 times per second."""
         self._now = now
         messages: list[OutgoingMessage] = []
         self.counters.follow(self.incarnation)
@@ -191,13 +191,13 @@
         return not self.members.addresses and not self.settings.seed_addresses
 
     def _note_ended_incarnations(self, now: float) -> None:
-        """Counters of an incarnation that is gone count no more, unless it turns out to be there."""
+        """Marks the counters of ended incarnations; reverts this for one that turns out to be running."""
         for member in self.members.members.values():
             incarnation = member.incarnation
             if not member.is_present and incarnation not in self.ended_at:
                 self.ended_at[incarnation] = member.state_since
                 self.counters.mark_ended(incarnation)
-            elif member.is_present and incarnation in self.ended_at:  # it was only believed to be dead
+            elif member.is_present and incarnation in self.ended_at:  # it had been declared dead by mistake
                 del self.ended_at[incarnation]
                 self.counters.mark_present(incarnation)
         current = {name: member.incarnation for name, member in self.members.members.items()}
@@ -219,9 +219,9 @@
 
     # ---- messages
     def receive(self, message: Message, source: str, now: float) -> list[OutgoingMessage]:
-        """A message whose digest is right, from the address `source`.
+        """Processes an authenticated message from the address `source`; returns the messages to send.
 
-        What is not for this incarnation of this worker changes nothing.
+        A message that is not addressed to this incarnation changes no state.
         """
         self._now = now
         decision = self.inbound.check(message, source, now)
@@ -260,13 +260,13 @@
         return messages
 
     def send_to_extension(self, name: str, topic: str, data: bytes) -> list[OutgoingMessage]:
-        """A message to the extension of one member; nothing where the member is not known."""
+        """Returns a message to an extension of one member; empty if the member is unknown."""
         return self.outbound.to_member(name, [ExtensionMessage(topic, data)])
 
     def extension_data(self, topic: str) -> dict[str, tuple[float, bytes]]:
-        """What members report under the topic of an extension, each with the most that it can be old (s)."""
+        """Returns the data that members report for an extension, each with its maximum age in s."""
         return self.peer_statuses.extension_data(topic, self._now)
 
     def leave(self, reason: str) -> list[OutgoingMessage]:
-        """Shuts down in order: gives all leases back, and tells all members."""
+        """Shuts down gracefully: returns the messages that release all leases and announce the departure."""
         return self.leases.release_all() + self.outbound.goodbye(reason)
--- a/ochrehoist/peers/inbound.py
+++ b/ochrehoist/peers/inbound.py
@@ -1,4 +1,7 @@
-"""Which received messages are processed: those of a current incarnation to this one, each once. No I/O; s."""
+"""Filter for received messages. No I/O; times in seconds.
+
+A message is processed once, if a current incarnation sent it to this incarnation.
+"""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -14,11 +17,11 @@
     ReplayWindow,
 )
 
-MAX_SENDERS = 4096  # whose sequence numbers are remembered
+MAX_SENDERS = 4096  # senders with a replay window
 
 
 class MessageOutcome(StrEnum):
-    """What became of a received message; the values are written to `/status`."""
+    """The outcome of a received message; the values are written to `/status`."""
 
     OWN = "own"
     OTHER_RECIPIENT = "not for us"
@@ -32,14 +35,14 @@
 
 @dataclass(frozen=True)
 class InboundDecision:
-    """Whether a message is processed, and what is answered to one that is not."""
+    """Whether a message is processed; `replies` is the answer to one that is not."""
 
     outcome: MessageOutcome
     replies: list[OutgoingMessage] = field(default_factory=list)
 
 
 class InboundFilter:
-    """Decides on received messages whose digest is right; one that is not accepted changes nothing."""
+    """Filter for authenticated messages; the payloads of a message that is not accepted are ignored."""
 
     def __init__(self, membership: Membership, outbound: Outbound) -> None:
         self.outcome_counts: Counter[MessageOutcome] = Counter()
@@ -48,7 +51,7 @@
         self._outbound = outbound
 
     def check(self, message: Message, source: str, now: float) -> InboundDecision:
-        """Decides on a message that came from the address `source`, and counts what became of it."""
+        """Decides on a message received from the address `source`, and counts the outcome."""
         decision = self._decide(message, source, now)
         self.outcome_counts[decision.outcome] += 1
         return decision
@@ -76,9 +79,9 @@
         return InboundDecision(MessageOutcome.ACCEPTED)
 
     def _decide_other_incarnation(self, message: Message, source: str, now: float) -> InboundDecision:
-        """The sender does not know this incarnation, or wrote to an earlier one: it learns who is here."""
+        """Greets a sender that does not know this incarnation or addressed an earlier one."""
         me = self._membership.incarnation
-        if message.recipient_number > me.number:  # so a later process of this name exists, or has existed
+        if message.recipient_number > me.number:  # a later process has or had this name
             later = Incarnation(me.name, message.recipient_number, UNKNOWN_INCARNATION)
             self._membership.note_duplicate(later, followed=False)
         is_greeting = message.recipient_number == UNKNOWN_INCARNATION
--- a/ochrehoist/peers/lease_assignment.py
+++ b/ochrehoist/peers/lease_assignment.py
@@ -1,6 +1,6 @@
-"""Which free lease slots a worker requests, and which it transfers to one that is denied.
+"""Selection of the free lease slots that a worker requests, and of those that it transfers to others. No I/O.
 
-A matter of utilisation alone: whatever is requested, the grantors keep the budget's bound. No I/O.
+The selection affects only utilisation: the grantors enforce the budget whatever is requested.
 """
 
 from collections.abc import Iterable, Mapping
@@ -10,14 +10,14 @@
 
 from ochrehoist.peers.budget import Budget
 
-HEADROOM = 1.25  # times the recent demand, that a worker keeps for itself
+HEADROOM = 1.25  # multiple of its recent demand that a worker keeps
 
 
 @dataclass(slots=True)
 class PeerDemand:
-    """What is known of another worker's part in a budget; `fresh`: it was reported lately."""
+    """Another worker's share of a budget and its demand; `fresh` if it was reported recently."""
 
-    held_slots: int = 0  # a bit mask
+    held_slots: int = 0  # bit mask
     wanted: int = 0
     denied: int = 0
     fresh: bool = False
@@ -25,19 +25,23 @@
 
 @dataclass(frozen=True)
 class Transfer:
-    """One slot to give away, and to whom."""
+    """The transfer of one slot to another worker."""
 
     recipient: str
     slot: int
 
 
 def slot_mask(slots: Iterable[int]) -> int:
-    """The slots as a bit mask."""
+    """Returns the slots as a bit mask."""
     return sum(1 << slot for slot in slots)
 
 
 def assignee(budget: Budget, slot: int, alive: set[str]) -> str | None:
-    """Who is to request a free slot: its home, else one of those alive; the same for all who see alike."""
+    """Returns the worker that is to request a free slot: its home if alive, else another live worker.
+
+    Workers with the same view of `alive` choose the same one. Returns None for a floor slot whose home is
+    not alive.
+    """
     home = budget.home_of(slot)
     if home in alive:
         return home
@@ -51,9 +55,9 @@
 def slots_to_request(
     budget: Budget, me: str, own_slots: set[int], alive: set[str], others: Mapping[str, PeerDemand]
 ) -> list[int]:
-    """Free slots that fall to this worker.
+    """Returns the free slots that this worker is to request.
 
-    `alive` includes the worker; `own_slots` are held, requested or lately given away.
+    `alive` includes this worker; `own_slots` are held, requested or recently given away.
     """
     taken = 0
     for peer in others.values():
@@ -72,7 +76,10 @@
     transferable: int,
     others: Mapping[str, PeerDemand],
 ) -> Transfer | None:
-    """One slot to give to a worker that is denied, out of what this worker does not want itself."""
+    """Returns a slot to transfer to a worker whose requests are denied, or None.
+
+    `wanted` is this worker's own demand, `transferable` the amount that its uses leave free.
+    """
     needy = sorted(
         (name for name, peer in others.items() if peer.denied > 0 and peer.fresh),
         key=lambda name: (-others[name].denied, name),
@@ -92,10 +99,10 @@
 def _spare_slot(
     budget: Budget, movable: list[int], held_amount: int, wanted: int, needy: list[str]
 ) -> Transfer | None:
-    """A slot beyond what this worker wants and its headroom."""
+    """Returns the transfer of a slot that exceeds this worker's demand and headroom, or None."""
     keep = int(wanted * HEADROOM) + (1 if wanted else 0)
     for recipient in needy:
-        # A home that is denied gets its own slots first; what it wants beyond these may be others'.
+        # The slots whose home is the recipient come first; further ones may belong to other homes.
         for slot in sorted(movable, key=lambda slot: (budget.home_of(slot) != recipient, slot)):
             if held_amount - budget.slot_amount(slot) >= keep:
                 return Transfer(recipient, slot)
@@ -109,7 +116,10 @@
     needy: list[str],
     others: Mapping[str, PeerDemand],
 ) -> Transfer | None:
-    """Where all want more than there is: a slot for one that holds much less than this worker."""
+    """Returns the transfer of a slot to a worker that holds much less than this one, or None.
+
+    Balances the holdings when the total demand exceeds the budget.
+    """
     for recipient in needy:
         peer = others[recipient]
         peer_amount = sum(
--- a/ochrehoist/peers/lease_manager.py
+++ b/ochrehoist/peers/lease_manager.py
@@ -1,4 +1,7 @@
-"""One worker's leases of all budgets: requests, renewals, transfers, and the uses they allow. No I/O; s."""
+"""One worker's leases of all budgets: requests, renewals, transfers and permitted uses.
+
+No I/O; times in seconds.
+"""
 
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field
@@ -13,30 +16,32 @@
 from ochrehoist.peers.usage import UsageMeter
 from ochrehoist.peers.wire import BudgetDemand, Incarnation, LeaseGranted, LeaseReleased, LeaseRequest
 
-REQUEST_INTERVAL_S = 0.2  # between two requests of a slot that is not held yet
-TRANSFER_INTERVAL_S = 0.1  # between two transfers of one budget
-RESERVATION_S = 1.0  # for which a slot given away is not requested again, but by whom it was given to
+REQUEST_INTERVAL_S = 0.2  # minimum time between two requests for the same slot
+TRANSFER_INTERVAL_S = 0.1  # minimum time between two transfers of the same budget
+RESERVATION_S = 1.0  # only the new holder may request a transferred slot during this time
 
 
 @dataclass
 class BudgetShare:
-    """One worker's part in one budget, as grantor (if it is one) and as holder."""
+    """One worker's share of one budget, as holder and, if it is one of the grantors, as grantor."""
 
     grantor: LeaseGrantor | None
     holder: LeaseHolder
     meter: UsageMeter
     last_transfer_at: float = 0.0
-    set_aside_until: dict[int, float] = field(default_factory=dict)  # slots given to others
-    reserved_until: dict[int, float] = field(default_factory=dict)  # slots given to this worker
+    set_aside_until: dict[int, float] = field(
+        default_factory=dict
+    )  # by slot: until when this worker does not request it
+    reserved_until: dict[int, float] = field(default_factory=dict)  # by slot transferred to this worker
 
     def expire_reservations(self, now: float) -> None:
-        """Forgets slots given away too long ago."""
+        """Removes expired reservations."""
         for reservations in (self.set_aside_until, self.reserved_until):
             for slot in [slot for slot, until in reservations.items() if until <= now]:
                 del reservations[slot]
 
     def demand(self, now: float) -> BudgetDemand:
-        """What other members are to know of this worker's part."""
+        """Returns this worker's held slots and demand, as reported to other members."""
         demand = self.meter.demand(now)
         reserved = (slot for slot, until in self.reserved_until.items() if until > now)
         mask = slot_mask(self.holder.leases) | slot_mask(reserved)
@@ -44,15 +49,15 @@
 
 
 class LeaseManager:
-    """Keeps this worker's leases, and answers the requests of others where it is a grantor.
+    """Holder of this worker's leases, and grantor for the budgets that name this worker as one.
 
-    Once it has yielded, because another process is this member now, no budget may be used here.
+    After `yield_all`, because another process has replaced this one as the member, no budget may be used.
     """
 
     def __init__(
         self, membership: Membership, peer_statuses: PeerStatuses, outbound: Outbound, rng: Random
     ) -> None:
-        self.shares: dict[str, BudgetShare] = {}  # by the name of the budget
+        self.shares: dict[str, BudgetShare] = {}  # by budget name
         self.yielded = False
         self._membership = membership
         self._peer_statuses = peer_statuses
@@ -60,7 +65,7 @@
         self._rng = rng
 
     def configure(self, budgets: Sequence[Budget], now: float) -> None:
-        """Takes the budgets of new settings; leases of budgets on the same terms go on."""
+        """Applies new budgets; leases of budgets with unchanged terms remain valid."""
         known = self.shares
         self.shares = {}
         for budget in budgets:
@@ -79,7 +84,7 @@
 
     # ---- time
     def tick(self, now: float, leaving: bool) -> list[OutgoingMessage]:
-        """Requests, renews, transfers and withdraws leases; a worker that is leaving requests no new ones."""
+        """Requests, renews, transfers and withdraws leases; if `leaving` is set, requests no new ones."""
         messages: list[OutgoingMessage] = []
         for share in self.shares.values():
             messages += self._tick_share(share, now, leaving)
@@ -91,7 +96,7 @@
         peers = self._peer_statuses.demands(share.holder.budget.name, now)
         for slot in share.reserved_until:
             share.holder.request(slot, now)
-        # A worker that hears nobody requests nothing: the members that are there decide without it.
+        # An isolated worker requests no free slots: the reachable members assign them without it.
         if self._membership.isolated_for_s(now) is None and not leaving:
             self._request_free_slots(share, peers, now)
         if now - share.last_transfer_at >= TRANSFER_INTERVAL_S:
@@ -152,7 +157,7 @@
     def _release(
         self, share: BudgetShare, slots: Iterable[int], recipient: str = ""
     ) -> list[OutgoingMessage]:
-        """Gives slots back to the grantors; `recipient` may request them."""
+        """Releases slots to the grantors; `recipient`, if given, may request them."""
         me = self._membership.incarnation
         round_number, dropped = share.holder.drop(slots)
         if not dropped:
@@ -167,7 +172,7 @@
         return messages
 
     def release_all(self) -> list[OutgoingMessage]:
-        """Gives back all leases; those that runs still rest on expire by themselves, and no sooner."""
+        """Releases all leases; the leases of a budget with runs in progress expire instead."""
         messages: list[OutgoingMessage] = []
         for share in self.shares.values():
             if share.meter.runs:
@@ -177,13 +182,13 @@
         return messages
 
     def yield_all(self) -> list[OutgoingMessage]:
-        """Gives back all leases, for good: another process is this member now."""
+        """Releases all leases permanently, because another process has replaced this one as the member."""
         self.yielded = True
         return self.release_all()
 
     # ---- what is received
     def on_request(self, request: LeaseRequest, sender: Incarnation, now: float) -> list[OutgoingMessage]:
-        """Grants what it may, if this worker is a grantor of the budget."""
+        """Grants the requested slots that are free, if this worker is a grantor of the budget."""
         share = self.shares.get(request.budget)
         if share is None or share.grantor is None:
             return []
@@ -194,14 +199,14 @@
         return self._outbound.to_member(sender.name, [answer])
 
     def on_granted(self, granted: LeaseGranted, sender: Incarnation, now: float) -> list[OutgoingMessage]:
-        """Counts a grantor's answer."""
+        """Records a grantor's answer."""
         share = self.shares.get(granted.budget)
         if share is not None and not self.yielded:
             share.holder.record_grant(sender.name, granted.round_number, granted.slots, now)
         return []
 
     def on_released(self, released: LeaseReleased, sender: Incarnation, now: float) -> list[OutgoingMessage]:
-        """Another worker gave slots back, to all, to this worker or to a third."""
+        """Processes the release of slots by another worker, and the reservation for their recipient."""
         share = self.shares.get(released.budget)
         if share is None:
             return []
@@ -217,27 +222,27 @@
 
     # ---- use
     def demands(self, now: float) -> list[BudgetDemand]:
-        """What other members are to know of this worker's part in each budget."""
+        """Returns this worker's held slots and demand for each budget, as reported to other members."""
         return [share.demand(now) for share in self.shares.values()]
 
     def acquire(self, budget: str, now: float) -> int | None:
-        """A ticket for one use of a budget that begins now, or None; none of a budget that is unknown."""
+        """Returns a ticket for one use that begins now; None if denied or if the budget is unknown."""
         share = self.shares.get(budget)
         return share.meter.acquire(now) if share is not None and not self.yielded else None
 
     def release(self, budget: str, ticket: int) -> None:
-        """The use of this ticket has ended."""
+        """Ends the use of this ticket."""
         share = self.shares.get(budget)
         if share is not None:
             share.meter.release(ticket)
 
     def held_amount(self, budget: str, now: float) -> int:
-        """The amount of a budget that this worker holds; 0 where there is no such budget."""
+        """Returns the amount of a budget that this worker holds; 0 if the budget is unknown."""
         share = self.shares.get(budget)
         return share.holder.amount(now) if share is not None and not self.yielded else 0
 
     def record_demand(self, budget: str, granted: bool, now: float) -> None:
-        """Counts a wish for a use of a budget that is enforced elsewhere."""
+        """Counts demand for one use of a budget that is enforced elsewhere."""
         share = self.shares.get(budget)
         if share is not None:
             share.meter.record_demand(now, granted)
--- a/ochrehoist/peers/leases.py
+++ b/ochrehoist/peers/leases.py
@@ -1,10 +1,11 @@
-"""Leases of budget slots, granted by a majority: budgets that hold with no message at all.
-
-A slot is used only by an incarnation to which a majority of the grantors has granted it. A grantor grants a
-slot to one incarnation at a time, and honours the grant for longer, by its own steady clock, than the holder
-counts from when it asked. Two majorities share a grantor, so two incarnations never hold one slot at once:
-under any partition, crash, pause or late message. A grantor that has just started may have granted before:
-it first waits for the longest lease. No I/O; times in seconds of each process's steady clock.
+"""Leases of budget slots, granted by a majority of the grantors. No I/O; times in s of the own steady clock.
+
+An incarnation uses a slot only if a majority of the grantors has granted it. A grantor grants a slot to one
+incarnation at a time. It honours the grant until after the lease has ended at the holder: the holder counts
+the lease from its request, and the grantor adds a margin for clock drift. Any two majorities have a grantor
+in common, so two incarnations never hold the same slot at once, whatever partitions, crashes, pauses or
+message delays occur. A grantor that has just started may have granted slots before its restart, so it first
+waits for the longest lease to end. Budgets are therefore kept even if no messages arrive.
 """
 
 from collections import deque
@@ -14,15 +15,15 @@
 from ochrehoist.peers.budget import CLOCK_DRIFT, GRANT_GUARD_S, Budget
 from ochrehoist.peers.wire import Incarnation
 
-REQUEST_TIMEOUT_S = 1.5  # a request without a majority by then is withdrawn
-REMEMBERED_ROUNDS = 64  # of requests; an answer to an earlier one is ignored
-RENEW_BELOW = 0.6  # fraction of the lease that is left when it is renewed
+REQUEST_TIMEOUT_S = 1.5  # requests without a majority are withdrawn after this time
+REMEMBERED_ROUNDS = 64  # answers to older request rounds are ignored
+RENEW_BELOW = 0.6  # a lease is renewed when less than this fraction of it remains
 NEVER = float("-inf")
 
 
 @dataclass(slots=True)
 class Grant:
-    """A slot granted to one incarnation until `expires_at`, in answer to the request of `round_number`."""
+    """The grant of a slot to one incarnation until `expires_at`, for the request of `round_number`."""
 
     incarnation: Incarnation
     expires_at: float
@@ -31,17 +32,17 @@
 
 @dataclass(slots=True, frozen=True)
 class Release:
-    """Who released a slot last, and in which round."""
+    """The latest release of a slot."""
 
     incarnation: Incarnation
     round_number: int
 
 
 class LeaseGrantor:
-    """One grantor's part in the leases of one budget.
+    """Grantor of the slots of one budget.
 
-    It grants nothing that an earlier process of the same member, which ended before `started_at`, may have
-    granted to another.
+    Does not grant a slot while a grant by an earlier process of the same member, which ended before
+    `started_at`, may still be valid.
     """
 
     def __init__(self, budget: Budget, started_at: float) -> None:
@@ -59,13 +60,13 @@
 
     @property
     def silent_until(self) -> float:
-        """From when on it grants slots of every kind."""
+        """The time from which slots of every kind are granted."""
         return max(self.silent_until_by_floor.values())
 
     def reconfigure(self, budget: Budget, now: float) -> None:
-        """Takes new terms: whatever was granted on the old ones ends before anything is granted on these.
+        """Applies new terms; nothing is granted on them until all grants on the old terms have expired.
 
-        On other terms a slot may be another amount, so no two members may count by both.
+        The amount of a slot depends on the terms, so leases on different terms must not be valid at once.
         """
         if budget.terms_digest != self.budget.terms_digest:
             expiries = [grant.expires_at for grant in self.grants.values()]
@@ -78,7 +79,7 @@
     def grant(
         self, incarnation: Incarnation, terms_digest: str, round_number: int, slots: Iterable[int], now: float
     ) -> list[int]:
-        """Answers a request: the slots that are granted now, of those asked for."""
+        """Grants the requested slots that are free; returns the granted ones."""
         if terms_digest != self.budget.terms_digest:
             return []
         granted = []
@@ -102,7 +103,7 @@
             and release.incarnation == incarnation
             and round_number <= release.round_number
         ):
-            return False  # requested before it was released, and received after
+            return False  # delayed request, made before the release
         grant = self.grants.get(slot)
         return grant is None or grant.expires_at <= now or grant.incarnation == incarnation
 
@@ -115,7 +116,7 @@
         self.grants[slot] = Grant(incarnation, expires_at, round_number)
 
     def release(self, incarnation: Incarnation, round_number: int, slots: Iterable[int]) -> None:
-        """The holder uses these slots no more; they may be granted to others at once."""
+        """Releases the slots of a holder; they may be granted to others immediately."""
         for slot in slots:
             grant = self.grants.get(slot)
             granted_to_other = grant is not None and grant.incarnation != incarnation
@@ -127,16 +128,16 @@
 
 @dataclass(slots=True)
 class HeldLease:
-    """One slot as its holder knows it: when each grant expires, counted from when it was requested."""
+    """One slot at its holder, with the expiry of each grantor's grant, counted from the request."""
 
     expiry_by_grantor: dict[str, float] = field(default_factory=dict)
-    held_since: float = 0.0  # without a break
+    held_since: float = 0.0  # start of the current uninterrupted lease
     requested_at: float = 0.0
     last_round_at: float = -1e9
-    first_round: int = 0  # answers to earlier rounds were invalidated by a release
+    first_round: int = 0  # a release has invalidated the answers to earlier rounds
 
     def valid_until(self, quorum: int) -> float:
-        """Until when a quorum has granted it; minus infinity where none ever did."""
+        """Returns the time until which a quorum of grants is valid; minus infinity without a quorum."""
         if len(self.expiry_by_grantor) < quorum:
             return NEVER
         return sorted(self.expiry_by_grantor.values(), reverse=True)[quorum - 1]
@@ -144,40 +145,43 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestRound:
-    """One request to all grantors, and when it was made."""
+    """One request to all grantors, and its time."""
 
     number: int
     requested_at: float
 
 
 class LeaseHolder:
-    """The slots of one budget that this incarnation holds or requests."""
+    """Holder of slots of one budget: those that this incarnation holds or requests."""
 
     def __init__(self, budget: Budget) -> None:
         self.budget = budget
         self.leases: dict[int, HeldLease] = {}  # by slot
         self.round_number = 0
         self.rounds: deque[RequestRound] = deque(maxlen=REMEMBERED_ROUNDS)
-        self.lost_count = 0  # slots that were given up because no majority granted them in time
+        self.lost_count = 0  # slots withdrawn because no majority granted them in time
 
     def reconfigure(self, budget: Budget) -> None:
-        """Takes new terms: nothing that was leased on other ones counts any more."""
+        """Applies new terms; leases on other terms become invalid."""
         if budget.terms_digest != self.budget.terms_digest:
             self.leases.clear()
             self.rounds.clear()
         self.budget = budget
 
     def holds(self, slot: int, now: float) -> bool:
-        """Whether a slot may be used at this moment."""
+        """Returns whether a slot may be used now."""
         lease = self.leases.get(slot)
         return lease is not None and lease.valid_until(self.budget.quorum) > now
 
     def held_slots(self, now: float) -> list[int]:
-        """The slots that may be used at this moment."""
+        """Returns the slots that may be used now."""
         return [slot for slot in self.leases if self.holds(slot, now)]
 
     def amount(self, now: float, held_for_s: float = 0.0, remaining_s: float = 0.0) -> int:
-        """The amount of all slots held for so long without a break, and valid for at least so long."""
+        """Returns the total amount of the held slots.
+
+        Counts only slots held without interruption for `held_for_s` and valid for at least `remaining_s`.
+        """
         quorum = self.budget.quorum
         total = 0
         for slot, lease in self.leases.items():
@@ -191,21 +195,21 @@
         return total
 
     def request(self, slot: int, now: float) -> None:
-        """Asks for a slot from the next round on."""
+        """Adds a slot to the requests, beginning with the next round."""
         if slot not in self.leases:
             self.leases[slot] = HeldLease(requested_at=now, first_round=self.round_number + 1)
 
     def begin_round(self, now: float) -> int:
-        """The number of a new round of requests."""
+        """Starts a new round of requests and returns its number."""
         self.round_number += 1
         self.rounds.append(RequestRound(self.round_number, now))
         return self.round_number
 
     def due_slots(self, now: float, interval_s: float) -> tuple[int, list[int]]:
-        """The round to ask all grantors in, and the slots: new requests, and leases due for renewal.
+        """Returns the round number and the slots to request from all grantors: new ones and renewals.
 
-        A slot is asked for again after `interval_s`, one that is not held after half of it. Without slots no
-        round begins.
+        Requests are repeated after `interval_s`, or after half of it for slots that are not held. Starts a
+        new round only if there are slots to request.
         """
         due = [slot for slot, lease in self.leases.items() if self._is_due(slot, lease, now, interval_s)]
         for slot in due:
@@ -221,9 +225,9 @@
         return now - lease.last_round_at >= (interval_s if remaining_s > 0 else interval_s / 2)
 
     def record_grant(self, grantor: str, round_number: int, slots: Iterable[int], now: float) -> list[int]:
-        """A grantor's answer to a round; the slots that have just become held.
+        """Records a grantor's answer to a round; returns the slots that are held since this answer.
 
-        The lease counts from when the round was requested, so it ends here before it ends at the grantor.
+        The lease is counted from the round's request, so it ends at the holder before it ends at the grantor.
         """
         requested_at = next((r.requested_at for r in self.rounds if r.number == round_number), None)
         if requested_at is None or grantor not in self.budget.grantors:
@@ -245,13 +249,13 @@
         return newly_held
 
     def drop(self, slots: Iterable[int]) -> tuple[int, list[int]]:
-        """Uses these slots no more: the round to release them in, and those that were held or requested."""
+        """Stops the use of these slots; returns the round of the release and the slots actually dropped."""
         dropped = [slot for slot in slots if self.leases.pop(slot, None) is not None]
         self.round_number += 1
         return self.round_number, dropped
 
     def timed_out_slots(self, now: float) -> list[int]:
-        """Slots requested, or no longer held, and without a majority for too long."""
+        """Returns the slots that have had no majority for longer than `REQUEST_TIMEOUT_S`."""
         quorum = self.budget.quorum
         timed_out = []
         for slot, lease in self.leases.items():
--- a/ochrehoist/peers/membership.py
+++ b/ochrehoist/peers/membership.py
@@ -1,8 +1,9 @@
-"""Who is in the fleet: SWIM membership with suspicion and a check of this worker's own health. No I/O; s.
+"""Fleet membership: SWIM with suspicion and Lifeguard's local health check. No I/O; times in seconds.
 
-Each protocol period one member is pinged. One that does not answer is pinged through others, then suspected,
-and is dead only once its suspicion has lasted for a while. A worker that stalled itself accuses nobody for
-that, and one that hears nobody declares nobody dead. The load of a worker does not grow with the fleet.
+One member is pinged in each protocol period. A member that does not answer is probed indirectly through
+others, then suspected, and declared dead only after the suspicion timeout. A worker that stalled itself does
+not suspect others because of its stall, and an isolated worker declares no member dead. The load of a worker
+does not depend on the size of the fleet.
 """
 
 import math
@@ -14,22 +15,22 @@
 from ochrehoist.peers.probing import Probe, ProbeAction, ProbeSchedule
 from ochrehoist.peers.wire import Incarnation, MemberState, MemberUpdate
 
-STALL_S = 0.25  # a longer gap between two ticks means that this worker stalled
+STALL_S = 0.25  # a longer gap between two ticks counts as a stall of this worker
 MAX_LOCAL_HEALTH = 8
-FORGET_GONE_S = 600.0  # for which a member that is gone is still listed
+FORGET_GONE_S = 600.0  # members that are dead or have left are removed after this time
 MAX_MEMBERS = 1024
-MAX_DEATHS = 100  # that are remembered
+MAX_DEATHS = 100  # latest records kept
 ACK_TIMEOUT_PERIODS = 3
-ISOLATION_PERIODS = 4  # beyond the timeout of an acknowledgement, without any
-SUSPICION_PERIODS = 18  # never so short that a pause of a second, with lost messages after it, is a death
-KNOWN_STATES = frozenset(MemberState)  # others are of a later release, and ignored
+ISOLATION_PERIODS = 4  # time without any acknowledgement, in addition to the acknowledgement timeout
+SUSPICION_PERIODS = 18  # a pause of 1 s followed by message loss must not lead to a declaration as dead
+KNOWN_STATES = frozenset(MemberState)  # other states come from later releases and are ignored
 
 
 class Membership:
-    """What this worker knows of the members, and what it tells of them.
+    """This worker's view of the members, and the gossip that it sends about them.
 
-    `addresses` are those of the settings; they prevail over what is gossiped. All calls take the time of this
-    worker's steady clock, which never goes back.
+    `addresses` are the configured addresses; they take precedence over gossip. `now` is always the time of
+    this worker's steady clock, which never goes back.
     """
 
     def __init__(
@@ -49,40 +50,40 @@
         self.protocol_period_s = protocol_period_s
         self.rng = Random(seed)
         self.members: dict[str, Member] = {}
-        self.latest_incarnations: dict[str, Incarnation] = {}  # of each name that was ever known
+        self.latest_incarnations: dict[str, Incarnation] = {}  # by name, also of members that were removed
         self.gossip = GossipQueue()
         self.schedule = ProbeSchedule(incarnation.name, self.rng)
         self.probes: dict[int, Probe] = {}  # by nonce
-        self.refutations = 0  # accusations of this incarnation that it answered: SWIM's incarnation number
-        self.local_health = 0  # 0: well; each step makes it more patient with others (Lifeguard)
+        self.refutations = 0  # refuted accusations of this incarnation; SWIM's incarnation number
+        self.local_health = 0  # Lifeguard's local health score; 0 is healthy, higher lengthens all timeouts
         self.stall_count = 0
         self.last_ack_at: float | None = None  # from any member
-        self.established = False  # a member has answered
-        self.duplicate: Incarnation | None = None  # another process under this name,
-        self.duplicate_followed = False  # which other members take for this member
+        self.established = False  # at least one member has acknowledged a probe
+        self.duplicate: Incarnation | None = None  # another process with this worker's name
+        self.duplicate_followed = False  # other members regard the duplicate as this member
         self.deaths: list[Death] = []
         self._started_at = now
         self._last_tick_at = now
         self._next_probe_at = now
 
     def reconfigure(self, addresses: dict[str, str], site: str, protocol_period_s: float) -> None:
-        """Takes new settings."""
+        """Applies new settings."""
         self.addresses = addresses
         self.site = site
         self.protocol_period_s = protocol_period_s
 
     # ---- what is known
     def live_names(self) -> list[str]:
-        """Names of other members that are not known to be gone."""
+        """Returns the names of the other members that are alive or suspected."""
         return [name for name, member in self.members.items() if member.state in PRESENT_STATES]
 
     @property
     def ack_timeout_s(self) -> float:
-        """How long an acknowledgement may take."""
+        """The maximum time that an acknowledgement may take."""
         return ACK_TIMEOUT_PERIODS * self.protocol_period_s * (1 + self.local_health)
 
     def isolated_for_s(self, now: float) -> float | None:
-        """How long nobody has answered, while there are members to answer; None where somebody has."""
+        """Returns the time without any acknowledgement; None if not isolated or if there are no others."""
         if not self.live_names() and not self.addresses:
             return None
         since = self.last_ack_at if self.last_ack_at is not None else self._started_at
@@ -91,25 +92,25 @@
         return silence_s if silence_s > limit_s else None
 
     def address_of(self, name: str) -> str | None:
-        """The address of a member; None where it is not known."""
+        """Returns the address of a member, or None if unknown."""
         if name in self.addresses:
             return self.addresses[name]
         member = self.members.get(name)
         return member.address if member is not None else None
 
     def incarnation_number_of(self, name: str) -> int:
-        """The number of a member's incarnation, or UNKNOWN_INCARNATION."""
+        """Returns the number of a member's incarnation, or UNKNOWN_INCARNATION."""
         member = self.members.get(name)
         return member.incarnation.number if member is not None else 0
 
     def sample_live(self, count: int, without: Iterable[str]) -> list[str]:
-        """Names of at most `count` members that are not known to be gone, drawn at random."""
+        """Returns the names of up to `count` members that are alive or suspected, chosen at random."""
         candidates = [name for name in self.live_names() if name not in without]
         return candidates if len(candidates) <= count else self.rng.sample(candidates, count)
 
     # ---- time
     def tick(self, now: float) -> list[ProbeAction]:
-        """Lets time pass; the probes to send now."""
+        """Checks timeouts and returns the probes to send now."""
         gap_s = now - self._last_tick_at
         self._last_tick_at = now
         if gap_s > STALL_S:
@@ -126,7 +127,7 @@
         return actions
 
     def _on_stall(self, gap_s: float) -> None:
-        """This worker stood still: what did not arrive meanwhile is no sign against the others."""
+        """Prevents messages missed during this worker's own stall from counting against other members."""
         self.stall_count += 1
         self.local_health = min(MAX_LOCAL_HEALTH, self.local_health + 1 + int(gap_s))
         self.probes.clear()
@@ -141,7 +142,7 @@
         return ProbeAction(target, nonce, indirect=False)
 
     def _check_probes(self, now: float) -> list[ProbeAction]:
-        """Probes without an answer: asks others to ping, and then suspects the target."""
+        """Requests indirect probes for unanswered pings; suspects the targets if these fail too."""
         actions = []
         for probe in list(self.probes.values()):
             waited_s = now - probe.sent_at
@@ -161,7 +162,7 @@
             self._suspect(member, self.incarnation.name, now)
 
     def _check_members(self, now: float) -> None:
-        """Ends suspicions that had their time, and forgets members that are long gone."""
+        """Declares members dead after their suspicion timeout, and removes members that are long gone."""
         for name, member in list(self.members.items()):
             if member.state == MemberState.SUSPECT:
                 self._check_suspicion(member, now)
@@ -176,14 +177,14 @@
         if now - member.suspected_at <= self._suspicion_timeout_s(member):
             return
         if self.last_ack_at is None or self.last_ack_at <= member.suspected_at:
-            return  # who hears nobody cannot tell the others' death from a partition
+            return  # an isolated worker cannot distinguish a failed peer from a network partition
         silence_s = now - (member.last_ack_at if member.last_ack_at is not None else now)
         self.deaths.append(Death(now, member.incarnation.name, silence_s))
         del self.deaths[:-MAX_DEATHS]
         self._mark_gone(member, MemberState.DEAD, now)
 
     def _suspicion_timeout_s(self, member: Member) -> float:
-        """How long it stays suspected: the shorter the more members accuse it."""
+        """Returns how long a member stays suspected: shorter the more members accuse it."""
         shortest = SUSPICION_PERIODS * self.protocol_period_s * (1 + self.local_health)
         longest = shortest * max(1.0, math.log2(len(self.members) + 2) / 2)
         return max(shortest, longest - (longest - shortest) * math.log2(len(member.accusers) + 1) / 2)
@@ -213,7 +214,10 @@
 
     # ---- what is received
     def on_ack(self, nonce: int, name: str, now: float) -> Probe | None:
-        """An answer to a probe of this worker, the only proof that a member is there; None for any other."""
+        """Processes an acknowledgement; returns the probe that it answers, or None if there is none.
+
+        Only an acknowledgement of this worker's own probe proves that a member is alive.
+        """
         probe = self.probes.get(nonce)
         if probe is None or probe.target != name:
             return None
@@ -231,7 +235,10 @@
         return probe
 
     def on_message_from(self, incarnation: Incarnation, address: str, site: str, now: float) -> bool:
-        """Registers the sender of a message; whether it may be heard: an earlier incarnation may not."""
+        """Registers the sender of a message; returns whether to accept the message.
+
+        Messages from earlier incarnations are rejected, and those from new members at `MAX_MEMBERS`.
+        """
         name = incarnation.name
         if name == self.incarnation.name:
             self.note_duplicate(incarnation)
@@ -249,7 +256,7 @@
             self.members[name] = Member(incarnation, address or member.address, site, MemberState.ALIVE, now)
             self._spread(name)
         elif member.state == MemberState.DEAD and member.incarnation == incarnation:
-            self._mark_alive(member, now)  # it was only cut off
+            self._mark_alive(member, now)  # it was declared dead by mistake
             self._spread(name)
         self._remember_incarnation(incarnation)
         return True
@@ -261,11 +268,14 @@
             self.latest_incarnations.pop(forgotten)
 
     def note_duplicate(self, incarnation: Incarnation, followed: bool = True) -> None:
-        """Somebody tells of another process under this name; `followed`: and takes it for the member."""
+        """Records another process with this worker's name.
+
+        `followed`: other members regard that process as the member.
+        """
         if incarnation == self.incarnation or not incarnation.supersedes(self.incarnation):
             return
         if not self.established:
-            # Left by an earlier process, whose clock was ahead: this one comes after it.
+            # An earlier process of this member had a clock that was ahead: take the next number.
             self.incarnation = Incarnation(
                 self.incarnation.name, incarnation.number + 1, self.incarnation.boot_id
             )
@@ -274,7 +284,7 @@
             self.duplicate_followed = self.duplicate_followed or followed
 
     def apply_gossip(self, update: MemberUpdate, sender: str, now: float) -> None:
-        """What `sender` says of states and addresses; it never proves that anybody is there."""
+        """Applies the state and address that `sender` reports of a member; no proof that it is alive."""
         if update.incarnation.name == self.incarnation.name:
             self._apply_gossip_of_self(update)
             return
@@ -288,7 +298,7 @@
         if update.incarnation != self.incarnation:
             self.note_duplicate(update.incarnation)
         elif update.state in (MemberState.SUSPECT, MemberState.DEAD):
-            # It is accused, and refutes it with a number above the accuser's.
+            # Refutes the accusation with a number above that of the accuser.
             self.refutations = max(self.refutations, update.refutations + 1)
             self._spread(self.incarnation.name)
 
@@ -298,7 +308,9 @@
         is_gone = update.state in (MemberState.DEAD, MemberState.LEFT)
         if is_gone or (latest is not None and latest.supersedes(update.incarnation)):
             if member is None and latest is None:
-                self.latest_incarnations[name] = update.incarnation  # known only as gone
+                self.latest_incarnations[name] = (
+                    update.incarnation
+                )  # prevents a later registration of an older one
             return
         if self.on_message_from(update.incarnation, update.address, update.site, now):
             self._apply_refutations(self.members[name], update.refutations, now)
@@ -309,9 +321,9 @@
             self._mark_gone(member, MemberState.LEFT, now)
             return
         if update.refutations < member.refutations:
-            return  # an accusation that it has answered
+            return  # the member has already refuted this accusation
         if update.state in (MemberState.SUSPECT, MemberState.DEAD) and member.is_present:
-            # One that answered this worker a moment ago is not suspected on gossip alone.
+            # A member that has just answered this worker is not suspected because of gossip alone.
             answered_lately = (
                 member.last_ack_at is not None and now - member.last_ack_at <= 2 * self.ack_timeout_s
             )
@@ -319,10 +331,7 @@
                 self._suspect(member, sender, now)
 
     def _apply_refutations(self, member: Member, refutations: int, now: float) -> None:
-        """It has answered all accusations below this number: they are over, a death too.
-
-        One that left is gone for good.
-        """
+        """Ends a suspicion or death with a lower refutation number; does not revive a member that left."""
         if refutations <= member.refutations:
             return
         member.refutations = refutations
@@ -331,18 +340,18 @@
         self._spread(member.incarnation.name)
 
     def set_contact(self, name: str, address: str, site: str) -> None:
-        """Where a known member says that it is."""
+        """Sets the address and site that a known member reports of itself."""
         self.members[name].address = address
         self.members[name].site = site
 
     def mark_left(self, incarnation: Incarnation, now: float) -> None:
-        """The member said itself that it shuts down."""
+        """Marks a member as left, on its own announcement."""
         member = self.members.get(incarnation.name)
         if member is not None and member.incarnation == incarnation and member.state != MemberState.LEFT:
             self._mark_gone(member, MemberState.LEFT, now)
 
     def apply_status(self, update: MemberUpdate, round_trip_s: float, now: float) -> None:
-        """A status from an acknowledgement; `round_trip_s`: since the ping that it answers was sent."""
+        """Applies a status from an acknowledgement; `round_trip_s` is the time since the ping was sent."""
         member = self.members.get(update.incarnation.name)
         if member is None or member.incarnation != update.incarnation:
             return
@@ -361,10 +370,9 @@
 
     # ---- what is sent
     def select_gossip(self, own_update: MemberUpdate, recipient: str = "") -> list[MemberUpdate]:
-        """The gossip for one message.
+        """Returns the gossip for one message.
 
-        A recipient that is accused is told so each time that it is pinged: nobody else can end a false
-        accusation.
+        A suspected or dead recipient always receives the accusation, as only it can refute it.
         """
         updates = []
         accused = self.members.get(recipient)
--- a/ochrehoist/peers/outbound.py
+++ b/ochrehoist/peers/outbound.py
@@ -1,4 +1,4 @@
-"""Messages to other members: to whom they are addressed, and how often strangers are greeted. No I/O; s."""
+"""Addressing of messages to other members, and rate limiting of greetings. No I/O; times in seconds."""
 
 from dataclasses import dataclass
 
@@ -14,22 +14,22 @@
     Superseded,
 )
 
-GREETING_INTERVAL_S = 0.2  # between two greetings of one that does not know this incarnation
-MAX_GREETED = 4096  # that are remembered
+GREETING_INTERVAL_S = 0.2  # minimum time between two greetings to the same address
+MAX_GREETED = 4096  # addresses with a recorded greeting time
 
 
 @dataclass(frozen=True)
 class OutgoingMessage:
-    """A message to be sent: to a name, or to an address whose name is not known (an empty recipient)."""
+    """A message to send; `recipient` is a member's name, or empty if only its address is known."""
 
     recipient: str
     address: str
-    recipient_number: int  # of its incarnation, or UNKNOWN_INCARNATION
+    recipient_number: int  # incarnation number, or UNKNOWN_INCARNATION
     payloads: list[Payload]
 
 
 class Outbound:
-    """Addresses payloads to members by what the membership knows of them."""
+    """Builder of outgoing messages, with addresses and incarnation numbers from the membership."""
 
     def __init__(self, settings: FleetSettings, membership: Membership) -> None:
         self.last_greeting_at: dict[str, float] = {}
@@ -37,14 +37,17 @@
         self._membership = membership
 
     def reconfigure(self, settings: FleetSettings) -> None:
-        """Takes new settings."""
+        """Applies new settings."""
         self._settings = settings
 
     def _hello(self) -> Hello:
         return Hello(self._settings.address, self._settings.site)
 
     def to_member(self, name: str, payloads: list[Payload]) -> list[OutgoingMessage]:
-        """A message to a member; a mere greeting where its incarnation is not known yet."""
+        """Returns a message to a member, empty if its address is unknown.
+
+        If its incarnation is unknown, the message is only a greeting.
+        """
         address = self._membership.address_of(name)
         if not address:
             return []
@@ -56,9 +59,9 @@
         return [OutgoingMessage(name, address, number, payloads)]
 
     def to_configured_address(self, name: str, payloads: list[Payload]) -> list[OutgoingMessage]:
-        """A message to a known member, only where the settings give its address.
+        """Returns a message to a known member with a configured address; empty for any other member.
 
-        One address has one process, so of two processes that believe to have a name only one gets it.
+        Only one process can use an address, so of two processes with the same name only one receives it.
         """
         address = self._membership.addresses.get(name)
         if not address or name not in self._membership.members:
@@ -67,7 +70,7 @@
         return [OutgoingMessage(name, address, number, payloads)]
 
     def greet_seeds(self, now: float) -> list[OutgoingMessage]:
-        """Greetings to the addresses at which a member may be found."""
+        """Returns greetings to the seed addresses."""
         return [
             OutgoingMessage("", address, UNKNOWN_INCARNATION, [self._hello()])
             for address in self._settings.seed_addresses
@@ -75,13 +78,13 @@
         ]
 
     def greet(self, incarnation: Incarnation, source: str, now: float) -> list[OutgoingMessage]:
-        """Tells one that does not know this incarnation who is here."""
+        """Returns a greeting that introduces this incarnation to one that does not know it."""
         return self._to_sender(incarnation, source, self._hello(), now)
 
     def tell_superseded(
         self, incarnation: Incarnation, latest: Incarnation, source: str, now: float
     ) -> list[OutgoingMessage]:
-        """Tells a process that a later one of its name is known."""
+        """Returns a notification to a process that a later incarnation of its name is known."""
         return self._to_sender(incarnation, source, Superseded(latest), now)
 
     def _to_sender(
@@ -101,7 +104,7 @@
         return True
 
     def goodbye(self, reason: str) -> list[OutgoingMessage]:
-        """Tells all that this worker leaves."""
+        """Returns the announcement to all live members that this worker leaves."""
         messages = []
         for name in self._membership.live_names():
             messages += self.to_member(name, [MemberLeft(reason)])
--- a/ochrehoist/peers/outlier_detection.py
+++ b/ochrehoist/peers/outlier_detection.py
@@ -1,8 +1,9 @@
-"""Outlier detection: which downstream services are ejected, by own and by remote observations. No I/O; s.
+"""Outlier detection: ejects unhealthy downstream services, by own and remote observations. No I/O; seconds.
 
-Own fresh observations go before remote ones. Never more than a stated fraction of the services is ejected,
-and where all are unhealthy none is. Each ejection has an end: an ejected service gets single trial calls, and
-then takes its load back in a slow start. Time in which this worker itself stalled counts against no service.
+Fresh own observations take precedence over remote ones. At most a configured fraction of the services is
+ejected, and none if all are unhealthy. Every ejection ends: an ejected service receives single trial calls,
+and after enough successes its load is increased in a slow start. Stalls of this worker itself do not count
+against any service.
 """
 
 import math
@@ -30,31 +31,31 @@
 )
 from ochrehoist.peers.wire import HealthObservation, HealthStatus
 
-FRESH_OBSERVATION_MS = 700  # for which own healthy observations go before remote ones
-BASE_EJECTION_S = 1.0  # until the first trial; doubled after each trial that fails,
-MAX_EJECTION_S = 8.0  # up to this
-TRIAL_RETRY_S = 0.1  # until the next draw whether this worker tries an ejected service
-TRIAL_TIMEOUT_S = 1.0  # a trial that is slow and takes longer has failed
-TRIALS_TO_RECOVER = 3  # successes in a row
-SLOW_START_FRACTIONS = (0.1, 0.3, 0.6, 1.0)  # of its load, in stages
+FRESH_OBSERVATION_MS = 700  # younger own healthy observations take precedence over remote ones
+BASE_EJECTION_S = 1.0  # time until the first trial; doubled after each failed trial
+MAX_EJECTION_S = 8.0
+TRIAL_RETRY_S = 0.1  # time between two random draws that decide whether this worker sends the trial
+TRIAL_TIMEOUT_S = 1.0  # a slow trial that takes longer has failed
+TRIALS_TO_RECOVER = 3  # consecutive successes
+SLOW_START_FRACTIONS = (0.1, 0.3, 0.6, 1.0)  # fraction of the usual load in each stage
 SLOW_START_STAGE_S = 0.5
-STALL_S = 0.12  # a longer gap between two ticks means that this worker stalled or starved
-OWN_REASON_SUFFIX = "usual"  # how the reason of an ejection by own observations ends
-MAX_CHANGES = 100  # that are remembered
+STALL_S = 0.12  # a longer gap between two ticks counts as a stall or CPU starvation of this worker
+OWN_REASON_SUFFIX = "usual"  # end of the reason text of ejections by own observations
+MAX_CHANGES = 100  # recorded for `/status`
 
 
 class EjectionState(StrEnum):
-    """Whether a service gets calls; the values are written to `/status`."""
+    """Whether a service receives calls; the values are written to `/status`."""
 
     IN = "in"
     EJECTED = "out"
-    TRIAL = "trial"  # ejected, and a single call is under way
+    TRIAL = "trial"  # ejected, with a trial call in progress
     SLOW_START = "back"
 
 
 @dataclass(slots=True, frozen=True)
 class StateChange:
-    """One change of a service's ejection state."""
+    """A change of a service's ejection state."""
 
     at: float
     service: str
@@ -64,7 +65,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EjectionCandidate:
-    """An unhealthy service; the one of the highest severity is ejected first."""
+    """An unhealthy service; candidates of higher severity are ejected first."""
 
     severity: float
     service: str
@@ -74,7 +75,7 @@
 
 @dataclass(slots=True)
 class ServiceState:
-    """One service as this worker treats it."""
+    """This worker's samples and ejection state of one service."""
 
     samples: ServiceSamples = field(default_factory=ServiceSamples)
     ejection: EjectionState = EjectionState.IN
@@ -89,12 +90,12 @@
 
     @property
     def is_ejected(self) -> bool:
-        """Whether it gets trial calls only."""
+        """Whether the service receives only trial calls."""
         return self.ejection is EjectionState.EJECTED or self.ejection is EjectionState.TRIAL
 
     @property
     def slow_start_fraction(self) -> float:
-        """The fraction of its load that it takes during a slow start."""
+        """The fraction of its usual load that the service receives in the current slow-start stage."""
         return SLOW_START_FRACTIONS[min(self.slow_start_stage, len(SLOW_START_FRACTIONS) - 1)]
 
 
@@ -107,10 +108,10 @@
 
 
 class OutlierDetector:
-    """Decides which services get calls, and in which order they are tried.
+    """Ejection state of all services, and their order for the next request.
 
-    At most `max_ejected_fraction` of the services is ejected. `remote_reports` gives what other workers
-    observe, `fleet_size` how many workers may be trying an ejected service.
+    At most `max_ejected_fraction` of the services is ejected. `remote_reports` returns the observations of
+    other workers, `fleet_size` the number of workers that may send trials to an ejected service.
     """
 
     def __init__(
@@ -127,23 +128,23 @@
         self._remote_reports = remote_reports
         self._fleet_size = fleet_size
         self._rng = Random(seed)
-        self._last_tick_at: float | None = None  # None: without ticks nothing is known of stalls
+        self._last_tick_at: float | None = None  # None: no stall detection before the first tick
         self.configure(services, max_ejected_fraction)
 
     def configure(self, services: Iterable[str], max_ejected_fraction: float) -> None:
-        """Takes new settings; what is known of services that stay is kept."""
+        """Applies new settings; keeps the state of services that remain."""
         self.services = {name: self.services.get(name) or ServiceState() for name in services}
         self._baselines.configure(self.services)
         self._max_ejected_fraction = max_ejected_fraction
 
     # ---- what happens
     def tick(self, now: float, interval_s: float) -> None:
-        """Called each `interval_s` while this worker runs: in what exceeds that, it stalled."""
+        """Detects stalls of this worker; called every `interval_s`, and any excess counts as a stall."""
         self._discount_stall(now, interval_s)
         self._last_tick_at = now
 
     def _discount_stall(self, now: float, interval_s: float = 0.0) -> None:
-        """What a stalled worker did not read is no sign of a slow service."""
+        """Excludes a stall of this worker from the latency of open calls."""
         if self._last_tick_at is None or now - self._last_tick_at < STALL_S:
             return
         stalled_s = now - self._last_tick_at - interval_s
@@ -152,7 +153,7 @@
             service.samples.discount_stall(stalled_s, now)
 
     def call_started(self, name: str, ticket: Hashable, request_class: str, now: float) -> None:
-        """A call was sent; the first one to an ejected service is its trial."""
+        """Records that a call was sent; the first call to an ejected service is its trial."""
         service = self.services.get(name)
         if service is None:
             return
@@ -166,11 +167,11 @@
             service.trial_count += 1
 
     def call_completed(self, name: str, ticket: Hashable, status: HealthStatus, now: float) -> None:
-        """A call has ended; `status` is OK, FAILING (an unusable answer or none) or UNREACHABLE."""
+        """Records the end of a call; `status` is OK, FAILING (unusable answer or none) or UNREACHABLE."""
         service = self.services.get(name)
         if service is None:
             return
-        self._discount_stall(now)  # the answer may be read before the first tick after a stall
+        self._discount_stall(now)  # this may precede the first tick after a stall
         call = service.samples.open_calls.pop(ticket, None) or OpenCall(now, "")
         latency_s = now - call.started_at
         baseline_s = self._baselines.baseline_s(call.request_class)
@@ -201,21 +202,21 @@
 
     # ---- observations
     def observe(self, name: str, now: float) -> HealthObservation | None:
-        """What this worker has observed of a service lately; None where that is too little."""
+        """Returns this worker's recent observation of a service; None with too few samples."""
         return self.services[name].samples.observe(name, now, self._baselines)
 
     def observations(self, now: float) -> list[HealthObservation]:
-        """What this worker has observed of all services lately."""
+        """Returns this worker's recent observations of all services."""
         observed = (self.observe(name, now) for name in self.services)
         return [observation for observation in observed if observation is not None]
 
     def remote_consensus(self, name: str, own: HealthObservation | None = None) -> RemoteConsensus:
-        """What other workers agree on; with an unhealthy own observation as one of theirs."""
+        """Returns the consensus of other workers; an unhealthy `own` observation counts as one of them."""
         return consensus(name, self._remote_reports(), own)
 
     # ---- evaluation
     def evaluate(self, now: float) -> None:
-        """Decides anew on all services; called several times a second."""
+        """Re-evaluates all services; called several times per second."""
         self._baselines.refresh()
         candidates = []
         for name, service in self.services.items():
@@ -249,7 +250,7 @@
             self._fail_trial(service, name, HealthStatus.SLOW, now)
 
     def _check_remote_recovery(self, service: ServiceState, name: str, now: float) -> None:
-        """Others, by trials of their own, have found well again what they reported to be unhealthy."""
+        """Starts the slow start of a remotely reported service that other workers' trials found healthy."""
         ejected_for_s = now - service.since
         if (
             service.ejected_on_remote
@@ -259,7 +260,7 @@
             self._begin_slow_start(service, name, "well for others", now)
 
     def _candidate(self, name: str, own: HealthObservation | None) -> EjectionCandidate | None:
-        """The service as a candidate for ejection; None where it seems well or nothing is known."""
+        """Returns the service as a candidate for ejection; None if it appears healthy or is unknown."""
         if own is not None and own.status in UNHEALTHY:
             if is_conclusive(own):
                 severity = math.inf if own.status == HealthStatus.UNREACHABLE else own.latency_ratio
@@ -280,7 +281,7 @@
         ejected_count = sum(service.is_ejected for service in self.services.values())
         free_places = int(self._max_ejected_fraction * len(self.services)) - ejected_count
         if not ejected_count and len(candidates) >= len(self.services):
-            return  # all of them: nothing would be gained
+            return  # all services are unhealthy, so ejection would leave no better one
         if free_places <= 0:
             candidates = [
                 candidate for candidate in candidates if self.remote_consensus(candidate.service).is_unhealthy
@@ -299,7 +300,10 @@
             self._change_state(service, candidate.service, EjectionState.EJECTED, candidate.reason, now)
 
     def _free_a_place(self, now: float) -> int:
-        """One that this worker alone ejected gives its place to one that several see unhealthy."""
+        """Readmits a service ejected by this worker only; returns the number of ejections that this permits.
+
+        Used when the limit is reached and several workers observe another service as unhealthy.
+        """
         reports = self._remote_reports()
         for name, service in self.services.items():
             if (
@@ -328,10 +332,10 @@
 
     # ---- choice
     def rank_services(self, busy: Mapping[str, int], now: float) -> list[str]:
-        """The services to try, the best first; called for each request, so it evaluates nothing.
+        """Returns the services in the order to try them; called per request, so it does not re-evaluate them.
 
-        `busy` counts the open calls of each. An ejected service comes first where it is this worker's turn to
-        try it, and last otherwise: better than none.
+        `busy` has the number of open calls of each service. An ejected service comes first if this worker is
+        to send its next trial, and otherwise last, for use only if all others fail.
         """
         if len(self.services) == 1:
             return list(self.services)
@@ -350,7 +354,7 @@
         return [name for _, _, name in sorted(usable) + sorted(ejected)]
 
     def _takes_trial(self, service: ServiceState, now: float) -> bool:
-        """Whether this worker sends the next trial: one worker of the fleet on average, at each draw."""
+        """Returns whether this worker sends the next trial; on average one worker of the fleet per draw."""
         if service.trial_ticket is not None or now - service.since < service.ejection_s:
             return False
         if service.successful_trials > 0 or self._rng.random() < 1.0 / max(1, self._fleet_size()):
--- a/ochrehoist/peers/own_counters.py
+++ b/ochrehoist/peers/own_counters.py
@@ -1,28 +1,28 @@
-"""The counters of this incarnation: bounded in number and bytes, with the version of each change. No I/O."""
+"""Counters of this incarnation: limited in number and size, with the version of each change. No I/O."""
 
 from collections import Counter
 
-MAX_KEYS = 512  # of one incarnation; further ones are counted as OVERFLOW_KEY
+MAX_KEYS = 512  # per incarnation; further keys are counted as OVERFLOW_KEY
 OVERFLOW_KEY = "rest"
 MAX_KEY_BYTES = 160
-MAX_TOTAL_BYTES = 2000  # of all keys and counts, until further tenants are counted together
-COUNT_BYTES = 9  # of the count of a key
-UNBOUNDED_KIND = "tenant/"  # the kind of key of which there may be any number
+MAX_TOTAL_BYTES = 2000  # all keys and counts; beyond this, further tenants are counted together
+COUNT_BYTES = 9  # upper bound for one encoded count
+UNBOUNDED_KIND = "tenant/"  # prefix of keys whose number is not limited by the configuration
 OTHER_TENANTS = "others"
 
 
 class OwnCounters:
-    """Counts by key, which only grow. Keys that arrive when there is no room are counted together."""
+    """Grow-only counts by key. Keys beyond the size limits are counted together."""
 
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
-        self.version = 0  # grows with each addition
+        self.version = 0  # incremented at each addition
         self.changed_at_version: dict[str, int] = {}
         self._free_bytes = MAX_TOTAL_BYTES
         self._sorted_keys: list[str] = []
 
     def add(self, key: str, count: int) -> None:
-        """Adds to the count of `key`, which reads kind/name/word."""
+        """Adds to the count of `key`, which has the form kind/name/word."""
         if key not in self.counts:
             key = self._admit_key(key)
         self.counts[key] += count
@@ -30,7 +30,7 @@
         self.changed_at_version[key] = self.version
 
     def _admit_key(self, key: str) -> str:
-        """A new key, or the one that it is counted under where there is no room for it."""
+        """Returns the key under which to count a new key: itself, or a shared one beyond the limits."""
         size = len(key.encode()) + COUNT_BYTES
         if key.startswith(UNBOUNDED_KIND) and (size > self._free_bytes or size > MAX_KEY_BYTES):
             word = key.rpartition("/")[2]
@@ -44,7 +44,7 @@
         return key
 
     def sorted_keys(self) -> list[str]:
-        """All keys in order."""
+        """Returns all keys in order."""
         if len(self._sorted_keys) != len(self.counts):
             self._sorted_keys = sorted(self.counts)
         return self._sorted_keys
--- a/ochrehoist/peers/peer_status.py
+++ b/ochrehoist/peers/peer_status.py
@@ -1,4 +1,4 @@
-"""What other members report of themselves, decoded, with its age; and this worker's own status. No I/O; s."""
+"""Statuses reported by other members, with their ages, and this worker's own. No I/O; times in seconds."""
 
 from collections.abc import Mapping, Sequence
 
@@ -18,11 +18,11 @@
     encode_status,
 )
 
-FRESH_DEMAND_S = 2.0  # for which another worker's demand counts
+FRESH_DEMAND_S = 2.0  # an older demand of another worker is not served by a transfer
 
 
 class OwnStatus:
-    """This worker's status as all other members are to know it; each renewal makes a new version."""
+    """This worker's status as published to all other members; each renewal is a new version."""
 
     def __init__(self, settings: FleetSettings, membership: Membership) -> None:
         self.leaving = False
@@ -32,7 +32,7 @@
         self._membership = membership
 
     def reconfigure(self, settings: FleetSettings) -> None:
-        """Takes new settings."""
+        """Applies new settings."""
         self._settings = settings
 
     def renew(
@@ -42,14 +42,14 @@
         demands: Sequence[BudgetDemand],
         extensions: Mapping[str, bytes],
     ) -> None:
-        """Takes what is to be reported from now on."""
+        """Replaces the status, with a new version number."""
         isolated = self._membership.isolated_for_s(now) is not None
         status = WorkerStatus(self.leaving, isolated, list(observations), list(demands), dict(extensions))
         self.version += 1
         self.encoded = encode_status(status)
 
     def update(self) -> MemberUpdate:
-        """The status with who and where this worker is."""
+        """Returns the status with this worker's incarnation, address and site."""
         return MemberUpdate(
             self._membership.incarnation,
             self._settings.address,
@@ -63,14 +63,14 @@
 
 
 class PeerStatuses:
-    """The statuses of the other members; each version is decoded once."""
+    """Statuses of the other members; each version is decoded once."""
 
     def __init__(self, membership: Membership) -> None:
         self.decoded: dict[str, tuple[int, WorkerStatus]] = {}  # by name: version and status
         self._membership = membership
 
     def status_of(self, name: str) -> WorkerStatus | None:
-        """The latest status of a member; None where none is known or it cannot be read."""
+        """Returns the latest status of a member; None if there is none or it cannot be decoded."""
         member = self._membership.members.get(name)
         if member is None or member.status_as_of is None or not member.status:
             return None
@@ -85,7 +85,7 @@
         return status
 
     def leaving_names(self) -> set[str]:
-        """Members that have announced to leave."""
+        """Returns the names of members that have announced their shutdown."""
         return {
             name
             for name in self._membership.members
@@ -93,7 +93,7 @@
         }
 
     def demands(self, budget: str, now: float) -> dict[str, PeerDemand]:
-        """What the members that are there hold and want of a budget, as far as it is known."""
+        """Returns the held slots and demand of one budget, for each live member that reports them."""
         demands = {}
         for name, member in self._membership.members.items():
             status = self.status_of(name) if member.state in PRESENT_STATES else None
@@ -106,7 +106,7 @@
         return demands
 
     def health_reports(self, now: float) -> dict[str, RemoteReport]:
-        """What the members that are there have observed of services."""
+        """Returns the service observations of each live member that reports any."""
         reports = {}
         for name, member in self._membership.members.items():
             status = self.status_of(name) if member.state in PRESENT_STATES else None
@@ -115,7 +115,7 @@
         return reports
 
     def extension_data(self, topic: str, now: float) -> dict[str, tuple[float, bytes]]:
-        """What members report under the topic of an extension, each with the most that it can be old (s)."""
+        """Returns the data that members report for an extension, each with its maximum age in s."""
         data = {}
         for name, member in self._membership.members.items():
             status = self.status_of(name)
--- a/ochrehoist/peers/ping_exchange.py
+++ b/ochrehoist/peers/ping_exchange.py
@@ -1,6 +1,6 @@
-"""Pings and acknowledgements: how members check each other, and what news and counters travel with it.
+"""Pings and acknowledgements between members, which also carry gossip, statuses and counters.
 
-The load of one exchange is bounded whatever the size of the fleet. No I/O; times in seconds.
+The size of one exchange is limited, regardless of the size of the fleet. No I/O; times in seconds.
 """
 
 from dataclasses import dataclass
@@ -23,17 +23,17 @@
     PingRequest,
 )
 
-MAX_KNOWN_VERSIONS = 24  # members in a ping of which news are asked for
+MAX_KNOWN_VERSIONS = 24  # members listed in a ping, whose newer statuses are requested
 MAX_NEWS = 12  # statuses of other members in an answer
-MAX_UPDATES_BYTES = 8192  # of own status, gossip and news: the counters must find room beside them
-FRAME_BYTES = 1024  # of what surrounds them, at the most
-INDIRECT_PROBES = 3  # members that are asked to ping one that does not answer
-MAX_RELAYED = 256  # pings for others that wait for an answer
+MAX_UPDATES_BYTES = 8192  # own status, gossip and other statuses; must leave room for the counters
+FRAME_BYTES = 1024  # upper bound for the rest of the message
+INDIRECT_PROBES = 3  # members asked to ping an unresponsive one
+MAX_RELAYED = 256  # unanswered pings sent on behalf of other members
 
 
 @dataclass(slots=True, frozen=True)
 class RelayedPing:
-    """A ping that was sent for another member: who asked, with which nonce, and for whom."""
+    """A ping sent on behalf of another member, with the requester's nonce."""
 
     requester: str
     nonce: int
@@ -41,7 +41,7 @@
 
 
 class PingExchange:
-    """Sends probes, answers those of others, and takes what their answers report."""
+    """Sender of probes, responder to the probes of others, and processor of their answers."""
 
     def __init__(
         self,
@@ -51,7 +51,7 @@
         outbound: Outbound,
         rng: Random,
     ) -> None:
-        self.relayed: dict[int, RelayedPing] = {}  # by the nonce of our ping
+        self.relayed: dict[int, RelayedPing] = {}  # by the nonce of this worker's ping
         self._membership = membership
         self._counters = counters
         self._own_status = own_status
@@ -59,7 +59,7 @@
         self._rng = rng
 
     def send_probe(self, probe: ProbeAction) -> list[OutgoingMessage]:
-        """The messages of one probe."""
+        """Returns the messages of one probe."""
         if not probe.indirect:
             return self._outbound.to_member(probe.target, [self._ping(probe.target, probe.nonce)])
         messages = []
@@ -68,7 +68,7 @@
         return messages
 
     def limit_relayed(self) -> None:
-        """Forgets relayed pings where too many were never answered."""
+        """Discards all relayed pings if too many are unanswered."""
         if len(self.relayed) > MAX_RELAYED:
             self.relayed.clear()
 
@@ -87,13 +87,13 @@
     def on_ping_request(
         self, request: PingRequest, sender: Incarnation, _now: float
     ) -> list[OutgoingMessage]:
-        """Pings the target for another member."""
+        """Pings the target on behalf of another member."""
         nonce = self._rng.getrandbits(62) | 1
         self.relayed[nonce] = RelayedPing(sender.name, request.nonce, request.target)
         return self._outbound.to_member(request.target, [self._ping(request.target, nonce)])
 
     def on_ping(self, ping: Ping, sender: Incarnation, now: float) -> list[OutgoingMessage]:
-        """Answers with this worker's status, what the sender does not know yet, and counters."""
+        """Answers a ping with this worker's status, newer statuses of other members, and counters."""
         self._apply_gossip(ping.gossip, sender, now)
         own_update = self._own_status.update()
         news = self._select_news(ping, sender)
@@ -105,9 +105,9 @@
         return self._outbound.to_member(sender.name, [ack])
 
     def _select_news(self, ping: Ping, sender: Incarnation) -> list[Member]:
-        """Members of whom the sender has an earlier status, or none, drawn at random where there are many."""
+        """Returns members whose status is newer than the sender's, chosen at random if there are too many."""
         known = {entry.name: (entry.number, entry.version) for entry in ping.known_versions}
-        lists_all = len(known) < MAX_KNOWN_VERSIONS  # a member that it does not list is unknown to it
+        lists_all = len(known) < MAX_KNOWN_VERSIONS  # members that it does not list are unknown to it
         news = [
             member
             for name, member in self._membership.members.items()
@@ -141,7 +141,7 @@
         ack.snapshots = self._counters.snapshots(now, min(free_bytes, MAX_SNAPSHOT_BYTES))
 
     def on_ack(self, ack: Ack, sender: Incarnation, now: float) -> list[OutgoingMessage]:
-        """Relays the answer to a relayed ping; takes what an answer to an own probe reports."""
+        """Forwards the answer to a relayed ping; applies the updates in an answer to an own probe."""
         self._apply_gossip(ack.gossip, sender, now)
         relayed = self.relayed.pop(ack.nonce, None)
         if relayed is not None:
--- a/ochrehoist/peers/probing.py
+++ b/ochrehoist/peers/probing.py
@@ -1,4 +1,4 @@
-"""Which member is probed next, and the probes that wait for an answer. No I/O."""
+"""Schedule of probe targets, and the probes awaiting an answer. No I/O."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -6,22 +6,22 @@
 
 from ochrehoist.peers.member import Member
 
-GONE_PROBE_PROBABILITY = 0.25  # after a partition nobody else would tell of members believed to be gone
+GONE_PROBE_PROBABILITY = 0.25  # after a partition, members declared dead are found again only by probing
 
 
 @dataclass(slots=True)
 class Probe:
-    """A ping that was sent, and waits for its acknowledgement."""
+    """A ping that awaits its acknowledgement."""
 
     target: str
     nonce: int
     sent_at: float
-    indirect_sent: bool = False  # other members were asked to ping the target
+    indirect_sent: bool = False  # other members have been asked to ping the target
 
 
 @dataclass(slots=True, frozen=True)
 class ProbeAction:
-    """A ping to send now, or with `indirect` a request to other members to ping the target."""
+    """A ping to send now, or if `indirect`, a request to other members to ping the target."""
 
     target: str
     nonce: int
@@ -29,15 +29,15 @@
 
 
 class ProbeSchedule:
-    """Rounds in which each known member is a target once, in random order."""
+    """Probe rounds; each known member is a target once per round, in random order."""
 
     def __init__(self, own_name: str, rng: Random) -> None:
-        self.round: list[str] = []  # targets that are left, the next one last
+        self.round: list[str] = []  # remaining targets, the next one last
         self._own_name = own_name
         self._rng = rng
 
     def next_target(self, members: Mapping[str, Member], addresses: Mapping[str, str]) -> str | None:
-        """The next member to ping; None where no other is known."""
+        """Returns the next member to ping; None if no other is known."""
         while True:
             target = self._next_of_round(members, addresses)
             if target is not None:
--- a/ochrehoist/peers/remote_health.py
+++ b/ochrehoist/peers/remote_health.py
@@ -1,7 +1,7 @@
-"""What other workers have observed of downstream services, and when that is believed. No I/O; seconds.
+"""Consensus on downstream services from the observations of other workers. No I/O; times in seconds.
 
-Remote observations count from two observers on, and never from one to whom most services look unhealthy: its
-own link is at fault.
+At least two observers must agree. An observer that reports most services as unhealthy is ignored, because
+the fault is likely in its own link.
 """
 
 from collections import Counter
@@ -11,40 +11,40 @@
 from ochrehoist.peers.service_health import UNHEALTHY
 from ochrehoist.peers.wire import HealthObservation, HealthStatus
 
-REMOTE_MAX_AGE_S = 3.0  # for which a remote observation counts
+REMOTE_MAX_AGE_S = 3.0  # older remote observations are ignored
 MIN_OBSERVERS = 2
 
 
 @dataclass(slots=True)
 class RemoteReport:
-    """The observations of one other worker, which are at most `age_s` old beyond their own age."""
+    """The observations of one other worker; `age_s` is to be added to the age of each."""
 
     age_s: float
     observations: list[HealthObservation]
 
     def age_of(self, observation: HealthObservation) -> float:
-        """Upper bound of the age of one of its observations in s."""
+        """Returns an upper bound of the age of an observation in s."""
         return self.age_s + observation.age_ms / 1000
 
 
-RemoteReports = Mapping[str, RemoteReport]  # by member
+RemoteReports = Mapping[str, RemoteReport]  # by member name
 
 
 @dataclass(slots=True)
 class RemoteConsensus:
-    """What other workers agree on: None where they do not; and who says what, as `member:status`."""
+    """The status that other workers agree on, None if they do not, and the observers as `member:status`."""
 
     status: HealthStatus | None
     observers: list[str]
 
     @property
     def is_unhealthy(self) -> bool:
-        """Whether they agree that the service is unhealthy."""
+        """Whether other workers agree that the service is unhealthy."""
         return self.status in UNHEALTHY
 
 
 def _believable(reports: RemoteReports) -> Iterator[tuple[str, list[HealthObservation]]]:
-    """The fresh observations of each member whose own link seems well."""
+    """Yields the fresh observations of each member that does not report most services as unhealthy."""
     for member, report in reports.items():
         fresh = [seen for seen in report.observations if report.age_of(seen) <= REMOTE_MAX_AGE_S]
         unhealthy_count = sum(seen.status in UNHEALTHY for seen in fresh)
@@ -53,7 +53,7 @@
 
 
 def consensus(service: str, reports: RemoteReports, own: HealthObservation | None = None) -> RemoteConsensus:
-    """What the others agree on; an unhealthy `own` observation counts as one observer's."""
+    """Returns the consensus of other workers; an unhealthy `own` observation counts as one observer."""
     counts: Counter[str] = Counter()
     observers: list[str] = []
     if own is not None and own.status in UNHEALTHY:
@@ -74,7 +74,7 @@
 
 
 def is_recovered(service: str, reports: RemoteReports, within_s: float) -> bool:
-    """Whether more workers have seen it well in the last `within_s` than have seen it unhealthy."""
+    """Returns whether more workers observed a service as healthy than unhealthy in the last `within_s`."""
     healthy_count = unhealthy_count = 0
     for report in reports.values():
         for seen in report.observations:
--- a/ochrehoist/peers/service_health.py
+++ b/ochrehoist/peers/service_health.py
@@ -1,7 +1,7 @@
-"""What this worker observes of downstream services: latencies, failures, and what counts as slow. No I/O.
+"""This worker's observations of downstream services: latency, failures and slowness. No I/O.
 
-Times are seconds of this worker's steady clock. Latencies are compared with the baseline of their request
-class, the median over all services, so where all slow down the baseline does too.
+Times are in seconds of this worker's steady clock. Latencies are compared with the baseline of their request
+class. The baseline is the median over all services, so it rises if all services slow down together.
 """
 
 from collections import deque
@@ -11,20 +11,20 @@
 from ochrehoist.peers.wire import HealthObservation, HealthStatus
 
 UNHEALTHY = frozenset({HealthStatus.SLOW, HealthStatus.FAILING, HealthStatus.UNREACHABLE})
-SAMPLE_MAX_AGE_S = 2.0  # for which one result is evidence
-RECENT_SAMPLES = 8  # that count, so that what was well before does not hide what is not now
+SAMPLE_MAX_AGE_S = 2.0  # older results are ignored
+RECENT_SAMPLES = 8  # limits how many earlier healthy results can mask a current fault
 KEPT_SAMPLES = 64
-MIN_SAMPLES = 3  # that make evidence
-MIN_BASELINE_SAMPLES = 20  # of a class at a service, for the baseline
-BASELINE_WINDOW = 40  # samples that the mean of a class is taken over
-SLOW_RATIO = 5.0  # times the baseline
-SLOW_MARGIN_S = 0.03  # above the baseline, besides
-MIN_BASELINE_S = 1e-4  # a shorter one is taken for this
-MIN_UNREACHABLE = 2  # results that prove a service to be out of reach, the last one among them
+MIN_SAMPLES = 3  # for a conclusive observation
+MIN_BASELINE_SAMPLES = 20  # a service counts for a class's baseline from this number of samples
+BASELINE_WINDOW = 40  # samples in the moving mean of a class
+SLOW_RATIO = 5.0  # a slow call exceeds this multiple of the baseline
+SLOW_MARGIN_S = 0.03  # and also exceeds the baseline by this margin
+MIN_BASELINE_S = 1e-4  # lower limit for the divisor of latency ratios
+MIN_UNREACHABLE = 2  # results, the latest included, that make a service unreachable
 
 
 def is_slow(latency_s: float, baseline_s: float | None) -> bool:
-    """Whether a call took, or has taken so far, much longer than the baseline; never without one."""
+    """Returns whether a call's latency so far is far above the baseline; False without a baseline."""
     if baseline_s is None:
         return False
     return latency_s > SLOW_RATIO * baseline_s and latency_s > baseline_s + SLOW_MARGIN_S
@@ -32,29 +32,29 @@
 
 @dataclass(slots=True)
 class MeanLatency:
-    """The mean latency of a class at one service, and the samples it rests on."""
+    """The mean latency of a class at one service, and its number of samples up to `BASELINE_WINDOW`."""
 
     mean_s: float = 0.0
     sample_count: int = 0
 
 
 class LatencyBaselines:
-    """The baseline latency of each request class, kept from one evaluation to the next."""
+    """Baseline latencies of the request classes, cached between evaluations."""
 
     def __init__(self) -> None:
-        self._means: dict[str, dict[str, MeanLatency]] = {}  # by service and class
+        self._means: dict[str, dict[str, MeanLatency]] = {}  # by service, then class
         self._baselines: dict[str, float | None] = {}  # by class, as of the last evaluation
 
     def configure(self, services: Iterable[str]) -> None:
-        """Keeps the means of these services only."""
+        """Discards the means of all other services."""
         self._means = {name: self._means.get(name, {}) for name in services}
 
     def refresh(self) -> None:
-        """Baselines are taken anew when next asked for."""
+        """Clears the cache, so that baselines are recomputed at their next use."""
         self._baselines.clear()
 
     def baseline_s(self, request_class: str) -> float | None:
-        """The mean latency at the median service, the faster of two; None where too little is known."""
+        """Returns the mean latency at the median service (lower median); None with too few samples."""
         if request_class not in self._baselines:
             known = [means[request_class] for means in self._means.values() if request_class in means]
             means = sorted(mean.mean_s for mean in known if mean.sample_count >= MIN_BASELINE_SAMPLES)
@@ -69,14 +69,15 @@
             mean = means[request_class] = MeanLatency()
         if mean.sample_count < BASELINE_WINDOW:
             mean.sample_count += 1
-        # A slow one moves the mean little: where all are slow, all are found so before it has moved.
+        # A slow call changes the mean little, so that if all services turn slow, all are detected as slow
+        # before the baseline has risen.
         weight = BASELINE_WINDOW if is_slow(latency_s, baseline_s) else mean.sample_count
         mean.mean_s += (latency_s - mean.mean_s) / weight
 
 
 @dataclass(slots=True)
 class CallResult:
-    """One completed call, and the baseline of its class at that time."""
+    """A completed call, and the baseline of its class at its completion."""
 
     at: float
     status: HealthStatus
@@ -85,13 +86,13 @@
 
     @property
     def is_slow(self) -> bool:
-        """Whether it took much longer than the baseline."""
+        """Whether the latency is far above the baseline."""
         return is_slow(self.latency_s, self.baseline_s)
 
 
 @dataclass(slots=True)
 class OpenCall:
-    """One call that waits for its answer."""
+    """A call that awaits its answer."""
 
     started_at: float
     request_class: str
@@ -99,20 +100,20 @@
 
 @dataclass(slots=True)
 class ServiceSamples:
-    """The calls of this worker to one service."""
+    """This worker's calls to one service."""
 
     results: deque[CallResult] = field(default_factory=lambda: deque(maxlen=KEPT_SAMPLES))
     open_calls: dict[Hashable, OpenCall] = field(default_factory=dict)  # by ticket
 
     def discount_stall(self, stalled_s: float, now: float) -> None:
-        """This worker stood still: open calls are not older for that."""
+        """Excludes a stall of this worker from the latency of the open calls."""
         self.open_calls = {
             ticket: OpenCall(min(now, call.started_at + stalled_s), call.request_class)
             for ticket, call in self.open_calls.items()
         }
 
     def _overdue(self, now: float, baselines: LatencyBaselines) -> list[tuple[OpenCall, float]]:
-        """Open calls that are slow already, each with its baseline in s."""
+        """Returns the open calls that are already slow, each with its baseline in s."""
         overdue = []
         for call in self.open_calls.values():
             baseline_s = baselines.baseline_s(call.request_class)
@@ -121,12 +122,12 @@
         return overdue
 
     def observe(self, service: str, now: float, baselines: LatencyBaselines) -> HealthObservation | None:
-        """What was observed lately; None where that is too little."""
+        """Returns an observation of the service from recent calls; None with too few samples."""
         recent = [
             result for result in list(self.results)[-RECENT_SAMPLES:] if now - result.at <= SAMPLE_MAX_AGE_S
         ]
         overdue = self._overdue(now, baselines)
-        if overdue:  # what ended before the first of them began tells nothing of now
+        if overdue:  # results from before their start do not reflect the current state
             first_start = min(call.started_at for call, _ in overdue)
             recent = [result for result in recent if result.at >= first_start]
         sample_count = len(recent) + len(overdue)
@@ -149,7 +150,7 @@
 
 
 def _status_of(recent: list[CallResult], overdue_count: int, ratio: float) -> HealthStatus | None:
-    """The status that recent results and overdue calls come to; None where they are too few."""
+    """Returns the status that recent results and overdue calls indicate; None with too few samples."""
     sample_count = len(recent) + overdue_count
     unreachable_count = sum(result.status == HealthStatus.UNREACHABLE for result in recent)
     failing_count = sum(result.status == HealthStatus.FAILING for result in recent)
@@ -161,13 +162,13 @@
     if 2 * (failing_count + unreachable_count) >= sample_count:
         return HealthStatus.FAILING
     slow_count = overdue_count + sum(result.status == HealthStatus.OK and result.is_slow for result in recent)
-    if slow_count and ratio >= SLOW_RATIO:  # one may be a costly request: see `is_conclusive`
+    if slow_count and ratio >= SLOW_RATIO:  # a single slow call may be a costly request: see `is_conclusive`
         return HealthStatus.SLOW
     return HealthStatus.OK
 
 
 def is_conclusive(own: HealthObservation) -> bool:
-    """Whether a worker's unhealthy observation suffices by itself; else it counts as one observer's."""
+    """Returns whether an unhealthy own observation suffices to eject; else it counts as one observer's."""
     if own.status != HealthStatus.SLOW or own.sample_count >= MIN_SAMPLES:
         return True
     return own.sample_count > 1 and own.latency_ratio >= 2 * SLOW_RATIO
--- a/ochrehoist/peers/status_view.py
+++ b/ochrehoist/peers/status_view.py
@@ -1,4 +1,4 @@
-"""What operators are shown of a group: plain values for the JSON of `/status`. No I/O."""
+"""The view of a group in the JSON of `/status`. No I/O."""
 
 from typing import Any
 
@@ -10,7 +10,7 @@
 
 
 def status_view(group: Group, now: float) -> dict[str, Any]:
-    """The state of a group at `now`; the keys are part of `/status`."""
+    """Returns the state of a group at `now` as JSON values; the keys are part of `/status`."""
     membership = group.members
     isolated_for_s = membership.isolated_for_s(now)
     duplicate = membership.duplicate
--- a/ochrehoist/peers/usage.py
+++ b/ochrehoist/peers/usage.py
@@ -1,4 +1,4 @@
-"""Use of a budget by one worker: each use is checked against the leases at that very moment. No I/O."""
+"""Use of a budget by one worker: each use is checked against the leases valid at its start. No I/O."""
 
 from collections import deque
 from dataclasses import dataclass
@@ -6,14 +6,14 @@
 from ochrehoist.peers.budget import CLOCK_DRIFT, RATE_WINDOW_S
 from ochrehoist.peers.leases import LeaseHolder
 
-DEMAND_MEMORY_S = 2.0  # for which demand is remembered
-# A slot counts for a rate only once the uses of an earlier holder are out of the window.
+DEMAND_MEMORY_S = 2.0  # older demand is ignored
+# A slot counts towards a rate only after all uses by an earlier holder have left the rate window.
 GUARDED_WINDOW_S = RATE_WINDOW_S * (1 + CLOCK_DRIFT)
 
 
 @dataclass(slots=True, frozen=True)
 class Demand:
-    """What would serve all recent demand (in a second, or at once), and how much of it was denied."""
+    """The uses that recent demand calls for, per second or simultaneous, and how many were denied."""
 
     wanted: int
     denied: int
@@ -21,21 +21,21 @@
 
 @dataclass(slots=True)
 class DemandSample:
-    """One wish for a use."""
+    """A request for one use."""
 
     at: float
     granted: bool
 
 
 class UsageMeter:
-    """Uses of one budget by this incarnation; times in seconds of its steady clock."""
+    """Meter of the uses of one budget by this incarnation; times in seconds of its steady clock."""
 
     def __init__(self, holder: LeaseHolder) -> None:
         self.holder = holder
-        self.runs: dict[int, float] = {}  # by ticket: when a run ends at the latest
+        self.runs: dict[int, float] = {}  # by ticket: latest end of the run
         self.used_count = 0
         self.denied_count = 0
-        self.max_used = 0  # at once, or in one window
+        self.max_used = 0  # simultaneous, or in one rate window
         self._uses: deque[float] = deque()
         self._recent_demand: deque[DemandSample] = deque()
         self._last_ticket = 0
@@ -47,7 +47,7 @@
             self._recent_demand.popleft()
 
     def available(self, now: float) -> int:
-        """How many uses may begin now."""
+        """Returns how many uses may begin now."""
         budget = self.holder.budget
         if budget.concurrent:
             return self.holder.amount(now, remaining_s=budget.max_run_s) - len(self.runs)
@@ -55,11 +55,11 @@
         return self.holder.amount(now, held_for_s=GUARDED_WINDOW_S) - len(self._uses)
 
     def record_demand(self, now: float, granted: bool) -> None:
-        """Counts a wish for a use; `granted`: whether it was served."""
+        """Counts demand for one use; `granted`: whether it was permitted."""
         self._recent_demand.append(DemandSample(now, granted))
 
     def acquire(self, now: float) -> int | None:
-        """A ticket for one use that begins now, or None. A run's ticket is given back by `release`."""
+        """Returns a ticket for one use that begins now, or None if denied. `release` ends a run's ticket."""
         self._expire(now)
         granted = self.available(now) >= 1
         self.record_demand(now, granted)
@@ -77,18 +77,22 @@
         return self._last_ticket
 
     def release(self, ticket: int) -> None:
-        """The run of this ticket has ended."""
+        """Ends the run of this ticket."""
         self.runs.pop(ticket, None)
 
     def transferable(self, now: float) -> int:
-        """The amount that may be given away now so that what runs stays within the rest."""
+        """Returns the amount that may be given away now; the rest still covers the runs in progress."""
         budget = self.holder.budget
         if budget.concurrent:
             return max(0, self.holder.amount(now, remaining_s=budget.max_run_s) - len(self.runs))
         return self.holder.amount(now)
 
     def demand(self, now: float) -> Demand:
-        """Recent demand: of runs, those at work and those denied; of a rate, the busier of two seconds."""
+        """Returns the recent demand.
+
+        For a concurrent budget, runs in progress plus denied ones; for a rate, the busier of the last two
+        seconds.
+        """
         self._expire(now)
         if self.holder.budget.concurrent:
             denied = sum(not sample.granted for sample in self._recent_demand)
--- a/ochrehoist/peers/wire.py
+++ b/ochrehoist/peers/wire.py
@@ -1,11 +1,11 @@
-"""The datagram format of peers: message types, their encoding and their authentication. No I/O.
+"""Datagram format of the peer protocol: message types, encoding and authentication. No I/O.
 
-One message is one datagram with a keyed digest. A message is accepted only by the incarnation that it is
-addressed to, so datagrams recorded before a restart and replayed after it change nothing. Within an
-incarnation a `ReplayWindow` of sequence numbers accepts each message once.
+Each message is one datagram with a keyed digest. Only the incarnation that a message is addressed to accepts
+it, so datagrams recorded before a restart and replayed after it have no effect. Within an incarnation, a
+`ReplayWindow` of sequence numbers accepts each message once.
 
-All structs are encoded as arrays: the order of their fields is the format. Fields are only added at the end,
-with a default, so that releases can be mixed in one group.
+All structs are encoded as arrays, so the order of their fields is the format. New fields are added only at
+the end and with a default, so that different releases can run in one group.
 """
 
 import hmac
@@ -18,14 +18,14 @@
 
 MAGIC, VERSION = b"OH", 1
 DIGEST_BYTES = 16
-MAX_DATAGRAM_BYTES = 16_384  # a longer datagram is neither read nor sent
-UNKNOWN_INCARNATION = 0  # incarnation number of a recipient that is not known yet
-REPLAY_WINDOW = 256  # sequence numbers by which a message may arrive late
-MAX_UPDATE_OVERHEAD_BYTES = 64  # of a member update, beside its strings
+MAX_DATAGRAM_BYTES = 16_384  # longer datagrams are neither read nor sent
+UNKNOWN_INCARNATION = 0  # incarnation number of a recipient whose incarnation is not known yet
+REPLAY_WINDOW = 256  # a message may lag behind the highest sequence number by less than this
+MAX_UPDATE_OVERHEAD_BYTES = 64  # upper bound for a member update without its strings
 
 
 class MemberState(StrEnum):
-    """The state of a member as another member sees it; the values are written to the wire and `/status`."""
+    """The state of a member as seen by another member; the values are used on the wire and in `/status`."""
 
     ALIVE = "alive"
     SUSPECT = "suspect"
@@ -34,16 +34,16 @@
 
 
 class HealthStatus(StrEnum):
-    """What a worker observed of a service; the values are written to the wire and `/status`."""
+    """The health of a service as observed by a worker; the values are used on the wire and in `/status`."""
 
     OK = "ok"
     SLOW = "slow"
-    FAILING = "failing"  # answers that cannot be used, or none
+    FAILING = "failing"  # unusable answers, or none
     UNREACHABLE = "gone"
 
 
 class RejectReason(StrEnum):
-    """Why a datagram was rejected; the values are labels of a metric."""
+    """The reason for rejecting a datagram; the values are labels of a metric."""
 
     GARBLED = "garbled"
     UNAUTHENTICATED = "stranger"
@@ -52,7 +52,7 @@
 
 
 class MessageRejectedError(OchrehoistError):
-    """A datagram that is not accepted; `reason` says why, and is what such datagrams are counted by."""
+    """Raised for a datagram that is not accepted; rejected datagrams are counted by `reason`."""
 
     def __init__(self, reason: RejectReason) -> None:
         super().__init__(f"peer message rejected: {reason}")
@@ -60,18 +60,20 @@
 
 
 class MessageTooLongError(OchrehoistError):
-    """A message whose encoding of `size` bytes does not fit into a datagram."""
+    """Raised for a message whose encoding of `size` bytes does not fit into a datagram."""
 
     def __init__(self, size: int) -> None:
-        super().__init__(f"a message of {size} bytes; a datagram takes {MAX_DATAGRAM_BYTES}")
+        super().__init__(
+            f"peer message of {size} bytes exceeds the datagram limit of {MAX_DATAGRAM_BYTES} bytes"
+        )
         self.size = size
 
 
 class Incarnation(msgspec.Struct, frozen=True, array_like=True, order=True):
     """One process of a member.
 
-    `number` never decreases for a name; `boot_id` is drawn at random and tells two processes with the same
-    name and number apart.
+    `number` never decreases for a name. `boot_id` is random and distinguishes processes with the same name
+    and number.
     """
 
     name: str
@@ -79,46 +81,47 @@
     boot_id: int
 
     def supersedes(self, other: "Incarnation") -> bool:
-        """Whether this is a later process of the same member than `other`."""
+        """Returns whether this is a later process of the same member than `other`."""
         return (self.number, self.boot_id) > (other.number, other.boot_id)
 
 
 class MemberUpdate(msgspec.Struct, array_like=True):
-    """What the sender knows of one member.
+    """The sender's record of one member.
 
-    `age_ms` is an upper bound of the age of `status`, -1 where the sender has no status. `refutations` is
-    SWIM's incarnation number within a process: only the member itself raises it, when it learns of an
-    accusation of this number, so a higher one proves that it was there after that accusation. `version` does
-    not: it grows with each tick, and one that is newer than the accuser's may be older than the accusation.
+    `age_ms` is an upper bound of the age of `status`, or -1 if the sender has no status. `refutations` is
+    SWIM's incarnation number within a process. Only the member itself increments it, when it learns of an
+    accusation with this number, so a higher number proves that it was alive after that accusation. A higher
+    `version` does not prove this: it grows with each tick, so a version newer than the accuser's may still be
+    older than the accusation.
     """
 
     incarnation: Incarnation
     address: str
     site: str
-    state: str  # a MemberState; a value of a later release is ignored
+    state: str  # a MemberState; unknown values of later releases are ignored
     version: int = 0
     age_ms: int = -1
-    status: bytes = b""  # a WorkerStatus, as its owner encoded it
+    status: bytes = b""  # a WorkerStatus as encoded by the member itself
     refutations: int = 0
 
     def max_size(self) -> int:
-        """Upper bound of its encoded size in bytes."""
+        """Returns an upper bound of the encoded size in bytes."""
         texts = (self.incarnation.name, self.address, self.site)
         return MAX_UPDATE_OVERHEAD_BYTES + len(self.status) + sum(len(text.encode()) for text in texts)
 
 
 class HealthObservation(msgspec.Struct, array_like=True):
-    """What one worker has observed itself of a downstream service."""
+    """One worker's own observation of a downstream service."""
 
     service: str
-    status: str  # a HealthStatus; a value of a later release counts for nothing
+    status: str  # a HealthStatus; unknown values of later releases are ignored
     sample_count: int
     age_ms: int
-    latency_ratio: float  # of the baseline latency
+    latency_ratio: float  # latency divided by the baseline latency
 
 
 class BudgetDemand(msgspec.Struct, array_like=True):
-    """A worker's part in one budget: lease slots held (as a bit mask), amounts wanted and lately denied."""
+    """A worker's share of one budget: held lease slots as a bit mask, and its wanted and denied amounts."""
 
     budget: str
     held_slots: int
@@ -127,17 +130,17 @@
 
 
 class WorkerStatus(msgspec.Struct, array_like=True):
-    """What all other members are to know of a worker."""
+    """The status that a worker publishes to all other members."""
 
     leaving: bool = False
-    isolated: bool = False  # it receives acknowledgements from nobody
+    isolated: bool = False  # the worker receives no acknowledgements
     observations: list[HealthObservation] = []
     demands: list[BudgetDemand] = []
     extensions: dict[str, bytes] = {}  # by topic
 
 
 class CounterSnapshot(msgspec.Struct, array_like=True):
-    """All counters of one incarnation, which only grow. `ended`: it counts no more."""
+    """All counters of one incarnation, which only grow. `ended`: the incarnation no longer runs."""
 
     incarnation: Incarnation
     version: int
@@ -147,9 +150,9 @@
 
 
 class CounterCursor(msgspec.Struct, array_like=True):
-    """How far the counters of an incarnation are known.
+    """The progress of the sender's replica of an incarnation's counters.
 
-    All of `version` is known, and of a later one the keys up to `after_key`.
+    The replica has all of `version`, and of a later version the keys up to `after_key`.
     """
 
     name: str
@@ -159,10 +162,10 @@
 
 
 class CounterDelta(msgspec.Struct, array_like=True):
-    """All counters of one incarnation that changed since a version, in a range of keys.
+    """All counters of one incarnation in a range of keys that changed since `since_version`.
 
-    The range begins behind `after_key` (empty: with the first) and ends with `up_to_key` (empty: the last).
-    The values are those of `version` or later ones; `version` existed `age_ms` ago or later.
+    The range begins after `after_key` (empty: at the first key) and ends with `up_to_key` (empty: the last).
+    The values are those of `version` or later ones; `version` was current `age_ms` ago or later.
     """
 
     incarnation: Incarnation
@@ -172,50 +175,50 @@
     version: int
     age_ms: int
     ended: bool
-    started_ms_ago: int  # upper bound of the time since it had counted nothing; -1: unknown
+    started_ms_ago: int  # upper bound of the time since all counts were 0; -1: unknown
     counts: dict[str, int]
 
 
 class KnownVersion(msgspec.Struct, array_like=True):
-    """The latest status of a member that the sender of a ping has."""
+    """The version of the latest status of a member that the sender of a ping has."""
 
     name: str
-    number: int  # of its incarnation
+    number: int  # incarnation number
     version: int
 
 
 class Ping(msgspec.Struct, tag="p", array_like=True):
-    """Health check of a member; asks for what is newer than what the sender knows."""
+    """Health check of a member; requests statuses and counters newer than the sender's."""
 
     nonce: int
     known_versions: list[KnownVersion] = []
     gossip: list[MemberUpdate] = []
-    cursors: list[CounterCursor] | None = None  # None: an older release, which takes whole snapshots only
+    cursors: list[CounterCursor] | None = None  # None: older release, accepts only snapshots
 
 
 class Ack(msgspec.Struct, tag="a", array_like=True):
-    """Answers a ping; what it reports was so after the ping was sent.
+    """Answer to a ping; its content was current after the ping was sent.
 
-    `subject` is the member that was pinged where the answer is relayed for it, and empty otherwise.
+    `subject` is the pinged member if the answer is relayed on its behalf, otherwise empty.
     """
 
     nonce: int
     subject: str = ""
     updates: list[MemberUpdate] = []
     gossip: list[MemberUpdate] = []
-    snapshots: list[CounterSnapshot] = []  # for an older release
+    snapshots: list[CounterSnapshot] = []  # for older releases
     deltas: list[CounterDelta] = []
 
 
 class PingRequest(msgspec.Struct, tag="q", array_like=True):
-    """Indirect probe: asks the receiver to ping `target` for the sender."""
+    """Indirect probe: asks the receiver to ping `target` on behalf of the sender."""
 
     nonce: int
     target: str
 
 
 class LeaseRequest(msgspec.Struct, tag="c", array_like=True):
-    """Asks a grantor to grant or renew these lease slots of a budget."""
+    """Request to a grantor to grant or renew lease slots of a budget."""
 
     budget: str
     terms_digest: str
@@ -224,7 +227,7 @@
 
 
 class LeaseGranted(msgspec.Struct, tag="v", array_like=True):
-    """A grantor's answer to the request of `round_number`: the slots that it grants."""
+    """A grantor's answer to the request of `round_number`, with the granted slots."""
 
     budget: str
     round_number: int
@@ -232,7 +235,7 @@
 
 
 class LeaseReleased(msgspec.Struct, tag="r", array_like=True):
-    """The sender uses these slots no more; `recipient`, if any, may request them."""
+    """Release of slots by their holder; `recipient`, if any, may request them."""
 
     budget: str
     round_number: int
@@ -241,26 +244,26 @@
 
 
 class MemberLeft(msgspec.Struct, tag="l", array_like=True):
-    """The sender shuts down in order."""
+    """Announcement of the sender's graceful shutdown."""
 
     reason: str
 
 
 class Hello(msgspec.Struct, tag="h", array_like=True):
-    """Introduces the sender to one that may not know it, and asks nothing."""
+    """Introduction of the sender to a member that may not know it; needs no answer."""
 
     address: str
     site: str
 
 
 class Superseded(msgspec.Struct, tag="n", array_like=True):
-    """Tells a process that a later incarnation of its name is known."""
+    """Notification to a process that a later incarnation of its name is known."""
 
     incarnation: Incarnation
 
 
 class ExtensionMessage(msgspec.Struct, tag="s", array_like=True):
-    """From one extension to another. It may be lost, and arrives at most once."""
+    """Message between extensions of two members; may be lost, and is delivered at most once."""
 
     topic: str
     data: bytes
@@ -281,12 +284,12 @@
 
 
 class Message(msgspec.Struct, array_like=True):
-    """One datagram: its addressing and what it carries."""
+    """One datagram: addressing and payloads."""
 
     group: str
     sender: Incarnation
     recipient: str
-    recipient_number: int  # of the recipient's incarnation, or UNKNOWN_INCARNATION
+    recipient_number: int  # incarnation number of the recipient, or UNKNOWN_INCARNATION
     sequence: int
     payloads: list[Payload]
 
@@ -297,12 +300,12 @@
 
 
 def encode_status(status: WorkerStatus) -> bytes:
-    """The bytes that `MemberUpdate.status` carries."""
+    """Encodes a status for `MemberUpdate.status`."""
     return _encode(status)
 
 
 def decode_status(data: bytes) -> WorkerStatus:
-    """Raises MessageRejectedError."""
+    """Decodes a `MemberUpdate.status`; raises MessageRejectedError if it is malformed."""
     try:
         return _decode_status(data)
     except msgspec.DecodeError:
@@ -314,7 +317,7 @@
 
 
 def encode_datagram(message: Message, secret: bytes) -> bytes:
-    """One datagram; raises MessageTooLongError where it does not fit."""
+    """Encodes and signs a message; raises MessageTooLongError if it exceeds `MAX_DATAGRAM_BYTES`."""
     body = bytes((VERSION,)) + _encode(message)
     if len(body) + DIGEST_BYTES + len(MAGIC) > MAX_DATAGRAM_BYTES:
         raise MessageTooLongError(len(body))
@@ -322,9 +325,9 @@
 
 
 def decode_datagram(data: bytes, secrets: tuple[bytes, ...], group: str) -> Message:
-    """Raises MessageRejectedError, whatever the bytes are.
+    """Verifies and decodes a datagram of `group`; raises MessageRejectedError for any other bytes.
 
-    There is more than one secret while a new one is introduced.
+    `secrets` are all secrets accepted at present: more than one during a rotation.
     """
     header_bytes = len(MAGIC) + DIGEST_BYTES
     if len(data) > MAX_DATAGRAM_BYTES or not data.startswith(MAGIC) or len(data) <= header_bytes:
@@ -345,16 +348,16 @@
 
 
 class ReplayWindow:
-    """Which messages of one incarnation were accepted: a window behind the highest sequence number."""
+    """Replay protection for messages of one incarnation: a window below the highest sequence number."""
 
     __slots__ = ("_accepted", "_highest")
 
     def __init__(self) -> None:
         self._highest = 0
-        self._accepted = 0  # bit n: the message n below the highest
+        self._accepted = 0  # bit n: sequence number `_highest - n`
 
     def accept(self, sequence: int) -> bool:
-        """Whether the message is new; each sequence number is accepted at most once."""
+        """Records a sequence number; returns whether it is new. Each number is accepted at most once."""
         if sequence > self._highest:
             shift = min(REPLAY_WINDOW, sequence - self._highest)
             self._accepted = ((self._accepted << shift) | 1) & ((1 << REPLAY_WINDOW) - 1)
--- a/ochrehoist/recovery/intent_log.py
+++ b/ochrehoist/recovery/intent_log.py
@@ -1,18 +1,18 @@
-"""What this worker remembers, as a witness replica, of the runs that others began. No I/O; seconds.
+"""Log of the runs that other workers began, kept as their witness replica. No I/O; times in seconds.
 
-The log is kept in memory alone. Its age says how far back it is complete, so a witness that restarted
-proves nothing of the time before.
+The log is kept in memory only. Its age states how far back it is complete, so a witness that has restarted
+proves nothing about the time before its restart.
 """
 
 from collections import OrderedDict
 
 from ochrehoist.recovery.messages import PAGE_SIZE, IntentPage, QueryIntents, RecordIntent
 
-MAX_INTENTS = 200_000  # of all other workers together
+MAX_INTENTS = 200_000  # total of all other workers
 
 
 class IntentLog:
-    """Intents by worker, each kept until its idempotency window ends."""
+    """Intents by worker; each is kept until its idempotency window ends."""
 
     def __init__(self, now: float) -> None:
         self._complete_since = now
@@ -20,7 +20,10 @@
         self.count = 0
 
     def record(self, worker: str, message: RecordIntent, now: float) -> bool:
-        """Remembers the intents; False where there is no room, so that they must not be acknowledged."""
+        """Records the intents of a message; returns False if the log is full.
+
+        A message that was not recorded must not be acknowledged.
+        """
         expiry = self._expiry_by_worker.setdefault(worker, OrderedDict())
         added = len([digest for digest, _ in message.intents if digest not in expiry])
         if not self._has_room(added, now):
@@ -39,7 +42,7 @@
         return self.count + added <= MAX_INTENTS
 
     def remove_expired(self, now: float) -> None:
-        """Looks at all that is remembered: too dear for each tick."""
+        """Removes expired intents. Scans the whole log, so it is too expensive for each tick."""
         for worker, expiry in list(self._expiry_by_worker.items()):
             for digest in [digest for digest, until in expiry.items() if until <= now]:
                 del expiry[digest]
@@ -48,7 +51,7 @@
                 del self._expiry_by_worker[worker]
 
     def page(self, worker: str, query: QueryIntents, now: float) -> IntentPage:
-        """One page of what is remembered of a worker; the first page comes even where there is nothing."""
+        """Returns one page of the intents of a worker; there is at least one page, possibly empty."""
         live = [
             (digest, until) for digest, until in self._expiry_by_worker.get(worker, {}).items() if until > now
         ]
@@ -59,5 +62,5 @@
         return IntentPage(query.number, query.page, pages, age_ms, intents)
 
     def counts(self) -> dict[str, int]:
-        """How many intents are remembered of each worker."""
+        """Returns the number of intents by worker."""
         return {worker: len(expiry) for worker, expiry in self._expiry_by_worker.items()}
--- a/ochrehoist/recovery/messages.py
+++ b/ochrehoist/recovery/messages.py
@@ -1,6 +1,6 @@
-"""Datagrams between a worker and its witness replicas: a codec, without I/O.
+"""Codec of the messages between a worker and its witness replicas. No I/O.
 
-The structs are written as arrays: the order of their fields is the layout.
+The structs are encoded as arrays, so the order of their fields is the format.
 """
 
 from collections.abc import Callable
@@ -9,12 +9,12 @@
 
 import msgspec
 
-PAGE_SIZE = 300  # intents in one message: a datagram has 16 KB
+PAGE_SIZE = 300  # intents per message; a datagram is limited to 16 KB
 DIGEST_BYTES = 16
 
 
 class WitnessTopic(StrEnum):
-    """Topics of the messages, as they are written on the wire."""
+    """Message topics; the values are used on the wire."""
 
     RECORD_INTENT = "tell"
     INTENT_RECORDED = "told"
@@ -22,11 +22,11 @@
     INTENT_PAGE = "known"
 
 
-IntentEntry = tuple[bytes, int]  # digest of an idempotency key, and ms that are left of its window
+IntentEntry = tuple[bytes, int]  # digest of an idempotency key, and the remaining ms of its window
 
 
 class RecordIntent(msgspec.Struct, array_like=True):
-    """Asks a witness to remember runs that are about to begin, and to forget those that never ran."""
+    """Request to a witness to record runs that are about to begin, and to remove those that never ran."""
 
     number: int
     intents: list[IntentEntry]
@@ -34,14 +34,14 @@
 
 
 class QueryIntents(msgspec.Struct, array_like=True):
-    """Asks a witness for one page of what it remembers of the sender."""
+    """Request to a witness for one page of the sender's intents."""
 
     number: int
     page: int
 
 
 class IntentPage(msgspec.Struct, array_like=True):
-    """One page of a witness's answer. `age_ms`: for how long it has remembered all that it was told."""
+    """One page of a witness's answer; `age_ms` is the time for which its log has been complete."""
 
     number: int
     page: int
@@ -62,7 +62,7 @@
 
 
 def decode(topic: str, data: bytes) -> WitnessMessage | None:
-    """The message, or None where the topic is unknown or the data cannot be read."""
+    """Decodes a message; returns None if the topic is unknown or the data is malformed."""
     try:
         return _decoders[WitnessTopic(topic)](data)
     except (msgspec.DecodeError, ValueError):
@@ -70,5 +70,5 @@
 
 
 def key_digest(stored_key: bytes) -> bytes:
-    """The digest that stands for an idempotency key, as the store writes it, in all messages."""
+    """Returns the digest that represents an idempotency key in messages; `stored_key` as in the store."""
     return blake2b(stored_key, digest_size=DIGEST_BYTES).digest()
--- a/ochrehoist/recovery/pending_intents.py
+++ b/ochrehoist/recovery/pending_intents.py
@@ -1,4 +1,4 @@
-"""Intents of this worker that wait until a write quorum of witnesses has recorded them. No I/O; seconds."""
+"""Intents of this worker that await recording by a write quorum of witnesses. No I/O; times in seconds."""
 
 from collections import OrderedDict
 from collections.abc import Callable, Sequence
@@ -8,13 +8,13 @@
 from ochrehoist.recovery import quorum
 from ochrehoist.recovery.messages import PAGE_SIZE, RecordIntent, encode, key_digest
 
-RESEND_INTERVAL_S = 0.05  # until a message without an answer is sent again
-MAX_SENT_MESSAGES = 256  # whose acknowledgement still counts
+RESEND_INTERVAL_S = 0.05  # an unanswered message is sent again after this time
+MAX_SENT_MESSAGES = 256  # acknowledgements of older messages are ignored
 MAX_WAIT_SAMPLES = 1000
 
 
 class OutgoingMessage(NamedTuple):
-    """Encoded data for one witness."""
+    """An encoded message to one witness."""
 
     witness: str
     data: bytes
@@ -22,7 +22,7 @@
 
 @dataclass(slots=True)
 class PendingIntent:
-    """A run that may begin once enough witnesses have recorded it."""
+    """The intent of a run, which may begin once a write quorum has recorded it."""
 
     digest: bytes
     added_at: float
@@ -32,16 +32,16 @@
 
 
 class PendingIntents:
-    """Sends intents to all witnesses, and says which runs may begin or must be rejected."""
+    """Pending intents, sent to all witnesses until their runs may begin or must be rejected."""
 
     def __init__(self, witnesses: Sequence[str]) -> None:
         self._witnesses = tuple(witnesses)
         self._write_quorum = quorum.quorum_sizes(len(self._witnesses)).write
-        self._pending: dict[str, PendingIntent] = {}  # by the id of the request
+        self._pending: dict[str, PendingIntent] = {}  # by request id
         self._withdrawn: list[bytes] = []
         self._message_number = 0
         self._request_ids_by_message: OrderedDict[int, tuple[str, ...]] = OrderedDict()
-        self.wait_samples_s: list[float] = []  # that the latest recorded intents waited
+        self.wait_samples_s: list[float] = []  # waiting times of the latest recorded intents
 
     def __len__(self) -> int:
         return len(self._pending)
@@ -52,18 +52,25 @@
     def add(
         self, request_id: str, stored_key: bytes, window_left_s: float, max_wait_s: float, now: float
     ) -> None:
-        """A run is about to begin; `max_wait_s`: until it is given up where too few witnesses answer."""
+        """Adds the intent of a run; gives up after `max_wait_s` without a write quorum."""
         self._pending[request_id] = PendingIntent(
             key_digest(stored_key), now, now + max_wait_s, now + window_left_s
         )
 
     def withdraw(self, stored_key: bytes) -> None:
-        """The run of this key never began. Past the room of one message the witnesses just keep it longer."""
+        """Withdraws the intent of a run that never began.
+
+        Withdrawals that exceed one message are dropped: the witnesses then keep those intents until they
+        expire.
+        """
         if len(self._withdrawn) < PAGE_SIZE:
             self._withdrawn.append(key_digest(stored_key))
 
     def messages(self, now: float, is_due: Callable[[str], bool]) -> list[OutgoingMessage]:
-        """What to send now. `is_due`: whether a request was not sent lately; asked once for each of them."""
+        """Returns the messages to send now.
+
+        `is_due` is called once per request id, and returns whether the request was not sent recently.
+        """
         request_ids = [request_id for request_id in self._pending if is_due(request_id)][:PAGE_SIZE]
         if not request_ids and not self._withdrawn:
             return []
@@ -92,7 +99,7 @@
         return RecordIntent(self._message_number, intents, withdrawn)
 
     def acknowledge(self, witness: str, message_number: int, now: float) -> list[str]:
-        """A witness recorded all of one message: the requests whose runs may begin now."""
+        """Processes a witness's acknowledgement; returns the ids of the requests whose runs may begin now."""
         if witness not in self._witnesses:
             return []
         ready = []
@@ -112,7 +119,10 @@
         del self.wait_samples_s[:-MAX_WAIT_SAMPLES]
 
     def give_up(self, now: float) -> list[str]:
-        """Requests that waited too long and are to be rejected; witnesses that recorded them are told."""
+        """Removes intents that waited too long; returns the ids of the requests to reject.
+
+        Intents that a witness has already recorded are withdrawn.
+        """
         expired = [request_id for request_id, intent in self._pending.items() if intent.give_up_at <= now]
         for request_id in expired:
             intent = self._pending.pop(request_id)
--- a/ochrehoist/recovery/service_level.py
+++ b/ochrehoist/recovery/service_level.py
@@ -1,18 +1,18 @@
-"""What callers get, counted in windows of a second. No I/O; seconds."""
+"""Service level as seen by callers, measured in windows of a second. No I/O; times in seconds."""
 
 from collections import Counter, deque
 from dataclasses import dataclass, field
 from enum import Enum
 
 WINDOW_DURATION_S = 1.0
-MIN_GOOD_RATIO = 0.95  # of the level before, in the latest two windows
-MIN_REQUESTS = 3  # in a window, to say anything
+MIN_GOOD_RATIO = 0.95  # fraction of the earlier service level that counts as restored
+MIN_REQUESTS = 3  # windows with fewer requests are not evaluated
 MAX_WINDOWS = 60
 JUDGED_WINDOWS = 2
 
 
 class ServiceOutcome(Enum):
-    """What became of one request, as its caller sees it."""
+    """The outcome of one request, as seen by its caller."""
 
     GOOD = "good"
     LATE = "late"
@@ -22,26 +22,26 @@
 
 @dataclass(slots=True)
 class ServiceWindow:
-    """Requests that were answered in one window."""
+    """The outcomes of the requests answered in one window."""
 
     started_at: float
     outcomes: Counter[ServiceOutcome] = field(default_factory=Counter)
 
     @property
     def good(self) -> int:
-        """Requests that were served in time."""
+        """The number of requests served in time."""
         return self.outcomes[ServiceOutcome.GOOD]
 
     @property
     def total(self) -> int:
-        """All requests."""
+        """The number of all requests."""
         return sum(self.outcomes.values())
 
 
 class ServiceLevelMonitor:
-    """Measures which share of requests is served in time.
+    """Monitor of the ratio of requests served in time.
 
-    `usual_good_ratio` is the share that was usual before, by whoever knows.
+    `usual_good_ratio` is the ratio to compare with: that of the time before the restart.
     """
 
     def __init__(self, now: float, usual_good_ratio: float = 1.0) -> None:
@@ -50,7 +50,7 @@
         self._closed: deque[ServiceWindow] = deque(maxlen=MAX_WINDOWS)
 
     def count(self, outcome: ServiceOutcome, now: float) -> None:
-        """One request was answered."""
+        """Counts the outcome of one request."""
         self._close_window(now)
         self._current.outcomes[outcome] += 1
 
@@ -60,11 +60,11 @@
             self._current = ServiceWindow(now)
 
     def latest_windows(self) -> list[ServiceWindow]:
-        """The closed windows that the judgement rests on."""
+        """Returns the latest closed windows, which are the ones evaluated."""
         return list(self._closed)[-JUDGED_WINDOWS:]
 
     def is_restored(self, now: float) -> bool | None:
-        """Whether the latest windows were as good as before; None where too few requests came to say."""
+        """Returns whether the latest windows reached the earlier level; None with too few requests."""
         self._close_window(now)
         windows = [window for window in self.latest_windows() if window.total >= MIN_REQUESTS]
         if len(windows) < JUDGED_WINDOWS:
@@ -73,10 +73,10 @@
         return all(window.good >= required * window.total for window in windows)
 
     def is_idle(self) -> bool:
-        """Whether no request was answered in any window that is kept."""
+        """Returns whether no request was answered in any retained window."""
         return not self._current.total and not any(window.total for window in self._closed)
 
     def good_ratio(self) -> float | None:
-        """The share served in time over all closed windows; None where there was no request."""
+        """Returns the ratio of requests served in time over all closed windows; None without requests."""
         total = sum(window.total for window in self._closed)
         return sum(window.good for window in self._closed) / total if total else None
--- a/ochrehoist/recovery/startup_progress.py
+++ b/ochrehoist/recovery/startup_progress.py
@@ -1,4 +1,4 @@
-"""The stages of one start, up to full service as it is measured. No I/O; seconds."""
+"""The stages of one start, up to measured full service. No I/O; times in seconds."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -6,11 +6,11 @@
 
 from ochrehoist.recovery.service_level import ServiceLevelMonitor
 
-MAX_IDLE_S = 10.0  # without requests, after which a start counts as complete and as not measured
+MAX_IDLE_S = 10.0  # a start without requests for this time counts as complete but not measured
 
 
 class StartupStage(StrEnum):
-    """Stages in their order, by the names that operators see and give."""
+    """Startup stages in order; the values are used in operator commands and in `/status`."""
 
     SETTINGS = "settings"
     STORE = "store"
@@ -23,7 +23,7 @@
 
 @dataclass(slots=True)
 class StageSpan:
-    """The time that a start spent in one stage; a stage may be entered again."""
+    """A period that a start spent in one stage; a stage may be entered several times."""
 
     stage: StartupStage
     started_at: float
@@ -31,32 +31,33 @@
     reason: str = ""
 
     def duration_s(self, now: float) -> float:
-        """Up to its end, or up to now."""
+        """Returns the duration up to the end of the stage, or up to `now` while it lasts."""
         return (self.ended_at if self.ended_at is not None else now) - self.started_at
 
 
 @dataclass(slots=True, frozen=True)
 class ReadinessFacts:
-    """What a process can see of itself now; None where it has no such part."""
+    """The current readiness of a process's components; None for a component that is not configured."""
 
     store_open: bool | None = None
-    hold_s: float | None = None  # for which unknown idempotency keys are rejected
+    hold_s: float | None = None  # remaining time for which unknown idempotency keys are rejected
     has_peer_contact: bool | None = None
     services_answer: bool | None = None
-    load_fraction: float = 1.0  # of its usual load, that it asks for
+    load_fraction: float = 1.0  # fraction of its usual load that the process requests
 
 
 class StageDecision(NamedTuple):
-    """Where a start stands, and why it is not further."""
+    """The stage that a start has reached, and the reason why it has not advanced further."""
 
     stage: StartupStage
     reason: str
 
 
 class StartupProgress:
-    """One start, from its first moment to full service.
+    """Progress of one start, from the start of the process to full service.
 
-    It stands at the first thing that is not over: no timer moves it, and it may go back.
+    The current stage is the first one whose condition is not met. Stages have no timers, and a start can
+    return to an earlier stage.
     """
 
     def __init__(self, started_at: float) -> None:
@@ -67,22 +68,22 @@
 
     @property
     def current(self) -> StageSpan:
-        """The stage in which the start is now."""
+        """The current stage."""
         return self.spans[-1]
 
     @property
     def is_complete(self) -> bool:
-        """Whether full service was reached."""
+        """Whether full service has been reached."""
         return self.current.stage is StartupStage.FULL
 
     def skip(self, stage: StartupStage) -> None:
-        """An operator goes on without this stage."""
+        """Skips a stage, on an operator's command."""
         self._skipped.add(stage)
 
     def evaluate(
         self, now: float, facts: ReadinessFacts, service_level: ServiceLevelMonitor
     ) -> StartupStage | None:
-        """The stage that was entered just now, if any."""
+        """Re-evaluates the stage; returns the stage that is entered now, or None if unchanged."""
         if self.is_complete:
             return None
         decision = self._decide(now, facts, service_level)
@@ -138,7 +139,7 @@
         return StageDecision(StartupStage.WARMING, "no requests yet")
 
     def summary(self, now: float) -> dict[str, object]:
-        """The line of this start in the record of restarts, and in the status."""
+        """Returns the entry of this start for the restart history and for `/status`."""
         durations: dict[StartupStage, float] = {}
         for span in self.spans:
             if span.stage is not StartupStage.FULL:
--- a/tests/peers/test_counter_growth.py
+++ b/tests/peers/test_counter_growth.py
@@ -86,7 +86,7 @@
             mock.patch("ochrehoist.peers.own_counters.MAX_KEYS", 2100),
             mock.patch("ochrehoist.peers.counter_replica.MAX_KEYS", 2100),
             mock.patch("ochrehoist.peers.counters.MAX_KEYS", 2100),
-            self.assertRaisesRegex(MessageTooLongError, "a message of"),
+            self.assertRaisesRegex(MessageTooLongError, r"peer message of \d+ bytes exceeds"),
         ):
             w, _ = self.fleet(5, 2000, kind="class")
             w.run(w.now + 3.0)
