--- a/ochrehoist/lab/hollow/worker.py
+++ b/ochrehoist/lab/hollow/worker.py
@@ -253,7 +253,7 @@
         age_s = self._random.expovariate(update_rate)
         age_ms = int(1000 * age_s)
         version = max(0, member.status_version + INTRODUCED_VERSIONS - int(age_s / TICK_S))
-        accepted = group.members.on_message_from(incarnation, member.address, member.site, now)
+        accepted = group.members.register_sender(incarnation, member.address, member.site, now)
         update = MemberUpdate(
             incarnation, member.address, member.site, MemberState.ALIVE, version, age_ms, member.status
         )
--- a/ochrehoist/lab/lease_exploration.py
+++ b/ochrehoist/lab/lease_exploration.py
@@ -119,7 +119,7 @@
             for slot, grant in sorted(grantor.grants.items())
             if grant.expires_at > self.now
         )
-        silent_until = self._from_now(grantor.silent_until_by_floor[False])
+        silent_until = self._from_now(grantor.no_grants_until_by_floor[False])
         return grants, tuple(sorted(grantor.releases.items())), silent_until
 
     def _holder_key(self, holder: LeaseHolder) -> tuple[Any, ...]:
--- a/ochrehoist/net/intent_replication.py
+++ b/ochrehoist/net/intent_replication.py
@@ -24,7 +24,7 @@
     encode,
     key_digest,
 )
-from ochrehoist.recovery.pending_intents import RESEND_INTERVAL_S, OutgoingMessage, PendingIntents
+from ochrehoist.recovery.pending_intents import RESEND_INTERVAL_S, EncodedWitnessMessage, PendingIntents
 from ochrehoist.recovery.witness_quorum import WitnessQuorumReport, missing_from_store
 from ochrehoist.units import NS_PER_S
 
@@ -169,12 +169,12 @@
         self._conclude_report(self._report, now)
         return [(WitnessTopic.QUERY_INTENTS, data) for name, data in self._queries(now) if name == witness]
 
-    def _queries(self, now: float) -> list[OutgoingMessage]:
+    def _queries(self, now: float) -> list[EncodedWitnessMessage]:
         if self._report is None or self.history_known:
             return []
         return self._report.queries(now)
 
-    def _pending_messages(self, now: float) -> list[OutgoingMessage]:
+    def _pending_messages(self, now: float) -> list[EncodedWitnessMessage]:
         if len(self._sent_at) > 4 * len(self.pending) + SPARE_SEND_TIMES:
             self._sent_at = {key: at for key, at in self._sent_at.items() if key in self.pending}
 
@@ -195,7 +195,7 @@
 
     def _conclude_report(self, report: WitnessQuorumReport, now: float) -> None:
         """Takes the quorum's answer once waiting for more would prove no more, or took too long."""
-        timed_out = report.has_quorum and now - report.asked_at > QUORUM_TIMEOUT_S
+        timed_out = report.has_quorum and now - report.started_at > QUORUM_TIMEOUT_S
         hold_s = report.hold_s(now)
         if hold_s is None or not (report.is_settled(now) or timed_out):
             return
@@ -210,7 +210,7 @@
 
     def _conclude_without_quorum(self, report: WitnessQuorumReport, now: float) -> None:
         """A sound store is believed where too few witnesses answer; without one unknown keys are held."""
-        if now - report.asked_at <= QUORUM_TIMEOUT_S:
+        if now - report.started_at <= QUORUM_TIMEOUT_S:
             return
         self.history_known = True
         if self._journal.is_history_uncertain():
@@ -239,7 +239,7 @@
             self._conclude_report(self._report, now)
         if self._report is not None and not self.history_known:
             self._conclude_without_quorum(self._report, now)
-        for request_id in self.pending.give_up(now):
+        for request_id in self.pending.remove_timed_out(now):
             self._journal.replication_ended(request_id, False)
         if now - self._expired_at >= EXPIRY_INTERVAL_S:
             self._expired_at = now
--- a/ochrehoist/peers/budget.py
+++ b/ochrehoist/peers/budget.py
@@ -36,8 +36,8 @@
     @property
     def slot_count(self) -> int:
         """The number of lease slots; each slot has an amount of at least 1."""
-        wanted = self.configured_slots or SLOTS_PER_GRANTOR * len(self.grantors)
-        return max(1, min(self.amount, wanted, MAX_SLOTS))
+        desired_count = self.configured_slots or SLOTS_PER_GRANTOR * len(self.grantors)
+        return max(1, min(self.amount, desired_count, MAX_SLOTS))
 
     def slot_amount(self, slot: int) -> int:
         """Returns the part of the amount that a slot represents; the slots add up to the whole amount."""
--- a/ochrehoist/peers/counter_encoding.py
+++ b/ochrehoist/peers/counter_encoding.py
@@ -16,7 +16,7 @@
 ENTRY_BYTES = 12  # upper bound for a key's length prefix and its count
 
 
-def age_ms(span_s: float) -> int:
+def ceil_ms(span_s: float) -> int:
     """Returns a time span in ms, rounded up."""
     return max(0, int(span_s * 1000) + 1)
 
@@ -45,8 +45,8 @@
 
     def write_own(self, delta: CounterDelta, own: OwnCounters) -> None:
         """Adds the counters of the answering incarnation that changed since the delta's version."""
-        free = _fill(delta, own.counts, own.sorted_keys(), own.changed_at_version, MAX_OWN_BYTES)
-        self._free_bytes = MAX_DELTA_BYTES - MAX_OWN_BYTES + free
+        free_bytes = _fill_delta(delta, own.counts, own.sorted_keys(), own.changed_at_version, MAX_OWN_BYTES)
+        self._free_bytes = MAX_DELTA_BYTES - MAX_OWN_BYTES + free_bytes
         self.deltas.append(delta)
 
     def write_replica(
@@ -56,15 +56,15 @@
         if cursor is not None and cursor.version < replica.version:
             delta.since_version = 0
             delta.after_key = cursor.after_key
-            free = _fill(delta, replica.counts, replica.sorted_keys(), None, self._free_bytes)
+            free_bytes = _fill_delta(delta, replica.counts, replica.sorted_keys(), None, self._free_bytes)
         else:
-            free = self._free_bytes - _header_size(delta)
-        if free >= 0:
-            self._free_bytes = free
+            free_bytes = self._free_bytes - _header_size(delta)
+        if free_bytes >= 0:
+            self._free_bytes = free_bytes
             self.deltas.append(delta)
 
 
-def _fill(
+def _fill_delta(
     delta: CounterDelta,
     counts: Mapping[str, int],
     sorted_keys: Sequence[str],
@@ -75,14 +75,14 @@
 
     Returns the remaining bytes, negative if not even one key fits.
     """
-    free = max_bytes - _header_size(delta)
+    free_bytes = max_bytes - _header_size(delta)
     for index in range(bisect_right(sorted_keys, delta.after_key), len(sorted_keys)):
         key = sorted_keys[index]
         if changed_at_version is not None and changed_at_version[key] <= delta.since_version:
             continue
-        if _entry_size(key) + len(key.encode()) > free:  # the key may also become `up_to_key`
+        if _entry_size(key) + len(key.encode()) > free_bytes:  # the key may also become `up_to_key`
             delta.up_to_key = next(reversed(delta.counts), "")
-            return free - len(delta.up_to_key.encode()) if delta.up_to_key else -1
+            return free_bytes - len(delta.up_to_key.encode()) if delta.up_to_key else -1
         delta.counts[key] = counts[key]
-        free -= _entry_size(key)
-    return free
+        free_bytes -= _entry_size(key)
+    return free_bytes
--- a/ochrehoist/peers/counter_replica.py
+++ b/ochrehoist/peers/counter_replica.py
@@ -60,8 +60,8 @@
         if delta.after_key != self.complete_up_to or delta.version <= self.version:
             return
         # Parts may come from different members; each has the earliest of their versions or a later one.
-        before = self.pending if self.complete_up_to else PendingVersion(delta.version, as_of)
-        self.pending = PendingVersion(min(before.version, delta.version), min(before.as_of, as_of))
+        current = self.pending if self.complete_up_to else PendingVersion(delta.version, as_of)
+        self.pending = PendingVersion(min(current.version, delta.version), min(current.as_of, as_of))
         self.complete_up_to = delta.up_to_key
         if not delta.up_to_key:
             self.complete(self.pending.version, self.pending.as_of)
--- a/ochrehoist/peers/counters.py
+++ b/ochrehoist/peers/counters.py
@@ -14,7 +14,7 @@
 from ochrehoist.peers.counter_encoding import (
     MAX_SNAPSHOT_BYTES,
     DeltaWriter,
-    age_ms,
+    ceil_ms,
     max_snapshot_size,
 )
 from ochrehoist.peers.counter_replica import CounterReading, CounterReplica
@@ -22,8 +22,8 @@
 from ochrehoist.peers.wire import CounterCursor, CounterDelta, CounterSnapshot, Incarnation
 
 MAX_INCARNATIONS = 16  # separate replicas per name; the counts of older incarnations are added up
-MAX_OTHERS_SENT = 4  # replicas in an answer
-ROUNDING_UP = 0.999  # rounds the bounds of a reading up to whole numbers
+MAX_REPLICAS_SENT = 4  # replicas in an answer
+ROUND_UP_OFFSET = 0.999  # rounds the bounds of a reading up to whole numbers
 
 
 class ReplicatedCounters:
@@ -46,14 +46,14 @@
         self._started_at = started_at
         self._last_folded: dict[str, tuple[int, int]] = {}  # by name: number and boot id
         self._by_number: dict[tuple[str, int], Incarnation] = {}  # replicas by name and number
-        self._cursor_turn = 0
-        self._send_turn = 0
+        self._cursor_rotation = 0
+        self._send_rotation = 0
 
     def reconfigure(self, max_rate_per_s: float) -> None:
         """Sets a new upper bound of one worker's counting rate."""
         self.max_rate_per_s = max_rate_per_s
 
-    def follow(self, incarnation: Incarnation) -> None:
+    def set_incarnation(self, incarnation: Incarnation) -> None:
         """Sets the incarnation under which this process is known to other members."""
         self.incarnation = incarnation
 
@@ -108,8 +108,8 @@
         return CounterReplica({}, 0, started_at, started_at=started_at)
 
     def _accepts(self, incarnation: Incarnation, key_count: int) -> bool:
-        folded = self._last_folded.get(incarnation.name, (-1, -1))
-        is_folded = (incarnation.number, incarnation.boot_id) <= folded
+        last_folded = self._last_folded.get(incarnation.name, (-1, -1))
+        is_folded = (incarnation.number, incarnation.boot_id) <= last_folded
         return incarnation != self.incarnation and not is_folded and key_count <= MAX_KEYS
 
     def _add_replica(self, incarnation: Incarnation, replica: CounterReplica) -> None:
@@ -119,8 +119,8 @@
 
     def _fold_oldest(self, name: str) -> None:
         """Merges all but the latest incarnations of a name into their sum."""
-        of_name = (incarnation for incarnation in self.replicas if incarnation.name == name)
-        oldest_first = sorted(of_name, key=lambda incarnation: (incarnation.number, incarnation.boot_id))
+        same_name = (incarnation for incarnation in self.replicas if incarnation.name == name)
+        oldest_first = sorted(same_name, key=lambda incarnation: (incarnation.number, incarnation.boot_id))
         for incarnation in oldest_first[:-MAX_INCARNATIONS]:
             counts = self.replicas.pop(incarnation).counts
             self.folded_counts.setdefault(name, Counter()).update(counts)
@@ -159,14 +159,14 @@
             if replica.as_of is None:
                 continue  # no bound yet, as for an unknown incarnation
             total += replica.counts.get(key, 0)
-            until = (ended_at or {}).get(incarnation, now)
-            unknown_s = max(0.0, until - replica.as_of)
+            counted_until = (ended_at or {}).get(incarnation, now)
+            unknown_s = max(0.0, counted_until - replica.as_of)
             if replica.ended:
                 lost += unknown_s * self.max_rate_per_s
             else:
                 age_s = max(age_s, now - replica.as_of)
                 missing += unknown_s * self.max_rate_per_s
-        return CounterReading(total, age_s, int(missing + ROUNDING_UP), int(lost + ROUNDING_UP))
+        return CounterReading(total, age_s, int(missing + ROUND_UP_OFFSET), int(lost + ROUND_UP_OFFSET))
 
     def sorted_keys(self) -> list[str]:
         """Returns all keys of all incarnations, sorted."""
@@ -183,9 +183,9 @@
         target = self._by_number.get((name, number))
         wanted = [target] if target is not None else []
         cursors = [CounterCursor(name, number, 0, "")] if target is None else []
-        self._cursor_turn += 1
+        self._cursor_rotation += 1
         turns = (list(self.incomplete), list(self.replicas))  # one incomplete replica, and one of all
-        wanted += [candidates[self._cursor_turn % len(candidates)] for candidates in turns if candidates]
+        wanted += [candidates[self._cursor_rotation % len(candidates)] for candidates in turns if candidates]
         return cursors + [self._cursor(incarnation) for incarnation in dict.fromkeys(wanted)]
 
     def _cursor(self, incarnation: Incarnation) -> CounterCursor:
@@ -198,12 +198,12 @@
         The answer contains this incarnation's counters, the requested replicas, and the versions of some
         further replicas.
         """
-        by_number = {(cursor.name, cursor.number): cursor for cursor in cursors[:MAX_OTHERS_SENT]}
+        by_number = {(cursor.name, cursor.number): cursor for cursor in cursors[:MAX_REPLICAS_SENT]}
         own_cursor = by_number.pop((self.incarnation.name, self.incarnation.number), None)
         writer = DeltaWriter()
         writer.write_own(self._own_delta(own_cursor, now), self.own)
         wanted = [self._by_number[key] for key in by_number if key in self._by_number]
-        others = dict.fromkeys(wanted + self._next_others(MAX_OTHERS_SENT - len(wanted)))
+        others = dict.fromkeys(wanted + self._next_replicas(MAX_REPLICAS_SENT - len(wanted)))
         for incarnation in others:
             replica = self.replicas[incarnation]
             if replica.as_of is None:
@@ -223,7 +223,7 @@
             self.own.version,
             0,
             False,
-            -1 if self._started_at is None else age_ms(now - self._started_at),
+            -1 if self._started_at is None else ceil_ms(now - self._started_at),
             {},
         )
 
@@ -231,25 +231,25 @@
     def _replica_delta(
         incarnation: Incarnation, replica: CounterReplica, as_of: float, now: float
     ) -> CounterDelta:
-        started_ms_ago = -1 if replica.started_at is None else age_ms(now - replica.started_at)
+        started_ms_ago = -1 if replica.started_at is None else ceil_ms(now - replica.started_at)
         return CounterDelta(
             incarnation,
             replica.version,
             "",
             "",
             replica.version,
-            age_ms(now - as_of),
+            ceil_ms(now - as_of),
             replica.ended,
             started_ms_ago,
             {},
         )
 
-    def _next_others(self, count: int) -> list[Incarnation]:
+    def _next_replicas(self, count: int) -> list[Incarnation]:
         incarnations = list(self.replicas)
         selected = []
         for _ in range(min(count, len(incarnations))):
-            self._send_turn += 1
-            selected.append(incarnations[self._send_turn % len(incarnations)])
+            self._send_rotation += 1
+            selected.append(incarnations[self._send_rotation % len(incarnations)])
         return selected
 
     def snapshots(self, now: float, max_bytes: int = MAX_SNAPSHOT_BYTES) -> list[CounterSnapshot]:
@@ -268,12 +268,12 @@
 
     def _replica_snapshots(self, now: float) -> list[CounterSnapshot]:
         snapshots = []
-        for incarnation in self._next_others(MAX_OTHERS_SENT):
+        for incarnation in self._next_replicas(MAX_REPLICAS_SENT):
             replica = self.replicas[incarnation]
             if replica.as_of is None or replica.complete_up_to:
                 continue  # contains counts of several versions
-            age = age_ms(now - replica.as_of)
+            age_ms = ceil_ms(now - replica.as_of)
             snapshots.append(
-                CounterSnapshot(incarnation, replica.version, age, replica.ended, replica.counts)
+                CounterSnapshot(incarnation, replica.version, age_ms, replica.ended, replica.counts)
             )
         return snapshots
--- a/ochrehoist/peers/group.py
+++ b/ochrehoist/peers/group.py
@@ -111,9 +111,11 @@
         Unreachable workers count, as they may only be partitioned and send trials too. Otherwise each side of
         a partition would send as many trials as the whole fleet.
         """
-        known = self.settings.addresses_of_others().keys() | self.members.members.keys()
-        left = {name for name, member in self.members.members.items() if member.state == MemberState.LEFT}
-        return 1 + len(known - left)
+        known_names = self.settings.addresses_of_others().keys() | self.members.members.keys()
+        left_names = {
+            name for name, member in self.members.members.items() if member.state == MemberState.LEFT
+        }
+        return 1 + len(known_names - left_names)
 
     @property
     def incarnation(self) -> Incarnation:
@@ -153,8 +155,8 @@
         """Performs the periodic work and returns the messages to send; called about 20 times per second."""
         self._now = now
         messages: list[OutgoingMessage] = []
-        self.counters.follow(self.incarnation)
-        if self.members.duplicate is not None and self.members.duplicate_followed and not self.yielded:
+        self.counters.set_incarnation(self.incarnation)
+        if self.members.duplicate is not None and self.members.duplicate_accepted and not self.yielded:
             messages += self.leases.yield_all()
         self._tick_outliers(now)
         self._renew_status(now)
@@ -163,8 +165,8 @@
         if not self.members.members:
             messages += self.outbound.greet_seeds(now)
         messages += self._extension_messages(now)
-        self.pings.limit_relayed()
-        self._note_ended_incarnations(now)
+        self.pings.limit_relayed_pings()
+        self._update_ended_incarnations(now)
         if not self.yielded and (self.members.established or self._is_single_worker()):
             messages += self.leases.tick(now, self.own_status.leaving)
         return messages
@@ -190,7 +192,7 @@
     def _is_single_worker(self) -> bool:
         return not self.members.addresses and not self.settings.seed_addresses
 
-    def _note_ended_incarnations(self, now: float) -> None:
+    def _update_ended_incarnations(self, now: float) -> None:
         """Marks the counters of ended incarnations; reverts this for one that turns out to be running."""
         for member in self.members.members.values():
             incarnation = member.incarnation
@@ -206,9 +208,9 @@
             if not replica.ended and latest is not None and latest.supersedes(incarnation):
                 self.ended_at.setdefault(incarnation, now)
                 self.counters.mark_ended(incarnation)
-        self._forget_ended_incarnations(current)
+        self._prune_ended_incarnations(current)
 
-    def _forget_ended_incarnations(self, current: Mapping[str, Incarnation]) -> None:
+    def _prune_ended_incarnations(self, current: Mapping[str, Incarnation]) -> None:
         forgotten = [
             incarnation
             for incarnation in self.ended_at
@@ -233,7 +235,7 @@
         return messages
 
     def _on_hello(self, hello: Hello, sender: Incarnation, _now: float) -> list[OutgoingMessage]:
-        self.members.set_contact(sender.name, hello.address, hello.site)
+        self.members.set_address_and_site(sender.name, hello.address, hello.site)
         return []
 
     def _on_superseded(
@@ -269,4 +271,4 @@
 
     def leave(self, reason: str) -> list[OutgoingMessage]:
         """Shuts down gracefully: returns the messages that release all leases and announce the departure."""
-        return self.leases.release_all() + self.outbound.goodbye(reason)
+        return self.leases.release_all() + self.outbound.announce_departure(reason)
--- a/ochrehoist/peers/inbound.py
+++ b/ochrehoist/peers/inbound.py
@@ -57,16 +57,16 @@
         return decision
 
     def _decide(self, message: Message, source: str, now: float) -> InboundDecision:
-        me = self._membership.incarnation
+        own_incarnation = self._membership.incarnation
         sender = message.sender
-        if sender == me:
+        if sender == own_incarnation:
             return InboundDecision(MessageOutcome.OWN)
-        if message.recipient not in ("", me.name):
+        if message.recipient not in ("", own_incarnation.name):
             return InboundDecision(MessageOutcome.OTHER_RECIPIENT)
-        if sender.name == me.name:
+        if sender.name == own_incarnation.name:
             self._membership.note_duplicate(sender)
             return InboundDecision(MessageOutcome.OWN_NAME)
-        if message.recipient_number != me.number:
+        if message.recipient_number != own_incarnation.number:
             return self._decide_other_incarnation(message, source, now)
         if not self._replay_window(sender).accept(message.sequence):
             return InboundDecision(MessageOutcome.REPEATED)
@@ -74,16 +74,16 @@
             replies = []
             latest = self._membership.latest_incarnations.get(sender.name)
             if latest is not None:
-                replies = self._outbound.tell_superseded(sender, latest, source, now)
+                replies = self._outbound.notify_superseded(sender, latest, source, now)
             return InboundDecision(MessageOutcome.SUPERSEDED_SENDER, replies)
         return InboundDecision(MessageOutcome.ACCEPTED)
 
     def _decide_other_incarnation(self, message: Message, source: str, now: float) -> InboundDecision:
         """Greets a sender that does not know this incarnation or addressed an earlier one."""
-        me = self._membership.incarnation
-        if message.recipient_number > me.number:  # a later process has or had this name
-            later = Incarnation(me.name, message.recipient_number, UNKNOWN_INCARNATION)
-            self._membership.note_duplicate(later, followed=False)
+        own_incarnation = self._membership.incarnation
+        if message.recipient_number > own_incarnation.number:  # a later process has or had this name
+            later = Incarnation(own_incarnation.name, message.recipient_number, UNKNOWN_INCARNATION)
+            self._membership.note_duplicate(later, accepted_by_others=False)
         is_greeting = message.recipient_number == UNKNOWN_INCARNATION
         outcome = MessageOutcome.GREETING if is_greeting else MessageOutcome.OTHER_INCARNATION
         return InboundDecision(outcome, self._outbound.greet(message.sender, source, now))
@@ -100,4 +100,4 @@
         hello = next((payload for payload in message.payloads if isinstance(payload, Hello)), None)
         address = hello.address if hello else source
         site = hello.site if hello else ""
-        return self._membership.on_message_from(message.sender, address, site, now)
+        return self._membership.register_sender(message.sender, address, site, now)
--- a/ochrehoist/peers/lease_assignment.py
+++ b/ochrehoist/peers/lease_assignment.py
@@ -53,19 +53,21 @@
 
 
 def slots_to_request(
-    budget: Budget, me: str, own_slots: set[int], alive: set[str], others: Mapping[str, PeerDemand]
+    budget: Budget, own_name: str, own_slots: set[int], alive: set[str], others: Mapping[str, PeerDemand]
 ) -> list[int]:
     """Returns the free slots that this worker is to request.
 
     `alive` includes this worker; `own_slots` are held, requested or recently given away.
     """
-    taken = 0
+    held_by_others = 0
     for peer in others.values():
-        taken |= peer.held_slots
+        held_by_others |= peer.held_slots
     return [
         slot
         for slot in range(budget.slot_count)
-        if slot not in own_slots and not taken >> slot & 1 and assignee(budget, slot, alive) == me
+        if slot not in own_slots
+        and not held_by_others >> slot & 1
+        and assignee(budget, slot, alive) == own_name
     ]
 
 
@@ -80,52 +82,52 @@
 
     `wanted` is this worker's own demand, `transferable` the amount that its uses leave free.
     """
-    needy = sorted(
+    denied_peers = sorted(
         (name for name, peer in others.items() if peer.denied > 0 and peer.fresh),
         key=lambda name: (-others[name].denied, name),
     )
-    if not needy:
+    if not denied_peers:
         return None
     held_slots = list(held_slots)
     held_amount = sum(budget.slot_amount(slot) for slot in held_slots)
-    movable = [
+    transferable_slots = [
         slot for slot in held_slots if not budget.is_floor(slot) and budget.slot_amount(slot) <= transferable
     ]
-    return _spare_slot(budget, movable, held_amount, wanted, needy) or _balancing_slot(
-        budget, movable, held_amount, needy, others
-    )
+    return _surplus_transfer(
+        budget, transferable_slots, held_amount, wanted, denied_peers
+    ) or _balancing_transfer(budget, transferable_slots, held_amount, denied_peers, others)
 
 
-def _spare_slot(
-    budget: Budget, movable: list[int], held_amount: int, wanted: int, needy: list[str]
+def _surplus_transfer(
+    budget: Budget, transferable_slots: list[int], held_amount: int, wanted: int, denied_peers: list[str]
 ) -> Transfer | None:
     """Returns the transfer of a slot that exceeds this worker's demand and headroom, or None."""
-    keep = int(wanted * HEADROOM) + (1 if wanted else 0)
-    for recipient in needy:
+    kept_amount = int(wanted * HEADROOM) + (1 if wanted else 0)
+    for recipient in denied_peers:
         # The slots whose home is the recipient come first; further ones may belong to other homes.
-        for slot in sorted(movable, key=lambda slot: (budget.home_of(slot) != recipient, slot)):
-            if held_amount - budget.slot_amount(slot) >= keep:
+        for slot in sorted(transferable_slots, key=lambda slot: (budget.home_of(slot) != recipient, slot)):
+            if held_amount - budget.slot_amount(slot) >= kept_amount:
                 return Transfer(recipient, slot)
     return None
 
 
-def _balancing_slot(
+def _balancing_transfer(
     budget: Budget,
-    movable: list[int],
+    transferable_slots: list[int],
     held_amount: int,
-    needy: list[str],
+    denied_peers: list[str],
     others: Mapping[str, PeerDemand],
 ) -> Transfer | None:
     """Returns the transfer of a slot to a worker that holds much less than this one, or None.
 
     Balances the holdings when the total demand exceeds the budget.
     """
-    for recipient in needy:
+    for recipient in denied_peers:
         peer = others[recipient]
         peer_amount = sum(
             budget.slot_amount(slot) for slot in range(budget.slot_count) if peer.held_slots >> slot & 1
         )
-        for slot in movable:
+        for slot in transferable_slots:
             amount = budget.slot_amount(slot)
             if held_amount - amount >= peer_amount + amount and peer.wanted > peer_amount:
                 return Transfer(recipient, slot)
--- a/ochrehoist/peers/lease_manager.py
+++ b/ochrehoist/peers/lease_manager.py
@@ -18,7 +18,7 @@
 
 REQUEST_INTERVAL_S = 0.2  # minimum time between two requests for the same slot
 TRANSFER_INTERVAL_S = 0.1  # minimum time between two transfers of the same budget
-RESERVATION_S = 1.0  # only the new holder may request a transferred slot during this time
+SLOT_RESERVATION_S = 1.0  # only the new holder may request a transferred slot during this time
 
 
 @dataclass
@@ -29,14 +29,12 @@
     holder: LeaseHolder
     meter: UsageMeter
     last_transfer_at: float = 0.0
-    set_aside_until: dict[int, float] = field(
-        default_factory=dict
-    )  # by slot: until when this worker does not request it
+    request_blocked_until: dict[int, float] = field(default_factory=dict)  # by slot not to be requested
     reserved_until: dict[int, float] = field(default_factory=dict)  # by slot transferred to this worker
 
     def expire_reservations(self, now: float) -> None:
         """Removes expired reservations."""
-        for reservations in (self.set_aside_until, self.reserved_until):
+        for reservations in (self.request_blocked_until, self.reserved_until):
             for slot in [slot for slot, until in reservations.items() if until <= now]:
                 del reservations[slot]
 
@@ -66,10 +64,10 @@
 
     def configure(self, budgets: Sequence[Budget], now: float) -> None:
         """Applies new budgets; leases of budgets with unchanged terms remain valid."""
-        known = self.shares
+        previous_shares = self.shares
         self.shares = {}
         for budget in budgets:
-            share = known.get(budget.name)
+            share = previous_shares.get(budget.name)
             if share is None:
                 holder = LeaseHolder(budget)
                 share = BudgetShare(None, holder, UsageMeter(holder))
@@ -108,16 +106,16 @@
         timed_out = share.holder.timed_out_slots(now)
         if not timed_out:
             return []
-        share.holder.lost_count += len(timed_out)
+        share.holder.withdrawn_count += len(timed_out)
         messages = self._release(share, timed_out)
         for slot in timed_out:
-            share.set_aside_until[slot] = now + RESERVATION_S * (0.5 + self._rng.random())
+            share.request_blocked_until[slot] = now + SLOT_RESERVATION_S * (0.5 + self._rng.random())
         return messages
 
     def _request_free_slots(self, share: BudgetShare, peers: dict[str, PeerDemand], now: float) -> None:
         me = self._membership.incarnation.name
         alive = {me, *self._membership.live_names()} - self._peer_statuses.leaving_names()
-        own_slots = set(share.holder.leases) | set(share.set_aside_until)
+        own_slots = set(share.holder.leases) | set(share.request_blocked_until)
         for slot in slots_to_request(share.holder.budget, me, own_slots, alive, peers):
             share.holder.request(slot, now)
 
@@ -134,7 +132,7 @@
         if transfer is None:
             return []
         share.last_transfer_at = now
-        share.set_aside_until[transfer.slot] = now + RESERVATION_S
+        share.request_blocked_until[transfer.slot] = now + SLOT_RESERVATION_S
         return self._release(share, [transfer.slot], transfer.recipient)
 
     def _send_requests(self, share: BudgetShare, now: float) -> list[OutgoingMessage]:
@@ -214,10 +212,10 @@
             share.grantor.release(sender, released.round_number, released.slots)
         for slot in released.slots:
             if released.recipient == self._membership.incarnation.name:
-                share.reserved_until[slot] = now + RESERVATION_S
-                share.set_aside_until.pop(slot, None)
+                share.reserved_until[slot] = now + SLOT_RESERVATION_S
+                share.request_blocked_until.pop(slot, None)
             elif released.recipient:
-                share.set_aside_until[slot] = now + RESERVATION_S
+                share.request_blocked_until[slot] = now + SLOT_RESERVATION_S
         return []
 
     # ---- use
--- a/ochrehoist/peers/leases.py
+++ b/ochrehoist/peers/leases.py
@@ -16,8 +16,8 @@
 from ochrehoist.peers.wire import Incarnation
 
 REQUEST_TIMEOUT_S = 1.5  # requests without a majority are withdrawn after this time
-REMEMBERED_ROUNDS = 64  # answers to older request rounds are ignored
-RENEW_BELOW = 0.6  # a lease is renewed when less than this fraction of it remains
+MAX_REQUEST_ROUNDS = 64  # answers to older request rounds are ignored
+RENEWAL_FRACTION = 0.6  # a lease is renewed when less than this fraction of it remains
 NEVER = float("-inf")
 
 
@@ -49,7 +49,7 @@
         self.budget = budget
         self.grants: dict[int, Grant] = {}  # by slot
         self.releases: dict[int, Release] = {}  # by slot
-        self.silent_until_by_floor = {
+        self.no_grants_until_by_floor = {
             is_floor: started_at + self._longest_grant_s(budget, is_floor) for is_floor in (False, True)
         }
 
@@ -59,9 +59,9 @@
         return lease_s * (1 + 2 * CLOCK_DRIFT) + 2 * GRANT_GUARD_S
 
     @property
-    def silent_until(self) -> float:
+    def no_grants_until(self) -> float:
         """The time from which slots of every kind are granted."""
-        return max(self.silent_until_by_floor.values())
+        return max(self.no_grants_until_by_floor.values())
 
     def reconfigure(self, budget: Budget, now: float) -> None:
         """Applies new terms; nothing is granted on them until all grants on the old terms have expired.
@@ -70,8 +70,8 @@
         """
         if budget.terms_digest != self.budget.terms_digest:
             expiries = [grant.expires_at for grant in self.grants.values()]
-            last = max([now + GRANT_GUARD_S, self.silent_until, *expiries])
-            self.silent_until_by_floor = dict.fromkeys(self.silent_until_by_floor, last)
+            last_expiry = max([now + GRANT_GUARD_S, self.no_grants_until, *expiries])
+            self.no_grants_until_by_floor = dict.fromkeys(self.no_grants_until_by_floor, last_expiry)
             self.grants.clear()
             self.releases.clear()
         self.budget = budget
@@ -93,7 +93,7 @@
         if not 0 <= slot < self.budget.slot_count:
             return False
         is_floor = self.budget.is_floor(slot)
-        if now < self.silent_until_by_floor[is_floor]:
+        if now < self.no_grants_until_by_floor[is_floor]:
             return False
         if is_floor and incarnation.name != self.budget.home_of(slot):
             return False
@@ -158,8 +158,8 @@
         self.budget = budget
         self.leases: dict[int, HeldLease] = {}  # by slot
         self.round_number = 0
-        self.rounds: deque[RequestRound] = deque(maxlen=REMEMBERED_ROUNDS)
-        self.lost_count = 0  # slots withdrawn because no majority granted them in time
+        self.rounds: deque[RequestRound] = deque(maxlen=MAX_REQUEST_ROUNDS)
+        self.withdrawn_count = 0  # slots withdrawn because no majority granted them in time
 
     def reconfigure(self, budget: Budget) -> None:
         """Applies new terms; leases on other terms become invalid."""
@@ -220,7 +220,7 @@
 
     def _is_due(self, slot: int, lease: HeldLease, now: float, interval_s: float) -> bool:
         remaining_s = lease.valid_until(self.budget.quorum) - now
-        if remaining_s >= self.budget.lease_duration_s(slot) * RENEW_BELOW:
+        if remaining_s >= self.budget.lease_duration_s(slot) * RENEWAL_FRACTION:
             return False
         return now - lease.last_round_at >= (interval_s if remaining_s > 0 else interval_s / 2)
 
@@ -229,7 +229,7 @@
 
         The lease is counted from the round's request, so it ends at the holder before it ends at the grantor.
         """
-        requested_at = next((r.requested_at for r in self.rounds if r.number == round_number), None)
+        requested_at = next((sent.requested_at for sent in self.rounds if sent.number == round_number), None)
         if requested_at is None or grantor not in self.budget.grantors:
             return []
         quorum = self.budget.quorum
@@ -241,9 +241,9 @@
             expires_at = requested_at + self.budget.lease_duration_s(slot)
             if expires_at <= now:
                 continue
-            before = lease.valid_until(quorum)
+            previously_valid_until = lease.valid_until(quorum)
             lease.expiry_by_grantor[grantor] = max(lease.expiry_by_grantor.get(grantor, 0.0), expires_at)
-            if before <= now < lease.valid_until(quorum):
+            if previously_valid_until <= now < lease.valid_until(quorum):
                 lease.held_since = now
                 newly_held.append(slot)
         return newly_held
--- a/ochrehoist/peers/membership.py
+++ b/ochrehoist/peers/membership.py
@@ -17,9 +17,9 @@
 
 STALL_S = 0.25  # a longer gap between two ticks counts as a stall of this worker
 MAX_LOCAL_HEALTH = 8
-FORGET_GONE_S = 600.0  # members that are dead or have left are removed after this time
+GONE_MEMBER_RETENTION_S = 600.0  # members that are dead or have left are removed after this time
 MAX_MEMBERS = 1024
-MAX_DEATHS = 100  # latest records kept
+MAX_DEATH_RECORDS = 100  # latest records kept
 ACK_TIMEOUT_PERIODS = 3
 ISOLATION_PERIODS = 4  # time without any acknowledgement, in addition to the acknowledgement timeout
 SUSPICION_PERIODS = 18  # a pause of 1 s followed by message loss must not lead to a declaration as dead
@@ -60,7 +60,7 @@
         self.last_ack_at: float | None = None  # from any member
         self.established = False  # at least one member has acknowledged a probe
         self.duplicate: Incarnation | None = None  # another process with this worker's name
-        self.duplicate_followed = False  # other members regard the duplicate as this member
+        self.duplicate_accepted = False  # other members regard the duplicate as this member
         self.deaths: list[Death] = []
         self._started_at = now
         self._last_tick_at = now
@@ -103,9 +103,9 @@
         member = self.members.get(name)
         return member.incarnation.number if member is not None else 0
 
-    def sample_live(self, count: int, without: Iterable[str]) -> list[str]:
+    def sample_live(self, count: int, excluded: Iterable[str]) -> list[str]:
         """Returns the names of up to `count` members that are alive or suspected, chosen at random."""
-        candidates = [name for name in self.live_names() if name not in without]
+        candidates = [name for name in self.live_names() if name not in excluded]
         return candidates if len(candidates) <= count else self.rng.sample(candidates, count)
 
     # ---- time
@@ -118,8 +118,8 @@
         actions = self._check_probes(now)
         self._check_members(now)
         if now >= self._next_probe_at:
-            in_time = gap_s <= STALL_S
-            previous = self._next_probe_at if in_time else now
+            on_schedule = gap_s <= STALL_S
+            previous = self._next_probe_at if on_schedule else now
             self._next_probe_at = max(now, previous + self.protocol_period_s)
             target = self.schedule.next_target(self.members, self.addresses)
             if target is not None:
@@ -168,7 +168,7 @@
                 self._check_suspicion(member, now)
             elif (
                 not member.is_present
-                and now - member.state_since > FORGET_GONE_S
+                and now - member.state_since > GONE_MEMBER_RETENTION_S
                 and name not in self.addresses
             ):
                 del self.members[name]
@@ -180,14 +180,14 @@
             return  # an isolated worker cannot distinguish a failed peer from a network partition
         silence_s = now - (member.last_ack_at if member.last_ack_at is not None else now)
         self.deaths.append(Death(now, member.incarnation.name, silence_s))
-        del self.deaths[:-MAX_DEATHS]
+        del self.deaths[:-MAX_DEATH_RECORDS]
         self._mark_gone(member, MemberState.DEAD, now)
 
     def _suspicion_timeout_s(self, member: Member) -> float:
         """Returns how long a member stays suspected: shorter the more members accuse it."""
-        shortest = SUSPICION_PERIODS * self.protocol_period_s * (1 + self.local_health)
-        longest = shortest * max(1.0, math.log2(len(self.members) + 2) / 2)
-        return max(shortest, longest - (longest - shortest) * math.log2(len(member.accusers) + 1) / 2)
+        shortest_s = SUSPICION_PERIODS * self.protocol_period_s * (1 + self.local_health)
+        longest_s = shortest_s * max(1.0, math.log2(len(self.members) + 2) / 2)
+        return max(shortest_s, longest_s - (longest_s - shortest_s) * math.log2(len(member.accusers) + 1) / 2)
 
     # ---- changes of one member
     def _suspect(self, member: Member, accuser: str, now: float) -> None:
@@ -197,7 +197,7 @@
             member.accusers = set()
         if accuser not in member.accusers:
             member.accusers.add(accuser)
-            self._spread(member.incarnation.name)
+            self._enqueue_gossip(member.incarnation.name)
 
     def _mark_alive(self, member: Member, now: float) -> None:
         member.state = MemberState.ALIVE
@@ -207,9 +207,9 @@
     def _mark_gone(self, member: Member, state: MemberState, now: float) -> None:
         member.state = state
         member.state_since = now
-        self._spread(member.incarnation.name)
+        self._enqueue_gossip(member.incarnation.name)
 
-    def _spread(self, name: str) -> None:
+    def _enqueue_gossip(self, name: str) -> None:
         self.gossip.enqueue(name, len(self.members))
 
     # ---- what is received
@@ -231,10 +231,10 @@
             member.last_ack_at = now
             if member.state == MemberState.SUSPECT:
                 self._mark_alive(member, now)
-                self._spread(name)
+                self._enqueue_gossip(name)
         return probe
 
-    def on_message_from(self, incarnation: Incarnation, address: str, site: str, now: float) -> bool:
+    def register_sender(self, incarnation: Incarnation, address: str, site: str, now: float) -> bool:
         """Registers the sender of a message; returns whether to accept the message.
 
         Messages from earlier incarnations are rejected, and those from new members at `MAX_MEMBERS`.
@@ -251,13 +251,13 @@
             if len(self.members) >= MAX_MEMBERS:
                 return False
             self.members[name] = Member(incarnation, address, site, MemberState.ALIVE, now)
-            self._spread(name)
+            self._enqueue_gossip(name)
         elif incarnation.supersedes(member.incarnation):
             self.members[name] = Member(incarnation, address or member.address, site, MemberState.ALIVE, now)
-            self._spread(name)
+            self._enqueue_gossip(name)
         elif member.state == MemberState.DEAD and member.incarnation == incarnation:
             self._mark_alive(member, now)  # it was declared dead by mistake
-            self._spread(name)
+            self._enqueue_gossip(name)
         self._remember_incarnation(incarnation)
         return True
 
@@ -267,10 +267,10 @@
             forgotten = next(name for name in self.latest_incarnations if name not in self.members)
             self.latest_incarnations.pop(forgotten)
 
-    def note_duplicate(self, incarnation: Incarnation, followed: bool = True) -> None:
+    def note_duplicate(self, incarnation: Incarnation, accepted_by_others: bool = True) -> None:
         """Records another process with this worker's name.
 
-        `followed`: other members regard that process as the member.
+        `accepted_by_others`: other members regard that process as the member.
         """
         if incarnation == self.incarnation or not incarnation.supersedes(self.incarnation):
             return
@@ -281,7 +281,7 @@
             )
         else:
             self.duplicate = incarnation
-            self.duplicate_followed = self.duplicate_followed or followed
+            self.duplicate_accepted = self.duplicate_accepted or accepted_by_others
 
     def apply_gossip(self, update: MemberUpdate, sender: str, now: float) -> None:
         """Applies the state and address that `sender` reports of a member; no proof that it is alive."""
@@ -300,7 +300,7 @@
         elif update.state in (MemberState.SUSPECT, MemberState.DEAD):
             # Refutes the accusation with a number above that of the accuser.
             self.refutations = max(self.refutations, update.refutations + 1)
-            self._spread(self.incarnation.name)
+            self._enqueue_gossip(self.incarnation.name)
 
     def _apply_gossip_of_new(self, update: MemberUpdate, member: Member | None, now: float) -> None:
         name = update.incarnation.name
@@ -312,7 +312,7 @@
                     update.incarnation
                 )  # prevents a later registration of an older one
             return
-        if self.on_message_from(update.incarnation, update.address, update.site, now):
+        if self.register_sender(update.incarnation, update.address, update.site, now):
             self._apply_refutations(self.members[name], update.refutations, now)
 
     def _apply_gossip_of_known(self, update: MemberUpdate, member: Member, sender: str, now: float) -> None:
@@ -324,10 +324,10 @@
             return  # the member has already refuted this accusation
         if update.state in (MemberState.SUSPECT, MemberState.DEAD) and member.is_present:
             # A member that has just answered this worker is not suspected because of gossip alone.
-            answered_lately = (
+            acknowledged_recently = (
                 member.last_ack_at is not None and now - member.last_ack_at <= 2 * self.ack_timeout_s
             )
-            if not answered_lately:
+            if not acknowledged_recently:
                 self._suspect(member, sender, now)
 
     def _apply_refutations(self, member: Member, refutations: int, now: float) -> None:
@@ -337,9 +337,9 @@
         member.refutations = refutations
         if member.state in (MemberState.SUSPECT, MemberState.DEAD):
             self._mark_alive(member, now)
-        self._spread(member.incarnation.name)
+        self._enqueue_gossip(member.incarnation.name)
 
-    def set_contact(self, name: str, address: str, site: str) -> None:
+    def set_address_and_site(self, name: str, address: str, site: str) -> None:
         """Sets the address and site that a known member reports of itself."""
         self.members[name].address = address
         self.members[name].site = site
--- a/ochrehoist/peers/outbound.py
+++ b/ochrehoist/peers/outbound.py
@@ -15,7 +15,7 @@
 )
 
 GREETING_INTERVAL_S = 0.2  # minimum time between two greetings to the same address
-MAX_GREETED = 4096  # addresses with a recorded greeting time
+MAX_GREETING_TIMES = 4096  # addresses with a recorded greeting time
 
 
 @dataclass(frozen=True)
@@ -81,7 +81,7 @@
         """Returns a greeting that introduces this incarnation to one that does not know it."""
         return self._to_sender(incarnation, source, self._hello(), now)
 
-    def tell_superseded(
+    def notify_superseded(
         self, incarnation: Incarnation, latest: Incarnation, source: str, now: float
     ) -> list[OutgoingMessage]:
         """Returns a notification to a process that a later incarnation of its name is known."""
@@ -98,12 +98,12 @@
     def _may_greet(self, key: str, now: float) -> bool:
         if now - self.last_greeting_at.get(key, -1e9) < GREETING_INTERVAL_S:
             return False
-        if len(self.last_greeting_at) > MAX_GREETED:
+        if len(self.last_greeting_at) > MAX_GREETING_TIMES:
             self.last_greeting_at.clear()
         self.last_greeting_at[key] = now
         return True
 
-    def goodbye(self, reason: str) -> list[OutgoingMessage]:
+    def announce_departure(self, reason: str) -> list[OutgoingMessage]:
         """Returns the announcement to all live members that this worker leaves."""
         messages = []
         for name in self._membership.live_names():
--- a/ochrehoist/peers/outlier_detection.py
+++ b/ochrehoist/peers/outlier_detection.py
@@ -31,7 +31,7 @@
 )
 from ochrehoist.peers.wire import HealthObservation, HealthStatus
 
-FRESH_OBSERVATION_MS = 700  # younger own healthy observations take precedence over remote ones
+OWN_OBSERVATION_MAX_AGE_MS = 700  # younger own healthy observations take precedence over remote ones
 BASE_EJECTION_S = 1.0  # time until the first trial; doubled after each failed trial
 MAX_EJECTION_S = 8.0
 TRIAL_RETRY_S = 0.1  # time between two random draws that decide whether this worker sends the trial
@@ -41,7 +41,7 @@
 SLOW_START_STAGE_S = 0.5
 STALL_S = 0.12  # a longer gap between two ticks counts as a stall or CPU starvation of this worker
 OWN_REASON_SUFFIX = "usual"  # end of the reason text of ejections by own observations
-MAX_CHANGES = 100  # recorded for `/status`
+MAX_STATE_CHANGES = 100  # recorded for `/status`
 
 
 class EjectionState(StrEnum):
@@ -123,7 +123,7 @@
         fleet_size: Callable[[], int] = _single_worker,
     ) -> None:
         self.services: dict[str, ServiceState] = {}
-        self.changes: deque[StateChange] = deque(maxlen=MAX_CHANGES)
+        self.changes: deque[StateChange] = deque(maxlen=MAX_STATE_CHANGES)
         self._baselines = LatencyBaselines()
         self._remote_reports = remote_reports
         self._fleet_size = fleet_size
@@ -269,7 +269,7 @@
                     f"{own.latency_ratio:.1f} times the {OWN_REASON_SUFFIX}"
                 )
                 return EjectionCandidate(severity, name, reason, is_own_observation=True)
-        elif own is not None and own.age_ms <= FRESH_OBSERVATION_MS:
+        elif own is not None and own.age_ms <= OWN_OBSERVATION_MAX_AGE_MS:
             return None
         remote = self.remote_consensus(name, own)
         if not remote.is_unhealthy:
@@ -279,27 +279,27 @@
 
     def _eject(self, candidates: list[EjectionCandidate], now: float) -> None:
         ejected_count = sum(service.is_ejected for service in self.services.values())
-        free_places = int(self._max_ejected_fraction * len(self.services)) - ejected_count
+        free_ejections = int(self._max_ejected_fraction * len(self.services)) - ejected_count
         if not ejected_count and len(candidates) >= len(self.services):
             return  # all services are unhealthy, so ejection would leave no better one
-        if free_places <= 0:
+        if free_ejections <= 0:
             candidates = [
                 candidate for candidate in candidates if self.remote_consensus(candidate.service).is_unhealthy
             ]
-            free_places += self._free_a_place(now) if candidates else 0
+            free_ejections += self._readmit_for_replacement(now) if candidates else 0
         worst_first = sorted(
             candidates,
             key=lambda candidate: (candidate.severity, candidate.service, candidate.reason),
             reverse=True,
         )
-        for candidate in worst_first[: max(0, free_places)]:
+        for candidate in worst_first[: max(0, free_ejections)]:
             service = self.services[candidate.service]
             service.successful_trials = 0
             service.trial_ticket = None
             service.ejected_on_remote = not candidate.is_own_observation
             self._change_state(service, candidate.service, EjectionState.EJECTED, candidate.reason, now)
 
-    def _free_a_place(self, now: float) -> int:
+    def _readmit_for_replacement(self, now: float) -> int:
         """Readmits a service ejected by this worker only; returns the number of ejections that this permits.
 
         Used when the limit is reached and several workers observe another service as unhealthy.
@@ -347,13 +347,13 @@
             elif service.ejection is EjectionState.SLOW_START:
                 load = (busy.get(name, 0) + 1) / service.slow_start_fraction
                 usable.append((load, self._rng.random(), name))
-            elif self._takes_trial(service, now):
+            elif self._sends_trial(service, now):
                 usable.append((0, self._rng.random(), name))
             else:
                 ejected.append((busy.get(name, 0) + 1, self._rng.random(), name))
         return [name for _, _, name in sorted(usable) + sorted(ejected)]
 
-    def _takes_trial(self, service: ServiceState, now: float) -> bool:
+    def _sends_trial(self, service: ServiceState, now: float) -> bool:
         """Returns whether this worker sends the next trial; on average one worker of the fleet per draw."""
         if service.trial_ticket is not None or now - service.since < service.ejection_s:
             return False
--- a/ochrehoist/peers/peer_status.py
+++ b/ochrehoist/peers/peer_status.py
@@ -18,7 +18,7 @@
     encode_status,
 )
 
-FRESH_DEMAND_S = 2.0  # an older demand of another worker is not served by a transfer
+DEMAND_MAX_AGE_S = 2.0  # an older demand of another worker is not served by a transfer
 
 
 class OwnStatus:
@@ -74,9 +74,9 @@
         member = self._membership.members.get(name)
         if member is None or member.status_as_of is None or not member.status:
             return None
-        known = self.decoded.get(name)
-        if known is not None and known[0] == member.version:
-            return known[1]
+        cached = self.decoded.get(name)
+        if cached is not None and cached[0] == member.version:
+            return cached[1]
         try:
             status = decode_status(member.status)
         except MessageRejectedError:
@@ -101,7 +101,7 @@
                 continue
             for demand in status.demands:
                 if demand.budget == budget:
-                    fresh = now - member.status_as_of <= FRESH_DEMAND_S and not status.leaving
+                    fresh = now - member.status_as_of <= DEMAND_MAX_AGE_S and not status.leaving
                     demands[name] = PeerDemand(demand.held_slots, demand.wanted, demand.denied, fresh)
         return demands
 
--- a/ochrehoist/peers/ping_exchange.py
+++ b/ochrehoist/peers/ping_exchange.py
@@ -24,11 +24,11 @@
 )
 
 MAX_KNOWN_VERSIONS = 24  # members listed in a ping, whose newer statuses are requested
-MAX_NEWS = 12  # statuses of other members in an answer
+MAX_OTHER_STATUSES = 12  # statuses of other members in an answer
 MAX_UPDATES_BYTES = 8192  # own status, gossip and other statuses; must leave room for the counters
 FRAME_BYTES = 1024  # upper bound for the rest of the message
 INDIRECT_PROBES = 3  # members asked to ping an unresponsive one
-MAX_RELAYED = 256  # unanswered pings sent on behalf of other members
+MAX_RELAYED_PINGS = 256  # unanswered pings sent on behalf of other members
 
 
 @dataclass(slots=True, frozen=True)
@@ -51,7 +51,7 @@
         outbound: Outbound,
         rng: Random,
     ) -> None:
-        self.relayed: dict[int, RelayedPing] = {}  # by the nonce of this worker's ping
+        self.relayed_pings: dict[int, RelayedPing] = {}  # by the nonce of this worker's ping
         self._membership = membership
         self._counters = counters
         self._own_status = own_status
@@ -67,21 +67,23 @@
             messages += self._outbound.to_member(helper, [PingRequest(probe.nonce, probe.target)])
         return messages
 
-    def limit_relayed(self) -> None:
+    def limit_relayed_pings(self) -> None:
         """Discards all relayed pings if too many are unanswered."""
-        if len(self.relayed) > MAX_RELAYED:
-            self.relayed.clear()
+        if len(self.relayed_pings) > MAX_RELAYED_PINGS:
+            self.relayed_pings.clear()
 
     def _ping(self, target: str, nonce: int) -> Ping:
         members = self._membership.members
         names = list(members)
         if len(names) > MAX_KNOWN_VERSIONS:
             names = self._rng.sample(names, MAX_KNOWN_VERSIONS)
-        known = [
+        known_versions = [
             KnownVersion(name, members[name].incarnation.number, members[name].version) for name in names
         ]
         cursors = self._counters.cursors_for(target, self._membership.incarnation_number_of(target))
-        return Ping(nonce, known, self._membership.select_gossip(self._own_status.update(), target), cursors)
+        return Ping(
+            nonce, known_versions, self._membership.select_gossip(self._own_status.update(), target), cursors
+        )
 
     # ---- what is received
     def on_ping_request(
@@ -89,42 +91,43 @@
     ) -> list[OutgoingMessage]:
         """Pings the target on behalf of another member."""
         nonce = self._rng.getrandbits(62) | 1
-        self.relayed[nonce] = RelayedPing(sender.name, request.nonce, request.target)
+        self.relayed_pings[nonce] = RelayedPing(sender.name, request.nonce, request.target)
         return self._outbound.to_member(request.target, [self._ping(request.target, nonce)])
 
     def on_ping(self, ping: Ping, sender: Incarnation, now: float) -> list[OutgoingMessage]:
         """Answers a ping with this worker's status, newer statuses of other members, and counters."""
         self._apply_gossip(ping.gossip, sender, now)
         own_update = self._own_status.update()
-        news = self._select_news(ping, sender)
+        newer_members = self._select_newer_members(ping, sender)
         gossip = self._membership.select_gossip(own_update)
-        updates = self._fit_updates(own_update, news, gossip, now)
+        updates = self._fit_updates(own_update, newer_members, gossip, now)
         ack = Ack(ping.nonce, "", updates, gossip)
         if self._membership.established:
             self._add_counters(ack, ping, now)
         return self._outbound.to_member(sender.name, [ack])
 
-    def _select_news(self, ping: Ping, sender: Incarnation) -> list[Member]:
+    def _select_newer_members(self, ping: Ping, sender: Incarnation) -> list[Member]:
         """Returns members whose status is newer than the sender's, chosen at random if there are too many."""
-        known = {entry.name: (entry.number, entry.version) for entry in ping.known_versions}
-        lists_all = len(known) < MAX_KNOWN_VERSIONS  # members that it does not list are unknown to it
-        news = [
+        sender_versions = {entry.name: (entry.number, entry.version) for entry in ping.known_versions}
+        # A sender that lists fewer members than the limit does not know the others.
+        lists_all = len(sender_versions) < MAX_KNOWN_VERSIONS
+        newer = [
             member
             for name, member in self._membership.members.items()
             if name != sender.name
             and member.status_as_of is not None
-            and (member.incarnation.number, member.version) > known.get(name, (0, -1))
-            and (name in known or lists_all)
+            and (member.incarnation.number, member.version) > sender_versions.get(name, (0, -1))
+            and (name in sender_versions or lists_all)
         ]
-        return news if len(news) <= MAX_NEWS else self._rng.sample(news, MAX_NEWS)
+        return newer if len(newer) <= MAX_OTHER_STATUSES else self._rng.sample(newer, MAX_OTHER_STATUSES)
 
     @staticmethod
     def _fit_updates(
-        own_update: MemberUpdate, news: list[Member], gossip: list[MemberUpdate], now: float
+        own_update: MemberUpdate, newer_members: list[Member], gossip: list[MemberUpdate], now: float
     ) -> list[MemberUpdate]:
         updates = [own_update]
         free_bytes = MAX_UPDATES_BYTES - sum(update.max_size() for update in (own_update, *gossip))
-        for member in news:
+        for member in newer_members:
             update = member.status_update(now)
             free_bytes -= update.max_size()
             if free_bytes < 0:
@@ -143,7 +146,7 @@
     def on_ack(self, ack: Ack, sender: Incarnation, now: float) -> list[OutgoingMessage]:
         """Forwards the answer to a relayed ping; applies the updates in an answer to an own probe."""
         self._apply_gossip(ack.gossip, sender, now)
-        relayed = self.relayed.pop(ack.nonce, None)
+        relayed = self.relayed_pings.pop(ack.nonce, None)
         if relayed is not None:
             return self._relay(ack, sender, relayed)
         probe = self._membership.on_ack(ack.nonce, ack.subject or sender.name, now)
--- a/ochrehoist/peers/probing.py
+++ b/ochrehoist/peers/probing.py
@@ -32,28 +32,30 @@
     """Probe rounds; each known member is a target once per round, in random order."""
 
     def __init__(self, own_name: str, rng: Random) -> None:
-        self.round: list[str] = []  # remaining targets, the next one last
+        self.remaining_targets: list[str] = []  # remaining targets, the next one last
         self._own_name = own_name
         self._rng = rng
 
     def next_target(self, members: Mapping[str, Member], addresses: Mapping[str, str]) -> str | None:
         """Returns the next member to ping; None if no other is known."""
         while True:
-            target = self._next_of_round(members, addresses)
+            target = self._next_remaining_target(members, addresses)
             if target is not None:
                 return target
             names = set(addresses) | set(members)
             names.discard(self._own_name)
             if not names:
                 return None
-            self.round = sorted(names)
-            self._rng.shuffle(self.round)
+            self.remaining_targets = sorted(names)
+            self._rng.shuffle(self.remaining_targets)
             if all(name in members and not members[name].is_present for name in names):
-                return self.round.pop()
+                return self.remaining_targets.pop()
 
-    def _next_of_round(self, members: Mapping[str, Member], addresses: Mapping[str, str]) -> str | None:
-        while self.round:
-            name = self.round.pop()
+    def _next_remaining_target(
+        self, members: Mapping[str, Member], addresses: Mapping[str, str]
+    ) -> str | None:
+        while self.remaining_targets:
+            name = self.remaining_targets.pop()
             if name not in addresses and name not in members:
                 continue
             member = members.get(name)
--- a/ochrehoist/peers/remote_health.py
+++ b/ochrehoist/peers/remote_health.py
@@ -43,11 +43,15 @@
         return self.status in UNHEALTHY
 
 
-def _believable(reports: RemoteReports) -> Iterator[tuple[str, list[HealthObservation]]]:
+def _credible_observations(reports: RemoteReports) -> Iterator[tuple[str, list[HealthObservation]]]:
     """Yields the fresh observations of each member that does not report most services as unhealthy."""
     for member, report in reports.items():
-        fresh = [seen for seen in report.observations if report.age_of(seen) <= REMOTE_MAX_AGE_S]
-        unhealthy_count = sum(seen.status in UNHEALTHY for seen in fresh)
+        fresh = [
+            observation
+            for observation in report.observations
+            if report.age_of(observation) <= REMOTE_MAX_AGE_S
+        ]
+        unhealthy_count = sum(observation.status in UNHEALTHY for observation in fresh)
         if len(fresh) <= 1 or 2 * unhealthy_count <= len(fresh):
             yield member, fresh
 
@@ -59,17 +63,17 @@
     if own is not None and own.status in UNHEALTHY:
         counts[own.status] += 1
         observers.append(f"itself:{own.status}")
-    for member, observations in _believable(reports):
-        for seen in observations:
-            if seen.service == service:
-                counts[seen.status] += 1
-                observers.append(f"{member}:{seen.status}")
+    for member, observations in _credible_observations(reports):
+        for observation in observations:
+            if observation.service == service:
+                counts[observation.status] += 1
+                observers.append(f"{member}:{observation.status}")
     unhealthy_count = sum(count for status, count in counts.items() if status in UNHEALTHY)
     if unhealthy_count >= MIN_OBSERVERS and unhealthy_count > counts[HealthStatus.OK]:
-        most_seen = max(
+        most_frequent = max(
             (status for status in counts if status in UNHEALTHY), key=lambda status: counts[status]
         )
-        return RemoteConsensus(HealthStatus(most_seen), observers)
+        return RemoteConsensus(HealthStatus(most_frequent), observers)
     return RemoteConsensus(HealthStatus.OK if counts[HealthStatus.OK] else None, observers)
 
 
@@ -77,8 +81,8 @@
     """Returns whether more workers observed a service as healthy than unhealthy in the last `within_s`."""
     healthy_count = unhealthy_count = 0
     for report in reports.values():
-        for seen in report.observations:
-            if seen.service == service and report.age_of(seen) < within_s:
-                healthy_count += seen.status == HealthStatus.OK
-                unhealthy_count += seen.status in UNHEALTHY
+        for observation in report.observations:
+            if observation.service == service and report.age_of(observation) < within_s:
+                healthy_count += observation.status == HealthStatus.OK
+                unhealthy_count += observation.status in UNHEALTHY
     return healthy_count > unhealthy_count
--- a/ochrehoist/peers/service_health.py
+++ b/ochrehoist/peers/service_health.py
@@ -13,7 +13,7 @@
 UNHEALTHY = frozenset({HealthStatus.SLOW, HealthStatus.FAILING, HealthStatus.UNREACHABLE})
 SAMPLE_MAX_AGE_S = 2.0  # older results are ignored
 RECENT_SAMPLES = 8  # limits how many earlier healthy results can mask a current fault
-KEPT_SAMPLES = 64
+MAX_SAMPLES = 64
 MIN_SAMPLES = 3  # for a conclusive observation
 MIN_BASELINE_SAMPLES = 20  # a service counts for a class's baseline from this number of samples
 BASELINE_WINDOW = 40  # samples in the moving mean of a class
@@ -56,8 +56,8 @@
     def baseline_s(self, request_class: str) -> float | None:
         """Returns the mean latency at the median service (lower median); None with too few samples."""
         if request_class not in self._baselines:
-            known = [means[request_class] for means in self._means.values() if request_class in means]
-            means = sorted(mean.mean_s for mean in known if mean.sample_count >= MIN_BASELINE_SAMPLES)
+            class_means = [means[request_class] for means in self._means.values() if request_class in means]
+            means = sorted(mean.mean_s for mean in class_means if mean.sample_count >= MIN_BASELINE_SAMPLES)
             self._baselines[request_class] = means[(len(means) - 1) // 2] if means else None
         return self._baselines[request_class]
 
@@ -102,7 +102,7 @@
 class ServiceSamples:
     """This worker's calls to one service."""
 
-    results: deque[CallResult] = field(default_factory=lambda: deque(maxlen=KEPT_SAMPLES))
+    results: deque[CallResult] = field(default_factory=lambda: deque(maxlen=MAX_SAMPLES))
     open_calls: dict[Hashable, OpenCall] = field(default_factory=dict)  # by ticket
 
     def discount_stall(self, stalled_s: float, now: float) -> None:
--- a/ochrehoist/peers/status_view.py
+++ b/ochrehoist/peers/status_view.py
@@ -77,9 +77,9 @@
         "used": meter.used_count,
         "denied": meter.denied_count,
         "most_used": meter.max_used,
-        "lost": holder.lost_count,
+        "lost": holder.withdrawn_count,
         "ends_in_s": round(min((span for span in remaining_s if span > 0), default=0.0), 2),
-        "votes_again_in_s": round(max(0.0, grantor.silent_until - now), 1) if grantor else None,
+        "votes_again_in_s": round(max(0.0, grantor.no_grants_until - now), 1) if grantor else None,
     }
 
 
--- a/ochrehoist/peers/usage.py
+++ b/ochrehoist/peers/usage.py
@@ -6,9 +6,9 @@
 from ochrehoist.peers.budget import CLOCK_DRIFT, RATE_WINDOW_S
 from ochrehoist.peers.leases import LeaseHolder
 
-DEMAND_MEMORY_S = 2.0  # older demand is ignored
+DEMAND_RETENTION_S = 2.0  # older demand is ignored
 # A slot counts towards a rate only after all uses by an earlier holder have left the rate window.
-GUARDED_WINDOW_S = RATE_WINDOW_S * (1 + CLOCK_DRIFT)
+RATE_WINDOW_WITH_DRIFT_S = RATE_WINDOW_S * (1 + CLOCK_DRIFT)
 
 
 @dataclass(slots=True, frozen=True)
@@ -41,9 +41,9 @@
         self._last_ticket = 0
 
     def _expire(self, now: float) -> None:
-        while self._uses and self._uses[0] <= now - GUARDED_WINDOW_S:
+        while self._uses and self._uses[0] <= now - RATE_WINDOW_WITH_DRIFT_S:
             self._uses.popleft()
-        while self._recent_demand and self._recent_demand[0].at <= now - DEMAND_MEMORY_S:
+        while self._recent_demand and self._recent_demand[0].at <= now - DEMAND_RETENTION_S:
             self._recent_demand.popleft()
 
     def available(self, now: float) -> int:
@@ -52,7 +52,7 @@
         if budget.concurrent:
             return self.holder.amount(now, remaining_s=budget.max_run_s) - len(self.runs)
         self._expire(now)
-        return self.holder.amount(now, held_for_s=GUARDED_WINDOW_S) - len(self._uses)
+        return self.holder.amount(now, held_for_s=RATE_WINDOW_WITH_DRIFT_S) - len(self._uses)
 
     def record_demand(self, now: float, granted: bool) -> None:
         """Counts demand for one use; `granted`: whether it was permitted."""
--- a/ochrehoist/peers/wire.py
+++ b/ochrehoist/peers/wire.py
@@ -363,8 +363,8 @@
             self._accepted = ((self._accepted << shift) | 1) & ((1 << REPLAY_WINDOW) - 1)
             self._highest = sequence
             return True
-        behind = self._highest - sequence
-        if behind >= REPLAY_WINDOW or self._accepted >> behind & 1:
+        lag = self._highest - sequence
+        if lag >= REPLAY_WINDOW or self._accepted >> lag & 1:
             return False
-        self._accepted |= 1 << behind
+        self._accepted |= 1 << lag
         return True
--- a/ochrehoist/recovery/intent_log.py
+++ b/ochrehoist/recovery/intent_log.py
@@ -25,26 +25,26 @@
         A message that was not recorded must not be acknowledged.
         """
         expiry = self._expiry_by_worker.setdefault(worker, OrderedDict())
-        added = len([digest for digest, _ in message.intents if digest not in expiry])
-        if not self._has_room(added, now):
+        new_count = len([digest for digest, _ in message.intents if digest not in expiry])
+        if not self._has_room(new_count, now):
             return False
-        for digest, left_ms in message.intents:
-            expiry[digest] = max(expiry.get(digest, 0.0), now + max(0, left_ms) / 1000)
-        self.count += added
+        for digest, remaining_ms in message.intents:
+            expiry[digest] = max(expiry.get(digest, 0.0), now + max(0, remaining_ms) / 1000)
+        self.count += new_count
         for digest in message.withdrawn:
             if expiry.pop(digest, None) is not None:
                 self.count -= 1
         return True
 
-    def _has_room(self, added: int, now: float) -> bool:
-        if self.count + added > MAX_INTENTS:
+    def _has_room(self, new_count: int, now: float) -> bool:
+        if self.count + new_count > MAX_INTENTS:
             self.remove_expired(now)
-        return self.count + added <= MAX_INTENTS
+        return self.count + new_count <= MAX_INTENTS
 
     def remove_expired(self, now: float) -> None:
         """Removes expired intents. Scans the whole log, so it is too expensive for each tick."""
         for worker, expiry in list(self._expiry_by_worker.items()):
-            for digest in [digest for digest, until in expiry.items() if until <= now]:
+            for digest in [digest for digest, expires_at in expiry.items() if expires_at <= now]:
                 del expiry[digest]
                 self.count -= 1
             if not expiry:
@@ -52,14 +52,16 @@
 
     def page(self, worker: str, query: QueryIntents, now: float) -> IntentPage:
         """Returns one page of the intents of a worker; there is at least one page, possibly empty."""
-        live = [
-            (digest, until) for digest, until in self._expiry_by_worker.get(worker, {}).items() if until > now
+        unexpired = [
+            (digest, expires_at)
+            for digest, expires_at in self._expiry_by_worker.get(worker, {}).items()
+            if expires_at > now
         ]
-        pages = max(1, -(-len(live) // PAGE_SIZE))
-        selected = live[query.page * PAGE_SIZE : (query.page + 1) * PAGE_SIZE]
+        page_count = max(1, -(-len(unexpired) // PAGE_SIZE))
+        selected = unexpired[query.page * PAGE_SIZE : (query.page + 1) * PAGE_SIZE]
         age_ms = int(1000 * (now - self._complete_since))
-        intents = [(digest, int(1000 * (until - now)) + 1) for digest, until in selected]
-        return IntentPage(query.number, query.page, pages, age_ms, intents)
+        intents = [(digest, int(1000 * (expires_at - now)) + 1) for digest, expires_at in selected]
+        return IntentPage(query.number, query.page, page_count, age_ms, intents)
 
     def counts(self) -> dict[str, int]:
         """Returns the number of intents by worker."""
--- a/ochrehoist/recovery/pending_intents.py
+++ b/ochrehoist/recovery/pending_intents.py
@@ -13,7 +13,7 @@
 MAX_WAIT_SAMPLES = 1000
 
 
-class OutgoingMessage(NamedTuple):
+class EncodedWitnessMessage(NamedTuple):
     """An encoded message to one witness."""
 
     witness: str
@@ -26,7 +26,7 @@
 
     digest: bytes
     added_at: float
-    give_up_at: float
+    times_out_at: float
     window_ends_at: float
     recorded_by: set[str] = field(default_factory=set)
 
@@ -50,11 +50,11 @@
         return request_id in self._pending
 
     def add(
-        self, request_id: str, stored_key: bytes, window_left_s: float, max_wait_s: float, now: float
+        self, request_id: str, stored_key: bytes, remaining_window_s: float, max_wait_s: float, now: float
     ) -> None:
         """Adds the intent of a run; gives up after `max_wait_s` without a write quorum."""
         self._pending[request_id] = PendingIntent(
-            key_digest(stored_key), now, now + max_wait_s, now + window_left_s
+            key_digest(stored_key), now, now + max_wait_s, now + remaining_window_s
         )
 
     def withdraw(self, stored_key: bytes) -> None:
@@ -66,7 +66,7 @@
         if len(self._withdrawn) < PAGE_SIZE:
             self._withdrawn.append(key_digest(stored_key))
 
-    def messages(self, now: float, is_due: Callable[[str], bool]) -> list[OutgoingMessage]:
+    def messages(self, now: float, is_due: Callable[[str], bool]) -> list[EncodedWitnessMessage]:
         """Returns the messages to send now.
 
         `is_due` is called once per request id, and returns whether the request was not sent recently.
@@ -84,7 +84,7 @@
         for witness in self._witnesses:
             message = self._message_for(witness, request_ids, withdrawn, now)
             if message.intents or message.withdrawn:
-                outgoing.append(OutgoingMessage(witness, encode(message)))
+                outgoing.append(EncodedWitnessMessage(witness, encode(message)))
         return outgoing
 
     def _message_for(
@@ -114,16 +114,16 @@
                 ready.append(request_id)
         return ready
 
-    def _add_wait_sample(self, waited_s: float) -> None:
-        self.wait_samples_s.append(waited_s)
+    def _add_wait_sample(self, wait_s: float) -> None:
+        self.wait_samples_s.append(wait_s)
         del self.wait_samples_s[:-MAX_WAIT_SAMPLES]
 
-    def give_up(self, now: float) -> list[str]:
+    def remove_timed_out(self, now: float) -> list[str]:
         """Removes intents that waited too long; returns the ids of the requests to reject.
 
         Intents that a witness has already recorded are withdrawn.
         """
-        expired = [request_id for request_id, intent in self._pending.items() if intent.give_up_at <= now]
+        expired = [request_id for request_id, intent in self._pending.items() if intent.times_out_at <= now]
         for request_id in expired:
             intent = self._pending.pop(request_id)
             if intent.recorded_by:
--- a/ochrehoist/recovery/service_level.py
+++ b/ochrehoist/recovery/service_level.py
@@ -8,7 +8,7 @@
 MIN_GOOD_RATIO = 0.95  # fraction of the earlier service level that counts as restored
 MIN_REQUESTS = 3  # windows with fewer requests are not evaluated
 MAX_WINDOWS = 60
-JUDGED_WINDOWS = 2
+EVALUATED_WINDOWS = 2
 
 
 class ServiceOutcome(Enum):
@@ -41,11 +41,11 @@
 class ServiceLevelMonitor:
     """Monitor of the ratio of requests served in time.
 
-    `usual_good_ratio` is the ratio to compare with: that of the time before the restart.
+    `baseline_good_ratio` is the ratio to compare with: that of the time before the restart.
     """
 
-    def __init__(self, now: float, usual_good_ratio: float = 1.0) -> None:
-        self._usual_good_ratio = usual_good_ratio
+    def __init__(self, now: float, baseline_good_ratio: float = 1.0) -> None:
+        self._baseline_good_ratio = baseline_good_ratio
         self._current = ServiceWindow(now)
         self._closed: deque[ServiceWindow] = deque(maxlen=MAX_WINDOWS)
 
@@ -61,15 +61,15 @@
 
     def latest_windows(self) -> list[ServiceWindow]:
         """Returns the latest closed windows, which are the ones evaluated."""
-        return list(self._closed)[-JUDGED_WINDOWS:]
+        return list(self._closed)[-EVALUATED_WINDOWS:]
 
     def is_restored(self, now: float) -> bool | None:
         """Returns whether the latest windows reached the earlier level; None with too few requests."""
         self._close_window(now)
         windows = [window for window in self.latest_windows() if window.total >= MIN_REQUESTS]
-        if len(windows) < JUDGED_WINDOWS:
+        if len(windows) < EVALUATED_WINDOWS:
             return None
-        required = MIN_GOOD_RATIO * self._usual_good_ratio
+        required = MIN_GOOD_RATIO * self._baseline_good_ratio
         return all(window.good >= required * window.total for window in windows)
 
     def is_idle(self) -> bool:
--- a/ochrehoist/recovery/startup_progress.py
+++ b/ochrehoist/recovery/startup_progress.py
@@ -88,8 +88,8 @@
             return None
         decision = self._decide(now, facts, service_level)
         if decision.stage in self._skipped and decision.stage is not StartupStage.FULL:
-            without_parts = ReadinessFacts(load_fraction=facts.load_fraction)
-            decision = self._decide(now, without_parts, service_level)
+            without_components = ReadinessFacts(load_fraction=facts.load_fraction)
+            decision = self._decide(now, without_components, service_level)
         if decision.stage is self.current.stage:
             self.current.reason = decision.reason
             return None
--- a/ochrehoist/recovery/witness_quorum.py
+++ b/ochrehoist/recovery/witness_quorum.py
@@ -12,7 +12,7 @@
 
 from ochrehoist.recovery import quorum
 from ochrehoist.recovery.messages import IntentPage, QueryIntents, encode, key_digest
-from ochrehoist.recovery.pending_intents import RESEND_INTERVAL_S, OutgoingMessage
+from ochrehoist.recovery.pending_intents import RESEND_INTERVAL_S, EncodedWitnessMessage
 
 MAX_PAGES = 10_000  # pages with a higher page count are malformed and ignored
 
@@ -49,20 +49,20 @@
 
     def __init__(self, witnesses: Sequence[str], window_s: float, query_number: int, now: float) -> None:
         self.window_s = window_s
-        self.asked_at = now
+        self.started_at = now
         self._query_number = query_number
         self._read_quorum = quorum.quorum_sizes(len(witnesses)).read
         self._reports = {name: WitnessReport() for name in witnesses}
         self._last_sent_at = -math.inf
         self.expiry_by_digest: dict[bytes, float] = {}  # runs begun: end of the idempotency window
 
-    def queries(self, now: float) -> list[OutgoingMessage]:
+    def queries(self, now: float) -> list[EncodedWitnessMessage]:
         """Returns the queries to send now; none while answers are outstanding or the report is settled."""
         if self.is_settled(now) or now - self._last_sent_at < RESEND_INTERVAL_S:
             return []
         self._last_sent_at = now
         return [
-            OutgoingMessage(witness, encode(QueryIntents(self._query_number, report.next_page())))
+            EncodedWitnessMessage(witness, encode(QueryIntents(self._query_number, report.next_page())))
             for witness, report in self._reports.items()
             if not report.is_complete
         ]
@@ -79,8 +79,10 @@
             report.answered_at = now
         report.page_count = page.pages
         report.received_pages.add(page.page)
-        for digest, left_ms in page.intents:
-            self.expiry_by_digest[digest] = max(self.expiry_by_digest.get(digest, 0.0), now + left_ms / 1000)
+        for digest, remaining_ms in page.intents:
+            self.expiry_by_digest[digest] = max(
+                self.expiry_by_digest.get(digest, 0.0), now + remaining_ms / 1000
+            )
         self._last_sent_at = -math.inf  # query the next page immediately
 
     def complete_witnesses(self) -> list[str]:
@@ -115,4 +117,4 @@
 ) -> dict[bytes, float]:
     """Returns the runs known to witnesses that are missing from this worker's store."""
     stored = {key_digest(key) for key in stored_keys}
-    return {digest: until for digest, until in expiry_by_digest.items() if digest not in stored}
+    return {digest: expires_at for digest, expires_at in expiry_by_digest.items() if digest not in stored}
--- a/tests/lab/test_fleet_invariants.py
+++ b/tests/lab/test_fleet_invariants.py
@@ -77,7 +77,7 @@
 
     def start(self, budget, started_at):
         usual(self, budget, started_at)
-        self.silent_until_by_floor = {False: 0.0, True: 0.0}
+        self.no_grants_until_by_floor = {False: 0.0, True: 0.0}
 
     patch(LeaseGrantor, "__init__", start)
 
@@ -206,7 +206,7 @@
     def test_suspicion_without_a_check_of_own_stalls_is_detected(self):
         def states():
             m = membership.Membership(Incarnation("a", 1, 1), "at:a", "", {}, 0.1, 0.0, 1)
-            m.on_message_from(Incarnation("b", 1, 1), "at:b", "", 0.0)
+            m.register_sender(Incarnation("b", 1, 1), "at:b", "", 0.0)
             m.last_ack_at = 0.2
             for beat in range(5):
                 m.tick(beat * 0.05)
--- a/tests/peers/test_counter_growth.py
+++ b/tests/peers/test_counter_growth.py
@@ -99,7 +99,7 @@
             g.counters.add(f"tenant/{t:05d}/served")
         for n in range(40):
             life = Incarnation(f"m{n}", 1, 1)
-            g.members.on_message_from(life, f"at:m{n}", "", 0.0)
+            g.members.register_sender(life, f"at:m{n}", "", 0.0)
             g.members.apply_status(
                 MemberUpdate(life, f"at:m{n}", "", MemberState.ALIVE, 5, 0, b"x" * 3000), 0.0, 0.0
             )
--- a/tests/peers/test_membership.py
+++ b/tests/peers/test_membership.py
@@ -15,7 +15,7 @@
 
     def meet(self, m, now, *lives):
         for life in lives:
-            self.assertTrue(m.on_message_from(life, f"at:{life.name}", "", now))
+            self.assertTrue(m.register_sender(life, f"at:{life.name}", "", now))
 
     def quiet(self, m, now, until, answers=()):
         """Beats, with answers of those named."""
@@ -52,7 +52,7 @@
     def test_messages_of_an_earlier_incarnation_are_ignored_after_its_successor(self):
         m = membership()
         self.meet(m, 0.0, Incarnation("b", 20, 1))
-        self.assertFalse(m.on_message_from(B, "at:b", "", 1.0))
+        self.assertFalse(m.register_sender(B, "at:b", "", 1.0))
         m.apply_gossip(MemberUpdate(B, "elsewhere", "", MemberState.ALIVE), "c", 1.0)
         self.assertEqual(m.members["b"].incarnation.number, 20)
 
--- a/tests/peers/test_message_growth.py
+++ b/tests/peers/test_message_growth.py
@@ -58,14 +58,14 @@
         g.members.latest_incarnations,
         g.members.gossip.remaining,
         g.members.probes,
-        g.members.schedule.round,
+        g.members.schedule.remaining_targets,
         g.inbound.replay_windows,
         g.peer_statuses.decoded,
         g.ended_at,
         g.counters.replicas,
         g.counters.folded_counts,
         g.outbound.last_greeting_at,
-        g.pings.relayed,
+        g.pings.relayed_pings,
     )
     return size(held, set())
 
@@ -109,7 +109,7 @@
 
     def test_an_answer_that_holds_all_members_is_detected(self):
         with (
-            mock.patch.object(ping_exchange, "MAX_NEWS", 10**6),
+            mock.patch.object(ping_exchange, "MAX_OTHER_STATUSES", 10**6),
             mock.patch.object(ping_exchange, "MAX_KNOWN_VERSIONS", 10**6),
             self.assertRaisesRegex(AssertionError, "bytes a second for each member"),
         ):
--- a/tests/peers/test_suspicion.py
+++ b/tests/peers/test_suspicion.py
@@ -21,7 +21,7 @@
 
     def setUp(self):
         self.m = Membership(A, "at:a", "", {}, 0.1, 0.0, 1)
-        self.m.on_message_from(B, "at:b", "", 0.0)
+        self.m.register_sender(B, "at:b", "", 0.0)
         self.b = self.m.members["b"]
 
     def receive(self, *entries, now=10.0):
--- a/tests/recovery/test_recovery.py
+++ b/tests/recovery/test_recovery.py
@@ -69,7 +69,7 @@
                         for request_id in self.pending.acknowledge(name, number, self.now):
                             key, arrived = self.keys[request_id]
                             self.begun[key] = arrived
-            self.pending.give_up(self.now)
+            self.pending.remove_timed_out(self.now)
             if self.rng.random() < 0.004:
                 self.logs[self.rng.choice(self.names)] = IntentLog(self.now)
 
@@ -203,7 +203,7 @@
         self.assertEqual(self.evaluate(3, ReadinessFacts(), good=3), StartupStage.FULL)
 
     def test_service_as_good_as_before_is_full_and_no_traffic_is_no_measure(self):
-        self.service_level = ServiceLevelMonitor(0.0, usual_good_ratio=0.6)
+        self.service_level = ServiceLevelMonitor(0.0, baseline_good_ratio=0.6)
         self.assertEqual(self.evaluate(4, ReadinessFacts(), good=2, rejected=1), StartupStage.FULL)
         self.setUp()
         self.assertEqual(self.evaluate(MAX_IDLE_S + 1), StartupStage.FULL)
