--- a/ochrehoist/peers/inbound.py
+++ b/ochrehoist/peers/inbound.py
@@ -1,4 +1,7 @@
-"""Which received messages are processed: those of a current incarnation to this one, each once. No I/O; s."""
+"""Filter for received messages. No I/O; times in seconds.
+
+A message is processed once, if a current incarnation sent it to this incarnation.
+"""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -14,11 +17,11 @@
     ReplayWindow,
 )
 
-MAX_SENDERS = 4096  # whose sequence numbers are remembered
+MAX_SENDERS = 4096  # senders with a replay window
 
 
 class MessageOutcome(StrEnum):
-    """What became of a received message; the values are written to `/status`."""
+    """The outcome of a received message; the values are written to `/status`."""
 
     OWN = "own"
     OTHER_RECIPIENT = "not for us"
@@ -32,14 +35,14 @@
 
 @dataclass(frozen=True)
 class InboundDecision:
-    """Whether a message is processed, and what is answered to one that is not."""
+    """Whether a message is processed; `replies` is the answer to one that is not."""
 
     outcome: MessageOutcome
     replies: list[OutgoingMessage] = field(default_factory=list)
 
 
 class InboundFilter:
-    """Decides on received messages whose digest is right; one that is not accepted changes nothing."""
+    """Filter for authenticated messages; the payloads of a message that is not accepted are ignored."""
 
     def __init__(self, membership: Membership, outbound: Outbound) -> None:
         self.outcome_counts: Counter[MessageOutcome] = Counter()
@@ -48,22 +51,22 @@
         self._outbound = outbound
 
     def check(self, message: Message, source: str, now: float) -> InboundDecision:
-        """Decides on a message that came from the address `source`, and counts what became of it."""
+        """Decides on a message received from the address `source`, and counts the outcome."""
         decision = self._decide(message, source, now)
         self.outcome_counts[decision.outcome] += 1
         return decision
 
     def _decide(self, message: Message, source: str, now: float) -> InboundDecision:
-        me = self._membership.incarnation
+        own_incarnation = self._membership.incarnation
         sender = message.sender
-        if sender == me:
+        if sender == own_incarnation:
             return InboundDecision(MessageOutcome.OWN)
-        if message.recipient not in ("", me.name):
+        if message.recipient not in ("", own_incarnation.name):
             return InboundDecision(MessageOutcome.OTHER_RECIPIENT)
-        if sender.name == me.name:
+        if sender.name == own_incarnation.name:
             self._membership.note_duplicate(sender)
             return InboundDecision(MessageOutcome.OWN_NAME)
-        if message.recipient_number != me.number:
+        if message.recipient_number != own_incarnation.number:
             return self._decide_other_incarnation(message, source, now)
         if not self._replay_window(sender).accept(message.sequence):
             return InboundDecision(MessageOutcome.REPEATED)
@@ -71,16 +74,16 @@
             replies = []
             latest = self._membership.latest_incarnations.get(sender.name)
             if latest is not None:
-                replies = self._outbound.tell_superseded(sender, latest, source, now)
+                replies = self._outbound.notify_superseded(sender, latest, source, now)
             return InboundDecision(MessageOutcome.SUPERSEDED_SENDER, replies)
         return InboundDecision(MessageOutcome.ACCEPTED)
 
     def _decide_other_incarnation(self, message: Message, source: str, now: float) -> InboundDecision:
-        """The sender does not know this incarnation, or wrote to an earlier one: it learns who is here."""
-        me = self._membership.incarnation
-        if message.recipient_number > me.number:  # so a later process of this name exists, or has existed
-            later = Incarnation(me.name, message.recipient_number, UNKNOWN_INCARNATION)
-            self._membership.note_duplicate(later, followed=False)
+        """Greets a sender that does not know this incarnation or addressed an earlier one."""
+        own_incarnation = self._membership.incarnation
+        if message.recipient_number > own_incarnation.number:  # a later process has or had this name
+            later = Incarnation(own_incarnation.name, message.recipient_number, UNKNOWN_INCARNATION)
+            self._membership.note_duplicate(later, accepted_by_others=False)
         is_greeting = message.recipient_number == UNKNOWN_INCARNATION
         outcome = MessageOutcome.GREETING if is_greeting else MessageOutcome.OTHER_INCARNATION
         return InboundDecision(outcome, self._outbound.greet(message.sender, source, now))
@@ -97,4 +100,4 @@
         hello = next((payload for payload in message.payloads if isinstance(payload, Hello)), None)
         address = hello.address if hello else source
         site = hello.site if hello else ""
-        return self._membership.on_message_from(message.sender, address, site, now)
+        return self._membership.register_sender(message.sender, address, site, now)
--- a/ochrehoist/peers/status_view.py
+++ b/ochrehoist/peers/status_view.py
@@ -1,4 +1,4 @@
-"""What operators are shown of a group: plain values for the JSON of `/status`. No I/O."""
+"""The view of a group in the JSON of `/status`. No I/O."""
 
 from typing import Any
 
@@ -10,7 +10,7 @@
 
 
 def status_view(group: Group, now: float) -> dict[str, Any]:
-    """The state of a group at `now`; the keys are part of `/status`."""
+    """Returns the state of a group at `now` as JSON values; the keys are part of `/status`."""
     membership = group.members
     isolated_for_s = membership.isolated_for_s(now)
     duplicate = membership.duplicate
@@ -77,9 +77,9 @@
         "used": meter.used_count,
         "denied": meter.denied_count,
         "most_used": meter.max_used,
-        "lost": holder.lost_count,
+        "lost": holder.withdrawn_count,
         "ends_in_s": round(min((span for span in remaining_s if span > 0), default=0.0), 2),
-        "votes_again_in_s": round(max(0.0, grantor.silent_until - now), 1) if grantor else None,
+        "votes_again_in_s": round(max(0.0, grantor.no_grants_until - now), 1) if grantor else None,
     }
 
 
