--- a/ochrehoist/sites/__init__.py
+++ b/ochrehoist/sites/__init__.py
@@ -1,15 +1,15 @@
-"""Several sites of one fleet: the loss of one, what is rejected first, and its return.
+"""Multi-site failover: detection of a site loss, load shedding, and the recovery of a returned site.
 
-Loaded only where the configuration has a [sites] table. Nothing here does I/O; times are seconds.
+Loaded only if the configuration has a [sites] table. No module here does I/O; times are in seconds.
 
-- `coordinator`: one worker's part in the fleet's sites; it owns all that follows.
-- `peer_workers`, `site_report`: the other workers, and what workers report to each other.
-- `admission_gate`, `shedding_order`, `admission_threshold`: what is rejected first, and from where on.
-- `site_health`: which sites are lost, cut off or returning, by their load.
-- `load_pacing`, `recovery_ramp`, `evacuation_ramp`, `load_shift`: the load that this worker asks for.
-- `step_lease`: the fleet's one lease that a returning site needs for each stage.
-- `operator_commands`: what operators want of a site, merged by all workers.
-- `playbook` with `_check`, `_codec`, `_text` and `_exchange`: what holds when a site is lost.
-- `site_events`: what is logged; `usual_load` and `rates`: what load is measured against.
-- `status_view`: all of it as plain values for `/status`.
+- `coordinator`: owns and updates the state of all the modules below for one worker.
+- `peer_workers`, `site_report`: the other workers, and the reports that workers exchange.
+- `admission_gate`, `shedding_order`, `admission_threshold`: which requests are shed in overload.
+- `site_health`: which sites are lost, partitioned or returning, judged by membership and load.
+- `load_pacing`, `recovery_ramp`, `evacuation_ramp`, `load_shift`: the load that this worker requests.
+- `step_lease`: the fleet-wide lease that a returning site needs to advance its ramp.
+- `operator_commands`: operators' commands for sites, replicated to all workers.
+- `playbook` with `_check`, `_codec`, `_text` and `_exchange`: the planned reaction to a site loss.
+- `site_events`: log events; `usual_load` and `rates`: the normal arrival rate and rate estimators.
+- `status_view`: the `sites` section of `/status`.
 """
--- a/ochrehoist/sites/admission_gate.py
+++ b/ochrehoist/sites/admission_gate.py
@@ -1,7 +1,8 @@
-"""The gate in front of the decision module: what is rejected while there is more than the cores can do.
+"""The load-shedding gate in front of the decision module.
 
-It sees requests that never ran, and admits those whose rank is under a threshold; while a site is lost, the
-playbook may hold back more. No I/O; core times in ns, all others in seconds.
+It checks each request that has not run yet, and admits those whose rank in the shedding order is below the
+admission threshold. While a site is lost, the playbook may reject further requests. No I/O; times from the
+core are in ns, all others in seconds.
 """
 
 from collections import Counter
@@ -28,23 +29,28 @@
 from ochrehoist.sites.site_health import SiteHealthTracker
 from ochrehoist.units import NS_PER_S
 
-MAX_THRESHOLD_LEAD = 0.3  # by which a worker may admit more of the order than the others
+MAX_THRESHOLD_LEAD = 0.3  # a worker's threshold may exceed the mean of its peers by at most this
 ARRIVAL_RATE_SPAN_S = 1.0
-RETRY_AFTER_S = 0.4  # told where others may admit it: at least,
-RETRY_SPREAD_S = 0.6  # and up to so much more
-FLEET_RETRY_AFTER_S = 1.0  # the same where nobody would admit it
-FLEET_RETRY_SPREAD_S = 2.0
+# The Retry-After time is the minimum plus a hash-dependent part of the spread. The shorter pair applies if
+# another worker may admit the request, the longer one if no worker would.
+MIN_RETRY_AFTER_S = 0.4
+RETRY_AFTER_SPREAD_S = 0.6
+MIN_FLEET_RETRY_AFTER_S = 1.0
+FLEET_RETRY_AFTER_SPREAD_S = 2.0
 
 
 class RejectionCause(StrEnum):
-    """Why the gate rejected a request, by the names of status and metrics."""
+    """The reason for which the gate rejected a request; the values are used in status and metrics."""
 
     PLAYBOOK = "playbook"
     ORDER = "order"
 
 
 class AdmissionGate:
-    """The core's FleetAdmission and RequestObserver."""
+    """Implements the core's `FleetAdmission` and `RequestObserver` protocols.
+
+    `admitted` and `rejected` count decisions; `arrival_rate` is the rate of first attempts per second.
+    """
 
     def __init__(
         self,
@@ -65,37 +71,38 @@
         self.arrival_rate = DecayingRate(ARRIVAL_RATE_SPAN_S)
         self.admitted = 0
         self.rejected: Counter[tuple[str, RejectionCause]] = Counter()  # by class and cause
-        self._arrivals = 0  # first tries since they were last taken
-        self._waiting_work: dict[str, float] = {}  # by the id of an admitted request
+        self._arrivals = 0  # first attempts since the last call of `take_arrivals`
+        # Estimated work in core seconds by request id.
+        self._waiting_work: dict[str, float] = {}
         self._running_work: dict[str, float] = {}
 
     def configure(self, settings: AdmissionSettings, tenants: TenantTable | None) -> None:
-        """New settings while it runs; what was learned is kept."""
+        """Applies changed settings; learned costs and rates are kept."""
         self._settings = settings
         self.order.configure(settings.classes, _table(settings, tenants), settings.over_quota_weight)
         self.threshold.configure(settings.cores, _least_objective_s(settings))
 
-    # What the core asks and says.
+    # Calls of the core.
 
     def check_arrival(self, request: InboundRequest, now_ns: int) -> Rejection | None:
-        """One that never ran: whether it is rejected before the decision module sees it."""
+        """Returns the rejection of a request that has not run yet; None if the request is admitted."""
         now_s = now_ns / NS_PER_S
         identity = _identity_of(request)
         class_name = request.request_class.name
         self._record_arrival(request, identity, now_s)
         loss = self._active_loss()
-        limit = self.rank_limit
-        held_back = loss is not None and not loss.admits(
+        max_rank = self.rank_limit
+        excluded = loss is not None and not loss.admits(
             class_name, self.order.is_beyond_quota(identity, request.tenant, now_s), identity
         )
         rank = 0.0
-        if held_back or limit < 1:
+        if excluded or max_rank < 1:
             rank = self.order.rank(identity, class_name, request.tenant, now_s)
-        if not held_back and (limit >= 1 or rank < limit):
+        if not excluded and (max_rank >= 1 or rank < max_rank):
             self.admitted += 1
             self._waiting_work[request.id] = self.order.cost(class_name) or 0.0
             return None
-        self.rejected[class_name, RejectionCause.PLAYBOOK if held_back else RejectionCause.ORDER] += 1
+        self.rejected[class_name, RejectionCause.PLAYBOOK if excluded else RejectionCause.ORDER] += 1
         return self._rejection(identity, rank, loss)
 
     def _record_arrival(self, request: InboundRequest, identity: RequestIdentity, now_s: float) -> None:
@@ -110,10 +117,10 @@
 
     @property
     def rank_limit(self) -> float:
-        """Up to which rank requests are admitted.
+        """The rank below which requests are admitted.
 
-        That is this worker's threshold, and no more than a little above that of the others, or whoever tries
-        the next worker would win by it.
+        It is this worker's threshold, limited to slightly more than the mean of its peers: otherwise a
+        caller could get a rejected request admitted by retrying at another worker.
         """
         baseline = self._peers.baseline
         if not baseline.count or self._pacing.recovery is not None:
@@ -121,33 +128,33 @@
         return min(self.threshold.value, baseline.threshold + MAX_THRESHOLD_LEAD)
 
     def _active_loss(self) -> SiteLoss | None:
-        """What the playbook says of the site that is lost, where there is one of both."""
+        """Returns the playbook's entry for the lost site, if a site is lost and the playbook covers it."""
         if self._playbooks.current is None:
             return None
         return self._playbooks.loss_of(self._health.lost_sites())
 
     def _rejection(self, identity: RequestIdentity, rank: float, loss: SiteLoss | None) -> Rejection:
-        nobody_admits = all(rank >= report.admission_threshold for report in self._peers.fresh_reports())
+        no_worker_admits = all(rank >= report.admission_threshold for report in self._peers.fresh_reports())
         if loss is not None:
-            least_s = loss.retry_after_ms / 1000
+            min_s = loss.retry_after_ms / 1000
             spread_s = loss.retry_spread_ms / 1000
-        elif nobody_admits:
-            least_s = FLEET_RETRY_AFTER_S
-            spread_s = FLEET_RETRY_SPREAD_S
+        elif no_worker_admits:
+            min_s = MIN_FLEET_RETRY_AFTER_S
+            spread_s = FLEET_RETRY_AFTER_SPREAD_S
         else:
-            least_s = RETRY_AFTER_S
-            spread_s = RETRY_SPREAD_S
-        # By the hash again: a caller is told about the same wherever it asks, and no two the same.
-        retry_after_ns = int(NS_PER_S * (least_s + spread_s * hash_fraction("away", *identity)))
+            min_s = MIN_RETRY_AFTER_S
+            spread_s = RETRY_AFTER_SPREAD_S
+        # The hash gives a request about the same time at every worker, and spreads different requests.
+        retry_after_ns = int(NS_PER_S * (min_s + spread_s * hash_fraction("away", *identity)))
         max_ns = self._settings.max_retry_after_ns
-        return Rejection(min(retry_after_ns, max_ns) if max_ns else retry_after_ns, no_retry=nobody_admits)
+        return Rejection(min(retry_after_ns, max_ns) if max_ns else retry_after_ns, no_retry=no_worker_admits)
 
     def run_started(self, request: InboundRequest, now_ns: int) -> None:  # noqa: ARG002
-        """Its run has started."""
+        """Moves the request's work from waiting to running."""
         self._running_work[request.id] = self._waiting_work.pop(request.id, 0.0)
 
     def run_ended(self, request: InboundRequest, now_ns: int, duration_ns: int, outcome: Outcome) -> None:
-        """A run is over; its time, less what it shared its cores, tells what its class costs."""
+        """Learns the class's cost from the run time, corrected for cores shared with concurrent runs."""
         now_s = now_ns / NS_PER_S
         concurrency = max(1, len(self._running_work))
         self._running_work.pop(request.id, None)
@@ -165,7 +172,7 @@
             recovery.record_completion(succeeded and in_time)
 
     def request_arrived(self, request: InboundRequest) -> None:
-        """Counted where it is decided on, by `check_arrival`."""
+        """Does nothing: `check_arrival` counts arrivals."""
 
     def request_answered(
         self,
@@ -173,19 +180,19 @@
         counter: RequestCounter | None,  # noqa: ARG002
         retry_after_ns: int,  # noqa: ARG002
     ) -> None:
-        """Nothing is owed for it any more."""
+        """Removes the request's waiting work."""
         self._waiting_work.pop(request.id, None)
 
-    # Time.
+    # Calls of the coordinator.
 
     def update_threshold(self, now: float) -> None:
-        """Ten times a second."""
-        waiting = sum(self._waiting_work.values())
-        running = sum(self._running_work.values())
-        self.threshold.update(now, len(self._running_work), waiting, running)
+        """Updates the admission threshold; called at each tick."""
+        waiting_work = sum(self._waiting_work.values())
+        running_work = sum(self._running_work.values())
+        self.threshold.update(now, len(self._running_work), waiting_work, running_work)
 
     def take_arrivals(self) -> int:
-        """First tries since this was last called."""
+        """Returns the number of first attempts since the previous call."""
         arrivals = self._arrivals
         self._arrivals = 0
         return arrivals
--- a/ochrehoist/sites/coordinator.py
+++ b/ochrehoist/sites/coordinator.py
@@ -1,7 +1,7 @@
-"""One worker's part in the fleet's sites, on explicit time. No I/O; seconds.
+"""The coordinator of one worker's multi-site state. No I/O; times are in seconds and passed in by the caller.
 
-It owns the state of all parts, and refreshes them in one order at each tick. What others report comes in as
-`PeerWorker`s; what this worker reports goes out by `status`.
+It owns the components of this package and updates them in a fixed order at each tick. Peers' reports come in
+as `PeerWorker` objects; this worker's own report goes out by `status_report`.
 """
 
 from collections import deque
@@ -30,30 +30,30 @@
 from ochrehoist.sites.step_lease import StepArbiter, StepLease, UnavailableStepLease
 from ochrehoist.sites.usual_load import UsualLoad
 
-MAX_EVENTS = 200  # that wait to be logged
+MAX_PENDING_EVENTS = 200
 
 
 class UnknownSiteError(OchrehoistError):
-    """An operator named a site that nobody here knows."""
+    """An operator's command names a site that this worker does not know."""
 
     def __init__(self, site: str, known_sites: list[str]) -> None:
-        super().__init__(f"no site {site!r} is known; there are {known_sites}")
+        super().__init__(f"unknown site {site!r}; known sites: {known_sites}")
         self.site = site
         self.known_sites = known_sites
 
 
 class SiteCoordinator:
-    """Binds admission, health, load pacing, commands and the playbook of one worker together.
+    """Connects admission, health tracking, load pacing, operator commands and the playbook of one worker.
 
     Args:
-        name: of this worker.
-        site: in which it stands.
-        settings: of the decision module.
-        playbook: of its configuration, if it names one.
-        now: the moment from which on it serves.
-        cold_start: this process starts with nothing in hand, and is to take its load by stages.
-        tenants: the table of the settings' tenants, where it was made beforehand.
-        step_lease: the fleet's lease; without it a site that returns does not go beyond its first stage.
+        name: the name of this worker.
+        site: the site that this worker belongs to.
+        settings: the settings of the decision module.
+        playbook: the playbook that the configuration names, if any.
+        now: the time at which the worker starts to serve.
+        cold_start: whether the worker starts without load, and takes it over in stages.
+        tenants: the table of the settings' tenants; None: it is built from the settings.
+        step_lease: the fleet's step lease; without one, a returning site stays at its first stage.
     """
 
     def __init__(
@@ -70,7 +70,7 @@
         self.name = name
         self.site = site
         self._ticked_at = now
-        self._events: deque[SiteEvent] = deque(maxlen=MAX_EVENTS)
+        self._events: deque[SiteEvent] = deque(maxlen=MAX_PENDING_EVENTS)
         self.peers = PeerWorkers(site)
         self.health = SiteHealthTracker()
         self.commands = OperatorCommands()
@@ -84,25 +84,25 @@
     def configure(
         self, settings: AdmissionSettings, playbook: Playbook | None, tenants: TenantTable | None = None
     ) -> None:
-        """New settings while it runs; a playbook of another file counts only where it is the younger."""
+        """Applies changed settings; a changed playbook file is used only if newer than the one in use."""
         self.gate.configure(settings, tenants)
         self.playbooks.configure([c.name for c in settings.classes], playbook)
 
     @property
     def load_fraction(self) -> float:
-        """The part of its usual load that this worker asks for, from 0 to 1."""
+        """The fraction of its usual load that this worker requests, from 0 to 1."""
         return self.pacing.load_fraction
 
     def take_events(self) -> list[SiteEvent]:
-        """What is to be logged since this was last called."""
+        """Returns the events since the previous call, to be logged."""
         events = list(self._events)
         self._events.clear()
         return events
 
-    # Time.
+    # Periodic updates.
 
     def tick(self, now: float, peers: Sequence[PeerWorker]) -> None:
-        """Ten times a second."""
+        """Updates all components; called every `admission_threshold.TICK_INTERVAL_S`."""
         span_s = now - self._ticked_at
         self._ticked_at = now
         self.peers.update(list(peers))
@@ -150,7 +150,7 @@
             self._events.append(SiteEvent(SiteEventName.SITE_STATE_CHANGED, fields))
 
     def _all_at_full_load(self) -> bool:
-        """Usual is what comes while all are there and ask for all of their load."""
+        """Whether all workers of the fleet serve their full load: only then is the usual load learned."""
         pacing = self.pacing
         return pacing.recovery is None and pacing.evacuation is None and self.peers.all_at_full_load()
 
@@ -174,7 +174,7 @@
     # Operators.
 
     def issue_command(self, site: str, kind: CommandKind, now: float) -> str:
-        """An operator's command; what to answer. Raises UnknownSiteError."""
+        """Issues an operator's command, and returns the text for the operator. Raises UnknownSiteError."""
         if site not in self.peers.site_names():
             raise UnknownSiteError(site, self.peers.site_names())
         command = self.commands.issue(site, kind, self.name, now)
@@ -182,10 +182,10 @@
         self._events.append(SiteEvent(SiteEventName.OPERATOR_COMMAND_RECEIVED, fields))
         return f"order {command.number}: {kind} {site}, for {command.expires_at - now:.0f} s at the most"
 
-    # What it reports, as an extension of the peers' protocol.
+    # Extension of the peers' protocol.
 
     def report(self, now: float) -> SiteReport:
-        """This worker's own state."""
+        """Returns this worker's own state as reported to its peers."""
         gate = self.gate
         threshold = self.gate.threshold
         return SiteReport(
@@ -223,11 +223,11 @@
         )
 
     def status_report(self, now: float) -> bytes:
-        """What all others are to know of this worker."""
+        """Returns the encoded report, which membership distributes to all peers."""
         return encode(self.report(now))
 
     def messages_to_send(self, now: float) -> list[tuple[str, str, bytes]]:  # noqa: ARG002
-        """Messages to members, as name, topic and data."""
+        """Returns messages to send, each as the member's name, topic and data."""
         return self.playbooks.queries(self.peers)
 
     def message_received(
@@ -237,5 +237,5 @@
         data: bytes,
         now: float,  # noqa: ARG002
     ) -> list[tuple[str, bytes]]:
-        """Handles one message, and gives the answers to its sender as topic and data."""
+        """Handles one message, and returns the replies to its sender as topic and data."""
         return self.playbooks.handle(sender.name, topic, data)
--- a/ochrehoist/sites/load_pacing.py
+++ b/ochrehoist/sites/load_pacing.py
@@ -1,4 +1,7 @@
-"""The part of its load that this worker asks for: recovery, evacuation, or a shift away. No I/O; seconds."""
+"""The fraction of its usual load that a worker requests, from recovery, evacuation or load shifting.
+
+No I/O; times are in seconds.
+"""
 
 from ochrehoist.sites.admission_threshold import AdmissionThreshold
 from ochrehoist.sites.evacuation_ramp import EvacuationRamp
@@ -12,7 +15,10 @@
 
 
 class LoadPacing:
-    """At most one of `recovery` and `evacuation` is under way; without either the load shift counts."""
+    """Combines recovery, evacuation and load shift into one load fraction.
+
+    At most one of `recovery` and `evacuation` is set; the load shift applies while neither is.
+    """
 
     def __init__(
         self, now: float, site: str, playbooks: PlaybookExchange, arbiter: StepArbiter, cold_start: bool
@@ -23,27 +29,27 @@
         self.recovery = self._new_ramp(now, RampCause.STARTED) if cold_start else None
         self.evacuation: EvacuationRamp | None = None
         self._shift = LoadShift(now)
-        self._applied: tuple[int, str] | None = None  # number and issuer of the latest command
+        self._last_applied: tuple[int, str] | None = None  # number and issuer of the latest command
 
     def _new_ramp(self, now: float, cause: RampCause) -> RecoveryRamp:
         return RecoveryRamp(now, cause, self._playbooks.ramp_plan(self._site))
 
     @property
     def load_fraction(self) -> float:
-        """From 0 (none) to 1."""
+        """The fraction of its usual load that the worker requests, from 0 to 1."""
         if self.evacuation is not None:
             return self.evacuation.load_fraction
         return self.recovery.load_fraction if self.recovery is not None else self._shift.load_fraction
 
     @property
     def is_evacuated(self) -> bool:
-        """Whether it asks for nothing, by an operator's command."""
+        """Whether an operator's command has reduced the requested load to none."""
         return self.evacuation is not None and self.evacuation.is_empty
 
     def apply_command(
         self, command: OperatorCommand | None, peers: PeerWorkers, now: float
     ) -> list[SiteEvent]:
-        """Carries out the command that counts now for this site; gives what is to be logged."""
+        """Applies the active command for this worker's site, if any; returns the events to log."""
         kind = command.kind if command is not None else None
         if self.recovery is not None:
             self.recovery.set_held(kind is CommandKind.HOLD)
@@ -57,7 +63,7 @@
         return events
 
     def _start_evacuation(self, command: OperatorCommand, peers: PeerWorkers, now: float) -> list[SiteEvent]:
-        """A site is not emptied where no other one serves."""
+        """Starts an evacuation, unless one is running or no other site serves load."""
         if self.evacuation is not None or not peers.another_site_serves():
             return []
         self.evacuation = EvacuationRamp(now, f"evacuated by {command.issued_by}")
@@ -73,9 +79,9 @@
         return [SiteEvent(SiteEventName.EVACUATION_ENDED, {"reason": cause.value})]
 
     def _apply_once(self, command: OperatorCommand, now: float) -> None:
-        if self._applied == (command.number, command.issued_by):
+        if self._last_applied == (command.number, command.issued_by):
             return
-        self._applied = command.number, command.issued_by
+        self._last_applied = command.number, command.issued_by
         if self.recovery is None:
             return
         if command.kind is CommandKind.SKIP:
@@ -84,7 +90,7 @@
             self.recovery.end(now, command.issued_by)
 
     def advance(self, now: float, threshold: AdmissionThreshold, peers: PeerWorkers) -> list[SiteEvent]:
-        """Ten times a second; gives what is to be logged."""
+        """Advances the ramp or the load shift; returns the events to log. Called at each tick."""
         if self.evacuation is not None:
             return self._advance_evacuation(self.evacuation, now, peers)
         if self.recovery is not None:
@@ -104,17 +110,17 @@
     ) -> list[SiteEvent]:
         by_operators = ramp.cause is RampCause.RETURNED_BY_OPERATORS
         permission = self._arbiter.evaluate(now, peers, by_operators)
-        before = ramp.history[-1]
+        previous_event = ramp.history[-1]
         events = []
         ramp.evaluate(
             now,
             RampInputs(
-                threshold.smoothed, lambda rate: threshold.value_at(rate, now), peers.baseline, permission
+                threshold.smoothed, lambda rate: threshold.predict(rate, now), peers.baseline, permission
             ),
         )
-        latest = ramp.history[-1]
-        if latest is not before:
-            fields = {"load_fraction": ramp.load_fraction, "reason": latest.reason}
+        latest_event = ramp.history[-1]
+        if latest_event is not previous_event:
+            fields = {"load_fraction": ramp.load_fraction, "reason": latest_event.reason}
             events.append(SiteEvent(SiteEventName.RECOVERY_STAGE_ENTERED, fields))
         if ramp.is_complete:
             after_s = round(now - ramp.started_at, 2)
--- a/ochrehoist/sites/peer_workers.py
+++ b/ochrehoist/sites/peer_workers.py
@@ -1,4 +1,7 @@
-"""The other workers of the fleet, as membership and their own reports tell of them. No I/O; seconds."""
+"""The other workers of the fleet, as known from membership and their reports.
+
+No I/O; times are in seconds.
+"""
 
 from __future__ import annotations
 
@@ -12,43 +15,43 @@
 if TYPE_CHECKING:
     from ochrehoist.peers.group import Group
 
-MAX_REPORT_AGE_S = 1.5  # up to which another's report counts
-FULL_LOAD_WEIGHT = 90  # percent, from which on a worker counts as asking for all of its load
+MAX_REPORT_AGE_S = 1.5  # older reports are ignored
+FULL_LOAD_WEIGHT = 90  # percent; a worker that requests at least this counts as requesting its full load
 
 
 @dataclass(slots=True, frozen=True)
 class PeerWorker:
-    """Another worker. `age_s`: the most that its report can be old."""
+    """Another worker; `state` is its membership state, `age_s` the upper limit of its report's age."""
 
     name: str
     site: str
-    state: str  # of membership
+    state: str
     age_s: float = 0.0
     report: SiteReport | None = None
 
     @property
     def is_alive(self) -> bool:
-        """Whether membership hears it."""
+        """Whether the worker is alive according to membership."""
         return self.state == MemberState.ALIVE
 
     @property
     def may_be_alive(self) -> bool:
-        """Whether membership has not given it up."""
+        """Whether membership has not declared the worker dead; a suspect may be alive."""
         return self.state in (MemberState.ALIVE, MemberState.SUSPECT)
 
     @property
     def has_left(self) -> bool:
-        """Whether it left on purpose."""
+        """Whether the worker left the group by a graceful shutdown."""
         return self.state == MemberState.LEFT
 
     @property
     def is_recovering(self) -> bool:
-        """Whether it is there, and not known to be at full service."""
+        """Whether the worker is alive but has not reported full service."""
         return self.is_alive and (self.report is None or not self.report.is_full_service)
 
     @property
     def fresh_report(self) -> SiteReport | None:
-        """Its report, where that is young enough to count."""
+        """The worker's report; None if it is too old or the worker is dead."""
         if self.report is None or self.age_s > MAX_REPORT_AGE_S or not self.may_be_alive:
             return None
         return self.report
@@ -56,10 +59,10 @@
 
 @dataclass(slots=True, frozen=True)
 class PeerBaseline:
-    """The workers at full service, as they last reported.
+    """Averages over the `count` workers at full service, by their fresh reports.
 
-    `threshold` is their mean; `rate`: the first tries a second that would come to a worker that asks for all
-    of its load.
+    `threshold` is the mean admission threshold; `rate` is the mean number of first attempts per second,
+    scaled to a worker that requests its full load.
     """
 
     count: int = 0
@@ -68,19 +71,19 @@
 
     @property
     def capped_threshold(self) -> float:
-        """Their threshold, at most 1."""
+        """The mean threshold, limited to 1."""
         return min(1.0, self.threshold)
 
 
 class ReportedObservation(NamedTuple):
-    """What a worker of a third site reports of a site."""
+    """An observation of a site, and the worker that reports it."""
 
     worker: str
     observation: SiteObservation
 
 
 class PeerWorkers:
-    """All other workers as of the last update, and what follows from their reports."""
+    """All other workers as of the last update, and aggregates of their reports."""
 
     def __init__(self, own_site: str) -> None:
         self.own_site = own_site
@@ -88,7 +91,7 @@
         self.baseline = PeerBaseline()
 
     def update(self, peers: list[PeerWorker]) -> None:
-        """Takes what is known now."""
+        """Replaces all workers by their current state."""
         self.all = peers
         self.baseline = self._measure_baseline()
 
@@ -102,15 +105,15 @@
         )
 
     def fresh_reports(self) -> list[SiteReport]:
-        """All reports that count."""
+        """Returns the reports of all workers that have a fresh one."""
         return [report for peer in self.all if (report := peer.fresh_report) is not None]
 
     def of_site(self, site: str) -> list[PeerWorker]:
-        """The workers of one site."""
+        """Returns the workers of one site."""
         return [peer for peer in self.all if peer.site == site]
 
     def of_other_sites(self) -> dict[str, list[PeerWorker]]:
-        """Workers by site; those without a site under the empty name."""
+        """Returns the workers of other sites by site; workers without a site are under the empty name."""
         by_site: dict[str, list[PeerWorker]] = {}
         for peer in self.all:
             if peer.site != self.own_site:
@@ -118,11 +121,11 @@
         return by_site
 
     def site_names(self) -> list[str]:
-        """All sites that are known, with the own one."""
+        """Returns all known site names, including the worker's own site."""
         return sorted({self.own_site, *(peer.site for peer in self.all if peer.site)})
 
     def observations_of(self, site: str) -> list[ReportedObservation]:
-        """What workers of other sites report of a site."""
+        """Returns what workers outside of a site report about it."""
         return [
             ReportedObservation(peer.name, observation)
             for peer in self.all
@@ -132,7 +135,7 @@
         ]
 
     def another_site_serves(self) -> bool:
-        """Whether a worker of another site asks for load."""
+        """Whether any worker of another site requests load."""
         return any(
             report.weight != 0
             for peer in self.all
@@ -140,7 +143,7 @@
         )
 
     def all_at_full_load(self) -> bool:
-        """Whether each one that did not leave is there and asks for all, or nearly all, of its load."""
+        """Whether all workers that have not left gracefully are alive and serve (almost) their full load."""
         return all(peer.has_left or _is_at_full_load(peer) for peer in self.all)
 
 
@@ -152,10 +155,10 @@
 
 
 def observe_peers(group: Group, site_of: Callable[[str], str | None] | None = None) -> list[PeerWorker]:
-    """The members of a group.
+    """Returns the members of a group as peer workers.
 
-    `site_of` gives the site of a host, where a description of the fleet tells; else it is what the worker
-    says itself.
+    `site_of` maps a host to its site by the fleet description. Without it, and for hosts that it does not
+    know, the site is the one that the worker announces itself.
     """
     statuses = group.extension_data(TOPIC)
     peers = []
--- a/ochrehoist/sites/playbook.py
+++ b/ochrehoist/sites/playbook.py
@@ -1,7 +1,7 @@
-"""The playbook: what holds when a site is lost, worked out before the day. No I/O.
+"""The playbook: the planned reaction to the loss of each site. No I/O.
 
-It is plain TOML, made by `ochrehoist plan lose SITE --write FILE`, that a person reads and may change. The
-names of its keys are those of the fields, or given with them.
+It is a TOML file written by `ochrehoist plan lose SITE --write FILE`, which operators can read and edit. Its
+keys are the field names below, or the `name` given with a field.
 """
 
 from hashlib import blake2b
@@ -17,7 +17,7 @@
 
 
 class PlaybookError(OchrehoistError):
-    """It cannot be used; `faults` has a line for each, with its key."""
+    """A playbook that cannot be used; `faults` has one line per fault, with the key at fault."""
 
     def __init__(self, *faults: str) -> None:
         super().__init__("\n".join(faults))
@@ -25,29 +25,42 @@
 
 
 class ClassAdmission(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What part of one class is admitted while the site is gone."""
+    """The shares of one class that are admitted while a site is lost.
+
+    `share` applies to requests within their tenant's quota, `beyond_quota_share` to those beyond it.
+    `work_share` is the class's share of the fleet's total work.
+    """
 
     class_name: str = msgspec.field(name="class")
-    share: float  # within tenants' quotas
+    share: float
     beyond_quota_share: float = msgspec.field(name="beyond")
-    work_share: float = msgspec.field(name="work")  # of all work
+    work_share: float = msgspec.field(name="work")
 
 
 class SiteLoss(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What holds while one site is lost, and on its return."""
+    """The planned reaction to the loss of one site, and the ramp of its return.
+
+    `carried_share` is the share of the fleet's total work that the other sites can serve, limited by the
+    resource named by `bottleneck` (cores, memory or connections). Rejected callers get a Retry-After of
+    `retry_after_ms` plus up to `retry_spread_ms`. `stages` are fractions of a worker's usual load on the
+    site's return; after `max_return_s` it requests its full load in any case.
+    """
 
     site: str
-    carried_share: float = msgspec.field(name="carry")  # of all work, that the others can take
-    bottleneck: str = msgspec.field(name="binds")  # cores, memory, connections
-    retry_after_ms: float = msgspec.field(name="stay_away_ms")  # that rejected callers are told, at least
-    retry_spread_ms: float = msgspec.field(name="spread_ms")  # and up to so much more
-    stages: list[float] = msgspec.field(name="steps")  # fractions of its usual load, on the return
-    max_return_s: float = msgspec.field(name="longest_s")  # for which a return may take stages
+    carried_share: float = msgspec.field(name="carry")
+    bottleneck: str = msgspec.field(name="binds")
+    retry_after_ms: float = msgspec.field(name="stay_away_ms")
+    retry_spread_ms: float = msgspec.field(name="spread_ms")
+    stages: list[float] = msgspec.field(name="steps")
+    max_return_s: float = msgspec.field(name="longest_s")
     class_admissions: list[ClassAdmission] = msgspec.field(name="let_in")
 
     def admits(self, class_name: str, beyond_quota: bool, identity: tuple[object, ...]) -> bool:
-        """By the same hash as the shedding order, so that all workers admit the same."""
-        admission = next((x for x in self.class_admissions if x.class_name == class_name), None)
+        """Whether a request is admitted while the site is lost; classes that are not listed always are.
+
+        It uses the same hash as the shedding order, so all workers admit the same requests.
+        """
+        admission = next((entry for entry in self.class_admissions if entry.class_name == class_name), None)
         if admission is None:
             return True
         share = admission.beyond_quota_share if beyond_quota else admission.share
@@ -55,26 +68,31 @@
 
 
 class Playbook(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """All losses of a site that are planned for."""
+    """The plans for all covered site losses of one fleet.
+
+    `made_at` is in Unix seconds; `workers_by_site` holds worker addresses. `beyond_quota_share` is the share
+    of the fleet's total work that tenants send beyond their quotas. `unknowns` lists what the planner could
+    not determine, for readers of the file.
+    """
 
     format_version: int = msgspec.field(name="version")
-    made_at: int = msgspec.field(name="made")  # Unix s
+    made_at: int = msgspec.field(name="made")
     fleet: str
-    workers_by_site: dict[str, list[str]] = msgspec.field(name="workers")  # addresses
-    beyond_quota_share: float = msgspec.field(name="beyond")  # of all work, that tenants send beyond quotas
+    workers_by_site: dict[str, list[str]] = msgspec.field(name="workers")
+    beyond_quota_share: float = msgspec.field(name="beyond")
     losses: list[SiteLoss] = msgspec.field(name="loss")
-    unknowns: list[str] = msgspec.field(name="unknown", default_factory=list)  # said to whoever reads it
+    unknowns: list[str] = msgspec.field(name="unknown", default_factory=list)
 
     def loss_of(self, site: str) -> SiteLoss | None:
-        """What is planned for the loss of a site, if anything."""
+        """Returns the plan for the loss of a site, if there is one."""
         return next((loss for loss in self.losses if loss.site == site), None)
 
     @property
     def digest(self) -> str:
-        """Of its content."""
+        """A hash of the playbook's content, in hexadecimal."""
         return blake2b(msgspec.msgpack.encode(self), digest_size=DIGEST_BYTES).hexdigest()
 
     @property
     def version(self) -> PlaybookVersion:
-        """The greater of two counts."""
+        """The version by which workers compare playbooks: the greater one is used."""
         return PlaybookVersion(self.made_at, self.digest)
--- a/ochrehoist/sites/playbook_codec.py
+++ b/ochrehoist/sites/playbook_codec.py
@@ -1,4 +1,4 @@
-"""Reads a playbook from TOML, and from and to the messages of workers. No I/O."""
+"""Decoding of playbooks from TOML, and their encoding in messages between workers. No I/O."""
 
 import tomllib
 from collections.abc import Collection
@@ -10,14 +10,14 @@
 
 
 def parse(text: str, class_names: Collection[str] | None = None) -> Playbook:
-    """A playbook from its TOML.
+    """Returns the playbook that is written in a TOML text.
 
     Args:
-        text: the file.
-        class_names: those that a worker knows, where it is one that reads.
+        text: the content of the file.
+        class_names: the classes that the reading worker serves; None if any class may be named.
 
     Raises:
-        PlaybookError: it cannot be read, or is at fault.
+        PlaybookError: the text cannot be parsed, or the playbook has faults.
     """
     try:
         playbook = msgspec.convert(tomllib.loads(text), Playbook, strict=True)
@@ -32,18 +32,18 @@
 
 
 def _with_key_first(error: msgspec.ValidationError) -> str:
-    what, _, where = str(error).partition(" - at ")
-    key = where.strip("`").removeprefix("$").removeprefix(".")
-    return f"{key}: {what}" if key else what
+    problem, _, path = str(error).partition(" - at ")
+    key = path.strip("`").removeprefix("$").removeprefix(".")
+    return f"{key}: {problem}" if key else problem
 
 
 def encode(playbook: Playbook) -> bytes:
-    """As workers send it to each other."""
+    """Returns a playbook in the encoding of messages between workers."""
     return msgspec.msgpack.encode(playbook)
 
 
 def decode(data: bytes, class_names: Collection[str]) -> Playbook | None:
-    """One that another worker has; None where it cannot be used here."""
+    """Returns a playbook sent by a peer; None if it cannot be decoded or has faults for this worker."""
     try:
         playbook = msgspec.msgpack.decode(data, type=Playbook)
     except msgspec.DecodeError:
--- a/ochrehoist/sites/playbook_exchange.py
+++ b/ochrehoist/sites/playbook_exchange.py
@@ -1,4 +1,4 @@
-"""The playbook in use, and how workers get a younger one from each other. No I/O."""
+"""The playbook in use, and the distribution of newer playbooks between workers. No I/O."""
 
 from collections.abc import Callable, Iterable
 from enum import StrEnum
@@ -14,19 +14,19 @@
 
 
 class PlaybookTopic(StrEnum):
-    """Topics of the messages, as they are written on the wire."""
+    """Message topics, as written on the wire."""
 
     QUERY = "book?"
     DOCUMENT = "book"
 
 
 class PlaybookExchange:
-    """The younger of two playbooks counts, whoever has it.
+    """Keeps the newest playbook among this worker's file and its peers' playbooks.
 
     Args:
         class_names: the classes that a playbook may name.
-        from_file: the playbook of this worker's configuration, if it names one.
-        emit: takes events to be logged.
+        from_file: the playbook that this worker's configuration names, if any.
+        emit: receives events to be logged.
     """
 
     def __init__(
@@ -38,7 +38,7 @@
         self._emit = emit
 
     def configure(self, class_names: Iterable[str], from_file: Playbook | None) -> None:
-        """New settings while it runs; a playbook of another file counts only where it is the younger."""
+        """Applies changed settings; a changed playbook file is used only if newer than the one in use."""
         self._class_names = list(class_names)
         if from_file is None:
             return
@@ -51,36 +51,39 @@
 
     @property
     def version(self) -> PlaybookVersion:
-        """Of the playbook in use."""
+        """The version of the playbook in use, or NO_PLAYBOOK."""
         return self.current.version if self.current is not None else NO_PLAYBOOK
 
     def loss_of(self, sites: Iterable[str]) -> SiteLoss | None:
-        """What holds while these sites are lost: the first of them that is planned for."""
+        """Returns the plan for the loss of these sites: that of the first one that the playbook covers."""
         if self.current is None:
             return None
         planned = (self.current.loss_of(site) for site in sites)
         return next((loss for loss in planned if loss is not None), None)
 
     def ramp_plan(self, site: str) -> RampPlan:
-        """How a worker of this site takes its load again."""
+        """Returns the recovery plan for a worker of this site: by the playbook, or the default one."""
         loss = self.loss_of([site])
         return RampPlan(tuple(loss.stages), loss.max_return_s) if loss is not None else RampPlan()
 
     def queries(self, peers: PeerWorkers) -> list[tuple[str, str, bytes]]:
-        """Asks the worker with the youngest playbook for it, as name, topic and data."""
-        mine = self.version
-        younger = [
+        """Returns a query to the peer with the newest playbook, as name, topic and data.
+
+        Empty if no peer has a newer playbook than this worker.
+        """
+        own_version = self.version
+        newer_versions = [
             (peer.name, report.playbook)
             for peer in peers.all
-            if (report := peer.fresh_report) is not None and report.playbook > mine
+            if (report := peer.fresh_report) is not None and report.playbook > own_version
         ]
-        if not younger:
+        if not newer_versions:
             return []
-        name, _ = max(younger, key=lambda candidate: candidate[1])
+        name, _ = max(newer_versions, key=lambda candidate: candidate[1])
         return [(name, PlaybookTopic.QUERY, b"")]
 
     def handle(self, sender: str, topic: str, data: bytes) -> list[tuple[str, bytes]]:
-        """Handles one message, and gives the answers to its sender as topic and data."""
+        """Handles one message, and returns the replies to its sender as topic and data."""
         if topic == PlaybookTopic.QUERY and self.current is not None:
             return [(PlaybookTopic.DOCUMENT, encode(self.current))]
         if topic == PlaybookTopic.DOCUMENT:
@@ -90,7 +93,7 @@
         return []
 
     def _adopt(self, playbook: Playbook, source: str) -> bool:
-        """Whether it is younger than the one in use, and so in use from now on."""
+        """Takes a playbook into use if it is newer than the present one; returns whether it did."""
         if self.current is not None and playbook.version <= self.current.version:
             return False
         self.current = playbook
--- a/ochrehoist/sites/playbook_text.py
+++ b/ochrehoist/sites/playbook_text.py
@@ -1,4 +1,4 @@
-"""A playbook as TOML that a person reads, with a comment on each key."""
+"""Rendering of playbooks as TOML with a comment on each key."""
 
 from collections.abc import Mapping
 
@@ -8,20 +8,23 @@
 
 
 def render(playbook: Playbook, notes: Mapping[str, str]) -> str:
-    """The file. `notes`: comments by site; under the empty name, that of the whole file."""
+    """Returns the text of a playbook file.
+
+    `notes` are comments by site name; the comment under the empty name is placed at the head of the file.
+    """
     lines = [f"# {line}" for line in notes.get("", "").splitlines()]
-    lines += _head(playbook)
+    lines += _header_lines(playbook)
     for loss in playbook.losses:
-        lines += _loss(loss)
+        lines += _loss_lines(loss)
         for admission in loss.class_admissions:
-            lines += _admission(admission)
+            lines += _admission_lines(admission)
         note = notes.get(loss.site)
         if note:
             lines += ["", *(f"# {line}" for line in note.splitlines())]
     return "\n".join(lines) + "\n"
 
 
-def _head(playbook: Playbook) -> list[str]:
+def _header_lines(playbook: Playbook) -> list[str]:
     return [
         f"version = {playbook.format_version}",
         f"made = {playbook.made_at}   # Unix s; the younger of two counts",
@@ -39,7 +42,7 @@
     ]
 
 
-def _loss(loss: SiteLoss) -> list[str]:
+def _loss_lines(loss: SiteLoss) -> list[str]:
     return [
         "",
         "[[loss]]",
@@ -53,7 +56,7 @@
     ]
 
 
-def _admission(admission: ClassAdmission) -> list[str]:
+def _admission_lines(admission: ClassAdmission) -> list[str]:
     return [
         "",
         "[[loss.let_in]]",
--- a/ochrehoist/sites/rates.py
+++ b/ochrehoist/sites/rates.py
@@ -1,4 +1,4 @@
-"""Rates that forget by and by, and a hash that all workers agree on."""
+"""Exponentially decaying rates, and a hash that is the same at all workers."""
 
 import math
 
@@ -8,7 +8,10 @@
 
 
 class DecayingRate:
-    """An amount a second; what came `span_s` ago counts for 1/e. Times never go back."""
+    """An exponentially weighted rate per second with the time constant `span_s`.
+
+    The times passed to `add` and `read` must not decrease.
+    """
 
     __slots__ = ("_span_s", "_updated_at", "_value")
 
@@ -18,12 +21,12 @@
         self._updated_at = 0.0
 
     def add(self, now: float, amount: float) -> None:
-        """Counts an amount at this moment."""
+        """Adds `amount` at time `now`."""
         self.read(now)
         self._value += amount / self._span_s
 
     def read(self, now: float) -> float:
-        """The rate at this moment."""
+        """Returns the rate per second at time `now`."""
         if now > self._updated_at:
             self._value *= math.exp((self._updated_at - now) / self._span_s)
             self._updated_at = now
@@ -31,5 +34,5 @@
 
 
 def hash_fraction(*parts: object) -> float:
-    """From 0 to under 1, the same for the same parts at every worker."""
+    """Returns a hash of `parts` in [0, 1) that is the same at every worker."""
     return xxhash.xxh3_64_intdigest("\0".join(map(str, parts)).encode()) / _HASH_RANGE
--- a/ochrehoist/sites/recovery_ramp.py
+++ b/ochrehoist/sites/recovery_ramp.py
@@ -1,9 +1,9 @@
-"""How a worker that comes back takes its load again, stage by stage. No I/O; seconds.
+"""The staged recovery ramp of a worker that returns to service. No I/O; times are in seconds.
 
-A worker comes back cold, and all callers see it at once. It asks for a small part of its usual load, and
-for more only once measured completions show that it can do more: never by the clock alone. A stage that goes
-wrong is taken back. Where a whole site comes back it takes a stage only while it holds the fleet's one step
-lease, so two sites never do at once.
+A restarted worker has cold caches, but all callers notice it at once. It requests a small fraction of its
+usual load first, and more only when measured completions show that it can serve more; elapsed time alone is
+not sufficient. A stage that overloads the worker is rolled back. When a whole site returns, a worker enters a
+stage only while its site holds the fleet-wide step lease, so two sites never advance at the same time.
 """
 
 from collections.abc import Callable
@@ -14,24 +14,27 @@
 from ochrehoist.sites.peer_workers import PeerBaseline
 from ochrehoist.sites.step_lease import StepPermission
 
-DEFAULT_STAGES = (0.1, 0.2, 0.35, 0.5, 0.7, 0.85, 1.0)  # of its usual load
+DEFAULT_STAGES = (0.1, 0.2, 0.35, 0.5, 0.7, 0.85, 1.0)  # fractions of the usual load
 DEFAULT_MAX_DURATION_S = 300.0
-MIN_JUDGED_S = 1.5  # at a stage, before what is measured tells that it is too much
-MIN_STAGE_S = 0.4  # at a stage: balancers take a new weight in about so long
-MIN_COMPLETIONS = 5  # at a stage
-MIN_EXPECTED_RATIO = 0.2  # of the requests that the stage would have brought
-MAX_BAD_RATIO = 0.25  # of the completions that are late or failed
-MIN_THRESHOLD_RATIO = 0.75  # of the others' threshold, under which the stage is too much
-NEXT_THRESHOLD_RATIO = 0.85  # of the others' threshold, that it must keep at the next stage
-BACKOFF_S = 0.5  # after a stage that was taken back; doubled each time
+ROLLBACK_DELAY_S = 1.5  # measurements soon after a stage change may still reflect the previous stage
+MIN_STAGE_S = 0.4  # load balancers need about this time to apply a new weight
+# The next stage needs at least MIN_COMPLETIONS, and this ratio of the requests expected at the stage.
+MIN_COMPLETIONS = 5
+MIN_EXPECTED_RATIO = 0.2
+MAX_BAD_RATIO = 0.25  # a stage with a higher ratio of late or failed completions is bad
+# Ratios to the peers' threshold: below the first a stage is rolled back; the threshold predicted for the next
+# stage must reach the second.
+MIN_THRESHOLD_RATIO = 0.75
+NEXT_THRESHOLD_RATIO = 0.85
+BACKOFF_S = 0.5  # delay after a rollback; doubled with each further one
 MAX_BACKOFF_S = 3.0
-DISCOVERY_S = 1.5  # that a worker which has just started waits for the reports of all others
-STEADY_S = 1.0  # at the last stage, well, until it counts as back
+PEER_DISCOVERY_S = 1.5  # a worker that has just started waits this long for its peers' reports
+STEADY_S = 1.0  # the last stage must go well for this long before the ramp is complete
 MAX_HISTORY = 50
 
 
 class RampCause(Enum):
-    """Why a worker is on its way back, as operators read it."""
+    """The reason for a recovery ramp; the values are shown to operators."""
 
     STARTED = "started"
     RETURNED_BY_OPERATORS = "returned by operators"
@@ -39,7 +42,10 @@
 
 
 class RampPlan(NamedTuple):
-    """`stages`: fractions of the usual load, rising to 1."""
+    """The plan of a recovery: `stages` are increasing fractions of the usual load, the last one is 1.
+
+    After `max_duration_s` the worker requests its full load in any case.
+    """
 
     stages: tuple[float, ...] = DEFAULT_STAGES
     max_duration_s: float = DEFAULT_MAX_DURATION_S
@@ -47,7 +53,7 @@
 
 @dataclass(slots=True)
 class StageMeasurement:
-    """What was measured at a stage."""
+    """Completions since a stage was entered: `good` ones in time, `bad` ones late or failed."""
 
     started_at: float
     good: int = 0
@@ -55,18 +61,18 @@
 
     @property
     def completions(self) -> int:
-        """All that ended."""
+        """The number of all completions."""
         return self.good + self.bad
 
     @property
     def is_bad(self) -> bool:
-        """Whether too many were late or failed."""
+        """Whether too many completions were late or failed."""
         return self.bad > MAX_BAD_RATIO * self.completions
 
 
 @dataclass(slots=True, frozen=True)
 class RampEvent:
-    """The load that is asked for has changed."""
+    """A change of the requested load, and its reason."""
 
     at: float
     load_fraction: float
@@ -75,16 +81,25 @@
 
 @dataclass(slots=True, frozen=True)
 class RampInputs:
-    """What a ramp is evaluated by."""
+    """The inputs of an evaluation of a ramp.
+
+    `threshold` is the worker's own smoothed admission threshold; `predict_threshold` returns the one to
+    expect at a given rate of first attempts per second.
+    """
 
-    threshold: float  # the worker's own, on a mean
-    threshold_at: Callable[[float], float]  # what it would be with so many first tries a second
+    threshold: float
+    predict_threshold: Callable[[float], float]
     baseline: PeerBaseline
     permission: StepPermission
 
 
 class RecoveryRamp:
-    """The way back of one worker; `waits_for` says in words what the next stage waits for."""
+    """The recovery of one worker.
+
+    `waits_for` describes for operators what the next stage is waiting for. `is_held` is set while operators
+    hold the ramp. `is_unpaced` is set while no worker of the fleet is at full service: the worker then
+    requests its full load, limited only by its admission gate.
+    """
 
     def __init__(self, now: float, cause: RampCause, plan: RampPlan | None = None) -> None:
         self.started_at = now
@@ -93,17 +108,17 @@
         self.stage = 0
         self.measured = StageMeasurement(now)
         self.rollbacks = 0
-        self.is_held = False  # by operators
-        self.is_unpaced = False  # nobody is at full service: it takes what its gate admits
+        self.is_held = False
+        self.is_unpaced = False
         self.is_complete = False
         self.waits_for = "its first completions"
         self.history = [RampEvent(now, self.plan.stages[0], cause.value)]
-        self._not_before = now
+        self._retry_at = now
         self._steady_since: float | None = None
 
     @property
     def load_fraction(self) -> float:
-        """Of the usual load, that this worker asks for."""
+        """The fraction of its usual load that this worker requests."""
         return 1.0 if self.is_complete or self.is_unpaced else self.plan.stages[self.stage]
 
     @property
@@ -111,18 +126,18 @@
         return self.stage == len(self.plan.stages) - 1
 
     def record_completion(self, in_time: bool) -> None:
-        """A run ended, well and in time or not."""
+        """Counts a completion; `in_time` is false for a late or a failed one."""
         if in_time:
             self.measured.good += 1
         else:
             self.measured.bad += 1
 
     def expected_requests(self, baseline: PeerBaseline, now: float) -> float:
-        """Requests that its part of a full worker's load would have brought at this stage by now."""
+        """Returns the number of requests expected at this stage so far, by the load of the peers."""
         return self.load_fraction * baseline.rate * (now - self.measured.started_at)
 
     def evaluate(self, now: float, inputs: RampInputs) -> None:
-        """Ten times a second: takes a stage, takes one back, or says what it waits for."""
+        """Enters the next stage, rolls one back, or updates `waits_for`; called at each tick."""
         if self.is_complete:
             return
         baseline = inputs.baseline
@@ -142,17 +157,17 @@
             self._evaluate_next_stage(now, inputs)
 
     def _evaluate_without_baseline(self, now: float, inputs: RampInputs) -> None:
-        """Nobody is at full service: fractions of a load mean nothing then; the gate alone guards."""
+        """Requests the full load if no peer is at full service: there is no load to take a fraction of."""
         if self.is_unpaced:
             self._evaluate_full_load(now, inputs)
-        elif now - self.started_at < DISCOVERY_S:
+        elif now - self.started_at < PEER_DISCOVERY_S:
             self.waits_for = "to hear from the others"
         else:
             self.is_unpaced = True
             self._enter(now, self.stage, "nobody is at full service: all take what they can")
 
     def _evaluate_unpaced(self, now: float, inputs: RampInputs) -> None:
-        """Others are at full service again: it is too, or goes on by stages."""
+        """Stays at full load if this worker keeps up with its peers, else returns to the staged ramp."""
         if inputs.threshold >= MIN_THRESHOLD_RATIO * inputs.baseline.capped_threshold:
             self._evaluate_full_load(now, inputs)
         else:
@@ -160,15 +175,16 @@
             self._enter(now, self.stage, "others are at full service, this one not yet")
 
     def _is_overloaded(self, now: float, inputs: RampInputs) -> bool:
-        # What is measured just after a change may still be of the stage before.
-        if self.stage == 0 or now - self.measured.started_at < MIN_JUDGED_S:
+        if self.stage == 0 or now - self.measured.started_at < ROLLBACK_DELAY_S:
             return False
-        is_late = self.measured.completions >= 2 * MIN_COMPLETIONS and self.measured.is_bad
-        return is_late or inputs.threshold < MIN_THRESHOLD_RATIO * inputs.baseline.capped_threshold
+        has_bad_completions = self.measured.completions >= 2 * MIN_COMPLETIONS and self.measured.is_bad
+        return (
+            has_bad_completions or inputs.threshold < MIN_THRESHOLD_RATIO * inputs.baseline.capped_threshold
+        )
 
     def _roll_back(self, now: float, inputs: RampInputs) -> None:
         self.rollbacks += 1
-        self._not_before = now + min(MAX_BACKOFF_S, BACKOFF_S * 2 ** (self.rollbacks - 1))
+        self._retry_at = now + min(MAX_BACKOFF_S, BACKOFF_S * 2 ** (self.rollbacks - 1))
         reason = (
             f"taken back: {self.measured.bad} of {self.measured.completions} late or failed, "
             f"level {inputs.threshold:.2f} against {inputs.baseline.threshold:.2f} of the others"
@@ -176,13 +192,13 @@
         self._enter(now, self.stage - 1, reason)
 
     def _evaluate_next_stage(self, now: float, inputs: RampInputs) -> None:
-        obstacle = self._obstacle(now, inputs)
-        if obstacle is not None:
-            self.waits_for = obstacle
+        blocker = self._blocker(now, inputs)
+        if blocker is not None:
+            self.waits_for = blocker
             return
         baseline = inputs.baseline
         next_fraction = self.plan.stages[self.stage + 1]
-        next_threshold = inputs.threshold_at(next_fraction * baseline.rate)
+        next_threshold = inputs.predict_threshold(next_fraction * baseline.rate)
         if next_threshold >= NEXT_THRESHOLD_RATIO * baseline.capped_threshold:
             reason = f"{self.measured.good} in time at {self.load_fraction:.0%}"
             self._enter(now, self.stage + 1, reason)
@@ -192,11 +208,11 @@
                 f"the others {baseline.threshold:.2f}"
             )
 
-    def _obstacle(self, now: float, inputs: RampInputs) -> str | None:
-        """What keeps it from the next stage, in words; None: nothing but its own warmth may."""
-        return self._outer_obstacle(now, inputs.permission) or self._measured_obstacle(now, inputs.baseline)
+    def _blocker(self, now: float, inputs: RampInputs) -> str | None:
+        """Describes what blocks the next stage; None if only the predicted threshold can still block it."""
+        return self._external_blocker(now, inputs.permission) or self._measured_blocker(now, inputs.baseline)
 
-    def _outer_obstacle(self, now: float, permission: StepPermission) -> str | None:
+    def _external_blocker(self, now: float, permission: StepPermission) -> str | None:
         if self.is_held:
             return "operators hold it"
         if permission.requested_wait_s > 0:
@@ -204,13 +220,13 @@
             return f"its site was lost again and again: asked to wait {wait_s:.1f} s more"
         if not permission.granted:
             return "another site steps, or no majority of voters lets this one"
-        if now < self._not_before:
-            return f"a step was taken back: {self._not_before - now:.1f} s more"
+        if now < self._retry_at:
+            return f"a step was taken back: {self._retry_at - now:.1f} s more"
         if now - self.measured.started_at < MIN_STAGE_S:
             return "balancers have not taken the last step yet"
         return None
 
-    def _measured_obstacle(self, now: float, baseline: PeerBaseline) -> str | None:
+    def _measured_blocker(self, now: float, baseline: PeerBaseline) -> str | None:
         expected = self.expected_requests(baseline, now)
         required = max(MIN_COMPLETIONS, int(MIN_EXPECTED_RATIO * expected))
         if self.measured.completions < required:
@@ -220,14 +236,14 @@
         return None
 
     def _evaluate_full_load(self, now: float, inputs: RampInputs) -> None:
-        """At the whole load: back once that has gone well for a while."""
+        """Completes the ramp once the full load has gone well for STEADY_S."""
         target = inputs.baseline.capped_threshold if inputs.baseline.count else 1.0
-        is_well = (
+        is_healthy = (
             inputs.threshold >= NEXT_THRESHOLD_RATIO * target
             and self.measured.completions >= MIN_COMPLETIONS
             and not self.measured.is_bad
         )
-        if not is_well:
+        if not is_healthy:
             self._steady_since = None
             self.waits_for = "its last step to go well"
         elif self._steady_since is None:
@@ -248,15 +264,15 @@
         self.history.append(RampEvent(now, 1.0, reason))
 
     def set_held(self, is_held: bool) -> None:
-        """Operators: no further stage while this is set."""
+        """Holds or resumes the ramp, by an operator's command: no further stage is entered while held."""
         self.is_held = is_held
 
     def skip_stage(self, now: float, issued_by: str) -> None:
-        """Operators: one stage on without evidence."""
+        """Enters the next stage without evidence, by an operator's command."""
         if not self.is_complete and not self._is_last_stage:
             self._enter(now, self.stage + 1, f"skipped by {issued_by}")
 
     def end(self, now: float, issued_by: str) -> None:
-        """Operators: all of its load now."""
+        """Requests the full load at once, by an operator's command."""
         if not self.is_complete:
             self._complete(now, f"ended by {issued_by}")
--- a/ochrehoist/sites/shedding_order.py
+++ b/ochrehoist/sites/shedding_order.py
@@ -1,9 +1,9 @@
-"""The one order in which requests are admitted while there is more than the cores can do. No I/O; seconds.
+"""The shedding order: the fleet-wide order in which requests are rejected in overload.
 
-Each request has a rank from 0 (admitted first) to 1 (rejected first), made of nothing but what every worker
-of the fleet knows alike: priority weight by work of its class, whether it may be retried, its tenant's
-quota, and a hash of what it asks. So all reject the same requests, and a caller who tries the next worker
-wins nothing by it.
+Each request has a rank from 0 (admitted first) to 1 (rejected first). The rank depends only on values that
+all workers of the fleet agree on: the ratio of priority weight to cost of its class, whether it is
+idempotent, its tenant's quota, and a hash of its identity. So all workers reject the same requests, and a
+caller gains nothing by retrying at another worker. No I/O; times are in seconds.
 """
 
 import math
@@ -17,18 +17,19 @@
 from ochrehoist.sites.rates import DecayingRate, hash_fraction
 
 RATE_SPAN_S = 6.0
-COST_LEARNING_RATE = 0.08  # of a run's time, in the mean of its class
-COLD_COST_LEARNING_RATE = 0.25  # likewise while the machine warms up
-LOG_VALUE_STEP = 0.3  # by which the value by work of two classes may differ in a logarithm and count as alike
-RETRY_WINDOW_S = 4.0  # in which the same request is taken for a retry, marked or not
+# Weight of a new run time in the mean cost of its class; the higher one applies while the worker warms up.
+COST_LEARNING_RATE = 0.08
+COLD_COST_LEARNING_RATE = 0.25
+LOG_VALUE_STEP = 0.3  # width of a priority level, in the natural logarithm of priority weight per cost
+RETRY_WINDOW_S = 4.0  # a repeated identity within this time counts as a retry, even if not marked as one
 MAX_RECENT_REQUESTS = 8192
-MIN_TENANT_RATE_PER_S = 0.02  # under which a tenant's rate is forgotten
-MAX_REPORTED_TENANTS = 64  # whose rates are reported to others: a report must fit in a datagram
-LEAST_DIVISOR = 1e-9
+MIN_TENANT_RATE_PER_S = 0.02  # tenants with a lower rate are no longer tracked
+MAX_REPORTED_TENANTS = 64  # limited because a report must fit into one datagram
+MIN_DIVISOR = 1e-9
 
 
 class RequestIdentity(NamedTuple):
-    """What all tries of one request share."""
+    """The identity of a request, which is the same for all of its attempts."""
 
     tenant: str
     class_name: str
@@ -36,35 +37,40 @@
 
 
 class SheddingGroup(NamedTuple):
-    """Requests that are ranked together."""
+    """Requests of one class, within or beyond their tenants' quotas, which share a range of ranks."""
 
     class_name: str
     beyond_quota: bool
 
 
 class RankSpan(NamedTuple):
-    """The ranks of one group: from `start` on, `width` of them."""
+    """The ranks of one group: from `start` to `start + width`."""
 
     start: float
     width: float
 
 
-class PriorityStep(NamedTuple):
-    """What is admitted first has the least.
+class PriorityLevel(NamedTuple):
+    """The sort key of a group; the lowest level is admitted first.
 
-    Filings and what may run once only come first, then value by work in wide steps, so that two workers
-    which measured a little differently agree. Groups of one step are rejected alike: no class is starved
-    for another of the same value. Beyond a tenant's quota nothing goes before what is within one.
+    Requests within their tenant's quota precede all requests beyond one. Among them, non-idempotent requests
+    such as filings come first, then classes by descending priority weight per cost. That value is rounded to
+    wide levels, so that workers with slightly different measurements agree. Groups of one level are rejected
+    with equal probability, so no class is starved in favour of another of the same value.
     """
 
     beyond_quota: bool
     is_idempotent: bool
-    negative_value_step: int
+    negative_value_level: int
 
 
 @dataclass(slots=True)
 class FleetAverages:
-    """What all workers report: the mean cost of a class, and what tenants send to the whole fleet."""
+    """Aggregates of all workers' reports.
+
+    `class_costs` holds the mean cost of each class in core seconds, `tenant_rates` the requests per second
+    of each tenant in the whole fleet.
+    """
 
     class_costs: Mapping[str, float]
     tenant_rates: Mapping[str, float]
@@ -83,13 +89,14 @@
 class SheddingOrder:
     """Learns costs and rates, and ranks requests by them.
 
-    `beyond_quota_weight` scales the priority weight of what a tenant sends beyond its quota.
+    `class_costs` holds the learned core seconds per request by class, `spans` the ranks of each group.
+    `beyond_quota_weight` scales the priority weight of requests beyond their tenant's quota.
     """
 
     def __init__(
         self, classes: Iterable[RequestClass], tenants: TenantTable, beyond_quota_weight: float
     ) -> None:
-        self.class_costs: dict[str, float] = {}  # s of one core for one request
+        self.class_costs: dict[str, float] = {}
         self.averages = FleetAverages({}, {})
         self.spans: dict[SheddingGroup, RankSpan] = {}
         self._work_rates: dict[SheddingGroup, DecayingRate] = {}
@@ -100,7 +107,7 @@
     def configure(
         self, classes: Iterable[RequestClass], tenants: TenantTable, beyond_quota_weight: float
     ) -> None:
-        """Takes new settings; what was learned of classes that stay is kept."""
+        """Applies changed settings; learned state of removed classes is discarded."""
         self.classes = {c.name: c for c in classes}
         self._groups = {
             name: (SheddingGroup(name, False), SheddingGroup(name, True)) for name in self.classes
@@ -114,26 +121,26 @@
         self.spans = {}
 
     def set_averages(self, averages: FleetAverages) -> None:
-        """Takes what the fleet reports."""
+        """Replaces the aggregates of the fleet's reports."""
         self.averages = averages
 
-    # What is learned.
+    # Learning.
 
     def record_run(
         self, class_name: str, duration_s: float, learning_rate: float = COST_LEARNING_RATE
     ) -> None:
-        """One run took so long of a core."""
-        before = self.class_costs.get(class_name)
+        """Updates the mean cost of a class by a run of `duration_s` core seconds."""
+        mean_s = self.class_costs.get(class_name)
         self.class_costs[class_name] = (
-            duration_s if before is None else before + learning_rate * (duration_s - before)
+            duration_s if mean_s is None else mean_s + learning_rate * (duration_s - mean_s)
         )
 
     def cost(self, class_name: str) -> float | None:
-        """By own runs; before there are any, as the others report."""
+        """Returns the mean cost by this worker's own runs, or by the fleet's if it has not run any."""
         return self.class_costs.get(class_name) or self.averages.class_costs.get(class_name)
 
     def agreed_cost(self, class_name: str) -> float | None:
-        """As the order counts it: alike at all workers, however fast each is."""
+        """Returns the fleet's mean cost, which all workers use for ranking regardless of their own speed."""
         return self.averages.class_costs.get(class_name) or self.class_costs.get(class_name)
 
     def record_arrival(
@@ -144,10 +151,10 @@
         marked_as_retry: bool,
         now: float,
     ) -> bool:
-        """Counts a first try; False where this is a retry."""
+        """Counts a first attempt and returns True; returns False if the request is a retry."""
         if marked_as_retry or now - self._last_seen.get(identity, -math.inf) < RETRY_WINDOW_S:
             return False
-        self._remember(identity, now)
+        self._record_seen(identity, now)
         if tenant is not None:
             _rate_of(self._tenant_rates, tenant).add(now, 1.0)
         cost = self.agreed_cost(class_name)
@@ -157,43 +164,46 @@
         return True
 
     def _group(self, class_name: str, beyond_quota: bool) -> SheddingGroup:
-        """One that was made beforehand, but for a class that the settings no longer have."""
+        """Returns a group from the precomputed ones; classes that are no longer configured get a new one."""
         groups = self._groups.get(class_name)
         return groups[beyond_quota] if groups is not None else SheddingGroup(class_name, beyond_quota)
 
-    def _remember(self, identity: tuple[object, ...], now: float) -> None:
+    def _record_seen(self, identity: tuple[object, ...], now: float) -> None:
         self._last_seen.pop(identity, None)
         self._last_seen[identity] = now
         if len(self._last_seen) > MAX_RECENT_REQUESTS:
             del self._last_seen[next(iter(self._last_seen))]
 
-    # Ranks.
+    # Ranking.
 
     def is_beyond_quota(self, identity: tuple[object, ...], tenant: str | None, now: float) -> bool:
-        """Whether it is of the part that its tenant sends beyond its quota in the fleet."""
-        known = self._tenants.get(tenant)
-        if known is None or tenant is None:
+        """Whether the request counts as beyond its tenant's quota in the fleet.
+
+        If the tenant's rate exceeds its quota, the excess share of its requests is selected by hash.
+        """
+        tenant_settings = self._tenants.get(tenant)
+        if tenant_settings is None or tenant is None:
             return False
-        quota = known.quota_per_s
+        quota = tenant_settings.quota_per_s
         rate = self.averages.tenant_rates.get(tenant, 0.0)
         own_rate = self._tenant_rates.get(tenant)
         rate = max(rate, own_rate.read(now) if own_rate is not None else 0.0)
         return rate > quota and hash_fraction("share", *identity) >= quota / rate
 
-    def _priority_step(self, group: SheddingGroup) -> PriorityStep:
+    def _priority_level(self, group: SheddingGroup) -> PriorityLevel:
         settings = self.classes[group.class_name]
         weight = settings.priority_weight * (self._beyond_quota_weight if group.beyond_quota else 1.0)
         cost = self.agreed_cost(group.class_name) or 1.0
-        log_value = math.log(max(LEAST_DIVISOR, weight) / max(LEAST_DIVISOR, cost))
-        return PriorityStep(
+        log_value = math.log(max(MIN_DIVISOR, weight) / max(MIN_DIVISOR, cost))
+        return PriorityLevel(
             group.beyond_quota,
             settings.idempotency is Idempotency.IDEMPOTENT,
             -round(log_value / LOG_VALUE_STEP),
         )
 
     def refresh(self, now: float) -> None:
-        """Several times a second: divides the ranks anew, by the work that each group brings."""
-        self._forget_old_requests(now)
+        """Recomputes the rank range of each group, in proportion to its work; called at each tick."""
+        self._expire_recent_requests(now)
         self.spans = {}
         work = {
             group: rate.read(now)
@@ -203,16 +213,16 @@
         total = sum(work.values())
         if total <= 0:
             return
-        steps: dict[PriorityStep, list[SheddingGroup]] = {}
+        groups_by_level: dict[PriorityLevel, list[SheddingGroup]] = {}
         for group in work:
-            steps.setdefault(self._priority_step(group), []).append(group)
+            groups_by_level.setdefault(self._priority_level(group), []).append(group)
         start = 0.0
-        for _, groups in sorted(steps.items()):
+        for _, groups in sorted(groups_by_level.items()):
             width = sum(work[group] for group in groups) / total
             self.spans |= dict.fromkeys(groups, RankSpan(start, width))
             start += width
 
-    def _forget_old_requests(self, now: float) -> None:
+    def _expire_recent_requests(self, now: float) -> None:
         while self._last_seen:
             oldest = next(iter(self._last_seen))
             if now - self._last_seen[oldest] <= RETRY_WINDOW_S:
@@ -220,32 +230,39 @@
             del self._last_seen[oldest]
 
     def rank(self, identity: tuple[object, ...], class_name: str, tenant: str | None, now: float) -> float:
-        """From 0 to 1. What nothing is known of yet stands where its class would: first."""
+        """Returns the rank of a request, from 0 to 1; 0 if its group has no measured work yet."""
         group = self._group(class_name, self.is_beyond_quota(identity, tenant, now))
         span = self.spans.get(group)
         if span is None:
             return 0.0
         return span.start + span.width * hash_fraction(*identity)
 
-    # What is reported.
+    # Reporting.
 
     @property
     def tracked_tenants(self) -> int:
-        """Tenants whose rate is remembered."""
+        """The number of tenants whose rate is tracked."""
         return len(self._tenant_rates)
 
     def tenant_rates(self, now: float) -> dict[str, float]:
-        """Requests a second of the tenants that sent lately."""
+        """Returns requests per second by tenant; tenants with a negligible rate are dropped."""
         rates = {tenant: rate.read(now) for tenant, rate in self._tenant_rates.items()}
         for tenant in [tenant for tenant, rate in rates.items() if rate < MIN_TENANT_RATE_PER_S]:
             del self._tenant_rates[tenant], rates[tenant]
         return rates
 
     def reported_tenant_rates(self, now: float) -> dict[str, float]:
-        """Of those nearest to their quota, or furthest beyond it: only there do all have to agree."""
-
-        def quota_use(item: tuple[str, float]) -> float:
-            known = self._tenants.get(item[0])
-            return item[1] / max(LEAST_DIVISOR, known.quota_per_s) if known is not None else 0.0
+        """Returns the rates of the tenants with the highest use of their quota.
+
+        Workers need a common view only of tenants near or beyond their quota.
+        """
+
+        def quota_use(tenant_rate: tuple[str, float]) -> float:
+            tenant_settings = self._tenants.get(tenant_rate[0])
+            return (
+                tenant_rate[1] / max(MIN_DIVISOR, tenant_settings.quota_per_s)
+                if tenant_settings is not None
+                else 0.0
+            )
 
         return dict(nlargest(MAX_REPORTED_TENANTS, self.tenant_rates(now).items(), key=quota_use))
--- a/ochrehoist/sites/site_events.py
+++ b/ochrehoist/sites/site_events.py
@@ -1,11 +1,11 @@
-"""What a worker logs of sites: names of events, and their fields."""
+"""Log events of the sites package: their names and fields."""
 
 from dataclasses import dataclass, field
 from enum import StrEnum
 
 
 class SiteEventName(StrEnum):
-    """Names of log events; docs/on-call.md says what each means."""
+    """Names of log events; docs/on-call.md explains each."""
 
     SITE_STATE_CHANGED = "site_state_changed"
     OPERATOR_COMMAND_RECEIVED = "operator_command_received"
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SiteEvent:
-    """One event to be logged."""
+    """A log event with its fields."""
 
     name: SiteEventName
     fields: dict[str, object] = field(default_factory=dict)
--- a/ochrehoist/sites/site_health.py
+++ b/ochrehoist/sites/site_health.py
@@ -1,8 +1,9 @@
-"""The health of the other sites, as one worker tracks it. No I/O; seconds.
+"""Health tracking of the other sites by one worker. No I/O; times are in seconds.
 
-A site that nobody here hears has died, or only the link to it has: its silence is the same. What differs is
-the load: of a site that died it comes here, of one that is cut off it does not. So without that evidence no
-site is called lost, and a worker that hears nobody of any other site decides nothing for them.
+A silent site has either failed or is unreachable through a network partition; membership cannot tell the two
+apart. The load can: callers of a failed site move to the remaining sites, callers of a partitioned one do
+not. So a site is declared lost only if its load arrives here. An isolated worker, which hears no other site,
+gets no such load, and therefore does not mistake its own partition for a loss of the others.
 """
 
 import math
@@ -10,74 +11,88 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-MIN_SILENCE_S = 0.5  # before anything is made of it
-# Wald's sequential test weighs the load of before against what a loss would bring, by what comes. The
-# logarithm of the likelihood ratio decides at EVIDENCE_THRESHOLD: an error in a thousand for what comes by
-# chance alone. Bursts count for less.
+MIN_SILENCE_S = 0.5  # a site is not judged before it has been silent for this long
+# Wald's sequential probability ratio test compares two hypotheses about the arrivals: the usual load, and the
+# load after a loss. The test decides when the log-likelihood ratio reaches +/-EVIDENCE_THRESHOLD, which gives
+# an error rate of about 1 in 1000 for Poisson arrivals. BURST_FACTOR divides the evidence, as real arrivals
+# are burstier than that.
 EVIDENCE_THRESHOLD = 7.0
 MAX_EVIDENCE = 10.0
 BURST_FACTOR = 1.5
-FLAP_WINDOW_S = 60.0  # in which losses of one site are counted
-FLAP_WAIT_S = 1.0  # before a site that was lost again takes a stage; doubled each time
+# A site that is lost repeatedly within the window waits before it advances its ramp; doubled for each loss.
+FLAP_WINDOW_S = 60.0
+FLAP_WAIT_S = 1.0
 MAX_FLAP_WAIT_S = 16.0
 MAX_CHANGES = 100
 
 
 class SiteState(StrEnum):
-    """What a site is taken for, by the names that are reported and shown."""
+    """The state of a site as judged by a worker; the values are used in reports and status.
+
+    DEGRADED: fewer than half of its workers are alive. SILENT: no worker is alive, and the cause is not known
+    yet. PARTITIONED: only the link to the site has failed. AWAY: all of its workers have left gracefully.
+    """
 
     UP = "up"
-    THIN = "thin"  # less than half of its workers are heard
-    UNHEARD = "unheard"
-    CUT = "cut"  # the link to it is cut
+    DEGRADED = "thin"
+    SILENT = "unheard"
+    PARTITIONED = "cut"
     LOST = "lost"
     RETURNING = "returning"
-    AWAY = "away"  # its workers left on purpose
+    AWAY = "away"
 
 
-REACHABLE_STATES = frozenset({SiteState.UP, SiteState.THIN, SiteState.RETURNING})
+REACHABLE_STATES = frozenset({SiteState.UP, SiteState.DEGRADED, SiteState.RETURNING})
 ABSENT_STATES = frozenset({SiteState.LOST, SiteState.RETURNING, SiteState.AWAY})
 
 
 @dataclass(slots=True, frozen=True)
 class SiteMembership:
-    """What membership says of one site's workers, and what others report of it."""
+    """Counts of one site's workers by membership, and other workers' observations of the site.
+
+    `returning` counts the alive workers that are not at full service. `third_site_states` are the site's
+    states as reported by workers of third sites. `evidence` is the sum of all other workers' evidence.
+    """
 
     known: int
     alive: int
     left: int = 0
-    returning: int = 0  # of those alive
+    returning: int = 0
     third_site_states: Sequence[str] = ()
-    evidence: float = 0.0  # of all others that are heard, together
+    evidence: float = 0.0
 
     @property
     def is_silent(self) -> bool:
-        """Whether nobody of it is heard, though not all left on purpose."""
+        """Whether no worker is alive, and not all have left gracefully."""
         return not self.alive and self.left < self.known
 
 
 @dataclass(slots=True)
 class SiteHealth:
-    """What one site is taken for, and why."""
+    """The state of one site, the time and the reason of its last change, and the evidence so far.
+
+    `evidence` is the log-likelihood ratio for a loss, by this worker's arrivals while the site is silent.
+    `lost_at` are the times of recent losses.
+    """
 
     state: SiteState = SiteState.UP
     since: float = 0.0
     reason: str = ""
     silent_since: float | None = None
-    evidence: float = 0.0  # that its load comes here, as a logarithm of likelihoods
+    evidence: float = 0.0
     lost_at: list[float] = field(default_factory=list)
 
 
 @dataclass(slots=True, frozen=True)
 class LoadSample:
-    """First tries that came to this worker over `span_s`, and the usual rate; None: not known yet."""
+    """The number of first attempts that arrived within `span_s`, and the usual rate if it is known."""
 
     arrivals: float
     usual_rate: float | None
     span_s: float
 
     def evidence(self, increase: float) -> float:
-        """How much more likely this is where the load has grown so than where it has not."""
+        """Returns the log-likelihood ratio of a load increased by the fraction `increase` to usual load."""
         if self.usual_rate is None or increase <= 0:
             return 0.0
         expected_growth = self.usual_rate * self.span_s * increase
@@ -86,7 +101,7 @@
 
 @dataclass(slots=True, frozen=True)
 class HealthChange:
-    """A site was taken for something else."""
+    """A change of a site's state."""
 
     at: float
     site: str
@@ -95,29 +110,36 @@
 
 
 class SiteHealthTracker:
-    """The health of each other site; `changes` holds the latest changes, the newest last."""
+    """The health of each other site; `changes` holds the latest changes, the newest last.
+
+    `isolated_since` is set while all other sites are silent.
+    """
 
     def __init__(self) -> None:
         self.sites: dict[str, SiteHealth] = {}
         self.changes: list[HealthChange] = []
-        self.isolated_since: float | None = None  # this worker's own site hears no other
+        self.isolated_since: float | None = None
 
     def tick(
         self, now: float, memberships: Mapping[str, SiteMembership], own_workers: int, load: LoadSample
     ) -> list[HealthChange]:
-        """Several times a second; gives what has changed. `own_workers`: of this worker's own site."""
-        self._follow_sites(memberships, now)
+        """Re-evaluates all sites, and returns the changes of state; called at each tick.
+
+        `own_workers` is the number of workers of this worker's own site.
+        """
+        self._update_site_list(memberships, now)
         silent = [site for site, membership in memberships.items() if membership.is_silent]
         self._update_isolation(now, bool(memberships) and len(silent) == len(memberships))
         missing = sum(memberships[site].known for site in silent)
         total = own_workers + sum(membership.known for membership in memberships.values())
-        increase = total / max(1, total - missing) - 1  # of the load, if all of these are lost
+        increase = total / max(1, total - missing) - 1  # of the load per worker if all silent sites are lost
         changes = [
-            self._judge(site, membership, now, increase, load) for site, membership in memberships.items()
+            self._evaluate_site(site, membership, now, increase, load)
+            for site, membership in memberships.items()
         ]
         return [change for change in changes if change is not None]
 
-    def _follow_sites(self, memberships: Mapping[str, SiteMembership], now: float) -> None:
+    def _update_site_list(self, memberships: Mapping[str, SiteMembership], now: float) -> None:
         for site in memberships:
             self.sites.setdefault(site, SiteHealth(since=now))
         for site in [site for site in self.sites if site not in memberships]:
@@ -129,68 +151,72 @@
         elif self.isolated_since is None:
             self.isolated_since = now
 
-    def _judge(
+    def _evaluate_site(
         self, site: str, membership: SiteMembership, now: float, increase: float, load: LoadSample
     ) -> HealthChange | None:
         health = self.sites[site]
         if membership.alive:
             health.silent_since = None
             health.evidence = 0.0
-            return self._judge_reachable(site, membership, now)
+            return self._evaluate_reachable_site(site, membership, now)
         if membership.known and membership.left == membership.known:
-            return self._change(site, SiteState.AWAY, "all of its workers have left on purpose", now)
-        self._weigh_load(health, now, increase, load)
-        return self._judge_silent(site, membership, now)
+            return self._set_state(site, SiteState.AWAY, "all of its workers have left on purpose", now)
+        self._add_evidence(health, now, increase, load)
+        return self._evaluate_silent_site(site, membership, now)
 
     @staticmethod
-    def _weigh_load(health: SiteHealth, now: float, increase: float, load: LoadSample) -> None:
+    def _add_evidence(health: SiteHealth, now: float, increase: float, load: LoadSample) -> None:
         if health.silent_since is None:
             health.silent_since = now
         evidence = health.evidence + load.evidence(increase)
         health.evidence = max(-MAX_EVIDENCE, min(MAX_EVIDENCE, evidence))
 
-    def _judge_silent(self, site: str, membership: SiteMembership, now: float) -> HealthChange | None:
+    def _evaluate_silent_site(self, site: str, membership: SiteMembership, now: float) -> HealthChange | None:
         health = self.sites[site]
         assert health.silent_since is not None
         silence_s = now - health.silent_since
         if silence_s < MIN_SILENCE_S:
             return None
-        # What came to each worker is evidence of its own: likelihoods multiply.
+        # Arrivals at different workers are independent, so their log-likelihood ratios add up.
         evidence = health.evidence + membership.evidence
         if evidence >= EVIDENCE_THRESHOLD:
-            return self._call_lost(site, silence_s, now)
+            return self._declare_lost(site, silence_s, now)
         if health.state is SiteState.LOST:
             if evidence > -EVIDENCE_THRESHOLD:
                 return None
-            return self._change(site, SiteState.CUT, "silent, but its load no longer comes here", now)
+            return self._set_state(
+                site, SiteState.PARTITIONED, "silent, but its load no longer comes here", now
+            )
         if any(state in REACHABLE_STATES for state in membership.third_site_states):
-            return self._change(site, SiteState.CUT, "silent here, heard by a third site", now)
+            return self._set_state(site, SiteState.PARTITIONED, "silent here, heard by a third site", now)
         if evidence <= -EVIDENCE_THRESHOLD:
             reason = "silent, but none of its load comes here: the link is cut, or we are cut off"
-            return self._change(site, SiteState.CUT, reason, now)
-        if health.state is SiteState.CUT:
+            return self._set_state(site, SiteState.PARTITIONED, reason, now)
+        if health.state is SiteState.PARTITIONED:
             return None
         reason = "silent; whether its load comes here is not known yet"
-        return self._change(site, SiteState.UNHEARD, reason, now)
+        return self._set_state(site, SiteState.SILENT, reason, now)
 
-    def _call_lost(self, site: str, silence_s: float, now: float) -> HealthChange | None:
+    def _declare_lost(self, site: str, silence_s: float, now: float) -> HealthChange | None:
         health = self.sites[site]
         if health.state is SiteState.LOST:
             return None
         health.lost_at = [at for at in health.lost_at if now - at < FLAP_WINDOW_S] + [now]
         reason = f"silent for {silence_s:.1f} s, and its load comes here"
-        return self._change(site, SiteState.LOST, reason, now)
+        return self._set_state(site, SiteState.LOST, reason, now)
 
-    def _judge_reachable(self, site: str, membership: SiteMembership, now: float) -> HealthChange | None:
+    def _evaluate_reachable_site(
+        self, site: str, membership: SiteMembership, now: float
+    ) -> HealthChange | None:
         if self.sites[site].state in ABSENT_STATES and membership.returning:
             reason = f"{membership.returning} of its workers are coming back"
-            return self._change(site, SiteState.RETURNING, reason, now)
+            return self._set_state(site, SiteState.RETURNING, reason, now)
         if 2 * membership.alive >= membership.known:
-            return self._change(site, SiteState.UP, "", now)
-        return self._change(site, SiteState.THIN, "less than half of its workers are heard", now)
+            return self._set_state(site, SiteState.UP, "", now)
+        return self._set_state(site, SiteState.DEGRADED, "less than half of its workers are heard", now)
 
-    def _change(self, site: str, state: SiteState, reason: str, now: float) -> HealthChange | None:
-        """Takes a site for something, or for the same with another reason; gives a change of its state."""
+    def _set_state(self, site: str, state: SiteState, reason: str, now: float) -> HealthChange | None:
+        """Sets a site's state and reason; returns the change, or None if only the reason differs."""
         health = self.sites[site]
         health.reason = reason
         if health.state is state:
@@ -202,14 +228,14 @@
         del self.changes[:-MAX_CHANGES]
         return change
 
-    # What follows from it.
+    # Queries.
 
     def lost_sites(self) -> list[str]:
-        """Names in their order."""
+        """Returns the sorted names of all lost sites."""
         return sorted(site for site, health in self.sites.items() if health.state is SiteState.LOST)
 
     def requested_wait_s(self, site: str, now: float) -> float:
-        """For how long a site that was lost several times lately is asked to stay at its first stage."""
+        """Returns how much longer a repeatedly lost site is asked to wait before it advances its ramp."""
         health = self.sites[site]
         repeats = len([at for at in health.lost_at if now - at < FLAP_WINDOW_S]) - 1
         if repeats < 1 or health.state not in REACHABLE_STATES:
--- a/ochrehoist/sites/site_report.py
+++ b/ochrehoist/sites/site_report.py
@@ -1,6 +1,7 @@
-"""What workers report to each other of sites, in the status that peers pass on. A codec, without I/O.
+"""The reports that workers exchange about sites, and their encoding. No I/O.
 
-The structs are written as arrays: the order of their fields is the layout.
+Membership distributes them as status of the workers. The structs are encoded as arrays: the order of fields
+is part of the format, their names are not.
 """
 
 from typing import NamedTuple
@@ -8,12 +9,13 @@
 import msgspec
 
 TOPIC = "sites"
-STAGE_FULL_SERVICE = -1  # instead of a stage of the recovery ramp
-STAGE_UNPACED = -2  # recovering while nobody is at full service
+# Values of `SiteReport.stage` that are not stages of a recovery ramp.
+STAGE_FULL_SERVICE = -1
+STAGE_UNPACED = -2  # recovering while no worker is at full service
 
 
 class PlaybookVersion(NamedTuple):
-    """When a playbook was made (Unix s), and its digest; the greater of two is in use."""
+    """The time at which a playbook was made (Unix s), and its digest; workers use the greatest version."""
 
     made: int
     digest: str
@@ -23,36 +25,50 @@
 
 
 class SiteObservation(msgspec.Struct, array_like=True, frozen=True):
-    """What one worker makes of another site."""
+    """One worker's view of another site.
+
+    `state` is a SiteState, or a state that only a newer release knows. `wait_ms` is how long a returning site
+    is asked not to advance its ramp. `usual_rate` is the usual number of first attempts per second at one of
+    the site's workers, as last reported. `evidence` is the log-likelihood ratio for a loss of the site, by
+    the reporting worker's own arrivals.
+    """
 
     site: str
-    state: str  # a SiteState, or one of a newer version
-    wait_ms: int = 0  # that a returning site is asked to stay at its stage
-    usual_rate: float = 0.0  # first tries a second that one of its workers had, as last reported
-    evidence: float = 0.0  # by what came to this worker alone, that the load of a silent site comes here
+    state: str
+    wait_ms: int = 0
+    usual_rate: float = 0.0
+    evidence: float = 0.0
 
 
 class CommandEntry(msgspec.Struct, array_like=True, frozen=True):
-    """An operator's command. The higher number counts, and each has an end."""
+    """An operator's command; for each site the highest number wins.
+
+    `kind` is a CommandKind, or a kind that only a newer release knows.
+    """
 
     site: str
-    kind: str  # a CommandKind, or one of a newer version
+    kind: str
     number: int
     issued_by: str
-    left_ms: int
+    remaining_ms: int
 
 
 class SiteReport(msgspec.Struct, array_like=True):
-    """One worker's own state; work is in seconds of one core."""
+    """One worker's own state.
+
+    Work and capacity are in core seconds per second, rates in first attempts per second; a usual rate of 0 is
+    unknown. `weight` is the requested load in percent of the usual one. `step_lease_ms` is the remaining time
+    of the step lease, if this worker holds it for its site.
+    """
 
     admission_threshold: float = 1.0
-    offered_work: float = 0.0  # a second
-    capacity: float = 0.0  # work that it can do in a second
-    arrival_rate: float = 0.0  # first tries a second
-    usual_rate: float = 0.0  # first tries a second; 0: not known
+    offered_work: float = 0.0
+    capacity: float = 0.0
+    arrival_rate: float = 0.0
+    usual_rate: float = 0.0
     stage: int = STAGE_FULL_SERVICE
-    weight: int = 100  # the load that it asks for, as a percentage
-    step_lease_ms: int = 0  # that its site may still take stages
+    weight: int = 100
+    step_lease_ms: int = 0
     observations: list[SiteObservation] = []
     commands: list[CommandEntry] = []
     class_costs: dict[str, float] = {}
@@ -61,7 +77,7 @@
 
     @property
     def is_full_service(self) -> bool:
-        """Whether the worker is on no recovery ramp."""
+        """Whether the worker has completed its recovery ramp."""
         return self.stage == STAGE_FULL_SERVICE
 
 
@@ -70,12 +86,12 @@
 
 
 def encode(report: SiteReport) -> bytes:
-    """As it is written to the peers' status."""
+    """Returns a report in the encoding of the members' status."""
     return _encode(report)
 
 
 def decode(data: bytes) -> SiteReport | None:
-    """None where it is none of ours, or one of another version."""
+    """Returns a peer's report; None if the data is invalid or of an incompatible format."""
     try:
         return _decode(data)
     except msgspec.DecodeError:
--- a/ochrehoist/sites/status_view.py
+++ b/ochrehoist/sites/status_view.py
@@ -1,4 +1,4 @@
-"""What one worker shows operators of the sites, in plain values. No I/O; seconds."""
+"""The `sites` section of `/status`, as plain values. No I/O; times are in seconds."""
 
 from typing import Any
 
@@ -12,7 +12,7 @@
 
 
 def status_view(coordinator: SiteCoordinator, now: float) -> dict[str, Any]:
-    """The part `sites` of `/status`."""
+    """Returns the section `sites` of `/status`."""
     health = coordinator.health
     isolated_since = health.isolated_since
     return {
@@ -155,12 +155,12 @@
 
 
 def _worker_count_differences(coordinator: SiteCoordinator, playbook: Playbook) -> list[str]:
-    """Sites of which the playbook names more or fewer workers than are known here."""
-    known = {coordinator.site: 1}
+    """Describes each site for which the playbook lists another number of workers than membership."""
+    worker_counts = {coordinator.site: 1}
     for peer in coordinator.peers.all:
-        known[peer.site] = known.get(peer.site, 0) + 1
+        worker_counts[peer.site] = worker_counts.get(peer.site, 0) + 1
     return [
-        f"{site}: {len(addresses)} in the playbook, {known.get(site, 0)} here"
+        f"{site}: {len(addresses)} in the playbook, {worker_counts.get(site, 0)} here"
         for site, addresses in playbook.workers_by_site.items()
-        if len(addresses) != known.get(site, 0)
+        if len(addresses) != worker_counts.get(site, 0)
     ]
--- a/ochrehoist/sites/step_lease.py
+++ b/ochrehoist/sites/step_lease.py
@@ -1,4 +1,7 @@
-"""The fleet's one lease that a returning site needs for each stage of its ramp. No I/O; seconds."""
+"""The fleet-wide step lease, which a returning site needs to advance its ramp.
+
+No I/O; times are in seconds.
+"""
 
 from __future__ import annotations
 
@@ -13,16 +16,16 @@
     from ochrehoist.peers.group import Group
 
 STEP_LEASE_BUDGET = "sites.return"
-STEP_LEASE_DURATION_S = 0.5  # for which a use of it counts, and so the least that it is still held
+STEP_LEASE_DURATION_S = 0.5  # the lease is certainly held for this long after a slot was acquired
 STEP_LEASE_RENEW_INTERVAL_S = 0.25
 AFTER_LOSS_STATES = ABSENT_STATES - {SiteState.AWAY}
 
 
 def step_lease_budget(grantors: tuple[str, ...]) -> Budget:
-    """A budget of one run at a time.
+    """Returns the budget that implements the step lease: one concurrent run for the whole fleet.
 
-    Its lease is short, or grantors that come back themselves, and wait for what they may have granted before,
-    would hold up the return.
+    Its lease is short: a restarted grantor waits until all leases that it may have granted have expired, and
+    a long wait would delay the recovery.
     """
     return Budget(
         STEP_LEASE_BUDGET,
@@ -37,30 +40,33 @@
 
 
 class StepLease(Protocol):
-    """The fleet's lease, as one worker holds it for its site."""
+    """The fleet-wide lease, as held by one worker for its site."""
 
     def acquire(self, now: float) -> float:
-        """Seconds for which it is surely held from now on; 0: not held. Asked several times a second."""
+        """Acquires or renews the lease; called at each tick while it is needed.
+
+        Returns the seconds for which it is certainly held from `now` on; 0 if it is not held.
+        """
         ...
 
     def release(self) -> None:
-        """Gives it back, where it is held."""
+        """Releases the lease if it is held."""
         ...
 
 
 class UnavailableStepLease:
-    """No group of peers grants it."""
+    """A lease that is never granted, for workers without a group of peers."""
 
     def acquire(self, now: float) -> float:  # noqa: ARG002
-        """Never held."""
+        """Returns 0: the lease is never held."""
         return 0.0
 
     def release(self) -> None:
-        """Nothing is held."""
+        """Does nothing."""
 
 
 class BudgetStepLease:
-    """The lease by a budget of the peers' group, renewed while it is asked for."""
+    """The lease implemented by a budget of the peers' group."""
 
     def __init__(self, group: Group) -> None:
         self._group = group
@@ -69,7 +75,7 @@
         self._held_until = 0.0
 
     def acquire(self, now: float) -> float:
-        """For as long as the slot that was used last is surely held."""
+        """Renews the slot if it is due; returns the seconds for which the last slot is certainly held."""
         if now - self._renewed_at >= STEP_LEASE_RENEW_INTERVAL_S:
             self._renewed_at = now
             self.release()
@@ -79,24 +85,24 @@
         return max(0.0, self._held_until - now)
 
     def release(self) -> None:
-        """Lets another site have it at once."""
+        """Releases the slot, so that another site can acquire it at once."""
         if self._ticket is not None:
             self._group.leases.release(STEP_LEASE_BUDGET, self._ticket)
             self._ticket = None
 
 
 class StepPermission(NamedTuple):
-    """Whether this worker may take a stage now, and for how long the others ask it to wait."""
+    """Whether this worker may enter its next stage, and how long its peers ask it to wait."""
 
     granted: bool
     requested_wait_s: float
 
 
 class StepArbiter:
-    """Decides whether this worker may take the next stage.
+    """Decides whether this worker may enter the next stage of its ramp.
 
-    A worker that comes back alone needs no lease. Of a site that comes back, one worker asks for the fleet's
-    lease, and the others rely on its report.
+    A single returning worker needs no lease. If a whole site returns, its recovering worker with the first
+    name acquires the fleet-wide lease, and the others rely on that worker's report.
     """
 
     def __init__(self, worker: str, site: str, lease: StepLease) -> None:
@@ -107,13 +113,13 @@
         self.site_returns = False
 
     def evaluate(self, now: float, peers: PeerWorkers, returned_by_operators: bool) -> StepPermission:
-        """At each tick of a recovery ramp."""
+        """Returns the permission for the next stage; called at each tick of a recovery ramp."""
         observations = [reported.observation for reported in peers.observations_of(self._site)]
         self.site_returns = returned_by_operators or self._site_was_lost(peers, observations)
         if not self.site_returns:
             self.lease.release()
             return StepPermission(True, 0.0)
-        requested_wait_s = max((o.wait_ms / 1000 for o in observations), default=0.0)
+        requested_wait_s = max((entry.wait_ms / 1000 for entry in observations), default=0.0)
         if requested_wait_s <= 0 and self._is_first_recovering(peers):
             self.held_until = max(self.held_until, now + self.lease.acquire(now))
         else:
@@ -129,11 +135,11 @@
         ]
 
     def _site_was_lost(self, peers: PeerWorkers, observations: list[SiteObservation]) -> bool:
-        """Whether others called it lost, or at least half of its workers are recovering."""
-        if any(o.state in AFTER_LOSS_STATES for o in observations):
+        """Whether peers report the site as lost or returning, or half of its workers are recovering."""
+        if any(observation.state in AFTER_LOSS_STATES for observation in observations):
             return True
-        others = len(peers.of_site(self._site))
-        return others > 0 and 2 * (1 + len(self._recovering(peers))) >= 1 + others
+        peer_count = len(peers.of_site(self._site))
+        return peer_count > 0 and 2 * (1 + len(self._recovering(peers))) >= 1 + peer_count
 
     def _is_first_recovering(self, peers: PeerWorkers) -> bool:
         return self._worker <= min(self._recovering(peers), default=self._worker)
--- a/ochrehoist/sites/usual_load.py
+++ b/ochrehoist/sites/usual_load.py
@@ -1,37 +1,37 @@
-"""The load that usually comes to a worker, against which the loss of a site is found. No I/O; seconds."""
+"""The usual load of a worker, the baseline for detecting a site loss. No I/O; times are in seconds."""
 
 from collections.abc import Mapping, Sequence
 
 from ochrehoist.sites.peer_workers import PeerWorker, PeerWorkers
 
 LEARNING_SPAN_S = 20.0
-MIN_KNOWN_S = 3.0  # of learning, from when on it is known
+MIN_LEARNING_S = 3.0  # the rate counts as known after this much learning time
 
 
 class UsualLoad:
-    """First tries a second that come to this worker as a rule, and to one worker of each other site."""
+    """The usual rate of first attempts per second at this worker, and per worker of each other site."""
 
     def __init__(self) -> None:
         self.rate = 0.0
-        self._known_for_s = 0.0
-        self._rate_by_site: dict[str, float] = {}  # as last reported
+        self._learning_time_s = 0.0
+        self._rate_by_site: dict[str, float] = {}  # per worker, as last reported
 
     @property
     def is_known(self) -> bool:
-        """Whether it was learned for long enough."""
-        return self._known_for_s >= MIN_KNOWN_S
+        """Whether the rate was learned for long enough to be used."""
+        return self._learning_time_s >= MIN_LEARNING_S
 
     @property
     def reported_rate(self) -> float:
-        """The rate, or 0 where it is not known."""
+        """The rate; 0 if it is not known."""
         return self.rate if self.is_known else 0.0
 
     def rate_of(self, site: str) -> float:
-        """What one worker of another site had before it was lost; 0 where it never said."""
+        """Returns the last reported rate per worker of another site; 0 if it was never reported."""
         return self._rate_by_site.get(site, 0.0)
 
     def update_sites(self, workers_by_site: Mapping[str, Sequence[PeerWorker]]) -> None:
-        """Keeps what other sites report while they are at full service."""
+        """Stores the rates that other sites' workers report while they are at full service."""
         for site, workers in workers_by_site.items():
             rates = [
                 report.usual_rate
@@ -44,14 +44,17 @@
                 self._rate_by_site[site] = sum(rates) / len(rates)
 
     def learn(self, arrivals: int, span_s: float) -> None:
-        """Takes what came, while all are there and ask for all of their load."""
+        """Updates the rate by `arrivals` within `span_s`; call it only while the whole fleet is healthy."""
         rate = arrivals / span_s if span_s > 0 else 0.0
-        self._known_for_s += span_s
-        weight = min(1.0, span_s / min(LEARNING_SPAN_S, max(span_s, self._known_for_s)))
+        self._learning_time_s += span_s
+        weight = min(1.0, span_s / min(LEARNING_SPAN_S, max(span_s, self._learning_time_s)))
         self.rate += (rate - self.rate) * weight
 
     def adopt(self, peers: PeerWorkers) -> None:
-        """Just started: those that were here know better, or else those of other sites."""
+        """Adopts the rate that peers report, for a worker that has just started.
+
+        Workers of the same site are preferred to the observations of other sites.
+        """
         rates = [
             report.usual_rate
             for worker in peers.of_site(peers.own_site)
@@ -64,12 +67,12 @@
         ]
         if rates:
             self.rate = sum(rates) / len(rates)
-            self._known_for_s = MIN_KNOWN_S
+            self._learning_time_s = MIN_LEARNING_S
 
     def expected_rate(self, peers: PeerWorkers) -> float | None:
-        """What would come now, were all other sites there; None: not known.
+        """Returns the rate to expect now if all other sites are up; None if the usual rate is not known.
 
-        What the dead workers of its own site had comes to the rest of it.
+        The load of dead workers of the same site is assumed to move to the site's remaining workers.
         """
         if not self.is_known:
             return None
--- a/tests/sites/test_site_health.py
+++ b/tests/sites/test_site_health.py
@@ -31,34 +31,34 @@
         self.assertEqual(self.tick(1, {"b": self.HERE}, 1.0), {"b": SiteState.UP})
 
     def test_a_silent_site_whose_load_does_not_come_here_is_cut_off_for_as_long_as_that_lasts(self):
-        self.assertEqual(self.tick(20, {"b": self.GONE}, 1.0), {"b": SiteState.CUT})
-        self.assertEqual(self.tick(20, {"b": self.GONE}, 1.3), {"b": SiteState.CUT})  # a busy minute
+        self.assertEqual(self.tick(20, {"b": self.GONE}, 1.0), {"b": SiteState.PARTITIONED})
+        self.assertEqual(self.tick(20, {"b": self.GONE}, 1.3), {"b": SiteState.PARTITIONED})  # a busy minute
         self.assertEqual(self.tick(4, {"b": self.GONE}, 2.0), {"b": SiteState.LOST})  # it died after the cut
         self.assertEqual(
-            self.tick(4, {"b": self.GONE}, 1.0), {"b": SiteState.CUT}
+            self.tick(4, {"b": self.GONE}, 1.0), {"b": SiteState.PARTITIONED}
         )  # its callers reach it again
 
     def test_where_the_usual_load_is_not_known_nothing_is_called_lost(self):
-        self.assertEqual(self.tick(20, {"b": self.GONE}, 2.0, usual=None), {"b": SiteState.UNHEARD})
+        self.assertEqual(self.tick(20, {"b": self.GONE}, 2.0, usual=None), {"b": SiteState.SILENT})
 
     def test_a_third_site_that_receives_from_it_proves_a_partition(self):
         seen = {"b": SiteMembership(3, 0, third_site_states=[SiteState.UP]), "c": self.HERE}
-        self.assertEqual(self.tick(0.7, seen, 1.2)["b"], SiteState.CUT)
+        self.assertEqual(self.tick(0.7, seen, 1.2)["b"], SiteState.PARTITIONED)
 
     def test_the_evidence_of_the_others_counts_with_ones_own(self):
         alone = self.tick(0.8, {"b": self.GONE}, 1.7)
         self.setUp()
         together = self.tick(0.8, {"b": SiteMembership(3, 0, evidence=6.0)}, 1.7)
-        self.assertEqual((alone["b"], together["b"]), (SiteState.UNHEARD, SiteState.LOST))
+        self.assertEqual((alone["b"], together["b"]), (SiteState.SILENT, SiteState.LOST))
 
     def test_an_isolated_worker_does_not_take_its_own_partition_for_a_loss(self):
         seen = {"b": self.GONE, "c": self.GONE}
-        self.assertEqual(set(self.tick(10, seen, 1.0).values()), {SiteState.CUT})
+        self.assertEqual(set(self.tick(10, seen, 1.0).values()), {SiteState.PARTITIONED})
         self.assertIsNotNone(self.tracker.isolated_since)
 
     def test_one_that_left_on_purpose_is_away_and_a_dead_worker_makes_a_site_thin(self):
         self.assertEqual(self.tick(2, {"b": SiteMembership(3, 0, left=3)}, 2.0), {"b": SiteState.AWAY})
-        self.assertEqual(self.tick(2, {"b": SiteMembership(3, 1)}, 1.5), {"b": SiteState.THIN})
+        self.assertEqual(self.tick(2, {"b": SiteMembership(3, 1)}, 1.5), {"b": SiteState.DEGRADED})
 
     def test_one_that_is_lost_again_and_again_is_asked_to_wait_longer_each_time(self):
         waits = []
