--- a/tests/sites/__init__.py
+++ b/tests/sites/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of `ochrehoist/sites/`."""
+"""Tests of the `ochrehoist.sites` package."""
--- a/tests/sites/site_classes.py
+++ b/tests/sites/site_classes.py
@@ -1,4 +1,4 @@
-"""Classes of requests, and a shedding order of them."""
+"""Request classes and a shedding order for the tests of the sites package."""
 
 from ochrehoist.admission.settings import Idempotency, RequestClass, Tenant
 from ochrehoist.core.tenants import initial_table
@@ -25,14 +25,24 @@
 
 
 def make_order(costs=(0.1, 0.1, 0.1), quota=None, rate=0.0):
-    """An order of three classes whose costs and arrivals are known."""
+    """Returns an order of READ, REFRESH and FILING after 100 arrivals per second of each, at 3 s.
+
+    `costs` are their core seconds per request. With a `quota`, all requests are of the tenant `acme`, which
+    sends `rate` requests per second to the fleet.
+    """
     tenants = (Tenant("acme", quota, 1.0),) if quota is not None else ()
-    o = SheddingOrder((READ, REFRESH, FILING), initial_table(tenants), 0.1)
-    for c, cost in zip((READ, REFRESH, FILING), costs, strict=True):
-        o.record_run(c.name, cost)
-    o.set_averages(FleetAverages({}, {"acme": rate}))
-    for n in range(300):
-        for c in (READ, REFRESH, FILING):
-            o.record_arrival(("", c.name, n), c.name, "acme" if tenants else None, False, n / 100)
-    o.refresh(3.0)
-    return o
+    order = SheddingOrder((READ, REFRESH, FILING), initial_table(tenants), 0.1)
+    for request_class, cost in zip((READ, REFRESH, FILING), costs, strict=True):
+        order.record_run(request_class.name, cost)
+    order.set_averages(FleetAverages({}, {"acme": rate}))
+    for number in range(300):
+        for request_class in (READ, REFRESH, FILING):
+            order.record_arrival(
+                ("", request_class.name, number),
+                request_class.name,
+                "acme" if tenants else None,
+                False,
+                number / 100,
+            )
+    order.refresh(3.0)
+    return order
--- a/tests/sites/test_operator_commands.py
+++ b/tests/sites/test_operator_commands.py
@@ -1,4 +1,4 @@
-"""Commands of operators: the last one counts, everywhere."""
+"""Tests of operators' commands: all workers agree on the command issued last."""
 
 import unittest
 
@@ -11,45 +11,47 @@
 
 
 class OperatorCommandsTest(unittest.TestCase):
-    """Commands in any order."""
+    """Commands that arrive in any order, expire, conflict or are invalid."""
 
     @given(st.permutations(range(4)), st.lists(st.integers(0, 3), max_size=8))
-    def test_whatever_comes_in_whatever_order_the_last_given_counts(self, first, again):
-        given_by = [OperatorCommands() for _ in range(4)]
-        told = []
-        for n, kind in enumerate(
+    def test_the_command_issued_last_wins_in_any_order_of_arrival(self, arrival_order, duplicates):
+        issuers = [OperatorCommands() for _ in range(4)]
+        reports = []
+        for index, kind in enumerate(
             (CommandKind.EVACUATE, CommandKind.HOLD, CommandKind.RETURN, CommandKind.EVACUATE)
         ):
-            for book in told:
-                given_by[n].merge(book, 0.0, float(n))
-            given_by[n].issue("a", kind, f"w{n}", float(n))
-            told.append(given_by[n].entries(float(n)))
-        late = OperatorCommands()
-        for n in [*again, *first]:
-            late.merge(told[n], 1.0, 4.0)
-        self.assertEqual(late.active("a", 4.0).kind, CommandKind.EVACUATE)
-        self.assertEqual(late.active("a", 4.0).number, 4)
+            for report in reports:
+                issuers[index].merge(report, 0.0, float(index))
+            issuers[index].issue("a", kind, f"w{index}", float(index))
+            reports.append(issuers[index].entries(float(index)))
+        receiver = OperatorCommands()
+        for index in [*duplicates, *arrival_order]:
+            receiver.merge(reports[index], 1.0, 4.0)
+        self.assertEqual(receiver.active("a", 4.0).kind, CommandKind.EVACUATE)
+        self.assertEqual(receiver.active("a", 4.0).number, 4)
 
     def test_a_command_expires_and_an_expired_one_has_no_effect(self):
-        book = OperatorCommands()
-        book.issue("a", CommandKind.EVACUATE, "w0", 0.0)
-        lasts = DURATION_S[CommandKind.EVACUATE]
-        self.assertIsNotNone(book.active("a", lasts - 1))
-        self.assertIsNone(book.active("a", lasts + 1))
+        commands = OperatorCommands()
+        commands.issue("a", CommandKind.EVACUATE, "w0", 0.0)
+        duration_s = DURATION_S[CommandKind.EVACUATE]
+        self.assertIsNotNone(commands.active("a", duration_s - 1))
+        self.assertIsNone(commands.active("a", duration_s + 1))
         other = OperatorCommands()
-        other.merge(book.entries(lasts + 1), 0.5, 0.0)
+        other.merge(commands.entries(duration_s + 1), 0.5, 0.0)
         self.assertIsNone(other.active("a", 0.0))
 
-    def test_two_at_one_number_end_alike_everywhere_and_strange_ones_change_nothing(self):
-        a, b = OperatorCommands(), OperatorCommands()
-        a.issue("x", CommandKind.EVACUATE, "w0", 0.0)
-        b.issue("x", CommandKind.RETURN, "w1", 0.0)
-        one, two = a.entries(0.0), b.entries(0.0)
-        a.merge(two, 0.0, 0.0)
-        b.merge(one, 0.0, 0.0)
-        self.assertEqual(a.active("x", 1.0).issued_by, b.active("x", 1.0).issued_by)
-        a.merge([CommandEntry("x", "explode", 99, "w9", 10**9), CommandEntry("x", "hold", 0, "w9", 1)], 0, 0)
-        self.assertEqual(a.active("x", 1.0).issued_by, "w1")
+    def test_workers_agree_on_one_of_two_equal_numbers_and_ignore_invalid_entries(self):
+        first, second = OperatorCommands(), OperatorCommands()
+        first.issue("x", CommandKind.EVACUATE, "w0", 0.0)
+        second.issue("x", CommandKind.RETURN, "w1", 0.0)
+        first_report, second_report = first.entries(0.0), second.entries(0.0)
+        first.merge(second_report, 0.0, 0.0)
+        second.merge(first_report, 0.0, 0.0)
+        self.assertEqual(first.active("x", 1.0).issued_by, second.active("x", 1.0).issued_by)
+        first.merge(
+            [CommandEntry("x", "explode", 99, "w9", 10**9), CommandEntry("x", "hold", 0, "w9", 1)], 0, 0
+        )
+        self.assertEqual(first.active("x", 1.0).issued_by, "w1")
 
     @given(st.binary(max_size=200))
     def test_reports_that_cannot_be_decoded_are_ignored(self, data):
--- a/tests/sites/test_shedding_order.py
+++ b/tests/sites/test_shedding_order.py
@@ -1,4 +1,4 @@
-"""In which order requests are rejected: the same at all workers of a site."""
+"""Tests of the shedding order, which is the same at all workers."""
 
 import math
 import unittest
@@ -11,41 +11,48 @@
 
 
 class SheddingOrderTest(unittest.TestCase):
-    """Classes and tenants in order of rejection."""
+    """Ranks of classes, tenants and retries."""
 
     @given(st.lists(st.floats(0.05, 0.2), min_size=3, max_size=3))
-    def test_filings_rank_first_whatever_they_cost_and_equal_classes_are_rejected_alike(self, costs):
-        o = make_order(costs)
-        ranks = {c: [o.rank(("", c, n), c, None, 3.0) for n in range(50)] for c in o.classes}
+    def test_filings_rank_first_at_any_cost_and_equal_classes_share_their_ranks(self, costs):
+        order = make_order(costs)
+        ranks = {
+            name: [order.rank(("", name, n), name, None, 3.0) for n in range(50)] for name in order.classes
+        }
         self.assertLess(max(ranks["filing"]), min(ranks["read"] + ranks["refresh"]))
         self.assertTrue(min(map(min, ranks.values())) >= 0 and max(map(max, ranks.values())) < 1 + 1e-9)
         if abs(math.log(costs[0] / costs[1])) < 1e-3:
-            self.assertEqual(o.spans["read", False], o.spans["refresh", False])
+            self.assertEqual(order.spans["read", False], order.spans["refresh", False])
 
     @given(st.floats(0.9, 1.1), st.floats(0.2, 0.9))
-    def test_two_workers_that_measured_a_little_differently_refuse_the_same(self, noise, level):
-        told = {"read": 0.1, "refresh": 0.1, "filing": 0.1}
-        a, b = make_order(), make_order((0.1 * noise, 0.1, 0.1 / noise))
-        for order in (a, b):
-            order.set_averages(FleetAverages(told, {}))
+    def test_workers_with_slightly_different_measurements_reject_the_same_requests(self, noise, threshold):
+        fleet_costs = {"read": 0.1, "refresh": 0.1, "filing": 0.1}
+        exact, noisy = make_order(), make_order((0.1 * noise, 0.1, 0.1 / noise))
+        for order in (exact, noisy):
+            order.set_averages(FleetAverages(fleet_costs, {}))
             order.refresh(3.0)
-        idents = [("", "read", n) for n in range(400)]
-        lets = [[o.rank(x, "read", None, 3.0) < level for x in idents] for o in (a, b)]
-        self.assertLess(sum(x != y for x, y in zip(*lets, strict=True)), 0.12 * len(idents))
-
-    def test_requests_beyond_a_tenants_share_rank_last(self):
-        o = make_order(quota=100.0, rate=200.0)
-        beyond = [x for n in range(300) if o.is_beyond_quota(x := ("", "read", n), "acme", 3.0)]
-        self.assertTrue(0.4 < len(beyond) / 300 < 0.6)
-        inside = [("", "read", n) for n in range(300) if ("", "read", n) not in beyond]
+        identities = [("", "read", n) for n in range(400)]
+        admitted = [
+            [worker_order.rank(identity, "read", None, 3.0) < threshold for identity in identities]
+            for worker_order in (exact, noisy)
+        ]
+        self.assertLess(sum(x != y for x, y in zip(*admitted, strict=True)), 0.12 * len(identities))
+
+    def test_requests_beyond_a_tenants_quota_rank_last(self):
+        order = make_order(quota=100.0, rate=200.0)
+        beyond_quota = [
+            identity for n in range(300) if order.is_beyond_quota(identity := ("", "read", n), "acme", 3.0)
+        ]
+        self.assertTrue(0.4 < len(beyond_quota) / 300 < 0.6)
+        within_quota = [("", "read", n) for n in range(300) if ("", "read", n) not in beyond_quota]
         self.assertLess(
-            max(o.rank(x, "read", "acme", 3.0) for x in inside),
-            min(o.rank(x, "read", "acme", 3.0) for x in beyond),
+            max(order.rank(identity, "read", "acme", 3.0) for identity in within_quota),
+            min(order.rank(identity, "read", "acme", 3.0) for identity in beyond_quota),
         )
 
-    def test_retries_are_no_demand_whether_marked_or_not(self):
-        o = make_order()
-        self.assertTrue(o.record_arrival(("", "read", "new"), "read", None, False, 3.0))
-        self.assertFalse(o.record_arrival(("", "read", "new"), "read", None, False, 3.5))
-        self.assertFalse(o.record_arrival(("", "read", "other"), "read", None, True, 3.5))
-        self.assertTrue(o.record_arrival(("", "read", "new"), "read", None, False, 9.0))
+    def test_retries_do_not_count_as_arrivals_whether_marked_or_not(self):
+        order = make_order()
+        self.assertTrue(order.record_arrival(("", "read", "new"), "read", None, False, 3.0))
+        self.assertFalse(order.record_arrival(("", "read", "new"), "read", None, False, 3.5))
+        self.assertFalse(order.record_arrival(("", "read", "other"), "read", None, True, 3.5))
+        self.assertTrue(order.record_arrival(("", "read", "new"), "read", None, False, 9.0))
