--- a/ochrehoist/store/__init__.py
+++ b/ochrehoist/store/__init__.py
@@ -1,1 +1,1 @@
-"""What survives the process: filings, their results and what was learned, in an embedded store on disk."""
+"""Durable state in an embedded database: filings, their results and learned admission state."""
--- a/ochrehoist/store/commit_scheduler.py
+++ b/ochrehoist/store/commit_scheduler.py
@@ -1,4 +1,4 @@
-"""The loop's side of group commit: sends groups to the journal's thread and handles what comes back."""
+"""Scheduling of group commits on the event loop; the journal's thread carries them out."""
 
 import time
 from collections.abc import Callable, Sequence
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True)
 class RebuildContents:
-    """What a rebuilt store is to hold; `intents` may take long, and is called off the loop."""
+    """The contents of a rebuilt store; `intents` is a function that may take long, called off the loop."""
 
     intents: Callable[[], Sequence[IntentRecord]]
     loss: DataLossRecord | None
@@ -29,36 +29,36 @@
 
 
 class CommitListener(Protocol):
-    """Hears what became of intents. It never blocks."""
+    """Receives the outcomes of intents; its methods never block."""
 
     def intent_durable(self, request_id: str) -> None:
-        """The request may run, as far as this disk is concerned."""
+        """Called when an intent is durable on this disk."""
         ...
 
     def intents_rejected(self, request_ids: Sequence[str]) -> None:
-        """The requests must not run: their intents are not stored, or are deleted again."""
+        """Called for requests that must not run: their intents are not stored, or will be deleted."""
         ...
 
     def rebuild_contents(self) -> RebuildContents:
-        """What the worker knows now, for a store that is rebuilt."""
+        """Returns the worker's present state, for a store that is rebuilt."""
         ...
 
 
 class StoreFailureLog:
-    """The failure that the store is in, if any; logs it when it changes."""
+    """The store's present failure, which is logged when it changes; `reason` is empty after a success."""
 
     def __init__(self, log: Any) -> None:
-        self.reason = ""  # empty: none since the last success
+        self.reason = ""
         self._log = log
 
     def failed(self, error: Exception) -> None:
-        """Keyed requests are rejected because of this error; all else goes on."""
+        """Records a failure, because of which keyed requests are rejected."""
         if str(error) != self.reason:
             self.reason = str(error)
             self._log.error("store_unusable", reason=self.reason)
 
     def clear(self) -> bool:
-        """Call after a success; whether there was a failure."""
+        """Clears the failure after a success; returns whether there was one."""
         had_failed = bool(self.reason)
         self.reason = ""
         return had_failed
@@ -70,11 +70,11 @@
     Args:
         loop: the worker's loop.
         thread: carries out calls that wait for the disk.
-        queue: decides what is committed when.
+        queue: decides which operations are committed, and when.
         session: the state folder.
         metrics: counts commits.
-        failures: hears of failures and successes.
-        listener: hears what became of intents.
+        failures: records failures and successes.
+        listener: receives the outcomes of intents.
         log: the worker's log.
     """
 
@@ -101,13 +101,13 @@
         self._stopping = False
 
     def add(self, operation: Operation) -> bool:
-        """Queues an operation; False where it is a result that is not stored, as too many wait."""
+        """Queues an operation; returns False if it is a result that the full queue does not accept."""
         added = self._queue.add(time.monotonic(), operation)
         self.run()
         return added
 
     def run(self) -> None:
-        """Does what is due now, and sets a timer for what is due later."""
+        """Starts the commit or rebuild that is due, and sets a timer for the next event."""
         now = time.monotonic()
         self._reject_timed_out(now)
         if self._queue.rebuild_is_due(now):
@@ -118,7 +118,7 @@
         self._set_timer(now)
 
     def stop(self) -> None:
-        """No timer is set from now on."""
+        """Stops setting timers."""
         self._stopping = True
 
     def drain(self, deadline: float, drained: Callable[[], None]) -> None:
@@ -130,7 +130,7 @@
             drained()
 
     def drain_without_loop(self, deadline: float) -> None:
-        """Empties the queue at the end of the process, when the loop no longer runs."""
+        """Empties the queue until `deadline`, at the end of the process when the loop no longer runs."""
         queue = self._queue
         while len(queue) and queue.open and queue.failure is None and time.monotonic() < deadline:
             self.run()
@@ -171,7 +171,7 @@
         self.run()
 
     def _start_rebuild(self, now: float) -> None:
-        """What the disk still shows may not be there after the next power cut: all is written again."""
+        """Rebuilds the store: what can be read back now may be lost after the next power failure."""
         contents = self._listener.rebuild_contents()
         self._queue.rebuild_started(now)
         self._thread.submit(
--- a/ochrehoist/store/damage.py
+++ b/ochrehoist/store/damage.py
@@ -1,4 +1,4 @@
-"""Damage assessment: whether a state folder is new, sound, or has lost records. No I/O."""
+"""Damage assessment: whether a state folder is new, sound, or may have lost records. No I/O."""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -18,36 +18,53 @@
 
 @dataclass(slots=True)
 class FolderInspection:
-    """What was found in a state folder."""
-
-    has_marker: bool  # there has been a store in the folder before
-    has_store: bool  # one of this format version, or of an older one
-    newer_store: str | None = None  # the file name of one of a newer format version
-    read_error: str | None = None  # why the store can't be read
+    """The findings of an inspection of a state folder.
+
+    Attributes:
+        has_marker: whether the folder has held a store before.
+        has_store: whether it holds a store of this format version or an older one.
+        newer_store: the file name of a store of a newer format version, if there is one.
+        read_error: the reason for which the store cannot be read; None if it can.
+        corrupt_records: the number of corrupt records.
+        stored_summary: the summary stored with the last commit.
+        actual_summary: the summary computed from the stored records, for the same commit.
+        last_commit_number: the last commit reported as durable, by the watermark.
+    """
+
+    has_marker: bool
+    has_store: bool
+    newer_store: str | None = None
+    read_error: str | None = None
     corrupt_records: int = 0
     stored_summary: CommitSummary | None = None
-    actual_summary: CommitSummary | None = None  # computed from the records, for the same commit
-    last_commit_number: int | None = None  # by the watermark: the last commit reported as durable
+    actual_summary: CommitSummary | None = None
+    last_commit_number: int | None = None
 
 
 @dataclass(slots=True)
 class DamageAssessment:
-    """The condition of a state folder, and why it is not sound."""
+    """The condition of a state folder, and the reasons if it is not sound.
+
+    `must_set_aside` tells whether the present store file is unusable.
+    """
 
     condition: StoreCondition
     reasons: list[str] = field(default_factory=list)
-    must_set_aside: bool = False  # the store that is there can't be used any more
+    must_set_aside: bool = False
 
 
 def assess_damage(inspection: FolderInspection) -> DamageAssessment:
-    """The condition of a folder. Any doubt counts as a loss: an unknown request could run twice."""
+    """Returns the condition of a folder.
+
+    Any doubt counts as a loss, because a request whose record is missing could run twice.
+    """
     if not (inspection.has_marker or inspection.has_store or inspection.newer_store):
         return DamageAssessment(StoreCondition.FIRST_START)
     reasons = []
     if inspection.newer_store:
         reasons.append(f"{inspection.newer_store} is of a newer version: what it knows is not known here")
     if not inspection.has_store:
-        # Where there is one of a newer version, there may never have been another.
+        # Beside a store of a newer version, a missing store of this version may never have existed.
         no_store = ["the folder has held a store, which is gone"]
         return DamageAssessment(StoreCondition.LOST, reasons or no_store)
     store_damage = _store_damage(inspection)
@@ -73,7 +90,7 @@
 
 
 def remaining_hold_ns(loss: DataLossRecord | None, on_loss: LossPolicy, now: Timestamp) -> int:
-    """Time in ns for which unknown requests still have to be rejected."""
+    """Returns the time in ns for which unknown requests still have to be rejected."""
     if loss is None or on_loss is not LossPolicy.HOLD:
         return 0
     return remaining_window_ns(loss.detected_at, loss.hold_ns, loss.hold_ns, now)
--- a/ochrehoist/store/database.py
+++ b/ochrehoist/store/database.py
@@ -1,4 +1,4 @@
-"""The store itself: one SQLite database of intents, results and named records. All calls may block."""
+"""The store's SQLite database of intents, results and named records. All calls may block."""
 
 from collections.abc import Iterable, Iterator, Mapping, Sequence
 from contextlib import suppress
@@ -32,9 +32,9 @@
 MIN_PAGES = 16
 BUSY_TIMEOUT_MS = 200
 ROWS_PER_STATEMENT = 256
-CHECKPOINT_PAGES = 256  # pages of the write-ahead log after which it is moved into the database
+CHECKPOINT_PAGES = 256  # length of the write-ahead log at which a checkpoint is made
 MAX_INTEGRITY_ERRORS = 20
-# Names of records that belong to no request, as they are stored.
+# Stored names of the records that belong to no request.
 SUMMARY_NAME = "census"
 DATA_LOSS_NAME = "loss"
 LEARNED_STATE_NAME = "learned"
@@ -46,29 +46,35 @@
 DATABASE_ERRORS = (apsw.Error, OSError)
 RECORD_ERRORS = (CorruptRecordError, UnsupportedFormatError)
 
-EncodedRecord = tuple[bytes, bytes]  # key and data, as in a row
+EncodedRecord = tuple[bytes, bytes]  # key and data
 
 
 @dataclass
 class StoreContents:
-    """All that a store holds except results, without records that are corrupt."""
+    """The contents of a store without results and corrupt records.
+
+    `has_result` holds a flag for each of `intents`, `intents_digest` the XOR of their checksums. `summary` is
+    the one that was stored with the last commit. `read_error` is set if the database cannot be read.
+    """
 
     intents: list[IntentRecord] = field(default_factory=list)
-    has_result: bytearray = field(default_factory=bytearray)  # for each of `intents`
+    has_result: bytearray = field(default_factory=bytearray)
     learned: LearnedStateRecord | None = None
     loss: DataLossRecord | None = None
-    summary: CommitSummary | None = None  # as stored with the last commit
-    intents_digest: int = 0  # the XOR of the checksums of `intents`
+    summary: CommitSummary | None = None
+    intents_digest: int = 0
     corrupt_records: int = 0
     read_error: str | None = None
 
     def inspection(
         self, has_marker: bool, newer_store: str | None, last_commit_number: int | None
     ) -> FolderInspection:
-        """What the store contributes to the assessment of its folder."""
-        actual = None
+        """Returns the findings for the damage assessment of the store's folder."""
+        computed_summary = None
         if self.summary is not None:
-            actual = CommitSummary(self.summary.commit_number, len(self.intents), self.intents_digest)
+            computed_summary = CommitSummary(
+                self.summary.commit_number, len(self.intents), self.intents_digest
+            )
         return FolderInspection(
             has_marker=has_marker,
             has_store=True,
@@ -76,7 +82,7 @@
             read_error=self.read_error,
             corrupt_records=self.corrupt_records,
             stored_summary=self.summary,
-            actual_summary=actual,
+            actual_summary=computed_summary,
             last_commit_number=last_commit_number,
         )
 
@@ -85,10 +91,10 @@
     """One open store file.
 
     Args:
-        path: the file; it is created where it is missing.
-        max_mb: the size in MB from which on commits fail; 0: none.
-        vfs: the name of a file system registered with the library, for tests.
-        read_only: a worker may be writing to it meanwhile.
+        path: the file, which is created if it is missing.
+        max_mb: the size limit in MB, beyond which commits fail; 0: no limit.
+        vfs: the name of a virtual file system registered with SQLite, for tests.
+        read_only: opens the file for reading only; a worker may write to it at the same time.
     """
 
     def __init__(
@@ -96,7 +102,7 @@
     ) -> None:
         self.path = path
         self.summary = CommitSummary()
-        self.log_pages = 0
+        self.wal_pages = 0
         read_write = apsw.SQLITE_OPEN_READWRITE | apsw.SQLITE_OPEN_CREATE
         flags = apsw.SQLITE_OPEN_READONLY if read_only else read_write
         self.connection = apsw.Connection(str(path), flags=flags, vfs=vfs)
@@ -109,27 +115,27 @@
     def _configure(self, max_mb: float, vfs: str | None, read_only: bool) -> None:
         execute = self.connection.execute
         self.connection.set_busy_timeout(BUSY_TIMEOUT_MS)
-        if vfs:  # one written in Python has no shared memory, and needs none
+        if vfs:  # a VFS written in Python has no shared memory, which exclusive locking does not need
             execute("PRAGMA locking_mode=EXCLUSIVE")
         if not read_only:
             execute("PRAGMA journal_mode=WAL; PRAGMA synchronous=FULL; PRAGMA wal_autocheckpoint=0")
-            self.connection.set_wal_hook(self._log_grew)
+            self.connection.set_wal_hook(self._wal_grew)
         execute("PRAGMA cell_size_check=ON; PRAGMA trusted_schema=OFF; PRAGMA mmap_size=0")
         if max_mb:
             execute(f"PRAGMA max_page_count={max(MIN_PAGES, int(max_mb * 1e6) // PAGE_BYTES)}")
 
-    def _log_grew(self, _connection: apsw.Connection, _name: str, pages: int) -> int:
-        self.log_pages = pages
+    def _wal_grew(self, _connection: apsw.Connection, _name: str, pages: int) -> int:
+        self.wal_pages = pages
         return apsw.SQLITE_OK
 
     @property
     def size_bytes(self) -> int:
-        """What the database and its log take on disk."""
+        """The size on disk of the database and its write-ahead log."""
         paths = (self.path, self.path.with_name(self.path.name + "-wal"))
         return sum(path.stat().st_size for path in paths if path.exists())
 
     def commit(self, operations: Sequence[Operation]) -> int:
-        """Makes all operations durable, or none; returns the commit's number. Raises StoreFailedError."""
+        """Commits all operations atomically; returns the commit's number. Raises StoreFailedError."""
         summary_before = self.summary
         try:
             self.connection.execute("BEGIN IMMEDIATE")
@@ -146,8 +152,8 @@
         return self.summary.commit_number
 
     def checkpoint_if_due(self) -> None:
-        """Moves the log into the database where it has grown long. Raises StoreFailedError."""
-        if self.log_pages < CHECKPOINT_PAGES:
+        """Makes a checkpoint if the write-ahead log has grown long. Raises StoreFailedError."""
+        if self.wal_pages < CHECKPOINT_PAGES:
             return
         try:
             self.connection.wal_checkpoint(mode=apsw.SQLITE_CHECKPOINT_PASSIVE)
@@ -155,43 +161,51 @@
             return
         except apsw.Error as error:
             raise store_failure(error) from None
-        self.log_pages = 0
+        self.wal_pages = 0
 
     def begin_creation(self, commit_number: int) -> None:
-        """Starts the transaction in which an empty file becomes a store."""
+        """Begins the transaction that creates the schema and initial contents of a new store."""
         self.connection.execute("BEGIN IMMEDIATE;" + SCHEMA)
         self.summary = CommitSummary(commit_number)
         self.put_named(SUMMARY_NAME, self.summary)
 
     def finish_creation(self) -> None:
-        """Ends the transaction that `begin_creation` started."""
+        """Commits the transaction that `begin_creation` began."""
         self.put_named(SUMMARY_NAME, self.summary)
         self.connection.execute("COMMIT")
 
     def put_intents(self, rows: Sequence[EncodedRecord]) -> None:
-        """Adds intents within the present transaction; their keys must be new."""
+        """Inserts intents within the current transaction; their keys must be new."""
         self._insert("INSERT INTO begun", rows)
         for _, data in rows:
             self.summary = self.summary.with_intent(stored_checksum(data))
 
     def put_results(self, rows: Sequence[EncodedRecord]) -> None:
-        """Adds or replaces results within the present transaction."""
+        """Inserts or replaces results within the current transaction."""
         self._insert("INSERT OR REPLACE INTO finished", rows)
 
     def put_named(self, name: str, record: NamedRecord) -> None:
-        """Adds or replaces the record of this name."""
+        """Inserts or replaces the record with this name."""
         row = (name, encode_record(name.encode(), record))
         self.connection.execute("INSERT OR REPLACE INTO named VALUES (?, ?)", row)
 
     def _apply(self, changes: NetChanges) -> None:
-        """Uses few statements: after each one the thread has to acquire the interpreter lock again."""
-        by_key = changes.by_key.items()
-        self._delete([key for key, change in by_key if change.replaces])
+        """Writes changes with few statements: the thread reacquires the interpreter lock after each one."""
+        key_changes = changes.by_key.items()
+        self._delete([key for key, change in key_changes if change.replaces])
         self.put_intents(
-            [(key, encode_record(key, change.intent)) for key, change in by_key if change.intent is not None]
+            [
+                (key, encode_record(key, change.intent))
+                for key, change in key_changes
+                if change.intent is not None
+            ]
         )
         self.put_results(
-            [(key, encode_record(key, change.result)) for key, change in by_key if change.result is not None]
+            [
+                (key, encode_record(key, change.result))
+                for key, change in key_changes
+                if change.result is not None
+            ]
         )
         for name, record in changes.named.items():
             self.put_named(name, record)
@@ -208,13 +222,13 @@
 
     def _insert(self, insert_into: str, rows: Sequence[EncodedRecord]) -> None:
         for start in range(0, len(rows), ROWS_PER_STATEMENT):
-            part = rows[start : start + ROWS_PER_STATEMENT]
-            placeholders = ", ".join(["(?, ?)"] * len(part))
-            values = [value for row in part for value in row]
+            batch = rows[start : start + ROWS_PER_STATEMENT]
+            placeholders = ", ".join(["(?, ?)"] * len(batch))
+            values = [value for row in batch for value in row]
             self.connection.execute(f"{insert_into} VALUES {placeholders}", values)
 
     def read_contents(self) -> StoreContents:
-        """All that the store holds except results; corrupt records are counted and left out."""
+        """Returns the store's contents except results; corrupt records are counted and skipped."""
         contents = StoreContents()
         try:
             self._read_intents(contents)
@@ -224,7 +238,7 @@
             return contents
         contents.summary, corrupt_summary = _decode_named(named, SUMMARY_NAME, CommitSummary)
         contents.loss, corrupt_loss = _decode_named(named, DATA_LOSS_NAME, DataLossRecord)
-        # Learned state that is corrupt is no loss: it concerns no request.
+        # Corrupt learned state is not a data loss, because it belongs to no request.
         contents.learned, _ = _decode_named(named, LEARNED_STATE_NAME, LearnedStateRecord)
         contents.corrupt_records += corrupt_summary + corrupt_loss
         if contents.summary is not None:
@@ -232,7 +246,7 @@
         return contents
 
     def _read_intents(self, contents: StoreContents) -> None:
-        """Into `contents`. At a start it reads very many rows, so its loop makes few look-ups."""
+        """Reads all intents into `contents`; the loop avoids attribute look-ups, as rows may be many."""
         add_intent, add_has_result = contents.intents.append, contents.has_result.append
         digest = 0
         for key, data, has_result in self.connection.execute(
@@ -247,7 +261,7 @@
         contents.intents_digest = digest
 
     def read_result(self, key: bytes) -> ResultRecord | None:
-        """The result of a request; None where there is none, or it is corrupt. Raises StoreFailedError."""
+        """Returns a request's result; None if it is missing or corrupt. Raises StoreFailedError."""
         try:
             rows = self.connection.execute("SELECT data FROM finished WHERE key = ?", (key,)).fetchall()
         except DATABASE_ERRORS as error:
@@ -260,7 +274,7 @@
             return None
 
     def sound_results(self) -> Iterator[EncodedRecord]:
-        """All results that are not corrupt, as far as they can be read."""
+        """Yields all results that can be read and are not corrupt."""
         try:
             for key, data in self.connection.execute("SELECT key, data FROM finished"):
                 with suppress(*RECORD_ERRORS):
@@ -270,7 +284,7 @@
             return
 
     def integrity_errors(self) -> list[str]:
-        """What SQLite finds wrong with the structure of its file."""
+        """Returns the errors found by SQLite's integrity check."""
         check = f"PRAGMA integrity_check({MAX_INTEGRITY_ERRORS})"
         try:
             return [text for (text,) in self.connection.execute(check) if text != "ok"]
@@ -278,7 +292,7 @@
             return [str(error)]
 
     def close(self) -> None:
-        """Closes the file; errors are ignored, since all that counts is durable."""
+        """Closes the file; errors are ignored, since all commits are durable already."""
         with suppress(apsw.Error):
             self.connection.close(True)
 
@@ -286,7 +300,7 @@
 def _decode_named(
     named: Mapping[str, bytes], name: str, record_type: type[Record]
 ) -> tuple[Record | None, bool]:
-    """The record of this name, if it is there and sound; and whether it is corrupt."""
+    """Returns the record with this name if it exists and is sound, and whether it is corrupt."""
     if name not in named:
         return None, False
     try:
@@ -302,9 +316,9 @@
     results: Iterable[EncodedRecord],
     named: Mapping[str, NamedRecord | None],
 ) -> None:
-    """Writes a complete store in one step: after a power cut all of it is there, or nothing.
+    """Writes a complete store atomically: after a power failure it exists completely or not at all.
 
-    Results without an intent and names without a record are left out. Raises StoreFailedError.
+    Results without an intent and names without a record are skipped. Raises StoreFailedError.
     """
     new_path = path.with_name(path.name + files.NEW_SUFFIX)
     files.remove_store(new_path)
--- a/ochrehoist/store/errors.py
+++ b/ochrehoist/store/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the store, and the failures of disk and database that they stand for."""
+"""Errors of the store, and the classification of disk and database failures."""
 
 import errno
 from enum import Enum
@@ -13,7 +13,7 @@
 
 
 class FailureKind(Enum):
-    """What failed. The values are shown to operators."""
+    """The kinds of store failures; the values are shown to operators."""
 
     FULL = "no room on the disk, or max_mb is reached"
     READ_ONLY = "the folder can't be written to"
@@ -24,12 +24,12 @@
 
     @property
     def invalidates_store(self) -> bool:
-        """Whether what was written before can't be trusted any more, so that the store is rebuilt."""
+        """Whether data written earlier can no longer be trusted, so that the store has to be rebuilt."""
         return self in (FailureKind.IO, FailureKind.SYNC, FailureKind.DAMAGED)
 
 
 class StoreFailedError(OchrehoistError):
-    """The store could not do what was asked, and nothing of it is stored."""
+    """A failed operation of the store, none of which was stored."""
 
     def __init__(self, kind: FailureKind, reason: str) -> None:
         super().__init__(reason)
@@ -37,18 +37,18 @@
 
 
 class StoreLockedError(OchrehoistError):
-    """Another process has locked the state folder; the text names that process."""
+    """A state folder that another process has locked; the message names that process."""
 
 
 class StoreNotOpenError(OchrehoistError):
-    """No store is in use: it is not open yet, or released."""
+    """A call that needs an open store, while the store is not open yet or already released."""
 
     def __init__(self) -> None:
         super().__init__("the store is not open")
 
 
 class StoreMissingError(OchrehoistError):
-    """The folder holds no store that this command can use; `problem` says what is there."""
+    """A folder without a store that the command can use; `problem` describes what was found."""
 
     def __init__(self, path: Path, problem: str) -> None:
         super().__init__(f"{path}: {problem}")
@@ -57,7 +57,7 @@
 
 
 class InvalidExportError(OchrehoistError):
-    """An export that can't be imported: in which line, counted from 1, and what is wrong with it."""
+    """An export that cannot be imported, with the faulty line's number (from 1) and the problem."""
 
     def __init__(self, line_number: int, problem: str) -> None:
         super().__init__(f"line {line_number}: {problem}")
@@ -66,7 +66,7 @@
 
 
 def store_failure(error: Exception) -> StoreFailedError:
-    """The store's error for one that the database library or the operating system raised."""
+    """Returns the store's error for an exception of the database library or the operating system."""
     return StoreFailedError(_failure_kind(error), f"{type(error).__name__}: {error}")
 
 
--- a/ochrehoist/store/export.py
+++ b/ochrehoist/store/export.py
@@ -1,7 +1,7 @@
-"""Exports of a store as JSON Lines, and merging two stores: how requests move to another machine. No I/O.
+"""Export of a store as JSON Lines, and merging of two stores, to move requests to another machine. No I/O.
 
-The first line names the format version, then come keyed requests with their results, and what was learned;
-the last line is there only if nothing is missing.
+The first line names the format version. Keyed requests with their results and the learned state follow. The
+last line marks a complete export.
 """
 
 import base64
@@ -25,14 +25,14 @@
 
 
 class ExportedRequest(msgspec.Struct):
-    """A keyed request, and its result where it has one."""
+    """A keyed request, with its result if it has one."""
 
     intent: IntentRecord
     result: ResultRecord | None = None
 
 
 class StoreSnapshot(msgspec.Struct):
-    """All that a store holds at one moment."""
+    """The complete contents of a store at one point in time."""
 
     taken_at: Timestamp
     requests: list[ExportedRequest]
@@ -41,7 +41,7 @@
 
 
 class _WireIntent(msgspec.Struct):
-    """An intent by the names of the export format; bytes are base64."""
+    """An intent with the field names of the export format; bytes are base64."""
 
     token: IdempotencyKey
     id: str
@@ -72,7 +72,7 @@
 
 
 class _WireResult(msgspec.Struct):
-    """A result by the names of the export format; bytes are base64."""
+    """A result with the field names of the export format; bytes are base64."""
 
     outcome: str
     success: bool
@@ -121,7 +121,9 @@
 
 def _wire_values(wire: _WireIntent | _WireResult) -> dict[str, Any]:
     values = {name: getattr(wire, name) for name in wire.__struct_fields__}
-    return {name: _base64_text(v) if isinstance(v, bytes) else v for name, v in values.items()}
+    return {
+        name: _base64_text(value) if isinstance(value, bytes) else value for name, value in values.items()
+    }
 
 
 def _request_line(request: ExportedRequest) -> _RequestLine:
@@ -132,7 +134,7 @@
 
 
 def export_lines(snapshot: StoreSnapshot) -> Iterator[bytes]:
-    """The lines of an export, each with its line feed."""
+    """Yields the lines of an export, each with its line feed."""
     request_count = len(snapshot.requests)
     lines: list[_Line] = [_HeaderLine(EXPORT_VERSION, snapshot.taken_at, request_count, snapshot.loss)]
     lines += [_request_line(request) for request in snapshot.requests]
@@ -145,30 +147,30 @@
 
 
 def read_export(lines: Iterable[bytes]) -> StoreSnapshot:
-    """All of an export. Raises InvalidExportError, also where it was cut short and may lack requests."""
+    """Returns the snapshot in an export. Raises InvalidExportError, also if the export is truncated."""
     snapshot: StoreSnapshot | None = None
-    number = 0
-    for number, text in enumerate(lines, 1):
+    line_number = 0
+    for line_number, text in enumerate(lines, 1):
         try:
             line = _decoder.decode(text)
-            if isinstance(line, _HeaderLine) != (number == 1):
-                raise InvalidExportError(number, "not where it belongs")
+            if isinstance(line, _HeaderLine) != (line_number == 1):
+                raise InvalidExportError(line_number, "the header must be the first line, and only that")
             if isinstance(line, _HeaderLine):
                 snapshot = _snapshot_of_header(line)
             elif isinstance(line, _FinalLine):
                 assert snapshot is not None
-                return _completed(snapshot, line, number)
+                return _verified(snapshot, line, line_number)
             else:
                 assert snapshot is not None
                 _add_line(snapshot, line)
         except (msgspec.MsgspecError, ValueError) as error:
-            raise InvalidExportError(number, str(error)) from None
-    raise InvalidExportError(number + 1, "missing: the export was cut short")
+            raise InvalidExportError(line_number, str(error)) from None
+    raise InvalidExportError(line_number + 1, "missing final line: the export is truncated")
 
 
 def _snapshot_of_header(header: _HeaderLine) -> StoreSnapshot:
     if header.version != EXPORT_VERSION:
-        raise InvalidExportError(1, f"version {header.version}; this program reads {EXPORT_VERSION}")
+        raise InvalidExportError(1, f"unsupported version {header.version}, expected {EXPORT_VERSION}")
     return StoreSnapshot(header.at, [], None, header.loss)
 
 
@@ -181,18 +183,19 @@
     snapshot.requests.append(ExportedRequest(intent, result))
 
 
-def _completed(snapshot: StoreSnapshot, final: _FinalLine, number: int) -> StoreSnapshot:
-    read = len(snapshot.requests)
-    if final.filings != read:
-        raise InvalidExportError(number, f"{final.filings} filings were exported, {read} are here")
+def _verified(snapshot: StoreSnapshot, final: _FinalLine, line_number: int) -> StoreSnapshot:
+    """Returns the snapshot if it has as many requests as the final line says."""
+    read_count = len(snapshot.requests)
+    if final.filings != read_count:
+        raise InvalidExportError(line_number, f"expected {final.filings} filings, read {read_count}")
     return snapshot
 
 
 def merge_snapshots(local: StoreSnapshot, imported: StoreSnapshot, now: Timestamp) -> StoreSnapshot:
-    """Both snapshots in one, without requests whose window is over.
+    """Returns the union of two snapshots, without requests whose window is over.
 
-    Of two runs of one request the one with a result is kept, else the one whose window ends later. A loss on
-    either side is one of both, and the longer hold counts. Learned state is the local one, if there is any.
+    Of two runs of one request, a run with a result is preferred, then the one whose window ends later. If
+    both snapshots record a data loss, the one with the longer hold is kept. Local learned state is preferred.
     """
 
     def remaining_ns(intent: IntentRecord) -> int:
@@ -206,8 +209,8 @@
         if remaining_ns(request.intent) <= 0:
             continue
         key = encode_key(request.intent.idempotency_key)
-        known = kept.get(key)
-        if known is None or preference(request) > preference(known):
+        duplicate = kept.get(key)
+        if duplicate is None or preference(request) > preference(duplicate):
             kept[key] = request
     losses = [loss for loss in (local.loss, imported.loss) if loss is not None]
     longest_loss = max(
--- a/ochrehoist/store/failpoints.py
+++ b/ochrehoist/store/failpoints.py
@@ -1,16 +1,20 @@
-"""Failpoints: named steps at which a test can interrupt the process. They do nothing otherwise."""
+"""Failpoints: named steps at which tests can interrupt the process. In production they do nothing."""
 
 from enum import StrEnum
 
 
 class Failpoint(StrEnum):
-    """A step in the life of a request's record, or of the state folder."""
+    """A step in the processing of a request's record, or of the state folder.
 
-    INTENT_QUEUED = "begin"  # the record of a request that is to run is about to be queued
+    INTENT_QUEUED is reached just before an intent is queued, RESULT_QUEUED after the run and before its
+    caller gets a response.
+    """
+
+    INTENT_QUEUED = "begin"
     COMMIT_STARTED = "commit"
     COMMITTED = "committed"
-    INTENT_DURABLE = "recorded"  # the request may run now
-    RESULT_QUEUED = "end"  # it has run; its caller has no answer yet
+    INTENT_DURABLE = "recorded"
+    RESULT_QUEUED = "end"
     FOLDER_OPENING = "open"
     FOLDER_LOCKED = "opened"
     FOLDER_RELEASING = "release"
@@ -32,5 +36,5 @@
 )
 
 
-def reached(failpoint: Failpoint) -> None:  # tests put their own in its place
-    """Called by the store at each of its failpoints."""
+def reached(failpoint: Failpoint) -> None:
+    """Does nothing; the store calls it at each failpoint, and tests replace it."""
--- a/ochrehoist/store/folder_opener.py
+++ b/ochrehoist/store/folder_opener.py
@@ -1,4 +1,4 @@
-"""Opening a state folder off the loop, again and again until it succeeds."""
+"""Opening of a state folder off the loop, with retries until it succeeds."""
 
 import gc
 import time
@@ -9,20 +9,21 @@
 from ochrehoist.store.errors import StoreLockedError
 from ochrehoist.store.folder_session import FolderSession, OpenedFolder
 
-LOCK_RETRY_DELAY_S = 0.02  # while the process before this one still has the folder
-LOCK_WAIT_LOGGED_S = 3.0  # after which waiting for it is reported
-MIN_RETRY_DELAY_S = 0.25  # after any other failure; doubled each time
+LOCK_RETRY_DELAY_S = 0.02  # short, since a replaced process releases the folder soon
+LOCK_WAIT_LOGGED_S = 3.0  # waiting for the lock is reported as a failure after this time
+# Delay after failures other than a locked folder; doubled for each further one.
+MIN_RETRY_DELAY_S = 0.25
 MAX_RETRY_DELAY_S = 10.0
 
 
 class FolderOpener:
-    """Tries to open the folder: soon again where another process has it, else with exponential backoff.
+    """Opens the folder, with short retries while another process has locked it, else with backoff.
 
     Args:
         loop: the worker's loop.
         thread: carries out calls that wait for the disk.
         session: the state folder.
-        failures: hears why it could not be opened.
+        failures: records why the folder could not be opened.
         longest_window_ns: the longest idempotency window of the settings in force.
         clock_ns: the core's clock.
         opened: called on the loop once the folder is open.
@@ -50,17 +51,17 @@
         self._stopping = False
 
     def open(self) -> None:
-        """Starts opening the folder; `opened` is called sooner or later."""
+        """Starts opening the folder; `opened` is called once an attempt succeeds."""
         self._requested_at = time.monotonic()
         self._attempt()
 
     def stop(self) -> None:
-        """No further attempt is made."""
+        """Stops further attempts."""
         self._stopping = True
 
     def _attempt(self) -> None:
         longest_window_ns = self._longest_window_ns()
-        gc.disable()  # all that is restored stays: collections meanwhile would double the time
+        gc.disable()  # restored runs stay alive, and collections while they are read would double the time
         self._thread.submit(
             lambda: self._session.open(longest_window_ns, self._clock_ns), self._attempt_ended
         )
--- a/ochrehoist/store/folder_session.py
+++ b/ochrehoist/store/folder_session.py
@@ -1,7 +1,7 @@
-"""One process's use of a state folder: its lock, its store and its commit watermark.
+"""A process's session with a state folder: the lock, the store and the commit watermark.
 
-Its methods may wait for the disk, and are called one at a time on the journal's thread, but for `use` and
-`rebuilt`, which the loop calls.
+Its methods may wait for the disk and are called one at a time on the journal's thread, except `use` and
+`rebuilt`, which are called on the loop.
 """
 
 from collections.abc import Callable, Sequence
@@ -23,28 +23,31 @@
 
 @dataclass(slots=True)
 class OpenedFolder:
-    """What opening a folder gave: its store, and the runs that it knows."""
+    """The result of opening a folder: its store, and the runs restored from it."""
 
     store: OpenStore
     runs: RunsByKey
 
 
 class FolderSession:
-    """The folder from its lock to its release. `store` is None while there is none in use."""
+    """The use of a folder from its lock to its release.
+
+    `store` is None while no store is in use; `size_bytes` is the store's size on disk after the last commit.
+    """
 
     def __init__(self, config: StateConfig, worker_name: str) -> None:
         self.folder = Path(config.folder)
         self.store: OpenStore | None = None
-        self.size_bytes = 0  # on disk, as of the last commit
+        self.size_bytes = 0
         self._config = config
         self._worker_name = worker_name
         self._lock: FolderLock | None = None
         self._watermark: CommitWatermark | None = None
 
     def prepare(self) -> None:
-        """Makes the folder, or makes sure that it holds a store, as the settings say.
+        """Creates the folder, or verifies that it holds a store if the settings require one.
 
-        Raises StoreFailedError where a store is missing, OSError.
+        Raises StoreFailedError if a required store is missing, and OSError.
         """
         if self._config.must_exist:
             files.require_store(self.folder)
@@ -56,16 +59,16 @@
         self._lock = FolderLock(self.folder, self._worker_name)
 
     def open(self, longest_window_ns: int, clock_ns: Callable[[], int]) -> OpenedFolder:
-        """Opens the store, locking the folder first where it is not; `use` follows.
+        """Locks the folder if necessary, and opens its store; the caller passes the store to `use`.
 
-        Raises StoreLockedError, StoreFailedError, OSError; it can be tried again.
+        Raises StoreLockedError, StoreFailedError and OSError, after which it can be retried.
         """
         failpoints.reached(Failpoint.FOLDER_OPENING)
         if self._lock is None:
             self.prepare()
             self.lock()
         failpoints.reached(Failpoint.FOLDER_LOCKED)
-        # Both clocks are read at one moment: windows run on while the folder is opened.
+        # Both clocks are read together before the store is opened, since windows expire meanwhile.
         now, now_ns = current_timestamp(), clock_ns()
         store = open_store(self.folder, self._config.max_mb, longest_window_ns, now)
         self._watermark = CommitWatermark(self.folder)
@@ -73,12 +76,12 @@
         return OpenedFolder(store, restored_runs(store.intents, now_ns))
 
     def use(self, store: OpenStore) -> None:
-        """Takes an opened store into use."""
+        """Makes an opened store the one in use."""
         self.store = store
         self.size_bytes = store.database.size_bytes
 
     def commit(self, operations: Sequence[Operation]) -> int:
-        """Makes a group of operations durable; returns their number. Raises StoreFailedError."""
+        """Commits a group of operations; returns the number of operations. Raises StoreFailedError."""
         failpoints.reached(Failpoint.COMMIT_STARTED)
         database = self._store_in_use().database
         commit_number = database.commit(operations)
@@ -94,21 +97,21 @@
         loss: DataLossRecord | None,
         learned: LearnedStateRecord | None,
     ) -> None:
-        """Replaces a store that can't be trusted any more. Raises StoreFailedError."""
+        """Replaces a store that can no longer be trusted. Raises StoreFailedError."""
         rebuild_store(self._store_in_use(), self._config.max_mb, intents, loss, learned)
 
     def rebuilt(self) -> str:
-        """Reports a rebuilt store as durable; returns the file name of the one set aside."""
+        """Writes the rebuilt store's watermark; returns the file name of the store set aside."""
         store = self._store_in_use()
         self._write_watermark(store.database.summary.commit_number)
         return store.set_aside[-1]
 
     def read_result(self, key: bytes) -> ResultRecord | None:
-        """The stored result of a request. Raises StoreFailedError."""
+        """Returns the stored result of a request; None if there is none. Raises StoreFailedError."""
         return self._store_in_use().database.read_result(key)
 
     def release(self) -> None:
-        """Closes the store and releases the folder; harmless where that was done."""
+        """Closes the store and releases the folder; it may be called more than once."""
         failpoints.reached(Failpoint.FOLDER_RELEASING)
         if self.store is not None:
             self.store.database.close()
--- a/ochrehoist/store/intent_confirmations.py
+++ b/ochrehoist/store/intent_confirmations.py
@@ -1,20 +1,20 @@
-"""Which attempts wait to run until both this disk and the replicas have recorded their intents."""
+"""Tracking of attempts that wait until both the local disk and the replicas have recorded their intents."""
 
-CONFIRMATIONS = 2  # that an attempt needs: one of the disk, one of the replicas
+REQUIRED_CONFIRMATIONS = 2  # one by the disk, one by the replicas
 
 
 class IntentConfirmations:
-    """Counts the confirmations of each attempt's intent, in whatever order they come."""
+    """Counts the outstanding confirmations of each attempt's intent; they may arrive in any order."""
 
     def __init__(self) -> None:
-        self._missing: dict[str, int] = {}  # confirmations by request id
+        self._missing: dict[str, int] = {}  # outstanding confirmations by request id
 
     def expect(self, request_id: str) -> None:
-        """The attempt waits from now on."""
-        self._missing[request_id] = CONFIRMATIONS
+        """Adds an attempt that waits for its confirmations."""
+        self._missing[request_id] = REQUIRED_CONFIRMATIONS
 
     def confirm(self, request_id: str) -> bool:
-        """Counts one confirmation; whether it was the last one, so that the attempt may run."""
+        """Counts one confirmation; returns True if it was the last one, so that the attempt may run."""
         missing = self._missing.get(request_id)
         if missing is None:
             return False
@@ -25,9 +25,9 @@
         return True
 
     def abandon(self, request_id: str) -> bool:
-        """The attempt waits no more; whether it did."""
+        """Removes an attempt; returns whether it was waiting."""
         return self._missing.pop(request_id, None) is not None
 
     def waiting(self) -> list[str]:
-        """The ids of all attempts that wait."""
+        """Returns the request ids of all waiting attempts."""
         return list(self._missing)
--- a/ochrehoist/store/maintenance.py
+++ b/ochrehoist/store/maintenance.py
@@ -219,6 +219,6 @@
             results.append((key, encode_record(key, request.result)))
     named = {DATA_LOSS_NAME: snapshot.loss, LEARNED_STATE_NAME: snapshot.learned}
     create_store(replacement, commit_number, intents, results, named)
-    files.remove_log(path)
+    files.remove_wal(path)
     replacement.replace(path)
     files.sync_folder(folder)
--- a/tests/store/test_power_loss.py
+++ b/tests/store/test_power_loss.py
@@ -51,7 +51,7 @@
                 if source.random() < 0.7:  # it is not synced: what reached the disk may be old
                     watermark.write(number)
                 if source.random() < 0.2:
-                    db.log_pages = database.CHECKPOINT_PAGES
+                    db.wal_pages = database.CHECKPOINT_PAGES
                     db.checkpoint_if_due()
         except StoreFailedError:
             pass
