--- a/ochrehoist/store/commit_scheduler.py
+++ b/ochrehoist/store/commit_scheduler.py
@@ -132,7 +132,7 @@
     def drain_without_loop(self, deadline: float) -> None:
         """Empties the queue until `deadline`, at the end of the process when the loop no longer runs."""
         queue = self._queue
-        while len(queue) and queue.open and queue.failure is None and time.monotonic() < deadline:
+        while len(queue) and queue.is_open and queue.failure is None and time.monotonic() < deadline:
             self.run()
             self._thread.deliver()
             time.sleep(FINAL_DRAIN_INTERVAL_S)
--- a/ochrehoist/store/journal.py
+++ b/ochrehoist/store/journal.py
@@ -1,7 +1,7 @@
-"""The core's journal: keyed requests are recorded before they run, and are known again after a restart.
+"""The core's idempotency journal: keyed requests are recorded before they run, and restored after a restart.
 
-It lives on the loop and never blocks. `WriteQueue` decides what is written when, `CommitScheduler` has it
-done by a thread on a `FolderSession`, and the core is sent messages of what came of it.
+It runs on the loop and never blocks. `WriteQueue` decides what is written and when, `CommitScheduler` lets a
+thread write it by a `FolderSession`, and the outcomes are sent to the core as messages.
 """
 
 import gc
@@ -44,7 +44,7 @@
 from ochrehoist.units import NS_PER_S
 
 FOLDER_SETTING = "state.folder"
-FINAL_FLUSH_S = 1.0  # the longest that queued operations are waited for at the end of the process
+FINAL_FLUSH_S = 1.0  # time limit for writing queued operations at a release or at the end of the process
 REJECTION_BACKOFF_NS = NS_PER_S
 
 
@@ -53,15 +53,15 @@
 
     Args:
         loop: the worker's loop.
-        start_blocking_calls: starts the thread for the disk, by name.
-        owner: the core, which is sent messages.
+        start_blocking_calls: starts a named thread, here the one that waits for the disk.
+        owner: the core, which receives messages.
         config: the `[state]` table.
-        name: the worker's name, recorded with what it ran.
-        codec: puts the executor's part of results into JSON.
+        name: the worker's name, recorded with its intents.
+        codec: converts the executor's part of results to and from JSON.
         log: the worker's log.
-        replacing: another process may still have the folder, and will release it.
+        replacing: whether this process replaces another one, which may not have released the folder yet.
 
-    Raises InvalidInputError where the folder is in use by another process, or can't be made.
+    Raises InvalidInputError if another process uses the folder, or it cannot be created.
     """
 
     def __init__(
@@ -75,16 +75,16 @@
         log: Any,
         replacing: bool,
     ) -> None:
-        self.restored = False  # the core has been sent what was stored
+        self.restored = False  # whether the stored state was sent to the core
         self._loop = loop
         self._owner = owner
         self._config = config
         self._name = name
         self._codec = codec
         self._log = log
-        self._learned: LearnedStateRecord | None = None  # the newest, as it was last stored
+        self._learned: LearnedStateRecord | None = None  # the last snapshot that was queued or restored
         self._hold_until_ns = 0  # by the core's clock
-        self._released = False  # another process decides now
+        self._released = False  # whether the folder was handed over to another process
         self._stopping = False
         self._restored_listeners: list[Callable[[], None]] = []
         self._replicator: IntentReplicator | None = None
@@ -109,14 +109,14 @@
         )
 
     def _prepare_folder(self, replacing: bool) -> None:
-        """What can be mended meanwhile is no error: opening tries again."""
+        """Creates and locks the folder; possibly temporary failures are recorded, and retried by `open`."""
         folder = self._session.folder
         try:
             self._session.prepare()
             if not replacing:
                 self._session.lock()
         except StoreLockedError as error:
-            problem = f"in use by {error}; stop that one first, or replace it: the same name and TMPDIR"
+            problem = f"in use by {error}; stop that process, or replace it: use the same name and TMPDIR"
             raise InvalidInputError.in_setting(FOLDER_SETTING, f"{folder}: {problem}") from None
         except FileNotFoundError as error:
             raise InvalidInputError.in_setting(FOLDER_SETTING, f"{folder}: {error.strerror}") from None
@@ -126,34 +126,34 @@
             self._failures.failed(store_failure(error))
 
     def register_restored_listener(self, listener: Callable[[], None]) -> None:
-        """`listener` is called once the core has been sent what was stored."""
+        """Registers a function that is called once the stored state was sent to the core."""
         self._restored_listeners.append(listener)
 
     def replicate_intents_to(self, replicator: IntentReplicator) -> None:
-        """From now on requests run only once `replicator` has confirmed their intents, too."""
+        """Sets the replicator, which then has to confirm each intent before its request runs."""
         self._replicator = replicator
 
     @property
     def hold_until_ns(self) -> int:
-        """Until when unknown requests are rejected, by the core's clock."""
+        """The time until which unknown requests are rejected, by the core's clock."""
         return self._hold_until_ns
 
     def hold_unknown_keys_until(self, until_ns: int) -> None:
-        """Unknown requests are rejected until then, by the core's clock; 0: they are accepted."""
+        """Sets the time until which unknown requests are rejected, by the core's clock; 0: none are."""
         self._hold_until_ns = until_ns
 
     def is_history_uncertain(self) -> bool:
-        """Whether requests may have run that are not known: after a loss, at a first start, in a hold."""
+        """Whether unrecorded requests may have run: after a data loss, at a first start, or during a hold."""
         return (
             bool(self._metrics.losses)
             or self._hold_until_ns > self._owner.clock()
             or self._store_in_use().condition is StoreCondition.FIRST_START
         )
 
-    # The core's calls: `core.protocols.IdempotencyJournal`.
+    # Implementation of `core.protocols.IdempotencyJournal`.
 
     def rejection_for(self, token: IdempotencyKey) -> Rejection | None:
-        """Why an unknown request can't be accepted now, as its caller is notified; None where it can."""
+        """Returns the rejection of a request with an unknown key; None if it can be accepted."""
         if not self.restored:
             return Rejection(0, outcome_unknown=True)
         rejection = self._rejection(token)
@@ -170,7 +170,7 @@
         return Rejection(hold_ns) if hold_ns > 0 else None
 
     def begin(self, request: InboundRequest, run: IdempotentRun) -> None:
-        """Records the intent of a run; an `IntentRecorded` follows within the setting `stall_ms`."""
+        """Records the intent of a run; an `IntentRecorded` message follows within the setting `stall_ms`."""
         assert request.idempotency_key is not None
         if self._queue.rejection_reason(time.monotonic()):
             self.intents_rejected([request.id])
@@ -184,7 +184,7 @@
             self._replicator.begin(request.id, key, intent.remaining_ns / NS_PER_S)
 
     def end(self, token: IdempotencyKey, run: IdempotentRun, result: RunResult) -> None:
-        """Records the result of a run, unless it is too large."""
+        """Records the result of a run, unless it exceeds the size limit."""
         failpoints.reached(Failpoint.RESULT_QUEUED)
         record = result_record(result, self._codec)
         if len(record.body) + len(record.detail) > self._config.max_result_kb * 1024:
@@ -193,40 +193,43 @@
         run.result_stored = self._scheduler.add(PutResult(encode_key(token), record))
 
     def drop(self, token: IdempotencyKey) -> None:
-        """Deletes a request whose window is over."""
+        """Deletes the records of a request whose idempotency window is over."""
         self._scheduler.add(DeleteIntent(encode_key(token)))
 
     def never_ran(self, token: IdempotencyKey) -> None:
-        """Deletes the intent of a request that did not run after all."""
+        """Deletes the intent of a request that was recorded but did not run."""
         self.drop(token)
         if self._replicator is not None:
             self._replicator.drop(encode_key(token))
 
     def fetch(self, token: IdempotencyKey, request_id: str) -> None:
-        """A `DuplicateResolved` follows: with the stored result, or as failed where it can't be read."""
+        """Fetches a stored result for a duplicate request.
+
+        A `DuplicateResolved` message follows, with a failed result if the stored one cannot be read.
+        """
         key = encode_key(token)
 
         def resolve(record: ResultRecord | None, _error: Exception | None) -> None:
             result = stored_result(record, self._codec) or RunResult(Outcome.FAILED)
             self._owner.post(DuplicateResolved(request_id, result))
 
-        queued = self._queue.queued_result(key)
-        if queued is not None or self._session.store is None:
-            resolve(queued, None)
+        queued_record = self._queue.queued_result(key)
+        if queued_record is not None or self._session.store is None:
+            resolve(queued_record, None)
         else:
             self._thread.submit(lambda: self._session.read_result(key), resolve)
 
-    # The replicator's answer, and the scheduler's: `commit_scheduler.CommitListener`.
+    # Outcomes from the replicator and the scheduler, which calls it as `commit_scheduler.CommitListener`.
 
     def replication_ended(self, request_id: str, confirmed: bool) -> None:
-        """Enough replicas have confirmed an intent; or they did not in time."""
+        """Handles the end of an intent's replication; `confirmed` is false if replicas did not in time."""
         if confirmed:
             self._confirm(request_id)
         elif self._confirmations.abandon(request_id):
             self.intents_rejected([request_id])
 
     def intent_durable(self, request_id: str) -> None:
-        """The intent is durable on this disk."""
+        """Confirms an intent that is durable on this disk."""
         if self._replicator is None:
             self._owner.post(IntentRecorded(request_id, True))
         else:
@@ -237,19 +240,19 @@
             self._owner.post(IntentRecorded(request_id, True))
 
     def intents_rejected(self, request_ids: Sequence[str]) -> None:
-        """The requests do not run; their callers may retry."""
+        """Rejects requests whose intents are not durable; their callers may retry."""
         for request_id in request_ids:
             self._confirmations.abandon(request_id)
             self._owner.post(IntentRecorded(request_id, False, REJECTION_BACKOFF_NS))
 
     def rebuild_contents(self) -> RebuildContents:
-        """All runs that the core knows and that may have ended, or are running."""
+        """Returns the intents of all runs that have started and may have ended, and the other records."""
         runs = list(self._owner.idempotency.runs.items())
         live_ids = frozenset(self._owner.open_requests)
         recorder = self._recorder()
 
         def intents() -> list[IntentRecord]:
-            # Runs that end meanwhile have their results in the queue.
+            # The results of runs that end meanwhile are in the queue.
             return [
                 recorder.record(key, run)
                 for key, run in runs
@@ -270,7 +273,7 @@
     # Opening the folder.
 
     def open(self) -> None:
-        """Opens the store; a `StateRestored` follows sooner or later."""
+        """Starts opening the store; a `StateRestored` message follows once it is open."""
         self._opener.open()
 
     def _longest_window_ns(self) -> int:
@@ -279,19 +282,19 @@
     def _opened(self, opened: OpenedFolder) -> None:
         self._session.use(opened.store)
         self._failures.clear()
-        if self._released:  # another process waits for the folder
+        if self._released:
             return
         self._report_condition(opened.store)
         self._learned = opened.store.learned
         learned = restorable_state(
             self._learned, self._config.snapshot_half_life_s, self._owner.started_cold, self._log
         )
-        self._queue.open = True
+        self._queue.is_open = True
         known_runs = dict(self._owner.idempotency.runs)
         self._record_changes_since(opened, known_runs)
         if self._replicator is not None:
             self._replicator.journal_opened([encode_key(key) for key in {**opened.runs, **known_runs}])
-        gc.freeze()  # collections would look through all restored runs again and again
+        gc.freeze()  # excludes the restored runs, which are long-lived, from later collections
         self._owner.post(StateRestored(opened.runs, learned))
         self.restored = True
         for listener in self._restored_listeners:
@@ -313,7 +316,7 @@
             self._log.warning("unknown_requests_held", hold_s=hold_ns // NS_PER_S + 1)
 
     def _record_changes_since(self, opened: OpenedFolder, known_runs: RunsByKey) -> None:
-        """Brings the store up to date with the core, which may know more from the process before this one."""
+        """Queues what the store lacks: the core may know newer runs, taken over from a replaced process."""
         expired = opened.store.expired_intents
         for record in expired:
             self.drop(record.idempotency_key)
@@ -345,21 +348,21 @@
             self._learned = learned_state_record(self._owner.controller)
             self._scheduler.add(PutNamed(LEARNED_STATE_NAME, self._learned))
 
-    # The end.
+    # Shutdown.
 
     def release(self) -> None:
-        """Another process decides now: writes what is queued, and releases the folder."""
+        """Writes queued operations and releases the folder, for the process that replaces this one."""
         self._released = True
-        # Nobody hears this process any more: what still waits for replicas never runs here.
+        # Replicas no longer answer this process, so attempts that wait for them would never run.
         self.intents_rejected(self._confirmations.waiting())
         self._scheduler.drain(time.monotonic() + FINAL_FLUSH_S, self._release_folder)
 
     def _release_folder(self) -> None:
-        self._queue.open = False
+        self._queue.is_open = False
         self._thread.submit(self._session.release, lambda *_: self._log.info("store_released"))
 
     def close(self) -> None:
-        """At the end of the process, when the loop no longer runs: writes what is queued, and closes."""
+        """Writes queued operations and closes the store, after the loop has ended."""
         if not self._released:
             self._save_learned()
             self._scheduler.drain_without_loop(time.monotonic() + FINAL_FLUSH_S)
@@ -370,16 +373,16 @@
         if not self._thread.close(FINAL_FLUSH_S):
             self._log.error("store_operations_lost_at_exit", count=len(self._queue))
 
-    # For operators.
+    # Status and metrics.
 
     def status_section(self) -> dict[str, Any]:
-        """The part `store` of the status, by its documented names."""
+        """Returns the section `store` of the status, with its documented keys."""
         now = time.monotonic()
         hold_ns = max(0, self._hold_until_ns - self._owner.clock())
         store = self._session.store
         return {
             "folder": str(self._session.folder),
-            "open": self._queue.open,
+            "open": self._queue.is_open,
             "bytes": self._session.size_bytes,
             "refuses": self._queue.rejection_reason(now) or ("a loss" if hold_ns else ""),
             "hold_s": hold_ns // NS_PER_S,
@@ -396,5 +399,5 @@
         }
 
     def metrics_text(self) -> str:
-        """Metrics in the Prometheus text format."""
+        """Returns the journal's metrics in the Prometheus text format."""
         return self._metrics.exposition(self.status_section())
--- a/ochrehoist/store/journal_metrics.py
+++ b/ochrehoist/store/journal_metrics.py
@@ -1,17 +1,17 @@
-"""Figures of the journal: counters and commit latency, and how they are exposed to operators."""
+"""Metrics of the journal: counters and commit latency, and their exposition."""
 
 from typing import Any
 
 from hdrh.histogram import HdrHistogram  # type: ignore[import-untyped]
 
-MAX_LATENCY_US = 60_000_000  # longer commits count as this one
+MAX_LATENCY_US = 60_000_000  # longer latencies are recorded as this value
 SIGNIFICANT_DIGITS = 2
 STATUS_PERCENTILES = (("p50", 50), ("p99", 99), ("max", 100))
 METRIC_PERCENTILES = (50, 90, 99, 99.9)
 
 
 class JournalMetrics:
-    """What the journal counts from the start of the process on."""
+    """Counters and commit latencies since the start of the process."""
 
     def __init__(self) -> None:
         self.commits = 0
@@ -22,7 +22,7 @@
         self._latency_us: Any = HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
 
     def committed(self, operations: int, started_at: float, now: float) -> None:
-        """Counts a group that was sent at `started_at` and durable at `now` (monotonic seconds)."""
+        """Counts a commit of a group from `started_at` until `now` (monotonic seconds)."""
         self.commits += 1
         self.operations += operations
         self._committed_at = now
@@ -30,18 +30,18 @@
         self._latency_us.record_value(min(MAX_LATENCY_US, max(1, latency_us)))
 
     def seconds_since_commit(self, now: float) -> float | None:
-        """Seconds since the last commit; None before the first."""
+        """Returns the seconds since the last commit; None before the first one."""
         return None if self._committed_at is None else round(now - self._committed_at, 1)
 
     def commit_latency_ms(self) -> dict[str, float]:
-        """Percentiles of commit latency, by the names in the status."""
+        """Returns percentiles of the commit latency in ms, by their keys in the status."""
         return {
             name: round(self._latency_us.get_value_at_percentile(percentile) / 1000, 2)
             for name, percentile in STATUS_PERCENTILES
         }
 
     def exposition(self, view: dict[str, Any]) -> str:
-        """Lines in the Prometheus text format; `view` is what the journal shows in the status."""
+        """Returns the metrics in the Prometheus text format; `view` is the journal's status section."""
         lines = []
         for name, kind, value in (
             ("store_bytes", "gauge", view["bytes"]),
--- a/ochrehoist/store/journal_records.py
+++ b/ochrehoist/store/journal_records.py
@@ -1,4 +1,4 @@
-"""Conversion between what the core knows of keyed requests and the records that are stored."""
+"""Conversion between the core's runs and results of keyed requests and their stored records."""
 
 import json
 from collections.abc import Mapping
@@ -19,9 +19,9 @@
 
 @dataclass(slots=True)
 class IntentRecorder:
-    """Makes intent records as of one moment, given on the core's clock and as a timestamp.
+    """Creates intent records as of one moment, given as `clock_ns` of the core's clock and as `now`.
 
-    `windows_ns` are the idempotency windows by name of the request class.
+    `windows_ns` holds the idempotency windows by class name.
     """
 
     worker_name: str
@@ -30,7 +30,7 @@
     now: Timestamp
 
     def record(self, key: IdempotencyKey, run: IdempotentRun) -> IntentRecord:
-        """The intent of a run."""
+        """Returns the intent record of a run."""
         remaining_ns = max(0, run.window_end_ns - self.clock_ns)
         window_ns = max(remaining_ns, self.windows_ns.get(key[1], 0))
         target, body = run.fingerprint or (None, None)
@@ -38,12 +38,13 @@
 
 
 def restored_runs(intents: list[LiveIntent], clock_ns: int) -> RunsByKey:
-    """The runs of stored intents, as of `clock_ns` on the core's clock.
+    """Returns the runs of stored intents, as of `clock_ns` on the core's clock.
 
-    `intents` is emptied on the way: both lists at once would take much memory.
+    `intents` is emptied meanwhile, so that intents and runs are not all in memory at once.
     """
     runs: RunsByKey = {}
-    tenants: dict[str | None, str | None] = {}  # one string for each name: there may be very many intents
+    # Equal names share one string object, to save memory with many intents.
+    tenants: dict[str | None, str | None] = {}
     class_names: dict[str, str] = {}
     while intents:
         intent = intents.pop()
@@ -68,7 +69,7 @@
 
 
 def result_record(result: RunResult, codec: DetailCodec) -> ResultRecord:
-    """The record of a result."""
+    """Returns the record of a result."""
     detail = json.dumps(codec.to_json(result.detail)).encode()
     return ResultRecord(
         OUTCOME_NAMES[result.outcome], result.success, result.body, detail, result.detail_bytes
@@ -76,7 +77,7 @@
 
 
 def stored_result(record: ResultRecord | None, codec: DetailCodec) -> RunResult | None:
-    """The result that was stored; None where there is none, or it can't be read any more."""
+    """Returns the result in a record; None if there is no record or it cannot be decoded."""
     if record is None:
         return None
     with suppress(KeyError, TypeError, ValueError):
--- a/ochrehoist/store/learned_state_records.py
+++ b/ochrehoist/store/learned_state_records.py
@@ -1,4 +1,4 @@
-"""Saving what the admission controller learned, and restoring it after a restart."""
+"""Records of the admission controller's learned state, to save it and to restore it after a restart."""
 
 from typing import Any
 
@@ -11,14 +11,14 @@
 
 
 def learned_state_record(controller: AdmissionController) -> LearnedStateRecord:
-    """A snapshot of what a controller has learned."""
+    """Returns a snapshot of a controller's learned state."""
     return LearnedStateRecord(current_timestamp(), learned_state.snapshot(controller), learned_state.LAYOUT)
 
 
 def restorable_state(
     record: LearnedStateRecord | None, half_life_s: float, cold: bool, log: Any
 ) -> LearnedState | None:
-    """The part of a stored snapshot that still counts; None where it is of another layout, or corrupt."""
+    """Returns the still valid part of a snapshot; None if its layout is unsupported or it is corrupt."""
     if record is None or record.layout != learned_state.LAYOUT:
         return None
     half_life_ns = int(half_life_s * NS_PER_S)
--- a/ochrehoist/store/maintenance.py
+++ b/ochrehoist/store/maintenance.py
@@ -1,4 +1,4 @@
-"""What operators do with a store: describe, verify, initialise, export, import and compact it."""
+"""Maintenance of stores for operators: describe, verify, initialise, export, import and compact."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager, suppress
@@ -26,25 +26,25 @@
 from ochrehoist.store.timestamps import Timestamp, remaining_window_ns
 from ochrehoist.units import NS_PER_S
 
-LOCK_NAME = "the state command"  # shown to others while a command has the folder
+LOCK_NAME = "the state command"  # shown to other processes as the holder of the lock
 
 
 @dataclass(slots=True)
 class StoreReading:
-    """A store as of one moment, open for reading."""
+    """A read-only view of a store as of one moment; `watermark` is its last durable commit, if known."""
 
     database: Database
     contents: StoreContents
     watermark: int | None
 
     def assess(self, has_marker: bool) -> DamageAssessment:
-        """The condition that the store is in."""
+        """Returns the condition of the store."""
         return assess_damage(self.contents.inspection(has_marker, None, self.watermark))
 
 
 @dataclass(frozen=True, slots=True)
 class RequestCounts:
-    """Numbers of keyed requests in a store, before and after a change."""
+    """The numbers of keyed requests in a store before and after a change."""
 
     before: int
     after: int
@@ -52,14 +52,15 @@
 
 @contextmanager
 def read_store(folder: Path) -> Iterator[StoreReading]:
-    """The store as of one moment, also while a worker writes to it. Raises StoreMissingError."""
+    """Reads a store as of one moment, which a worker may be writing to. Raises StoreMissingError."""
     path = folder / files.store_file_name()
     if not path.exists():
-        newer = [p.name for p in files.find_stores(folder).values()] if folder.is_dir() else []
+        other_stores = [p.name for p in files.find_stores(folder).values()] if folder.is_dir() else []
         raise StoreMissingError(
-            folder, f"no {path.name}" + (f"; there is {', '.join(newer)}" if newer else "")
+            folder, f"no {path.name}" + (f"; found {', '.join(other_stores)}" if other_stores else "")
         )
-    watermark = files.read_watermark(folder)  # before the store: a commit meanwhile is no missing one
+    # The watermark is read first: a commit between the two reads must not look like a missing one.
+    watermark = files.read_watermark(folder)
     try:
         database = Database(path, read_only=True)
     except apsw.Error as error:
@@ -82,7 +83,7 @@
 
 
 def describe_store(folder: Path, now: Timestamp) -> dict[str, Any]:
-    """What `ochrehoist state show` prints, by its documented names. Raises StoreMissingError."""
+    """Returns the output of `ochrehoist state show`, by its documented keys. Raises StoreMissingError."""
     with read_store(folder) as reading:
         contents = reading.contents
         assessment = reading.assess(files.read_marker(folder) is not None)
@@ -118,7 +119,7 @@
 
 
 def verify_store(folder: Path) -> list[str]:
-    """All that is wrong with a store, results included; empty where it is sound. Raises StoreMissingError."""
+    """Returns all problems of a store and its results; empty if it is sound. Raises StoreMissingError."""
     with read_store(folder) as reading:
         problems = list(reading.assess(files.read_marker(folder) is not None).reasons)
         problems += [f"structure: {text}" for text in reading.database.integrity_errors()]
@@ -151,26 +152,30 @@
 
 
 def initialize_store(folder: Path, longest_window_ns: int, now: Timestamp) -> None:
-    """Makes the first store of a folder.
+    """Creates the first store of a folder.
 
-    Raises StoreMissingError where there is or was one, StoreLockedError, StoreFailedError, OSError.
+    Raises StoreMissingError if the folder holds or has held a store, and StoreLockedError, StoreFailedError
+    or OSError if it cannot be created.
     """
     files.make_folder(folder)
     with _locked(folder):
         if files.read_marker(folder) is not None or files.find_stores(folder):
-            raise StoreMissingError(folder, "it holds a store, or held one; nothing was changed")
+            raise StoreMissingError(folder, "the folder holds or has held a store; nothing was changed")
         open_store(folder, 0, longest_window_ns, now).database.close()
 
 
 def snapshot_store(folder: Path, now: Timestamp) -> StoreSnapshot:
-    """All of a sound store whose worker is stopped. Raises StoreLockedError, StoreMissingError."""
+    """Returns the contents of a sound store that no worker uses.
+
+    Raises StoreLockedError if it is in use, StoreMissingError if it is missing or not sound.
+    """
     with _locked(folder), read_store(folder) as reading:
         assessment = reading.assess(True)
         if assessment.condition is not StoreCondition.SOUND:
             raise StoreMissingError(
                 folder,
-                f"not sound: {'; '.join(assessment.reasons)}; start the worker on it first, "
-                "which sets aside what is damaged",
+                f"the store is not sound: {'; '.join(assessment.reasons)}; start the worker on it first, "
+                "which sets the damaged store aside and keeps its sound records",
             )
         return _snapshot(reading.database, reading.contents, now)
 
@@ -188,9 +193,9 @@
 def import_snapshot(
     folder: Path, imported: StoreSnapshot, longest_window_ns: int, now: Timestamp
 ) -> RequestCounts:
-    """Merges a snapshot into the store of a folder, which is made where it is missing.
+    """Merges a snapshot into the store of a folder, which is created if it is missing.
 
-    Raises StoreLockedError, StoreFailedError, OSError; nothing was changed then.
+    Raises StoreLockedError, StoreFailedError or OSError, in which case nothing was changed.
     """
     files.make_folder(folder)
     with _locked(folder):
@@ -204,7 +209,7 @@
 
 
 def compact_store(folder: Path, longest_window_ns: int, now: Timestamp) -> RequestCounts:
-    """Rewrites the store of a folder without requests whose window is over. Errors as `import_snapshot`."""
+    """Rewrites a store without requests whose window is over; raises the errors of `import_snapshot`."""
     return import_snapshot(folder, StoreSnapshot(now, []), longest_window_ns, now)
 
 
--- a/ochrehoist/store/operations.py
+++ b/ochrehoist/store/operations.py
@@ -1,4 +1,4 @@
-"""Operations on the store, and what a group of them amounts to. No I/O."""
+"""Write operations on the store, and the net changes of a group of them. No I/O."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -8,10 +8,10 @@
 
 @dataclass(slots=True)
 class PutIntent:
-    """Records that a request is about to run, in place of all that is stored under its key.
+    """Records that a request is about to run; replaces all records stored under its key.
 
-    `request_id` names the attempt that waits for this; it is empty where the run was started by the
-    process before this one.
+    `request_id` names the attempt that waits for the commit. It is empty if the run was started by a replaced
+    process.
     """
 
     request_id: str
@@ -28,20 +28,20 @@
 
     @property
     def size_bytes(self) -> int:
-        """The memory that it takes while it waits."""
+        """The size of the result while it is queued."""
         return len(self.record.body) + len(self.record.detail)
 
 
 @dataclass(slots=True)
 class DeleteIntent:
-    """Removes a request that never ran, or whose window is over."""
+    """Removes the records of a request that never ran, or whose window is over."""
 
     key: bytes
 
 
 @dataclass(slots=True)
 class PutNamed:
-    """Records something that is no request's, under a name of `database.NamedKey`."""
+    """Records data that belongs to no request, under one of the names in `database`."""
 
     name: str
     record: NamedRecord
@@ -52,23 +52,26 @@
 
 @dataclass(slots=True)
 class KeyChange:
-    """What a group of operations amounts to for one key."""
+    """The net change of a group of operations for one key.
 
-    replaces: bool = False  # what is stored under the key is deleted first
+    If `replaces` is set, the records stored under the key are deleted first.
+    """
+
+    replaces: bool = False
     intent: IntentRecord | None = None
     result: ResultRecord | None = None
 
 
 @dataclass(slots=True)
 class NetChanges:
-    """What a group of operations amounts to: one change for each key, one record for each name."""
+    """The net changes of a group of operations: one change per key, one record per name."""
 
     by_key: dict[bytes, KeyChange]
     named: dict[str, NamedRecord]
 
 
 def coalesce(operations: Iterable[Operation]) -> NetChanges:
-    """The changes that leave the store as it would be after all operations in their order."""
+    """Returns the net changes that have the same effect as all operations in their order."""
     by_key: dict[bytes, KeyChange] = {}
     named: dict[str, NamedRecord] = {}
     for operation in operations:
--- a/ochrehoist/store/records.py
+++ b/ochrehoist/store/records.py
@@ -1,6 +1,6 @@
-"""The stored records and their encoding: versioned, checksummed and validated when read. No I/O.
+"""The stored records and their versioned, checksummed encoding. No I/O.
 
-An encoded record is its format version (1 byte), the XXH3-64 of key, version and content (8 bytes,
+An encoded record consists of its format version (1 byte), the XXH3-64 of key, version and content (8 bytes,
 big-endian) and the content as MessagePack. Structs are encoded as arrays: the order of fields is part of the
 format, their names are not.
 """
@@ -16,13 +16,13 @@
 from ochrehoist.errors import OchrehoistError
 from ochrehoist.store.timestamps import Timestamp
 
-FORMAT_VERSION = 2  # 2: learned state names its layout
+FORMAT_VERSION = 2  # since version 2, learned state includes its layout number
 CHECKSUM_BYTES = 8
 HEADER_BYTES = 1 + CHECKSUM_BYTES
 
 
 class RecordDefect(Enum):
-    """How a record differs from what was written."""
+    """The kinds of defects of a stored record."""
 
     TOO_SHORT = "too short"
     WRONG_CHECKSUM = "the checksum does not fit"
@@ -30,7 +30,7 @@
 
 
 class CorruptRecordError(OchrehoistError):
-    """A record that is not what was written."""
+    """A record that differs from the one that was written."""
 
     def __init__(self, defect: RecordDefect, detail: str = "") -> None:
         super().__init__(f"{defect.value}: {detail}" if detail else defect.value)
@@ -41,14 +41,15 @@
     """A record of a format version that this release does not know."""
 
     def __init__(self, version: int) -> None:
-        super().__init__(f"version {version}")
+        super().__init__(f"unsupported record version {version}")
         self.version = version
 
 
 class IntentRecord(msgspec.Struct, frozen=True, array_like=True):
-    """A keyed request that was given to an executor, or was about to be.
+    """A keyed request that was sent to an executor, or was about to be.
 
-    Its idempotency window is `window_ns` long, of which `remaining_ns` were left at `recorded_at`.
+    Its idempotency window is `window_ns` long, of which `remaining_ns` remained at `recorded_at`. `target`
+    and `body` are digests of the request, if it has them. `worker_name` is the worker that ran it.
     """
 
     idempotency_key: IdempotencyKey
@@ -56,15 +57,18 @@
     window_ns: int
     remaining_ns: int
     recorded_at: Timestamp
-    target: bytes | None = None  # digests of the request, as far as it has them
+    target: bytes | None = None
     body: bytes | None = None
-    worker_name: str = ""  # the worker that ran it
+    worker_name: str = ""
 
 
 class ResultRecord(msgspec.Struct, frozen=True, array_like=True):
-    """The result of a keyed request. `detail` is JSON written by the executor's codec."""
+    """The result of a keyed request.
 
-    outcome: str  # by its name in core.persisted_names
+    `outcome` is a name of `core.persisted_names`, `detail` is JSON written by the executor's codec.
+    """
+
+    outcome: str
     success: bool
     body: bytes
     detail: bytes = b"null"
@@ -72,7 +76,7 @@
 
 
 class LearnedStateRecord(msgspec.Struct, frozen=True, array_like=True):
-    """A snapshot of what the admission controller learned; one of another `layout` is not restored."""
+    """A snapshot of the admission controller's learned state; only the current `layout` is restored."""
 
     recorded_at: Timestamp
     values: dict[str, Any]
@@ -80,7 +84,7 @@
 
 
 class DataLossRecord(msgspec.Struct, frozen=True, array_like=True):
-    """A detected loss: for `hold_ns` from then on, an unknown request may have run before."""
+    """A detected data loss; for `hold_ns` after it, an unknown request may already have run."""
 
     detected_at: Timestamp
     hold_ns: int
@@ -88,22 +92,25 @@
 
 
 class CommitSummary(msgspec.Struct, frozen=True, array_like=True):
-    """All intent records as of one commit; used to detect missing or foreign records."""
+    """The number and digest of all intent records as of one commit, to detect missing or foreign records.
+
+    The digest is the XOR of the checksums of all intent records.
+    """
 
     commit_number: int = 0
     intent_count: int = 0
-    intents_digest: int = 0  # the XOR of the checksums of all intent records
+    intents_digest: int = 0
 
     def with_intent(self, checksum: int) -> "CommitSummary":
-        """The summary after an intent record with this checksum was added."""
+        """Returns the summary after adding an intent record with this checksum."""
         return CommitSummary(self.commit_number, self.intent_count + 1, self.intents_digest ^ checksum)
 
     def without_intent(self, checksum: int) -> "CommitSummary":
-        """The summary after an intent record with this checksum was removed."""
+        """Returns the summary after removing an intent record with this checksum."""
         return CommitSummary(self.commit_number, self.intent_count - 1, self.intents_digest ^ checksum)
 
     def next_commit(self) -> "CommitSummary":
-        """The same records, as of the commit that follows."""
+        """Returns the summary of the same records as of the next commit."""
         return CommitSummary(self.commit_number + 1, self.intent_count, self.intents_digest)
 
 
@@ -115,37 +122,37 @@
     record_type: msgspec.msgpack.Decoder(record_type)
     for record_type in (IntentRecord, ResultRecord, LearnedStateRecord, DataLossRecord, CommitSummary)
 }
-# By record type and the version it was written in: content of that version to content of the next one.
+# Functions that convert the content of a version to that of the next one, by record type and old version.
 _MIGRATIONS: dict[tuple[type, int], Callable[[Any], Any]] = {
     (LearnedStateRecord, 1): lambda content: [*content, 1],
 }
 
 
 def encode_key(key: IdempotencyKey) -> bytes:
-    """The key under which the records of a request are stored."""
+    """Returns the key under which the records of a request are stored."""
     return _encoder.encode(key)
 
 
 def checksum(key: bytes, data: bytes) -> int:
-    """XXH3-64 of a record's version and content, seeded by its key."""
+    """Returns the XXH3-64 of a record's version and content, seeded by its key."""
     return xxhash.xxh3_64_intdigest(data, seed=xxhash.xxh3_64_intdigest(key))
 
 
 def encode_record(key: bytes, record: AnyRecord, version: int = FORMAT_VERSION) -> bytes:
-    """The record as it is stored under `key`."""
+    """Returns the encoding of a record that is stored under `key`."""
     content = bytes((version,)) + _encoder.encode(record)
     return content[:1] + checksum(key, content).to_bytes(CHECKSUM_BYTES, "big") + content[1:]
 
 
 def stored_checksum(data: bytes) -> int:
-    """The checksum that an encoded record carries; it is not verified."""
+    """Returns the checksum in an encoded record without verifying it."""
     return int.from_bytes(data[1:HEADER_BYTES], "big")
 
 
 def decode_record(key: bytes, data: bytes, record_type: type[Record]) -> Record:
-    """The record that was stored under `key`, migrated to the current format version.
+    """Decodes a record that was stored under `key`, and migrates it to the current format version.
 
-    Raises CorruptRecordError or UnsupportedFormatError, and nothing else, whatever the bytes are.
+    Raises CorruptRecordError or UnsupportedFormatError; no input raises any other error.
     """
     if not isinstance(data, bytes) or len(data) <= HEADER_BYTES:
         raise CorruptRecordError(RecordDefect.TOO_SHORT)
--- a/ochrehoist/store/store_repair.py
+++ b/ochrehoist/store/store_repair.py
@@ -1,7 +1,7 @@
-"""Opening the store of a state folder, and repairing it, whatever condition it is in.
+"""Opening and repair of the store in a state folder, which may be missing, damaged or of another version.
 
-The folder is assessed, stores that can't be used are set aside, and their sound records are kept. The caller
-holds the folder's lock. Nothing is ever deleted: what is no longer used gets another name.
+The folder is assessed, unusable stores are set aside, and their sound records are kept. The caller holds the
+folder's lock. Stores are never deleted: those that are no longer used are renamed.
 """
 
 import uuid
@@ -37,11 +37,11 @@
 from ochrehoist.store.timestamps import Timestamp, remaining_window_ns
 from ochrehoist.units import NS_PER_S
 
-HOLD_MARGIN_NS = NS_PER_S  # that a hold exceeds the longest window, for requests that were on their way
+HOLD_MARGIN_NS = NS_PER_S  # added to the longest window, for requests in flight at the time of the loss
 
 
 class LiveIntent(msgspec.Struct, gc=False):
-    """An intent whose window is not over. At a start there may be very many."""
+    """An intent whose window is not over; excluded from garbage collection, since there may be many."""
 
     record: IntentRecord
     remaining_ns: int
@@ -50,28 +50,39 @@
 
 @dataclass(slots=True)
 class OpenStore:
-    """A store in use, and the condition in which its folder was found."""
+    """An open store, and the condition in which its folder was found.
+
+    Attributes:
+        database: the open database.
+        condition: the condition of the folder before any repair.
+        intents: the intents whose windows are not over.
+        expired_intents: the intents whose windows are over, to be deleted.
+        learned: the stored learned state, if any.
+        loss: the latest data loss, which may have been detected earlier.
+        loss_reasons: the reasons for a loss that was detected when the store was opened.
+        set_aside: the file names of stores that were set aside.
+    """
 
     database: Database
     condition: StoreCondition
     intents: list[LiveIntent]
-    expired_intents: list[IntentRecord]  # to be deleted
+    expired_intents: list[IntentRecord]
     learned: LearnedStateRecord | None
     loss: DataLossRecord | None
-    loss_reasons: list[str] = field(default_factory=list)  # of a loss found at this opening
-    set_aside: list[str] = field(default_factory=list)  # file names of stores
+    loss_reasons: list[str] = field(default_factory=list)
+    set_aside: list[str] = field(default_factory=list)
 
 
 def open_store(folder: Path, max_mb: float, longest_window_ns: int, now: Timestamp) -> OpenStore:
-    """Opens the store of a folder, and makes, merges or repairs it before where that is needed.
+    """Opens the store of a folder, after creating, merging or repairing it if necessary.
 
     Args:
         folder: the state folder, which exists and is locked by the caller.
-        max_mb: the size that the store may reach; 0: any.
+        max_mb: the size limit of the store in MB; 0: no limit.
         longest_window_ns: the longest idempotency window of the settings.
-        now: the current moment.
+        now: the current time.
 
-    Raises StoreFailedError or OSError where the disk fails.
+    Raises StoreFailedError or OSError if the disk fails.
     """
     path = folder / files.store_file_name()
     marker = files.read_marker(folder)
@@ -80,9 +91,9 @@
     newer_stores = _newer_stores(folder)
     migration_damage = _merge_older_stores(folder, path, watermark)
     if migration_damage is not None:
-        watermark = None  # its number may be that of an older store
+        watermark = None  # its number may refer to an older store
     contents = _read_store(path) if path.exists() else None
-    inspection = _inspect(contents, marker, _first_unknown(newer_stores, marker), watermark)
+    inspection = _inspect(contents, marker, _first_unrecorded_store(newer_stores, marker), watermark)
     assessment = _with_migration_damage(assess_damage(inspection), migration_damage or [])
     if marker is not None:
         longest_window_ns = max(longest_window_ns, marker.longest_window_ns)
@@ -105,9 +116,9 @@
     loss: DataLossRecord | None,
     learned: LearnedStateRecord | None,
 ) -> Database:
-    """Replaces a store that can't be trusted by one of what the worker knows, and opens that one.
+    """Replaces a store that cannot be trusted by a new one with the given records, and opens the new one.
 
-    Results are taken from the old store as far as they are sound; it is set aside. Raises StoreFailedError.
+    Sound results are copied from the old store, which is set aside. Raises StoreFailedError.
     """
     path = opened.database.path
     commit_number = opened.database.summary.commit_number + 1
@@ -133,7 +144,7 @@
 
 
 def _newer_stores(folder: Path) -> dict[str, int]:
-    """Stores of newer format versions: time of modification (ns) by file name."""
+    """Returns the modification times (ns) of stores of newer format versions by file name."""
     stores = files.find_stores(folder).items()
     return {path.name: path.stat().st_mtime_ns for version, path in stores if version > FORMAT_VERSION}
 
@@ -169,26 +180,26 @@
     loss: DataLossRecord | None,
     watermark: int | None,
 ) -> tuple[StoreContents, list[str]]:
-    """Makes the store usable where it is not; returns its contents, and the file names set aside."""
-    present = contents is not None
+    """Creates or repairs the store if necessary; returns its contents and the file names set aside."""
+    exists = contents is not None
     contents = contents or StoreContents()
     contents.loss = loss or contents.loss
-    if not present or assessment.must_set_aside:
-        set_aside = _replace_store(path, contents, present, watermark)
+    if not exists or assessment.must_set_aside:
+        set_aside = _replace_store(path, contents, exists, watermark)
         return _read_store(path), set_aside
     if loss is not None:
         _record_loss(path, contents)
     return contents, []
 
 
-def _first_unknown(newer_stores: dict[str, int], marker: FolderMarker | None) -> str | None:
-    """A store of a newer version that the marker does not name, or that was written to since."""
-    known = marker.newer_stores if marker is not None else {}
-    return next((name for name, modified in newer_stores.items() if known.get(name) != modified), None)
+def _first_unrecorded_store(newer_stores: dict[str, int], marker: FolderMarker | None) -> str | None:
+    """Returns the first newer store that the marker does not record with its present modification time."""
+    recorded = marker.newer_stores if marker is not None else {}
+    return next((name for name, modified in newer_stores.items() if recorded.get(name) != modified), None)
 
 
 def _read_store(path: Path) -> StoreContents:
-    """What a store holds; a damaged one says so in `read_error`. Raises StoreFailedError."""
+    """Returns a store's contents, with a `read_error` if it is damaged. Raises StoreFailedError."""
     try:
         database = Database(path)
     except DATABASE_ERRORS as error:
@@ -213,7 +224,7 @@
 
 
 def _finish_replacement(path: Path, watermark: int | None) -> None:
-    """Renames a complete new store, where the process died just before it did so itself."""
+    """Completes the replacement of a store that was interrupted just before the final renaming."""
     for suffix in (files.REPLACEMENT_SUFFIX, files.NEW_SUFFIX):
         replacement = path.with_name(path.name + suffix)
         if path.exists() or not replacement.exists():
@@ -225,10 +236,10 @@
                 files.sync_folder(path.parent)
 
 
-def _replace_store(path: Path, contents: StoreContents, present: bool, watermark: int | None) -> list[str]:
-    """Sets the present store aside, and makes one of its sound records; returns the names set aside."""
-    results = _read_results([path]) if present else []
-    set_aside = [files.set_aside(path, "damaged")] if present else []
+def _replace_store(path: Path, contents: StoreContents, exists: bool, watermark: int | None) -> list[str]:
+    """Creates a store of the sound records; an existing one is set aside, and its new name returned."""
+    results = _read_results([path]) if exists else []
+    set_aside = [files.set_aside(path, "damaged")] if exists else []
     stored_number = contents.summary.commit_number if contents.summary else 0
     commit_number = max(watermark or 0, stored_number) + 1
     named = _named_records(contents.loss, contents.learned)
@@ -262,12 +273,15 @@
 
 
 def _merge_older_stores(folder: Path, path: Path, watermark: int | None) -> list[str] | None:
-    """Makes one store of older format versions, and of one of the current version that is there too.
+    """Merges stores of older format versions, and one of the current version if it exists, into a new store.
 
-    Returns what is wrong with them, their sound records are kept all the same; None where there are none.
+    Sound records are kept even if a store is damaged. Returns the descriptions of all damage; None if there
+    are no older stores.
     """
     stores_by_version = files.find_stores(folder)
-    older_stores = [stores_by_version[v] for v in sorted(stores_by_version) if v < FORMAT_VERSION]
+    older_stores = [
+        stores_by_version[version] for version in sorted(stores_by_version) if version < FORMAT_VERSION
+    ]
     if not older_stores:
         return None
     paths = [*older_stores, path] if path.exists() else older_stores
@@ -277,7 +291,8 @@
         reasons = assess_damage(contents.inspection(True, None, None)).reasons
         damage += [f"{store_path.name}: {reason}" for reason in reasons]
     commit_number = max((s.summary.commit_number for s in stores if s.summary), default=0)
-    if watermark is not None and watermark > commit_number:  # whichever version was last in use
+    # The watermark is that of the version last in use, whose number must not exceed the highest one stored.
+    if watermark is not None and watermark > commit_number:
         damage.append(f"{watermark - commit_number} commits are missing")
     intents = {record.idempotency_key: record for contents in stores for record in contents.intents}
     losses = [s.loss for s in stores if s.loss is not None]
--- a/ochrehoist/store/timestamps.py
+++ b/ochrehoist/store/timestamps.py
@@ -1,4 +1,4 @@
-"""Timestamps that stay comparable after a restart or a reboot, and after the system clock was set."""
+"""Timestamps that remain comparable across restarts, reboots and changes of the system clock."""
 
 import time
 from pathlib import Path
@@ -9,10 +9,13 @@
 
 
 class Timestamp(msgspec.Struct, frozen=True, array_like=True):
-    """One moment on two clocks: Unix time, and time since the boot named by `boot_id`, both in ns."""
+    """A moment on two clocks: Unix time, and time since the boot with the id `boot_id`, both in ns.
+
+    `boot_id` is empty if the system has none.
+    """
 
     unix_ns: int
-    boot_id: str = ""  # empty where the system has none
+    boot_id: str = ""
     since_boot_ns: int = 0
 
 
@@ -27,14 +30,14 @@
 
 
 def current_timestamp() -> Timestamp:
-    """The current moment on both clocks."""
+    """Returns the current time on both clocks."""
     return Timestamp(time.time_ns(), BOOT_ID, time.clock_gettime_ns(time.CLOCK_BOOTTIME))
 
 
 def elapsed_ns(since: Timestamp, now: Timestamp) -> int | None:
-    """Time in ns between two moments; None where the clock was set back, so that it is unknown.
+    """Returns the time in ns between two moments; None if it is unknown because the clock was set back.
 
-    Within one boot the time since boot is compared, which setting the system clock does not change.
+    Within one boot the times since boot are compared, which are independent of the system clock.
     """
     if since.boot_id and since.boot_id == now.boot_id:
         return now.since_boot_ns - since.since_boot_ns if now.since_boot_ns >= since.since_boot_ns else None
@@ -42,10 +45,10 @@
 
 
 def remaining_window_ns(since: Timestamp, remaining_ns: int, window_ns: int, now: Timestamp) -> int:
-    """Time in ns that is left of a window of which `remaining_ns` were left at `since`; 0 once it is over.
+    """Returns the time in ns that remains at `now` of a window that had `remaining_ns` left at `since`.
 
-    Where the clock was set back it is the whole window again: one that is too long rejects requests, one
-    that is too short would let a request run twice.
+    It is 0 once the window is over. If the clock was set back it is the whole window: a window that is too
+    long only rejects requests, but one that is too short could let a request run twice.
     """
-    passed_ns = elapsed_ns(since, now)
-    return window_ns if passed_ns is None else max(0, remaining_ns - passed_ns)
+    elapsed = elapsed_ns(since, now)
+    return window_ns if elapsed is None else max(0, remaining_ns - elapsed)
--- a/ochrehoist/store/write_queue.py
+++ b/ochrehoist/store/write_queue.py
@@ -1,7 +1,7 @@
-"""The queue in front of the disk: group commit, back-pressure, and what a failed or slow disk means. No I/O.
+"""The write queue in front of the disk: group commit, back-pressure, and handling of disk failures. No I/O.
 
-One group is committed at a time; operations that come meanwhile form the next one. Times are seconds of a
-monotonic clock. Attempts wait for their intent to be durable; nothing waits for any other operation.
+One group is committed at a time; operations added meanwhile form the next group. Attempts wait until their
+intent is durable; nothing waits for other operations. Times are seconds of a monotonic clock.
 """
 
 from collections import Counter, deque
@@ -11,34 +11,34 @@
 from ochrehoist.store.operations import DeleteIntent, Operation, PutIntent, PutNamed, PutResult
 from ochrehoist.store.records import ResultRecord
 
-MAX_GROUP_OPERATIONS = 256  # a longer group would keep its first operation waiting
-MIN_IDLE_DELAY_S = 0.01  # for which operations that nothing waits for may join the group of an intent
-MAX_QUEUED_RESULT_BYTES = 8 << 20  # results beyond it are not stored
-FIRST_RETRY_DELAY_S = 0.25  # after a failure; doubled each time
+MAX_GROUP_OPERATIONS = 256  # larger groups would delay their first operations
+MIN_IDLE_DELAY_S = 0.01  # delay of operations that nothing waits for, so that they can join an intent's group
+MAX_QUEUED_RESULT_BYTES = 8 << 20  # further results are not stored
+FIRST_RETRY_DELAY_S = 0.25  # delay after a failure; doubled for each further one
 MAX_RETRY_DELAY_S = 10.0
 
 
 class WriteQueue:
-    """Decides what is written when, and whether new keyed requests can be accepted.
+    """Decides what is written and when, and whether new keyed requests can be accepted.
 
     Args:
-        group_delay_s: for how long the first intent of a group waits for more to join.
-        commit_timeout_s: for how long an attempt waits for its intent to be durable.
+        group_delay_s: how long the first intent of a group waits for others to join.
+        commit_timeout_s: how long an attempt waits for its intent to become durable.
     """
 
     def __init__(self, group_delay_s: float, commit_timeout_s: float) -> None:
         self.group_delay_s = group_delay_s
         self.commit_timeout_s = commit_timeout_s
-        self.open = False  # this process has the store
+        self.is_open = False  # whether this process has the store open
         self.waiting: deque[Operation] = deque()
-        self.enqueued_at: deque[float] = deque()  # of each operation in `waiting`
-        self.key_counts: Counter[bytes] = Counter()  # operations in `waiting` by key
-        self.result_bytes = 0  # of results that wait or are being committed
+        self.enqueued_at: deque[float] = deque()  # one time for each operation in `waiting`
+        self.key_counts: Counter[bytes] = Counter()  # number of operations in `waiting` by key
+        self.result_bytes = 0  # total size of the results in `waiting` and `committing`
         self.committing: list[Operation] | None = None
         self.commit_started_at = 0.0
-        self.attempts: dict[str, float] = {}  # by request id: since when it waits for its intent
+        self.attempts: dict[str, float] = {}  # start of the wait for the intent, by request id
         self.failure: FailureKind | None = None
-        self.rebuild_needed = False  # the stored data can't be trusted
+        self.rebuild_needed = False  # whether the stored data can no longer be trusted
         self.retry_at = 0.0
         self.retry_delay_s = FIRST_RETRY_DELAY_S
         self.results_not_stored = 0
@@ -47,7 +47,7 @@
         return len(self.waiting) + len(self.committing or ())
 
     def add(self, now: float, operation: Operation) -> bool:
-        """Queues an operation; False where it is a result and too many bytes of them wait already."""
+        """Queues an operation; returns False if it is a result that exceeds the limit of queued bytes."""
         if isinstance(operation, PutResult):
             result_bytes = self.result_bytes + operation.size_bytes
             if result_bytes > MAX_QUEUED_RESULT_BYTES:
@@ -62,19 +62,22 @@
         return True
 
     def discard_result(self) -> None:
-        """Counts a result that is too large to be stored."""
+        """Counts a result that is not stored because it is too large."""
         self.results_not_stored += 1
 
     def queued_result(self, key: bytes) -> ResultRecord | None:
-        """The result stored under `key`, where it is still on its way to the disk."""
+        """Returns the result under `key` that is queued or being committed; None if there is none."""
         for operation in (*(self.committing or ()), *self.waiting):
             if isinstance(operation, PutResult) and operation.key == key:
                 return operation.record
         return None
 
     def next_group(self, now: float) -> list[Operation] | None:
-        """The next group to commit, if it is due; it is empty where the disk is only to be probed."""
-        if not self.open or self.committing is not None or self.rebuild_needed or now < self.retry_at:
+        """Returns the next group to commit, or None if none is due.
+
+        After a failure the group may be empty: its commit probes the disk.
+        """
+        if not self.is_open or self.committing is not None or self.rebuild_needed or now < self.retry_at:
             return None
         if self.failure is None and not self._group_is_due(now):
             return None
@@ -85,12 +88,12 @@
         return group
 
     def next_event_at(self, now: float) -> float | None:
-        """When the queue has to be looked at next; None: not before an operation is added."""
+        """Returns the time of the next event; None if nothing happens before an operation is added."""
         times = list(self._event_times())
         return max(now, min(times)) if times else None
 
     def committed(self) -> list[str]:
-        """Call when the group is durable; returns the ids of the attempts that may run now."""
+        """Handles the end of a successful commit; returns the request ids of attempts that may run."""
         group = self._take_committing()
         self.failure = None
         self.retry_delay_s = FIRST_RETRY_DELAY_S
@@ -100,15 +103,16 @@
             if isinstance(operation, PutResult):
                 self.result_bytes -= operation.size_bytes
             elif isinstance(operation, PutIntent):
-                waited = self.attempts.pop(operation.request_id, None) is not None
-                if waited:
+                was_waiting = self.attempts.pop(operation.request_id, None) is not None
+                if was_waiting:
                     ready.append(operation.request_id)
         return ready
 
     def failed(self, now: float, failure: FailureKind) -> list[str]:
-        """Call when nothing of the group was stored; returns the ids of all attempts, none of which runs.
+        """Handles a failed commit, of which nothing was stored; returns the request ids of rejected attempts.
 
-        Other operations stay queued, and are tried again with exponential backoff.
+        All waiting attempts are rejected. Other operations stay queued and are retried with exponential
+        backoff.
         """
         group = self._take_committing()
         self.failure = failure
@@ -125,20 +129,20 @@
 
     def rebuild_is_due(self, now: float) -> bool:
         """Whether the store has to be rebuilt now."""
-        return self.open and self.rebuild_needed and self.committing is None and now >= self.retry_at
+        return self.is_open and self.rebuild_needed and self.committing is None and now >= self.retry_at
 
     def rebuild_started(self, now: float) -> None:
-        """Call when a rebuild starts; it takes the place of a group."""
+        """Handles the start of a rebuild, which replaces the commit of a group."""
         self.committing = []
         self.commit_started_at = now
 
     def rebuilt(self) -> None:
-        """Call when the store was rebuilt; queued operations are applied to the new one."""
+        """Handles the end of a successful rebuild; queued operations are applied to the new store."""
         self.rebuild_needed = False
         self.committed()
 
     def take_timed_out(self, now: float) -> list[str]:
-        """The ids of attempts that have waited too long: they do not run, and their intents are deleted."""
+        """Removes timed-out attempts and returns their request ids; their intents are deleted."""
         timed_out = [
             request_id for request_id, since in self.attempts.items() if now >= since + self.commit_timeout_s
         ]
@@ -154,14 +158,14 @@
         return timed_out
 
     def stalled(self, now: float) -> bool:
-        """Whether the commit under way has taken longer than an attempt waits."""
+        """Whether the current commit has taken longer than the time that an attempt waits."""
         return self.committing is not None and now - self.commit_started_at >= self.commit_timeout_s
 
     def rejection_reason(self, now: float) -> str | None:
-        """Why the intent of a new request would not be durable in time; None where it would."""
+        """Returns why a new intent would not become durable in time; None if it would."""
         if self.failure is not None:
             return self.failure.value
-        if not self.open:
+        if not self.is_open:
             return "the store is not open"
         if self.stalled(now):
             return "the disk does not answer"
@@ -183,7 +187,7 @@
         return operation
 
     def _withdraw_key(self, key: bytes) -> None:
-        """Removes what is queued for a key; the disk may hold something under it all the same."""
+        """Removes the queued operations for a key; records under the key may be on disk already."""
         self._withdraw(lambda op: not isinstance(op, PutNamed) and op.key == key)
 
     def _withdraw(self, matches: Callable[[Operation], bool]) -> None:
@@ -207,7 +211,7 @@
         return waiting > 0 and (waiting >= MAX_GROUP_OPERATIONS or now >= self._group_due_at())
 
     def _group_due_at(self) -> float:
-        """When the next group is committed, unless it is full before."""
+        """Returns the time at which the next group is committed, unless it becomes full earlier."""
         if self.attempts:
             return min(self.attempts.values()) + self.group_delay_s
         return self.enqueued_at[0] + max(self.group_delay_s, MIN_IDLE_DELAY_S)
@@ -217,7 +221,7 @@
             yield min(self.attempts.values()) + self.commit_timeout_s
         if self.committing is not None:
             yield self.commit_started_at + self.commit_timeout_s
-        elif self.open and self.failure is not None:
+        elif self.is_open and self.failure is not None:
             yield self.retry_at
-        elif self.open and self.waiting:
+        elif self.is_open and self.waiting:
             yield self._group_due_at()
--- a/tests/store/test_write_queue.py
+++ b/tests/store/test_write_queue.py
@@ -26,7 +26,7 @@
 
     def setUp(self):
         self.queue = WriteQueue(0.001, 0.25)
-        self.queue.open = True
+        self.queue.is_open = True
 
     def begin(self, n, now=0.0):
         self.queue.add(now, PutIntent(f"r{n}", b"k%d" % n, intent(n)))
@@ -152,7 +152,7 @@
     def __init__(self):
         super().__init__()
         self.queue, self.now, self.n = WriteQueue(0.001, 0.25), 0.0, 0
-        self.queue.open = True
+        self.queue.is_open = True
         self.open, self.resolved, self.group = set(), {}, None
 
     def resolve(self, ids, what):
