--- a/ochrehoist/peers/counters.py
+++ b/ochrehoist/peers/counters.py
@@ -61,7 +61,7 @@
         """Adds `count` to the counter `key`, which has the form kind/name/word."""
         self.own.add(key, count)
 
-    # ---- what is received
+    # ---- receiving
     def merge_snapshot(
         self, snapshot: CounterSnapshot, round_trip_s: float, now: float, is_present: bool = False
     ) -> None:
@@ -146,7 +146,7 @@
         if replica is not None:
             replica.ended = False
 
-    # ---- what is known
+    # ---- queries
     def read(
         self, key: str, now: float, ended_at: Mapping[Incarnation, float] | None = None
     ) -> CounterReading:
@@ -177,7 +177,7 @@
             keys |= folded.keys()
         return sorted(keys)
 
-    # ---- what is sent
+    # ---- sending
     def cursors_for(self, name: str, number: int) -> list[CounterCursor]:
         """Returns the cursors for a ping: the target's, and in rotation those of other incarnations."""
         target = self._by_number.get((name, number))
--- a/ochrehoist/peers/group.py
+++ b/ochrehoist/peers/group.py
@@ -150,7 +150,7 @@
         """Starts to report in answers that this worker shuts down, and stops requesting new leases."""
         self.own_status.leaving = True
 
-    # ---- time
+    # ---- periodic work
     def tick(self, now: float) -> list[OutgoingMessage]:
         """Performs the periodic work and returns the messages to send; called about 20 times per second."""
         self._now = now
--- a/ochrehoist/peers/lease_manager.py
+++ b/ochrehoist/peers/lease_manager.py
@@ -80,7 +80,7 @@
                 share.grantor.reconfigure(budget, now)
             self.shares[budget.name] = share
 
-    # ---- time
+    # ---- periodic work
     def tick(self, now: float, leaving: bool) -> list[OutgoingMessage]:
         """Requests, renews, transfers and withdraws leases; if `leaving` is set, requests no new ones."""
         messages: list[OutgoingMessage] = []
@@ -151,7 +151,7 @@
                 messages += self._outbound.to_configured_address(grantor, [request])
         return messages
 
-    # ---- giving back
+    # ---- releasing
     def _release(
         self, share: BudgetShare, slots: Iterable[int], recipient: str = ""
     ) -> list[OutgoingMessage]:
@@ -184,7 +184,7 @@
         self.yielded = True
         return self.release_all()
 
-    # ---- what is received
+    # ---- receiving
     def on_request(self, request: LeaseRequest, sender: Incarnation, now: float) -> list[OutgoingMessage]:
         """Grants the requested slots that are free, if this worker is a grantor of the budget."""
         share = self.shares.get(request.budget)
--- a/ochrehoist/peers/membership.py
+++ b/ochrehoist/peers/membership.py
@@ -72,7 +72,7 @@
         self.site = site
         self.protocol_period_s = protocol_period_s
 
-    # ---- what is known
+    # ---- queries
     def live_names(self) -> list[str]:
         """Returns the names of the other members that are alive or suspected."""
         return [name for name, member in self.members.items() if member.state in PRESENT_STATES]
@@ -108,7 +108,7 @@
         candidates = [name for name in self.live_names() if name not in excluded]
         return candidates if len(candidates) <= count else self.rng.sample(candidates, count)
 
-    # ---- time
+    # ---- periodic work
     def tick(self, now: float) -> list[ProbeAction]:
         """Checks timeouts and returns the probes to send now."""
         gap_s = now - self._last_tick_at
@@ -189,7 +189,7 @@
         longest_s = shortest_s * max(1.0, math.log2(len(self.members) + 2) / 2)
         return max(shortest_s, longest_s - (longest_s - shortest_s) * math.log2(len(member.accusers) + 1) / 2)
 
-    # ---- changes of one member
+    # ---- state changes of one member
     def _suspect(self, member: Member, accuser: str, now: float) -> None:
         if member.state == MemberState.ALIVE:
             member.state = MemberState.SUSPECT
@@ -212,7 +212,7 @@
     def _enqueue_gossip(self, name: str) -> None:
         self.gossip.enqueue(name, len(self.members))
 
-    # ---- what is received
+    # ---- receiving
     def on_ack(self, nonce: int, name: str, now: float) -> Probe | None:
         """Processes an acknowledgement; returns the probe that it answers, or None if there is none.
 
@@ -368,7 +368,7 @@
             member.status_as_of = as_of
             member.status = update.status
 
-    # ---- what is sent
+    # ---- sending
     def select_gossip(self, own_update: MemberUpdate, recipient: str = "") -> list[MemberUpdate]:
         """Returns the gossip for one message.
 
--- a/ochrehoist/peers/outlier_detection.py
+++ b/ochrehoist/peers/outlier_detection.py
@@ -137,7 +137,7 @@
         self._baselines.configure(self.services)
         self._max_ejected_fraction = max_ejected_fraction
 
-    # ---- what happens
+    # ---- events
     def tick(self, now: float, interval_s: float) -> None:
         """Detects stalls of this worker; called every `interval_s`, and any excess counts as a stall."""
         self._discount_stall(now, interval_s)
@@ -330,7 +330,7 @@
         service.reason = reason
         self.changes.append(StateChange(now, name, state, reason))
 
-    # ---- choice
+    # ---- selection
     def rank_services(self, busy: Mapping[str, int], now: float) -> list[str]:
         """Returns the services in the order to try them; called per request, so it does not re-evaluate them.
 
--- a/ochrehoist/peers/ping_exchange.py
+++ b/ochrehoist/peers/ping_exchange.py
@@ -85,7 +85,7 @@
             nonce, known_versions, self._membership.select_gossip(self._own_status.update(), target), cursors
         )
 
-    # ---- what is received
+    # ---- receiving
     def on_ping_request(
         self, request: PingRequest, sender: Incarnation, _now: float
     ) -> list[OutgoingMessage]:
--- a/tests/peers/counter_messages.py
+++ b/tests/peers/counter_messages.py
@@ -1,4 +1,4 @@
-"""Replicated counters with content, and the messages that tell of them."""
+"""Helpers for counter tests: counters with keys, and their exchange between two members."""
 
 import math
 
@@ -15,28 +15,29 @@
 encode = msgspec.msgpack.encode
 
 
-def filled(life, keys, n=1, born=0.0, long=0):
-    """Counters of a member with so many keys."""
-    counters = ReplicatedCounters(life, 100.0, born)
-    for k in range(keys):
-        counters.add(f"class/{'x' * long}{k:05d}/served", n)
+def counters_with_keys(incarnation, key_count, count=1, started_at=0.0, padding=0):
+    """Returns the counters of a member with `key_count` keys, each lengthened by `padding` bytes."""
+    counters = ReplicatedCounters(incarnation, 100.0, started_at)
+    for k in range(key_count):
+        counters.add(f"class/{'x' * padding}{k:05d}/served", count)
     return counters
 
 
-def answer(teller, asker, now, lag=0.0):
-    """One question, its answer, and what the asker takes of it."""
-    parts = teller.deltas_for(
-        asker.cursors_for(teller.incarnation.name, teller.incarnation.number), now - lag
+def exchange(responder, requester, now, delay_s=0.0):
+    """Performs one request and answer, and merges the deltas at the requester; returns the deltas."""
+    deltas = responder.deltas_for(
+        requester.cursors_for(responder.incarnation.name, responder.incarnation.number), now - delay_s
     )
-    for p in parts:
-        asker.merge_delta(p, lag, now)
-    return parts
+    for delta in deltas:
+        requester.merge_delta(delta, delay_s, now)
+    return deltas
 
 
-def parts_of(counters):
-    """Answers in which the whole of it is told, as the page states it."""
-    keys = [len(k.encode()) for k in counters.own.counts]
-    longest = max(keys)
+def expected_answer_count(counters):
+    """Returns the documented maximum number of answers that transfer all counts."""
+    key_sizes = [len(k.encode()) for k in counters.own.counts]
+    max_key_size = max(key_sizes)
     return math.ceil(
-        sum(k + 12 for k in keys) / (MAX_OWN_BYTES - 72 - len(counters.incarnation.name) - 3 * longest - 24)
+        sum(size + 12 for size in key_sizes)
+        / (MAX_OWN_BYTES - 72 - len(counters.incarnation.name) - 3 * max_key_size - 24)
     )
--- a/tests/peers/peer_messages.py
+++ b/tests/peers/peer_messages.py
@@ -1,4 +1,4 @@
-"""Incarnations, secrets and messages that tests of several modules send."""
+"""Incarnations, secrets, messages and budgets shared by several test modules."""
 
 from ochrehoist.peers import wire
 from ochrehoist.peers.budget import Budget
@@ -13,8 +13,8 @@
 A, B = Incarnation("a", 10, 1), Incarnation("b", 10, 1)
 
 
-def message(**changes):
-    """A message with usual values for what is not given."""
+def make_message(**changes):
+    """Returns a message with default values for omitted fields."""
     values = {
         "group": "g",
         "sender": A,
@@ -26,8 +26,8 @@
     return Message(**(values | changes))
 
 
-def membership(now=0.0, **addresses):
-    """The membership as member `a` sees it."""
+def make_membership(now=0.0, **addresses):
+    """Returns the membership as seen by member `a`."""
     return Membership(A, "at:a", "", addresses, 0.1, now, 1)
 
 
--- a/tests/peers/test_counter_compatibility.py
+++ b/tests/peers/test_counter_compatibility.py
@@ -1,4 +1,4 @@
-"""Members of an earlier release beside those that tell counts in parts."""
+"""Compatibility of counter deltas with the previous release, which exchanges only snapshots."""
 
 import unittest
 
@@ -16,19 +16,19 @@
     MemberUpdate,
     Ping,
 )
-from tests.peers.counter_messages import A, B, answer, encode, filled
+from tests.peers.counter_messages import A, B, counters_with_keys, encode, exchange
 
 
-class PingOfBefore(msgspec.Struct, tag="p", array_like=True):
-    """A ping as the earlier release reads it."""
+class PreviousPing(msgspec.Struct, tag="p", array_like=True):
+    """A ping as declared in the previous release."""
 
     nonce: int
     known_versions: list[tuple[str, int, int]] = []
     gossip: list[MemberUpdate] = []
 
 
-class AckOfBefore(msgspec.Struct, tag="a", array_like=True):
-    """An acknowledgement as the earlier release reads it."""
+class PreviousAck(msgspec.Struct, tag="a", array_like=True):
+    """An acknowledgement as declared in the previous release."""
 
     nonce: int
     subject: str = ""
@@ -37,26 +37,26 @@
     snapshots: list[CounterSnapshot] = []
 
 
-class Mixed(unittest.TestCase):
-    """During a rolling update members of before parts are in the group."""
+class MixedReleasesTest(unittest.TestCase):
+    """Groups with members of both releases, as during a rolling update."""
 
-    def test_members_of_before_read_what_they_get_and_are_read(self):
+    def test_messages_are_compatible_with_the_previous_release(self):
         ping = encode(Ping(5, [KnownVersion("c", 1, 2)], [], [CounterCursor("b", 1, 2, "k")]))
-        self.assertEqual(msgspec.msgpack.decode(ping, type=PingOfBefore), PingOfBefore(5, [("c", 1, 2)], []))
-        self.assertIsNone(msgspec.msgpack.decode(encode(PingOfBefore(5)), type=Ping).cursors)
+        self.assertEqual(msgspec.msgpack.decode(ping, type=PreviousPing), PreviousPing(5, [("c", 1, 2)], []))
+        self.assertIsNone(msgspec.msgpack.decode(encode(PreviousPing(5)), type=Ping).cursors)
         ack = encode(Ack(5, deltas=[CounterDelta(A, 0, "", "", 1, 0, False, 0, {"k": 1})]))
-        self.assertEqual(msgspec.msgpack.decode(ack, type=AckOfBefore), AckOfBefore(5))
-        back = msgspec.msgpack.decode(
-            encode(AckOfBefore(5, snapshots=[CounterSnapshot(A, 1, 0, False, {})])), type=Ack
+        self.assertEqual(msgspec.msgpack.decode(ack, type=PreviousAck), PreviousAck(5))
+        decoded = msgspec.msgpack.decode(
+            encode(PreviousAck(5, snapshots=[CounterSnapshot(A, 1, 0, False, {})])), type=Ack
         )
-        self.assertEqual((back.deltas, back.snapshots[0].incarnation), ([], A))
+        self.assertEqual((decoded.deltas, decoded.snapshots[0].incarnation), ([], A))
 
-    def test_one_of_before_gets_whole_counts_or_none_and_never_a_part(self):
-        for keys, told in ((3, True), (100, True), (300, False), (2000, False)):
+    def test_previous_release_gets_complete_snapshots_or_none(self):
+        for keys, is_sent in ((3, True), (100, True), (300, False), (2000, False)):
             with self.subTest(keys=keys):
-                teller = filled(A, keys)
+                responder = counters_with_keys(A, keys)
                 for n in range(6):
-                    teller.merge_snapshot(
+                    responder.merge_snapshot(
                         CounterSnapshot(
                             Incarnation(f"m{n}", 1, 1), 3, 0, False, {f"k{i}": 1 for i in range(keys)}
                         )
@@ -66,28 +66,30 @@
                         1.0,
                     )
                 for _ in range(10):
-                    tallies = teller.snapshots(1.0, 6144)
-                    self.assertLessEqual(len(encode(tallies)), 6144)
-                    self.assertEqual(told, any(t.incarnation == A for t in tallies))
-                    for t in tallies:
+                    sent_snapshots = responder.snapshots(1.0, 6144)
+                    self.assertLessEqual(len(encode(sent_snapshots)), 6144)
+                    self.assertEqual(is_sent, any(snapshot.incarnation == A for snapshot in sent_snapshots))
+                    for snapshot in sent_snapshots:
                         self.assertEqual(
-                            t.counts,
-                            dict(teller.own.counts)
-                            if t.incarnation == A
-                            else teller.replicas[t.incarnation].counts,
+                            snapshot.counts,
+                            dict(responder.own.counts)
+                            if snapshot.incarnation == A
+                            else responder.replicas[snapshot.incarnation].counts,
                         )
 
-    def test_counts_partly_renewed_are_not_sent_to_earlier_releases(self):
-        teller, asker = filled(A, 100), ReplicatedCounters(B, 100.0, 0.0)
-        self.assertTrue(answer(teller, asker, 1.0)[0].up_to_key)
-        self.assertEqual([t.incarnation for t in asker.snapshots(1.0)], [B])
+    def test_incomplete_replica_is_not_sent_to_previous_release(self):
+        responder, requester = counters_with_keys(A, 100), ReplicatedCounters(B, 100.0, 0.0)
+        self.assertTrue(exchange(responder, requester, 1.0)[0].up_to_key)
+        self.assertEqual([snapshot.incarnation for snapshot in requester.snapshots(1.0)], [B])
 
-    def test_whole_counts_of_before_and_parts_go_together(self):
-        teller, asker = filled(A, 100), ReplicatedCounters(B, 100.0, 0.0)
-        asker.merge_snapshot(
-            CounterSnapshot(A, teller.own.version, 0, False, dict(teller.own.counts)), 0.0, 1.0
+    def test_snapshots_and_deltas_can_be_combined(self):
+        responder, requester = counters_with_keys(A, 100), ReplicatedCounters(B, 100.0, 0.0)
+        requester.merge_snapshot(
+            CounterSnapshot(A, responder.own.version, 0, False, dict(responder.own.counts)), 0.0, 1.0
         )
-        teller.add("class/00003/served")
-        self.assertEqual(answer(teller, asker, 2.0)[0].counts, {"class/00003/served": 2})
-        asker.merge_snapshot(CounterSnapshot(A, 3, 0, False, {"class/00003/served": 1}), 0.0, 2.0)  # late
-        self.assertEqual(asker.read("class/00003/served", 2.0).total, 2)
+        responder.add("class/00003/served")
+        self.assertEqual(exchange(responder, requester, 2.0)[0].counts, {"class/00003/served": 2})
+        requester.merge_snapshot(
+            CounterSnapshot(A, 3, 0, False, {"class/00003/served": 1}), 0.0, 2.0
+        )  # delayed
+        self.assertEqual(requester.read("class/00003/served", 2.0).total, 2)
--- a/tests/peers/test_counters.py
+++ b/tests/peers/test_counters.py
@@ -1,4 +1,4 @@
-"""Counters that each member keeps of its own, and replicas of those of others."""
+"""A member's own counters and its replicas of those of others."""
 
 import unittest
 
@@ -14,9 +14,9 @@
 
 
 class CountersTest(unittest.TestCase):
-    """Counts that come twice, late or never."""
+    """Snapshots that arrive twice, late or never."""
 
-    def test_what_comes_twice_or_late_is_counted_once(self):
+    def test_repeated_and_late_snapshots_are_counted_once(self):
         counters = ReplicatedCounters(A, 100.0)
         counters.add("served", 5)
         for version, n in ((2, 7), (1, 4), (2, 7)):
@@ -24,27 +24,29 @@
         self.assertEqual(counters.read("served", 10.0).total, 12)
 
     @given(st.lists(st.tuples(st.integers(0, 2), st.integers(0, 30), st.integers(0, 5)), max_size=60))
-    def test_the_truth_is_within_the_bound_whatever_is_lost_or_late(self, steps):
-        """Three count at most as much as they may; some of what they tell comes, late and out of order."""
-        true, told, now = [0, 0, 0], [], 0.0
+    def test_true_count_is_within_bounds_despite_loss_and_delay(self, steps):
+        """Three members count within the maximum rate; their snapshots are lost, delayed and reordered."""
+        true_counts, sent, now = [0, 0, 0], [], 0.0
         counters = ReplicatedCounters(A, 10.0)
-        lives = [Incarnation(f"m{n}", 1, 1) for n in range(3)]
-        for life in lives:
-            counters.merge_snapshot(CounterSnapshot(life, 0, 0, False, {}), 0.0, now)
-        for who, pick, n in steps:
+        incarnations = [Incarnation(f"m{n}", 1, 1) for n in range(3)]
+        for incarnation in incarnations:
+            counters.merge_snapshot(CounterSnapshot(incarnation, 0, 0, False, {}), 0.0, now)
+        for member, pick, n in steps:
             now += 0.5
-            true[who] += n
-            told.append((now, who, true[who]))
-            if pick < len(told):
-                at, w, total = told[pick]
+            true_counts[member] += n
+            sent.append((now, member, true_counts[member]))
+            if pick < len(sent):
+                at, sender, total = sent[pick]
                 counters.merge_snapshot(
-                    CounterSnapshot(lives[w], int(at * 2) + 1, 0, False, {"k": total}), now - at, now
+                    CounterSnapshot(incarnations[sender], int(at * 2) + 1, 0, False, {"k": total}),
+                    now - at,
+                    now,
                 )
-            r = counters.read("k", now)
-            self.assertLessEqual(r.total, sum(true))
-            self.assertLessEqual(sum(true), r.total + r.missing)
+            reading = counters.read("k", now)
+            self.assertLessEqual(reading.total, sum(true_counts))
+            self.assertLessEqual(sum(true_counts), reading.total + reading.missing)
 
-    def test_incarnations_that_ended_are_added_up_and_never_counted_anew(self):
+    def test_folded_incarnations_are_not_counted_again(self):
         counters = ReplicatedCounters(A, 10.0)
         for inc in range(MAX_INCARNATIONS + 5):
             counters.merge_snapshot(CounterSnapshot(Incarnation("b", inc, 1), 1, 0, True, {"k": 1}), 0.0, 1.0)
--- a/tests/peers/test_group.py
+++ b/tests/peers/test_group.py
@@ -24,10 +24,10 @@
 )
 
 
-class Fleet(unittest.TestCase):
-    """Whole groups on virtual time, in quiet."""
+class FleetTest(unittest.TestCase):
+    """Fleets on virtual time, with few or no faults."""
 
-    def test_members_find_each_other_from_one_address_and_counts_agree(self):
+    def test_members_discover_each_other_from_one_seed_and_counts_agree(self):
         world = World(3, (), encoded=True, addresses_known=False)
         nodes = world.start_fleet(8)
         world.run(3.0)
@@ -36,11 +36,11 @@
             node.group.counters.add("served", n + 1)
         world.run(5.0)
         for node in nodes:
-            r = node.group.counters.read("served", node.clock(world.now))
-            self.assertEqual(r.total, 36)
-            self.assertLess(r.age_s, 4.0)
+            reading = node.group.counters.read("served", node.clock(world.now))
+            self.assertEqual(reading.total, 36)
+            self.assertLess(reading.age_s, 4.0)
 
-    def test_a_rate_that_one_worker_wants_goes_there(self):
+    def test_unused_rate_moves_to_the_worker_with_demand(self):
         names = tuple(f"w{n:03d}" for n in range(5))
         world = World(4, (Budget("rate", 40, names, floor_fraction=0.0, floor_lease_s=2.0),))
         nodes = world.start_fleet(5)
@@ -50,7 +50,7 @@
         world.run(15.0)
         self.assertGreaterEqual(nodes[2].group.shares["rate"].holder.amount(nodes[2].clock(15.0)), 36)
 
-    def test_the_load_of_a_worker_does_not_grow_with_the_fleet(self):
+    def test_message_rate_of_a_worker_is_independent_of_fleet_size(self):
         sent = {}
         for count in (5, 40):
             world = World(5, ())
@@ -61,7 +61,7 @@
             sent[count] = (sum(n.sent_count for n in nodes) - before) / count
         self.assertLess(sent[40], 1.3 * sent[5])
 
-    def test_a_second_process_of_a_name_that_others_follow_ends_the_leases_of_the_first(self):
+    def test_duplicate_accepted_by_others_ends_the_leases_of_the_first_process(self):
         names = ("w000", "w001", "w002")
         world = World(6, (Budget("rate", 12, names, floor_lease_s=2.0),), addresses_known=False)
         nodes = world.start_fleet(4)
@@ -73,8 +73,8 @@
 
     @settings(deadline=None, max_examples=6)
     @given(st.integers(0, 10**6))
-    def test_a_death_is_distinguished_from_a_pause_and_a_partition(self, seed):
-        """A fifth of the messages is lost, and members pause for 1 s: nobody is called dead for it."""
+    def test_death_is_distinguished_from_a_pause_and_message_loss(self, seed):
+        """With 20 % message loss and a pause of 1 s no member is declared dead; a killed one is."""
         world = World(seed, ())
         nodes = world.start_fleet(5)
         world.run(2.0)
@@ -88,22 +88,22 @@
             self.assertEqual(node.group.members.members["w004"].state, MemberState.DEAD)
 
 
-class ColdServer(unittest.TestCase):
-    """What comes to a server that returns is the sum of what all workers send, whoever hears whom."""
+class EjectedServiceTrialsTest(unittest.TestCase):
+    """Guards against overload of a recovering service by trials of many workers isolated from each other."""
 
-    # Calls a second that one fleet gives a server it left out: ten throws, each up to three trials in a row.
-    BUDGET = 10 * TRIALS_TO_RECOVER
+    # Expected trial calls per second of one fleet: ten random draws, each followed by up to three trials.
+    TRIALS_OF_ONE_FLEET = 10 * TRIALS_TO_RECOVER
 
-    def first_second(self, count, seed, fleet=None):
-        """Calls in the first second at a server that all left out; nobody hears anybody."""
-        at, rng = {f"w{n}": f"127.0.0.1:{9000 + n}" for n in range(count)}, Random(seed)
-        groups, open_, sent = [], [], 0
-        for name, address in at.items():
-            terms = FleetSettings(
+    def count_first_second_calls(self, count, seed, fleet=None):
+        """Returns the calls in the first second to a service that all workers, isolated, have ejected."""
+        addresses, rng = {f"w{n}": f"127.0.0.1:{9000 + n}" for n in range(count)}, Random(seed)
+        groups, open_calls, sent = [], [], 0
+        for name, address in addresses.items():
+            fleet_settings = FleetSettings(
                 "g",
                 address,
                 "",
-                {n: a for n, a in at.items() if n != name},
+                {n: a for n, a in addresses.items() if n != name},
                 (),
                 0.1,
                 (),
@@ -111,7 +111,7 @@
                 0.5,
                 3000,
             )
-            group = Group(terms, Incarnation(name, 1, 1), 0.0, rng.getrandbits(30))
+            group = Group(fleet_settings, Incarnation(name, 1, 1), 0.0, rng.getrandbits(30))
             if fleet is not None:
                 group.outliers._fleet_size = fleet
             group.outliers._change_state(
@@ -119,30 +119,30 @@
             )
             groups.append(group)
         for ticket in range(1, 40_000):
-            now = ticket * 0.0002  # 200 calls a second over all, each at any worker
+            now = ticket * 0.0002  # 200 calls per second in total, each at a random worker
             if now > BASE_EJECTION_S + 1.0:
                 break
-            for call in [c for c in open_ if c[0] <= now]:
-                open_.remove(call)
+            for call in [c for c in open_calls if c[0] <= now]:
+                open_calls.remove(call)
                 call[1].outliers.call_completed(call[2], call[3], HealthStatus.OK, now)
             if ticket % 25 == 0:
                 group = rng.choice(groups)
                 group.tick(now)
-                busy = Counter(name for _, g, name, _ in open_ if g is group)
+                busy = Counter(name for _, g, name, _ in open_calls if g is group)
                 name = group.outliers.rank_services({s: busy[s] for s in ("s0", "s1", "s2")}, now)[0]
                 group.outliers.call_started(name, ticket, "read", now)
-                open_.append((now + 0.04, group, name, ticket))
+                open_calls.append((now + 0.04, group, name, ticket))
                 sent += name == "s0"
         return sent
 
-    def test_isolated_workers_probe_a_server_no_more_often_than_one_fleet_does(self):
-        most = self.BUDGET + 2 * math.sqrt(self.BUDGET) + 2
+    def test_isolated_workers_send_no_more_trials_than_one_fleet(self):
+        max_calls = self.TRIALS_OF_ONE_FLEET + 2 * math.sqrt(self.TRIALS_OF_ONE_FLEET) + 2
         for count in (20, 30):
-            sent = [self.first_second(count, seed) for seed in range(10)]
-            self.assertLessEqual(max(sent), most, sent)
-            self.assertGreater(min(sent), 0)  # or the server would never be taken back
+            sent = [self.count_first_second_calls(count, seed) for seed in range(10)]
+            self.assertLessEqual(max(sent), max_calls, sent)
+            self.assertGreater(min(sent), 0)  # otherwise the service would never be readmitted
 
-    def test_the_bound_fails_where_each_takes_itself_for_the_whole_fleet(self):
+    def test_bound_detects_workers_that_assume_a_fleet_of_one(self):
         for seed in range(3):
-            sent = self.first_second(30, seed, fleet=lambda: 1)
-            self.assertGreater(sent, self.BUDGET + 2 * math.sqrt(self.BUDGET) + 2)
+            sent = self.count_first_second_calls(30, seed, fleet=lambda: 1)
+            self.assertGreater(sent, self.TRIALS_OF_ONE_FLEET + 2 * math.sqrt(self.TRIALS_OF_ONE_FLEET) + 2)
--- a/tests/peers/test_membership.py
+++ b/tests/peers/test_membership.py
@@ -1,4 +1,4 @@
-"""Who is a member: alive, suspected, dead or left."""
+"""SWIM membership: alive, suspected, dead and left members."""
 
 import unittest
 
@@ -7,72 +7,78 @@
     MemberState,
     MemberUpdate,
 )
-from tests.peers.peer_messages import A, B, membership
+from tests.peers.peer_messages import A, B, make_membership
 
 
 class MembershipTest(unittest.TestCase):
-    """Suspicion, death and return."""
+    """Suspicion, declaration as dead, and revival."""
 
-    def meet(self, m, now, *lives):
-        for life in lives:
-            self.assertTrue(m.register_sender(life, f"at:{life.name}", "", now))
+    def register(self, membership, now, *incarnations):
+        for incarnation in incarnations:
+            self.assertTrue(membership.register_sender(incarnation, f"at:{incarnation.name}", "", now))
 
-    def quiet(self, m, now, until, answers=()):
-        """Beats, with answers of those named."""
+    def run_ticks(self, membership, now, until, answers=()):
+        """Runs ticks up to `until`; the members in `answers` acknowledge pings. Returns the end time."""
         while now < until:
-            for probe in m.tick(now):
+            for probe in membership.tick(now):
                 if probe.target in answers and not probe.indirect:
-                    m.on_ack(probe.nonce, probe.target, now)
+                    membership.on_ack(probe.nonce, probe.target, now)
             now += 0.05
         return now
 
-    def test_who_does_not_answer_is_suspected_and_then_dead_while_others_answer(self):
-        m = membership()
-        self.meet(m, 0.0, B, Incarnation("c", 1, 1))
-        self.quiet(m, 0.0, 6.0, answers=("c",))
-        self.assertEqual((m.members["b"].state, m.members["c"].state), (MemberState.DEAD, MemberState.ALIVE))
+    def test_unresponsive_member_is_suspected_then_declared_dead(self):
+        membership = make_membership()
+        self.register(membership, 0.0, B, Incarnation("c", 1, 1))
+        self.run_ticks(membership, 0.0, 6.0, answers=("c",))
+        self.assertEqual(
+            (membership.members["b"].state, membership.members["c"].state),
+            (MemberState.DEAD, MemberState.ALIVE),
+        )
 
-    def test_a_member_that_receives_nothing_is_isolated_and_declares_nobody_dead(self):
-        m = membership()
-        self.meet(m, 0.0, B, Incarnation("c", 1, 1))
-        now = self.quiet(m, 0.0, 2.0, answers=("b", "c"))
-        now = self.quiet(m, now, now + 20.0)
-        self.assertGreater(m.isolated_for_s(now), 10.0)
-        self.assertNotIn(MemberState.DEAD, {x.state for x in m.members.values()})
+    def test_isolated_member_declares_no_member_dead(self):
+        membership = make_membership()
+        self.register(membership, 0.0, B, Incarnation("c", 1, 1))
+        now = self.run_ticks(membership, 0.0, 2.0, answers=("b", "c"))
+        now = self.run_ticks(membership, now, now + 20.0)
+        self.assertGreater(membership.isolated_for_s(now), 10.0)
+        self.assertNotIn(MemberState.DEAD, {x.state for x in membership.members.values()})
 
-    def test_one_that_stalled_itself_accuses_nobody_for_it(self):
-        m = membership()
-        self.meet(m, 0.0, B, Incarnation("c", 1, 1))
-        now = self.quiet(m, 0.0, 2.0, answers=("b", "c"))
-        m.tick(now + 30.0)  # half a minute later by its clock, with probes open
-        now = self.quiet(m, now + 30.0, now + 31.0, answers=("b", "c"))
-        self.assertEqual({x.state for x in m.members.values()}, {MemberState.ALIVE})
-        self.assertEqual(m.stall_count, 1)
+    def test_stalled_member_suspects_no_other(self):
+        membership = make_membership()
+        self.register(membership, 0.0, B, Incarnation("c", 1, 1))
+        now = self.run_ticks(membership, 0.0, 2.0, answers=("b", "c"))
+        membership.tick(now + 30.0)  # stall of 30 s, with outstanding probes
+        now = self.run_ticks(membership, now + 30.0, now + 31.0, answers=("b", "c"))
+        self.assertEqual({x.state for x in membership.members.values()}, {MemberState.ALIVE})
+        self.assertEqual(membership.stall_count, 1)
 
     def test_messages_of_an_earlier_incarnation_are_ignored_after_its_successor(self):
-        m = membership()
-        self.meet(m, 0.0, Incarnation("b", 20, 1))
-        self.assertFalse(m.register_sender(B, "at:b", "", 1.0))
-        m.apply_gossip(MemberUpdate(B, "elsewhere", "", MemberState.ALIVE), "c", 1.0)
-        self.assertEqual(m.members["b"].incarnation.number, 20)
+        membership = make_membership()
+        self.register(membership, 0.0, Incarnation("b", 20, 1))
+        self.assertFalse(membership.register_sender(B, "at:b", "", 1.0))
+        membership.apply_gossip(MemberUpdate(B, "elsewhere", "", MemberState.ALIVE), "c", 1.0)
+        self.assertEqual(membership.members["b"].incarnation.number, 20)
 
     def test_gossip_alone_neither_revives_a_member_nor_removes_one_that_answers(self):
-        m = membership()
-        self.meet(m, 0.0, B)
-        now = self.quiet(m, 0.0, 1.0, answers=("b",))
-        m.apply_gossip(MemberUpdate(B, "at:b", "", MemberState.DEAD), "c", now)
-        self.assertEqual(m.members["b"].state, MemberState.ALIVE)
-        m.apply_gossip(MemberUpdate(B, "at:b", "", MemberState.LEFT), "c", now)
-        self.assertEqual(m.members["b"].state, MemberState.LEFT)
+        membership = make_membership()
+        self.register(membership, 0.0, B)
+        now = self.run_ticks(membership, 0.0, 1.0, answers=("b",))
+        membership.apply_gossip(MemberUpdate(B, "at:b", "", MemberState.DEAD), "c", now)
+        self.assertEqual(membership.members["b"].state, MemberState.ALIVE)
+        membership.apply_gossip(MemberUpdate(B, "at:b", "", MemberState.LEFT), "c", now)
+        self.assertEqual(membership.members["b"].state, MemberState.LEFT)
 
-    def test_a_start_with_an_earlier_clock_comes_after_what_it_was(self):
-        m = membership()
-        m.note_duplicate(Incarnation("a", 500, 7))
-        self.assertEqual((m.incarnation.number, m.incarnation.boot_id, m.duplicate), (501, 1, None))
+    def test_restart_with_an_earlier_clock_supersedes_the_previous_incarnation(self):
+        membership = make_membership()
+        membership.note_duplicate(Incarnation("a", 500, 7))
+        self.assertEqual(
+            (membership.incarnation.number, membership.incarnation.boot_id, membership.duplicate),
+            (501, 1, None),
+        )
 
-    def test_a_member_already_seen_does_not_contest_its_name(self):
-        m = membership()
-        m.established = True
-        m.note_duplicate(Incarnation("a", 500, 7))
-        self.assertEqual((m.incarnation, m.duplicate), (A, Incarnation("a", 500, 7)))
-        m.note_duplicate(Incarnation("a", 3, 7))  # what it said long ago, played again
+    def test_established_member_keeps_its_incarnation_despite_a_duplicate(self):
+        membership = make_membership()
+        membership.established = True
+        membership.note_duplicate(Incarnation("a", 500, 7))
+        self.assertEqual((membership.incarnation, membership.duplicate), (A, Incarnation("a", 500, 7)))
+        membership.note_duplicate(Incarnation("a", 3, 7))  # replayed message of an earlier incarnation
--- a/tests/peers/test_message_growth.py
+++ b/tests/peers/test_message_growth.py
@@ -1,6 +1,7 @@
-"""Growth of what members send each other and hold of each other.
+"""Growth of messages and state with the size of the fleet.
 
-Bytes and messages are counted on virtual time at three sizes. Each bound is shown to fail on a defect.
+Messages, bytes and state are measured on virtual time at three sizes. For each bound, a test checks that it
+detects a defect.
 """
 
 import itertools
@@ -14,169 +15,173 @@
 from ochrehoist.peers.wire import MemberState
 
 SIZES = (5, 20, 60)
-REST_S, SPAN_S = 8.0, 3.0  # all know all, and rights lie still; what is counted
-# Stated slopes, of one worker that is no voter. 20 messages a second whatever the size (a ping and an answer
-# each 100 ms), and claims of rights now and then. Bytes grow with what an answer tells of others, which is
-# full at some 25. Measured on d2aafe5, seeds 1 to 3: 20 a second; 325 to 340, then 59 to 72 bytes a second;
-# 2,040 to 2,078 bytes of state.
-MOST_SENT = 26.0  # a second, the median, at any size
-BYTES_PER_MEMBER = {20: 450.0, 60: 150.0}  # a second more, for each member more, up to this size
-STATE_PER_MEMBER = 2600.0  # bytes held more, for each member more
-
-
-def world(count, seed=1):
-    voters = tuple(f"w{n:03d}" for n in range(min(count, 3)))
-    w = World(seed, (Budget("rate", 60, voters, floor_lease_s=4.0),), encoded=True, addresses_known=False)
-    # But for voters, addresses are learned: as in a large fleet.
-    w.start_fleet(count)
-    return w
-
-
-def size(value, seen):
-    """Bytes of a value and of all that it alone refers to."""
+WARM_UP_S, MEASURED_S = 8.0, 3.0  # after the warm-up all members know each other and leases are stable
+# Bounds for a worker that is not a grantor. At any size it sends 20 messages per second (a ping and an answer
+# every 100 ms) and occasional lease requests. Bytes grow with the number of statuses of other members in an
+# answer, which reaches its limit at about 25 members. Usual values per additional member: 325 to 340 bytes
+# per second up to 20 members, then 59 to 72; 2,040 to 2,078 bytes of state.
+MAX_SENT_PER_S = 26.0  # median over the workers
+MAX_BYTES_PER_S_PER_MEMBER = {20: 450.0, 60: 150.0}  # by fleet size: increase per additional member
+MAX_STATE_BYTES_PER_MEMBER = 2600.0  # increase per additional member
+
+
+def start_world(count, seed=1):
+    grantors = tuple(f"w{n:03d}" for n in range(min(count, 3)))
+    world = World(
+        seed, (Budget("rate", 60, grantors, floor_lease_s=4.0),), encoded=True, addresses_known=False
+    )
+    # Only the addresses of grantors are configured, as in a large fleet.
+    world.start_fleet(count)
+    return world
+
+
+def deep_size(value, seen):
+    """Returns the size in bytes of a value and of all objects reachable from it, except those in `seen`."""
     if id(value) in seen or isinstance(value, type) or callable(value):
         return 0
     seen.add(id(value))
     total = sys.getsizeof(value)
     if isinstance(value, dict):
-        return total + sum(size(k, seen) + size(v, seen) for k, v in value.items())
+        return total + sum(deep_size(k, seen) + deep_size(v, seen) for k, v in value.items())
     if isinstance(value, list | tuple | set | frozenset):
-        return total + sum(size(v, seen) for v in value)
+        return total + sum(deep_size(v, seen) for v in value)
     names = [s for c in type(value).__mro__ for s in getattr(c, "__slots__", ())]
     names += getattr(type(value), "__struct_fields__", ())
     return (
         total
-        + sum(size(getattr(value, n), seen) for n in names if hasattr(value, n))
-        + size(getattr(value, "__dict__", None) or (), seen)
+        + sum(deep_size(getattr(value, n), seen) for n in names if hasattr(value, n))
+        + deep_size(getattr(value, "__dict__", None) or (), seen)
     )
 
 
-def state(node):
-    g = node.group
+def state_size(node):
+    node_group = node.group
     held = (
-        g.members.members,
-        g.members.latest_incarnations,
-        g.members.gossip.remaining,
-        g.members.probes,
-        g.members.schedule.remaining_targets,
-        g.inbound.replay_windows,
-        g.peer_statuses.decoded,
-        g.ended_at,
-        g.counters.replicas,
-        g.counters.folded_counts,
-        g.outbound.last_greeting_at,
-        g.pings.relayed_pings,
+        node_group.members.members,
+        node_group.members.latest_incarnations,
+        node_group.members.gossip.remaining,
+        node_group.members.probes,
+        node_group.members.schedule.remaining_targets,
+        node_group.inbound.replay_windows,
+        node_group.peer_statuses.decoded,
+        node_group.ended_at,
+        node_group.counters.replicas,
+        node_group.counters.folded_counts,
+        node_group.outbound.last_greeting_at,
+        node_group.pings.relayed_pings,
     )
-    return size(held, set())
+    return deep_size(held, set())
 
 
-class Measured:
-    """What the last member of a group, no voter, sent in a second, and what it holds."""
+class FleetMeasurement:
+    """Messages and bytes per second (medians) and maximum state size of the members that are not grantors."""
 
     def __init__(self, count, seed=1):
-        w = world(count, seed)
-        w.run(REST_S)
-        plain = list(w.nodes.values())[3:]
-        before = [(n.sent_count, n.sent_bytes) for n in plain]
-        w.run(REST_S + SPAN_S)
-        sent = sorted((n.sent_count - b[0]) / SPAN_S for n, b in zip(plain, before, strict=True))
-        out = sorted((n.sent_bytes - b[1]) / SPAN_S for n, b in zip(plain, before, strict=True))
+        world = start_world(count, seed)
+        world.run(WARM_UP_S)
+        non_grantors = list(world.nodes.values())[3:]
+        before = [(n.sent_count, n.sent_bytes) for n in non_grantors]
+        world.run(WARM_UP_S + MEASURED_S)
+        sent = sorted((n.sent_count - b[0]) / MEASURED_S for n, b in zip(non_grantors, before, strict=True))
+        out = sorted((n.sent_bytes - b[1]) / MEASURED_S for n, b in zip(non_grantors, before, strict=True))
         self.count, self.sent, self.bytes = count, sent[len(sent) // 2], out[len(out) // 2]
-        self.state = max(state(n) for n in plain)
+        self.state = max(state_size(n) for n in non_grantors)
 
 
 def slope(a, b, what):
     return (getattr(b, what) - getattr(a, what)) / (b.count - a.count)
 
 
-def within(measured):
-    """AssertionError where a worker's messages, bytes or state grow past what is stated."""
+def assert_bounded(measured):
+    """Raises AssertionError if messages, bytes or state of a worker exceed the bounds."""
     for a, b in itertools.pairwise(measured):
         span = f"from {a.count} to {b.count} members"
-        assert b.sent <= MOST_SENT, f"{b.sent:.1f} messages a second at {b.count} members"
+        assert b.sent <= MAX_SENT_PER_S, f"{b.sent:.1f} messages a second at {b.count} members"
         bytes_, held = slope(a, b, "bytes"), slope(a, b, "state")
-        assert bytes_ <= BYTES_PER_MEMBER[b.count], f"{bytes_:.0f} bytes a second for each member, {span}"
-        assert held <= STATE_PER_MEMBER, f"{held:.0f} bytes of state for each member, {span}"
+        assert bytes_ <= MAX_BYTES_PER_S_PER_MEMBER[b.count], (
+            f"{bytes_:.0f} bytes a second for each member, {span}"
+        )
+        assert held <= MAX_STATE_BYTES_PER_MEMBER, f"{held:.0f} bytes of state for each member, {span}"
 
 
 class MessageGrowthTest(unittest.TestCase):
-    """Messages and state at three sizes of a fleet."""
+    """Messages and state at three fleet sizes."""
 
-    def test_messages_bytes_and_state_grow_no_faster_than_is_stated(self):
+    def test_messages_bytes_and_state_stay_within_the_bounds(self):
         for seed in (1, 2):
             with self.subTest(seed=seed):
-                within([Measured(count, seed) for count in SIZES])
+                assert_bounded([FleetMeasurement(count, seed) for count in SIZES])
 
-    def test_an_answer_that_holds_all_members_is_detected(self):
+    def test_bound_detects_answers_with_all_members(self):
         with (
             mock.patch.object(ping_exchange, "MAX_OTHER_STATUSES", 10**6),
             mock.patch.object(ping_exchange, "MAX_KNOWN_VERSIONS", 10**6),
             self.assertRaisesRegex(AssertionError, "bytes a second for each member"),
         ):
-            within([Measured(count) for count in (20, 60)])
+            assert_bounded([FleetMeasurement(count) for count in (20, 60)])
 
-    def test_a_probe_of_more_members_the_more_there_are_is_seen(self):
-        usual = membership.Membership.tick
+    def test_bound_detects_probes_proportional_to_fleet_size(self):
+        original = membership.Membership.tick
 
         def tick(self, now):
-            out = usual(self, now)
-            more = [
+            actions = original(self, now)
+            extra = [
                 probing.ProbeAction(name, self.rng.getrandbits(62) | 1, indirect=False)
                 for name in self.sample_live(len(self.members) // 20, ())
             ]
-            for probe in more:
+            for probe in extra:
                 self.probes[probe.nonce] = probing.Probe(probe.target, probe.nonce, now)
-            return out + more
+            return actions + extra
 
         with (
             mock.patch.object(membership.Membership, "tick", tick),
             self.assertRaisesRegex(AssertionError, "messages a second"),
         ):
-            within([Measured(count) for count in (20, 60)])
+            assert_bounded([FleetMeasurement(count) for count in (20, 60)])
 
-    def test_state_that_holds_each_members_view_of_each_is_detected(self):
-        usual = membership.Membership.apply_status
+    def test_bound_detects_state_quadratic_in_fleet_size(self):
+        original = membership.Membership.apply_status
 
         def apply_status(self, update, round_trip_s, now):
-            book = self.latest_incarnations.setdefault("what was told", {})
-            book[update.incarnation.name, update.version] = update
-            usual(self, update, round_trip_s, now)
+            statuses = self.latest_incarnations.setdefault("statuses", {})
+            statuses[update.incarnation.name, update.version] = update
+            original(self, update, round_trip_s, now)
 
         with (
             mock.patch.object(membership.Membership, "apply_status", apply_status),
             self.assertRaisesRegex(AssertionError, "bytes of state for each member"),
         ):
-            within([Measured(count) for count in (20, 60)])
+            assert_bounded([FleetMeasurement(count) for count in (20, 60)])
 
 
-class MessagesAtRestTest(unittest.TestCase):
-    """Messages once a fault is over."""
+class ConvergenceAfterPauseTest(unittest.TestCase):
+    """Convergence of the membership after a pause of one member."""
 
-    def whole_after(self, count, fault, within=30.0):
-        """S until all are alive for all again."""
-        w = world(count)
-        w.run(REST_S)
-        self.assertTrue(self.whole(w, count))
-        fault(w, w.nodes[w.address("w004")])
-        began = w.now
-        w.run(began + 4.0)
-        while not self.whole(w, count):
-            self.assertLess(w.now - began, within, f"{count} members are not at rest again")
-            w.run(w.now + 1.0)
-        return w.now - began
+    def assert_converges(self, count, fault, limit_s=30.0):
+        """Asserts that all members see all others as alive within `limit_s`; returns the time taken in s."""
+        world = start_world(count)
+        world.run(WARM_UP_S)
+        self.assertTrue(self.has_converged(world, count))
+        fault(world, world.nodes[world.address("w004")])
+        fault_started_at = world.now
+        world.run(fault_started_at + 4.0)
+        while not self.has_converged(world, count):
+            self.assertLess(world.now - fault_started_at, limit_s, f"{count} members have not converged")
+            world.run(world.now + 1.0)
+        return world.now - fault_started_at
 
     @staticmethod
-    def whole(w, count):
+    def has_converged(world, count):
         return all(
             sum(m.state == MemberState.ALIVE for m in n.group.members.members.values()) == count - 1
-            for n in w.nodes.values()
+            for n in world.nodes.values()
         )
 
-    def test_a_few_are_at_rest_again_after_a_pause(self):
-        self.whole_after(8, lambda w, node: w.pause(node, 1.5))
+    def test_small_fleet_converges_after_a_pause(self):
+        self.assert_converges(8, lambda world, node: world.pause(node, 1.5))
 
-    def test_a_pause_of_one_is_over_for_all_of_twenty(self):
-        self.whole_after(20, lambda w, node: w.pause(node, 1.5))
+    def test_fleet_of_twenty_converges_after_a_pause(self):
+        self.assert_converges(20, lambda world, node: world.pause(node, 1.5))
 
 
 if __name__ == "__main__":
--- a/tests/peers/test_outlier_detection.py
+++ b/tests/peers/test_outlier_detection.py
@@ -1,4 +1,4 @@
-"""Which services are ejected: by own and remote observations, trials, and bounds."""
+"""Ejection of services by own and remote observations, trial calls, and limits."""
 
 import unittest
 
@@ -15,25 +15,25 @@
 
 
 class OutlierDetectionTest(unittest.TestCase):
-    """Slow and failing services, seen by one worker and by several."""
+    """Slow and failing services, observed by one worker and by several."""
 
     def setUp(self):
         self.reports = {}
         self.outliers = OutlierDetector(("s0", "s1", "s2"), 0.5, 1, remote_reports=lambda: self.reports)
         self.tickets = 0
 
-    def run_at(self, name, at, took=0.02, status=HealthStatus.OK):
+    def complete_call(self, name, at, latency_s=0.02, status=HealthStatus.OK):
         self.tickets += 1
         self.outliers.call_started(name, self.tickets, "read", at)
-        self.outliers.call_completed(name, self.tickets, status, at + took)
+        self.outliers.call_completed(name, self.tickets, status, at + latency_s)
 
-    def seen(self, at, slow=(), took=0.5, status=HealthStatus.OK, count=4):
+    def complete_calls(self, at, slow=(), latency_s=0.5, status=HealthStatus.OK, count=4):
         for n in range(count):
             for name in self.outliers.services:
-                self.run_at(
+                self.complete_call(
                     name,
                     at + n * 0.01,
-                    took if name in slow else 0.02,
+                    latency_s if name in slow else 0.02,
                     status if name in slow else HealthStatus.OK,
                 )
 
@@ -41,64 +41,64 @@
         self.outliers.evaluate(now)
         return [s.ejection for s in self.outliers.services.values()]
 
-    def test_a_slow_one_is_left_out_by_own_evidence_and_before_it_has_answered(self):
-        self.seen(0.0, count=24)
+    def test_slow_service_is_ejected_before_its_open_calls_complete(self):
+        self.complete_calls(0.0, count=24)
         for n in range(4):
             self.outliers.call_started("s2", f"open{n}", "read", 1.0)
         self.assertEqual(self.states(1.05), ["in", "in", "in"])
         self.assertEqual(self.states(1.2), ["in", "in", "out"])
 
-    def test_what_a_stopped_worker_did_not_read_is_nobodys_fault(self):
-        for first in ("look", "answer"):  # after the stop either may come first
+    def test_stall_of_the_worker_does_not_count_against_services(self):
+        for first in ("tick", "answer"):  # either may be processed first after a stall
             with self.subTest(first):
                 self.setUp()
-                self.seen(0.0, count=24)
+                self.complete_calls(0.0, count=24)
                 for n in range(20):
                     self.outliers.tick(0.3 + n * 0.05, 0.05)
                 for n in range(4):
                     self.outliers.call_started("s1", f"open{n}", "read", 1.25)
-                if first == "look":
+                if first == "tick":
                     self.outliers.tick(2.3, 0.05)
                 else:
                     for n in range(4):
                         self.outliers.call_completed("s1", f"open{n}", HealthStatus.OK, 2.3)
                 self.assertEqual(self.states(2.3), ["in", "in", "in"])
 
-    def test_a_trial_that_went_well_is_followed_by_the_next_at_once(self):
-        self.seen(0.0)
-        self.seen(3.0, slow=("s1",), status=HealthStatus.FAILING)
+    def test_successful_trial_is_followed_by_the_next_immediately(self):
+        self.complete_calls(0.0)
+        self.complete_calls(3.0, slow=("s1",), status=HealthStatus.FAILING)
         self.assertEqual(self.states(3.3), ["in", "out", "in"])
-        now, asked = 3.3, 0
+        now, step_count = 3.3, 0
         while self.outliers.services["s1"].ejection in ("out", "trial"):
-            now += 0.05  # a look each time, and a request at every third
+            now += 0.05  # an evaluation at each step, and a request at every third
             self.outliers.evaluate(now)
-            asked += 1
-            self.assertLess(asked, 400)
-            if asked % 3 == 0:
-                self.run_at(self.outliers.rank_services({}, now)[0], now)
+            step_count += 1
+            self.assertLess(step_count, 400)
+            if step_count % 3 == 0:
+                self.complete_call(self.outliers.rank_services({}, now)[0], now)
         self.assertLess(now, 3.3 + BASE_EJECTION_S + 1.0)
 
-    def test_a_service_seen_bad_by_several_replaces_one_ejected_by_a_single_worker(self):
-        self.seen(0.0)
-        self.seen(3.0, slow=("s1",), status=HealthStatus.FAILING)
+    def test_service_unhealthy_for_several_replaces_one_ejected_by_a_single_worker(self):
+        self.complete_calls(0.0)
+        self.complete_calls(3.0, slow=("s1",), status=HealthStatus.FAILING)
         self.assertEqual(self.states(3.1), ["in", "out", "in"])
-        self.bad("s2")
+        self.report_unhealthy("s2")
         self.assertEqual(self.states(6.0), ["in", "back", "out"])
-        self.bad("s1", "s2")  # others see both bad: whoever was left out stays so
+        self.report_unhealthy("s1", "s2")  # others see both as unhealthy: the ejected one stays ejected
         self.assertEqual(self.states(6.1), ["in", "back", "out"])
 
-    def test_all_slow_means_that_none_is(self):
-        self.seen(0.0, count=24)
-        self.seen(3.0, slow=("s0", "s1", "s2"), took=0.4, count=12)
+    def test_no_service_is_ejected_if_all_are_slow(self):
+        self.complete_calls(0.0, count=24)
+        self.complete_calls(3.0, slow=("s0", "s1", "s2"), latency_s=0.4, count=12)
         self.assertEqual(self.states(4.0), ["in", "in", "in"])
 
-    def test_no_more_than_the_stated_part_is_left_out(self):
-        self.seen(0.0)
-        self.seen(3.0, slow=("s1", "s2"), status=HealthStatus.FAILING)
+    def test_ejected_fraction_is_bounded(self):
+        self.complete_calls(0.0)
+        self.complete_calls(3.0, slow=("s1", "s2"), status=HealthStatus.FAILING)
         self.assertEqual(sorted(self.states(3.6)), ["in", "in", "out"])
 
-    def bad(self, *names, who=("x", "y"), status=HealthStatus.SLOW):
-        for member in who:
+    def report_unhealthy(self, *names, observers=("x", "y"), status=HealthStatus.SLOW):
+        for member in observers:
             self.reports[member] = RemoteReport(
                 0.1,
                 [
@@ -107,29 +107,29 @@
                 ],
             )
 
-    def test_remote_observations_count_from_two_and_have_an_end(self):
-        self.bad("s1", who=("x",))
+    def test_remote_observations_need_two_observers_and_expire(self):
+        self.report_unhealthy("s1", observers=("x",))
         self.assertEqual(self.states(1.0), ["in", "in", "in"])
-        self.bad("s1")
+        self.report_unhealthy("s1")
         self.reports = {
             m: RemoteReport(REMOTE_MAX_AGE_S + 1, report.observations) for m, report in self.reports.items()
         }
         self.assertEqual(self.states(1.0), ["in", "in", "in"])
-        self.bad("s1")
+        self.report_unhealthy("s1")
         self.assertEqual(self.states(1.0), ["in", "out", "in"])
 
-    def test_own_fresh_observations_go_before_remote_ones(self):
-        self.seen(0.0)
-        self.bad("s1")
+    def test_fresh_own_observations_take_precedence_over_remote_ones(self):
+        self.complete_calls(0.0)
+        self.report_unhealthy("s1")
         self.assertEqual(self.states(0.5), ["in", "in", "in"])
 
-    def test_observers_whose_own_link_is_bad_take_nothing_from_others(self):
-        self.bad("s0", "s1")
+    def test_observers_with_a_faulty_link_are_ignored(self):
+        self.report_unhealthy("s0", "s1")
         self.assertEqual(self.states(1.0), ["in", "in", "in"])
 
-    def test_trials_are_one_at_a_time_and_take_it_back_in_steps(self):
-        self.seen(0.0)
-        self.seen(3.0, slow=("s1",), status=HealthStatus.FAILING)
+    def test_trials_are_sequential_and_followed_by_a_slow_start(self):
+        self.complete_calls(0.0)
+        self.complete_calls(3.0, slow=("s1",), status=HealthStatus.FAILING)
         self.assertEqual(self.states(3.3), ["in", "out", "in"])
         now = 3.3 + BASE_EJECTION_S + 0.1
         first = [self.outliers.rank_services({}, now)[0] for _ in range(3)]
@@ -150,11 +150,11 @@
         self.outliers.call_started("s1", f"t{at}", "read", at)
         self.outliers.call_completed("s1", f"t{at}", HealthStatus.OK, at + 0.02)
 
-    def test_a_trial_that_fails_puts_the_next_one_off(self):
-        self.seen(0.0)
-        self.seen(3.0, slow=("s1",), status=HealthStatus.FAILING)
+    def test_failed_trial_delays_the_next_one(self):
+        self.complete_calls(0.0)
+        self.complete_calls(3.0, slow=("s1",), status=HealthStatus.FAILING)
         self.states(3.3)
         self.outliers.call_started("s1", "t", "read", 5.0)
         self.outliers.call_completed("s1", "t", HealthStatus.UNREACHABLE, 5.1)
-        s = self.outliers.services["s1"]
-        self.assertEqual((s.ejection, s.ejection_s), ("out", 2 * BASE_EJECTION_S))
+        service = self.outliers.services["s1"]
+        self.assertEqual((service.ejection, service.ejection_s), ("out", 2 * BASE_EJECTION_S))
--- a/tests/recovery/test_recovery.py
+++ b/tests/recovery/test_recovery.py
@@ -1,4 +1,4 @@
-"""Witnesses and stages, without I/O; and processes that come back without what they knew."""
+"""Witness replicas and startup stages without I/O, and restarts of processes that lost their stores."""
 
 import json
 import logging
@@ -11,7 +11,7 @@
 from unittest import mock
 
 from hypothesis import example, given
-from hypothesis import settings as limits
+from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
 from ochrehoist.lab.scenario import parse
@@ -34,7 +34,7 @@
 
 
 class ReplicationWorld:
-    """A worker that begins runs, witnesses that die and return, and a network that loses and repeats."""
+    """A worker that begins runs, witnesses that restart, and a network that drops and repeats messages."""
 
     def __init__(self, seed, count, wait_for_quorum=True):
         self.rng, self.wait_for_quorum = Random(seed), wait_for_quorum
@@ -49,8 +49,8 @@
         self.sent_at[request_id] = self.now
         return True
 
-    def live(self, span, loss):
-        until = self.now + span
+    def run(self, duration_s, loss):
+        until = self.now + duration_s
         while self.now < until:
             self.now += 0.02
             if self.rng.random() < 0.3:
@@ -62,32 +62,32 @@
                     self.begun[key] = self.now
             for name, data in self.pending.messages(self.now, self.is_due):
                 for _ in range(self.rng.choice((1, 1, 2))):
-                    m = decode("tell", data)
-                    recorded = self.rng.random() >= loss and self.logs[name].record("w", m, self.now)
+                    message = decode("tell", data)
+                    recorded = self.rng.random() >= loss and self.logs[name].record("w", message, self.now)
                     if recorded and self.rng.random() >= loss:
                         number = decode("tell", data).number
                         for request_id in self.pending.acknowledge(name, number, self.now):
-                            key, arrived = self.keys[request_id]
-                            self.begun[key] = arrived
+                            key, arrived_at = self.keys[request_id]
+                            self.begun[key] = arrived_at
             self.pending.remove_timed_out(self.now)
             if self.rng.random() < 0.004:
                 self.logs[self.rng.choice(self.names)] = IntentLog(self.now)
 
     def restart(self):
-        """What the next process knows, and for how long it holds; None where too few answer."""
+        """Restarts the worker; returns its hold time (None without a read quorum) and the known runs."""
         report = WitnessQuorumReport(self.names, WINDOW + 1, 7, self.now)
-        there = self.rng.sample(self.names, self.rng.randint(0, len(self.names)))
+        reachable = self.rng.sample(self.names, self.rng.randint(0, len(self.names)))
         for _ in range(20):
             for name, data in report.queries(self.now):
-                if name in there:
+                if name in reachable:
                     page = self.logs[name].page("w", decode("ask", data), self.now)
                     report.add_page(name, decode("known", encode(page)), self.now)
         hold = report.hold_s(self.now) if report.has_quorum else None
         return hold, report.expiry_by_digest
 
 
-def missed(world):
-    """Filings that began, could still be repeated, and would run again. A window counts from the arrival."""
+def lost_runs(world):
+    """Returns the begun filings that could be repeated and would run again; windows begin at the arrival."""
     hold, known = world.restart()
     if hold is None:
         return []
@@ -97,45 +97,43 @@
 
 
 class WitnessesTest(unittest.TestCase):
-    """Intents recorded at witnesses."""
+    """Recording of intents at witnesses, and queries after a restart."""
 
-    @limits(max_examples=60, deadline=None)
+    @hypothesis_settings(max_examples=60, deadline=None)
     @given(st.integers(0, 10**6), st.integers(1, 5), st.floats(0, 0.6), st.floats(1, 30))
-    @example(20201, 2, 0.25, 21.0)  # asked 0.1 s after the end of a window whose filing had waited 0.12 s
-    @example(20201, 2, 0.25, 20.86)  # and 0.04 s before it
-    def test_whatever_is_lost_and_whoever_died_no_filing_that_began_is_taken_for_new(
-        self, seed, count, loss, span
-    ):
+    @example(20201, 2, 0.25, 21.0)  # queried 0.1 s after the end of a window; its filing had waited 0.12 s
+    @example(20201, 2, 0.25, 20.86)  # queried 0.04 s before the end of that window
+    def test_no_begun_filing_is_taken_for_new_despite_losses_and_crashes(self, seed, count, loss, duration_s):
         world = ReplicationWorld(seed, count)
-        world.live(span, loss)
-        self.assertEqual(missed(world), [])
+        world.run(duration_s, loss)
+        self.assertEqual(lost_runs(world), [])
 
-    def test_it_is_red_where_filings_do_not_wait_or_too_few_are_asked(self):
-        def some(**how):
-            out = 0
+    def test_check_detects_missing_write_and_read_quorums(self):
+        def count_lost_runs(**options):
+            total = 0
             for seed in range(30):
-                world = ReplicationWorld(seed, 3, **how)
-                world.live(6.0, 0.5)
-                out += len(missed(world))
-            return out
+                world = ReplicationWorld(seed, 3, **options)
+                world.run(6.0, 0.5)
+                total += len(lost_runs(world))
+            return total
 
-        self.assertGreater(some(wait_for_quorum=False), 0)
+        self.assertGreater(count_lost_runs(wait_for_quorum=False), 0)
         with mock.patch.object(quorum, "quorum_sizes", lambda count: quorum.QuorumSizes(1, 1)):
-            self.assertGreater(some(), 0)
+            self.assertGreater(count_lost_runs(), 0)
 
-    def test_any_two_such_groups_share_a_witness(self):
+    def test_write_and_read_quorums_intersect(self):
         for count in range(1, 9):
             write, read = quorum_sizes(count)
             self.assertGreater(write + read, count)
             self.assertLessEqual(max(write, read), count)
 
-    def test_a_young_witness_proves_nothing_of_before_it_was_born(self):
+    def test_young_log_proves_nothing_about_the_time_before(self):
         report = WitnessQuorumReport(("a",), WINDOW, 1, 100.0)
         report.add_page("a", IntentPage(1, 0, 1, 4000, []), 100.0)
         self.assertAlmostEqual(report.hold_s(100.0), 16.0)
         self.assertEqual(report.hold_s(117.0), 0.0)
 
-    def test_many_come_in_pages_and_answers_to_nothing_are_passed_over(self):
+    def test_large_answers_are_paged_and_unsolicited_pages_ignored(self):
         log = IntentLog(0.0)
         count = 3 * PAGE_SIZE + 5
         log.record("w", RecordIntent(1, [(key_digest(b"%d" % n), 60_000) for n in range(count)]), 1.0)
@@ -151,7 +149,7 @@
         stored = [b"%d" % n for n in range(count - 2)]
         self.assertEqual(len(missing_from_store(report.expiry_by_digest, stored)), 2)
 
-    def test_what_never_ran_and_what_is_over_is_forgotten_and_room_is_bounded(self):
+    def test_withdrawn_and_expired_intents_are_removed_and_size_is_bounded(self):
         log = IntentLog(0.0)
         log.record("w", RecordIntent(1, [(b"a", 1000), (b"b", 9000)]), 0.0)
         log.record("w", RecordIntent(2, [], [b"b"]), 0.0)
@@ -162,12 +160,12 @@
             self.assertFalse(log.record("v", RecordIntent(4, [(b"c", 9000)]), 3.0))
 
     @given(st.sampled_from(["tell", "told", "ask", "known", "x"]), st.binary(max_size=120))
-    def test_what_cannot_be_read_is_nothing(self, topic, data):
+    def test_malformed_messages_are_ignored(self, topic, data):
         decode(topic, data)
 
 
 class StartupStagesTest(unittest.TestCase):
-    """The stages of a start, and when service is full again."""
+    """Startup stages, and the condition for full service."""
 
     def setUp(self):
         self.now = 0.0
@@ -183,7 +181,7 @@
             self.progress.evaluate(self.now, facts or ReadinessFacts(), self.service_level)
         return self.progress.current.stage
 
-    def test_it_stands_where_the_first_thing_is_that_is_not_over(self):
+    def test_stage_is_the_first_with_an_unmet_condition(self):
         facts = ReadinessFacts(store_open=False, has_peer_contact=False)
         self.assertEqual(self.evaluate(0.5, facts), StartupStage.STORE)
         facts = ReadinessFacts(store_open=True, hold_s=5.0, has_peer_contact=False)
@@ -196,27 +194,27 @@
         self.assertEqual(set(record["stages_s"]), {"settings", "store", "lost", "peers", "warming"})
         self.assertAlmostEqual(sum(record["stages_s"].values()), record["full_after_s"], delta=0.2)
 
-    def test_full_is_what_callers_get_and_no_time(self):
+    def test_full_service_depends_on_the_service_level_not_on_time(self):
         self.assertEqual(self.evaluate(60, ReadinessFacts(), good=2, late=1), StartupStage.WARMING)
         self.assertEqual(self.evaluate(60, ReadinessFacts(), good=2, rejected=1), StartupStage.WARMING)
         self.assertEqual(self.evaluate(1, ReadinessFacts(), good=3), StartupStage.WARMING)
         self.assertEqual(self.evaluate(3, ReadinessFacts(), good=3), StartupStage.FULL)
 
-    def test_service_as_good_as_before_is_full_and_no_traffic_is_no_measure(self):
+    def test_full_service_is_relative_to_the_baseline_or_unmeasured_without_traffic(self):
         self.service_level = ServiceLevelMonitor(0.0, baseline_good_ratio=0.6)
         self.assertEqual(self.evaluate(4, ReadinessFacts(), good=2, rejected=1), StartupStage.FULL)
         self.setUp()
         self.assertEqual(self.evaluate(MAX_IDLE_S + 1), StartupStage.FULL)
         self.assertIn("not measured", self.progress.current.reason)
 
-    def test_an_operator_may_skip_what_it_waits_for(self):
+    def test_operator_can_skip_a_stage(self):
         facts = ReadinessFacts(store_open=True, hold_s=50.0)
         self.evaluate(1.0, facts)
         self.progress.skip(StartupStage.LOST)
         self.assertEqual(self.evaluate(4, facts, good=3), StartupStage.FULL)
 
 
-def play(faults, seed=1, **changes):
+def run_scenario(faults, seed=1, **changes):
     values = {
         "name": "t",
         "seconds": 10.0,
@@ -235,33 +233,33 @@
     return ScenarioRun(parse(values | changes), seed).run()
 
 
-class LostFoldersTest(unittest.TestCase):
-    """Scenarios of workers that lost their folders."""
+class LostStoreTest(unittest.TestCase):
+    """Scenarios with workers that lost their store folders."""
 
-    def test_two_that_lost_their_folders_take_filings_again_and_none_runs_twice(self):
-        v = play(
+    def test_workers_without_their_stores_recover_and_no_filing_runs_twice(self):
+        result = run_scenario(
             [{"at": 8.0, "kind": "kill", "who": ["w0", "w1"], "lasts": 0.2, "store": "removed"}], seconds=14.0
         )
-        self.assertEqual(v["broken"], [])  # of which a filing that ran before and after is one
+        self.assertEqual(result["broken"], [])  # includes filings that ran both before and after the restart
         for name in ("w0", "w1"):
-            told = v["told_at_end"][name]
-            self.assertTrue(told["recovery"]["witnesses"]["testified"], told)
-            self.assertEqual(told["store"]["hold_s"], 0, told)
-        self.assertGreater(v["goodput"]["after"]["filing"], 0.85 * v["goodput"]["quiet"]["filing"])
+            status = result["told_at_end"][name]
+            self.assertTrue(status["recovery"]["witnesses"]["testified"], status)
+            self.assertEqual(status["store"]["hold_s"], 0, status)
+        self.assertGreater(result["goodput"]["after"]["filing"], 0.85 * result["goodput"]["quiet"]["filing"])
 
-    def test_an_older_folder_is_detected_and_a_worker_without_its_witnesses_starts_nothing(self):
-        v = play(
+    def test_older_store_is_detected_and_a_worker_without_witnesses_starts_nothing(self):
+        result = run_scenario(
             [
                 {"at": 6.0, "kind": "kill", "who": ["w0"], "lasts": 0.2, "store": "older"},
                 {"at": 7.0, "kind": "cut", "who": ["w3"], "lasts": 2.0},
             ],
             seconds=11.0,
         )
-        self.assertEqual(v["broken"], [])
-        self.assertGreater(v["statuses"].get("200", 0), 0)
+        self.assertEqual(result["broken"], [])
+        self.assertGreater(result["statuses"].get("200", 0), 0)
 
-    def test_all_are_killed_and_their_folders_lost_and_the_hold_stays(self):
-        v = play(
+    def test_hold_remains_if_all_workers_lose_their_stores(self):
+        result = run_scenario(
             [
                 {
                     "at": 3.0,
@@ -273,34 +271,35 @@
             ],
             seconds=8.0,
         )
-        self.assertEqual(v["broken"], [])
-        stages = [[s["stage"] for s in t["recovery"]["stages"]] for t in v["told_at_end"].values()]
-        self.assertTrue(all("lost" in s for s in stages), stages)  # no witness remembers: nothing is proved
+        self.assertEqual(result["broken"], [])
+        stages = [[s["stage"] for s in t["recovery"]["stages"]] for t in result["told_at_end"].values()]
+        # No witness has a log, so nothing is proved.
+        self.assertTrue(all("lost" in s for s in stages), stages)
 
 
 class RecoveryWorkerTest(WorkerTestCase):
-    """One worker with or without the table of recovery."""
+    """A worker process with and without the [recovery] table."""
 
-    def test_nothing_of_it_is_loaded_without_its_table(self):
+    def test_recovery_is_not_loaded_without_its_table(self):
         code = (
             "import sys, ochrehoist.app.worker, ochrehoist.net.peers, ochrehoist.store.journal; "
             "print([m for m in sys.modules if 'recovery' in m])"
         )
-        done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True)
-        self.assertEqual(done.stdout.strip(), "[]", done.stderr)
+        process = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True)
+        self.assertEqual(process.stdout.strip(), "[]", process.stderr)
 
-    def test_a_start_is_reported_stage_by_stage_and_logged(self):
+    def test_startup_stages_are_reported_and_logged(self):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
-        p = self.start(thrift=False, ajp=True, state={"folder": folder.name}, recovery={})
-        good, text = call_operator_api(p.addresses["Operators"], "POST", "/recovery/skip/warming")
-        self.assertTrue(good, text)
-        p.wait_for(lambda s: "'stage': 'full'" in s["recovery"])
-        view = json.loads(call_operator_api(p.addresses["Operators"], "GET", "/status")[1])["recovery"]
+        worker = self.start(thrift=False, ajp=True, state={"folder": folder.name}, recovery={})
+        succeeded, answer = call_operator_api(worker.addresses["Operators"], "POST", "/recovery/skip/warming")
+        self.assertTrue(succeeded, answer)
+        worker.wait_for(lambda s: "'stage': 'full'" in s["recovery"])
+        view = json.loads(call_operator_api(worker.addresses["Operators"], "GET", "/status")[1])["recovery"]
         self.assertEqual(next(s["stage"] for s in view["stages"]), "settings")
-        p.wait_until_logged("startup_complete")
+        worker.wait_until_logged("startup_complete")
 
-    def test_a_file_that_cannot_hold_is_refused_by_its_key(self):
+    def test_invalid_settings_are_reported_with_their_key(self):
         with tempfile.TemporaryDirectory() as folder:
             file = Path(folder, "x.toml")
             text = (ROOT / "deploy/recovery.toml").read_text()
@@ -316,7 +315,7 @@
                 with self.subTest(new):
                     self.assertIn(old, text)
                     file.write_text(text.replace(old, new))
-                    done = run_command("check", str(file))
-                    self.assertEqual((done.returncode, key in done.stderr), (2, True), done.stderr)
+                    process = run_command("check", str(file))
+                    self.assertEqual((process.returncode, key in process.stderr), (2, True), process.stderr)
             file.write_text(text)
             self.assertEqual(run_command("check", str(file)).returncode, 0)
