--- a/ochrehoist/lab/lease_exploration.py
+++ b/ochrehoist/lab/lease_exploration.py
@@ -133,7 +133,7 @@
             for grantor, expiry in lease.expiry_by_grantor.items()
             if expiry > self.now
         )
-        return lease.first_round, tuple(expiries)
+        return lease.first_valid_round, tuple(expiries)
 
 
 class SlotDoubledError(OchrehoistError):
--- a/ochrehoist/peers/counters.py
+++ b/ochrehoist/peers/counters.py
@@ -184,8 +184,8 @@
         wanted = [target] if target is not None else []
         cursors = [CounterCursor(name, number, 0, "")] if target is None else []
         self._cursor_rotation += 1
-        turns = (list(self.incomplete), list(self.replicas))  # one incomplete replica, and one of all
-        wanted += [candidates[self._cursor_rotation % len(candidates)] for candidates in turns if candidates]
+        pools = (list(self.incomplete), list(self.replicas))  # one incomplete replica, and one of all
+        wanted += [candidates[self._cursor_rotation % len(candidates)] for candidates in pools if candidates]
         return cursors + [self._cursor(incarnation) for incarnation in dict.fromkeys(wanted)]
 
     def _cursor(self, incarnation: Incarnation) -> CounterCursor:
--- a/ochrehoist/peers/lease_assignment.py
+++ b/ochrehoist/peers/lease_assignment.py
@@ -1,6 +1,6 @@
 """Selection of the free lease slots that a worker requests, and of those that it transfers to others. No I/O.
 
-The selection affects only utilisation: the grantors enforce the budget whatever is requested.
+The selection affects only utilisation: the grantors enforce the budget regardless of the requests.
 """
 
 from collections.abc import Iterable, Mapping
--- a/ochrehoist/peers/lease_manager.py
+++ b/ochrehoist/peers/lease_manager.py
@@ -113,10 +113,10 @@
         return messages
 
     def _request_free_slots(self, share: BudgetShare, peers: dict[str, PeerDemand], now: float) -> None:
-        me = self._membership.incarnation.name
-        alive = {me, *self._membership.live_names()} - self._peer_statuses.leaving_names()
+        own_name = self._membership.incarnation.name
+        alive = {own_name, *self._membership.live_names()} - self._peer_statuses.leaving_names()
         own_slots = set(share.holder.leases) | set(share.request_blocked_until)
-        for slot in slots_to_request(share.holder.budget, me, own_slots, alive, peers):
+        for slot in slots_to_request(share.holder.budget, own_name, own_slots, alive, peers):
             share.holder.request(slot, now)
 
     def _transfer_one(
@@ -140,14 +140,14 @@
         round_number, slots = share.holder.due_slots(now, REQUEST_INTERVAL_S)
         if not slots:
             return []
-        me = self._membership.incarnation
+        own_incarnation = self._membership.incarnation
         if share.grantor is not None:
-            granted = share.grantor.grant(me, budget.terms_digest, round_number, slots, now)
-            share.holder.record_grant(me.name, round_number, granted, now)
+            granted = share.grantor.grant(own_incarnation, budget.terms_digest, round_number, slots, now)
+            share.holder.record_grant(own_incarnation.name, round_number, granted, now)
         request = LeaseRequest(budget.name, budget.terms_digest, round_number, slots)
         messages = []
         for grantor in budget.grantors:
-            if grantor != me.name:
+            if grantor != own_incarnation.name:
                 messages += self._outbound.to_configured_address(grantor, [request])
         return messages
 
@@ -156,16 +156,16 @@
         self, share: BudgetShare, slots: Iterable[int], recipient: str = ""
     ) -> list[OutgoingMessage]:
         """Releases slots to the grantors; `recipient`, if given, may request them."""
-        me = self._membership.incarnation
+        own_incarnation = self._membership.incarnation
         round_number, dropped = share.holder.drop(slots)
         if not dropped:
             return []
         if share.grantor is not None:
-            share.grantor.release(me, round_number, dropped)
+            share.grantor.release(own_incarnation, round_number, dropped)
         names = set(share.holder.budget.grantors) | ({recipient} if recipient else set())
         released = LeaseReleased(share.holder.budget.name, round_number, dropped, recipient)
         messages = []
-        for name in sorted(names - {me.name}):
+        for name in sorted(names - {own_incarnation.name}):
             messages += self._outbound.to_member(name, [released])
         return messages
 
--- a/ochrehoist/peers/leases.py
+++ b/ochrehoist/peers/leases.py
@@ -3,9 +3,9 @@
 An incarnation uses a slot only if a majority of the grantors has granted it. A grantor grants a slot to one
 incarnation at a time. It honours the grant until after the lease has ended at the holder: the holder counts
 the lease from its request, and the grantor adds a margin for clock drift. Any two majorities have a grantor
-in common, so two incarnations never hold the same slot at once, whatever partitions, crashes, pauses or
-message delays occur. A grantor that has just started may have granted slots before its restart, so it first
-waits for the longest lease to end. Budgets are therefore kept even if no messages arrive.
+in common, so two incarnations never hold the same slot simultaneously, under any partitions, crashes, pauses
+or message delays. A grantor that has just started may have granted slots before its restart, so it first
+waits for the longest lease to end. Budgets are therefore never exceeded, even if no messages arrive.
 """
 
 from collections import deque
@@ -66,7 +66,7 @@
     def reconfigure(self, budget: Budget, now: float) -> None:
         """Applies new terms; nothing is granted on them until all grants on the old terms have expired.
 
-        The amount of a slot depends on the terms, so leases on different terms must not be valid at once.
+        The amount of a slot depends on the terms, so leases on different terms must never overlap.
         """
         if budget.terms_digest != self.budget.terms_digest:
             expiries = [grant.expires_at for grant in self.grants.values()]
@@ -133,8 +133,8 @@
     expiry_by_grantor: dict[str, float] = field(default_factory=dict)
     held_since: float = 0.0  # start of the current uninterrupted lease
     requested_at: float = 0.0
-    last_round_at: float = -1e9
-    first_round: int = 0  # a release has invalidated the answers to earlier rounds
+    last_requested_at: float = -1e9
+    first_valid_round: int = 0  # a release has invalidated the answers to earlier rounds
 
     def valid_until(self, quorum: int) -> float:
         """Returns the time until which a quorum of grants is valid; minus infinity without a quorum."""
@@ -197,7 +197,7 @@
     def request(self, slot: int, now: float) -> None:
         """Adds a slot to the requests, beginning with the next round."""
         if slot not in self.leases:
-            self.leases[slot] = HeldLease(requested_at=now, first_round=self.round_number + 1)
+            self.leases[slot] = HeldLease(requested_at=now, first_valid_round=self.round_number + 1)
 
     def begin_round(self, now: float) -> int:
         """Starts a new round of requests and returns its number."""
@@ -213,7 +213,7 @@
         """
         due = [slot for slot, lease in self.leases.items() if self._is_due(slot, lease, now, interval_s)]
         for slot in due:
-            self.leases[slot].last_round_at = now
+            self.leases[slot].last_requested_at = now
         if due:
             self.begin_round(now)
         return self.round_number, due
@@ -222,7 +222,7 @@
         remaining_s = lease.valid_until(self.budget.quorum) - now
         if remaining_s >= self.budget.lease_duration_s(slot) * RENEWAL_FRACTION:
             return False
-        return now - lease.last_round_at >= (interval_s if remaining_s > 0 else interval_s / 2)
+        return now - lease.last_requested_at >= (interval_s if remaining_s > 0 else interval_s / 2)
 
     def record_grant(self, grantor: str, round_number: int, slots: Iterable[int], now: float) -> list[int]:
         """Records a grantor's answer to a round; returns the slots that are held since this answer.
@@ -236,7 +236,7 @@
         newly_held = []
         for slot in slots:
             lease = self.leases.get(slot)
-            if lease is None or round_number < lease.first_round:
+            if lease is None or round_number < lease.first_valid_round:
                 continue
             expires_at = requested_at + self.budget.lease_duration_s(slot)
             if expires_at <= now:
--- a/ochrehoist/peers/membership.py
+++ b/ochrehoist/peers/membership.py
@@ -256,7 +256,7 @@
             self.members[name] = Member(incarnation, address or member.address, site, MemberState.ALIVE, now)
             self._enqueue_gossip(name)
         elif member.state == MemberState.DEAD and member.incarnation == incarnation:
-            self._mark_alive(member, now)  # it was declared dead by mistake
+            self._mark_alive(member, now)  # declared dead by mistake
             self._enqueue_gossip(name)
         self._remember_incarnation(incarnation)
         return True
@@ -308,9 +308,8 @@
         is_gone = update.state in (MemberState.DEAD, MemberState.LEFT)
         if is_gone or (latest is not None and latest.supersedes(update.incarnation)):
             if member is None and latest is None:
-                self.latest_incarnations[name] = (
-                    update.incarnation
-                )  # prevents a later registration of an older one
+                # The member is not added, but messages of its earlier incarnations will be rejected.
+                self.latest_incarnations[name] = update.incarnation
             return
         if self.register_sender(update.incarnation, update.address, update.site, now):
             self._apply_refutations(self.members[name], update.refutations, now)
--- a/ochrehoist/peers/outlier_detection.py
+++ b/ochrehoist/peers/outlier_detection.py
@@ -83,10 +83,10 @@
     reason: str = ""
     ejection_s: float = BASE_EJECTION_S
     trial_ticket: Hashable | None = None
-    successful_trials: int = 0  # in a row
+    successful_trials: int = 0  # consecutive
     trial_count: int = 0
     slow_start_stage: int = 0
-    ejected_on_remote: bool = False
+    ejected_on_remote_reports: bool = False
 
     @property
     def is_ejected(self) -> bool:
@@ -253,14 +253,14 @@
         """Starts the slow start of a remotely reported service that other workers' trials found healthy."""
         ejected_for_s = now - service.since
         if (
-            service.ejected_on_remote
+            service.ejected_on_remote_reports
             and ejected_for_s > service.ejection_s
             and is_recovered(name, self._remote_reports(), ejected_for_s)
         ):
             self._begin_slow_start(service, name, "well for others", now)
 
     def _candidate(self, name: str, own: HealthObservation | None) -> EjectionCandidate | None:
-        """Returns the service as a candidate for ejection; None if it appears healthy or is unknown."""
+        """Returns the service as a candidate for ejection; None if healthy or too little is known."""
         if own is not None and own.status in UNHEALTHY:
             if is_conclusive(own):
                 severity = math.inf if own.status == HealthStatus.UNREACHABLE else own.latency_ratio
@@ -296,7 +296,7 @@
             service = self.services[candidate.service]
             service.successful_trials = 0
             service.trial_ticket = None
-            service.ejected_on_remote = not candidate.is_own_observation
+            service.ejected_on_remote_reports = not candidate.is_own_observation
             self._change_state(service, candidate.service, EjectionState.EJECTED, candidate.reason, now)
 
     def _readmit_for_replacement(self, now: float) -> int:
@@ -308,7 +308,7 @@
         for name, service in self.services.items():
             if (
                 service.is_ejected
-                and not service.ejected_on_remote
+                and not service.ejected_on_remote_reports
                 and is_recovered(name, reports, REMOTE_MAX_AGE_S)
             ):
                 service.trial_ticket = None
--- a/tests/peers/test_leases.py
+++ b/tests/peers/test_leases.py
@@ -26,7 +26,7 @@
 
     def request(self, grantors, holder, incarnation, slot, now, unreachable=()):
         holder.request(slot, now)
-        holder.leases[slot].last_round_at = -1e9
+        holder.leases[slot].last_requested_at = -1e9
         round_number, due = holder.due_slots(now, 0.2)
         for name, grantor in grantors.items():
             if name not in unreachable:
