--- a/ochrehoist/peers/group.py
+++ b/ochrehoist/peers/group.py
@@ -33,7 +33,7 @@
     Superseded,
 )
 
-EVALUATION_INTERVAL_S = 0.05  # outlier detection
+SERVICE_EVALUATION_INTERVAL_S = 0.05
 
 
 class Extension(Protocol):
@@ -172,8 +172,8 @@
         return messages
 
     def _tick_outliers(self, now: float) -> None:
-        self.outliers.tick(now, EVALUATION_INTERVAL_S)
-        if now - self._last_evaluation_at >= EVALUATION_INTERVAL_S:
+        self.outliers.tick(now, SERVICE_EVALUATION_INTERVAL_S)
+        if now - self._last_evaluation_at >= SERVICE_EVALUATION_INTERVAL_S:
             self._last_evaluation_at = now
             self.outliers.evaluate(now)
 
--- a/ochrehoist/peers/inbound.py
+++ b/ochrehoist/peers/inbound.py
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True)
 class InboundDecision:
-    """Whether a message is processed; `replies` is the answer to one that is not."""
+    """The decision on a received message; `replies` answers one that is not accepted."""
 
     outcome: MessageOutcome
     replies: list[OutgoingMessage] = field(default_factory=list)
--- a/ochrehoist/peers/lease_manager.py
+++ b/ochrehoist/peers/lease_manager.py
@@ -29,8 +29,10 @@
     holder: LeaseHolder
     meter: UsageMeter
     last_transfer_at: float = 0.0
-    request_blocked_until: dict[int, float] = field(default_factory=dict)  # by slot not to be requested
-    reserved_until: dict[int, float] = field(default_factory=dict)  # by slot transferred to this worker
+    # By slot given away or withdrawn: this worker does not request it before this time.
+    request_blocked_until: dict[int, float] = field(default_factory=dict)
+    # By slot transferred to this worker: end of its reservation.
+    reserved_until: dict[int, float] = field(default_factory=dict)
 
     def expire_reservations(self, now: float) -> None:
         """Removes expired reservations."""
--- a/ochrehoist/peers/leases.py
+++ b/ochrehoist/peers/leases.py
@@ -134,7 +134,7 @@
     held_since: float = 0.0  # start of the current uninterrupted lease
     requested_at: float = 0.0
     last_requested_at: float = -1e9
-    first_valid_round: int = 0  # a release has invalidated the answers to earlier rounds
+    first_valid_round: int = 0  # a release invalidates the answers to all earlier rounds
 
     def valid_until(self, quorum: int) -> float:
         """Returns the time until which a quorum of grants is valid; minus infinity without a quorum."""
--- a/ochrehoist/peers/member.py
+++ b/ochrehoist/peers/member.py
@@ -5,7 +5,7 @@
 
 from ochrehoist.peers.wire import Incarnation, MemberState, MemberUpdate
 
-PRESENT_STATES = (MemberState.ALIVE, MemberState.SUSPECT)  # not known to be gone
+PRESENT_STATES = (MemberState.ALIVE, MemberState.SUSPECT)  # states of members not known to be gone
 NO_STATUS_AGE_MS = -1
 
 
--- a/ochrehoist/peers/membership.py
+++ b/ochrehoist/peers/membership.py
@@ -57,7 +57,7 @@
         self.refutations = 0  # refuted accusations of this incarnation; SWIM's incarnation number
         self.local_health = 0  # Lifeguard's local health score; 0 is healthy, higher lengthens all timeouts
         self.stall_count = 0
-        self.last_ack_at: float | None = None  # from any member
+        self.last_ack_at: float | None = None  # last acknowledgement from any member
         self.established = False  # at least one member has acknowledged a probe
         self.duplicate: Incarnation | None = None  # another process with this worker's name
         self.duplicate_accepted = False  # other members regard the duplicate as this member
--- a/ochrehoist/peers/outlier_detection.py
+++ b/ochrehoist/peers/outlier_detection.py
@@ -45,7 +45,7 @@
 
 
 class EjectionState(StrEnum):
-    """Whether a service receives calls; the values are written to `/status`."""
+    """The ejection state of a service; the values are written to `/status`."""
 
     IN = "in"
     EJECTED = "out"
--- a/ochrehoist/peers/probing.py
+++ b/ochrehoist/peers/probing.py
@@ -32,7 +32,7 @@
     """Probe rounds; each known member is a target once per round, in random order."""
 
     def __init__(self, own_name: str, rng: Random) -> None:
-        self.remaining_targets: list[str] = []  # remaining targets, the next one last
+        self.remaining_targets: list[str] = []  # the next target is the last entry
         self._own_name = own_name
         self._rng = rng
 
--- a/ochrehoist/peers/service_health.py
+++ b/ochrehoist/peers/service_health.py
@@ -14,13 +14,13 @@
 SAMPLE_MAX_AGE_S = 2.0  # older results are ignored
 RECENT_SAMPLES = 8  # limits how many earlier healthy results can mask a current fault
 MAX_SAMPLES = 64
-MIN_SAMPLES = 3  # for a conclusive observation
+MIN_SAMPLES = 3  # observations of fewer samples are not conclusive
 MIN_BASELINE_SAMPLES = 20  # a service counts for a class's baseline from this number of samples
 BASELINE_WINDOW = 40  # samples in the moving mean of a class
 SLOW_RATIO = 5.0  # a slow call exceeds this multiple of the baseline
-SLOW_MARGIN_S = 0.03  # and also exceeds the baseline by this margin
+SLOW_MARGIN_S = 0.03  # a slow call also exceeds the baseline by this margin
 MIN_BASELINE_S = 1e-4  # lower limit for the divisor of latency ratios
-MIN_UNREACHABLE = 2  # results, the latest included, that make a service unreachable
+MIN_UNREACHABLE = 2  # a service is unreachable after this many such results, the latest included
 
 
 def is_slow(latency_s: float, baseline_s: float | None) -> bool:
--- a/ochrehoist/recovery/witness_quorum.py
+++ b/ochrehoist/recovery/witness_quorum.py
@@ -54,9 +54,7 @@
         self._read_quorum = quorum.quorum_sizes(len(witnesses)).read
         self._reports = {name: WitnessReport() for name in witnesses}
         self._last_sent_at = -math.inf
-        self.expiry_by_digest: dict[
-            bytes, float
-        ] = {}  # by digest of a begun run: end of its idempotency window
+        self.expiry_by_digest: dict[bytes, float] = {}  # ends of the idempotency windows of begun runs
 
     def queries(self, now: float) -> list[EncodedWitnessMessage]:
         """Returns the queries to send now; none while answers are outstanding or the report is settled."""
--- a/tests/peers/test_counter_compatibility.py
+++ b/tests/peers/test_counter_compatibility.py
@@ -89,7 +89,6 @@
         )
         responder.add("class/00003/served")
         self.assertEqual(exchange(responder, requester, 2.0)[0].counts, {"class/00003/served": 2})
-        requester.merge_snapshot(
-            CounterSnapshot(A, 3, 0, False, {"class/00003/served": 1}), 0.0, 2.0
-        )  # delayed
+        # A delayed snapshot has no effect.
+        requester.merge_snapshot(CounterSnapshot(A, 3, 0, False, {"class/00003/served": 1}), 0.0, 2.0)
         self.assertEqual(requester.read("class/00003/served", 2.0).total, 2)
--- a/tests/peers/test_leases.py
+++ b/tests/peers/test_leases.py
@@ -73,9 +73,8 @@
     def test_restarted_grantor_waits_for_earlier_grants_to_expire(self):
         grantor = LeaseGrantor(BUDGET, 100.0)
         self.assertEqual(grantor.grant(A, BUDGET.terms_digest, 1, [3, 0], 102.0), [])
-        self.assertEqual(
-            grantor.grant(A, BUDGET.terms_digest, 2, [3, 0], 102.5), [3]
-        )  # floor leases are longer
+        # Slot 0 is a floor slot, whose leases are longer.
+        self.assertEqual(grantor.grant(A, BUDGET.terms_digest, 2, [3, 0], 102.5), [3])
         self.assertEqual(grantor.grant(A, BUDGET.terms_digest, 3, [0], 110.9), [0])
 
     def test_floor_slot_is_granted_only_to_its_home(self):
@@ -156,11 +155,12 @@
         self.assertTrue(all(budget.is_floor(slot) and budget.home_of(slot) not in alive for slot in missing))
 
     def test_surplus_slot_is_transferred_to_a_denied_worker(self):
-        needy = {"b": lease_assignment.PeerDemand(held_slots=0, wanted=9, denied=3, fresh=True)}
-        self.assertEqual(lease_assignment.choose_transfer(BUDGET, [0, 3, 6], 0, 3, needy).recipient, "b")
-        self.assertIsNone(
-            lease_assignment.choose_transfer(BUDGET, [0, 3, 6], 0, 0, needy)
-        )  # all of the amount is in use
+        denied_peers = {"b": lease_assignment.PeerDemand(held_slots=0, wanted=9, denied=3, fresh=True)}
+        self.assertEqual(
+            lease_assignment.choose_transfer(BUDGET, [0, 3, 6], 0, 3, denied_peers).recipient, "b"
+        )
+        # The whole amount is in use.
+        self.assertIsNone(lease_assignment.choose_transfer(BUDGET, [0, 3, 6], 0, 0, denied_peers))
         self.assertIsNone(
             lease_assignment.choose_transfer(
                 BUDGET, [0, 3, 6], 3, 3, {"b": lease_assignment.PeerDemand(0b10010, 2, 1, True)}
--- a/tests/peers/test_suspicion.py
+++ b/tests/peers/test_suspicion.py
@@ -92,9 +92,8 @@
         self.assertEqual(self.membership.refutations, 1)
         self.membership.apply_gossip(update(MemberState.DEAD, 6, A), "c", 1.0)
         self.assertEqual(self.membership.refutations, 7)
-        self.membership.apply_gossip(
-            update(MemberState.SUSPECT, 6, Incarnation("a", 9, 1)), "c", 1.0
-        )  # an earlier incarnation
+        # An accusation of an earlier incarnation has no effect.
+        self.membership.apply_gossip(update(MemberState.SUSPECT, 6, Incarnation("a", 9, 1)), "c", 1.0)
         self.assertEqual(self.membership.refutations, 7)
         self.membership._suspect(self.member, "a", 1.0)
         self.assertEqual(self.member.refutations, 0)
@@ -162,7 +161,7 @@
             )
             world.run(world.now + 1.0)
         world.run(world.now + 5.0)
-        self.assertEqual(self.inconsistencies(world, count), [])  # and remains converged
+        self.assertEqual(self.inconsistencies(world, count), [])  # the fleet remains converged
         return world
 
     @staticmethod
