--- a/tests/peers/test_counter_parts.py
+++ b/tests/peers/test_counter_parts.py
@@ -89,11 +89,8 @@
         requester.merge_delta(CounterDelta(A, 0, "k", "", 8, 0, False, 5000, {"m": 1}), 0.0, 5.0)
         self.assertEqual((requester.replicas[A].complete_up_to, requester.replicas[A].version), ("", 8))
         requester.merge_delta(CounterDelta(A, 8, "", "k", 10, 0, False, 6000, {"k": 4}), 0.0, 6.0)
-        for version, after in (
-            (8, "k"),
-            (12, "j"),
-            (12, ""),
-        ):  # outdated, or not a continuation of the last part
+        # Outdated, or not a continuation of the last part.
+        for version, after in ((8, "k"), (12, "j"), (12, "")):
             requester.merge_delta(CounterDelta(A, 8, after, "z", version, 0, False, 6000, {}), 0.0, 6.0)
         self.assertEqual((requester.replicas[A].complete_up_to, requester.replicas[A].version), ("k", 8))
         requester.merge_delta(CounterDelta(A, 8, "k", "", 12, 0, False, 7000, {"m": 2}), 0.0, 7.0)
--- a/tests/peers/test_group.py
+++ b/tests/peers/test_group.py
@@ -1,4 +1,4 @@
-"""Fleets of members on virtual time."""
+"""Fleets on virtual time: discovery, leases, failure detection and trials of ejected services."""
 
 import math
 import unittest
@@ -25,7 +25,7 @@
 
 
 class FleetTest(unittest.TestCase):
-    """Fleets on virtual time, with few or no faults."""
+    """Fleets with few or no faults."""
 
     def test_members_discover_each_other_from_one_seed_and_counts_agree(self):
         world = World(3, (), encoded=True, addresses_known=False)
@@ -89,13 +89,13 @@
 
 
 class EjectedServiceTrialsTest(unittest.TestCase):
-    """Guards against overload of a recovering service by trials of many workers isolated from each other."""
+    """Trials of many isolated workers, which must not overload a recovering service."""
 
     # Expected trial calls per second of one fleet: ten random draws, each followed by up to three trials.
     TRIALS_OF_ONE_FLEET = 10 * TRIALS_TO_RECOVER
 
     def count_first_second_calls(self, count, seed, fleet=None):
-        """Returns the calls in the first second to a service that all workers, isolated, have ejected."""
+        """Returns the calls in the first second to a service that all workers have ejected in isolation."""
         addresses, rng = {f"w{n}": f"127.0.0.1:{9000 + n}" for n in range(count)}, Random(seed)
         groups, open_calls, sent = [], [], 0
         for name, address in addresses.items():
