--- a/ochrehoist/net/peer_metrics.py
+++ b/ochrehoist/net/peer_metrics.py
@@ -25,7 +25,7 @@
     samples: dict[str, Samples] = {
         "app_peers": _labelled("state", {state.value: states[state] for state in MemberState}),
         "app_peers_alone_seconds": [("", group.members.isolated_for_s(now) or 0.0)],
-        "app_peers_duplicate": [("", int(group.yielded))],
+        "app_peers_duplicate": [("", int(group.superseded))],
         "app_peers_rejected_total": _labelled("why", rejected),
         "app_peers_bytes_total": _labelled("way", traffic),
         "app_budget_held": _labelled("budget", {n: s.holder.amount(now) for n, s in shares.items()}),
--- a/ochrehoist/peers/group.py
+++ b/ochrehoist/peers/group.py
@@ -123,9 +123,9 @@
         return self.members.incarnation
 
     @property
-    def yielded(self) -> bool:
+    def superseded(self) -> bool:
         """Whether another process has replaced this one as the member; no budget may then be used here."""
-        return self.leases.yielded
+        return self.leases.superseded
 
     @property
     def shares(self) -> dict[str, BudgetShare]:
@@ -156,8 +156,8 @@
         self._now = now
         messages: list[OutgoingMessage] = []
         self.counters.set_incarnation(self.incarnation)
-        if self.members.duplicate is not None and self.members.duplicate_accepted and not self.yielded:
-            messages += self.leases.yield_all()
+        if self.members.duplicate is not None and self.members.duplicate_accepted and not self.superseded:
+            messages += self.leases.mark_superseded()
         self._tick_outliers(now)
         self._renew_status(now)
         for probe in self.members.tick(now):
@@ -167,7 +167,7 @@
         messages += self._extension_messages(now)
         self.pings.limit_relayed_pings()
         self._update_ended_incarnations(now)
-        if not self.yielded and (self.members.established or self._is_single_worker()):
+        if not self.superseded and (self.members.established or self._is_single_worker()):
             messages += self.leases.tick(now, self.own_status.leaving)
         return messages
 
--- a/ochrehoist/peers/lease_manager.py
+++ b/ochrehoist/peers/lease_manager.py
@@ -51,14 +51,14 @@
 class LeaseManager:
     """Holder of this worker's leases, and grantor for the budgets that name this worker as one.
 
-    After `yield_all`, because another process has replaced this one as the member, no budget may be used.
+    No budget may be used after `mark_superseded`: another process has then replaced this one as the member.
     """
 
     def __init__(
         self, membership: Membership, peer_statuses: PeerStatuses, outbound: Outbound, rng: Random
     ) -> None:
         self.shares: dict[str, BudgetShare] = {}  # by budget name
-        self.yielded = False
+        self.superseded = False
         self._membership = membership
         self._peer_statuses = peer_statuses
         self._outbound = outbound
@@ -181,9 +181,9 @@
                 messages += self._release(share, list(share.holder.leases))
         return messages
 
-    def yield_all(self) -> list[OutgoingMessage]:
-        """Releases all leases permanently, because another process has replaced this one as the member."""
-        self.yielded = True
+    def mark_superseded(self) -> list[OutgoingMessage]:
+        """Releases all leases permanently: another process has replaced this one as the member."""
+        self.superseded = True
         return self.release_all()
 
     # ---- receiving
@@ -201,7 +201,7 @@
     def on_granted(self, granted: LeaseGranted, sender: Incarnation, now: float) -> list[OutgoingMessage]:
         """Records a grantor's answer."""
         share = self.shares.get(granted.budget)
-        if share is not None and not self.yielded:
+        if share is not None and not self.superseded:
             share.holder.record_grant(sender.name, granted.round_number, granted.slots, now)
         return []
 
@@ -228,7 +228,7 @@
     def acquire(self, budget: str, now: float) -> int | None:
         """Returns a ticket for one use that begins now; None if denied or if the budget is unknown."""
         share = self.shares.get(budget)
-        return share.meter.acquire(now) if share is not None and not self.yielded else None
+        return share.meter.acquire(now) if share is not None and not self.superseded else None
 
     def release(self, budget: str, ticket: int) -> None:
         """Ends the use of this ticket."""
@@ -239,7 +239,7 @@
     def held_amount(self, budget: str, now: float) -> int:
         """Returns the amount of a budget that this worker holds; 0 if the budget is unknown."""
         share = self.shares.get(budget)
-        return share.holder.amount(now) if share is not None and not self.yielded else 0
+        return share.holder.amount(now) if share is not None and not self.superseded else 0
 
     def record_demand(self, budget: str, granted: bool, now: float) -> None:
         """Counts demand for one use of a budget that is enforced elsewhere."""
--- a/tests/peers/test_group.py
+++ b/tests/peers/test_group.py
@@ -68,7 +68,7 @@
         world.run(4.0)
         world.start("w003", duplicate=True)
         world.run(8.0)
-        self.assertTrue(nodes[3].group.yielded)
+        self.assertTrue(nodes[3].group.superseded)
         self.assertEqual(nodes[3].group.shares["rate"].holder.held_slots(nodes[3].clock(8.0)), [])
 
     @settings(deadline=None, max_examples=6)
