--- a/ochrehoist/peers/lease_manager.py
+++ b/ochrehoist/peers/lease_manager.py
@@ -29,8 +29,10 @@
     holder: LeaseHolder
     meter: UsageMeter
     last_transfer_at: float = 0.0
-    request_blocked_until: dict[int, float] = field(default_factory=dict)  # by slot not to be requested
-    reserved_until: dict[int, float] = field(default_factory=dict)  # by slot transferred to this worker
+    # By slot given away or withdrawn: this worker does not request it before this time.
+    request_blocked_until: dict[int, float] = field(default_factory=dict)
+    # By slot transferred to this worker: end of its reservation.
+    reserved_until: dict[int, float] = field(default_factory=dict)
 
     def expire_reservations(self, now: float) -> None:
         """Removes expired reservations."""
@@ -49,14 +51,14 @@
 class LeaseManager:
     """Holder of this worker's leases, and grantor for the budgets that name this worker as one.
 
-    After `yield_all`, because another process has replaced this one as the member, no budget may be used.
+    No budget may be used after `mark_superseded`: another process has then replaced this one as the member.
     """
 
     def __init__(
         self, membership: Membership, peer_statuses: PeerStatuses, outbound: Outbound, rng: Random
     ) -> None:
         self.shares: dict[str, BudgetShare] = {}  # by budget name
-        self.yielded = False
+        self.superseded = False
         self._membership = membership
         self._peer_statuses = peer_statuses
         self._outbound = outbound
@@ -113,10 +115,10 @@
         return messages
 
     def _request_free_slots(self, share: BudgetShare, peers: dict[str, PeerDemand], now: float) -> None:
-        me = self._membership.incarnation.name
-        alive = {me, *self._membership.live_names()} - self._peer_statuses.leaving_names()
+        own_name = self._membership.incarnation.name
+        alive = {own_name, *self._membership.live_names()} - self._peer_statuses.leaving_names()
         own_slots = set(share.holder.leases) | set(share.request_blocked_until)
-        for slot in slots_to_request(share.holder.budget, me, own_slots, alive, peers):
+        for slot in slots_to_request(share.holder.budget, own_name, own_slots, alive, peers):
             share.holder.request(slot, now)
 
     def _transfer_one(
@@ -140,14 +142,14 @@
         round_number, slots = share.holder.due_slots(now, REQUEST_INTERVAL_S)
         if not slots:
             return []
-        me = self._membership.incarnation
+        own_incarnation = self._membership.incarnation
         if share.grantor is not None:
-            granted = share.grantor.grant(me, budget.terms_digest, round_number, slots, now)
-            share.holder.record_grant(me.name, round_number, granted, now)
+            granted = share.grantor.grant(own_incarnation, budget.terms_digest, round_number, slots, now)
+            share.holder.record_grant(own_incarnation.name, round_number, granted, now)
         request = LeaseRequest(budget.name, budget.terms_digest, round_number, slots)
         messages = []
         for grantor in budget.grantors:
-            if grantor != me.name:
+            if grantor != own_incarnation.name:
                 messages += self._outbound.to_configured_address(grantor, [request])
         return messages
 
@@ -156,16 +158,16 @@
         self, share: BudgetShare, slots: Iterable[int], recipient: str = ""
     ) -> list[OutgoingMessage]:
         """Releases slots to the grantors; `recipient`, if given, may request them."""
-        me = self._membership.incarnation
+        own_incarnation = self._membership.incarnation
         round_number, dropped = share.holder.drop(slots)
         if not dropped:
             return []
         if share.grantor is not None:
-            share.grantor.release(me, round_number, dropped)
+            share.grantor.release(own_incarnation, round_number, dropped)
         names = set(share.holder.budget.grantors) | ({recipient} if recipient else set())
         released = LeaseReleased(share.holder.budget.name, round_number, dropped, recipient)
         messages = []
-        for name in sorted(names - {me.name}):
+        for name in sorted(names - {own_incarnation.name}):
             messages += self._outbound.to_member(name, [released])
         return messages
 
@@ -179,9 +181,9 @@
                 messages += self._release(share, list(share.holder.leases))
         return messages
 
-    def yield_all(self) -> list[OutgoingMessage]:
-        """Releases all leases permanently, because another process has replaced this one as the member."""
-        self.yielded = True
+    def mark_superseded(self) -> list[OutgoingMessage]:
+        """Releases all leases permanently: another process has replaced this one as the member."""
+        self.superseded = True
         return self.release_all()
 
     # ---- receiving
@@ -199,7 +201,7 @@
     def on_granted(self, granted: LeaseGranted, sender: Incarnation, now: float) -> list[OutgoingMessage]:
         """Records a grantor's answer."""
         share = self.shares.get(granted.budget)
-        if share is not None and not self.yielded:
+        if share is not None and not self.superseded:
             share.holder.record_grant(sender.name, granted.round_number, granted.slots, now)
         return []
 
@@ -226,7 +228,7 @@
     def acquire(self, budget: str, now: float) -> int | None:
         """Returns a ticket for one use that begins now; None if denied or if the budget is unknown."""
         share = self.shares.get(budget)
-        return share.meter.acquire(now) if share is not None and not self.yielded else None
+        return share.meter.acquire(now) if share is not None and not self.superseded else None
 
     def release(self, budget: str, ticket: int) -> None:
         """Ends the use of this ticket."""
@@ -237,7 +239,7 @@
     def held_amount(self, budget: str, now: float) -> int:
         """Returns the amount of a budget that this worker holds; 0 if the budget is unknown."""
         share = self.shares.get(budget)
-        return share.holder.amount(now) if share is not None and not self.yielded else 0
+        return share.holder.amount(now) if share is not None and not self.superseded else 0
 
     def record_demand(self, budget: str, granted: bool, now: float) -> None:
         """Counts demand for one use of a budget that is enforced elsewhere."""
--- a/ochrehoist/peers/membership.py
+++ b/ochrehoist/peers/membership.py
@@ -57,7 +57,7 @@
         self.refutations = 0  # refuted accusations of this incarnation; SWIM's incarnation number
         self.local_health = 0  # Lifeguard's local health score; 0 is healthy, higher lengthens all timeouts
         self.stall_count = 0
-        self.last_ack_at: float | None = None  # from any member
+        self.last_ack_at: float | None = None  # last acknowledgement from any member
         self.established = False  # at least one member has acknowledged a probe
         self.duplicate: Incarnation | None = None  # another process with this worker's name
         self.duplicate_accepted = False  # other members regard the duplicate as this member
@@ -256,7 +256,7 @@
             self.members[name] = Member(incarnation, address or member.address, site, MemberState.ALIVE, now)
             self._enqueue_gossip(name)
         elif member.state == MemberState.DEAD and member.incarnation == incarnation:
-            self._mark_alive(member, now)  # it was declared dead by mistake
+            self._mark_alive(member, now)  # declared dead by mistake
             self._enqueue_gossip(name)
         self._remember_incarnation(incarnation)
         return True
@@ -308,9 +308,8 @@
         is_gone = update.state in (MemberState.DEAD, MemberState.LEFT)
         if is_gone or (latest is not None and latest.supersedes(update.incarnation)):
             if member is None and latest is None:
-                self.latest_incarnations[name] = (
-                    update.incarnation
-                )  # prevents a later registration of an older one
+                # The member is not added, but messages of its earlier incarnations will be rejected.
+                self.latest_incarnations[name] = update.incarnation
             return
         if self.register_sender(update.incarnation, update.address, update.site, now):
             self._apply_refutations(self.members[name], update.refutations, now)
--- a/tests/peers/test_message_growth.py
+++ b/tests/peers/test_message_growth.py
@@ -124,14 +124,14 @@
         original = membership.Membership.tick
 
         def tick(self, now):
-            out = original(self, now)
-            more = [
+            actions = original(self, now)
+            extra = [
                 probing.ProbeAction(name, self.rng.getrandbits(62) | 1, indirect=False)
                 for name in self.sample_live(len(self.members) // 20, ())
             ]
-            for probe in more:
+            for probe in extra:
                 self.probes[probe.nonce] = probing.Probe(probe.target, probe.nonce, now)
-            return out + more
+            return actions + extra
 
         with (
             mock.patch.object(membership.Membership, "tick", tick),
@@ -166,9 +166,7 @@
         fault_started_at = world.now
         world.run(fault_started_at + 4.0)
         while not self.has_converged(world, count):
-            self.assertLess(
-                world.now - fault_started_at, assert_bounded, f"{count} members have not converged"
-            )
+            self.assertLess(world.now - fault_started_at, limit_s, f"{count} members have not converged")
             world.run(world.now + 1.0)
         return world.now - fault_started_at
 
--- a/tests/recovery/test_recovery.py
+++ b/tests/recovery/test_recovery.py
@@ -273,9 +273,8 @@
         )
         self.assertEqual(result["broken"], [])
         stages = [[s["stage"] for s in t["recovery"]["stages"]] for t in result["told_at_end"].values()]
-        self.assertTrue(
-            all("lost" in s for s in stages), stages
-        )  # no witness has a log, so nothing is proved
+        # No witness has a log, so nothing is proved.
+        self.assertTrue(all("lost" in s for s in stages), stages)
 
 
 class RecoveryWorkerTest(WorkerTestCase):
