--- a/tests/store/__init__.py
+++ b/tests/store/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of `ochrehoist/store/`."""
+"""Tests of the `ochrehoist.store` package."""
--- a/tests/store/store_values.py
+++ b/tests/store/store_values.py
@@ -1,4 +1,4 @@
-"""Times, tokens and operations for tests of the store."""
+"""Times, an idempotency key and intents for the tests of the store package."""
 
 from ochrehoist.store.records import (
     IntentRecord,
@@ -6,18 +6,18 @@
 from ochrehoist.store.timestamps import Timestamp
 from ochrehoist.units import NS_PER_S
 
-DAY, HOUR = 86_400 * NS_PER_S, 3_600 * NS_PER_S
+DAY_NS, HOUR_NS = 86_400 * NS_PER_S, 3_600 * NS_PER_S
 
-TOKEN = ("acme", "filing", "k1")
+IDEMPOTENCY_KEY = ("acme", "filing", "k1")
 
 
-def intent(n=1, **more):
-    """An intent with usual values for what is not given."""
+def intent(number=1, **fields):
+    """Returns an intent with default values for the fields that are not given."""
     values = {
-        "idempotency_key": ("acme", "filing", f"k{n}"),
-        "request_id": f"r{n}",
+        "idempotency_key": ("acme", "filing", f"k{number}"),
+        "request_id": f"r{number}",
         "window_ns": 20 * NS_PER_S,
         "remaining_ns": 20 * NS_PER_S,
-        "recorded_at": Timestamp(DAY, "b", HOUR),
-    } | more
+        "recorded_at": Timestamp(DAY_NS, "b", HOUR_NS),
+    } | fields
     return IntentRecord(**values)
--- a/tests/store/test_crashes.py
+++ b/tests/store/test_crashes.py
@@ -1,4 +1,4 @@
-"""Workers killed at each point of a write, and at random moments under load."""
+"""Workers killed at each step of a write, and at random times under load."""
 
 import os
 
@@ -11,29 +11,28 @@
 
 
 class CrashesTest(WorkerStateTestCase):
-    """Kills at named points and at random ones."""
+    """Kills at failpoints and at random times."""
 
-    def test_at_every_point_nothing_runs_twice_or_is_refused_once_run(self):
+    def test_a_kill_at_any_failpoint_causes_no_duplicate_run_and_no_wrong_rejection(self):
         for point in REQUEST_FAILPOINTS:
             with self.subTest(point):
-                kills = CrashLoad(self.base / point, clients=2)
+                crash_load = CrashLoad(self.base / point, clients=2)
                 for nth in (1, 2, 5):
-                    kills.file(12)
-                    program = kills.run_worker(None, fault=KILL_AT.format(point=point, nth=nth))
+                    crash_load.file(12)
+                    program = crash_load.run_worker(None, fault=KILL_AT.format(point=point, nth=nth))
                     program.process.wait(WAIT_LIMIT_S)
-                    kills.stop(program)
-                kills.finish()
-                self.assertEqual((kills.run_twice, kills.wrong, kills.losses), ({}, [], []))
-                self.assertGreater(kills.outcomes[200], 10)
-
-    def test_at_random_moments_under_load(self):
-        kills = CrashLoad(self.folder, seed=KILLS)
-        kills.run(KILLS)
-        self.assertEqual((kills.run_twice, kills.wrong, kills.losses), ({}, [], []))
-        self.assertGreater(kills.outcomes[200], KILLS)
-
-    def test_without_a_store_filings_do_run_twice(self):
-        """That the harness sees it."""
-        kills = CrashLoad(self.folder, seed=1, state=False)
-        kills.run(6)
-        self.assertNotEqual(kills.run_twice, {})
+                    crash_load.stop(program)
+                crash_load.finish()
+                self.assertEqual((crash_load.run_twice, crash_load.wrong, crash_load.losses), ({}, [], []))
+                self.assertGreater(crash_load.outcomes[200], 10)
+
+    def test_kills_at_random_times_under_load_cause_no_duplicate_run(self):
+        crash_load = CrashLoad(self.folder, seed=KILLS)
+        crash_load.run(KILLS)
+        self.assertEqual((crash_load.run_twice, crash_load.wrong, crash_load.losses), ({}, [], []))
+        self.assertGreater(crash_load.outcomes[200], KILLS)
+
+    def test_without_a_store_the_harness_detects_duplicate_runs(self):
+        crash_load = CrashLoad(self.folder, seed=1, state=False)
+        crash_load.run(6)
+        self.assertNotEqual(crash_load.run_twice, {})
--- a/tests/store/test_damage.py
+++ b/tests/store/test_damage.py
@@ -1,4 +1,4 @@
-"""What is made of a damaged store."""
+"""Tests of the damage assessment."""
 
 import unittest
 
@@ -10,13 +10,13 @@
 )
 from ochrehoist.store.timestamps import Timestamp
 from ochrehoist.units import NS_PER_S
-from tests.store.store_values import DAY, HOUR
+from tests.store.store_values import DAY_NS, HOUR_NS
 
 
 class DamageAssessmentTest(unittest.TestCase):
-    """Each case, and what follows of it."""
+    """Findings in a folder, and the resulting condition and hold."""
 
-    def test_each_case(self):
+    def test_each_finding_gives_the_expected_condition(self):
         summary = CommitSummary(7, 2, 5)
         sound = {
             "has_marker": True,
@@ -25,9 +25,13 @@
             "actual_summary": summary,
             "last_commit_number": 7,
         }
-        for changes, case, aside in (
+        for changes, expected_condition, expected_set_aside in (
             ({}, StoreCondition.SOUND, False),
-            ({"last_commit_number": 6}, StoreCondition.SOUND, False),  # not synced: it may lag
+            (
+                {"last_commit_number": 6},
+                StoreCondition.SOUND,
+                False,
+            ),  # it may lag, being written without sync
             ({"last_commit_number": None, "has_marker": False}, StoreCondition.SOUND, False),
             ({"has_marker": False, "has_store": False}, StoreCondition.FIRST_START, False),
             ({"has_store": False}, StoreCondition.LOST, False),
@@ -45,12 +49,15 @@
         ):
             with self.subTest(changes):
                 assessment = assess_damage(FolderInspection(**sound | changes))
-                self.assertEqual((assessment.condition, assessment.must_set_aside), (case, aside))
-                self.assertEqual(bool(assessment.reasons), case is StoreCondition.LOST)
+                self.assertEqual(
+                    (assessment.condition, assessment.must_set_aside),
+                    (expected_condition, expected_set_aside),
+                )
+                self.assertEqual(bool(assessment.reasons), expected_condition is StoreCondition.LOST)
 
-    def test_a_hold_is_not_shortened_by_restarts_and_can_be_waived(self):
-        loss = DataLossRecord(Timestamp(DAY, "b", HOUR), 20 * NS_PER_S, "gone")
-        now = Timestamp(DAY, "b", HOUR + 5 * NS_PER_S)
+    def test_a_hold_continues_after_a_restart_and_can_be_disabled(self):
+        loss = DataLossRecord(Timestamp(DAY_NS, "b", HOUR_NS), 20 * NS_PER_S, "gone")
+        now = Timestamp(DAY_NS, "b", HOUR_NS + 5 * NS_PER_S)
         self.assertEqual(remaining_hold_ns(loss, LossPolicy.HOLD, now), 15 * NS_PER_S)
         self.assertEqual(remaining_hold_ns(loss, LossPolicy.SERVE, now), 0)
         self.assertEqual(remaining_hold_ns(None, LossPolicy.HOLD, now), 0)
--- a/tests/store/test_data_loss.py
+++ b/tests/store/test_data_loss.py
@@ -1,13 +1,14 @@
-"""Data loss and folders that are not mounted: what is served, and what is said."""
+"""Workers after a data loss and on unmounted folders: responses, status and log."""
 
 from tests.store.worker_state_case import WorkerStateTestCase
 from tests.support.worker_process import run_command
 
 
 class DataLossTest(WorkerStateTestCase):
-    """A folder that lost its store."""
+    """A folder whose store was destroyed."""
 
-    def lose(self):
+    def destroy_store(self):
+        """Runs one filing, kills the worker and overwrites the store."""
         first = self.start()
         client = first.ajp_client()
         self.file(client, "k")
@@ -16,35 +17,35 @@
         self.recorded(first, 2)
         self.kill(first)
         path = next(p for p in self.folder.iterdir() if p.name.startswith("state-") and p.suffix == ".db")
-        for ending in ("-wal", "-shm"):
-            path.with_name(path.name + ending).unlink(missing_ok=True)
+        for log_suffix in ("-wal", "-shm"):
+            path.with_name(path.name + log_suffix).unlink(missing_ok=True)
         path.write_bytes(b"no store at all" * 100)
 
-    def test_filings_are_refused_with_the_time_that_is_left_and_reads_served(self):
-        self.lose()
+    def test_filings_are_rejected_with_the_remaining_hold_as_retry_after_and_reads_are_served(self):
+        self.destroy_store()
         second = self.start()
         client = second.ajp_client()
         self.file(client, "k")
         status, headers, _ = client.answer()
         self.assertEqual(status, 503)
-        wait = next(int(v) for n, v in headers.items() if n == "Retry-After")
-        self.assertTrue(800 < wait <= 901, headers)
+        retry_after_s = next(int(value) for name, value in headers.items() if name == "Retry-After")
+        self.assertTrue(800 < retry_after_s <= 901, headers)
         client.request()
         second.server.next_request().respond(data=b"read")
         self.assertEqual(client.answer()[2], b"read")
-        view = self.store(second)
-        self.assertEqual((view["losses"], len(view["set_aside"])), (1, 1))
-        self.assertTrue((self.folder / view["set_aside"][0]).exists())
+        store_status = self.store(second)
+        self.assertEqual((store_status["losses"], len(store_status["set_aside"])), (1, 1))
+        self.assertTrue((self.folder / store_status["set_aside"][0]).exists())
         self.assertTrue(second.logged("damaged_store_set_aside"))
         self.kill(second)
         third = self.start()
         client = third.ajp_client()
         self.file(client, "new")
-        self.assertEqual(client.answer()[0], 503)  # the hold outlives a restart
+        self.assertEqual(client.answer()[0], 503)  # the hold continues after a restart
         self.assertEqual(self.store(third)["losses"], 0)
 
-    def test_a_worker_told_to_serve_after_a_loss_serves_and_logs_it(self):
-        self.lose()
+    def test_a_worker_configured_to_serve_after_a_loss_serves_and_logs_it(self):
+        self.destroy_store()
         second = self.start(state={"on_loss": "serve"})
         client = second.ajp_client()
         self.file(client, "k")
@@ -54,13 +55,14 @@
 
 
 class UnmountedFolderTest(WorkerStateTestCase):
-    """A folder that is not there yet."""
+    """A folder whose volume is not mounted yet."""
 
-    def test_a_store_that_must_exist_is_waited_for_and_none_is_made_in_its_place(self):
+    def test_a_worker_waits_for_a_store_that_must_exist_and_creates_none(self):
         volume = self.base / "volume"
-        done = run_command("state", "init", "--folder", str(volume))
-        self.assertEqual(done.returncode, 0, done.stderr)
-        self.assertEqual(run_command("state", "init", "--folder", str(volume)).returncode, 1)  # there is one
+        completed = run_command("state", "init", "--folder", str(volume))
+        self.assertEqual(completed.returncode, 0, completed.stderr)
+        # A second initialisation fails, since the folder holds a store.
+        self.assertEqual(run_command("state", "init", "--folder", str(volume)).returncode, 1)
         volume.rename(self.folder)
         first = self.start(state={"must_exist": True})
         client = first.ajp_client()
@@ -69,20 +71,20 @@
         self.assertEqual(client.answer()[2], b"one")
         self.recorded(first, 2)
         self.kill(first)
-        self.folder.rename(volume)  # as a mount point without its volume, or with an empty folder there
-        for there in (False, True):
-            if there:
+        self.folder.rename(volume)
+        for folder_exists in (False, True):  # True: an empty mount point
+            if folder_exists:
                 self.folder.mkdir()
             second = self.start(state={"must_exist": True})
             client, reader = second.ajp_client(), second.ajp_client()
             self.file(client, "k")
-            self.assertEqual(client.answer()[0], 502)  # it may have run: neither run nor refused
+            self.assertEqual(client.answer()[0], 502)  # the outcome is unknown: the filing may have run
             reader.request()
             second.server.next_request().respond(data=b"read")
             self.assertEqual(reader.answer()[2], b"read")
             self.assertIn("mounted", self.store(second)["trouble"])
-            self.assertEqual(list(self.folder.iterdir()) if there else [], [])
-            if not there:
+            self.assertEqual(list(self.folder.iterdir()) if folder_exists else [], [])
+            if not folder_exists:
                 self.kill(second)
         self.folder.rmdir()
         volume.rename(self.folder)
--- a/tests/store/test_disk_errors.py
+++ b/tests/store/test_disk_errors.py
@@ -1,4 +1,4 @@
-"""Full and failing disks."""
+"""Commits on full and failing disks."""
 
 import apsw
 
@@ -13,77 +13,84 @@
 )
 from ochrehoist.store.store_repair import open_store, rebuild_store
 from tests.stand_ins.power_loss_disk import PowerLossDisk
-from tests.store.store_folder import NOW, WINDOW, StoreFolderTestCase, filing
+from tests.store.store_folder import NOW, WINDOW_NS, StoreFolderTestCase, filing
 
 
 class DiskErrorsTest(StoreFolderTestCase):
-    """Errors in writes and commits."""
+    """A database on a disk that fails selected writes and syncs."""
 
-    def under(self, fails):
+    def open_on_failing_disk(self, fail):
+        """Opens the store on a disk that calls `fail(operation, number)` before each operation."""
         self.open().database.close()
-        self.bad = PowerLossDisk(fails)
-        self.addCleanup(self.bad.unregister)
-        db = Database(self.path, vfs=self.bad.name)
-        self.addCleanup(db.close)
-        db.read_contents()
-        return db
+        self.disk = PowerLossDisk(fail)
+        self.addCleanup(self.disk.unregister)
+        store = Database(self.path, vfs=self.disk.name)
+        self.addCleanup(store.close)
+        store.read_contents()
+        return store
 
-    def test_a_disk_that_fills_up_in_a_commit_leaves_nothing_of_it(self):
-        full = []
+    def test_a_commit_on_a_disk_that_becomes_full_is_rolled_back_completely(self):
+        full_after = []
 
-        def fails(operation, number):
-            if full and operation == "write" and number > full[0]:
+        def fail_writes_on_full_disk(operation, number):
+            if full_after and operation == "write" and number > full_after[0]:
                 raise apsw.FullError("full")
 
-        db = self.under(fails)
+        store = self.open_on_failing_disk(fail_writes_on_full_disk)
         record = filing(1)
-        for room in range(1, 6):
-            full[:] = [self.bad.operations + room]
-            big = PutResult(encode_key(filing(2).idempotency_key), ResultRecord("OK", True, bytes(30_000)))
-            with self.assertRaises(StoreFailedError) as failed:
-                db.commit([PutIntent(record.request_id, encode_key(record.idempotency_key), record), big])
-            self.assertEqual(failed.exception.kind, FailureKind.FULL)
-            full.clear()
-            self.assertEqual(db.read_contents().intents, [])
-        db.commit([PutIntent(record.request_id, encode_key(record.idempotency_key), record)])
-        self.assertEqual(db.read_contents().intents, [record])
+        for free_operations in range(1, 6):
+            full_after[:] = [self.disk.operations + free_operations]
+            large_result = PutResult(
+                encode_key(filing(2).idempotency_key), ResultRecord("OK", True, bytes(30_000))
+            )
+            with self.assertRaises(StoreFailedError) as raised:
+                store.commit(
+                    [PutIntent(record.request_id, encode_key(record.idempotency_key), record), large_result]
+                )
+            self.assertEqual(raised.exception.kind, FailureKind.FULL)
+            full_after.clear()
+            self.assertEqual(store.read_contents().intents, [])
+        store.commit([PutIntent(record.request_id, encode_key(record.idempotency_key), record)])
+        self.assertEqual(store.read_contents().intents, [record])
 
-    def test_the_bound_of_its_size_is_an_error_of_the_same_kind(self):
-        opened = open_store(self.folder, 0.1, WINDOW, NOW)
+    def test_exceeding_the_size_limit_of_the_store_is_a_full_disk_error(self):
+        opened = open_store(self.folder, 0.1, WINDOW_NS, NOW)
         self.addCleanup(opened.database.close)
-        with self.assertRaises(StoreFailedError) as failed:
+        with self.assertRaises(StoreFailedError) as raised:
             for n in range(100):
                 opened.database.commit([PutResult(b"%d" % n, ResultRecord("OK", True, bytes(10_000)))])
-        self.assertEqual(failed.exception.kind, FailureKind.FULL)
+        self.assertEqual(raised.exception.kind, FailureKind.FULL)
 
-    def test_a_failed_sync_is_recognised_and_the_rewritten_store_holds_what_was_good(self):
-        broken = []
+    def test_a_failed_sync_is_recognised_and_the_rebuilt_store_holds_the_committed_records(self):
+        sync_fails = []
 
-        def fails(operation, number):
-            if broken and operation == "sync":
+        def fail_syncs(operation, number):
+            if sync_fails and operation == "sync":
                 error = apsw.IOError("fsync")
                 error.extendedresult = apsw.SQLITE_IOERR_FSYNC
                 raise error
 
-        db = self.under(fails)
-        good, bad = filing(1), filing(2)
-        db.commit(
+        store = self.open_on_failing_disk(fail_syncs)
+        committed, uncommitted = filing(1), filing(2)
+        store.commit(
             [
-                PutIntent(good.request_id, encode_key(good.idempotency_key), good),
-                PutResult(encode_key(good.idempotency_key), ResultRecord("OK", True, b"result")),
+                PutIntent(committed.request_id, encode_key(committed.idempotency_key), committed),
+                PutResult(encode_key(committed.idempotency_key), ResultRecord("OK", True, b"result")),
             ]
         )
-        broken.append(True)
-        with self.assertRaises(StoreFailedError) as failed:
-            db.commit([PutIntent(bad.request_id, encode_key(bad.idempotency_key), bad)])
-        self.assertEqual(failed.exception.kind, FailureKind.SYNC)
-        broken.clear()
-        opened = type("Opened", (), {"database": db, "set_aside": []})()
-        again = rebuild_store(opened, 64, [good], None, LearnedStateRecord(NOW, {"x": 1}, 1))
-        self.addCleanup(again.close)
-        contents = again.read_contents()
-        self.assertEqual((contents.intents, contents.learned.values), ([good], {"x": 1}))
-        self.assertEqual(again.read_result(encode_key(good.idempotency_key)).body, b"result")
+        sync_fails.append(True)
+        with self.assertRaises(StoreFailedError) as raised:
+            store.commit(
+                [PutIntent(uncommitted.request_id, encode_key(uncommitted.idempotency_key), uncommitted)]
+            )
+        self.assertEqual(raised.exception.kind, FailureKind.SYNC)
+        sync_fails.clear()
+        opened = type("Opened", (), {"database": store, "set_aside": []})()
+        rebuilt = rebuild_store(opened, 64, [committed], None, LearnedStateRecord(NOW, {"x": 1}, 1))
+        self.addCleanup(rebuilt.close)
+        contents = rebuilt.read_contents()
+        self.assertEqual((contents.intents, contents.learned.values), ([committed], {"x": 1}))
+        self.assertEqual(rebuilt.read_result(encode_key(committed.idempotency_key)).body, b"result")
         self.assertTrue((self.folder / opened.set_aside[0]).exists())
-        again.close()
+        rebuilt.close()
         self.assertEqual(self.open().condition, StoreCondition.SOUND)
--- a/tests/store/test_failing_disk.py
+++ b/tests/store/test_failing_disk.py
@@ -1,99 +1,101 @@
-"""A disk that stalls or fails under a running worker."""
+"""Running workers on a disk that stalls or fails."""
 
 import os
 import time
 
 from tests.store.worker_state_case import WorkerStateTestCase
 
-# The n-th commit from the start waits, fails or finds no room, as a file beside says; others go well.
-BAD_DISK = """
+# Code that runs in the worker: commits stall or fail as long as the file at {file!r} says so.
+FAULTY_COMMIT = """
 import time, os, errno
 import apsw
 from ochrehoist.store.database import Database
 from ochrehoist.store.errors import FailureKind, StoreFailedError
-plain = Database.commit
-def commit(self, ops):
+original_commit = Database.commit
+def commit(self, operations):
     try:
-        words = open({file!r}).read().split()
+        fault = open({file!r}).read().split()
     except OSError:
-        words = []
-    if words[:1] == ["stall"]:
+        fault = []
+    if fault[:1] == ["stall"]:
         while os.path.exists({file!r}):
             time.sleep(0.005)
-    elif words[:1] == ["fail"]:
-        raise StoreFailedError(FailureKind[words[1]], "as the test wants it")
-    return plain(self, ops)
+    elif fault[:1] == ["fail"]:
+        raise StoreFailedError(FailureKind[fault[1]], "injected failure")
+    return original_commit(self, operations)
 Database.commit = commit
 """
 
 
 class FailingDiskTest(WorkerStateTestCase):
-    """A worker on a slow or failing disk."""
+    """A worker whose commits stall or fail on demand."""
 
     def setUp(self):
         super().setUp()
-        self.words = self.base / "words"
-        self.program = self.start(fault=BAD_DISK.format(file=str(self.words)))
+        self.fault_file = self.base / "fault"
+        self.program = self.start(fault=FAULTY_COMMIT.format(file=str(self.fault_file)))
         self.client, self.reader = self.program.ajp_client(), self.program.ajp_client()
 
-    def say(self, words):
-        other = self.base / "other"
-        other.write_text(words)
-        os.replace(other, self.words)
+    def inject(self, fault):
+        new_file = self.base / "new_fault"
+        new_file.write_text(fault)
+        os.replace(new_file, self.fault_file)
 
     def read(self):
+        """Sends a read, and returns the time in s until its response."""
         self.reader.request()
         self.program.server.next_request().respond(data=b"read")
-        began = time.monotonic()
+        started_at = time.monotonic()
         self.assertEqual(self.reader.answer()[2], b"read")
-        return time.monotonic() - began
+        return time.monotonic() - started_at
 
-    def good_again(self, key="after"):
-        self.words.unlink()
+    def end_fault(self, key="after"):
+        """Removes the fault, and sends a filing once the worker accepts them again."""
+        self.fault_file.unlink()
         self.until(lambda: not self.store(self.program)["refuses"])
         self.file(self.client, key)
         self.program.server.next_request().respond(data=b"fine")
         self.assertEqual(self.client.answer()[2], b"fine")
 
-    def test_a_disk_that_stalls_delays_filings_only_and_begins_none_of_them(self):
-        self.say("stall")
-        began = time.monotonic()
+    def test_a_stalled_disk_rejects_filings_without_running_them_and_does_not_delay_reads(self):
+        self.inject("stall")
+        started_at = time.monotonic()
         self.file(self.client, "k")
         status, headers, _ = self.client.answer()
         self.assertEqual((status, headers["Retry-After"]), (503, "1"))
-        self.assertLess(time.monotonic() - began, 1.8)
-        began = time.monotonic()
+        self.assertLess(time.monotonic() - started_at, 1.8)
+        started_at = time.monotonic()
         self.file(self.client, "later")
-        self.assertEqual(self.client.answer()[0], 503)  # and at once from then on
+        self.assertEqual(self.client.answer()[0], 503)
         self.assertIn("does not answer", self.store(self.program)["refuses"])
         self.assertLess(self.read(), 1.0)
-        self.good_again()
+        self.end_fault()
         self.file(self.client, "k")
         self.program.server.next_request().respond(data=b"first run")
         self.assertEqual(self.client.answer()[2], b"first run")
         self.assertEqual(self.program.server.received.qsize(), 0)
 
-    def test_a_disk_that_fails_refuses_filings_and_recovers_by_itself(self):
+    def test_a_failing_disk_rejects_filings_and_the_worker_recovers_without_a_restart(self):
         self.file(self.client, "before")
         self.program.server.next_request().respond(data=b"kept")
         self.client.answer()
         self.recorded(self.program, 2)
         for error in ("FULL", "READ_ONLY", "SYNC", "IO"):
             with self.subTest(error):
-                self.say(f"fail {error}")
+                self.inject(f"fail {error}")
                 self.file(self.client, f"k {error}")
                 self.assertEqual(self.client.answer()[0], 503)
                 self.assertTrue(self.store(self.program)["trouble"])
                 self.read()
                 self.file(self.client, "before")
-                self.assertEqual(self.client.answer()[2], b"kept")  # what is known is given on
-                self.good_again(f"after {error}")
+                self.assertEqual(self.client.answer()[2], b"kept")  # stored results are still served
+                self.end_fault(f"after {error}")
         self.kill(self.program)
         second = self.start()
         client = second.ajp_client()
         self.file(client, "before")
         self.assertEqual(client.answer()[2], b"kept")
-        self.file(client, "k SYNC")  # it was refused, so it never began
+        self.file(client, "k SYNC")  # it was rejected, so it has not run
         second.server.next_request().respond(data=b"now")
         self.assertEqual(client.answer()[2], b"now")
         self.assertEqual(second.logged("store_data_lost"), [])
--- a/tests/store/test_formats.py
+++ b/tests/store/test_formats.py
@@ -1,4 +1,4 @@
-"""Folders of earlier and later formats."""
+"""Migration of folders of format version 1."""
 
 import shutil
 import sqlite3
@@ -14,13 +14,13 @@
 
 
 class OlderFormatsTest(StoreFolderTestCase):
-    """Folders of format 1."""
+    """Folders with a store of format version 1."""
 
-    FIXTURE = FIXTURES / "format-1"  # as format 1 was written
+    FIXTURE = FIXTURES / "format-1"  # written by a release with format version 1
 
-    def test_a_store_of_format_1_is_taken_over_aged_and_kept(self):
+    def test_a_store_of_format_1_is_migrated_its_windows_age_and_the_old_file_is_kept(self):
         shutil.copytree(self.FIXTURE, self.folder, dirs_exist_ok=True)
-        before = (self.folder / "state-1.db").read_bytes()
+        old_store = (self.folder / "state-1.db").read_bytes()
         opened = self.open(Timestamp(1764576000 * NS_PER_S + 5 * NS_PER_S, "another boot", NS_PER_S))
         self.assertEqual((opened.condition, opened.loss_reasons), (StoreCondition.SOUND, []))
         self.assertEqual([i.record.idempotency_key[2] for i in opened.intents], ["k1", "k2"])
@@ -31,21 +31,21 @@
         self.assertEqual((opened.learned.values, opened.learned.layout), ({"floor": 3}, 1))
         opened.database.close()
         kept = [p for p in self.folder.iterdir() if p.name.startswith("state-1.db.taken")]
-        self.assertEqual([p.read_bytes() for p in kept], [before])
+        self.assertEqual([p.read_bytes() for p in kept], [old_store])
         self.assertEqual(self.open().condition, StoreCondition.SOUND)
 
-    def test_one_of_format_1_beside_one_of_now_is_merged(self):
-        """A release was taken back, and is tried again."""
-        known = self.written()
+    def test_a_store_of_format_1_is_merged_with_one_of_the_current_format(self):
+        """Guards against the loss of either store after a rollback of a release and a second upgrade."""
+        written = self.write_store()
         for name in ("state-1.db",):
             shutil.copy(self.FIXTURE / name, self.folder)
         opened = self.open(Timestamp(1764576000 * NS_PER_S, "boot", NOW.since_boot_ns))
         self.assertEqual(opened.condition, StoreCondition.SOUND)
-        tokens = {i.record.idempotency_key[2] for i in opened.intents}
-        self.assertTrue({"k1", "k2"} <= tokens)
-        self.assertEqual(len(tokens), len(known) + 3 - len(opened.expired_intents))
+        caller_keys = {i.record.idempotency_key[2] for i in opened.intents}
+        self.assertTrue({"k1", "k2"} <= caller_keys)
+        self.assertEqual(len(caller_keys), len(written) + 3 - len(opened.expired_intents))
 
-    def test_a_damaged_one_of_format_1_is_a_loss_and_the_rest_of_it_lives_on(self):
+    def test_a_damaged_store_of_format_1_is_a_loss_and_its_sound_records_are_kept(self):
         shutil.copytree(self.FIXTURE, self.folder, dirs_exist_ok=True)
         db = sqlite3.connect(self.folder / "state-1.db")
         db.execute("UPDATE begun SET data = zeroblob(40) WHERE key = (SELECT min(key) FROM begun)")
--- a/tests/store/test_opening.py
+++ b/tests/store/test_opening.py
@@ -1,4 +1,4 @@
-"""Folders as they may be found when a store opens."""
+"""Opening of stores in empty, foreign, interrupted and locked folders."""
 
 import os
 
@@ -11,51 +11,51 @@
 )
 from ochrehoist.store.timestamps import Timestamp
 from ochrehoist.units import NS_PER_S
-from tests.store.store_folder import NOW, WINDOW, StoreFolderTestCase
+from tests.store.store_folder import NOW, WINDOW_NS, StoreFolderTestCase
 
 
 class OpeningTest(StoreFolderTestCase):
-    """Empty, foreign and locked folders."""
+    """Conditions of folders when a store is opened."""
 
-    def test_an_empty_folder_is_a_first_start_and_one_that_lost_its_store_is_not(self):
+    def test_an_empty_folder_is_a_first_start_and_one_without_its_former_store_is_a_loss(self):
         self.assertEqual(self.open().condition, StoreCondition.FIRST_START)
         for path in self.folder.iterdir():
             if path.name.startswith("state-"):
                 path.unlink()
-        opened = self.open(longest=NS_PER_S)
+        opened = self.open(longest_window_ns=NS_PER_S)
         self.assertEqual(opened.condition, StoreCondition.LOST)
-        self.assertGreater(opened.loss.hold_ns, WINDOW)  # the longest that the folder has ever kept
+        self.assertGreater(opened.loss.hold_ns, WINDOW_NS)  # the longest window ever used with the folder
 
-    def test_one_of_a_newer_version_is_left_as_it_is_and_held_for_once(self):
+    def test_a_store_of_a_newer_version_is_not_changed_and_counts_as_one_loss_until_modified(self):
         newer = self.folder / files.store_file_name(FORMAT_VERSION + 1)
         newer.write_bytes(b"who knows")
         opened = self.open()
         self.assertEqual((opened.condition, newer.read_bytes()), (StoreCondition.LOST, b"who knows"))
         opened.database.close()
         self.assertEqual(self.open().condition, StoreCondition.SOUND)
-        os.utime(newer, ns=(1, 1))  # it was used again meanwhile
+        os.utime(newer, ns=(1, 1))  # as if a newer release had used it again
         self.assertEqual(self.open().condition, StoreCondition.LOST)
 
-    def test_stale_entries_go_and_the_rest_age(self):
-        self.written()
+    def test_intents_expire_with_their_windows(self):
+        self.write_store()
         count = len(self.open().intents)
         later = self.open(Timestamp(NOW.unix_ns, NOW.boot_id, NOW.since_boot_ns + 5 * NS_PER_S))
-        self.assertEqual({intent.remaining_ns for intent in later.intents}, {WINDOW - 5 * NS_PER_S})
-        over = self.open(Timestamp(NOW.unix_ns, NOW.boot_id, NOW.since_boot_ns + WINDOW))
-        self.assertEqual((over.intents, len(over.expired_intents)), ([], count))
-
-    def test_a_swap_that_was_not_finished_is_finished(self):
-        known = self.written()
-        for ending in (files.NEW_SUFFIX, files.REPLACEMENT_SUFFIX):
-            os.replace(self.path, self.path.with_name(self.path.name + ending))
+        self.assertEqual({intent.remaining_ns for intent in later.intents}, {WINDOW_NS - 5 * NS_PER_S})
+        after_window = self.open(Timestamp(NOW.unix_ns, NOW.boot_id, NOW.since_boot_ns + WINDOW_NS))
+        self.assertEqual((after_window.intents, len(after_window.expired_intents)), ([], count))
+
+    def test_an_interrupted_replacement_of_the_store_is_completed(self):
+        written = self.write_store()
+        for suffix in (files.NEW_SUFFIX, files.REPLACEMENT_SUFFIX):
+            os.replace(self.path, self.path.with_name(self.path.name + suffix))
             opened = self.open()
-            self.assertEqual((opened.condition, len(opened.intents)), (StoreCondition.SOUND, len(known)))
+            self.assertEqual((opened.condition, len(opened.intents)), (StoreCondition.SOUND, len(written)))
             opened.database.close()
 
-    def test_the_lock_names_its_holder_and_is_free_once_let_go(self):
+    def test_the_error_of_a_held_lock_names_its_holder_and_a_released_lock_is_free(self):
         lock = FolderLock(self.folder, "n1")
-        with self.assertRaises(StoreLockedError) as held:
+        with self.assertRaises(StoreLockedError) as raised:
             FolderLock(self.folder, "n2")
-        self.assertIn(f"process {os.getpid()} (n1)", str(held.exception))
+        self.assertIn(f"process {os.getpid()} (n1)", str(raised.exception))
         lock.release()
         FolderLock(self.folder, "n2").release()
--- a/tests/store/test_ownership.py
+++ b/tests/store/test_ownership.py
@@ -1,4 +1,4 @@
-"""One owner of a folder at a time, and a worker without any."""
+"""Exclusive ownership of a state folder, invalid folder settings, and a worker without a store."""
 
 import os
 from pathlib import Path
@@ -11,30 +11,30 @@
 
 
 class OwnershipTest(WorkerStateTestCase):
-    """Processes that want a folder that has an owner."""
+    """Start-up with a folder that is in use or invalid."""
 
-    def test_a_second_process_is_rejected_with_the_name_of_the_first(self):
+    def test_a_second_process_fails_with_the_name_of_the_first(self):
         first = self.start()
         config = self.base / "second.toml"
         config.write_text(toml_file(first.appliance))
         env = {k: v for k, v in first.env.items() if k not in ("TMPDIR", "OCHREHOIST_AJP")}
-        done = run_command("--config", str(config), "run", env=env)
-        self.assertEqual(done.returncode, 2, done.stderr)
-        self.assertIn("setting state.folder", done.stderr)
-        self.assertIn(f"process {first.process.pid} (n1)", done.stderr)
+        completed = run_command("--config", str(config), "run", env=env)
+        self.assertEqual(completed.returncode, 2, completed.stderr)
+        self.assertIn("setting state.folder", completed.stderr)
+        self.assertIn(f"process {first.process.pid} (n1)", completed.stderr)
 
-    def test_a_folder_whose_parent_is_not_there_is_named(self):
+    def test_an_invalid_state_setting_is_named(self):
         config = self.base / "a.toml"
-        whole = {
+        appliance = {
             "name": "n",
             "ajp": {"listen": "127.0.0.1:0", "rules": [], "servers": [{"address": "127.0.0.1:1"}]},
             "settings": site_settings(),
             "state": {"folder": "/nowhere/at/all"},
         }
-        config.write_text(toml_file(whole))
-        done = run_command("--config", str(config), "run")
-        self.assertEqual(done.returncode, 2)
-        self.assertIn("setting state.folder: /nowhere/at/all", done.stderr)
+        config.write_text(toml_file(appliance))
+        completed = run_command("--config", str(config), "run")
+        self.assertEqual(completed.returncode, 2)
+        self.assertIn("setting state.folder: /nowhere/at/all", completed.stderr)
         for key, value in (
             ("on_loss", "pray"),
             ("max_mb", 0),
@@ -42,22 +42,24 @@
             ("fodler", "x"),
             ("learned_half_life_s", 0),
         ):
-            config.write_text(toml_file(whole | {"state": {"folder": str(self.base)} | {key: value}}))
-            done = run_command("check", str(config))
-            self.assertEqual(done.returncode, 2)
-            self.assertIn(f"setting state.{key}", done.stderr)
+            config.write_text(toml_file(appliance | {"state": {"folder": str(self.base)} | {key: value}}))
+            completed = run_command("check", str(config))
+            self.assertEqual(completed.returncode, 2)
+            self.assertIn(f"setting state.{key}", completed.stderr)
 
-    def test_another_folder_at_sighup_needs_a_restart(self):
+    def test_a_reload_with_another_folder_reports_that_a_restart_is_needed(self):
         program = self.start()
-        whole = program.appliance | {"state": {"folder": str(self.base / "other"), "commit_ms": 3}}
-        said = program.reload("ajp.toml", toml_file(whole))
-        self.assertEqual(said["restart_keys"], ["state.commit_ms", "state.folder"])
+        changed_appliance = program.appliance | {
+            "state": {"folder": str(self.base / "other"), "commit_ms": 3}
+        }
+        event = program.reload("ajp.toml", toml_file(changed_appliance))
+        self.assertEqual(event["restart_keys"], ["state.commit_ms", "state.folder"])
 
 
 class NoStoreTest(WorkerTestCase):
     """A worker without a store."""
 
-    def test_a_worker_without_a_store_loads_nothing_of_it(self):
+    def test_a_worker_without_a_store_loads_none_of_its_libraries_and_starts_no_thread(self):
         program = self.start()
         maps = Path(f"/proc/{program.process.pid}/maps").read_text()
         for library in ("apsw", "msgspec", "xxhash", "sqlite"):
--- a/tests/store/test_power_loss.py
+++ b/tests/store/test_power_loss.py
@@ -1,4 +1,4 @@
-"""Power lost at each write and sync: what was confirmed is there."""
+"""Power failures at each write and sync: committed operations are durable."""
 
 import random
 import shutil
@@ -12,55 +12,57 @@
 from ochrehoist.store.errors import StoreFailedError
 from ochrehoist.store.files import CommitWatermark
 from tests.stand_ins.power_loss_disk import PowerLossDisk
-from tests.store.store_folder import SEEDS, StoreFolderTestCase, found, operations
+from tests.store.store_folder import SEEDS, StoreFolderTestCase, random_group, stored_contents
 
 
 class PowerLossTest(StoreFolderTestCase):
-    """Power lost at any operation."""
+    """Power failures at any disk operation."""
 
-    def test_after_a_power_cut_all_that_was_durable_is_there_and_nothing_half(self):
+    def test_after_a_power_failure_committed_groups_are_complete_and_others_absent(self):
         for seed in range(SEEDS):
             with self.subTest(seed=seed):
                 shutil.rmtree(self.folder)
                 self.folder.mkdir()
-                self.cut(seed)
+                self.fail_power_and_check(seed)
 
-    def cut(self, seed):
-        source = random.Random(seed)
+    def fail_power_and_check(self, seed):
+        """Fails the power at a random operation, and checks the contents of the folder afterwards."""
+        random_source = random.Random(seed)
         self.open().database.close()
-        cut_at, cut = source.randrange(1, 260), []
+        first_failing, failed_operations = random_source.randrange(1, 260), []
 
-        def fails(operation, number):
-            if number >= cut_at:
-                power.dead = True
-                cut.append(operation)
-                message = "the power fails"
+        def fail(operation, number):
+            if number >= first_failing:
+                disk.dead = True
+                failed_operations.append(operation)
+                message = "power failure"
                 raise apsw.IOError(message)
 
-        power = PowerLossDisk(fails)
-        db = Database(self.path, vfs=power.name)
-        self.addCleanup(power.unregister)
-        db.read_contents()
+        disk = PowerLossDisk(fail)
+        store = Database(self.path, vfs=disk.name)
+        self.addCleanup(disk.unregister)
+        store.read_contents()
         watermark = CommitWatermark(self.folder)
-        filings, after = {}, {}
+        filings, filings_after = {}, {}
         try:
-            for n in range(40):
-                group, after = operations(source, filings, n)
-                number = db.commit(group)
-                filings = after
-                if source.random() < 0.7:  # it is not synced: what reached the disk may be old
-                    watermark.write(number)
-                if source.random() < 0.2:
-                    db.wal_pages = database.CHECKPOINT_PAGES
-                    db.checkpoint_if_due()
+            for serial in range(40):
+                group, filings_after = random_group(random_source, filings, serial)
+                commit_number = store.commit(group)
+                filings = filings_after
+                # The watermark is written without a sync, so an old one may be on disk.
+                if random_source.random() < 0.7:
+                    watermark.write(commit_number)
+                if random_source.random() < 0.2:
+                    store.wal_pages = database.CHECKPOINT_PAGES
+                    store.checkpoint_if_due()
         except StoreFailedError:
             pass
-        image = power.image(seed)
-        power.dead = True
-        db.close()
+        image = disk.image(seed)
+        disk.dead = True
+        store.close()
         for path, data in image.items():
             Path(path).write_bytes(data)
         opened = self.open()
         self.assertEqual((opened.condition, opened.loss_reasons), (StoreCondition.SOUND, []))
-        self.assertIn(found(opened), (filings, after))
+        self.assertIn(stored_contents(opened), (filings, filings_after))
         opened.database.close()
--- a/tests/store/test_records.py
+++ b/tests/store/test_records.py
@@ -1,4 +1,4 @@
-"""Records as they are stored, and learned state within them."""
+"""Encoding, decoding and migration of stored records and keys."""
 
 import unittest
 
@@ -20,44 +20,44 @@
     encode_record,
 )
 from ochrehoist.store.timestamps import Timestamp
-from tests.store.store_values import TOKEN, intent
+from tests.store.store_values import IDEMPOTENCY_KEY, intent
 
 
 class RecordsTest(unittest.TestCase):
-    """Packed records."""
+    """Encoded records of each type."""
 
     ALL = (
-        (intent(), encode_key(TOKEN)),
+        (intent(), encode_key(IDEMPOTENCY_KEY)),
         (ResultRecord("OK", True, b"body", b'{"a": 1}', 3), b"k"),
         (LearnedStateRecord(Timestamp(1), {"a": [1]}, 1), b"learned"),
         (DataLossRecord(Timestamp(1), 2, "why"), b"loss"),
         (CommitSummary(1, 2, 2**64 - 1), b"census"),
     )
 
-    def test_what_was_packed_is_unpacked(self):
+    def test_an_encoded_record_is_decoded_to_an_equal_one(self):
         for record, key in self.ALL:
             self.assertEqual(decode_record(key, encode_record(key, record), type(record)), record)
 
     @given(st.sampled_from(ALL), st.data())
-    def test_any_change_to_any_byte_is_seen(self, which, data):
-        record, key = which
-        packed = bytearray(encode_record(key, record))
-        at = data.draw(st.integers(0, len(packed) - 1))
-        packed[at] ^= 1 << data.draw(st.integers(0, 7))
+    def test_a_flipped_bit_or_a_truncation_is_detected(self, record_and_key, data):
+        record, key = record_and_key
+        encoded = bytearray(encode_record(key, record))
+        index = data.draw(st.integers(0, len(encoded) - 1))
+        encoded[index] ^= 1 << data.draw(st.integers(0, 7))
         with self.assertRaises((CorruptRecordError, UnsupportedFormatError)):
-            decode_record(key, bytes(packed), type(record))
-        cut = data.draw(st.integers(0, len(packed) - 1))
+            decode_record(key, bytes(encoded), type(record))
+        length = data.draw(st.integers(0, len(encoded) - 1))
         with self.assertRaises(CorruptRecordError):
-            decode_record(key, encode_record(key, record)[:cut], type(record))
+            decode_record(key, encode_record(key, record)[:length], type(record))
 
-    def test_a_record_under_another_key_or_of_another_kind_is_damaged(self):
+    def test_a_record_under_another_key_or_of_another_type_is_corrupt(self):
         record, key = self.ALL[0]
         with self.assertRaises(CorruptRecordError):
             decode_record(key + b"x", encode_record(key, record), IntentRecord)
         with self.assertRaises(CorruptRecordError):
             decode_record(key, encode_record(key, CommitSummary()), IntentRecord)
 
-    def test_one_of_version_1_is_made_into_one_of_now(self):
+    def test_a_record_of_version_1_is_migrated(self):
         old = msgspec.msgpack.encode([[1, "b", 2], {"a": 1}])
         data = bytes((1,)) + records.checksum(b"learned", b"\1" + old).to_bytes(8, "big") + old
         self.assertEqual(
@@ -65,21 +65,21 @@
             LearnedStateRecord(Timestamp(1, "b", 2), {"a": 1}, 1),
         )
 
-    def test_a_record_of_a_newer_version_is_recognised(self):
+    def test_a_record_of_a_newer_version_is_unsupported(self):
         record, key = self.ALL[0]
         with self.assertRaises(UnsupportedFormatError):
             decode_record(key, encode_record(key, record, records.FORMAT_VERSION + 1), IntentRecord)
 
     @given(st.binary(max_size=60))
-    def test_no_bytes_raise_anything_else(self, data):
-        for kind in (IntentRecord, ResultRecord, CommitSummary):
+    def test_arbitrary_bytes_raise_no_other_error(self, data):
+        for record_type in (IntentRecord, ResultRecord, CommitSummary):
             with self.assertRaises((CorruptRecordError, UnsupportedFormatError)):
-                decode_record(b"k", data, kind)
+                decode_record(b"k", data, record_type)
 
 
-class LearnedStateRecordsTest(unittest.TestCase):
-    """Keys of learned state."""
+class EncodedKeyTest(unittest.TestCase):
+    """Encoding of idempotency keys."""
 
-    def test_keys_of_different_tenants_differ_also_without_a_tenant(self):
+    def test_keys_with_an_empty_tenant_and_without_a_tenant_differ(self):
         self.assertNotEqual(encode_key((None, "a", "b")), encode_key(("", "a", "b")))
-        self.assertEqual(msgspec.msgpack.decode(encode_key(TOKEN)), list(TOKEN))
+        self.assertEqual(msgspec.msgpack.decode(encode_key(IDEMPOTENCY_KEY)), list(IDEMPOTENCY_KEY))
