--- a/tests/store/test_failing_disk.py
+++ b/tests/store/test_failing_disk.py
@@ -52,50 +52,50 @@
     def end_fault(self, key="after"):
         """Removes the fault, and sends a filing once the worker accepts them again."""
         self.fault_file.unlink()
-        self.until(lambda: not self.store(self.program)["refuses"])
-        self.file(self.client, key)
+        self.wait_until(lambda: not self.store_status(self.program)["refuses"])
+        self.send_filing(self.client, key)
         self.program.server.next_request().respond(data=b"fine")
         self.assertEqual(self.client.answer()[2], b"fine")
 
     def test_a_stalled_disk_rejects_filings_without_running_them_and_does_not_delay_reads(self):
         self.inject("stall")
         started_at = time.monotonic()
-        self.file(self.client, "k")
+        self.send_filing(self.client, "k")
         status, headers, _ = self.client.answer()
         self.assertEqual((status, headers["Retry-After"]), (503, "1"))
         self.assertLess(time.monotonic() - started_at, 1.8)
         started_at = time.monotonic()
-        self.file(self.client, "later")
+        self.send_filing(self.client, "later")
         self.assertEqual(self.client.answer()[0], 503)
-        self.assertIn("does not answer", self.store(self.program)["refuses"])
+        self.assertIn("does not answer", self.store_status(self.program)["refuses"])
         self.assertLess(self.read(), 1.0)
         self.end_fault()
-        self.file(self.client, "k")
+        self.send_filing(self.client, "k")
         self.program.server.next_request().respond(data=b"first run")
         self.assertEqual(self.client.answer()[2], b"first run")
         self.assertEqual(self.program.server.received.qsize(), 0)
 
     def test_a_failing_disk_rejects_filings_and_the_worker_recovers_without_a_restart(self):
-        self.file(self.client, "before")
+        self.send_filing(self.client, "before")
         self.program.server.next_request().respond(data=b"kept")
         self.client.answer()
-        self.recorded(self.program, 2)
+        self.wait_for_operations(self.program, 2)
         for error in ("FULL", "READ_ONLY", "SYNC", "IO"):
             with self.subTest(error):
                 self.inject(f"fail {error}")
-                self.file(self.client, f"k {error}")
+                self.send_filing(self.client, f"k {error}")
                 self.assertEqual(self.client.answer()[0], 503)
-                self.assertTrue(self.store(self.program)["trouble"])
+                self.assertTrue(self.store_status(self.program)["trouble"])
                 self.read()
-                self.file(self.client, "before")
+                self.send_filing(self.client, "before")
                 self.assertEqual(self.client.answer()[2], b"kept")  # stored results are still served
                 self.end_fault(f"after {error}")
         self.kill(self.program)
         second = self.start()
         client = second.ajp_client()
-        self.file(client, "before")
+        self.send_filing(client, "before")
         self.assertEqual(client.answer()[2], b"kept")
-        self.file(client, "k SYNC")  # it was rejected, so it has not run
+        self.send_filing(client, "k SYNC")  # it was rejected, so it has not run
         second.server.next_request().respond(data=b"now")
         self.assertEqual(client.answer()[2], b"now")
         self.assertEqual(second.logged("store_data_lost"), [])
--- a/tests/store/test_replacement.py
+++ b/tests/store/test_replacement.py
@@ -1,4 +1,4 @@
-"""A process replaced by another on the same folder."""
+"""Handover of a state folder from a worker process to its replacement."""
 
 import shutil
 import signal
@@ -10,28 +10,28 @@
 
 
 class ReplacementTest(WorkerStateTestCase):
-    """The store of a process that is replaced."""
+    """Replacement of a process, also with kills of either process."""
 
-    def test_the_store_goes_over_with_the_keys_and_the_next_one_has_it_all(self):
+    def test_the_replacement_takes_over_the_store_and_knows_all_filings(self):
         old = self.start()
         client, busy = old.ajp_client(), old.ajp_client()
-        self.file(client, "done")
+        self.send_filing(client, "done")
         old.server.next_request().respond(data=b"by the old")
         client.answer()
-        self.file(busy, "running")
+        self.send_filing(busy, "running")
         respond = old.server.next_request().respond
         new = self.start(before=old, server=old.server)
         new.wait_until_took_over()
-        self.until(lambda: self.store(new)["open"])
+        self.wait_until(lambda: self.store_status(new)["open"])
         old.process.send_signal(signal.SIGTERM)
         respond(data=b"ended at the old")
         self.assertEqual(busy.answer()[2], b"ended at the old")
         client = new.ajp_client()
-        self.file(client, "new")
+        self.send_filing(client, "new")
         new.server.next_request().respond(data=b"by the new")
         self.assertEqual(client.answer()[2], b"by the new")
         self.assertEqual(old.wait_for_exit(), 0)
-        self.until(lambda: self.store(new)["waiting"] == 0)
+        self.wait_until(lambda: self.store_status(new)["waiting"] == 0)
         self.kill(new)
         third = self.start()
         client = third.ajp_client()
@@ -40,22 +40,22 @@
             ("running", b"ended at the old"),
             ("new", b"by the new"),
         ):
-            self.file(client, key)
+            self.send_filing(client, key)
             self.assertEqual(client.answer()[2], result)
         self.assertEqual(third.server.received.qsize(), 0)
 
-    def test_either_may_die_at_once_and_no_filing_runs_twice(self):
-        for dies in ("old", "new", "both"):
-            with self.subTest(dies):
+    def test_no_filing_runs_twice_if_either_process_is_killed_after_the_takeover(self):
+        for killed in ("old", "new", "both"):
+            with self.subTest(killed):
                 shutil.rmtree(self.folder, ignore_errors=True)
                 old = self.start()
                 busy = old.ajp_client()
-                self.file(busy, "running")
+                self.send_filing(busy, "running")
                 old.server.next_request()
                 new = self.start(before=old, server=old.server)
                 new.wait_until_took_over()
                 for program in (old, new):
-                    if dies in ("both", "old" if program is old else "new"):
+                    if killed in ("both", "old" if program is old else "new"):
                         self.kill(program)
                 for program in (old, new):
                     if program.process.poll() is None:
@@ -63,43 +63,43 @@
                         program.process.wait(WAIT_LIMIT_S)
                 third = self.start(server=old.server)
                 client = third.ajp_client()
-                self.file(client, "running")
+                self.send_filing(client, "running")
                 self.assertEqual(client.answer()[0], 502)
                 self.assertEqual(old.server.received.qsize(), 0)
 
-    def test_either_may_die_at_each_moment_of_handing_the_store_over(self):
+    def test_no_filing_runs_twice_if_a_process_is_killed_at_any_failpoint_of_the_handover(self):
         for point in HANDOVER_FAILPOINTS:
-            dying = "new" if point.startswith("open") else "old"
+            killed = "new" if point.startswith("open") else "old"
             with self.subTest(point):
                 shutil.rmtree(self.folder, ignore_errors=True)
                 fault = {"fault": KILL_AT.format(point=point, nth=1)}
-                old = self.start(**(fault if dying == "old" else {}))
+                old = self.start(**(fault if killed == "old" else {}))
                 client, busy = old.ajp_client(), old.ajp_client()
-                self.file(client, "done")
+                self.send_filing(client, "done")
                 old.server.next_request().respond(data=b"by the old")
                 client.answer()
-                self.file(busy, "running")
+                self.send_filing(busy, "running")
                 old.server.next_request()
-                self.recorded(old, 3)
-                # One file serves both as they start: what the old one has read stays with it.
+                self.wait_for_operations(old, 3)
+                # Both processes use one fault file at their start; the old process has loaded it already.
                 Path(old.folder.name, "sitecustomize.py").unlink(missing_ok=True)
-                new = self.start(before=old, server=old.server, **(fault if dying == "new" else {}))
-                gone, left = (old, new) if dying == "old" else (new, old)
-                self.assertEqual(gone.process.wait(WAIT_LIMIT_S), -signal.SIGKILL)
-                if left is new:
+                new = self.start(before=old, server=old.server, **(fault if killed == "new" else {}))
+                killed_program, survivor = (old, new) if killed == "old" else (new, old)
+                self.assertEqual(killed_program.process.wait(WAIT_LIMIT_S), -signal.SIGKILL)
+                if survivor is new:
                     new.wait_until_took_over()
-                    self.until(lambda new=new: self.store(new)["open"])
+                    self.wait_until(lambda new=new: self.store_status(new)["open"])
                     client = new.ajp_client()
-                    self.file(client, "done")
+                    self.send_filing(client, "done")
                     self.assertEqual(client.answer()[2], b"by the old")
-                    self.file(client, "running")
+                    self.send_filing(client, "running")
                     self.assertIn(client.answer()[0], (502, 504))
-                self.kill(left)
+                self.kill(survivor)
                 Path(old.folder.name, "sitecustomize.py").unlink(missing_ok=True)
                 third = self.start(server=old.server)
                 client = third.ajp_client()
-                self.file(client, "done")
+                self.send_filing(client, "done")
                 self.assertEqual(client.answer()[2], b"by the old")
-                self.file(client, "running")
+                self.send_filing(client, "running")
                 self.assertEqual(client.answer()[0], 502)
                 self.assertEqual(old.server.received.qsize(), 0)
--- a/tests/store/test_restart.py
+++ b/tests/store/test_restart.py
@@ -1,4 +1,4 @@
-"""What a worker that ended or was killed takes up again from its store."""
+"""State that a worker restores from its store after it has ended or was killed."""
 
 import json
 import signal
@@ -10,104 +10,105 @@
 from tests.support.site_settings import long_window_settings
 from tests.support.worker_process import run_command
 
-# Some seconds pass on all clocks while the store is opened, and more once a file is there.
-TIME_PASSES = """
+# Code that runs in the worker: advances all clocks by {opening} s while the store is opened, and by another
+# {later} s once the file `later` exists.
+ADVANCE_CLOCKS = """
 import os, time
 from ochrehoist.store import folder_session
-flag, passed = os.path.join(os.path.dirname(__file__), "later"), [0]
-unix, steady, up = time.time_ns, time.monotonic_ns, time.clock_gettime_ns
-later = lambda: (passed[0] + {later} * os.path.exists(flag)) * 10**9
-time.time_ns = lambda: unix() + later()
-time.monotonic_ns = lambda: steady() + later()
-time.clock_gettime_ns = lambda which: up(which) + later()
-plain = folder_session.open_store
+later_file, opening_s = os.path.join(os.path.dirname(__file__), "later"), [0]
+real_time_ns, real_monotonic_ns, real_gettime_ns = time.time_ns, time.monotonic_ns, time.clock_gettime_ns
+offset_ns = lambda: (opening_s[0] + {later} * os.path.exists(later_file)) * 10**9
+time.time_ns = lambda: real_time_ns() + offset_ns()
+time.monotonic_ns = lambda: real_monotonic_ns() + offset_ns()
+time.clock_gettime_ns = lambda clock: real_gettime_ns(clock) + offset_ns()
+original_open_store = folder_session.open_store
 def open_store(*args):
-    passed[0] = {opening}
-    return plain(*args)
+    opening_s[0] = {opening}
+    return original_open_store(*args)
 folder_session.open_store = open_store
 """
 
 
 class RestartTest(WorkerStateTestCase):
-    """Filings of a process that ended."""
+    """Filings of a process that has ended, in a folder on a real disk with its syncs."""
 
-    # A crowded machine is no stalled disk: what a stall means is tested elsewhere.
-    patience: ClassVar[dict[str, Any]] = {"stall_ms": 10_000}
+    # Long enough that an overloaded test machine is not taken for a stalled disk.
+    state_settings: ClassVar[dict[str, Any]] = {"stall_ms": 10_000}
 
-    where = None  # on a real disk, with all its syncs
+    parent_folder = None
 
     def test_results_are_replayed_started_filings_do_not_run_again_and_others_do(self):
         first = self.start()
         client, other = first.ajp_client(), first.ajp_client()
-        self.file(client, "done")
+        self.send_filing(client, "done")
         first.server.next_request().respond(data=b"result")
         self.assertEqual(client.answer()[2], b"result")
-        self.file(client, "begun")
+        self.send_filing(client, "begun")
         first.server.next_request()
-        self.file(other, "begun too")
+        self.send_filing(other, "begun too")
         first.server.next_request()
         third = first.ajp_client()
-        self.file(third, "held")  # two cores, both taken: it never begins
-        self.recorded(first, 4)
+        self.send_filing(third, "held")  # both cores are busy, so it does not start
+        self.wait_for_operations(first, 4)
         self.kill(first)
         second = self.start()
         client = second.ajp_client()
         for _ in range(2):
-            self.file(client, "done")
+            self.send_filing(client, "done")
             self.assertEqual(client.answer()[::2], (200, b"result"))
-            self.file(client, "begun")
+            self.send_filing(client, "begun")
             self.assertEqual(client.answer()[0], 502)
-        self.file(client, "done", b"other content")
+        self.send_filing(client, "done", b"other content")
         self.assertEqual(client.answer()[0], 422)
         self.assertEqual(second.server.received.qsize(), 0)
-        self.file(client, "held")
+        self.send_filing(client, "held")
         second.server.next_request().respond(data=b"now")
         self.assertEqual(client.answer()[2], b"now")
 
-    def test_a_drained_worker_leaves_all_on_record_and_what_it_learned(self):
+    def test_a_drained_worker_has_stored_all_results_and_its_learned_state(self):
         first = self.start()
         client = first.ajp_client()
         for n in range(5):
-            self.file(client, f"k{n}")
+            self.send_filing(client, f"k{n}")
             first.server.next_request().respond(data=b"result %d" % n)
             client.answer()
         first.process.send_signal(signal.SIGTERM)
         self.assertEqual(first.wait_for_exit(), 0)
-        shown = run_command("state", "show", "--json", "--folder", str(self.folder))
-        self.assertTrue(json.loads(shown.stdout)["learned"])
+        completed = run_command("state", "show", "--json", "--folder", str(self.folder))
+        self.assertTrue(json.loads(completed.stdout)["learned"])
         second = self.start()
         client = second.ajp_client()
         for n in range(5):
-            self.file(client, f"k{n}")
+            self.send_filing(client, f"k{n}")
             self.assertEqual(client.answer()[2], b"result %d" % n)
         self.assertEqual(second.server.received.qsize(), 0)
 
-    def test_a_window_lasts_as_long_as_it_would_without_a_restart(self):
-        brief = long_window_settings()
-        brief["Classes"][1]["Window"] = 30_000 * MS
-        first = self.start(site=brief)
+    def test_a_restart_does_not_extend_an_idempotency_window(self):
+        settings = long_window_settings()
+        settings["Classes"][1]["Window"] = 30_000 * MS
+        first = self.start(site=settings)
         client = first.ajp_client()
-        self.file(client, "k")
+        self.send_filing(client, "k")
         first.server.next_request().respond(data=b"one")
         client.answer()
-        self.recorded(first, 2)
+        self.wait_for_operations(first, 2)
         self.kill(first)
-        second = self.start(site=brief, fault=TIME_PASSES.format(opening=10, later=20))
+        second = self.start(site=settings, fault=ADVANCE_CLOCKS.format(opening=10, later=20))
         client = second.ajp_client()
-        self.file(client, "k")
+        self.send_filing(client, "k")
         self.assertEqual(client.answer()[2], b"one")
-        second.write_file("later", "")  # so 30 s have passed, 10 of them while the store was opened
-        self.file(client, "k")
+        second.write_file("later", "")  # 30 s have elapsed now, 10 s of them while the store was opened
+        self.send_filing(client, "k")
         second.server.next_request().respond(data=b"two")
         self.assertEqual(client.answer()[2], b"two")
 
-    def test_the_clock_may_be_set_while_the_worker_is_down(self):
+    def test_results_are_replayed_after_the_clock_was_set_while_the_worker_was_down(self):
         first = self.start()
         client = first.ajp_client()
-        self.file(client, "k")
+        self.send_filing(client, "k")
         first.server.next_request().respond(data=b"one")
         client.answer()
-        self.recorded(first, 2)
+        self.wait_for_operations(first, 2)
         self.kill(first)
         for hours in (-1, 24):
             set_clock = (
@@ -115,7 +116,7 @@
             )
             program = self.start(fault=set_clock)
             client = program.ajp_client()
-            self.file(client, "k")
+            self.send_filing(client, "k")
             self.assertEqual(client.answer()[2], b"one")
             self.assertEqual(program.server.received.qsize(), 0)
             self.kill(program)
@@ -124,19 +125,19 @@
 class BothFrontsRestartTest(WorkerStateTestCase):
     """A worker that serves both protocols."""
 
-    how: ClassVar[dict[str, Any]] = {"thrift": True, "ajp": True}
+    worker_options: ClassVar[dict[str, Any]] = {"thrift": True, "ajp": True}
 
-    def test_attempts_by_either_front_are_one_filing_before_and_after_a_kill(self):
-        machine = MovingKernel(1)
-        self.addCleanup(machine.close)
-        first = self.start(kernel=machine)
+    def test_attempts_over_both_protocols_are_one_filing_before_and_after_a_kill(self):
+        moving_kernel = MovingKernel(1)
+        self.addCleanup(moving_kernel.close)
+        first = self.start(kernel=moving_kernel)
         router = first.thrift_router()
         self.assertEqual(router.call("filing", b"doc", token="k")[2], b"made of doc")
-        self.recorded(first, 2)
+        self.wait_for_operations(first, 2)
         self.kill(first)
-        second = self.start(kernel=machine)
+        second = self.start(kernel=moving_kernel)
         client, router = second.ajp_client(), second.thrift_router()
-        self.file(client, "k")
+        self.send_filing(client, "k")
         self.assertEqual(client.answer()[2], b"made of doc")
         self.assertEqual(router.call("filing", b"doc", token="k", again="1")[2], b"made of doc")
-        self.assertEqual((machine.runs[b"doc"], second.server.received.qsize()), (1, 0))
+        self.assertEqual((moving_kernel.runs[b"doc"], second.server.received.qsize()), (1, 0))
--- a/tests/store/test_write_queue.py
+++ b/tests/store/test_write_queue.py
@@ -1,4 +1,4 @@
-"""Writes in groups: order, limits, stalls and failures."""
+"""Tests of the write queue: grouping, limits, stalls and failures."""
 
 import unittest
 
@@ -22,65 +22,69 @@
 
 
 class WriteGroupsTest(unittest.TestCase):
-    """Groups of operations and their commits."""
+    """Groups of operations and the outcomes of their commits."""
 
     def setUp(self):
         self.queue = WriteQueue(0.001, 0.25)
         self.queue.is_open = True
 
-    def begin(self, n, now=0.0):
-        self.queue.add(now, PutIntent(f"r{n}", b"k%d" % n, intent(n)))
+    def add_intent(self, number, now=0.0):
+        self.queue.add(now, PutIntent(f"r{number}", b"k%d" % number, intent(number)))
 
-    def test_one_group_at_a_time_and_the_next_gathers_meanwhile(self):
-        self.begin(1)
+    def test_one_group_is_committed_at_a_time_while_operations_queue_for_the_next(self):
+        self.add_intent(1)
         self.assertIsNone(self.queue.next_group(0.0005))
         self.assertEqual([op.request_id for op in self.queue.next_group(0.001)], ["r1"])
-        self.begin(2, 0.002)
+        self.add_intent(2, 0.002)
         self.assertIsNone(self.queue.next_group(0.1))
         self.assertEqual(self.queue.committed(), ["r1"])
         self.assertEqual(len(self.queue.next_group(0.1)), 1)
 
-    def test_operations_nobody_waits_for_join_a_group_or_follow_a_little_later(self):
+    def test_operations_without_a_waiting_attempt_join_a_group_or_are_committed_after_a_delay(self):
         self.queue.add(0.0, DeleteIntent(b"k9"))
         self.assertIsNone(self.queue.next_group(0.009))
-        self.begin(1, 0.009)
+        self.add_intent(1, 0.009)
         self.assertEqual([type(op) for op in self.queue.next_group(0.01)], [DeleteIntent, PutIntent])
         self.queue.committed()
         self.queue.add(1.0, DeleteIntent(b"k9"))
         self.assertEqual(self.queue.next_event_at(1.0), 1.01)
         self.assertEqual(len(self.queue.next_group(1.01)), 1)
 
-    def test_a_group_comes_to_one_change_for_each_filing(self):
-        one, two, end = intent(1), intent(2), ResultRecord("OK", True, b"x")
+    def test_a_group_is_reduced_to_one_change_per_key(self):
+        first_intent, second_intent, result = intent(1), intent(2), ResultRecord("OK", True, b"x")
         learned = LearnedStateRecord(Timestamp(1), {}, 1)
         changes = coalesce(
             [
                 DeleteIntent(b"a"),
-                PutIntent("r1", b"a", one),
-                PutResult(b"a", end),
-                PutResult(b"b", end),
-                PutIntent("r2", b"c", two),
+                PutIntent("r1", b"a", first_intent),
+                PutResult(b"a", result),
+                PutResult(b"b", result),
+                PutIntent("r2", b"c", second_intent),
                 DeleteIntent(b"c"),
                 PutNamed("x", learned),
             ]
         )
         self.assertEqual(
             changes.by_key,
-            {b"a": KeyChange(True, one, end), b"b": KeyChange(False, None, end), b"c": KeyChange(True)},
+            {
+                b"a": KeyChange(True, first_intent, result),
+                b"b": KeyChange(False, None, result),
+                b"c": KeyChange(True),
+            },
         )
         self.assertEqual(changes.named, {"x": learned})
 
-    def test_a_long_queue_goes_at_once_and_in_bounded_groups(self):
+    def test_a_full_group_is_committed_at_once_and_groups_are_limited(self):
         for n in range(MAX_GROUP_OPERATIONS + 1):
-            self.begin(n)
+            self.add_intent(n)
         self.assertEqual(len(self.queue.next_group(0.0)), MAX_GROUP_OPERATIONS)
         self.queue.committed()
         self.assertEqual(len(self.queue.next_group(1.0)), 1)
 
-    def test_a_stall_rejects_what_waits_and_deletes_it_and_nothing_starts_late(self):
-        self.begin(1)
+    def test_a_stall_rejects_waiting_attempts_and_deletes_their_intents(self):
+        self.add_intent(1)
         self.queue.next_group(0.001)
-        self.begin(2, 0.01)
+        self.add_intent(2, 0.01)
         self.assertEqual(self.queue.next_event_at(0.01), 0.25)
         self.assertEqual(self.queue.take_timed_out(0.25), ["r1"])
         self.assertEqual(self.queue.rejection_reason(0.2), None)
@@ -91,11 +95,11 @@
         self.queue.committed()
         self.assertIsNone(self.queue.rejection_reason(5.1))
 
-    def test_an_error_refuses_filings_keeps_the_rest_and_is_tried_again_ever_more_seldom(self):
+    def test_a_failure_rejects_attempts_keeps_other_operations_and_retries_with_backoff(self):
         self.queue.add(0, PutResult(b"k0", ResultRecord("OK", True, b"x")))
-        self.begin(1)
+        self.add_intent(1)
         self.queue.next_group(0.001)
-        self.begin(2, 0.002)
+        self.add_intent(2, 0.002)
         self.assertEqual(self.queue.failed(0.01, FailureKind.FULL), ["r1", "r2"])
         self.assertIn("room", self.queue.rejection_reason(0.02))
         self.assertIsNone(self.queue.next_group(0.01 + FIRST_RETRY_DELAY_S - 0.001))
@@ -107,8 +111,8 @@
         self.assertIsNone(self.queue.rejection_reason(2.0))
         self.assertEqual(self.queue.result_bytes, 0)
 
-    def test_a_failed_sync_wants_all_written_anew_and_a_disk_that_is_full_does_not(self):
-        for error, wants in (
+    def test_failures_that_make_stored_data_doubtful_need_a_rebuild_and_others_do_not(self):
+        for failure, needs_rebuild in (
             (FailureKind.SYNC, True),
             (FailureKind.IO, True),
             (FailureKind.DAMAGED, True),
@@ -116,74 +120,80 @@
             (FailureKind.READ_ONLY, False),
         ):
             self.setUp()
-            self.begin(1)
+            self.add_intent(1)
             self.queue.next_group(0.001)
-            self.queue.failed(0.01, error)
-            self.assertEqual(self.queue.rebuild_is_due(1.0), wants)
-            if wants:
+            self.queue.failed(0.01, failure)
+            self.assertEqual(self.queue.rebuild_is_due(1.0), needs_rebuild)
+            if needs_rebuild:
                 self.assertIsNone(self.queue.next_group(1.0))
                 self.queue.rebuild_started(1.0)
                 self.queue.rebuilt()
-            self.assertEqual(self.queue.next_group(1.0), None if wants else [])
+            self.assertEqual(self.queue.next_group(1.0), None if needs_rebuild else [])
 
-    def test_what_is_dropped_before_it_was_written_is_not_written(self):
-        self.begin(1)
+    def test_operations_of_a_key_that_is_deleted_before_their_commit_are_not_written(self):
+        self.add_intent(1)
         self.queue.add(0, PutResult(b"k1", ResultRecord("OK", True, b"xyz")))
         self.queue.add(0, PutNamed("learned", LearnedStateRecord(Timestamp(1), {}, 1)))
         self.queue.add(0, DeleteIntent(b"k1"))
         self.assertEqual([type(op) for op in self.queue.next_group(1)], [PutNamed, DeleteIntent])
         self.assertEqual((self.queue.result_bytes, self.queue.attempts), (0, {}))
 
-    def test_results_past_the_bound_are_let_go_and_filings_are_not(self):
-        big = ResultRecord("OK", True, bytes(MAX_QUEUED_RESULT_BYTES // 2 - 4))
+    def test_results_beyond_the_limit_are_discarded_and_intents_are_not(self):
+        large_result = ResultRecord("OK", True, bytes(MAX_QUEUED_RESULT_BYTES // 2 - 4))
         self.assertEqual(
-            [self.queue.add(0, PutResult(b"k%d" % n, big)) for n in range(3)], [True, True, False]
+            [self.queue.add(0, PutResult(b"k%d" % n, large_result)) for n in range(3)], [True, True, False]
         )
-        self.begin(1)
+        self.add_intent(1)
         self.assertEqual(
             (self.queue.results_not_stored, self.queue.queued_result(b"k0"), self.queue.queued_result(b"k2")),
-            (1, big, None),
+            (1, large_result, None),
         )
 
 
-class Any(RuleBasedStateMachine):
-    """Whatever comes in whatever order: each attempt is resolved once, and runs only after its commit."""
+class WriteQueueStateMachine(RuleBasedStateMachine):
+    """Random sequences of events: each attempt is resolved once, and runs only after its commit."""
 
     def __init__(self):
         super().__init__()
-        self.queue, self.now, self.n = WriteQueue(0.001, 0.25), 0.0, 0
+        self.queue, self.now, self.attempt_count = WriteQueue(0.001, 0.25), 0.0, 0
         self.queue.is_open = True
-        self.open, self.resolved, self.group = set(), {}, None
+        self.waiting_ids, self.resolved, self.group = set(), {}, None
 
-    def resolve(self, ids, what):
-        for rid in ids:
-            assert rid in self.open and rid not in self.resolved
-            self.resolved[rid] = what
-            self.open.discard(rid)
+    def resolve(self, request_ids, outcome):
+        for request_id in request_ids:
+            assert request_id in self.waiting_ids and request_id not in self.resolved
+            self.resolved[request_id] = outcome
+            self.waiting_ids.discard(request_id)
 
-    @rule(again=st.integers(0, 3))
-    def begin(self, again):
+    @rule(key_distance=st.integers(0, 3))
+    def add_intent(self, key_distance):
+        """Adds an intent under a new key, or under the key of one of the latest attempts."""
         if self.queue.rejection_reason(self.now):
             return
-        self.n += 1
-        self.open.add(f"r{self.n}")
+        self.attempt_count += 1
+        self.waiting_ids.add(f"r{self.attempt_count}")
         self.queue.add(
-            self.now, PutIntent(f"r{self.n}", b"k%d" % (self.n - min(again, self.n)), intent(self.n))
+            self.now,
+            PutIntent(
+                f"r{self.attempt_count}",
+                b"k%d" % (self.attempt_count - min(key_distance, self.attempt_count)),
+                intent(self.attempt_count),
+            ),
         )
 
-    @rule(n=st.integers(0, 9), size=st.integers(0, 99))
-    def end(self, n, size):
-        self.queue.add(self.now, PutResult(b"old%d" % n, ResultRecord("OK", True, bytes(size))))
+    @rule(number=st.integers(0, 9), size=st.integers(0, 99))
+    def add_result(self, number, size):
+        self.queue.add(self.now, PutResult(b"old%d" % number, ResultRecord("OK", True, bytes(size))))
 
-    @rule(n=st.integers(0, 9))
-    def drop(self, n):
-        self.queue.add(self.now, DeleteIntent(b"old%d" % n))
+    @rule(number=st.integers(0, 9))
+    def delete(self, number):
+        self.queue.add(self.now, DeleteIntent(b"old%d" % number))
 
-    @rule(seconds=st.sampled_from((0.0005, 0.01, 0.3, 2.0)))
-    def wait(self, seconds):
-        self.now += seconds
-        late = self.queue.take_timed_out(self.now)
-        self.resolve(late, "refused")
+    @rule(duration_s=st.sampled_from((0.0005, 0.01, 0.3, 2.0)))
+    def wait(self, duration_s):
+        self.now += duration_s
+        timed_out = self.queue.take_timed_out(self.now)
+        self.resolve(timed_out, "refused")
         if self.queue.rebuild_is_due(self.now):
             self.queue.rebuild_started(self.now)
             self.group = []
@@ -195,33 +205,33 @@
     @precondition(lambda self: self.group is not None)
     @rule()
     def commit(self):
-        ids = {op.request_id for op in self.group if isinstance(op, PutIntent)}
+        group_ids = {op.request_id for op in self.group if isinstance(op, PutIntent)}
         self.group = None
         if self.queue.rebuild_needed:
             self.queue.rebuilt()
             return
-        intent = self.queue.committed()
-        assert set(intent) <= ids
-        self.resolve(intent, "begun")
+        ready_ids = self.queue.committed()
+        assert set(ready_ids) <= group_ids
+        self.resolve(ready_ids, "begun")
 
     @precondition(lambda self: self.group is not None)
-    @rule(error=st.sampled_from(FailureKind))
-    def fail(self, error):
+    @rule(failure=st.sampled_from(FailureKind))
+    def fail(self, failure):
         self.group = None
-        self.resolve(self.queue.failed(self.now, error), "refused")
+        self.resolve(self.queue.failed(self.now, failure), "refused")
 
     @invariant()
-    def sums(self):
-        held = sum(
+    def counts_are_consistent(self):
+        queued_bytes = sum(
             len(op.record.body) + len(op.record.detail)
             for op in (*self.queue.waiting, *(self.queue.committing or ()))
             if isinstance(op, PutResult)
         )
-        assert self.queue.result_bytes == held
-        assert set(self.queue.attempts) == self.open
+        assert self.queue.result_bytes == queued_bytes
+        assert set(self.queue.attempts) == self.waiting_ids
         assert len(self.queue.waiting) == len(self.queue.enqueued_at)
-        if self.open:
+        if self.waiting_ids:
             assert self.queue.next_event_at(self.now) <= self.now + 0.25
 
 
-TestAny = Any.TestCase
+TestWriteQueue = WriteQueueStateMachine.TestCase
