--- a/ochrehoist/sites/admission_gate.py
+++ b/ochrehoist/sites/admission_gate.py
@@ -66,8 +66,10 @@
         self._health = health
         self._playbooks = playbooks
         self._pacing = pacing
-        self.order = SheddingOrder(settings.classes, _table(settings, tenants), settings.over_quota_weight)
-        self.threshold = AdmissionThreshold(settings.cores, _least_objective_s(settings))
+        self.order = SheddingOrder(
+            settings.classes, _tenant_table(settings, tenants), settings.over_quota_weight
+        )
+        self.threshold = AdmissionThreshold(settings.cores, _min_objective_s(settings))
         self.arrival_rate = DecayingRate(ARRIVAL_RATE_SPAN_S)
         self.admitted = 0
         self.rejected: Counter[tuple[str, RejectionCause]] = Counter()  # by class and cause
@@ -79,8 +81,8 @@
     def configure(self, settings: AdmissionSettings, tenants: TenantTable | None) -> None:
         """Applies changed settings; learned costs and rates are kept."""
         self._settings = settings
-        self.order.configure(settings.classes, _table(settings, tenants), settings.over_quota_weight)
-        self.threshold.configure(settings.cores, _least_objective_s(settings))
+        self.order.configure(settings.classes, _tenant_table(settings, tenants), settings.over_quota_weight)
+        self.threshold.configure(settings.cores, _min_objective_s(settings))
 
     # Calls of the core.
 
@@ -198,11 +200,11 @@
         return arrivals
 
 
-def _least_objective_s(settings: AdmissionSettings) -> float:
+def _min_objective_s(settings: AdmissionSettings) -> float:
     return min(c.latency_objective_ns for c in settings.classes) / NS_PER_S
 
 
-def _table(settings: AdmissionSettings, tenants: TenantTable | None) -> TenantTable:
+def _tenant_table(settings: AdmissionSettings, tenants: TenantTable | None) -> TenantTable:
     return tenants if tenants is not None else initial_table(settings.tenants)
 
 
--- a/ochrehoist/sites/coordinator.py
+++ b/ochrehoist/sites/coordinator.py
@@ -69,7 +69,7 @@
     ) -> None:
         self.name = name
         self.site = site
-        self._ticked_at = now
+        self._last_tick_at = now
         self._events: deque[SiteEvent] = deque(maxlen=MAX_PENDING_EVENTS)
         self.peers = PeerWorkers(site)
         self.health = SiteHealthTracker()
@@ -103,8 +103,8 @@
 
     def tick(self, now: float, peers: Sequence[PeerWorker]) -> None:
         """Updates all components; called every `admission_threshold.TICK_INTERVAL_S`."""
-        span_s = now - self._ticked_at
-        self._ticked_at = now
+        span_s = now - self._last_tick_at
+        self._last_tick_at = now
         self.peers.update(list(peers))
         self.gate.order.set_averages(self._fleet_averages(now))
         self.gate.order.refresh(now)
@@ -129,18 +129,18 @@
         return FleetAverages(means, tenant_rates)
 
     def _track_health(self, now: float, span_s: float) -> None:
-        workers_by_site = self.peers.of_other_sites()
+        workers_by_site = self.peers.by_other_site()
         arrivals = self.gate.take_arrivals()
         self.usual_load.update_sites(workers_by_site)
         if self._all_at_full_load():
             self.usual_load.learn(arrivals, span_s)
         elif not self.usual_load.is_known:
-            self.usual_load.adopt(self.peers)
+            self.usual_load.adopt_peer_rate(self.peers)
         load = LoadSample(arrivals, self.usual_load.expected_rate(self.peers), span_s)
         memberships = {
             site: self._membership(site, workers) for site, workers in workers_by_site.items() if site
         }
-        own_workers = 1 + len(self.peers.of_site(self.site))
+        own_workers = 1 + len(self.peers.in_site(self.site))
         for change in self.health.tick(now, memberships, own_workers, load):
             fields: dict[str, object] = {
                 "site": change.site,
@@ -156,18 +156,20 @@
 
     def _membership(self, site: str, workers: Sequence[PeerWorker]) -> SiteMembership:
         reported = self.peers.observations_of(site)
-        own_site_names = {peer.name for peer in self.peers.of_site(self.site)}
+        own_site_worker_names = {peer.name for peer in self.peers.in_site(self.site)}
         return SiteMembership(
-            known=len(workers),
-            alive=sum(worker.is_alive for worker in workers),
-            left=sum(worker.has_left for worker in workers),
-            returning=sum(worker.is_recovering for worker in workers),
-            third_site_states=[r.observation.state for r in reported if r.worker not in own_site_names],
+            worker_count=len(workers),
+            alive_count=sum(worker.is_alive for worker in workers),
+            left_count=sum(worker.has_left for worker in workers),
+            returning_count=sum(worker.is_recovering for worker in workers),
+            third_site_states=[
+                r.observation.state for r in reported if r.worker not in own_site_worker_names
+            ],
             evidence=sum(r.observation.evidence for r in reported),
         )
 
     def _merge_commands(self, now: float) -> None:
-        for peer in self.peers.all:
+        for peer in self.peers.workers:
             if peer.report is not None:
                 self.commands.merge(peer.report.commands, peer.age_s, now)
 
--- a/ochrehoist/sites/peer_workers.py
+++ b/ochrehoist/sites/peer_workers.py
@@ -87,12 +87,12 @@
 
     def __init__(self, own_site: str) -> None:
         self.own_site = own_site
-        self.all: list[PeerWorker] = []
+        self.workers: list[PeerWorker] = []
         self.baseline = PeerBaseline()
 
     def update(self, peers: list[PeerWorker]) -> None:
         """Replaces all workers by their current state."""
-        self.all = peers
+        self.workers = peers
         self.baseline = self._measure_baseline()
 
     def _measure_baseline(self) -> PeerBaseline:
@@ -106,29 +106,29 @@
 
     def fresh_reports(self) -> list[SiteReport]:
         """Returns the reports of all workers that have a fresh one."""
-        return [report for peer in self.all if (report := peer.fresh_report) is not None]
+        return [report for peer in self.workers if (report := peer.fresh_report) is not None]
 
-    def of_site(self, site: str) -> list[PeerWorker]:
+    def in_site(self, site: str) -> list[PeerWorker]:
         """Returns the workers of one site."""
-        return [peer for peer in self.all if peer.site == site]
+        return [peer for peer in self.workers if peer.site == site]
 
-    def of_other_sites(self) -> dict[str, list[PeerWorker]]:
+    def by_other_site(self) -> dict[str, list[PeerWorker]]:
         """Returns the workers of other sites by site; workers without a site are under the empty name."""
         by_site: dict[str, list[PeerWorker]] = {}
-        for peer in self.all:
+        for peer in self.workers:
             if peer.site != self.own_site:
                 by_site.setdefault(peer.site, []).append(peer)
         return by_site
 
     def site_names(self) -> list[str]:
         """Returns all known site names, including the worker's own site."""
-        return sorted({self.own_site, *(peer.site for peer in self.all if peer.site)})
+        return sorted({self.own_site, *(peer.site for peer in self.workers if peer.site)})
 
     def observations_of(self, site: str) -> list[ReportedObservation]:
         """Returns what workers outside of a site report about it."""
         return [
             ReportedObservation(peer.name, observation)
-            for peer in self.all
+            for peer in self.workers
             if peer.site != site and (report := peer.fresh_report) is not None
             for observation in report.observations
             if observation.site == site
@@ -138,13 +138,13 @@
         """Whether any worker of another site requests load."""
         return any(
             report.weight != 0
-            for peer in self.all
+            for peer in self.workers
             if peer.site != self.own_site and (report := peer.fresh_report) is not None
         )
 
     def all_at_full_load(self) -> bool:
         """Whether all workers that have not left gracefully are alive and serve (almost) their full load."""
-        return all(peer.has_left or _is_at_full_load(peer) for peer in self.all)
+        return all(peer.has_left or _is_at_full_load(peer) for peer in self.workers)
 
 
 def _is_at_full_load(peer: PeerWorker) -> bool:
--- a/ochrehoist/sites/playbook_exchange.py
+++ b/ochrehoist/sites/playbook_exchange.py
@@ -74,7 +74,7 @@
         own_version = self.version
         newer_versions = [
             (peer.name, report.playbook)
-            for peer in peers.all
+            for peer in peers.workers
             if (report := peer.fresh_report) is not None and report.playbook > own_version
         ]
         if not newer_versions:
--- a/ochrehoist/sites/recovery_ramp.py
+++ b/ochrehoist/sites/recovery_ramp.py
@@ -74,7 +74,7 @@
 class RampEvent:
     """A change of the requested load, and its reason."""
 
-    at: float
+    changed_at: float
     load_fraction: float
     reason: str
 
@@ -106,7 +106,7 @@
         self.cause = cause
         self.plan = plan if plan is not None else RampPlan()
         self.stage = 0
-        self.measured = StageMeasurement(now)
+        self.measurement = StageMeasurement(now)
         self.rollbacks = 0
         self.is_held = False
         self.is_unpaced = False
@@ -128,13 +128,13 @@
     def record_completion(self, in_time: bool) -> None:
         """Counts a completion; `in_time` is false for a late or a failed one."""
         if in_time:
-            self.measured.good += 1
+            self.measurement.good += 1
         else:
-            self.measured.bad += 1
+            self.measurement.bad += 1
 
     def expected_requests(self, baseline: PeerBaseline, now: float) -> float:
         """Returns the number of requests expected at this stage so far, by the load of the peers."""
-        return self.load_fraction * baseline.rate * (now - self.measured.started_at)
+        return self.load_fraction * baseline.rate * (now - self.measurement.started_at)
 
     def evaluate(self, now: float, inputs: RampInputs) -> None:
         """Enters the next stage, rolls one back, or updates `waits_for`; called at each tick."""
@@ -175,9 +175,9 @@
             self._enter(now, self.stage, "others are at full service, this one not yet")
 
     def _is_overloaded(self, now: float, inputs: RampInputs) -> bool:
-        if self.stage == 0 or now - self.measured.started_at < ROLLBACK_DELAY_S:
+        if self.stage == 0 or now - self.measurement.started_at < ROLLBACK_DELAY_S:
             return False
-        has_bad_completions = self.measured.completions >= 2 * MIN_COMPLETIONS and self.measured.is_bad
+        has_bad_completions = self.measurement.completions >= 2 * MIN_COMPLETIONS and self.measurement.is_bad
         return (
             has_bad_completions or inputs.threshold < MIN_THRESHOLD_RATIO * inputs.baseline.capped_threshold
         )
@@ -186,7 +186,7 @@
         self.rollbacks += 1
         self._retry_at = now + min(MAX_BACKOFF_S, BACKOFF_S * 2 ** (self.rollbacks - 1))
         reason = (
-            f"taken back: {self.measured.bad} of {self.measured.completions} late or failed, "
+            f"taken back: {self.measurement.bad} of {self.measurement.completions} late or failed, "
             f"level {inputs.threshold:.2f} against {inputs.baseline.threshold:.2f} of the others"
         )
         self._enter(now, self.stage - 1, reason)
@@ -200,7 +200,7 @@
         next_fraction = self.plan.stages[self.stage + 1]
         next_threshold = inputs.predict_threshold(next_fraction * baseline.rate)
         if next_threshold >= NEXT_THRESHOLD_RATIO * baseline.capped_threshold:
-            reason = f"{self.measured.good} in time at {self.load_fraction:.0%}"
+            reason = f"{self.measurement.good} in time at {self.load_fraction:.0%}"
             self._enter(now, self.stage + 1, reason)
         else:
             self.waits_for = (
@@ -222,17 +222,17 @@
             return "another site steps, or no majority of voters lets this one"
         if now < self._retry_at:
             return f"a step was taken back: {self._retry_at - now:.1f} s more"
-        if now - self.measured.started_at < MIN_STAGE_S:
+        if now - self.measurement.started_at < MIN_STAGE_S:
             return "balancers have not taken the last step yet"
         return None
 
     def _measured_blocker(self, now: float, baseline: PeerBaseline) -> str | None:
         expected = self.expected_requests(baseline, now)
         required = max(MIN_COMPLETIONS, int(MIN_EXPECTED_RATIO * expected))
-        if self.measured.completions < required:
-            return f"completions: {self.measured.completions} of {required}"
-        if self.measured.is_bad:
-            return f"{self.measured.bad} of {self.measured.completions} were late or failed"
+        if self.measurement.completions < required:
+            return f"completions: {self.measurement.completions} of {required}"
+        if self.measurement.is_bad:
+            return f"{self.measurement.bad} of {self.measurement.completions} were late or failed"
         return None
 
     def _evaluate_full_load(self, now: float, inputs: RampInputs) -> None:
@@ -240,8 +240,8 @@
         target = inputs.baseline.capped_threshold if inputs.baseline.count else 1.0
         is_healthy = (
             inputs.threshold >= NEXT_THRESHOLD_RATIO * target
-            and self.measured.completions >= MIN_COMPLETIONS
-            and not self.measured.is_bad
+            and self.measurement.completions >= MIN_COMPLETIONS
+            and not self.measurement.is_bad
         )
         if not is_healthy:
             self._steady_since = None
@@ -253,7 +253,7 @@
 
     def _enter(self, now: float, stage: int, reason: str) -> None:
         self.stage = stage
-        self.measured = StageMeasurement(now)
+        self.measurement = StageMeasurement(now)
         self._steady_since = None
         self.history.append(RampEvent(now, self.load_fraction, reason))
         del self.history[1:-MAX_HISTORY]
--- a/ochrehoist/sites/site_health.py
+++ b/ochrehoist/sites/site_health.py
@@ -50,21 +50,22 @@
 class SiteMembership:
     """Counts of one site's workers by membership, and other workers' observations of the site.
 
-    `returning` counts the alive workers that are not at full service. `third_site_states` are the site's
-    states as reported by workers of third sites. `evidence` is the sum of all other workers' evidence.
+    `returning_count` is the number of alive workers that are not at full service. `third_site_states` are
+    the site's states as reported by workers of third sites. `evidence` is the sum of all other workers'
+    evidence.
     """
 
-    known: int
-    alive: int
-    left: int = 0
-    returning: int = 0
+    worker_count: int
+    alive_count: int
+    left_count: int = 0
+    returning_count: int = 0
     third_site_states: Sequence[str] = ()
     evidence: float = 0.0
 
     @property
     def is_silent(self) -> bool:
         """Whether no worker is alive, and not all have left gracefully."""
-        return not self.alive and self.left < self.known
+        return not self.alive_count and self.left_count < self.worker_count
 
 
 @dataclass(slots=True)
@@ -76,7 +77,7 @@
     """
 
     state: SiteState = SiteState.UP
-    since: float = 0.0
+    state_since: float = 0.0
     reason: str = ""
     silent_since: float | None = None
     evidence: float = 0.0
@@ -103,7 +104,7 @@
 class HealthChange:
     """A change of a site's state."""
 
-    at: float
+    changed_at: float
     site: str
     state: SiteState
     reason: str
@@ -130,8 +131,8 @@
         self._update_site_list(memberships, now)
         silent = [site for site, membership in memberships.items() if membership.is_silent]
         self._update_isolation(now, bool(memberships) and len(silent) == len(memberships))
-        missing = sum(memberships[site].known for site in silent)
-        total = own_workers + sum(membership.known for membership in memberships.values())
+        missing = sum(memberships[site].worker_count for site in silent)
+        total = own_workers + sum(membership.worker_count for membership in memberships.values())
         increase = total / max(1, total - missing) - 1  # of the load per worker if all silent sites are lost
         changes = [
             self._evaluate_site(site, membership, now, increase, load)
@@ -141,7 +142,7 @@
 
     def _update_site_list(self, memberships: Mapping[str, SiteMembership], now: float) -> None:
         for site in memberships:
-            self.sites.setdefault(site, SiteHealth(since=now))
+            self.sites.setdefault(site, SiteHealth(state_since=now))
         for site in [site for site in self.sites if site not in memberships]:
             del self.sites[site]
 
@@ -155,11 +156,11 @@
         self, site: str, membership: SiteMembership, now: float, increase: float, load: LoadSample
     ) -> HealthChange | None:
         health = self.sites[site]
-        if membership.alive:
+        if membership.alive_count:
             health.silent_since = None
             health.evidence = 0.0
             return self._evaluate_reachable_site(site, membership, now)
-        if membership.known and membership.left == membership.known:
+        if membership.worker_count and membership.left_count == membership.worker_count:
             return self._set_state(site, SiteState.AWAY, "all of its workers have left on purpose", now)
         self._add_evidence(health, now, increase, load)
         return self._evaluate_silent_site(site, membership, now)
@@ -201,17 +202,17 @@
         health = self.sites[site]
         if health.state is SiteState.LOST:
             return None
-        health.lost_at = [at for at in health.lost_at if now - at < FLAP_WINDOW_S] + [now]
+        health.lost_at = [loss_at for loss_at in health.lost_at if now - loss_at < FLAP_WINDOW_S] + [now]
         reason = f"silent for {silence_s:.1f} s, and its load comes here"
         return self._set_state(site, SiteState.LOST, reason, now)
 
     def _evaluate_reachable_site(
         self, site: str, membership: SiteMembership, now: float
     ) -> HealthChange | None:
-        if self.sites[site].state in ABSENT_STATES and membership.returning:
-            reason = f"{membership.returning} of its workers are coming back"
+        if self.sites[site].state in ABSENT_STATES and membership.returning_count:
+            reason = f"{membership.returning_count} of its workers are coming back"
             return self._set_state(site, SiteState.RETURNING, reason, now)
-        if 2 * membership.alive >= membership.known:
+        if 2 * membership.alive_count >= membership.worker_count:
             return self._set_state(site, SiteState.UP, "", now)
         return self._set_state(site, SiteState.DEGRADED, "less than half of its workers are heard", now)
 
@@ -222,7 +223,7 @@
         if health.state is state:
             return None
         health.state = state
-        health.since = now
+        health.state_since = now
         change = HealthChange(now, site, state, reason)
         self.changes.append(change)
         del self.changes[:-MAX_CHANGES]
@@ -237,8 +238,8 @@
     def requested_wait_s(self, site: str, now: float) -> float:
         """Returns how much longer a repeatedly lost site is asked to wait before it advances its ramp."""
         health = self.sites[site]
-        repeats = len([at for at in health.lost_at if now - at < FLAP_WINDOW_S]) - 1
+        repeats = len([loss_at for loss_at in health.lost_at if now - loss_at < FLAP_WINDOW_S]) - 1
         if repeats < 1 or health.state not in REACHABLE_STATES:
             return 0.0
         wait_s: float = min(MAX_FLAP_WAIT_S, FLAP_WAIT_S * 2 ** (repeats - 1))
-        return max(0.0, health.since + wait_s - now)
+        return max(0.0, health.state_since + wait_s - now)
--- a/ochrehoist/sites/status_view.py
+++ b/ochrehoist/sites/status_view.py
@@ -7,7 +7,7 @@
 from ochrehoist.sites.playbook import Playbook
 from ochrehoist.sites.site_report import STAGE_FULL_SERVICE, STAGE_UNPACED
 
-SHOWN_CHANGES = 20
+MAX_SHOWN_CHANGES = 20
 STAGE_NAMES = {STAGE_FULL_SERVICE: "full", STAGE_UNPACED: "together"}
 
 
@@ -18,27 +18,27 @@
     return {
         "site": coordinator.site,
         "asks_for": coordinator.load_fraction,
-        "returning": _recovery(coordinator, now),
-        "leaving": _evacuation(coordinator, now),
+        "returning": _recovery_section(coordinator, now),
+        "leaving": _evacuation_section(coordinator, now),
         "hears_no_other_for_s": None if isolated_since is None else round(now - isolated_since, 1),
-        **_gate(coordinator, now),
-        "sites": {site: _site(coordinator, site, now) for site in health.sites},
-        "own_workers": _workers(coordinator, coordinator.site),
-        "orders": _commands(coordinator, now),
-        "playbook": _playbook(coordinator),
+        **_gate_section(coordinator, now),
+        "sites": {site: _site_section(coordinator, site, now) for site in health.sites},
+        "own_workers": _workers_section(coordinator, coordinator.site),
+        "orders": _commands_section(coordinator, now),
+        "playbook": _playbook_section(coordinator),
         "changes": [
             {
-                "ago_s": round(now - change.at, 2),
+                "ago_s": round(now - change.changed_at, 2),
                 "site": change.site,
                 "state": str(change.state),
                 "why": change.reason,
             }
-            for change in health.changes[-SHOWN_CHANGES:]
+            for change in health.changes[-MAX_SHOWN_CHANGES:]
         ],
     }
 
 
-def _recovery(coordinator: SiteCoordinator, now: float) -> dict[str, Any] | None:
+def _recovery_section(coordinator: SiteCoordinator, now: float) -> dict[str, Any] | None:
     ramp = coordinator.pacing.recovery
     if ramp is None:
         return None
@@ -48,29 +48,29 @@
         "part": ramp.load_fraction,
         "together": ramp.is_unpaced,
         "for_s": round(now - ramp.started_at, 1),
-        "at_step_s": round(now - ramp.measured.started_at, 1),
+        "at_step_s": round(now - ramp.measurement.started_at, 1),
         "promised": round(ramp.expected_requests(coordinator.peers.baseline, now), 1),
-        "did": {"in_time": ramp.measured.good, "late_or_failed": ramp.measured.bad},
+        "did": {"in_time": ramp.measurement.good, "late_or_failed": ramp.measurement.bad},
         "taken_back": ramp.rollbacks,
         "waits_for": ramp.waits_for,
         "site_returns": coordinator.arbiter.site_returns,
         "permit": coordinator.arbiter.held_until > now,
         "held": ramp.is_held,
         "history": [
-            {"ago_s": round(now - event.at, 2), "part": event.load_fraction, "why": event.reason}
+            {"ago_s": round(now - event.changed_at, 2), "part": event.load_fraction, "why": event.reason}
             for event in ramp.history
         ],
     }
 
 
-def _evacuation(coordinator: SiteCoordinator, now: float) -> dict[str, Any] | None:
+def _evacuation_section(coordinator: SiteCoordinator, now: float) -> dict[str, Any] | None:
     ramp = coordinator.pacing.evacuation
     if ramp is None:
         return None
     return {"part": ramp.load_fraction, "why": ramp.reason, "for_s": round(now - ramp.started_at, 1)}
 
 
-def _gate(coordinator: SiteCoordinator, now: float) -> dict[str, Any]:
+def _gate_section(coordinator: SiteCoordinator, now: float) -> dict[str, Any]:
     gate = coordinator.gate
     threshold = coordinator.gate.threshold
     usual_rate = coordinator.usual_load.rate
@@ -95,22 +95,22 @@
     }
 
 
-def _site(coordinator: SiteCoordinator, site: str, now: float) -> dict[str, Any]:
+def _site_section(coordinator: SiteCoordinator, site: str, now: float) -> dict[str, Any]:
     health = coordinator.health.sites[site]
     return {
         "state": str(health.state),
-        "for_s": round(now - health.since, 1),
+        "for_s": round(now - health.state_since, 1),
         "why": health.reason,
         "losses": len(health.lost_at),
-        "workers": _workers(coordinator, site),
+        "workers": _workers_section(coordinator, site),
     }
 
 
-def _workers(coordinator: SiteCoordinator, site: str) -> dict[str, Any]:
-    return {peer.name: _worker(peer) for peer in coordinator.peers.of_site(site)}
+def _workers_section(coordinator: SiteCoordinator, site: str) -> dict[str, Any]:
+    return {peer.name: _worker_section(peer) for peer in coordinator.peers.in_site(site)}
 
 
-def _worker(peer: PeerWorker) -> dict[str, Any]:
+def _worker_section(peer: PeerWorker) -> dict[str, Any]:
     if peer.report is None:
         return {"state": peer.state}
     stage = peer.report.stage
@@ -123,7 +123,7 @@
     }
 
 
-def _commands(coordinator: SiteCoordinator, now: float) -> dict[str, Any]:
+def _commands_section(coordinator: SiteCoordinator, now: float) -> dict[str, Any]:
     return {
         site: {
             "word": str(command.kind),
@@ -136,13 +136,13 @@
     }
 
 
-def _playbook(coordinator: SiteCoordinator) -> dict[str, Any] | None:
+def _playbook_section(coordinator: SiteCoordinator) -> dict[str, Any] | None:
     playbook = coordinator.playbooks.current
     if playbook is None:
         return None
     older_at = [
         peer.name
-        for peer in coordinator.peers.all
+        for peer in coordinator.peers.workers
         if (report := peer.fresh_report) is not None and report.playbook.made < playbook.made_at
     ]
     return {
@@ -157,7 +157,7 @@
 def _worker_count_differences(coordinator: SiteCoordinator, playbook: Playbook) -> list[str]:
     """Describes each site for which the playbook lists another number of workers than membership."""
     worker_counts = {coordinator.site: 1}
-    for peer in coordinator.peers.all:
+    for peer in coordinator.peers.workers:
         worker_counts[peer.site] = worker_counts.get(peer.site, 0) + 1
     return [
         f"{site}: {len(addresses)} in the playbook, {worker_counts.get(site, 0)} here"
--- a/ochrehoist/sites/step_lease.py
+++ b/ochrehoist/sites/step_lease.py
@@ -130,7 +130,7 @@
     def _recovering(self, peers: PeerWorkers) -> list[str]:
         return [
             peer.name
-            for peer in peers.of_site(self._site)
+            for peer in peers.in_site(self._site)
             if peer.is_alive and (report := peer.fresh_report) is not None and not report.is_full_service
         ]
 
@@ -138,7 +138,7 @@
         """Whether peers report the site as lost or returning, or half of its workers are recovering."""
         if any(observation.state in AFTER_LOSS_STATES for observation in observations):
             return True
-        peer_count = len(peers.of_site(self._site))
+        peer_count = len(peers.in_site(self._site))
         return peer_count > 0 and 2 * (1 + len(self._recovering(peers))) >= 1 + peer_count
 
     def _is_first_recovering(self, peers: PeerWorkers) -> bool:
@@ -148,7 +148,7 @@
         return max(
             (
                 report.step_lease_ms / 1000 - peer.age_s
-                for peer in peers.of_site(self._site)
+                for peer in peers.in_site(self._site)
                 if (report := peer.fresh_report) is not None
             ),
             default=0.0,
--- a/ochrehoist/sites/usual_load.py
+++ b/ochrehoist/sites/usual_load.py
@@ -50,14 +50,14 @@
         weight = min(1.0, span_s / min(LEARNING_SPAN_S, max(span_s, self._learning_time_s)))
         self.rate += (rate - self.rate) * weight
 
-    def adopt(self, peers: PeerWorkers) -> None:
+    def adopt_peer_rate(self, peers: PeerWorkers) -> None:
         """Adopts the rate that peers report, for a worker that has just started.
 
         Workers of the same site are preferred to the observations of other sites.
         """
         rates = [
             report.usual_rate
-            for worker in peers.of_site(peers.own_site)
+            for worker in peers.in_site(peers.own_site)
             if (report := worker.fresh_report) is not None and report.usual_rate
         ]
         rates = rates or [
@@ -76,5 +76,7 @@
         """
         if not self.is_known:
             return None
-        own = peers.of_site(peers.own_site)
-        return self.rate * ((1 + len(own)) / (1 + sum(worker.may_be_alive for worker in own)))
+        own_site_peers = peers.in_site(peers.own_site)
+        return self.rate * (
+            (1 + len(own_site_peers)) / (1 + sum(worker.may_be_alive for worker in own_site_peers))
+        )
--- a/tests/sites/test_site_health.py
+++ b/tests/sites/test_site_health.py
@@ -27,7 +27,7 @@
         self.assertEqual(self.tick(0.4, {"b": self.ALL_DEAD}, 2.0), {"b": SiteState.UP})
         self.assertEqual(self.tick(1.5, {"b": self.ALL_DEAD}, 2.0), {"b": SiteState.LOST})
         self.assertEqual(
-            self.tick(1, {"b": SiteMembership(3, 1, returning=1)}, 2.0), {"b": SiteState.RETURNING}
+            self.tick(1, {"b": SiteMembership(3, 1, returning_count=1)}, 2.0), {"b": SiteState.RETURNING}
         )
         self.assertEqual(self.tick(1, {"b": self.ALL_ALIVE}, 1.0), {"b": SiteState.UP})
 
@@ -59,14 +59,14 @@
         self.assertIsNotNone(self.tracker.isolated_since)
 
     def test_a_gracefully_stopped_site_is_away_and_one_with_dead_workers_is_degraded(self):
-        self.assertEqual(self.tick(2, {"b": SiteMembership(3, 0, left=3)}, 2.0), {"b": SiteState.AWAY})
+        self.assertEqual(self.tick(2, {"b": SiteMembership(3, 0, left_count=3)}, 2.0), {"b": SiteState.AWAY})
         self.assertEqual(self.tick(2, {"b": SiteMembership(3, 1)}, 1.5), {"b": SiteState.DEGRADED})
 
     def test_a_repeatedly_lost_site_is_asked_to_wait_longer_each_time(self):
         waits_s = []
         for _ in range(3):
             self.tick(4, {"b": self.ALL_DEAD}, 2.0)
-            self.tick(0.2, {"b": SiteMembership(3, 3, returning=3)}, 1.0)
+            self.tick(0.2, {"b": SiteMembership(3, 3, returning_count=3)}, 1.0)
             waits_s.append(self.tracker.requested_wait_s("b", self.now))
             self.tick(3, {"b": self.ALL_ALIVE}, 1.0)
         self.assertEqual(waits_s[0], 0.0)
