--- a/ochrehoist/sites/admission_gate.py
+++ b/ochrehoist/sites/admission_gate.py
@@ -47,7 +47,7 @@
 
 
 class AdmissionGate:
-    """Implements the core's `FleetAdmission` and `RequestObserver` protocols.
+    """The load-shedding gate; it implements the core's `FleetAdmission` and `RequestObserver` protocols.
 
     `admitted` and `rejected` count decisions; `arrival_rate` is the rate of first attempts per second.
     """
--- a/ochrehoist/sites/coordinator.py
+++ b/ochrehoist/sites/coordinator.py
@@ -34,7 +34,7 @@
 
 
 class UnknownSiteError(OchrehoistError):
-    """An operator's command names a site that this worker does not know."""
+    """An operator's command for a site that this worker does not know."""
 
     def __init__(self, site: str, known_sites: list[str]) -> None:
         super().__init__(f"unknown site {site!r}; known sites: {known_sites}")
@@ -43,7 +43,7 @@
 
 
 class SiteCoordinator:
-    """Connects admission, health tracking, load pacing, operator commands and the playbook of one worker.
+    """The coordinator of one worker's admission, health tracking, load pacing, commands and playbook.
 
     Args:
         name: the name of this worker.
--- a/ochrehoist/sites/load_pacing.py
+++ b/ochrehoist/sites/load_pacing.py
@@ -15,7 +15,7 @@
 
 
 class LoadPacing:
-    """Combines recovery, evacuation and load shift into one load fraction.
+    """The load fraction of a worker, as set by its recovery, evacuation or load shift.
 
     At most one of `recovery` and `evacuation` is set; the load shift applies while neither is.
     """
--- a/ochrehoist/sites/playbook_exchange.py
+++ b/ochrehoist/sites/playbook_exchange.py
@@ -21,7 +21,7 @@
 
 
 class PlaybookExchange:
-    """Keeps the newest playbook among this worker's file and its peers' playbooks.
+    """The newest playbook among this worker's file and its peers' playbooks.
 
     Args:
         class_names: the classes that a playbook may name.
--- a/ochrehoist/sites/shedding_order.py
+++ b/ochrehoist/sites/shedding_order.py
@@ -87,7 +87,7 @@
 
 
 class SheddingOrder:
-    """Learns costs and rates, and ranks requests by them.
+    """The learned costs and rates of a worker, and the ranks of requests that follow from them.
 
     `class_costs` holds the learned core seconds per request by class, `spans` the ranks of each group.
     `beyond_quota_weight` scales the priority weight of requests beyond their tenant's quota.
--- a/ochrehoist/sites/site_health.py
+++ b/ochrehoist/sites/site_health.py
@@ -93,7 +93,10 @@
     span_s: float
 
     def evidence(self, increase: float) -> float:
-        """Returns the log-likelihood ratio of a load increased by the fraction `increase` to usual load."""
+        """Returns the log-likelihood ratio of the load being `increase` (a fraction) above the usual load.
+
+        The alternative is the usual load; 0 if that is not known.
+        """
         if self.usual_rate is None or increase <= 0:
             return 0.0
         expected_growth = self.usual_rate * self.span_s * increase
--- a/ochrehoist/sites/step_lease.py
+++ b/ochrehoist/sites/step_lease.py
@@ -99,7 +99,7 @@
 
 
 class StepArbiter:
-    """Decides whether this worker may enter the next stage of its ramp.
+    """The arbiter that decides whether this worker may enter the next stage of its ramp.
 
     A single returning worker needs no lease. If a whole site returns, its recovering worker with the first
     name acquires the fleet-wide lease, and the others rely on that worker's report.
--- a/ochrehoist/store/commit_scheduler.py
+++ b/ochrehoist/store/commit_scheduler.py
@@ -29,7 +29,7 @@
 
 
 class CommitListener(Protocol):
-    """Receives the outcomes of intents; its methods never block."""
+    """A receiver of the outcomes of intents; its methods never block."""
 
     def intent_durable(self, request_id: str) -> None:
         """Called when an intent is durable on this disk."""
@@ -65,7 +65,9 @@
 
 
 class CommitScheduler:
-    """Commits queued operations group by group; all methods are called on the loop and never block.
+    """The scheduler of group commits; its methods are called on the loop and do not wait for the disk.
+
+    `drain_without_loop` is the exception: it is called after the loop has ended, and waits.
 
     Args:
         loop: the worker's loop.
--- a/ochrehoist/store/expiry.py
+++ b/ochrehoist/store/expiry.py
@@ -28,9 +28,9 @@
     start `cold`, service rates measured on warm ones are dropped. If the clock was set back, the age is
     unknown: one half-life is assumed to have passed, and all caller state is dropped.
     """
-    elapsed = elapsed_ns(since, now)
-    decay = 0.5 ** ((half_life_ns if elapsed is None else elapsed) / half_life_ns)
-    downtime_ns = CALLER_STATE_LIFETIME_NS if elapsed is None else elapsed
+    age_ns = elapsed_ns(since, now)
+    decay = 0.5 ** ((half_life_ns if age_ns is None else age_ns) / half_life_ns)
+    downtime_ns = CALLER_STATE_LIFETIME_NS if age_ns is None else age_ns
     remaining = dict(learned)
     remaining.update(_decayed_estimates(learned, decay))
     remaining.update(_decayed_activity(learned, decay))
--- a/ochrehoist/store/export.py
+++ b/ochrehoist/store/export.py
@@ -154,7 +154,7 @@
         try:
             line = _decoder.decode(text)
             if isinstance(line, _HeaderLine) != (line_number == 1):
-                raise InvalidExportError(line_number, "the header must be the first line, and only that")
+                raise InvalidExportError(line_number, "the header must be the first line and occur only once")
             if isinstance(line, _HeaderLine):
                 snapshot = _snapshot_of_header(line)
             elif isinstance(line, _FinalLine):
@@ -194,8 +194,9 @@
 def merge_snapshots(local: StoreSnapshot, imported: StoreSnapshot, now: Timestamp) -> StoreSnapshot:
     """Returns the union of two snapshots, without requests whose window is over.
 
-    Of two runs of one request, a run with a result is preferred, then the one whose window ends later. If
-    both snapshots record a data loss, the one with the longer hold is kept. Local learned state is preferred.
+    Of two runs of one request, a run with a result is preferred, then the one whose window ends later. A data
+    loss in either snapshot is kept; of two losses, the one with the longer hold. The learned state is the
+    local one, or the imported one if there is no local one.
     """
 
     def remaining_ns(intent: IntentRecord) -> int:
--- a/ochrehoist/store/folder_opener.py
+++ b/ochrehoist/store/folder_opener.py
@@ -17,7 +17,10 @@
 
 
 class FolderOpener:
-    """Opens the folder, with short retries while another process has locked it, else with backoff.
+    """Repeated attempts to open a folder.
+
+    Retries follow at short intervals while another process holds the lock, and with exponential backoff after
+    other failures.
 
     Args:
         loop: the worker's loop.
--- a/ochrehoist/store/intent_confirmations.py
+++ b/ochrehoist/store/intent_confirmations.py
@@ -4,7 +4,7 @@
 
 
 class IntentConfirmations:
-    """Counts the outstanding confirmations of each attempt's intent; they may arrive in any order."""
+    """The outstanding confirmations of each attempt's intent, which may arrive in any order."""
 
     def __init__(self) -> None:
         self._missing: dict[str, int] = {}  # outstanding confirmations by request id
--- a/ochrehoist/store/journal.py
+++ b/ochrehoist/store/journal.py
@@ -1,7 +1,7 @@
 """The core's idempotency journal: keyed requests are recorded before they run, and restored after a restart.
 
-It runs on the loop and never blocks. `WriteQueue` decides what is written and when, `CommitScheduler` lets a
-thread write it by a `FolderSession`, and the outcomes are sent to the core as messages.
+It runs on the loop and never blocks. `WriteQueue` decides what is written and when, `CommitScheduler` has a
+thread write it through a `FolderSession`, and the outcomes are sent to the core as messages.
 """
 
 import gc
@@ -49,7 +49,7 @@
 
 
 class Journal:
-    """Implements `core.protocols.IdempotencyJournal` on a state folder.
+    """The implementation of `core.protocols.IdempotencyJournal` on a state folder.
 
     Args:
         loop: the worker's loop.
@@ -139,7 +139,7 @@
         return self._hold_until_ns
 
     def hold_unknown_keys_until(self, until_ns: int) -> None:
-        """Sets the time until which unknown requests are rejected, by the core's clock; 0: none are."""
+        """Sets the time until which unknown requests are rejected, by the core's clock; 0 ends the hold."""
         self._hold_until_ns = until_ns
 
     def is_history_uncertain(self) -> bool:
@@ -222,7 +222,10 @@
     # Outcomes from the replicator and the scheduler, which calls it as `commit_scheduler.CommitListener`.
 
     def replication_ended(self, request_id: str, confirmed: bool) -> None:
-        """Handles the end of an intent's replication; `confirmed` is false if replicas did not in time."""
+        """Handles the end of an intent's replication.
+
+        `confirmed` is false if too few replicas confirmed the intent in time.
+        """
         if confirmed:
             self._confirm(request_id)
         elif self._confirmations.abandon(request_id):
@@ -246,7 +249,7 @@
             self._owner.post(IntentRecorded(request_id, False, REJECTION_BACKOFF_NS))
 
     def rebuild_contents(self) -> RebuildContents:
-        """Returns the intents of all runs that have started and may have ended, and the other records."""
+        """Returns the loss, the learned state and the intents of all runs that have ended or are running."""
         runs = list(self._owner.idempotency.runs.items())
         live_ids = frozenset(self._owner.open_requests)
         recorder = self._recorder()
@@ -282,7 +285,7 @@
     def _opened(self, opened: OpenedFolder) -> None:
         self._session.use(opened.store)
         self._failures.clear()
-        if self._released:
+        if self._released:  # the process that replaces this one is waiting for the folder
             return
         self._report_condition(opened.store)
         self._learned = opened.store.learned
@@ -353,7 +356,7 @@
     def release(self) -> None:
         """Writes queued operations and releases the folder, for the process that replaces this one."""
         self._released = True
-        # Replicas no longer answer this process, so attempts that wait for them would never run.
+        # This process no longer receives confirmations, so attempts that wait for replicas would never run.
         self.intents_rejected(self._confirmations.waiting())
         self._scheduler.drain(time.monotonic() + FINAL_FLUSH_S, self._release_folder)
 
--- a/ochrehoist/store/journal_records.py
+++ b/ochrehoist/store/journal_records.py
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True)
 class IntentRecorder:
-    """Creates intent records as of one moment, given as `clock_ns` of the core's clock and as `now`.
+    """A factory of intent records as of one moment, given as `clock_ns` of the core's clock and as `now`.
 
     `windows_ns` holds the idempotency windows by class name.
     """
--- a/ochrehoist/store/learned_state_records.py
+++ b/ochrehoist/store/learned_state_records.py
@@ -18,7 +18,7 @@
 def restorable_state(
     record: LearnedStateRecord | None, half_life_s: float, cold: bool, log: Any
 ) -> LearnedState | None:
-    """Returns the still valid part of a snapshot; None if its layout is unsupported or it is corrupt."""
+    """Returns the part of a snapshot that is still valid; None if it is of another layout or corrupt."""
     if record is None or record.layout != learned_state.LAYOUT:
         return None
     half_life_ns = int(half_life_s * NS_PER_S)
--- a/ochrehoist/store/operations.py
+++ b/ochrehoist/store/operations.py
@@ -8,7 +8,7 @@
 
 @dataclass(slots=True)
 class PutIntent:
-    """Records that a request is about to run; replaces all records stored under its key.
+    """An operation that records an intent, and replaces all records stored under its key.
 
     `request_id` names the attempt that waits for the commit. It is empty if the run was started by a replaced
     process.
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True)
 class PutResult:
-    """Records the result of a request."""
+    """An operation that records the result of a request."""
 
     key: bytes
     record: ResultRecord
@@ -34,14 +34,14 @@
 
 @dataclass(slots=True)
 class DeleteIntent:
-    """Removes the records of a request that never ran, or whose window is over."""
+    """An operation that removes the records of a request that never ran, or whose window is over."""
 
     key: bytes
 
 
 @dataclass(slots=True)
 class PutNamed:
-    """Records data that belongs to no request, under one of the names in `database`."""
+    """An operation that records data that belongs to no request, under one of the names in `database`."""
 
     name: str
     record: NamedRecord
--- a/ochrehoist/store/timestamps.py
+++ b/ochrehoist/store/timestamps.py
@@ -50,5 +50,5 @@
     It is 0 once the window is over. If the clock was set back it is the whole window: a window that is too
     long only rejects requests, but one that is too short could let a request run twice.
     """
-    elapsed = elapsed_ns(since, now)
-    return window_ns if elapsed is None else max(0, remaining_ns - elapsed)
+    age_ns = elapsed_ns(since, now)
+    return window_ns if age_ns is None else max(0, remaining_ns - age_ns)
--- a/ochrehoist/store/write_queue.py
+++ b/ochrehoist/store/write_queue.py
@@ -19,7 +19,7 @@
 
 
 class WriteQueue:
-    """Decides what is written and when, and whether new keyed requests can be accepted.
+    """The queue that decides what is written and when, and whether new keyed requests can be accepted.
 
     Args:
         group_delay_s: how long the first intent of a group waits for others to join.
--- a/tests/store/test_failing_disk.py
+++ b/tests/store/test_failing_disk.py
@@ -66,7 +66,7 @@
         self.assertLess(time.monotonic() - started_at, 1.8)
         started_at = time.monotonic()
         self.send_filing(self.client, "later")
-        self.assertEqual(self.client.answer()[0], 503)
+        self.assertEqual(self.client.answer()[0], 503)  # rejected at once, since the stall is known
         self.assertIn("does not answer", self.store_status(self.program)["refuses"])
         self.assertLess(self.read(), 1.0)
         self.end_fault()
--- a/tests/store/worker_state_case.py
+++ b/tests/store/worker_state_case.py
@@ -26,7 +26,7 @@
 
 
 class WorkerStateTestCase(WorkerTestCase):
-    """Starts workers on one state folder, one after the other.
+    """A test case that starts workers on one state folder, one after the other.
 
     Subclasses can change the options of all workers, the folder in which the state folder is created, and
     further settings of the `[state]` table.
