--- a/ochrehoist/store/commit_scheduler.py
+++ b/ochrehoist/store/commit_scheduler.py
@@ -51,7 +51,7 @@
         self.reason = ""
         self._log = log
 
-    def failed(self, error: Exception) -> None:
+    def record_failure(self, error: Exception) -> None:
         """Records a failure, because of which keyed requests are rejected."""
         if str(error) != self.reason:
             self.reason = str(error)
@@ -168,7 +168,7 @@
         self.run()
 
     def _group_failed(self, error: Exception, kind: FailureKind, now: float) -> None:
-        self._failures.failed(error)
+        self._failures.record_failure(error)
         self._listener.intents_rejected(self._queue.failed(now, kind))
         self.run()
 
@@ -185,7 +185,7 @@
         if error is not None:
             self._group_failed(error, FailureKind.IO, time.monotonic())
             return
-        set_aside = self._session.rebuilt()
+        set_aside = self._session.finish_rebuild()
         self._queue.rebuilt()
         self._log.warning("store_rebuilt", set_aside=set_aside)
         self._failures.clear()
--- a/ochrehoist/store/folder_opener.py
+++ b/ochrehoist/store/folder_opener.py
@@ -79,9 +79,9 @@
     def _attempt_failed(self, error: Exception) -> None:
         locked = isinstance(error, StoreLockedError)
         if not locked:
-            self._failures.failed(error)
+            self._failures.record_failure(error)
         elif time.monotonic() - self._requested_at > LOCK_WAIT_LOGGED_S:
-            self._failures.failed(StoreLockedError(f"waits for the folder: in use by {error}"))
+            self._failures.record_failure(StoreLockedError(f"waits for the folder: in use by {error}"))
         if self._stopping:
             return
         if locked:
--- a/ochrehoist/store/folder_session.py
+++ b/ochrehoist/store/folder_session.py
@@ -1,7 +1,7 @@
 """A process's session with a state folder: the lock, the store and the commit watermark.
 
 Its methods may wait for the disk and are called one at a time on the journal's thread, except `use` and
-`rebuilt`, which are called on the loop.
+`finish_rebuild`, which are called on the loop.
 """
 
 from collections.abc import Callable, Sequence
@@ -100,7 +100,7 @@
         """Replaces a store that can no longer be trusted. Raises StoreFailedError."""
         rebuild_store(self._store_in_use(), self._config.max_mb, intents, loss, learned)
 
-    def rebuilt(self) -> str:
+    def finish_rebuild(self) -> str:
         """Writes the rebuilt store's watermark; returns the file name of the store set aside."""
         store = self._store_in_use()
         self._write_watermark(store.database.summary.commit_number)
--- a/ochrehoist/store/journal.py
+++ b/ochrehoist/store/journal.py
@@ -121,9 +121,9 @@
         except FileNotFoundError as error:
             raise InvalidInputError.in_setting(FOLDER_SETTING, f"{folder}: {error.strerror}") from None
         except StoreFailedError as error:
-            self._failures.failed(error)
+            self._failures.record_failure(error)
         except OSError as error:
-            self._failures.failed(store_failure(error))
+            self._failures.record_failure(store_failure(error))
 
     def register_restored_listener(self, listener: Callable[[], None]) -> None:
         """Registers a function that is called once the stored state was sent to the core."""
