--- a/benchmarks/scaling/peer_probes.py
+++ b/benchmarks/scaling/peer_probes.py
@@ -57,7 +57,9 @@
     coordinator = SiteCoordinator("worker-0001", "site-a", settings, None, 1.0, False)
     for number in range(size):
         tenant = f"tenant-{number:06}"
-        coordinator.gate.order.record_arrival((tenant, "class-0", number), "class-0", tenant, False, 1.0)
+        coordinator.gate.shedding_order.record_arrival(
+            (tenant, "class-0", number), "class-0", tenant, False, 1.0
+        )
     return {
         "datagram_bytes": len(coordinator.status_report(1.5)),
         "report_us": median_cpu_us(lambda: coordinator.status_report(1.5)),
--- a/ochrehoist/sites/admission_gate.py
+++ b/ochrehoist/sites/admission_gate.py
@@ -66,7 +66,7 @@
         self._health = health
         self._playbooks = playbooks
         self._pacing = pacing
-        self.order = SheddingOrder(
+        self.shedding_order = SheddingOrder(
             settings.classes, _tenant_table(settings, tenants), settings.over_quota_weight
         )
         self.threshold = AdmissionThreshold(settings.cores, _min_objective_s(settings))
@@ -81,7 +81,9 @@
     def configure(self, settings: AdmissionSettings, tenants: TenantTable | None) -> None:
         """Applies changed settings; learned costs and rates are kept."""
         self._settings = settings
-        self.order.configure(settings.classes, _tenant_table(settings, tenants), settings.over_quota_weight)
+        self.shedding_order.configure(
+            settings.classes, _tenant_table(settings, tenants), settings.over_quota_weight
+        )
         self.threshold.configure(settings.cores, _min_objective_s(settings))
 
     # Calls of the core.
@@ -95,25 +97,27 @@
         loss = self._active_loss()
         max_rank = self.rank_limit
         excluded = loss is not None and not loss.admits(
-            class_name, self.order.is_beyond_quota(identity, request.tenant, now_s), identity
+            class_name, self.shedding_order.is_beyond_quota(identity, request.tenant, now_s), identity
         )
         rank = 0.0
         if excluded or max_rank < 1:
-            rank = self.order.rank(identity, class_name, request.tenant, now_s)
+            rank = self.shedding_order.rank(identity, class_name, request.tenant, now_s)
         if not excluded and (max_rank >= 1 or rank < max_rank):
             self.admitted += 1
-            self._waiting_work[request.id] = self.order.cost(class_name) or 0.0
+            self._waiting_work[request.id] = self.shedding_order.cost(class_name) or 0.0
             return None
         self.rejected[class_name, RejectionCause.PLAYBOOK if excluded else RejectionCause.ORDER] += 1
         return self._rejection(identity, rank, loss)
 
     def _record_arrival(self, request: InboundRequest, identity: RequestIdentity, now_s: float) -> None:
         class_name = request.request_class.name
-        if not self.order.record_arrival(identity, class_name, request.tenant, request.is_retry, now_s):
+        if not self.shedding_order.record_arrival(
+            identity, class_name, request.tenant, request.is_retry, now_s
+        ):
             return
         self.arrival_rate.add(now_s, 1.0)
         self._arrivals += 1
-        cost = self.order.cost(class_name)
+        cost = self.shedding_order.cost(class_name)
         if cost is not None:
             self.threshold.record_arrival(cost, now_s)
 
@@ -122,7 +126,8 @@
         """The rank below which requests are admitted.
 
         It is this worker's threshold, limited to slightly more than the mean of its peers: otherwise a
-        caller could get a rejected request admitted by retrying at another worker.
+        caller could get a rejected request admitted by retrying at another worker. The limit does not apply
+        during a recovery, or while no peer is at full service.
         """
         baseline = self._peers.baseline
         if not baseline.count or self._pacing.recovery is not None:
@@ -165,10 +170,12 @@
         if succeeded and duration_ns > 0:
             core_share = min(1.0, self._settings.cores / concurrency)
             learning_rate = COST_LEARNING_RATE if recovery is None else COLD_COST_LEARNING_RATE
-            self.order.record_run(
+            self.shedding_order.record_run(
                 request.request_class.name, duration_ns / NS_PER_S * core_share, learning_rate
             )
-            self.threshold.record_completion(self.order.cost(request.request_class.name) or 0.0, now_s)
+            self.threshold.record_completion(
+                self.shedding_order.cost(request.request_class.name) or 0.0, now_s
+            )
         if recovery is not None:
             in_time = now_ns <= request.arrived_ns + request.request_class.latency_objective_ns
             recovery.record_completion(succeeded and in_time)
--- a/ochrehoist/sites/coordinator.py
+++ b/ochrehoist/sites/coordinator.py
@@ -17,7 +17,7 @@
 from ochrehoist.sites.peer_workers import PeerWorker, PeerWorkers
 from ochrehoist.sites.playbook import Playbook
 from ochrehoist.sites.playbook_exchange import PlaybookExchange
-from ochrehoist.sites.shedding_order import FleetAverages
+from ochrehoist.sites.shedding_order import FleetAggregates
 from ochrehoist.sites.site_events import SiteEvent, SiteEventName
 from ochrehoist.sites.site_health import LoadSample, SiteHealthTracker, SiteMembership
 from ochrehoist.sites.site_report import (
@@ -106,8 +106,8 @@
         span_s = now - self._last_tick_at
         self._last_tick_at = now
         self.peers.update(list(peers))
-        self.gate.order.set_averages(self._fleet_averages(now))
-        self.gate.order.refresh(now)
+        self.gate.shedding_order.set_aggregates(self._fleet_aggregates(now))
+        self.gate.shedding_order.refresh(now)
         self.gate.update_threshold(now)
         self._track_health(now, span_s)
         self._merge_commands(now)
@@ -117,16 +117,16 @@
         if self.pacing.recovery is None:
             self.arbiter.lease.release()
 
-    def _fleet_averages(self, now: float) -> FleetAverages:
-        tenant_rates = self.gate.order.tenant_rates(now)
-        costs = {class_name: [cost] for class_name, cost in self.gate.order.class_costs.items()}
+    def _fleet_aggregates(self, now: float) -> FleetAggregates:
+        tenant_rates = self.gate.shedding_order.tenant_rates(now)
+        costs = {class_name: [cost] for class_name, cost in self.gate.shedding_order.class_costs.items()}
         for report in self.peers.fresh_reports():
             for tenant, rate in report.tenant_rates.items():
                 tenant_rates[tenant] = tenant_rates.get(tenant, 0) + rate
             for class_name, cost in report.class_costs.items():
                 costs.setdefault(class_name, []).append(cost)
         means = {class_name: sum(values) / len(values) for class_name, values in costs.items()}
-        return FleetAverages(means, tenant_rates)
+        return FleetAggregates(means, tenant_rates)
 
     def _track_health(self, now: float, span_s: float) -> None:
         workers_by_site = self.peers.by_other_site()
@@ -201,9 +201,10 @@
             step_lease_ms=max(0, int(1000 * (self.arbiter.held_until - now))),
             observations=[self._observation(site, now) for site in self.health.sites],
             commands=self.commands.entries(now),
-            class_costs={name: round(cost, 6) for name, cost in gate.order.class_costs.items()},
+            class_costs={name: round(cost, 6) for name, cost in gate.shedding_order.class_costs.items()},
             tenant_rates={
-                tenant: round(rate, 2) for tenant, rate in gate.order.reported_tenant_rates(now).items()
+                tenant: round(rate, 2)
+                for tenant, rate in gate.shedding_order.reported_tenant_rates(now).items()
             },
             playbook=self.playbooks.version,
         )
--- a/ochrehoist/sites/recovery_ramp.py
+++ b/ochrehoist/sites/recovery_ramp.py
@@ -29,7 +29,7 @@
 BACKOFF_S = 0.5  # delay after a rollback; doubled with each further one
 MAX_BACKOFF_S = 3.0
 PEER_DISCOVERY_S = 1.5  # a worker that has just started waits this long for its peers' reports
-STEADY_S = 1.0  # the last stage must go well for this long before the ramp is complete
+STEADY_S = 1.0  # the worker must be healthy at full load for this long before the ramp is complete
 MAX_HISTORY = 50
 
 
@@ -157,7 +157,7 @@
             self._evaluate_next_stage(now, inputs)
 
     def _evaluate_without_baseline(self, now: float, inputs: RampInputs) -> None:
-        """Requests the full load if no peer is at full service: there is no load to take a fraction of."""
+        """Requests the full load if no peer is at full service: fractions have no reference load then."""
         if self.is_unpaced:
             self._evaluate_full_load(now, inputs)
         elif now - self.started_at < PEER_DISCOVERY_S:
@@ -236,7 +236,7 @@
         return None
 
     def _evaluate_full_load(self, now: float, inputs: RampInputs) -> None:
-        """Completes the ramp once the full load has gone well for STEADY_S."""
+        """Completes the ramp once the worker has been healthy at full load for STEADY_S."""
         target = inputs.baseline.capped_threshold if inputs.baseline.count else 1.0
         is_healthy = (
             inputs.threshold >= NEXT_THRESHOLD_RATIO * target
--- a/ochrehoist/sites/shedding_order.py
+++ b/ochrehoist/sites/shedding_order.py
@@ -43,7 +43,7 @@
     beyond_quota: bool
 
 
-class RankSpan(NamedTuple):
+class RankRange(NamedTuple):
     """The ranks of one group: from `start` to `start + width`."""
 
     start: float
@@ -65,7 +65,7 @@
 
 
 @dataclass(slots=True)
-class FleetAverages:
+class FleetAggregates:
     """Aggregates of all workers' reports.
 
     `class_costs` holds the mean cost of each class in core seconds, `tenant_rates` the requests per second
@@ -89,7 +89,7 @@
 class SheddingOrder:
     """The learned costs and rates of a worker, and the ranks of requests that follow from them.
 
-    `class_costs` holds the learned core seconds per request by class, `spans` the ranks of each group.
+    `class_costs` holds the learned core seconds per request by class, `rank_ranges` the ranks of each group.
     `beyond_quota_weight` scales the priority weight of requests beyond their tenant's quota.
     """
 
@@ -97,8 +97,8 @@
         self, classes: Iterable[RequestClass], tenants: TenantTable, beyond_quota_weight: float
     ) -> None:
         self.class_costs: dict[str, float] = {}
-        self.averages = FleetAverages({}, {})
-        self.spans: dict[SheddingGroup, RankSpan] = {}
+        self.aggregates = FleetAggregates({}, {})
+        self.rank_ranges: dict[SheddingGroup, RankRange] = {}
         self._work_rates: dict[SheddingGroup, DecayingRate] = {}
         self._tenant_rates: dict[str, DecayingRate] = {}
         self._last_seen: dict[tuple[object, ...], float] = {}  # by identity, oldest first
@@ -118,11 +118,11 @@
         self._work_rates = {
             group: rate for group, rate in self._work_rates.items() if group.class_name in self.classes
         }
-        self.spans = {}
+        self.rank_ranges = {}
 
-    def set_averages(self, averages: FleetAverages) -> None:
+    def set_aggregates(self, aggregates: FleetAggregates) -> None:
         """Replaces the aggregates of the fleet's reports."""
-        self.averages = averages
+        self.aggregates = aggregates
 
     # Learning.
 
@@ -137,11 +137,11 @@
 
     def cost(self, class_name: str) -> float | None:
         """Returns the mean cost by this worker's own runs, or by the fleet's if it has not run any."""
-        return self.class_costs.get(class_name) or self.averages.class_costs.get(class_name)
+        return self.class_costs.get(class_name) or self.aggregates.class_costs.get(class_name)
 
     def agreed_cost(self, class_name: str) -> float | None:
         """Returns the fleet's mean cost, which all workers use for ranking regardless of their own speed."""
-        return self.averages.class_costs.get(class_name) or self.class_costs.get(class_name)
+        return self.aggregates.class_costs.get(class_name) or self.class_costs.get(class_name)
 
     def record_arrival(
         self,
@@ -185,7 +185,7 @@
         if tenant_settings is None or tenant is None:
             return False
         quota = tenant_settings.quota_per_s
-        rate = self.averages.tenant_rates.get(tenant, 0.0)
+        rate = self.aggregates.tenant_rates.get(tenant, 0.0)
         own_rate = self._tenant_rates.get(tenant)
         rate = max(rate, own_rate.read(now) if own_rate is not None else 0.0)
         return rate > quota and hash_fraction("share", *identity) >= quota / rate
@@ -204,7 +204,7 @@
     def refresh(self, now: float) -> None:
         """Recomputes the rank range of each group, in proportion to its work; called at each tick."""
         self._expire_recent_requests(now)
-        self.spans = {}
+        self.rank_ranges = {}
         work = {
             group: rate.read(now)
             for group, rate in self._work_rates.items()
@@ -219,7 +219,7 @@
         start = 0.0
         for _, groups in sorted(groups_by_level.items()):
             width = sum(work[group] for group in groups) / total
-            self.spans |= dict.fromkeys(groups, RankSpan(start, width))
+            self.rank_ranges |= dict.fromkeys(groups, RankRange(start, width))
             start += width
 
     def _expire_recent_requests(self, now: float) -> None:
@@ -232,10 +232,10 @@
     def rank(self, identity: tuple[object, ...], class_name: str, tenant: str | None, now: float) -> float:
         """Returns the rank of a request, from 0 to 1; 0 if its group has no measured work yet."""
         group = self._group(class_name, self.is_beyond_quota(identity, tenant, now))
-        span = self.spans.get(group)
-        if span is None:
+        rank_range = self.rank_ranges.get(group)
+        if rank_range is None:
             return 0.0
-        return span.start + span.width * hash_fraction(*identity)
+        return rank_range.start + rank_range.width * hash_fraction(*identity)
 
     # Reporting.
 
--- a/ochrehoist/sites/site_health.py
+++ b/ochrehoist/sites/site_health.py
@@ -134,9 +134,10 @@
         self._update_site_list(memberships, now)
         silent = [site for site, membership in memberships.items() if membership.is_silent]
         self._update_isolation(now, bool(memberships) and len(silent) == len(memberships))
-        missing = sum(memberships[site].worker_count for site in silent)
-        total = own_workers + sum(membership.worker_count for membership in memberships.values())
-        increase = total / max(1, total - missing) - 1  # of the load per worker if all silent sites are lost
+        missing_workers = sum(memberships[site].worker_count for site in silent)
+        total_workers = own_workers + sum(membership.worker_count for membership in memberships.values())
+        # The load per worker grows by this fraction if all silent sites are lost.
+        increase = total_workers / max(1, total_workers - missing_workers) - 1
         changes = [
             self._evaluate_site(site, membership, now, increase, load)
             for site, membership in memberships.items()
--- a/ochrehoist/sites/status_view.py
+++ b/ochrehoist/sites/status_view.py
@@ -74,7 +74,7 @@
     gate = coordinator.gate
     threshold = coordinator.gate.threshold
     usual_rate = coordinator.usual_load.rate
-    spans = sorted(gate.order.spans.items(), key=lambda item: item[1])
+    rank_ranges = sorted(gate.shedding_order.rank_ranges.items(), key=lambda item: item[1])
     return {
         "level": round(threshold.value, 3),
         "offered": round(threshold.offered_work(now), 3),
@@ -87,10 +87,10 @@
             {
                 "class": group.class_name,
                 "beyond": group.beyond_quota,
-                "from": round(span.start, 3),
-                "to": round(span.start + span.width, 3),
+                "from": round(rank_range.start, 3),
+                "to": round(rank_range.start + rank_range.width, 3),
             }
-            for group, span in spans
+            for group, rank_range in rank_ranges
         ],
     }
 
--- a/tests/sites/site_classes.py
+++ b/tests/sites/site_classes.py
@@ -2,7 +2,7 @@
 
 from ochrehoist.admission.settings import Idempotency, RequestClass, Tenant
 from ochrehoist.core.tenants import initial_table
-from ochrehoist.sites.shedding_order import FleetAverages, SheddingOrder
+from ochrehoist.sites.shedding_order import FleetAggregates, SheddingOrder
 
 S = 1_000_000_000
 
@@ -34,7 +34,7 @@
     order = SheddingOrder((READ, REFRESH, FILING), initial_table(tenants), 0.1)
     for request_class, cost in zip((READ, REFRESH, FILING), costs, strict=True):
         order.record_run(request_class.name, cost)
-    order.set_averages(FleetAverages({}, {"acme": rate}))
+    order.set_aggregates(FleetAggregates({}, {"acme": rate}))
     for number in range(300):
         for request_class in (READ, REFRESH, FILING):
             order.record_arrival(
--- a/tests/sites/test_shedding_order.py
+++ b/tests/sites/test_shedding_order.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ochrehoist.sites.shedding_order import FleetAverages
+from ochrehoist.sites.shedding_order import FleetAggregates
 from tests.sites.site_classes import make_order
 
 
@@ -22,14 +22,14 @@
         self.assertLess(max(ranks["filing"]), min(ranks["read"] + ranks["refresh"]))
         self.assertTrue(min(map(min, ranks.values())) >= 0 and max(map(max, ranks.values())) < 1 + 1e-9)
         if abs(math.log(costs[0] / costs[1])) < 1e-3:
-            self.assertEqual(order.spans["read", False], order.spans["refresh", False])
+            self.assertEqual(order.rank_ranges["read", False], order.rank_ranges["refresh", False])
 
     @given(st.floats(0.9, 1.1), st.floats(0.2, 0.9))
     def test_workers_with_slightly_different_measurements_reject_the_same_requests(self, noise, threshold):
         fleet_costs = {"read": 0.1, "refresh": 0.1, "filing": 0.1}
         exact, noisy = make_order(), make_order((0.1 * noise, 0.1, 0.1 / noise))
         for order in (exact, noisy):
-            order.set_averages(FleetAverages(fleet_costs, {}))
+            order.set_aggregates(FleetAggregates(fleet_costs, {}))
             order.refresh(3.0)
         identities = [("", "read", n) for n in range(400)]
         admitted = [
