--- a/ochrehoist/sites/admission_threshold.py
+++ b/ochrehoist/sites/admission_threshold.py
@@ -1,9 +1,9 @@
 """The admission threshold: the rank of the shedding order up to which a worker admits requests.
 
-Offered work is the sum of the mean run times of the arriving requests' classes, in core seconds. Capacity is
-the completed work, measured while all cores are busy. The threshold is the ratio of capacity to offered work,
-corrected by the backlog: a short backlog keeps the cores busy, a longer one only adds latency. No I/O; times
-are in seconds.
+Offered work is the sum of the mean run times of the arriving requests' classes, in core seconds per second.
+Capacity is the completed work per second, measured while all cores are busy. The threshold is the ratio of
+capacity to offered work, corrected by the backlog: a short backlog keeps the cores busy, a longer one only
+adds latency. No I/O; times are in seconds.
 """
 
 from ochrehoist.sites.rates import DecayingRate
--- a/tests/store/test_damage.py
+++ b/tests/store/test_damage.py
@@ -27,11 +27,8 @@
         }
         for changes, expected_condition, expected_set_aside in (
             ({}, StoreCondition.SOUND, False),
-            (
-                {"last_commit_number": 6},
-                StoreCondition.SOUND,
-                False,
-            ),  # it may lag, being written without sync
+            # The watermark is written without a sync, so it may lag behind.
+            ({"last_commit_number": 6}, StoreCondition.SOUND, False),
             ({"last_commit_number": None, "has_marker": False}, StoreCondition.SOUND, False),
             ({"has_marker": False, "has_store": False}, StoreCondition.FIRST_START, False),
             ({"has_store": False}, StoreCondition.LOST, False),
--- a/tests/store/test_disk_errors.py
+++ b/tests/store/test_disk_errors.py
@@ -20,7 +20,7 @@
     """A database on a disk that fails selected writes and syncs."""
 
     def open_on_failing_disk(self, fail):
-        """Opens the store on a disk that calls `fail(operation, number)` before each operation."""
+        """Opens the store on a disk that calls `fail` with each write, truncation or sync and its number."""
         self.open().database.close()
         self.disk = PowerLossDisk(fail)
         self.addCleanup(self.disk.unregister)
