--- a/ochrehoist/sites/coordinator.py
+++ b/ochrehoist/sites/coordinator.py
@@ -17,7 +17,7 @@
 from ochrehoist.sites.peer_workers import PeerWorker, PeerWorkers
 from ochrehoist.sites.playbook import Playbook
 from ochrehoist.sites.playbook_exchange import PlaybookExchange
-from ochrehoist.sites.shedding_order import FleetAverages
+from ochrehoist.sites.shedding_order import FleetAggregates
 from ochrehoist.sites.site_events import SiteEvent, SiteEventName
 from ochrehoist.sites.site_health import LoadSample, SiteHealthTracker, SiteMembership
 from ochrehoist.sites.site_report import (
@@ -34,7 +34,7 @@
 
 
 class UnknownSiteError(OchrehoistError):
-    """An operator's command names a site that this worker does not know."""
+    """An operator's command for a site that this worker does not know."""
 
     def __init__(self, site: str, known_sites: list[str]) -> None:
         super().__init__(f"unknown site {site!r}; known sites: {known_sites}")
@@ -43,7 +43,7 @@
 
 
 class SiteCoordinator:
-    """Connects admission, health tracking, load pacing, operator commands and the playbook of one worker.
+    """The coordinator of one worker's admission, health tracking, load pacing, commands and playbook.
 
     Args:
         name: the name of this worker.
@@ -69,7 +69,7 @@
     ) -> None:
         self.name = name
         self.site = site
-        self._ticked_at = now
+        self._last_tick_at = now
         self._events: deque[SiteEvent] = deque(maxlen=MAX_PENDING_EVENTS)
         self.peers = PeerWorkers(site)
         self.health = SiteHealthTracker()
@@ -103,11 +103,11 @@
 
     def tick(self, now: float, peers: Sequence[PeerWorker]) -> None:
         """Updates all components; called every `admission_threshold.TICK_INTERVAL_S`."""
-        span_s = now - self._ticked_at
-        self._ticked_at = now
+        span_s = now - self._last_tick_at
+        self._last_tick_at = now
         self.peers.update(list(peers))
-        self.gate.order.set_averages(self._fleet_averages(now))
-        self.gate.order.refresh(now)
+        self.gate.shedding_order.set_aggregates(self._fleet_aggregates(now))
+        self.gate.shedding_order.refresh(now)
         self.gate.update_threshold(now)
         self._track_health(now, span_s)
         self._merge_commands(now)
@@ -117,30 +117,30 @@
         if self.pacing.recovery is None:
             self.arbiter.lease.release()
 
-    def _fleet_averages(self, now: float) -> FleetAverages:
-        tenant_rates = self.gate.order.tenant_rates(now)
-        costs = {class_name: [cost] for class_name, cost in self.gate.order.class_costs.items()}
+    def _fleet_aggregates(self, now: float) -> FleetAggregates:
+        tenant_rates = self.gate.shedding_order.tenant_rates(now)
+        costs = {class_name: [cost] for class_name, cost in self.gate.shedding_order.class_costs.items()}
         for report in self.peers.fresh_reports():
             for tenant, rate in report.tenant_rates.items():
                 tenant_rates[tenant] = tenant_rates.get(tenant, 0) + rate
             for class_name, cost in report.class_costs.items():
                 costs.setdefault(class_name, []).append(cost)
         means = {class_name: sum(values) / len(values) for class_name, values in costs.items()}
-        return FleetAverages(means, tenant_rates)
+        return FleetAggregates(means, tenant_rates)
 
     def _track_health(self, now: float, span_s: float) -> None:
-        workers_by_site = self.peers.of_other_sites()
+        workers_by_site = self.peers.by_other_site()
         arrivals = self.gate.take_arrivals()
         self.usual_load.update_sites(workers_by_site)
         if self._all_at_full_load():
             self.usual_load.learn(arrivals, span_s)
         elif not self.usual_load.is_known:
-            self.usual_load.adopt(self.peers)
+            self.usual_load.adopt_peer_rate(self.peers)
         load = LoadSample(arrivals, self.usual_load.expected_rate(self.peers), span_s)
         memberships = {
             site: self._membership(site, workers) for site, workers in workers_by_site.items() if site
         }
-        own_workers = 1 + len(self.peers.of_site(self.site))
+        own_workers = 1 + len(self.peers.in_site(self.site))
         for change in self.health.tick(now, memberships, own_workers, load):
             fields: dict[str, object] = {
                 "site": change.site,
@@ -156,18 +156,20 @@
 
     def _membership(self, site: str, workers: Sequence[PeerWorker]) -> SiteMembership:
         reported = self.peers.observations_of(site)
-        own_site_names = {peer.name for peer in self.peers.of_site(self.site)}
+        own_site_worker_names = {peer.name for peer in self.peers.in_site(self.site)}
         return SiteMembership(
-            known=len(workers),
-            alive=sum(worker.is_alive for worker in workers),
-            left=sum(worker.has_left for worker in workers),
-            returning=sum(worker.is_recovering for worker in workers),
-            third_site_states=[r.observation.state for r in reported if r.worker not in own_site_names],
+            worker_count=len(workers),
+            alive_count=sum(worker.is_alive for worker in workers),
+            left_count=sum(worker.has_left for worker in workers),
+            returning_count=sum(worker.is_recovering for worker in workers),
+            third_site_states=[
+                r.observation.state for r in reported if r.worker not in own_site_worker_names
+            ],
             evidence=sum(r.observation.evidence for r in reported),
         )
 
     def _merge_commands(self, now: float) -> None:
-        for peer in self.peers.all:
+        for peer in self.peers.workers:
             if peer.report is not None:
                 self.commands.merge(peer.report.commands, peer.age_s, now)
 
@@ -199,9 +201,10 @@
             step_lease_ms=max(0, int(1000 * (self.arbiter.held_until - now))),
             observations=[self._observation(site, now) for site in self.health.sites],
             commands=self.commands.entries(now),
-            class_costs={name: round(cost, 6) for name, cost in gate.order.class_costs.items()},
+            class_costs={name: round(cost, 6) for name, cost in gate.shedding_order.class_costs.items()},
             tenant_rates={
-                tenant: round(rate, 2) for tenant, rate in gate.order.reported_tenant_rates(now).items()
+                tenant: round(rate, 2)
+                for tenant, rate in gate.shedding_order.reported_tenant_rates(now).items()
             },
             playbook=self.playbooks.version,
         )
