--- a/ochrehoist/lab/hollow/empty_process.py
+++ b/ochrehoist/lab/hollow/empty_process.py
@@ -47,6 +47,6 @@
     def _finish(self, started: float, report: Callable[[EmptyProcessCost], None]) -> None:
         cpu_s = time.process_time() - started
         for sock in self._sockets:
-            self._loop.forget(sock.fileno())
+            self._loop.unwatch(sock.fileno())
             sock.close()
         report(EmptyProcessCost(cpu_s, self._duration_s))
--- a/ochrehoist/lab/hollow/worker.py
+++ b/ochrehoist/lab/hollow/worker.py
@@ -92,7 +92,7 @@
 
     __slots__ = ()
 
-    def forget_waiter(self) -> None:
+    def clear_waiter(self) -> None:
         """The task that waits, if any, is not woken any more, by a timeout neither."""
         self._waiter = None
 
@@ -188,7 +188,7 @@
         """Ends it as SIGKILL would: no member is notified."""
         self.ended = True
         self.peers.transport.close()
-        self._waker.forget_waiter()
+        self._waker.clear_waiter()
         self._task.throw()  # GreenletExit
 
     # Requests, of which its parts are only notified.
--- a/ochrehoist/net/__init__.py
+++ b/ochrehoist/net/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets: the scheduler, buffered streams, fronts, executors and signals."""
+"""Network I/O: the event loop, buffered streams, protocol fronts, executors, and links to other processes."""
--- a/ochrehoist/net/ajp.py
+++ b/ochrehoist/net/ajp.py
@@ -87,8 +87,8 @@
 ATTRIBUTE_SECRET = 0x0C
 ATTRIBUTE_STORED_METHOD = 0x0D
 ATTRIBUTES_END = 0xFF
-NO_STRING = 0xFFFF  # in place of a length
-CODED_HEADER = 0xA0  # the high byte of a header's code
+NULL_STRING_LENGTH = 0xFFFF  # in place of a length
+CODED_HEADER_PREFIX = 0xA0  # the high byte of a header's code
 MAX_CONTENT_LENGTH_DIGITS = 15
 
 _U16 = struct.Struct(">H")
@@ -154,7 +154,7 @@
     def read_string(self) -> bytes | None:
         """A string; None where there is none, which is not the same as an empty one."""
         size = self.read_u16()
-        if size == NO_STRING:
+        if size == NULL_STRING_LENGTH:
             return None
         data = self.read_bytes(size + 1)
         if data[-1]:
@@ -164,7 +164,7 @@
     def read_header(self) -> tuple[bytes, bytes]:
         """Name, in lower case, and value of a request header."""
         size = self.read_u16()
-        if size >> 8 == CODED_HEADER:
+        if size >> 8 == CODED_HEADER_PREFIX:
             code = size & 0xFF
             if not 0 < code < len(REQUEST_HEADERS):
                 raise MalformedPacketError(PacketFault.UNKNOWN_HEADER_CODE, code)
@@ -212,8 +212,8 @@
         if self.secret is not None:
             start, end = self.secret_span
             kept = self.packet[:start] + self.packet[end : self.attributes_end]
-        own_secret = bytes((ATTRIBUTE_SECRET,)) + encode_string(secret) if secret else b""
-        return kept + own_secret + bytes((ATTRIBUTES_END,))
+        secret_attribute = bytes((ATTRIBUTE_SECRET,)) + encode_string(secret) if secret else b""
+        return kept + secret_attribute + bytes((ATTRIBUTES_END,))
 
 
 @dataclass(slots=True)
@@ -319,7 +319,7 @@
     status = reader.read_u16()
     reader.read_string()  # reason
     for _ in range(reader.read_u16()):
-        if reader.read_u16() >> 8 != CODED_HEADER:
+        if reader.read_u16() >> 8 != CODED_HEADER_PREFIX:
             reader.position -= 2
             reader.read_string()
         reader.read_string()
--- a/ochrehoist/net/ajp_connection.py
+++ b/ochrehoist/net/ajp_connection.py
@@ -16,7 +16,7 @@
 from ochrehoist.net import ajp
 from ochrehoist.net.ajp_reader import AjpReader, CheckedRequest, RequestRejectedError
 from ochrehoist.net.ajp_server import read_packet
-from ochrehoist.net.front import MESSAGE_TIMEOUT_S, FrontConnection, FrontContext
+from ochrehoist.net.front import MESSAGE_ARRIVAL_TIMEOUT_S, FrontConnection, FrontContext
 from ochrehoist.net.loop import Loop
 from ochrehoist.net.stream import ConnectionClosedError, Stream, StreamTimeoutError
 from ochrehoist.units import NS_PER_S
@@ -183,12 +183,12 @@
         if not self.stream.buffer:
             timeout_s = self._front.config.idle_timeout_s
             if not self.has_sent_packet:
-                timeout_s = min(timeout_s, MESSAGE_TIMEOUT_S)
+                timeout_s = min(timeout_s, MESSAGE_ARRIVAL_TIMEOUT_S)
             self.stream.read_more(started_s + timeout_s)
         now_s = time.monotonic()
         if self.has_sent_packet:
             started_s = now_s
-        remaining_s = started_s + MESSAGE_TIMEOUT_S - now_s
+        remaining_s = started_s + MESSAGE_ARRIVAL_TIMEOUT_S - now_s
         return read_packet(self.stream, ajp.TO_CONTAINER, self._packet_size, remaining_s)
 
     def _handle_packet(self, packet: bytes, arrived_ns: int) -> bool:
@@ -202,7 +202,7 @@
             self._handle_request(ajp.parse_forward(packet), arrived_ns)
             self.busy = False
             self._set_body_bytes(0)
-            self.used_at_s = time.monotonic()
+            self.last_used_at_s = time.monotonic()
         elif kind == ajp.CPING:
             if not self._front.core.healthy:
                 return False  # no answer: the balancer takes this worker for down
--- a/ochrehoist/net/ajp_front.py
+++ b/ochrehoist/net/ajp_front.py
@@ -10,7 +10,13 @@
 from ochrehoist.core.protocols import AdmissionFilter, Executor, Logger
 from ochrehoist.net.ajp_connection import AjpConnection
 from ochrehoist.net.ajp_reader import AjpReader
-from ochrehoist.net.front import FRESH_S, SILENT_S, SLOW_START_S, STALLED_S, Front
+from ochrehoist.net.front import (
+    EVICTABLE_AFTER_ACCEPT_S,
+    SILENT_AFTER_LAST_BYTE_S,
+    SLOW_AFTER_ACCEPT_S,
+    STALLED_AFTER_LAST_BYTE_S,
+    Front,
+)
 from ochrehoist.net.loop import Loop
 from ochrehoist.net.stream import Stream
 
@@ -20,7 +26,7 @@
 class EvictionRank(IntEnum):
     """Which connections are closed first where there are too many: those that are missed least."""
 
-    LEAVING = 0
+    CLOSING = 0
     STALLED = 1
     NEW = 2
     IDLE = 3
@@ -103,7 +109,7 @@
     # ---- connections
     def _open_connection(self, sock: socket.socket) -> tuple[AjpConnection, Callable[[], None]]:
         stream = Stream(self.loop, sock, self.config.max_response * 2 + UNSENT_ALLOWANCE_BYTES)
-        connection = AjpConnection(self, self.loop, stream, next(self._numbers))
+        connection = AjpConnection(self, self.loop, stream, next(self._connection_ids))
         return connection, connection.run
 
     def _can_evict(self, connection: AjpConnection, now_s: float) -> bool:
@@ -112,25 +118,25 @@
         if connection.has_sent_packet:  # what has arrived is a request
             return not connection.stream.buffer
         # On a connection just accepted the first request may be here, and not read yet.
-        return now_s - connection.used_at_s > FRESH_S
+        return now_s - connection.last_used_at_s > EVICTABLE_AFTER_ACCEPT_S
 
     def _eviction_rank(self, connection: AjpConnection, now_s: float) -> tuple[EvictionRank, float]:
         stream = connection.stream
-        max_silence_s = STALLED_S if stream.buffer else SILENT_S
+        max_silence_s = STALLED_AFTER_LAST_BYTE_S if stream.buffer else SILENT_AFTER_LAST_BYTE_S
         if stream.half_closed:
-            rank = EvictionRank.LEAVING
+            rank = EvictionRank.CLOSING
         elif connection.has_sent_packet:
             rank = EvictionRank.IDLE
         elif now_s - stream.received_at_s > max_silence_s:
             rank = EvictionRank.STALLED
-        elif stream.received_at_s - connection.used_at_s > SLOW_START_S:
+        elif stream.received_at_s - connection.last_used_at_s > SLOW_AFTER_ACCEPT_S:
             rank = EvictionRank.SENDING
         else:
             rank = EvictionRank.NEW
-        return rank, connection.used_at_s
+        return rank, connection.last_used_at_s
 
     # ---- draining
-    def end_idle(self) -> None:
+    def end_idle_connections(self) -> None:
         """Closes connections on which nothing is asked."""
         for connection in list(self.connections):
             stream = connection.stream
--- a/ochrehoist/net/ajp_reader.py
+++ b/ochrehoist/net/ajp_reader.py
@@ -22,8 +22,8 @@
 MAX_IDEMPOTENCY_KEY_LENGTH = 255
 SECRET_OVERHEAD_BYTES = 4  # of the attribute that carries a server's secret
 BYTES_PER_KB = 1024
-RANK = 0.5
-NO_RETRY_HEADER = frozenset({b"", b"0"})
+DEFAULT_RANK = 0.5
+FIRST_ATTEMPT_VALUES = frozenset({b"", b"0"})
 
 
 class RequestRejectedError(OchrehoistError):
@@ -40,14 +40,14 @@
 
 
 class CheckedRequest(NamedTuple):
-    """What is known of a request before its body is read."""
+    """What is known of a request previous its body is read."""
 
     request_class: RequestClass
     tenant: str | None
     idempotency_key: str | None
 
 
-class ReadingRules(NamedTuple):
+class CompiledConfig(NamedTuple):
     """What a configuration comes to for the reader; it is replaced as a whole."""
 
     config: AjpConfig
@@ -60,7 +60,7 @@
     """Checks Forward Requests, and builds the core's requests.
 
     Attributes:
-        rules: Those in force.
+        compiled: Those in force.
     """
 
     def __init__(self, core: CoreActor, executor: Executor, config: AjpConfig) -> None:
@@ -68,28 +68,28 @@
         self._executor = executor
         self._request_numbers = itertools.count(1)
         # Request ids must differ from those of a process that this one replaces.
-        self._process_id = secrets.token_hex(4)
-        self.rules = run_to_completion(self._build_rules(config, core.settings, None))
+        self._instance_id = secrets.token_hex(4)
+        self.compiled = run_to_completion(self._compile_config(config, core.settings, None))
 
     def prepare(
         self, config: AjpConfig, settings: AdmissionSettings
     ) -> Generator[None, None, Callable[[], None]]:
         """Prepares a changed configuration, in steps well under 1 ms each; the call it returns commits it."""
-        rules = yield from self._build_rules(config, settings, self.rules)
+        compiled = yield from self._compile_config(config, settings, self.compiled)
 
         def commit() -> None:
             """Replaces all at once."""
-            self.rules = rules
+            self.compiled = compiled
 
         return commit
 
     @staticmethod
-    def _build_rules(
-        config: AjpConfig, settings: AdmissionSettings, before: ReadingRules | None
-    ) -> Generator[None, None, ReadingRules]:
-        """The index of `before` is kept where the routes are the same."""
-        if before is not None and config.routes is before.config.routes:
-            index = before.route_index
+    def _compile_config(
+        config: AjpConfig, settings: AdmissionSettings, previous: CompiledConfig | None
+    ) -> Generator[None, None, CompiledConfig]:
+        """The index of `previous` is kept where the routes are the same."""
+        if previous is not None and config.routes is previous.config.routes:
+            index = previous.route_index
         else:
             index = yield from RouteIndex.in_steps(config.routes)
         classes = {request_class.name: request_class for request_class in settings.classes}
@@ -97,40 +97,40 @@
             len(server.secret.encode()) + SECRET_OVERHEAD_BYTES if server.secret else 0
             for server in config.servers
         )
-        return ReadingRules(config, index, classes, max(secrets_bytes))
+        return CompiledConfig(config, index, classes, max(secrets_bytes))
 
     def configure(self, config: AjpConfig, settings: AdmissionSettings) -> None:
         """Takes a configuration at once."""
         run_to_completion(self.prepare(config, settings))()
 
     def check(self, forward: ajp.ForwardRequest) -> CheckedRequest:
-        """Finds class, tenant and idempotency key before any of the body is read.
+        """Finds class, tenant and idempotency key previous any of the body is read.
 
         Raises:
             RequestRejectedError: the request can't be taken.
         """
-        rules = self.rules
-        secret = rules.config.secret
+        compiled = self.compiled
+        secret = compiled.config.secret
         if secret is not None and not hmac.compare_digest(secret.encode(), forward.secret or b""):
             raise RequestRejectedError(HTTPStatus.FORBIDDEN, "wrong secret")
         path = forward.uri.split(b"?")[0].split(b";")[0].decode("latin-1")
-        route = rules.route_index.find(forward.method, path)
+        route = compiled.route_index.find(forward.method, path)
         if route is None:
             raise RequestRejectedError(HTTPStatus.NOT_FOUND, "no class for this request")
-        request_class = rules.classes[route.request_class]
+        request_class = compiled.classes[route.request_class]
         try:
-            return self._check_class(forward, request_class, rules)
+            return self._check_class(forward, request_class, compiled)
         except RequestRejectedError as error:
             error.class_name = request_class.name
             raise
 
     def _check_class(
-        self, forward: ajp.ForwardRequest, request_class: RequestClass, rules: ReadingRules
+        self, forward: ajp.ForwardRequest, request_class: RequestClass, compiled: CompiledConfig
     ) -> CheckedRequest:
-        config = rules.config
+        config = compiled.config
         if forward.length > config.max_body:
             raise RequestRejectedError(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "body too large")
-        if len(forward.packet) + rules.longest_secret_bytes > config.packet_size - ajp.HEADER_BYTES:
+        if len(forward.packet) + compiled.longest_secret_bytes > config.packet_size - ajp.HEADER_BYTES:
             raise RequestRejectedError(
                 HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "no room for the server's secret"
             )
@@ -165,7 +165,7 @@
         responder: Responder,
     ) -> InboundRequest:
         """The core's request for a whole body; `arrived_ns` is Unix time."""
-        config = self.rules.config
+        config = self.compiled.config
         request_class, tenant, key = checked
         idempotency_key = fingerprint = None
         if key:
@@ -175,7 +175,7 @@
                 sha256(body).digest(),
             )
         return InboundRequest(
-            id=f"ajp-{self._process_id}-{next(self._request_numbers)}",
+            id=f"ajp-{self._instance_id}-{next(self._request_numbers)}",
             request_class=request_class,
             arrived_ns=arrived_ns,
             payload=ajp.AjpPayload(forward, body),
@@ -186,8 +186,8 @@
             fingerprint=fingerprint,
             subject_hash=crc32(forward.remote_address, crc32(forward.uri)) or 1,
             memory_kb=config.memory_kb + (len(forward.packet) + len(body)) / BYTES_PER_KB,
-            rank=RANK,
-            is_retry=forward.headers.get(config.retry_header, b"") not in NO_RETRY_HEADER,
+            rank=DEFAULT_RANK,
+            is_retry=forward.headers.get(config.retry_header, b"") not in FIRST_ATTEMPT_VALUES,
             is_write=request_class.idempotency is not Idempotency.IDEMPOTENT,
         )
 
--- a/ochrehoist/net/front.py
+++ b/ochrehoist/net/front.py
@@ -1,4 +1,4 @@
-"""What the fronts have in common: their connections, admission before the core, and how they are drained."""
+"""The base class of the protocol fronts: connection tracking, early admission control and draining."""
 
 from __future__ import annotations
 
@@ -11,38 +11,42 @@
 
 from ochrehoist.core.actor import CoreActor
 from ochrehoist.core.request import InboundRequest
-from ochrehoist.net.listener import Acceptor, RequestPacer, evict_one
+from ochrehoist.net.listener import Acceptor, RequestPacer, evict_lowest_ranked
 from ochrehoist.net.loop import Loop
 from ochrehoist.net.stream import Stream
 
 if TYPE_CHECKING:
     from ochrehoist.core.protocols import AdmissionFilter, Logger
 
-MESSAGE_TIMEOUT_S = 2.5  # for a message that was begun, and for the first one of a new connection
-STALLED_S = 1.0  # without a byte after which a message that was begun counts as never to be completed
-SLOW_START_S = 0.2  # after its connect that a first message must still be arriving to count as a slow one
-FRESH_S = 0.05  # after its connect within which a first request would cross a close
-SILENT_S = 0.5  # that a new connection has before it counts as silent
+# For a whole message, from its first byte; for the first message of a connection, from its acceptance.
+MESSAGE_ARRIVAL_TIMEOUT_S = 2.5
+STALLED_AFTER_LAST_BYTE_S = 1.0  # a partial message is not expected to be completed after this pause
+SLOW_AFTER_ACCEPT_S = 0.2  # input that arrives later than this belongs to a slow first message
+EVICTABLE_AFTER_ACCEPT_S = 0.05  # a close before this would cross a first request that is on its way
+SILENT_AFTER_LAST_BYTE_S = 0.5  # for a connection without a message; initially from its acceptance
 
-ReadRequest = Callable[..., InboundRequest]  # builds the core's request from what a front has read
+# Builds the core's request from a message that a front has parsed.
+ReadRequest = Callable[..., InboundRequest]
 
 
 class FrontConnection:
-    """What a front knows of each of its connections.
+    """A client connection of a front; the base class of the protocols' connections.
+
+    Times are of time.monotonic().
 
     Attributes:
-        stream: Its socket.
-        number: By which admission tells callers apart.
-        opened_at_s: When it was accepted.
-        used_at_s: When it last asked or was answered; at first, when it was accepted.
-        served: A request of it was answered with a result, once at least.
-        pacer: Limits how fast it is read while it was never served.
+        stream: The buffered socket.
+        number: Identifies the connection, and so its caller, to the admission filter.
+        accepted_at_s: When the connection was accepted.
+        last_used_at_s: When the last request or response was handled; initially the time of acceptance.
+        served: Whether at least one request was answered with a result.
+        pacer: Limits the rate at which requests are read until one has been answered with a result.
     """
 
     def __init__(self, loop: Loop, stream: Stream, number: int) -> None:
         self.stream = stream
         self.number = number
-        self.opened_at_s = self.used_at_s = time.monotonic()
+        self.accepted_at_s = self.last_used_at_s = time.monotonic()
         self.served = False
         self.pacer = RequestPacer(loop)
 
@@ -51,7 +55,7 @@
 
 
 class FrontContext(Protocol):
-    """What the connections of any front need of it."""
+    """The interface of a front that its connections use, whatever the protocol."""
 
     core: CoreActor
     draining: bool
@@ -64,15 +68,15 @@
 
 
 class Front(ABC, Generic[ConnectionT]):
-    """Accepts the connections of one protocol. It is a LifecycleListener of the core.
+    """A server for the connections of one protocol. It is a LifecycleListener of the core.
 
     Attributes:
-        PART_NAME: In the log, the status and on the handover link.
-        connections: Those that are open.
-        draining: No further request is taken than what is on its way.
-        admission_filter: Sheds load before the core is asked, where overload control is configured.
-        read_request: Builds the core's request from what was read.
-        acceptor: The listening socket.
+        PART_NAME: The name in the log, in the status and on the handover link.
+        connections: The open connections.
+        draining: Whether clients are told to send no further requests; those already sent are answered.
+        admission_filter: Sheds load before a request reaches the core; None without overload control.
+        read_request: Builds the core's request from a parsed message.
+        acceptor: Accepts connections on the listening socket.
     """
 
     PART_NAME: str
@@ -88,7 +92,7 @@
         admission_filter: AdmissionFilter | None,
         read_request: ReadRequest,
     ) -> None:
-        """Binds the address, as Acceptor does; raises OSError."""
+        """Binds the address, unless `sock` is given; raises OSError if that fails."""
         self.loop = loop
         self.core = core
         self.log = log
@@ -96,35 +100,42 @@
         self.draining = False
         self.admission_filter = admission_filter
         self.read_request = read_request
-        self._numbers = itertools.count(1)
+        self._connection_ids = itertools.count(1)
         self.acceptor = Acceptor(loop, address, self._accept, max_connections, log, sock, self._evict)
 
     def instrument_reading(self, wrap: Callable[[ReadRequest], ReadRequest]) -> None:
-        """Puts a wrapper, such as a timer, around the reading of each request."""
+        """Replaces `read_request` by a wrapper around it, such as one that measures its duration."""
         self.read_request = wrap(self.read_request)
 
     def retry_after_ns(self, class_name: str, tenant: str | None, caller: int, age_ns: int) -> int | None:
-        """The Retry-After of a request that is rejected before the core sees it; None to admit it."""
+        """Returns the retry delay of a request to reject before it reaches the core, or None to admit it.
+
+        Args:
+            class_name: The class of the request.
+            tenant: The tenant of the request, if known.
+            caller: Identifies the caller.
+            age_ns: Time since the caller sent the request.
+        """
         if self.admission_filter is None or not self.core.decides:
             return None
         return self.admission_filter.check_admission(class_name, tenant, caller, age_ns)
 
     def unsent_bytes(self) -> int:
-        """Bytes of all answers that were written and not yet taken."""
+        """Returns the total size of the responses that the clients have not received yet."""
         return sum(len(connection.stream.unsent) for connection in self.connections)
 
     # ---- connections
     @abstractmethod
     def _open_connection(self, sock: socket.socket) -> tuple[ConnectionT, Callable[[], None]]:
-        """A connection, and what its task runs."""
+        """Returns a new connection, and the function that its task runs."""
 
     @abstractmethod
     def _can_evict(self, connection: ConnectionT, now_s: float) -> bool:
-        """Whether closing it now would lose no request that is here or is being answered."""
+        """Returns whether the connection can be closed without losing a received or unanswered request."""
 
     @abstractmethod
     def _eviction_rank(self, connection: ConnectionT, now_s: float) -> tuple[int, float]:
-        """Connections of the lowest rank are closed first."""
+        """Returns the sort key for evictions; the connection with the lowest rank is closed first."""
 
     def _accept(self, sock: socket.socket) -> Callable[[], None]:
         connection, run = self._open_connection(sock)
@@ -137,9 +148,9 @@
         self.acceptor.connection_closed()
 
     def _evict(self) -> bool:
-        """Makes room for another connection; returns whether one could be closed."""
+        """Closes one connection to make room for another; returns whether there was one to close."""
         now_s = time.monotonic()
-        return evict_one(
+        return evict_lowest_ranked(
             [connection for connection in self.connections if self._can_evict(connection, now_s)],
             lambda connection: self._eviction_rank(connection, now_s),
             lambda connection: connection.stream,
@@ -147,19 +158,19 @@
 
     # ---- draining
     @abstractmethod
-    def end_idle(self) -> None:
-        """Ends connections on which nothing is asked; called repeatedly while the process ends."""
+    def end_idle_connections(self) -> None:
+        """Ends connections without open requests; called repeatedly during shutdown."""
 
     def retire(self) -> None:
-        """Another process takes what comes from now on."""
+        """Starts draining after a successor process has taken over the listening socket."""
         self.draining = True
 
     def health_changed(self, good: bool) -> None:
-        """Health checks are answered from the core's state."""
+        """Does nothing: health checks are answered from the core's state."""
 
     def idle_timeout_changed(self, idle_timeout_ns: int) -> None:
-        """Idle connections are to be kept for so long from now on."""
+        """Does nothing by default; a front with its own idle timeout applies the new one."""
 
-    def shutdown_started(self, remaining_ns: int) -> None:  # noqa: ARG002 (of the LifecycleListener)
-        """The worker drains."""
+    def shutdown_started(self, remaining_ns: int) -> None:  # noqa: ARG002 (part of LifecycleListener)
+        """Starts draining."""
         self.draining = True
--- a/ochrehoist/net/handover_server.py
+++ b/ochrehoist/net/handover_server.py
@@ -101,7 +101,7 @@
         """Leaves nothing behind, but what the next process has put in its place."""
         if self._sock is None:
             return
-        self._loop.forget(self._sock.fileno())
+        self._loop.unwatch(self._sock.fileno())
         if self._forwarder is None:
             unlink_quietly(self._path)
         self._sock.close()
--- a/ochrehoist/net/listener.py
+++ b/ochrehoist/net/listener.py
@@ -1,4 +1,4 @@
-"""Accepting connections under a limit, and small servers on top of it."""
+"""Acceptance of connections up to a limit, eviction, request pacing, and a base class for small servers."""
 
 from __future__ import annotations
 
@@ -21,16 +21,17 @@
 if TYPE_CHECKING:
     from ochrehoist.core.protocols import Logger
 
-ACCEPT_RETRY_S = 0.05  # while no descriptor is free, or no connection can be evicted
-OUT_OF_RESOURCES = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
+# The interval of retries while file descriptors are exhausted or no connection can be evicted.
+ACCEPT_RETRY_S = 0.05
+RESOURCE_EXHAUSTION_ERRNOS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
 
 ConnectionT = TypeVar("ConnectionT")
 
 
 class RequestPacer:
-    """A token bucket for the requests of a connection that was never served.
+    """A token bucket that limits how fast requests are read from a connection that was never served.
 
-    No flood may take the processor from other connections.
+    It keeps a flood of invalid or rejected requests from starving other connections of processor time.
     """
 
     RATE_PER_S = 100.0
@@ -45,11 +46,11 @@
 
     @property
     def exceeded(self) -> bool:
-        """Whether requests arrive faster than they are read."""
+        """Whether requests arrive faster than the allowed rate."""
         return self._tokens < 0
 
     def request_read(self) -> None:
-        """To be called after each request; sleeps where they arrive too fast."""
+        """Takes a token for a request that was read; sleeps if the rate is exceeded."""
         now_s = time.monotonic()
         refilled = self._tokens + (now_s - self._refilled_at_s) * self.RATE_PER_S
         self._tokens = min(self.BURST, refilled) - 1
@@ -58,19 +59,19 @@
             self._loop.sleep(1 / self.RATE_PER_S)
 
 
-def evict_one(
+def evict_lowest_ranked(
     candidates: list[ConnectionT],
     eviction_rank: Callable[[ConnectionT], tuple[float, ...]],
-    stream_of: Callable[[ConnectionT], Stream],
+    get_stream: Callable[[ConnectionT], Stream],
 ) -> bool:
-    """Closes the candidate with the lowest rank on which nothing has arrived at this moment.
+    """Closes the candidate with the lowest rank that has no unread input, or is closing already.
 
     Returns:
-        Whether one was closed. `candidates` is used up.
+        Whether one was closed. Candidates with unread input are removed from `candidates`.
     """
     while candidates:
         candidate = min(candidates, key=eviction_rank)
-        stream = stream_of(candidate)
+        stream = get_stream(candidate)
         if stream.half_closed or not stream.read_available():
             stream.close()
             return True
@@ -79,17 +80,17 @@
 
 
 def evict_none() -> bool:
-    """No connection can be spared."""
+    """Evicts nothing: the default of an Acceptor."""
     return False
 
 
 class Acceptor:
-    """Accepts connections at one address, up to a limit, once it is started.
+    """A listener that accepts connections at one address, up to a limit, once it is started.
 
     Attributes:
-        sock: The listening socket; other processes may listen on it too.
-        limit: Connections that may be open at once.
-        stopped: The socket is closed.
+        sock: The listening socket; other processes may share it.
+        limit: Maximum number of open connections.
+        stopped: Whether the listening socket is closed.
     """
 
     def __init__(
@@ -105,16 +106,16 @@
         """Binds the address.
 
         Args:
-            loop: that it runs on.
-            address: to listen at.
-            accept: called with each new socket; returns the function that the connection's task runs.
-            limit: connections that may be open at once.
-            log: of the worker.
-            sock: a socket that listens already; the address is then not bound.
-            evict: closes a connection that can be spared; returns whether there was one.
+            loop: The event loop.
+            address: Host and port to listen on.
+            accept: Called with each new socket; returns the function that the connection's task runs.
+            limit: Maximum number of open connections.
+            log: The log of the worker.
+            sock: A socket that is listening already; the address is then not bound.
+            evict: Closes a connection that can be evicted; returns whether there was one.
 
         Raises:
-            OSError: the address can't be bound.
+            OSError: The address cannot be bound.
         """
         self.limit = limit
         self.sock = listen(address) if sock is None else sock
@@ -127,27 +128,27 @@
         self._open_count = 0
         self._started = False
         self._retry_pending = False
-        self._stopping = False  # as soon as all that has connected is accepted,
-        self._backlog_left = LISTEN_BACKLOG  # which is so many at the most
+        self._stopping = False  # accepts only the pending connections, then closes the socket
+        self._remaining_backlog = LISTEN_BACKLOG  # upper bound of the connections pending when stopping
 
     @property
     def address(self) -> tuple[str, int]:
-        """Host and port that it is bound to."""
+        """The host and port that the socket is bound to."""
         address: tuple[str, int] = self.sock.getsockname()
         return address
 
     def start(self) -> None:
-        """Accepts from now on."""
+        """Starts accepting connections."""
         self._started = True
         self._resume()
 
     def set_limit(self, limit: int) -> None:
-        """Takes a new limit; what is open beyond it stays open."""
+        """Changes the limit; connections that exceed a lower one stay open."""
         self.limit = limit
         self._resume()
 
     def connection_closed(self) -> None:
-        """To be called once for each accepted connection that has closed."""
+        """Frees a connection's slot; must be called once for each accepted connection that has closed."""
         self._open_count -= 1
         if self._stopping and not self.stopped:
             self._accept_pending()
@@ -155,11 +156,12 @@
             self._resume()
 
     def stop(self, leave_backlog: bool = False) -> None:
-        """Accepts what has already connected, or leaves it to another process, then frees the port.
+        """Accepts the pending connections, unless `leave_backlog`, then closes the listening socket.
 
-        What waits in the backlog may have sent a request, which would be lost with it: where there is no room
-        for all of it now, the port is freed once there was. The socket is closed, never shut down: others may
-        listen on it.
+        A connection in the backlog may have sent a request already, which a close would lose. At the
+        connection limit, the socket therefore stays open until all of the backlog could be accepted. With
+        `leave_backlog` another process accepts it. The socket is never shut down, since other processes may
+        share it.
         """
         if self.stopped:
             return
@@ -185,10 +187,10 @@
                     self._close()
                 return
             except OSError as error:
-                if error.errno in OUT_OF_RESOURCES:
+                if error.errno in RESOURCE_EXHAUSTION_ERRNOS:
                     self._wait_for_resources(error)
                     return
-                continue  # the peer left before it was accepted
+                continue  # the peer disconnected before it was accepted
             self._accepted(sock)
         if not self.stopped:
             self._wait_for_room()
@@ -197,8 +199,8 @@
         self._open_count += 1
         self._loop.spawn(self._accept(sock))
         if self._stopping:
-            self._backlog_left -= 1
-            if not self._backlog_left:
+            self._remaining_backlog -= 1
+            if not self._remaining_backlog:
                 self._close()
                 return
         if self._is_full():
@@ -211,7 +213,7 @@
         self._loop.call_later(ACCEPT_RETRY_S, self._resume)
 
     def _wait_for_room(self) -> None:
-        """At the limit, with none to spare: the rest wait until a connection closes or can be evicted."""
+        """Pauses accepting until a connection closes or can be evicted."""
         self._loop.on_readable(self.sock.fileno(), None)
         if not self._retry_pending:
             self._retry_pending = True
@@ -225,15 +227,15 @@
 
     def _close(self) -> None:
         self.stopped = True
-        self._loop.forget(self.sock.fileno())
+        self._loop.unwatch(self.sock.fileno())
         self.sock.close()
 
 
 class BaseServer(ABC):
-    """A small server: a task runs `handle` for each connection, which is closed when that returns."""
+    """A small server that runs `handle` in a task for each connection, and closes it when that returns."""
 
-    PART_NAME: str  # in the log and on the handover link
-    MAX_CONNECTIONS = 16  # at once: a flood of them must not take the descriptors of requests
+    PART_NAME: str  # the name in the log and on the handover link
+    MAX_CONNECTIONS = 16  # keeps a flood from exhausting the descriptors that requests need
 
     def __init__(
         self,
@@ -243,27 +245,27 @@
         sock: socket.socket | None = None,
         evict: Callable[[], bool] = evict_none,
     ) -> None:
-        """Binds the address, as Acceptor does."""
+        """Binds the address, unless `sock` is given; raises OSError if that fails."""
         self.loop = loop
         self.log = log
         self.acceptor = Acceptor(loop, address, self._accept, self.MAX_CONNECTIONS, log, sock, evict)
 
     @abstractmethod
     def handle(self, stream: Stream) -> None:
-        """Serves one connection; the errors of Stream end it."""
+        """Serves one connection; may let ConnectionClosedError and StreamTimeoutError propagate."""
 
     def connection_opened(self, stream: Stream) -> None:  # noqa: B027 (a hook)
-        """Called before `handle`."""
+        """Is called before `handle`."""
 
     def connection_closed(self, stream: Stream) -> None:  # noqa: B027 (a hook)
-        """Called once the stream is closed."""
+        """Is called once the stream is closed."""
 
     def _accept(self, sock: socket.socket) -> Callable[[], None]:
         stream = Stream(self.loop, sock)
         self.connection_opened(stream)
 
         def on_close() -> None:
-            """Gives its place back."""
+            """Frees the connection's slot."""
             self.connection_closed(stream)
             self.acceptor.connection_closed()
 
--- a/ochrehoist/net/loop.py
+++ b/ochrehoist/net/loop.py
@@ -1,8 +1,8 @@
-"""The event loop: tasks are greenlets over select.poll, with timers and signals.
+"""The event loop: cooperative tasks (greenlets) on one thread, with timers, I/O callbacks and Unix signals.
 
-One task runs at a time, on one thread; it gives way only where it waits: by `Loop.sleep`, on a `Signal`, or
-on a `Stream`. It ends when its function returns or raises; one that serves a connection is ended by closing
-its stream, which makes its wait raise ConnectionClosedError. Times are seconds of time.monotonic().
+A task yields only where it waits: in `Loop.sleep`, on a `Signal` or on a `Stream`. It ends when its function
+returns or raises. To end a task that serves a connection, close its stream: the task's wait then raises
+ConnectionClosedError. Times are seconds of time.monotonic().
 """
 
 from __future__ import annotations
@@ -22,57 +22,57 @@
     from ochrehoist.core.protocols import Logger
 
 
-MAX_POLL_OVERRUN_S = 0.005  # by which a poll may outlast its timeout before it counts as stopped
+MAX_POLL_OVERRUN_S = 0.005  # a poll that outlasts its timeout by more was suspended, as by SIGSTOP
 MS_PER_S = 1000
-ROUND_UP_MS = 0.999
+POLL_ROUND_UP_MS = 0.999
 SIGNAL_READ_BYTES = 4096
 
 
 def steady_clock() -> Callable[[], int]:
-    """Unix time in ns as of now, kept by the monotonic clock: setting the clock does not move it."""
+    """Returns a clock of Unix time in ns that later adjustments of the system clock do not affect."""
     start_ns = time.time_ns() - time.monotonic_ns()
     return lambda: time.monotonic_ns() + start_ns
 
 
 class Poll(Protocol):
-    """What is needed of select.poll."""
+    """The interface of select.poll objects that the loop uses."""
 
     def register(self, fd: int, events: int, /) -> object:
-        """Watches a descriptor, or changes what it is watched for."""
+        """Watches a descriptor for these events, in place of those watched before."""
         ...
 
     def unregister(self, fd: int, /) -> object:
-        """Watches it no longer; KeyError where it was not watched."""
+        """Stops watching a descriptor; raises KeyError if it was not watched."""
         ...
 
     def poll(self, timeout_ms: float | None = None, /) -> list[tuple[int, int]]:
-        """Descriptors with their events, at the latest after the timeout."""
+        """Waits for events or the timeout (None: without limit); returns descriptors with their events."""
         ...
 
 
 class Timer:
-    """A call that is due at a time; see `Loop.call_later`."""
+    """A scheduled callback; see `Loop.call_later`."""
 
-    __slots__ = ("call", "due_s")
+    __slots__ = ("callback", "due_s")
 
-    def __init__(self, due_s: float, call: Callable[[], object]) -> None:
+    def __init__(self, due_s: float, callback: Callable[[], object]) -> None:
         self.due_s = due_s
-        self.call: Callable[[], object] | None = call
+        self.callback: Callable[[], object] | None = callback
 
     def cancel(self) -> None:
-        """The call is not made."""
-        self.call = None
+        """Prevents the callback from being called."""
+        self.callback = None
 
     def __lt__(self, other: Timer) -> bool:
         return self.due_s < other.due_s
 
 
 class Loop:
-    """Runs tasks one at a time; a fault ends one task or callback, never the process.
+    """An event loop that runs tasks one at a time; an exception ends one task or callback, never the process.
 
     Attributes:
-        polled_at_s: When the iteration before this one had polled its descriptors.
-        stopped: Whether `run` is to return.
+        polled_at_s: When the previous iteration's poll returned.
+        stopped: Whether `run` returns after this iteration.
     """
 
     def __init__(self, log: Logger, poll: Poll | None = None) -> None:
@@ -85,14 +85,15 @@
         self._ready: deque[Callable[[], object]] = deque()
         self._timers: list[Timer] = []
         self._hub = getcurrent()
-        # Descriptors closed in this iteration: their numbers may be in use again already.
+        # Descriptors closed in this iteration. The kernel may have reused their numbers, so events that were
+        # polled for them are ignored.
         self._closed_fds: set[int] = set()
         self._signal_handlers: dict[int, Callable[[], object]] = {}
         self._iteration_observer: Callable[[float, float], None] | None = None
 
     # ---- tasks
     def spawn(self, run: Callable[..., object], *args: object) -> greenlet:
-        """Starts a task in the next iteration."""
+        """Returns a new task, which starts in the next iteration."""
         task = greenlet(lambda: self._run_task(run, args), parent=self._hub)
         self._ready.append(task.switch)
         return task
@@ -105,36 +106,36 @@
         except Exception:
             self.log.exception("task_fault", task=getattr(run, "__qualname__", repr(run)))
 
-    def sleep(self, seconds: float) -> None:
-        """Lets other tasks run for so long."""
-        self.call_later(seconds, getcurrent().switch)
+    def sleep(self, duration_s: float) -> None:
+        """Suspends the current task for a duration."""
+        self.call_later(duration_s, getcurrent().switch)
         self._hub.switch()
 
-    def call_later(self, seconds: float, call: Callable[[], object]) -> Timer:
-        """Calls it on the hub after so many seconds, unless the timer is cancelled. It must not wait."""
-        timer = Timer(time.monotonic() + max(0.0, seconds), call)
+    def call_later(self, delay_s: float, callback: Callable[[], object]) -> Timer:
+        """Calls a function on the hub after a delay, unless its timer is cancelled. It must not wait."""
+        timer = Timer(time.monotonic() + max(0.0, delay_s), callback)
         heappush(self._timers, timer)
         return timer
 
     # ---- descriptors
-    def on_readable(self, fd: int, call: Callable[[], None] | None) -> None:
-        """Calls it whenever the descriptor can be read; None: no longer. It must not wait."""
-        if call is None:
+    def on_readable(self, fd: int, callback: Callable[[], None] | None) -> None:
+        """Sets the callback for a readable descriptor; None removes it. The callback must not wait."""
+        if callback is None:
             self._readers.pop(fd, None)
         else:
-            self._readers[fd] = call
+            self._readers[fd] = callback
         self._register(fd)
 
-    def on_writable(self, fd: int, call: Callable[[], None] | None) -> None:
-        """Calls it whenever the descriptor can be written; None: no longer. It must not wait."""
-        if call is None:
+    def on_writable(self, fd: int, callback: Callable[[], None] | None) -> None:
+        """Sets the callback for a writable descriptor; None removes it. The callback must not wait."""
+        if callback is None:
             self._writers.pop(fd, None)
         else:
-            self._writers[fd] = call
+            self._writers[fd] = callback
         self._register(fd)
 
-    def forget(self, fd: int) -> None:
-        """Watches a descriptor no longer; to be called before it is closed."""
+    def unwatch(self, fd: int) -> None:
+        """Stops watching a descriptor; must be called before the descriptor is closed."""
         self._readers.pop(fd, None)
         self._writers.pop(fd, None)
         self._closed_fds.add(fd)
@@ -147,57 +148,60 @@
         if events:
             self._poll.register(fd, events)
             return
-        try:  # noqa: SIM105 (several times in each request: contextlib.suppress would be dearer)
+        try:  # noqa: SIM105 (runs several times per request, and contextlib.suppress is slower)
             self._poll.unregister(fd)
         except KeyError:
             pass
 
     # ---- signals
-    def on_signal(self, number: int, call: Callable[[], object]) -> None:
-        """Calls it on the hub for each signal of this number.
+    def on_signal(self, signal_number: int, callback: Callable[[], object]) -> None:
+        """Sets the callback that runs on the hub when the process receives a signal.
 
-        One that was inherited as ignored or blocked no longer is. A pipe wakes the poll, which the handler
-        alone would not end (PEP 475).
+        The signal is unblocked and no longer ignored, even if the parent process had set it so. A wakeup pipe
+        ends the poll, since a Python signal handler alone does not (PEP 475).
         """
         if not self._signal_handlers:
-            reader, writer = os.pipe()
-            os.set_blocking(reader, False)
-            os.set_blocking(writer, False)
-            signal.set_wakeup_fd(writer, warn_on_full_buffer=False)
-            self.on_readable(reader, lambda: self._handle_signals(reader))
-        self._signal_handlers[number] = call
-        signal.signal(number, lambda *_: None)
-        signal.pthread_sigmask(signal.SIG_UNBLOCK, {number})
-
-    def _handle_signals(self, reader: int) -> None:
-        for number in set(os.read(reader, SIGNAL_READ_BYTES)):
-            if number in self._signal_handlers:
-                self._signal_handlers[number]()
+            read_fd, write_fd = os.pipe()
+            os.set_blocking(read_fd, False)
+            os.set_blocking(write_fd, False)
+            signal.set_wakeup_fd(write_fd, warn_on_full_buffer=False)
+            self.on_readable(read_fd, lambda: self._handle_signals(read_fd))
+        self._signal_handlers[signal_number] = callback
+        signal.signal(signal_number, lambda *_: None)
+        signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal_number})
+
+    def _handle_signals(self, pipe_fd: int) -> None:
+        for signal_number in set(os.read(pipe_fd, SIGNAL_READ_BYTES)):
+            if signal_number in self._signal_handlers:
+                self._signal_handlers[signal_number]()
 
     def observe_iterations(self, observer: Callable[[float, float], None]) -> None:
-        """`observer` is called with the duration of each iteration, and how late the latest timer was (s)."""
+        """Sets a function to call in each iteration.
+
+        Its arguments are the duration of the iteration and the delay of the most overdue timer, in seconds.
+        """
         self._iteration_observer = observer
 
     # ---- the hub
     def stop(self) -> None:
-        """Makes `run` return after this iteration."""
+        """Makes `run` return after the current iteration."""
         self.stopped = True
 
     def run(self) -> None:  # noqa: C901
-        """Runs until `stop`, on the task that created the loop.
+        """Runs until `stop` is called; must be called by the greenlet that created the loop.
 
-        One function, since a request takes several iterations: split by its steps it cost each request about
-        a twentieth more processor time.
+        The steps of an iteration are not separate functions, since that adds about 5% to the processor time
+        of each request.
         """
         ready = self._ready
         timers = self._timers
-        call = self._call
+        run_callback = self._run_callback
         poll = self._poll.poll
         started_s = time.monotonic()
         timer_delay_s = 0.0
         while not self.stopped:
             for _ in range(len(ready)):
-                call(ready.popleft())
+                run_callback(ready.popleft())
             timeout_ms: float | None = None
             if ready or self.stopped:
                 timeout_ms = 0.0
@@ -206,41 +210,44 @@
             self._closed_fds.clear()
             if self._iteration_observer is not None:
                 self._iteration_observer(time.monotonic() - started_s, timer_delay_s)
-            # Rounded up: a poll that ends a moment early would spin until the timer falls due.
+            # Rounded up, since a poll that ends early would make the loop spin until the timer is due.
             polled_s = time.monotonic()
-            events = poll(None if timeout_ms is None else max(0, int(timeout_ms + ROUND_UP_MS)))
+            events = poll(None if timeout_ms is None else max(0, int(timeout_ms + POLL_ROUND_UP_MS)))
             if not events and timeout_ms is not None:
                 overrun_s = time.monotonic() - polled_s - max(0.0, timeout_ms) / MS_PER_S
                 if overrun_s > MAX_POLL_OVERRUN_S:
-                    # A poll that was stopped (SIGSTOP) and then interrupted by a signal reports nothing.
+                    # A poll that was suspended (SIGSTOP) and then interrupted by a signal reports no events.
                     events = poll(0)
             self.polled_at_s = started_s
             started_s = time.monotonic()
             for fd, event in events:
                 if fd not in self._closed_fds and event & ~select.POLLOUT:
-                    call(self._readers.get(fd))
+                    run_callback(self._readers.get(fd))
                 if fd not in self._closed_fds and event & ~select.POLLIN:
-                    call(self._writers.get(fd))
-            # After the events: a timer that fell due while this process was stopped ends nothing whose bytes
-            # had arrived before.
+                    run_callback(self._writers.get(fd))
+            # Timers run after the I/O events: a time-out that expired while this process was suspended must
+            # not end a wait whose bytes have arrived.
             now_s = time.monotonic()
             timer_delay_s = now_s - timers[0].due_s if timers else 0.0
-            while timers and (timers[0].call is None or timers[0].due_s <= now_s):
+            while timers and (timers[0].callback is None or timers[0].due_s <= now_s):
                 timer = heappop(timers)
-                if timer.call is not None:
-                    call(timer.call)
+                if timer.callback is not None:
+                    run_callback(timer.callback)
 
-    def _call(self, call: Callable[[], object] | None) -> None:
-        if call is None:
+    def _run_callback(self, function: Callable[[], object] | None) -> None:
+        if function is None:
             return
         try:
-            call()
+            function()
         except Exception:
-            self.log.exception("callback_fault", callback=getattr(call, "__qualname__", repr(call)))
+            self.log.exception("callback_fault", callback=getattr(function, "__qualname__", repr(function)))
 
 
 class Signal:
-    """Wakes one waiting task; if none waits, the next wait returns at once. It is a core Waker."""
+    """An auto-reset event for one waiting task; it implements the core's Waker.
+
+    If no task waits when it is set, the next wait returns at once.
+    """
 
     __slots__ = ("_is_set", "_loop", "_waiter")
 
@@ -250,27 +257,27 @@
         self._waiter: Callable[[], object] | None = None
 
     def set(self) -> None:
-        """Wakes the task in the next iteration."""
+        """Wakes the waiting task in the next iteration."""
         self._is_set = True
         if self._waiter is not None:
             self._loop._ready.append(self._waiter)
             self._waiter = None
 
-    def forget_waiter(self) -> None:
-        """The task that waits is no longer woken: it is about to be ended by GreenletExit."""
+    def clear_waiter(self) -> None:
+        """Detaches the waiting task, which is about to be ended by GreenletExit, so that it is not woken."""
         self._waiter = None
 
-    def wait(self, timeout: float | None = None) -> bool:
-        """Waits until it is set, or for `timeout` seconds; returns whether it was set, and clears it.
+    def wait(self, timeout_s: float | None = None) -> bool:
+        """Waits until the event is set or the timeout expires; returns whether it was set, and clears it.
 
-        With a timeout of 0 or less it gives way to the other tasks once.
+        With a timeout of 0 or less, yields once to the other tasks.
         """
         loop = self._loop
-        if not self._is_set and (timeout is None or timeout > 0):
+        if not self._is_set and (timeout_s is None or timeout_s > 0):
             timer = None
             self._waiter = getcurrent().switch
-            if timeout is not None:
-                timer = loop.call_later(timeout, self._time_out)
+            if timeout_s is not None:
+                timer = loop.call_later(timeout_s, self._time_out)
             loop._hub.switch()
             if timer is not None:
                 timer.cancel()
--- a/ochrehoist/net/operator_server.py
+++ b/ochrehoist/net/operator_server.py
@@ -10,7 +10,7 @@
 
 from ochrehoist.core.protocols import Logger
 from ochrehoist.errors import OchrehoistError
-from ochrehoist.net.listener import BaseServer, evict_one
+from ochrehoist.net.listener import BaseServer, evict_lowest_ranked
 from ochrehoist.net.loop import Loop
 from ochrehoist.net.stream import ConnectionClosedError, Stream, StreamTimeoutError
 
@@ -102,7 +102,7 @@
             for stream, opened_at_s in self._opened_at_s.items()
             if stream.half_closed or (opened_at_s < before_s and not stream.unsent)
         ]
-        return evict_one(
+        return evict_lowest_ranked(
             candidates,
             lambda stream: (not stream.half_closed, bool(stream.buffer), self._opened_at_s[stream]),
             lambda stream: stream,
--- a/ochrehoist/net/peer_transport.py
+++ b/ochrehoist/net/peer_transport.py
@@ -120,7 +120,7 @@
         """Frees the address for another process; nothing is sent or received any more."""
         self._closed = True
         if self._socket is not None:
-            self._loop.forget(self._socket.fileno())
+            self._loop.unwatch(self._socket.fileno())
             self._socket.close()
             self._socket = None
 
--- a/ochrehoist/net/process_shutdown.py
+++ b/ochrehoist/net/process_shutdown.py
@@ -43,7 +43,7 @@
         """Those that are open."""
         ...
 
-    def end_idle(self) -> None:
+    def end_idle_connections(self) -> None:
         """Ends connections on which nothing is asked."""
         ...
 
@@ -141,7 +141,7 @@
         quiet_s = 0.0
         while time.monotonic() < deadline_s and quiet_s < QUIET_S:
             for front in self._fronts:
-                front.end_idle()
+                front.end_idle_connections()
             busy = is_busy() or self._has_connections()
             quiet_s = 0.0 if busy else quiet_s + POLL_INTERVAL_S
             self._loop.sleep(POLL_INTERVAL_S)
--- a/ochrehoist/net/stream.py
+++ b/ochrehoist/net/stream.py
@@ -1,7 +1,8 @@
-"""A bounded, buffered socket. Reading waits; writing never does: what a peer is slow to take is kept.
+"""Buffered sockets for tasks of the event loop, with bounded buffers.
 
-A wait ends in one of two ways besides the bytes that it is for: ConnectionClosedError once the connection has
-ended or was closed here, and StreamTimeoutError at its deadline, in seconds of time.monotonic().
+A read waits for input; it raises ConnectionClosedError once the connection has ended or was closed by this
+process, and StreamTimeoutError at its deadline, in seconds of time.monotonic(). A write never waits: bytes
+that the socket does not accept yet are buffered.
 """
 
 import errno
@@ -12,36 +13,39 @@
 from ochrehoist.errors import OchrehoistError
 from ochrehoist.net.loop import Loop, Signal, Timer
 
-READ_SIZE_BYTES = 16384  # what hundreds of connections have read and not yet used must fit in memory
-MAX_UNSENT_BYTES = 512 * 1024  # a peer that reads so slowly is disconnected: it must not cost memory
-LISTEN_BACKLOG = 1024  # connections that wait to be accepted
-LINGER_S = 0.25  # that a peer has to close its side once all is sent and ours is shut down
-MAX_DISCARDED_BYTES = 256 * 1024  # that are read while lingering; beyond it the socket is not even read
+READ_SIZE_BYTES = 16384  # small, since hundreds of connections may each hold unprocessed input
+MAX_UNSENT_BYTES = 512 * 1024  # a peer that reads too slowly is disconnected, to bound memory
+LISTEN_BACKLOG = 1024
+LINGER_TIMEOUT_S = 0.25  # for the peer to close its side, from when this side is shut down
+MAX_DISCARDED_BYTES = 256 * 1024  # beyond this, a socket whose input is discarded is no longer read
 
 
 class ConnectionClosedError(OchrehoistError):
-    """The connection has ended, or was ended by us."""
+    """The connection was closed by the peer or by this process."""
 
 
 class StreamTimeoutError(OchrehoistError):
-    """The peer took too long."""
+    """Input did not arrive by the deadline."""
 
 
 class Stream:
-    """One connection: a non-blocking socket with a buffer for each direction.
+    """A non-blocking socket with a buffer for each direction.
 
-    One task reads. `buffer` and `unsent` may be looked at by anyone; the reader alone takes bytes out.
+    Only one task may read. Any task may inspect `buffer` and `unsent`, but only the reading task may consume
+    bytes of `buffer`.
 
     Attributes:
-        buffer: What has arrived and is not read yet.
-        unsent: What was written and the peer has not taken yet.
-        ended: Nothing more will be read.
-        closing: It closes once all is sent.
-        closed: The socket is closed.
-        half_closed: All is sent, and the peer was told that no more comes.
-        received_at_s: When bytes last arrived, or it was opened.
-        activity: Set when bytes arrive or it ends.
-        awaits_input: Whether the socket is watched for input.
+        sock: The socket.
+        fd: The socket's descriptor.
+        buffer: Input that has arrived and is not consumed yet.
+        unsent: Output that the socket has not accepted yet.
+        ended: Whether no more input will be read.
+        closing: Whether the stream closes once all output is sent.
+        closed: Whether the socket is closed.
+        half_closed: Whether all output is sent and the sending side is shut down.
+        received_at_s: When input last arrived; initially when the stream was opened.
+        activity: Is set when input arrives or the stream ends.
+        awaits_input: Whether the loop watches the socket for input.
     """
 
     __slots__ = (
@@ -92,13 +96,13 @@
         self._linger_timer: Timer | None = None
         self._on_close: Callable[[], None] | None = None
 
-    def call_on_close(self, call: Callable[[], None]) -> None:
-        """Calls it once the stream is closed, whichever side closed it."""
-        self._on_close = call
+    def call_on_close(self, callback: Callable[[], None]) -> None:
+        """Sets a function to call once the stream is closed, whichever side closed it."""
+        self._on_close = callback
 
     @property
     def peer_address(self) -> str:
-        """The address of the other side; empty once it is not known any more."""
+        """The IP address of the peer; empty once the socket is disconnected."""
         try:
             address: str = self.sock.getpeername()[0]
         except OSError:
@@ -107,11 +111,11 @@
 
     # ---- reading
     def read_more(self, deadline_s: float | None = None) -> None:
-        """Waits for more bytes in `buffer`.
+        """Waits until more bytes are in `buffer`.
 
         Raises:
-            ConnectionClosedError: it has ended.
-            StreamTimeoutError: nothing arrived by the deadline.
+            ConnectionClosedError: The stream has ended.
+            StreamTimeoutError: No bytes arrived by the deadline.
         """
         size_before = len(self.buffer)
         while len(self.buffer) == size_before:
@@ -125,7 +129,10 @@
                 raise StreamTimeoutError
 
     def wait_until(self, done: Callable[[], bool], deadline_s: float | None = None) -> None:
-        """Waits until `done`, bytes arrive, it ends, or the deadline; each `activity` evaluates `done`."""
+        """Waits until `done` returns True, bytes arrive, the stream ends, or the deadline passes.
+
+        `done` is evaluated whenever `activity` is set.
+        """
         size_before = len(self.buffer)
         while not done() and not self.ended and len(self.buffer) == size_before:
             self._await_input()
@@ -149,7 +156,7 @@
             return
         except OSError:
             data = b""
-        # One read for each wait: the peer's own buffer bounds what a fast sender can pile up here.
+        # Only one read per wait, so that a fast sender fills the socket's own buffer rather than `buffer`.
         self.awaits_input = False
         self._loop.on_readable(self.fd, None)
         self.buffer += data
@@ -158,14 +165,14 @@
         self.activity.set()
 
     def read_available(self) -> bool:
-        """Reads what a busy loop has not come to yet; returns whether anything was there."""
+        """Reads input that the loop has not handled yet, without waiting; returns whether there was any."""
         size_before = len(self.buffer)
         if self.awaits_input and not self.ended:
             self._on_readable()
         return len(self.buffer) > size_before
 
     def read_exactly(self, count: int, deadline_s: float | None = None) -> bytes:
-        """Takes so many bytes, all of them by the deadline; raises as `read_more` does."""
+        """Returns the next `count` bytes once all have arrived; raises the same errors as `read_more`."""
         while len(self.buffer) < count:
             self.read_more(deadline_s)
         data = bytes(self.buffer[:count])
@@ -173,7 +180,12 @@
         return data
 
     def read_line(self, max_bytes: int, deadline_s: float | None = None) -> bytes:
-        """Takes a line, without its end; raises as `read_more` does, also where the line is too long."""
+        """Returns the next line without its line ending.
+
+        Raises:
+            ConnectionClosedError: The stream has ended, or the line is longer than `max_bytes`.
+            StreamTimeoutError: The line did not arrive by the deadline.
+        """
         searched = 0
         while (end := self.buffer.find(b"\n", searched)) < 0:
             searched = len(self.buffer)
@@ -186,7 +198,7 @@
 
     # ---- writing
     def write(self, data: bytes) -> None:
-        """Sends what the socket takes and keeps the rest; closes the stream where that is too much."""
+        """Sends what the socket accepts and buffers the rest; closes the stream if that is too much."""
         if self.closed or self.closing:
             return
         if not self.unsent:
@@ -219,10 +231,10 @@
 
     # ---- ending
     def discard_input(self) -> None:
-        """Reads no more; what still arrives is discarded.
+        """Stops reading, and discards further input.
 
-        Unread bytes would turn a close into a reset, and with it answers would be lost that the peer has not
-        taken.
+        Closing a socket with unread input resets the connection, which would lose responses that the peer has
+        not received yet.
         """
         if self.closed or self._discarding:
             return
@@ -243,12 +255,15 @@
             return
         self._discarded_bytes += len(data)
         if not data and not self.unsent:
-            self.close()  # the peer has gone
+            self.close()  # the peer has closed the connection
         elif not data or self._discarded_bytes > MAX_DISCARDED_BYTES:
             self._loop.on_readable(self.fd, None)
 
     def close_when_sent(self) -> None:
-        """Reads no more, sends what is left, and closes once the peer has closed or LINGER_S are over."""
+        """Stops reading, and closes the socket once all output is sent.
+
+        After the last byte, the peer has LINGER_TIMEOUT_S to close its side.
+        """
         if self.closed or self.closing:
             return
         self.closing = True
@@ -263,17 +278,17 @@
         except OSError:
             self.close()
             return
-        self._linger_timer = self._loop.call_later(LINGER_S, self.close)
-        self._discard_available()  # most often the peer's end is here already
+        self._linger_timer = self._loop.call_later(LINGER_TIMEOUT_S, self.close)
+        self._discard_available()  # the peer has usually closed its side already
 
     def close(self) -> None:
-        """Closes it at once; what is unsent is lost. Whoever waits on it gets ConnectionClosedError."""
+        """Closes the socket at once and drops unsent output; a waiting reader gets ConnectionClosedError."""
         if self.closed:
             return
         self.closed = self.ended = True
         if self._linger_timer is not None:
             self._linger_timer.cancel()
-        self._loop.forget(self.fd)
+        self._loop.unwatch(self.fd)
         self.sock.close()
         self.activity.set()
         if self._on_close is not None:
@@ -281,19 +296,19 @@
 
 
 def connect(loop: Loop, address: tuple[str, int], timeout_s: float, activity: Signal | None = None) -> Stream:
-    """Opens a stream to a TCP address; raises OSError where that fails or takes too long."""
+    """Opens a stream to a TCP address; raises OSError if that fails or takes longer than `timeout_s`."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock.setblocking(False)
     try:
-        code = sock.connect_ex(address)
-        if code == errno.EINPROGRESS:
+        error_number = sock.connect_ex(address)
+        if error_number == errno.EINPROGRESS:
             connected = Signal(loop)
             loop.on_writable(sock.fileno(), connected.set)
             in_time = connected.wait(timeout_s)
-            loop.forget(sock.fileno())
-            code = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) if in_time else errno.ETIMEDOUT
-        if code:
-            raise OSError(code, errno.errorcode.get(code, "connect"))  # noqa: TRY301 (the socket is closed below)
+            loop.unwatch(sock.fileno())
+            error_number = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) if in_time else errno.ETIMEDOUT
+        if error_number:
+            raise OSError(error_number, errno.errorcode.get(error_number, "connect"))  # noqa: TRY301 (closed below)
     except BaseException:
         sock.close()
         raise
@@ -301,7 +316,7 @@
 
 
 def listen(address: tuple[str, int]) -> socket.socket:
-    """A listening socket at a TCP address; raises OSError where it cannot be bound."""
+    """Returns a listening socket bound to a TCP address; raises OSError if it cannot be bound."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     try:
--- a/ochrehoist/net/thrift.py
+++ b/ochrehoist/net/thrift.py
@@ -31,7 +31,7 @@
 MAP = 13
 SET = 14
 LIST = 15
-SIZES = {BOOL: 1, BYTE: 1, DOUBLE: 8, I16: 2, I32: 4, I64: 8}
+FIXED_SIZES = {BOOL: 1, BYTE: 1, DOUBLE: 8, I16: 2, I32: 4, I64: 8}
 # Of application exceptions.
 UNKNOWN_METHOD = 1
 PROTOCOL_ERROR = 7
@@ -177,8 +177,8 @@
         """Passes over a value of any type."""
         if depth > MAX_DEPTH:
             raise MalformedFrameError(FrameFault.NESTED_TOO_DEEPLY)
-        if kind in SIZES:
-            self.read_bytes(SIZES[kind])
+        if kind in FIXED_SIZES:
+            self.read_bytes(FIXED_SIZES[kind])
         elif kind == STRING:
             self.read_string()
         elif kind == STRUCT:
@@ -253,7 +253,7 @@
     return encode_message(REPLY, method, seqid, encode_field(STRUCT, field_id, value) + STRUCT_END)
 
 
-def encode_problem(values: Mapping[bytes, bytes]) -> bytes:
+def encode_service_exception(values: Mapping[bytes, bytes]) -> bytes:
     """The struct of each exception of this service."""
     return encode_field(MAP, 1, encode_string_map(values)) + STRUCT_END
 
--- a/ochrehoist/net/thrift_connection.py
+++ b/ochrehoist/net/thrift_connection.py
@@ -8,7 +8,7 @@
 from ochrehoist.core.metrics import RequestCounter
 from ochrehoist.core.results import FailureReason, RunResult
 from ochrehoist.net import thrift
-from ochrehoist.net.front import MESSAGE_TIMEOUT_S, FrontConnection, FrontContext
+from ochrehoist.net.front import MESSAGE_ARRIVAL_TIMEOUT_S, FrontConnection, FrontContext
 from ochrehoist.net.loop import Loop
 from ochrehoist.net.stream import ConnectionClosedError, Stream, StreamTimeoutError
 from ochrehoist.units import NS_PER_MS
@@ -30,7 +30,7 @@
 RETURNED = 0
 REJECTED = 1
 FAILED = 2
-FAREWELL = thrift.encode_message(thrift.ONEWAY, b"farewell", 0, thrift.STRUCT_END)
+FAREWELL_FRAME = thrift.encode_message(thrift.ONEWAY, b"farewell", 0, thrift.STRUCT_END)
 
 
 class ThriftFrontContext(FrontContext, Protocol):
@@ -70,7 +70,10 @@
         """See core.protocols.Responder."""
         if not result.success or len(result.body) > MAX_RESULT_BYTES:
             # A run of another front made it: an error there, or more than this protocol can carry.
-            self._reply(FAILED, thrift.encode_problem({b"reason": b"no result that this protocol can carry"}))
+            self._reply(
+                FAILED,
+                thrift.encode_service_exception({b"reason": b"no result that this protocol can carry"}),
+            )
             return False
         self._connection.served = True
         self._reply(RETURNED, thrift.encode_answer(result.body, {}, True))
@@ -83,11 +86,11 @@
             values[b"backoff"] = b"%d" % (retry_after_ns // NS_PER_MS)
         if no_retry:
             values[b"final"] = b"1"
-        self._reply(REJECTED, thrift.encode_problem(values))
+        self._reply(REJECTED, thrift.encode_service_exception(values))
 
     def failed(self, reason: FailureReason, result: RunResult | None = None) -> None:  # noqa: ARG002 (no room)
         """See core.protocols.Responder; the protocol carries no result of a failure."""
-        self._reply(FAILED, thrift.encode_problem({b"reason": reason.value.encode()}))
+        self._reply(FAILED, thrift.encode_service_exception({b"reason": reason.value.encode()}))
 
     def origin(self) -> tuple[str, str]:
         """See core.protocols.Responder."""
@@ -102,7 +105,7 @@
         request_count: Requests that were read.
         replied: Something was sent in answer, once at least.
         only_pinged: It asked for nothing but health checks.
-        unreadable: What arrives can't be read any more; open requests are still answered.
+        reading_stopped: What arrives can't be read any more; open requests are still answered.
         farewell_sent_at_s: When the router was asked to close; None: not yet.
     """
 
@@ -112,13 +115,13 @@
         self.request_count = 0
         self.replied = False
         self.only_pinged = False
-        self.unreadable = False
+        self.reading_stopped = False
         self.farewell_sent_at_s: float | None = None
         self._front = front
         self._rejections = bytearray()  # of early rejection, sent together
 
     @property
-    def has_asked(self) -> bool:
+    def has_sent_request(self) -> bool:
         """Whether it has asked for something, also where all of it was aborted and needed no answer."""
         return self.replied or self.request_count > 0
 
@@ -155,11 +158,11 @@
         """Sends the reply of a call, unless the call was aborted."""
         if self.open_requests.pop(sequence_id, None) is None:
             return
-        self.used_at_s = time.monotonic()
+        self.last_used_at_s = time.monotonic()
         self._write(reply)
         if self.open_requests:
             return
-        if self.unreadable:
+        if self.reading_stopped:
             self.stream.close_when_sent()
         elif self._front.draining:
             self.send_farewell()
@@ -168,7 +171,7 @@
         """Asks the router to close, once: a close from this side could cross a request."""
         if self.farewell_sent_at_s is None:
             self.farewell_sent_at_s = time.monotonic()
-            self.stream.write(FAREWELL)
+            self.stream.write(FAREWELL_FRAME)
 
     # ---- reading
     def _read_frame(self) -> bytes:
@@ -181,8 +184,8 @@
             del buffer[:end]
             return frame
         # A new connection has no more than its first moments for what it has begun.
-        started_s = time.monotonic() if self.has_asked else self.opened_at_s
-        deadline_s = started_s + MESSAGE_TIMEOUT_S
+        started_s = time.monotonic() if self.has_sent_request else self.accepted_at_s
+        deadline_s = started_s + MESSAGE_ARRIVAL_TIMEOUT_S
         size = int.from_bytes(self.stream.read_exactly(FRAME_HEADER_BYTES, deadline_s), "big")
         if size > MAX_FRAME_BYTES:
             raise thrift.MalformedFrameError(thrift.FrameFault.FRAME_TOO_LONG)
@@ -192,7 +195,7 @@
         """Ends the connection, but not what was asked on it before: that is answered first."""
         if self._rejections:
             self._send_rejections()
-        self.unreadable = True
+        self.reading_stopped = True
         self.stream.discard_input()
         if not self.open_requests:
             self.stream.close_when_sent()
@@ -200,7 +203,7 @@
     # ---- calls
     def _handle_frame(self, frame: bytes) -> None:
         message = thrift.parse_message(frame)
-        self.used_at_s = time.monotonic()
+        self.last_used_at_s = time.monotonic()
         if message.kind == thrift.CALL:
             if message.method == INVOKE:
                 self._invoke(message)
@@ -283,7 +286,7 @@
             return False
         self.request_count += 1
         self.only_pinged = False
-        problem = thrift.encode_problem({b"backoff": b"%d" % (retry_after_ns // NS_PER_MS)})
+        problem = thrift.encode_service_exception({b"backoff": b"%d" % (retry_after_ns // NS_PER_MS)})
         self._rejections += thrift.encode_reply(INVOKE, sequence_id, REJECTED, problem)
         front.core.metrics.count(RequestCounter.REJECTED, class_name)
         return True
--- a/ochrehoist/net/thrift_front.py
+++ b/ochrehoist/net/thrift_front.py
@@ -11,7 +11,14 @@
 from ochrehoist.admission.settings import AdmissionSettings, RequestClass
 from ochrehoist.core.actor import CoreActor
 from ochrehoist.core.messages import CallerDisconnected
-from ochrehoist.net.front import FRESH_S, MESSAGE_TIMEOUT_S, SILENT_S, SLOW_START_S, STALLED_S, Front
+from ochrehoist.net.front import (
+    EVICTABLE_AFTER_ACCEPT_S,
+    MESSAGE_ARRIVAL_TIMEOUT_S,
+    SILENT_AFTER_LAST_BYTE_S,
+    SLOW_AFTER_ACCEPT_S,
+    STALLED_AFTER_LAST_BYTE_S,
+    Front,
+)
 from ochrehoist.net.loop import Loop
 from ochrehoist.net.stream import Stream
 from ochrehoist.net.thrift_connection import ThriftConnection
@@ -24,16 +31,16 @@
 SOCKET_SEND_BUFFER_BYTES = 64 * 1024  # for each connection: for a slow reader it would grow to megabytes
 FIRST_SWEEP_DELAY_S = 0.1
 SWEEP_INTERVAL_S = 0.05
-FAREWELL_LINGER_S = 0.5  # that a router has to close a connection after its farewell
-CROWDED_FRACTION = 0.125  # of the connection limit: from there on connections used once are ended early
-CROWDED_IDLE_S = 2.0  # without a request after which such a connection is then ended
+CLOSE_AFTER_FAREWELL_S = 0.5  # that a router has to close a connection after its farewell
+EARLY_END_FRACTION = 0.125  # of the connection limit: from there on connections used once are ended early
+EARLY_END_IDLE_S = 2.0  # without a request after which such a connection is then ended
 MALFORMED_LOG_INTERVAL_S = 1.0
 
 
 class EvictionRank(IntEnum):
     """Which connections are closed first where there are too many: those that are missed least."""
 
-    LEAVING = 0
+    CLOSING = 0
     SILENT = 1
     USED_ONCE_OR_NEVER_SERVED = 2
     STALLED = 3
@@ -115,7 +122,7 @@
     def _open_connection(self, sock: socket.socket) -> tuple[ThriftConnection, Callable[[], None]]:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SOCKET_SEND_BUFFER_BYTES)
         stream = Stream(self.loop, sock)
-        connection = ThriftConnection(self, self.loop, stream, next(self._numbers))
+        connection = ThriftConnection(self, self.loop, stream, next(self._connection_ids))
         return connection, connection.run
 
     def _connection_closed(self, connection: ThriftConnection) -> None:
@@ -128,24 +135,24 @@
         stream = connection.stream
         silence_s = now_s - stream.received_at_s
         used_once_or_never_served = connection.request_count <= 1 or not connection.served
-        slow_start = stream.received_at_s - connection.opened_at_s > SLOW_START_S
+        is_slow_start = stream.received_at_s - connection.accepted_at_s > SLOW_AFTER_ACCEPT_S
         if stream.half_closed or connection.farewell_sent_at_s:
-            rank = EvictionRank.LEAVING
-        elif stream.buffer and silence_s > STALLED_S:
+            rank = EvictionRank.CLOSING
+        elif stream.buffer and silence_s > STALLED_AFTER_LAST_BYTE_S:
             rank = EvictionRank.STALLED
-        elif stream.buffer and (connection.replied or slow_start):
+        elif stream.buffer and (connection.replied or is_slow_start):
             rank = EvictionRank.SENDING
         elif connection.replied:
             rank = EvictionRank.USED_ONCE_OR_NEVER_SERVED if used_once_or_never_served else EvictionRank.IDLE
-        elif not stream.buffer and silence_s > SILENT_S:
+        elif not stream.buffer and silence_s > SILENT_AFTER_LAST_BYTE_S:
             rank = EvictionRank.SILENT
         else:
             rank = EvictionRank.NEW
-        return rank, connection.used_at_s
+        return rank, connection.last_used_at_s
 
     def _can_evict(self, connection: ThriftConnection, now_s: float) -> bool:
         stream = connection.stream
-        if connection.open_requests or now_s - connection.opened_at_s <= FRESH_S:
+        if connection.open_requests or now_s - connection.accepted_at_s <= EVICTABLE_AFTER_ACCEPT_S:
             return False
         # A request that is here keeps its connection, unless it is of a flood that is being slowed down.
         if connection.has_complete_frame() and not connection.pacer.exceeded:
@@ -156,10 +163,10 @@
     # ---- idle connections
     def _sweep(self) -> None:
         now_s = time.monotonic()
-        crowded = len(self.connections) > CROWDED_FRACTION * self.acceptor.limit
+        ends_early = len(self.connections) > EARLY_END_FRACTION * self.acceptor.limit
         for connection in list(self.connections):
             if not self._is_busy(connection):
-                self._end_if_idle(connection, now_s, crowded)
+                self._end_if_idle(connection, now_s, ends_early)
         if self._malformed_count and now_s - self._malformed_logged_at_s > MALFORMED_LOG_INTERVAL_S:
             self._log_malformed(now_s)
         self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
@@ -168,46 +175,46 @@
     def _is_busy(connection: ThriftConnection) -> bool:
         """Whether it is being answered or read, or closes already."""
         stream = connection.stream
-        if connection.open_requests or connection.unreadable or stream.closing or stream.closed:
+        if connection.open_requests or connection.reading_stopped or stream.closing or stream.closed:
             return True
         return bool(stream.buffer) and connection.has_complete_frame()
 
-    def _end_if_idle(self, connection: ThriftConnection, now_s: float, crowded: bool) -> None:
+    def _end_if_idle(self, connection: ThriftConnection, now_s: float, ends_early: bool) -> None:
         stream = connection.stream
         # What is still sending a request is in use, though the request is not here yet.
-        used_at_s = connection.used_at_s
+        last_used_at_s = connection.last_used_at_s
         if stream.buffer:
-            used_at_s = max(used_at_s, stream.received_at_s)
-        age_s = now_s - connection.opened_at_s
+            last_used_at_s = max(last_used_at_s, stream.received_at_s)
+        age_s = now_s - connection.accepted_at_s
         if connection.farewell_sent_at_s is not None:
-            self._close_after_farewell(connection, connection.farewell_sent_at_s, used_at_s, now_s)
-        elif not connection.has_asked and age_s > MESSAGE_TIMEOUT_S:
+            self._close_after_farewell(connection, connection.farewell_sent_at_s, last_used_at_s, now_s)
+        elif not connection.has_sent_request and age_s > MESSAGE_ARRIVAL_TIMEOUT_S:
             if not stream.read_available():
                 stream.close()  # nothing came that could be answered: nobody waits for anything here
-        elif self._is_idle(connection, now_s - used_at_s, age_s, crowded):
+        elif self._is_idle(connection, now_s - last_used_at_s, age_s, ends_early):
             connection.send_farewell()
 
     @staticmethod
     def _close_after_farewell(
-        connection: ThriftConnection, farewell_sent_at_s: float, used_at_s: float, now_s: float
+        connection: ThriftConnection, farewell_sent_at_s: float, last_used_at_s: float, now_s: float
     ) -> None:
-        lingered_s = now_s - max(farewell_sent_at_s, used_at_s)
-        if lingered_s > FAREWELL_LINGER_S and not connection.stream.read_available():
+        waited_s = now_s - max(farewell_sent_at_s, last_used_at_s)
+        if waited_s > CLOSE_AFTER_FAREWELL_S and not connection.stream.read_available():
             connection.stream.close_when_sent()
 
-    def _is_idle(self, connection: ThriftConnection, idle_s: float, age_s: float, crowded: bool) -> bool:
+    def _is_idle(self, connection: ThriftConnection, idle_s: float, age_s: float, ends_early: bool) -> bool:
         if (
-            connection.has_asked
+            connection.has_sent_request
             and not connection.replied
-            and idle_s > FAREWELL_LINGER_S
-            and age_s > MESSAGE_TIMEOUT_S - FAREWELL_LINGER_S
+            and idle_s > CLOSE_AFTER_FAREWELL_S
+            and age_s > MESSAGE_ARRIVAL_TIMEOUT_S - CLOSE_AFTER_FAREWELL_S
         ):
             return True  # all of it was aborted: the next request may be on its way
         if connection.only_pinged:
             return False
         if idle_s > self._idle_timeout_s > 0:
             return True
-        return crowded and connection.request_count <= 1 and idle_s > CROWDED_IDLE_S
+        return ends_early and connection.request_count <= 1 and idle_s > EARLY_END_IDLE_S
 
     def _log_malformed(self, now_s: float) -> None:
         self.log.warning(
@@ -234,7 +241,7 @@
         for connection in list(self.connections):
             connection.send_farewell()
 
-    def end_idle(self) -> None:
+    def end_idle_connections(self) -> None:
         """Says farewell to connections on which nothing is asked."""
         for connection in list(self.connections):
             if not connection.open_requests:
