--- a/ochrehoist/net/ajp.py
+++ b/ochrehoist/net/ajp.py
@@ -1,7 +1,7 @@
-"""AJP/1.3 packets, both ways, without any I/O.
+"""Parser and encoder of AJP/1.3 packets, in both directions, without I/O.
 
-Every length is checked against the packet that is there, so no packet can ask for memory. What can't be read
-raises MalformedPacketError.
+Every length is checked against the received packet, so that a false length allocates no memory. Malformed
+input raises MalformedPacketError.
 """
 
 import struct
@@ -12,24 +12,24 @@
 
 from ochrehoist.errors import OchrehoistError
 
-# The magic of each direction.
+# The magic bytes of each direction: web server to container, and container to web server.
 TO_CONTAINER = b"\x12\x34"
 TO_SERVER = b"AB"
-# Kinds of packets of a web server.
+# Types of the packets from a web server.
 FORWARD = 2
 SHUTDOWN = 7
 PING = 8
 CPING = 10
-# Kinds of packets to a web server.
+# Types of the packets to a web server.
 BODY_CHUNK = 3
 HEADERS = 4
 END_RESPONSE = 5
 GET_BODY = 6
 CPONG = 9
 
-HEADER_BYTES = 4  # magic and length
-CHUNK_LENGTH_BYTES = 2  # in front of a chunk of a body
-CHUNK_OVERHEAD_BYTES = 4  # of a chunk of a response: kind, length, a final zero
+HEADER_BYTES = 4  # magic and length of a packet
+CHUNK_LENGTH_BYTES = 2  # the length field before a chunk of a request body
+CHUNK_OVERHEAD_BYTES = 4  # packet type, length and terminating zero of a response chunk
 
 METHODS = (
     "",
@@ -61,7 +61,7 @@
     "BASELINE-CONTROL",
     "MKACTIVITY",
 )
-STORED_METHOD = 0xFF
+STORED_METHOD = 0xFF  # method code of a request whose method is in an attribute
 REQUEST_HEADERS = (
     b"",
     b"accept",
@@ -79,7 +79,7 @@
     b"referer",
     b"user-agent",
 )
-# Names of response headers.
+# Codes of response headers.
 CONTENT_TYPE = 0xA001
 CONTENT_LENGTH = 0xA003
 ATTRIBUTE_OTHER = 0x0A
@@ -87,39 +87,44 @@
 ATTRIBUTE_SECRET = 0x0C
 ATTRIBUTE_STORED_METHOD = 0x0D
 ATTRIBUTES_END = 0xFF
-NULL_STRING_LENGTH = 0xFFFF  # in place of a length
-CODED_HEADER_PREFIX = 0xA0  # the high byte of a header's code
+NULL_STRING_LENGTH = 0xFFFF  # length field of an absent string
+CODED_HEADER_PREFIX = 0xA0  # high byte of a header code
 MAX_CONTENT_LENGTH_DIGITS = 15
 
 _U16 = struct.Struct(">H")
 
 
 class PacketFault(StrEnum):
-    """What is wrong with a packet."""
+    """The reason why a packet is rejected, as it appears in the log."""
 
-    LENGTH_BEYOND_PACKET = "a length beyond the packet"
-    UNTERMINATED_STRING = "a string without its end"
-    UNKNOWN_HEADER_CODE = "an unknown header code"
-    TWO_SECRETS = "two secrets"
-    UNKNOWN_ATTRIBUTE = "an unknown attribute"
-    UNKNOWN_METHOD = "an unknown method"
-    INVALID_CONTENT_LENGTH = "a content length that is no number"
-    UNEXPECTED_PACKET = "an unexpected packet"
-    WRONG_PACKET = "not a packet of this direction, or one too long"
-    RESPONSE_TOO_LARGE = "a response over the limit"
-    BODY_TOO_LONG = "more body than told"
+    LENGTH_BEYOND_PACKET = "length exceeds the packet"
+    UNTERMINATED_STRING = "unterminated string"
+    UNKNOWN_HEADER_CODE = "unknown header code"
+    TWO_SECRETS = "duplicate secret attribute"
+    UNKNOWN_ATTRIBUTE = "unknown attribute"
+    UNKNOWN_METHOD = "unknown method code"
+    INVALID_CONTENT_LENGTH = "invalid content length"
+    UNEXPECTED_PACKET = "unexpected packet type"
+    WRONG_PACKET = "wrong magic bytes, or packet too long"
+    RESPONSE_TOO_LARGE = "response exceeds the size limit"
+    BODY_TOO_LONG = "body longer than its content length"
 
 
 class MalformedPacketError(OchrehoistError):
-    """The peer does not speak AJP/1.3: its connection is of no further use. `value` is what was found."""
+    """The peer violated AJP/1.3, or a limit; its connection must be closed.
+
+    Attributes:
+        fault: The reason.
+    """
 
     def __init__(self, fault: PacketFault, value: int | None = None) -> None:
+        """Appends `value`, the invalid code, to the message if it is given."""
         super().__init__(fault.value if value is None else f"{fault.value} {value}")
         self.fault = fault
 
 
 class PacketReader:
-    """Reads the payload of a packet from one position on."""
+    """A cursor over the payload of a packet. Its methods raise MalformedPacketError beyond the end."""
 
     __slots__ = ("data", "position")
 
@@ -128,7 +133,7 @@
         self.position = position
 
     def read_bytes(self, count: int) -> bytes:
-        """So many bytes."""
+        """Reads `count` bytes."""
         end = self.position + count
         if end > len(self.data):
             raise MalformedPacketError(PacketFault.LENGTH_BEYOND_PACKET)
@@ -137,14 +142,14 @@
         return data
 
     def read_byte(self) -> int:
-        """One byte."""
+        """Reads one byte."""
         self.position += 1
         if self.position > len(self.data):
             raise MalformedPacketError(PacketFault.LENGTH_BEYOND_PACKET)
         return self.data[self.position - 1]
 
     def read_u16(self) -> int:
-        """An unsigned number of 16 bits."""
+        """Reads an unsigned 16-bit integer."""
         self.position += 2
         if self.position > len(self.data):
             raise MalformedPacketError(PacketFault.LENGTH_BEYOND_PACKET)
@@ -152,7 +157,7 @@
         return value
 
     def read_string(self) -> bytes | None:
-        """A string; None where there is none, which is not the same as an empty one."""
+        """Reads a string; returns None for an absent string, which differs from an empty one."""
         size = self.read_u16()
         if size == NULL_STRING_LENGTH:
             return None
@@ -162,7 +167,7 @@
         return data[:-1]
 
     def read_header(self) -> tuple[bytes, bytes]:
-        """Name, in lower case, and value of a request header."""
+        """Reads a request header; returns its name, in lower case, and its value."""
         size = self.read_u16()
         if size >> 8 == CODED_HEADER_PREFIX:
             code = size & 0xFF
@@ -180,19 +185,19 @@
 
 @dataclass(slots=True)
 class ForwardRequest:
-    """A Forward Request: only what decisions need is taken out; `packet` is forwarded as it came.
+    """A Forward Request packet, of which only the fields that routing and admission need are parsed.
 
     Attributes:
-        packet: The payload of the packet.
-        method: Of HTTP.
-        uri: As the web server decoded it, without the query.
-        remote_address: Of the client.
-        headers: By their names in lower case; the first of each.
-        length: Of the body, in bytes, where it is known.
-        chunked: The body's length is not known: it ends with an empty chunk.
-        secret: What the web server proves itself with.
-        secret_span: Start and end of that attribute in the packet.
-        attributes_end: Where the attributes end.
+        packet: The payload of the packet, which is forwarded unchanged except for the secret.
+        method: The HTTP method.
+        uri: The path as decoded by the web server, without the query.
+        remote_address: The address of the HTTP client.
+        headers: The first value of each header, by name in lower case.
+        length: The size of the body in bytes; 0 if unknown.
+        chunked: Whether the size of the body is unknown and an empty chunk ends it.
+        secret: The secret that authenticates the web server, if it sent one.
+        secret_span: Start and end of the secret attribute in `packet`.
+        attributes_end: Position in `packet` of the byte that terminates the attributes.
     """
 
     packet: bytes
@@ -207,25 +212,25 @@
     attributes_end: int = 0
 
     def payload_for_server(self, secret: bytes | None) -> bytes:
-        """The packet's payload for a server behind: unchanged, but for the secret of this hop."""
-        kept = self.packet[: self.attributes_end]
+        """Returns the payload to send to a backend server, with that server's secret in place of this one."""
+        content = self.packet[: self.attributes_end]
         if self.secret is not None:
             start, end = self.secret_span
-            kept = self.packet[:start] + self.packet[end : self.attributes_end]
+            content = self.packet[:start] + self.packet[end : self.attributes_end]
         secret_attribute = bytes((ATTRIBUTE_SECRET,)) + encode_string(secret) if secret else b""
-        return kept + secret_attribute + bytes((ATTRIBUTES_END,))
+        return content + secret_attribute + bytes((ATTRIBUTES_END,))
 
 
 @dataclass(slots=True)
 class AjpPayload:
-    """A request as it came: its packet, and its body, read whole."""
+    """A received request, with its complete body."""
 
     forward: ForwardRequest
     body: bytes
 
 
 def parse_forward(packet: bytes) -> ForwardRequest:
-    """Reads the payload of a Forward Request."""
+    """Parses the payload of a Forward Request packet."""
     reader = PacketReader(packet, 1)
     method_code = reader.read_byte()
     reader.read_string()  # protocol
@@ -234,7 +239,7 @@
     reader.read_string()  # remote host
     reader.read_string()  # server name
     reader.read_u16()  # port
-    reader.read_byte()  # over TLS
+    reader.read_byte()  # whether the client used TLS
     method = METHODS[method_code] if 0 < method_code < len(METHODS) else ""
     forward = ForwardRequest(packet, method, uri, remote_address)
     for _ in range(reader.read_u16()):
@@ -251,8 +256,8 @@
     while (kind := reader.read_byte()) != ATTRIBUTES_END:
         start = reader.position - 1
         if kind == ATTRIBUTE_OTHER:
-            reader.read_string()  # its name
-            reader.read_string()
+            reader.read_string()  # name
+            reader.read_string()  # value
         elif kind == ATTRIBUTE_KEY_SIZE:
             reader.read_u16()
         elif 0 < kind <= ATTRIBUTE_STORED_METHOD:
@@ -280,7 +285,7 @@
 
 
 def parse_request_chunk(payload: bytes) -> bytes:
-    """The data of a body packet; an empty one ends the body."""
+    """Returns the data of a request body packet; empty data ends the body."""
     if not payload:
         return b""
     reader = PacketReader(payload)
@@ -292,7 +297,13 @@
 
 @dataclass(slots=True)
 class Reply:
-    """A response: the Send Headers payload as it came, and the whole body."""
+    """A response of an AJP server.
+
+    Attributes:
+        status: The HTTP status code.
+        headers: The payload of the Send Headers packet, unchanged.
+        body: The complete body.
+    """
 
     status: int
     headers: bytes
@@ -300,21 +311,21 @@
 
 
 class ReplyCodec:
-    """A DetailCodec: what the result of an AJP server carries for an AJP client, in JSON."""
+    """The DetailCodec of AJP responses: converts their status and headers to and from JSON."""
 
     def to_json(self, detail: object) -> dict[str, Any] | None:
-        """None where the detail is of another executor."""
+        """Returns the detail in JSON, or None if another executor produced it."""
         if not isinstance(detail, Reply):
             return None
         return {"status": detail.status, "headers": detail.headers.hex()}
 
     def from_json(self, data: Any) -> Reply | None:
-        """Raises KeyError, TypeError or ValueError where the data is damaged."""
+        """Returns the detail without its body; raises KeyError, TypeError or ValueError for invalid data."""
         return None if data is None else Reply(int(data["status"]), bytes.fromhex(data["headers"]))
 
 
 def parse_headers(payload: bytes) -> Reply:
-    """Reads a Send Headers payload; the body is still to come."""
+    """Parses the payload of a Send Headers packet; returns a response without its body."""
     reader = PacketReader(payload, 1)
     status = reader.read_u16()
     reader.read_string()  # reason
@@ -327,18 +338,18 @@
 
 
 def parse_response_chunk(payload: bytes) -> bytes:
-    """The data of a Send Body Chunk payload."""
+    """Returns the data of a Send Body Chunk payload."""
     reader = PacketReader(payload, 1)
     return reader.read_bytes(reader.read_u16())
 
 
 def parse_get_body(payload: bytes) -> int:
-    """How many bytes of the body a server asks for."""
+    """Returns the number of body bytes that a server requests with a Get Body Chunk payload."""
     return PacketReader(payload, 1).read_u16()
 
 
 def parse_end_response(payload: bytes) -> bool:
-    """Whether the connection may be used again."""
+    """Returns whether the server keeps the connection open after an End Response payload."""
     return PacketReader(payload, 1).read_byte() == 1
 
 
@@ -346,37 +357,44 @@
 
 
 def encode_string(data: bytes) -> bytes:
-    """A string with its length and its end."""
+    """Returns a string with its length prefix and terminating zero."""
     return _U16.pack(len(data)) + data + b"\0"
 
 
 def encode_packet(magic: bytes, payload: bytes) -> bytes:
-    """A packet of the direction that `magic` stands for."""
+    """Returns a packet; `magic` is that of its direction."""
     return magic + _U16.pack(len(payload)) + payload
 
 
 def encode_request_chunk(data: bytes) -> bytes:
-    """A body packet to a server."""
+    """Returns a request body packet to a server; empty data ends the body."""
     return encode_packet(TO_CONTAINER, _U16.pack(len(data)) + data if data else b"")
 
 
 def encode_get_body(size: int) -> bytes:
-    """Asks a web server for so many bytes of the body."""
+    """Returns a packet that requests up to `size` body bytes from a web server."""
     return encode_packet(TO_SERVER, bytes((GET_BODY,)) + _U16.pack(size))
 
 
 def encode_headers(status: int, reason: str, headers: Sequence[tuple[int | bytes, bytes]]) -> bytes:
-    """A Send Headers payload; headers are by their code or name."""
+    """Returns a Send Headers payload; each header is a pair of its code or name, and its value."""
     encoded = b"".join(
         (_U16.pack(name) if isinstance(name, int) else encode_string(name)) + encode_string(value)
         for name, value in headers
     )
-    start = bytes((HEADERS,)) + _U16.pack(status) + encode_string(reason.encode())
-    return start + _U16.pack(len(headers)) + encoded
+    status_line = bytes((HEADERS,)) + _U16.pack(status) + encode_string(reason.encode())
+    return status_line + _U16.pack(len(headers)) + encoded
 
 
 def encode_response(headers: bytes, body: bytes, packet_size: int, reuse: bool) -> bytes:
-    """A whole response in packets of at most `packet_size` bytes; `reuse`: the connection stays open."""
+    """Returns a complete response in packets of at most `packet_size` bytes.
+
+    Args:
+        headers: The Send Headers payload.
+        body: The complete body.
+        packet_size: Maximum size of a packet in bytes.
+        reuse: Whether the connection stays open for another request.
+    """
     packets = [encode_packet(TO_SERVER, headers)]
     chunk_bytes = packet_size - HEADER_BYTES - CHUNK_OVERHEAD_BYTES
     for start in range(0, len(body), chunk_bytes):
--- a/ochrehoist/net/ajp_connection.py
+++ b/ochrehoist/net/ajp_connection.py
@@ -1,4 +1,4 @@
-"""One connection of a web server: one request at a time, as AJP/1.3 has it."""
+"""The connection of a web server, which sends one request at a time, as AJP/1.3 requires."""
 
 import time
 from collections.abc import Sequence
@@ -28,11 +28,11 @@
     FailureReason.KEY_CONFLICT: HTTPStatus.UNPROCESSABLE_ENTITY,
 }
 
-Headers = Sequence[tuple[int | bytes, bytes]]  # by code or name
+Headers = Sequence[tuple[int | bytes, bytes]]  # pairs of a header's code or name, and its value
 
 
 class AjpFrontContext(FrontContext, Protocol):
-    """What a connection needs of its front."""
+    """The interface of the AJP front that its connections use; see AjpFront for the attributes."""
 
     config: AjpConfig
     log: Logger
@@ -41,19 +41,19 @@
     reader: AjpReader
 
     def add_body_bytes(self, delta_bytes: int) -> None:
-        """Counts a change of what bodies take."""
+        """Adds to the memory in use by request bodies."""
         ...
 
     def unsent_bytes(self) -> int:
-        """Bytes of all answers that were written and not yet taken."""
+        """See `Front.unsent_bytes`."""
         ...
 
 
 class AjpResponder:
-    """Answers one request, and with it ends its turn on the connection.
+    """The Responder of one request; once it is done, the connection reads the next request.
 
     Attributes:
-        done: It was answered, or nobody waits for it any more.
+        done: Whether the request was answered or cancelled.
     """
 
     __slots__ = ("_connection", "_head_only", "done")
@@ -64,11 +64,11 @@
         self._head_only = head_only
 
     def cancel(self) -> None:
-        """Sends nothing any more."""
+        """Suppresses the response, because the client has disconnected."""
         self.done = True
 
     def send_text(self, status: HTTPStatus, reason: str, headers: Headers = ()) -> None:
-        """Sends a response of the front's own."""
+        """Sends a plain-text response that the front generates itself."""
         text = f"{status.value} {status.phrase}: {reason}\n".encode()
         self._send_response(status, b"text/plain; charset=utf-8", text, headers)
 
@@ -77,11 +77,11 @@
         self._connection.served = True
         if isinstance(result.detail, ajp.Reply):
             self._send(result.detail.headers, result.body)
-        else:  # the result of a filing that ran for another front: its bytes, as they are
+        else:  # the result of a filing that ran for another front, which is sent unchanged
             self._send_response(HTTPStatus.OK, b"application/octet-stream", result.body)
         return True
 
-    def rejected(self, retry_after_ns: int, no_retry: bool) -> None:  # noqa: ARG002 (HTTP has no word for it)
+    def rejected(self, retry_after_ns: int, no_retry: bool) -> None:  # noqa: ARG002 (HTTP cannot express it)
         """See core.protocols.Responder."""
         self.send_text(
             HTTPStatus.SERVICE_UNAVAILABLE,
@@ -90,7 +90,7 @@
         )
 
     def failed(self, reason: FailureReason, result: RunResult | None = None) -> None:
-        """See core.protocols.Responder; the server's own error page is sent where there is one."""
+        """See core.protocols.Responder; sends the server's own error page if there is one."""
         if result is not None and isinstance(result.detail, ajp.Reply):
             self._send(result.detail.headers, result.body)
             return
@@ -120,22 +120,22 @@
 
 
 def retry_after_seconds(retry_after_ns: int) -> int:
-    """Whole seconds, at least one, that are no shorter."""
+    """Converts a delay to whole seconds, rounded up, at least 1."""
     return max(1, -(-retry_after_ns // NS_PER_S))
 
 
 def retry_after_header(seconds: int) -> Headers:
-    """The header of that name."""
+    """Returns a Retry-After header."""
     return ((b"Retry-After", b"%d" % seconds),)
 
 
 class AjpConnection(FrontConnection):
-    """Reads packets while the connection lasts.
+    """The connection of a web server to the AJP front.
 
     Attributes:
-        busy: A request is being read or answered.
-        has_sent_packet: A whole packet of it was read.
-        body_bytes: Read or announced, of the request in progress.
+        busy: Whether a request is being read or answered.
+        has_sent_packet: Whether a complete packet was read.
+        body_bytes: Memory reserved for the body of the current request, in bytes.
     """
 
     def __init__(self, front: AjpFrontContext, loop: Loop, stream: Stream, number: int) -> None:
@@ -147,7 +147,7 @@
         self._packet_size = front.config.packet_size
 
     def run(self) -> None:
-        """The connection's task."""
+        """Handles packets until the connection ends; runs as the connection's task."""
         try:
             while not self.stream.closing:
                 packet = self._read_packet()
@@ -155,14 +155,14 @@
                     break
         except (ConnectionClosedError, StreamTimeoutError):
             pass
-        except ajp.MalformedPacketError as error:  # ends this connection only
+        except ajp.MalformedPacketError as error:
             self._front.log.warning("ajp_packet_malformed", reason=str(error))
         finally:
             self._set_body_bytes(0)
             self.stream.close_when_sent()
 
     def send_response(self, head: bytes, body: bytes) -> None:
-        """Sends a whole response; the connection is used again unless the front drains."""
+        """Sends a complete response; closes the connection after it if the front drains."""
         front = self._front
         stream = self.stream
         reuse = not front.draining
@@ -170,14 +170,15 @@
         if not reuse:
             stream.close_when_sent()
         elif stream.unsent and front.unsent_bytes() > front.max_bytes:
-            stream.close()  # readers this slow would fill the memory together
+            stream.close()  # bounds the memory that the responses to all slow readers take
         stream.activity.set()
 
     # ---- packets
     def _read_packet(self) -> bytes:
-        """The next packet. Only the wait for its first byte may be long, and not on a new connection.
+        """Reads the next packet.
 
-        Silent and half-sent connections must not keep descriptors.
+        The first byte may take up to the idle timeout; a new connection has MESSAGE_ARRIVAL_TIMEOUT_S for its
+        whole first packet, so that silent and stalled connections do not hold file descriptors.
         """
         started_s = time.monotonic()
         if not self.stream.buffer:
@@ -192,7 +193,7 @@
         return read_packet(self.stream, ajp.TO_CONTAINER, self._packet_size, remaining_s)
 
     def _handle_packet(self, packet: bytes, arrived_ns: int) -> bool:
-        """Handles a packet whose last byte arrived then; returns whether the connection goes on."""
+        """Handles a packet that arrived at this Unix time; returns whether the connection stays open."""
         self.has_sent_packet = True
         if not self.served:
             self.pacer.request_read()
@@ -205,9 +206,9 @@
             self.last_used_at_s = time.monotonic()
         elif kind == ajp.CPING:
             if not self._front.core.healthy:
-                return False  # no answer: the balancer takes this worker for down
+                return False  # without an answer, the load balancer takes this worker as down
             self.stream.write(ajp.PONG_PACKET)
-        elif kind not in (ajp.SHUTDOWN, ajp.PING):  # these two are for nobody here, and ignored
+        elif kind not in (ajp.SHUTDOWN, ajp.PING):  # not supported, and ignored
             raise ajp.MalformedPacketError(ajp.PacketFault.UNEXPECTED_PACKET, kind)
         return True
 
@@ -266,8 +267,8 @@
             counter = RequestCounter.REJECTED if is_temporary else RequestCounter.FAILED
             self._front.core.metrics.count(counter, class_name)
         if forward.chunked and self.body_bytes:
-            self.stream.close_when_sent()  # its body was broken off: this connection is out of step
-        elif forward.length:  # the first chunk of a body of known length is on its way unasked
+            self.stream.close_when_sent()  # unread body chunks would be taken for the next request
+        elif forward.length:  # a web server sends the first chunk of a body of known length unasked
             config = self._front.config
             read_packet(self.stream, ajp.TO_CONTAINER, config.packet_size, config.body_timeout_s)
 
@@ -275,8 +276,8 @@
         stream = self.stream
         while not responder.done:
             stream.wait_until(lambda: responder.done)
-            # Once answered, what is in the buffer may be the next request, whole with its first chunk: a loop
-            # that runs late sees both at once.
+            # Only checked before the response: after it, the buffer may hold the next request with its first
+            # chunk, if the loop runs late.
             if not responder.done and (stream.ended or len(stream.buffer) > self._front.config.packet_size):
                 responder.cancel()
                 self._front.core.post(CallerDisconnected(request.id))
@@ -284,30 +285,30 @@
 
     # ---- bodies
     def _read_body(self, forward: ajp.ForwardRequest, request_class: RequestClass) -> bytes:
-        """The whole body.
+        """Reads the complete body.
 
         Raises:
-            ConnectionClosedError: it was cut off midway; nothing runs.
-            StreamTimeoutError: it did not arrive by the deadline.
-            RequestRejectedError: it takes too much memory.
+            ConnectionClosedError: The body was cut off; the request does not run.
+            StreamTimeoutError: The body did not arrive by the deadline.
+            RequestRejectedError: The body is too large, or there is no memory for it.
         """
         self._reserve_body(forward.length)
-        # A body that takes longer than its caller waits is of no use.
+        # The caller does not wait for a response beyond the request's deadline.
         deadline_s = time.monotonic() + request_class.deadline_ns / NS_PER_S
         config = self._front.config
         max_chunk_bytes = config.packet_size - ajp.HEADER_BYTES - ajp.CHUNK_LENGTH_BYTES
         body = bytearray()
-        ask = forward.chunked  # the first chunk of a known length is sent unasked
+        request_chunk = forward.chunked  # the first chunk of a body of known length is sent unasked
         while forward.chunked or len(body) < forward.length:
-            if ask:
-                missing = max_chunk_bytes if forward.chunked else forward.length - len(body)
-                self.stream.write(ajp.encode_get_body(min(max_chunk_bytes, missing)))
-            ask = True
+            if request_chunk:
+                missing_bytes = max_chunk_bytes if forward.chunked else forward.length - len(body)
+                self.stream.write(ajp.encode_get_body(min(max_chunk_bytes, missing_bytes)))
+            request_chunk = True
             chunk = self._read_chunk(config, deadline_s)
             if not chunk and forward.chunked:
                 break
             if not chunk:
-                raise ConnectionClosedError  # the caller's body ended early
+                raise ConnectionClosedError  # the HTTP client's body ended early
             body += chunk
             if len(body) > config.max_body:
                 raise RequestRejectedError(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "body too large")
@@ -325,7 +326,7 @@
         )
 
     def _reserve_body(self, size: int) -> None:
-        """Bodies that arrive at once share a bounded memory: what finds none left is rejected."""
+        """Reserves memory for the current body; rejects the request if all bodies exceed the shared limit."""
         if self._front.body_bytes - self.body_bytes + size > self._front.max_bytes:
             raise RequestRejectedError(HTTPStatus.SERVICE_UNAVAILABLE, "no memory for its body, never run")
         self._set_body_bytes(size)
--- a/ochrehoist/net/ajp_front.py
+++ b/ochrehoist/net/ajp_front.py
@@ -1,4 +1,4 @@
-"""The AJP front: web servers connect here; each request goes through the same core as Thrift's."""
+"""The AJP front: accepts connections of web servers, and evicts connections when there are too many."""
 
 import socket
 from collections.abc import Callable, Generator
@@ -20,27 +20,30 @@
 from ochrehoist.net.loop import Loop
 from ochrehoist.net.stream import Stream
 
-UNSENT_ALLOWANCE_BYTES = 65536  # beside two responses: a client that reads slowly holds up nobody else
+# Output buffer of a connection beyond two responses; buffering keeps a slow reader from delaying others.
+UNSENT_ALLOWANCE_BYTES = 65536
 
 
 class EvictionRank(IntEnum):
-    """Which connections are closed first where there are too many: those that are missed least."""
+    """The order in which connections are evicted, lowest first."""
 
     CLOSING = 0
     STALLED = 1
     NEW = 2
     IDLE = 3
-    SENDING = 4  # a first request may arrive slowly
+    SENDING = 4  # a first request that arrives slowly may be valid
 
 
 class AjpFront(Front[AjpConnection]):
-    """Accepts web servers. AJP has no farewell: idle connections are closed by their own task.
+    """The front for web servers.
+
+    AJP has no message that asks a client to close: the task of an idle connection closes it.
 
     Attributes:
-        config: The configuration in force.
-        reader: Checks requests, and builds the core's.
-        max_bytes: For all bodies that arrive, and as much for all responses not yet sent.
-        body_bytes: What the bodies take that arrive now.
+        config: The active configuration.
+        reader: Checks Forward Requests and builds the core's requests.
+        max_bytes: Memory limit of all incoming request bodies, and likewise of all unsent responses.
+        body_bytes: Memory in use by incoming request bodies.
     """
 
     PART_NAME = "AjpFront"
@@ -57,18 +60,21 @@
         sock: socket.socket | None = None,
         admission_filter: AdmissionFilter | None = None,
     ) -> None:
-        """Binds the address of `config`, as Acceptor does; raises OSError.
+        """Binds the address of `config`, unless `sock` is given.
 
         Args:
-            loop: that it runs on.
-            core: that decides on the requests.
-            executor: that runs them.
-            config: routes, limits and timeouts.
-            max_connections: that may be open at once.
-            max_bytes: for all bodies that arrive, and as much for all responses not yet sent.
-            log: of the worker.
-            sock: a socket that listens already.
-            admission_filter: sheds load before the core is asked.
+            loop: The event loop.
+            core: Decides which requests run.
+            executor: Runs the requests.
+            config: Address, routes, limits and time-outs.
+            max_connections: Maximum number of open connections.
+            max_bytes: Memory limit of all incoming request bodies, and likewise of all unsent responses.
+            log: The log of the worker.
+            sock: A socket that is listening already.
+            admission_filter: Sheds load before a request reaches the core.
+
+        Raises:
+            OSError: The address cannot be bound.
         """
         self.reader = AjpReader(core, executor, config)
         super().__init__(
@@ -88,14 +94,14 @@
     def prepare(
         self, config: AjpConfig, settings: AdmissionSettings
     ) -> Generator[None, None, Callable[[], None]]:
-        """Prepares a changed configuration in short steps; the call that it returns commits it.
+        """Prepares a changed configuration in short steps; returns a function that applies it.
 
-        What was checked before that call keeps its class.
+        Requests that were checked before it is applied keep their class.
         """
         commit_reader = yield from self.reader.prepare(config, settings)
 
         def commit() -> None:
-            """No request is checked between the two."""
+            """Applies the configuration to the front and its reader, without yielding in between."""
             self.config = config
             commit_reader()
 
@@ -103,7 +109,7 @@
 
     # ---- for connections
     def add_body_bytes(self, delta_bytes: int) -> None:
-        """Counts a change of what bodies take."""
+        """See AjpFrontContext."""
         self.body_bytes += delta_bytes
 
     # ---- connections
@@ -115,9 +121,9 @@
     def _can_evict(self, connection: AjpConnection, now_s: float) -> bool:
         if connection.busy:
             return False
-        if connection.has_sent_packet:  # what has arrived is a request
-            return not connection.stream.buffer
-        # On a connection just accepted the first request may be here, and not read yet.
+        if connection.has_sent_packet:
+            return not connection.stream.buffer  # buffered input belongs to a request
+        # The first request of a newly accepted connection may have arrived, but not been read yet.
         return now_s - connection.last_used_at_s > EVICTABLE_AFTER_ACCEPT_S
 
     def _eviction_rank(self, connection: AjpConnection, now_s: float) -> tuple[EvictionRank, float]:
@@ -137,7 +143,7 @@
 
     # ---- draining
     def end_idle_connections(self) -> None:
-        """Closes connections on which nothing is asked."""
+        """Closes connections without open or partly received requests."""
         for connection in list(self.connections):
             stream = connection.stream
             if not connection.busy and not stream.read_available() and not stream.buffer:
--- a/ochrehoist/net/ajp_reader.py
+++ b/ochrehoist/net/ajp_reader.py
@@ -1,4 +1,4 @@
-"""Reads an AJP Forward Request into a request for the core, by the routes and limits of the configuration."""
+"""Checks AJP Forward Requests against routes and limits, and converts them to requests of the core."""
 
 import hmac
 import itertools
@@ -20,16 +20,19 @@
 from ochrehoist.steps import run_to_completion
 
 MAX_IDEMPOTENCY_KEY_LENGTH = 255
-SECRET_OVERHEAD_BYTES = 4  # of the attribute that carries a server's secret
+SECRET_OVERHEAD_BYTES = 4  # attribute code, length and terminating zero of a server's secret
 BYTES_PER_KB = 1024
 DEFAULT_RANK = 0.5
-FIRST_ATTEMPT_VALUES = frozenset({b"", b"0"})
+FIRST_ATTEMPT_VALUES = frozenset({b"", b"0"})  # of the retry header
 
 
 class RequestRejectedError(OchrehoistError):
-    """The front answers the request itself: it never becomes one of the core's.
+    """The request is rejected by the front before it reaches the core.
 
-    `retry_after_s` is sent with SERVICE_UNAVAILABLE only; `class_name` is None where no route matched.
+    Attributes:
+        status: The HTTP status of the response.
+        retry_after_s: The Retry-After header in seconds, which is sent only with SERVICE_UNAVAILABLE.
+        class_name: The class of the request, or None if no route matched.
     """
 
     def __init__(self, status: HTTPStatus, reason: str, retry_after_s: int = 1) -> None:
@@ -40,7 +43,7 @@
 
 
 class CheckedRequest(NamedTuple):
-    """What is known of a request previous its body is read."""
+    """The properties of a request that are known before its body is read."""
 
     request_class: RequestClass
     tenant: str | None
@@ -48,7 +51,14 @@
 
 
 class CompiledConfig(NamedTuple):
-    """What a configuration comes to for the reader; it is replaced as a whole."""
+    """A configuration with its derived lookup tables; it is immutable and replaced as a whole.
+
+    Attributes:
+        config: The configuration.
+        route_index: The index of its routes.
+        classes: The request classes by name.
+        longest_secret_bytes: Maximum size of a server's secret attribute; 0 without secrets.
+    """
 
     config: AjpConfig
     route_index: RouteIndex
@@ -57,29 +67,30 @@
 
 
 class AjpReader:
-    """Checks Forward Requests, and builds the core's requests.
+    """Checks Forward Requests and builds the core's requests.
 
     Attributes:
-        compiled: Those in force.
+        core: Provides the tenants, and the idempotency keys that are in use.
+        compiled_config: The active configuration.
     """
 
     def __init__(self, core: CoreActor, executor: Executor, config: AjpConfig) -> None:
         self.core = core
         self._executor = executor
         self._request_numbers = itertools.count(1)
-        # Request ids must differ from those of a process that this one replaces.
+        # Distinguishes request ids from those of the process that this one replaces.
         self._instance_id = secrets.token_hex(4)
-        self.compiled = run_to_completion(self._compile_config(config, core.settings, None))
+        self.compiled_config = run_to_completion(self._compile_config(config, core.settings, None))
 
     def prepare(
         self, config: AjpConfig, settings: AdmissionSettings
     ) -> Generator[None, None, Callable[[], None]]:
-        """Prepares a changed configuration, in steps well under 1 ms each; the call it returns commits it."""
-        compiled = yield from self._compile_config(config, settings, self.compiled)
+        """Prepares a changed configuration in steps of less than 1 ms; returns a function that applies it."""
+        compiled_config = yield from self._compile_config(config, settings, self.compiled_config)
 
         def commit() -> None:
-            """Replaces all at once."""
-            self.compiled = compiled
+            """Applies the prepared configuration."""
+            self.compiled_config = compiled_config
 
         return commit
 
@@ -87,7 +98,7 @@
     def _compile_config(
         config: AjpConfig, settings: AdmissionSettings, previous: CompiledConfig | None
     ) -> Generator[None, None, CompiledConfig]:
-        """The index of `previous` is kept where the routes are the same."""
+        """Compiles a configuration; reuses the route index of `previous` if the routes are unchanged."""
         if previous is not None and config.routes is previous.config.routes:
             index = previous.route_index
         else:
@@ -100,37 +111,37 @@
         return CompiledConfig(config, index, classes, max(secrets_bytes))
 
     def configure(self, config: AjpConfig, settings: AdmissionSettings) -> None:
-        """Takes a configuration at once."""
+        """Prepares and applies a changed configuration in one step."""
         run_to_completion(self.prepare(config, settings))()
 
     def check(self, forward: ajp.ForwardRequest) -> CheckedRequest:
-        """Finds class, tenant and idempotency key previous any of the body is read.
+        """Determines class, tenant and idempotency key of a request before its body is read.
 
         Raises:
-            RequestRejectedError: the request can't be taken.
+            RequestRejectedError: The request is invalid or not authorized.
         """
-        compiled = self.compiled
-        secret = compiled.config.secret
+        compiled_config = self.compiled_config
+        secret = compiled_config.config.secret
         if secret is not None and not hmac.compare_digest(secret.encode(), forward.secret or b""):
             raise RequestRejectedError(HTTPStatus.FORBIDDEN, "wrong secret")
         path = forward.uri.split(b"?")[0].split(b";")[0].decode("latin-1")
-        route = compiled.route_index.find(forward.method, path)
+        route = compiled_config.route_index.find(forward.method, path)
         if route is None:
             raise RequestRejectedError(HTTPStatus.NOT_FOUND, "no class for this request")
-        request_class = compiled.classes[route.request_class]
+        request_class = compiled_config.classes[route.request_class]
         try:
-            return self._check_class(forward, request_class, compiled)
+            return self._check_class(forward, request_class, compiled_config)
         except RequestRejectedError as error:
             error.class_name = request_class.name
             raise
 
     def _check_class(
-        self, forward: ajp.ForwardRequest, request_class: RequestClass, compiled: CompiledConfig
+        self, forward: ajp.ForwardRequest, request_class: RequestClass, compiled_config: CompiledConfig
     ) -> CheckedRequest:
-        config = compiled.config
+        config = compiled_config.config
         if forward.length > config.max_body:
             raise RequestRejectedError(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "body too large")
-        if len(forward.packet) + compiled.longest_secret_bytes > config.packet_size - ajp.HEADER_BYTES:
+        if len(forward.packet) + compiled_config.longest_secret_bytes > config.packet_size - ajp.HEADER_BYTES:
             raise RequestRejectedError(
                 HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "no room for the server's secret"
             )
@@ -150,7 +161,7 @@
         return CheckedRequest(request_class, tenant, key or None)
 
     def _is_repeat(self, request_class: RequestClass, tenant: str, key: str) -> bool:
-        """Whether a filing that ran, or will, is asked for again: its tenant may have gone meanwhile."""
+        """Returns whether the request repeats a known filing, whose tenant may have been removed since."""
         if not key:
             return False
         full_key = (tenant, request_class.name, key)
@@ -164,8 +175,8 @@
         arrived_ns: int,
         responder: Responder,
     ) -> InboundRequest:
-        """The core's request for a whole body; `arrived_ns` is Unix time."""
-        config = self.compiled.config
+        """Builds the core's request from a checked request and its body; `arrived_ns` is Unix time."""
+        config = self.compiled_config.config
         request_class, tenant, key = checked
         idempotency_key = fingerprint = None
         if key:
@@ -193,7 +204,11 @@
 
 
 def _header_text(forward: ajp.ForwardRequest, name: bytes) -> str:
-    """UTF-8, as on Thrift: a key read in two ways would be two filings, and run twice."""
+    """Returns a header decoded as UTF-8, or an empty string if it is missing.
+
+    The Thrift front decodes keys as UTF-8 too. With different decodings, one key would name two filings, and
+    the filing would run twice.
+    """
     try:
         return forward.headers.get(name, b"").decode()
     except UnicodeDecodeError:
@@ -201,7 +216,7 @@
 
 
 def _unquoted(key: str) -> str:
-    """The header's own form is a quoted string; the bare one is taken too."""
+    """Removes the quotes of a key: the header's standard form is quoted, but a bare key is accepted."""
     if len(key) > 1 and key[0] == key[-1] == '"':
         return key[1:-1]
     return key
--- a/ochrehoist/net/ajp_server.py
+++ b/ochrehoist/net/ajp_server.py
@@ -1,7 +1,7 @@
-"""The executor of the AJP front: AJP servers behind this worker, over pooled connections.
+"""The executor of the AJP front: sends requests to backend AJP servers over pooled connections.
 
-A request that may have reached a server is never sent again, to that one or to another, unless the fleet's
-advisor allows it.
+A request that may have reached a server is not sent again, to the same or another server, unless the fleet's
+advisor allows the retry.
 """
 
 import math
@@ -25,7 +25,7 @@
 from ochrehoist.units import NS_PER_S
 
 SWEEP_INTERVAL_S = 1.0
-NEVER_S = -1e9
+NEVER_S = -1e9  # a time before any other of time.monotonic()
 MS_PER_S = 1000
 FIRST_SERVER_ERROR = 500
 FIRST_SUCCESS = 200
@@ -34,39 +34,42 @@
 
 
 class CallOutcome(StrEnum):
-    """How a call to a server ended, for the fleet."""
+    """The outcome of a call to a server, as reported to the fleet."""
 
     OK = "ok"
-    FAILING = "failing"  # an answer that cannot be used, or none
+    FAILING = "failing"  # no response, an invalid one, or a server error
     UNREACHABLE = "gone"
 
 
 class ServerAdvisor(Protocol):
-    """What a fleet knows of the servers, by their names. It never blocks."""
+    """The fleet's view of the servers, which are identified by name. Its methods never block."""
 
     def rank_servers(self, busy: Mapping[str, int]) -> Iterable[str]:
-        """The servers, the best first; `busy`: requests that this worker has open at each."""
+        """Returns the servers in order of preference; `busy` has this worker's open requests at each."""
         ...
 
     def begin_call(self, server: str, class_name: str) -> int | None:
-        """A ticket for one attempt, or None where none may run there now; one `end_call` follows."""
+        """Returns a ticket for one attempt, or None if the server may not be called now.
+
+        The caller must pass each ticket to `end_call` exactly once.
+        """
         ...
 
     def end_call(self, ticket: int, outcome: CallOutcome) -> None:
-        """The attempt has ended."""
+        """Reports the outcome of an attempt."""
         ...
 
     def max_call_s(self, server: str) -> float | None:
-        """How long a run there may take at the most, where that is bounded."""
+        """Returns the maximum duration of a call to this server, or None if it is not limited."""
         ...
 
     def may_retry(self, server: str) -> bool:
-        """Whether a request that failed elsewhere may be sent to this one, asked at the moment of use."""
+        """Returns whether a request that failed elsewhere may be sent to this server right now."""
         ...
 
 
 class IdleConnection(NamedTuple):
-    """A connection that waits for its next use."""
+    """A pooled connection, idle since `since_s`."""
 
     stream: Stream
     since_s: float
@@ -74,7 +77,14 @@
 
 @dataclass(slots=True)
 class ServerPool:
-    """The connections to one server; `unreachable_at_s`: when connecting failed last."""
+    """The connections to one server.
+
+    Attributes:
+        server: The server's settings.
+        idle: The idle connections; the most recently used is the last.
+        busy: Number of calls in progress.
+        unreachable_at_s: When connecting last failed.
+    """
 
     server: AjpServer
     idle: list[IdleConnection] = field(default_factory=list)
@@ -82,7 +92,7 @@
     unreachable_at_s: float = NEVER_S
 
     def close_idle(self, idle_since_s: float) -> None:
-        """Closes the connections that were not used since then."""
+        """Closes the connections that have been idle since before `idle_since_s`."""
         for connection in list(self.idle):
             if connection.since_s < idle_since_s:
                 self.idle.remove(connection)
@@ -90,12 +100,12 @@
 
 
 def read_packet(stream: Stream, magic: bytes, max_packet_bytes: int, timeout_s: float) -> bytes:
-    """The payload of the next packet; its header and its payload may take so long each.
+    """Reads the next packet and returns its payload; the time-out applies to header and payload separately.
 
     Raises:
-        ajp.MalformedPacketError: it is no packet of this direction, or too long; nothing is kept for it.
-        ConnectionClosedError: the connection has ended.
-        StreamTimeoutError: it did not arrive in time.
+        ajp.MalformedPacketError: The magic bytes are wrong, or the packet is too long to be read.
+        ConnectionClosedError: The connection has ended.
+        StreamTimeoutError: The header or the payload did not arrive in time.
     """
     header = stream.read_exactly(ajp.HEADER_BYTES, time.monotonic() + timeout_s)
     length = int.from_bytes(header[2:], "big")
@@ -105,11 +115,11 @@
 
 
 class ServerExchange:
-    """One request and its response on one connection.
+    """A request and its response on a connection to a server.
 
     Attributes:
-        body_bytes: Of the response, as far as it was read.
-        reusable: The server keeps the connection open for another request.
+        body_bytes: Size of the part of the response body that was read.
+        reusable: Whether the server keeps the connection open for another request.
     """
 
     def __init__(
@@ -119,7 +129,14 @@
         config: AjpConfig,
         reserve: Callable[[int], bool],
     ) -> None:
-        """`reserve` counts bytes of the response; False where they are too many."""
+        """Prepares an exchange.
+
+        Args:
+            stream: The connection to the server.
+            payload: The request.
+            config: Packet size and response limit.
+            reserve: Reserves memory for bytes of the response; returns False if the limit is exceeded.
+        """
         self.body_bytes = 0
         self.reusable = False
         self._stream = stream
@@ -131,12 +148,12 @@
         self._sent_bytes = 0
 
     def run(self, secret: bytes | None, deadline_s: float) -> ajp.Reply:
-        """Sends the request and reads the whole response.
+        """Sends the request and reads the complete response.
 
         Raises:
-            ajp.MalformedPacketError: the response can't be read, or is over a limit.
-            ConnectionClosedError: the connection has ended.
-            StreamTimeoutError: the response is not complete by the deadline.
+            ajp.MalformedPacketError: The response is malformed, or exceeds a limit.
+            ConnectionClosedError: The connection has ended.
+            StreamTimeoutError: The response is not complete by the deadline.
         """
         self._send_request(secret)
         reply: ajp.Reply | None = None
@@ -163,7 +180,7 @@
     def _send_request(self, secret: bytes | None) -> None:
         forward = self._payload.forward
         data = ajp.encode_packet(ajp.TO_CONTAINER, forward.payload_for_server(secret))
-        if forward.length:  # the first chunk follows unasked
+        if forward.length:  # AJP sends the first chunk of a body of known length unasked
             data += self._next_chunk(self._max_chunk_bytes)
         self._stream.write(data)
 
@@ -181,12 +198,12 @@
 
 
 class AjpServers:
-    """The Executor of the AJP front. Every run is a task."""
+    """The Executor of the AJP front; each run is a task of the event loop."""
 
     def __init__(
         self, loop: Loop, core: CoreActor, config: AjpConfig, max_response_bytes: int, log: Logger
     ) -> None:
-        """`max_response_bytes`: of all responses that are being read."""
+        """Creates the executor; `max_response_bytes` limits the memory of all responses being read."""
         self._loop = loop
         self._core = core
         self._config = config
@@ -199,20 +216,20 @@
         loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def use_advisor(self, advisor: ServerAdvisor) -> None:
-        """From now on the advisor says which servers are tried, and in which order."""
+        """Lets the advisor choose the servers of later requests, and their order."""
         self._advisor = advisor
 
     def was_unreachable_since(self, since_s: float) -> bool:
-        """Whether connecting to a server failed after this time of time.monotonic()."""
+        """Returns whether connecting to any server failed after this time of time.monotonic()."""
         return any(pool.unreachable_at_s > since_s for pool in self._pools)
 
     def configure(self, config: AjpConfig) -> None:
-        """Takes a changed configuration: servers that stay keep their connections, what runs goes on."""
+        """Applies a changed configuration; unchanged servers keep their connections, and runs continue."""
         self._config = config
-        before: dict[AjpServer, ServerPool | None] = {pool.server: pool for pool in self._pools}
-        self._pools = [before.pop(server, None) or ServerPool(server) for server in config.servers]
-        for pool in filter(None, before.values()):  # those that are gone
-            pool.close_idle(math.inf)
+        old_pools: dict[AjpServer, ServerPool | None] = {pool.server: pool for pool in self._pools}
+        self._pools = [old_pools.pop(server, None) or ServerPool(server) for server in config.servers]
+        for removed in filter(None, old_pools.values()):
+            removed.close_idle(math.inf)
 
     def start(self, request: InboundRequest) -> None:
         """See core.protocols.Executor."""
@@ -220,7 +237,7 @@
         self._loop.spawn(self._run, request)
 
     def measure(self) -> None:
-        """Posts the gauges where no kernel gives them: what runs here stands for what is on the cores."""
+        """Posts gauges estimated from this executor's runs, for a worker without a kernel to measure them."""
         settings = self._core.settings
         open_requests = self._core.open_requests
         used_kb = sum(
@@ -241,57 +258,57 @@
         result = RunResult(Outcome.FAILED)
         try:
             if self._advisor is None:
-                result = self._run_at_least_busy(request)
+                result = self._run_by_load(request)
             else:
                 result = self._run_advised(request, self._advisor)
-        finally:  # whatever happens, one RunCompleted for each start
+        finally:  # the core needs exactly one RunCompleted for each start
             self._running -= 1
             duration_ns = int((time.monotonic() - started_s) * NS_PER_S)
             self._core.post(RunCompleted(request.id, result, duration_ns))
 
-    def _run_at_least_busy(self, request: InboundRequest) -> RunResult:
-        for pool in self._by_load():
+    def _run_by_load(self, request: InboundRequest) -> RunResult:
+        for pool in self._pools_by_load():
             result = self._call(pool, request)
             if result is not None:
                 return result
         return RunResult(Outcome.UNREACHABLE, success=False)
 
-    def _by_load(self) -> list[ServerPool]:
-        """The least busy first; those that could not be reached lately last."""
+    def _pools_by_load(self) -> list[ServerPool]:
+        """Returns the pools, the least busy first; recently unreachable servers are last."""
         now_s = time.monotonic()
         backoff_s = self._config.server_backoff_ms / MS_PER_S
         return sorted(self._pools, key=lambda pool: (now_s - pool.unreachable_at_s < backoff_s, pool.busy))
 
     def _run_advised(self, request: InboundRequest, advisor: ServerAdvisor) -> RunResult:
-        """In the advisor's order.
+        """Runs a request on the servers in the advisor's order.
 
-        What may have reached a server is sent to another only where it may run again, is in time, and the
-        fleet's retry budget allows it.
+        A request that may have reached a server is sent to another one only if it is safe to repeat, its
+        deadline has not passed, and the fleet's retry budget allows it.
         """
         result = RunResult(Outcome.UNREACHABLE, success=False)
-        sent = False
+        was_sent = False
         pools = {pool.server.name: pool for pool in self._pools}
         for name in advisor.rank_servers({name: pool.busy for name, pool in pools.items()}):
             pool = pools.get(name)
             if pool is None:
                 continue
-            if sent and not (self._may_run_again(request) and advisor.may_retry(name)):
+            if was_sent and not (self._may_run_again(request) and advisor.may_retry(name)):
                 break
             ticket = advisor.begin_call(name, request.request_class.name)
             if ticket is None:
                 continue
             outcome = CallOutcome.FAILING
             try:
-                answer = self._call(pool, request, advisor)
-                outcome = _call_outcome(answer)
+                call_result = self._call(pool, request, advisor)
+                outcome = _call_outcome(call_result)
             finally:
                 advisor.end_call(ticket, outcome)
-            if answer is None:
+            if call_result is None:
                 continue
-            result = answer
-            sent = True
-            if answer.detail is not None or answer.outcome is Outcome.TIMED_OUT:
-                break  # it answered, or may answer still
+            result = call_result
+            was_sent = True
+            if call_result.detail is not None or call_result.outcome is Outcome.TIMED_OUT:
+                break  # the server has responded, or may still do so
         return result
 
     def _may_run_again(self, request: InboundRequest) -> bool:
@@ -302,10 +319,10 @@
     def _call(
         self, pool: ServerPool, request: InboundRequest, advisor: ServerAdvisor | None = None
     ) -> RunResult | None:
-        """One attempt; None where the server can't be reached, so that nothing was sent."""
+        """Makes one attempt; returns None if the server is unreachable, so that nothing was sent."""
         pool.busy += 1
         try:
-            stream = self._connection(pool)
+            stream = self._live_connection(pool)
             if stream is None:
                 pool.unreachable_at_s = time.monotonic()
                 return None
@@ -316,15 +333,18 @@
         finally:
             pool.busy -= 1
 
-    def _connection(self, pool: ServerPool) -> Stream | None:
-        """One that is known to be alive: a pooled one, which may have been closed, answers a CPing first."""
+    def _live_connection(self, pool: ServerPool) -> Stream | None:
+        """Returns a live connection, or None if the server is unreachable.
+
+        A pooled connection may have been closed by the server, so it must answer a CPing first.
+        """
         timeout_s = pool.server.connect_timeout_ms / MS_PER_S
         while pool.idle:
             stream = pool.idle.pop().stream
             with suppress(ConnectionClosedError, StreamTimeoutError, ajp.MalformedPacketError):
                 stream.write(ajp.PING_PACKET)
-                answer = read_packet(stream, ajp.TO_SERVER, self._config.packet_size, timeout_s)
-                if answer[:1] == CPONG_PAYLOAD:
+                reply = read_packet(stream, ajp.TO_SERVER, self._config.packet_size, timeout_s)
+                if reply[:1] == CPONG_PAYLOAD:
                     return stream
             stream.close()
         try:
@@ -354,7 +374,7 @@
         return self._response_bytes <= self._max_response_bytes
 
     def _release(self, pool: ServerPool, stream: Stream, reusable: bool) -> None:
-        """Keeps the connection for another request, or closes it."""
+        """Returns the connection to its pool, or closes it if it cannot be reused."""
         is_clean = reusable and not stream.buffer and not stream.ended
         has_room = len(pool.idle) < pool.server.max_idle_connections
         if is_clean and has_room and any(pool is current for current in self._pools):
@@ -378,5 +398,5 @@
 def _call_outcome(result: RunResult | None) -> CallOutcome:
     if result is None:
         return CallOutcome.UNREACHABLE
-    is_answer = result.detail is not None and result.detail.status < FIRST_SERVER_ERROR
-    return CallOutcome.OK if result.outcome is Outcome.OK or is_answer else CallOutcome.FAILING
+    is_response = result.detail is not None and result.detail.status < FIRST_SERVER_ERROR
+    return CallOutcome.OK if result.outcome is Outcome.OK or is_response else CallOutcome.FAILING
--- a/tests/net/test_route_index.py
+++ b/tests/net/test_route_index.py
@@ -261,7 +261,7 @@
         old, new = rules("/old"), rules(*(f"/new{n}" for n in range(1000)))
         it, steps = reader(old), 0
         of_new = reader(new)
-        preparing = it.prepare(of_new.compiled.config, of_new.core.settings)
+        preparing = it.prepare(of_new.compiled_config.config, of_new.core.settings)
         asked = ajp.ForwardRequest(b"", "GET", b"/old")
         with self.assertRaises(StopIteration) as end:
             while True:
@@ -277,10 +277,10 @@
 
     def test_a_change_of_something_else_builds_no_index(self):
         it = reader(mixed(380))
-        before = it.compiled.route_index
-        self.assertEqual(list(it.prepare(it.compiled.config, it.core.settings)), [])
-        it.configure(it.compiled.config, it.core.settings)
-        self.assertIs(it.compiled.route_index, before)
+        before = it.compiled_config.route_index
+        self.assertEqual(list(it.prepare(it.compiled_config.config, it.core.settings)), [])
+        it.configure(it.compiled_config.config, it.core.settings)
+        self.assertIs(it.compiled_config.route_index, before)
 
 
 if __name__ == "__main__":
