--- a/ochrehoist/net/route_index.py
+++ b/ochrehoist/net/route_index.py
@@ -1,11 +1,11 @@
 """The index that finds the route of a request: the first one whose pattern and method match it.
 
-The result is that of fnmatch.fnmatchcase (standard library) over the list. A pattern is found by what it
-spells out before its first wildcard and behind its last one, its prefix and suffix: only routes whose prefix
-and suffix are those of the path are tested, however many others there are. Without I/O.
+The result is the same as that of a linear search with fnmatch.fnmatchcase. Patterns are indexed by their
+prefix, the literal text before the first wildcard, and their suffix, the literal text after the last one.
+Only routes whose prefix and suffix match those of the path are tested. No I/O.
 
-The worst case is a table whose patterns have the same prefix and suffix, such as `/*x*` with many x: their
-routes are tested one by one, up to the first that matches.
+The worst case is a table whose patterns share one prefix and suffix, such as `/*x*` for many x: their routes
+are tested one by one, up to the first that matches.
 """
 
 import re
@@ -15,17 +15,18 @@
 
 from ochrehoist.config.tables import AjpRoute
 
-ROUTES_PER_STEP = 50  # about 0.2 ms; a route that needs a regular expression ends its step
-_WILDCARD = re.compile(r"[][*?]")  # one that turns out to be none only shortens a prefix or suffix
+ROUTES_PER_STEP = 50  # about 0.2 ms; a route that needs a regular expression is the last of its step
+_WILDCARD = re.compile(r"[][*?]")  # a bracket that is a literal only shortens the prefix or suffix
 
-# What is between prefix and suffix: the texts between several `*`, or a regular expression for the whole
-# path. None: a single `*`, or nothing.
+# What a path must match between prefix and suffix: the literals between several `*`; or a regular expression,
+# which matches the whole path; or None if any text matches.
 Middle = tuple[str, ...] | re.Pattern[str] | None
-FirstPositions = dict[int, int]  # by the length of a prefix or suffix, in ascending order of position
+# The lowest position of a route, by the length of its prefix or suffix; in ascending order of positions.
+FirstPositions = dict[int, int]
 
 
 class IndexedRoute(NamedTuple):
-    """A route, its position in the list, and the middle of its pattern."""
+    """A route, its position in the route table, and the middle of its pattern."""
 
     position: int
     route: AjpRoute
@@ -33,7 +34,7 @@
 
 
 class _SuffixIndex:
-    """The routes of one prefix, by their suffix."""
+    """The routes that share a prefix, by suffix."""
 
     __slots__ = ("first_positions", "routes")
 
@@ -43,7 +44,11 @@
 
 
 class RouteIndex:
-    """An index of all routes; it is not changed once it is built, but replaced by another one."""
+    """An index of a route table; a changed table needs a new index.
+
+    Attributes:
+        count: Number of routes.
+    """
 
     __slots__ = (
         "_by_prefix",
@@ -64,23 +69,23 @@
 
     @classmethod
     def in_steps(cls, routes: Iterable[AjpRoute]) -> Generator[None, None, "RouteIndex"]:
-        """Builds the index; each step is well under 1 ms of work."""
+        """Builds the index in steps of less than 1 ms each."""
         index = cls()
         for route in routes:
-            compiled = index._add(route)
-            if compiled or index.count % ROUTES_PER_STEP == 0:
+            used_regex = index._add(route)
+            if used_regex or index.count % ROUTES_PER_STEP == 0:
                 yield
         return index
 
     def find(self, method: str, path: str) -> AjpRoute | None:  # noqa: C901, PLR0912
-        """The first route that matches, None where none does.
+        """Returns the first route that matches, or None.
 
-        One function, since it is run for each request: split by literal, prefix and suffix it took about
-        twice as long.
+        The searches by literal, prefix and suffix are not separate functions: that doubled the time of this
+        lookup, which every request makes.
         """
         size = len(path)
         found: AjpRoute | None = None
-        limit = self.count  # only routes of a position below this one are of interest
+        limit = self.count  # only routes at lower positions can still be the first match
         for position, route, _ in self._literal.get(path, ()):
             if not route.methods or method in route.methods:
                 limit, found = position, route
@@ -121,7 +126,7 @@
         return found
 
     def _add(self, route: AjpRoute) -> bool:
-        """Adds a route behind the others. Returns whether it took a regular expression."""
+        """Appends a route; returns whether a regular expression was compiled for it."""
         pattern = route.uri
         position = self.count
         self.count += 1
@@ -131,7 +136,7 @@
             return False
         prefix = pattern[: wildcards[0]]
         suffix = pattern[wildcards[-1] + 1 :]
-        middle = _middle(pattern, wildcards)
+        middle = _compile_middle(pattern, wildcards)
         indexed = IndexedRoute(position, route, middle)
         if suffix:
             self._first_by_suffix.setdefault(len(prefix), position)
@@ -144,21 +149,21 @@
         return isinstance(middle, re.Pattern)
 
 
-def _middle(pattern: str, wildcards: list[int]) -> Middle:
+def _compile_middle(pattern: str, wildcards: list[int]) -> Middle:
     if pattern.count("*") != len(wildcards):
         return re.compile(translate(pattern))
     if len(wildcards) == 1:
         return None
-    return tuple(text for text in pattern[wildcards[0] : wildcards[-1]].split("*") if text) or None
+    return tuple(literal for literal in pattern[wildcards[0] : wildcards[-1]].split("*") if literal) or None
 
 
 def _middle_matches(middle: Middle, path: str, start: int, end: int) -> bool:
-    """Whether the path matches between its prefix, which ends at `start`, and its suffix, from `end`."""
+    """Returns whether the path matches between the end of its prefix and the start of its suffix."""
     if isinstance(middle, re.Pattern):
         return middle.match(path) is not None
-    for text in middle or ():
-        found = path.find(text, start, end)
+    for literal in middle or ():
+        found = path.find(literal, start, end)
         if found < 0:
             return False
-        start = found + len(text)
+        start = found + len(literal)
     return True
--- a/ochrehoist/net/thrift.py
+++ b/ochrehoist/net/thrift.py
@@ -1,7 +1,7 @@
-"""Thrift's strict binary protocol, framed: just what this service needs of it, without any I/O.
+"""Parser and encoder of the parts of Thrift's framed, strict binary protocol that this service uses.
 
-Lengths are checked against what is there before anything is sliced, so no frame can ask for memory. What
-can't be read raises MalformedFrameError.
+No I/O. Every length is checked against the received frame, so that a false length allocates no memory.
+Malformed input raises MalformedFrameError.
 """
 
 import struct
@@ -13,12 +13,12 @@
 from ochrehoist.errors import OchrehoistError
 
 VERSION = 0x80010000
-# Kinds of messages.
+# Message types.
 CALL = 1
 REPLY = 2
 EXCEPTION = 3
 ONEWAY = 4
-# Types of values.
+# Value types.
 STOP = 0
 BOOL = 2
 BYTE = 3
@@ -32,14 +32,14 @@
 SET = 14
 LIST = 15
 FIXED_SIZES = {BOOL: 1, BYTE: 1, DOUBLE: 8, I16: 2, I32: 4, I64: 8}
-# Of application exceptions.
+# Types of application exceptions.
 UNKNOWN_METHOD = 1
 PROTOCOL_ERROR = 7
 MAX_DEPTH = 16
 VERSION_MASK = 0xFFFF0000
 KIND_MASK = 0xFF
 WORD_MASK = 0xFFFFFFFF
-MIN_MAP_ENTRY_BYTES = 8  # of strings: two lengths
+MIN_MAP_ENTRY_BYTES = 8  # the lengths of key and value of a map of strings
 
 _I32 = struct.Struct(">i")
 _I16 = struct.Struct(">h")
@@ -47,43 +47,48 @@
 
 
 class FrameFault(StrEnum):
-    """What is wrong with a frame."""
+    """The reason why a frame is rejected, as it appears in the log."""
 
-    LENGTH_BEYOND_FRAME = "a length beyond the frame"
-    COUNT_BEYOND_FRAME = "a count beyond the frame"
-    WRONG_MAP_TYPES = "a map of other types"
+    LENGTH_BEYOND_FRAME = "length exceeds the frame"
+    COUNT_BEYOND_FRAME = "element count exceeds the frame"
+    WRONG_MAP_TYPES = "map keys or values are not strings"
     NESTED_TOO_DEEPLY = "nested too deeply"
-    UNKNOWN_TYPE = "an unknown type"
-    WRONG_VERSION = "not the strict protocol"
+    UNKNOWN_TYPE = "unknown value type"
+    WRONG_VERSION = "not the strict binary protocol"
     FRAME_TOO_LONG = "frame too long"
     UNEXPECTED_MESSAGE = "neither a call nor a oneway message"
-    SEQUENCE_ID_IN_USE = "a sequence number in use"
+    SEQUENCE_ID_IN_USE = "duplicate sequence id"
 
 
 class MalformedFrameError(OchrehoistError):
-    """The frame can't be read: the connection is of no further use. `value` is what was found."""
+    """The frame cannot be parsed, so its connection must be closed.
+
+    Attributes:
+        fault: The reason.
+    """
 
     def __init__(self, fault: FrameFault, value: int | None = None) -> None:
+        """Appends `value`, the invalid type, to the message if it is given."""
         super().__init__(fault.value if value is None else f"{fault.value} {value}")
         self.fault = fault
 
 
 class InvalidArgumentsError(OchrehoistError):
-    """The message is whole, but its arguments are not what the method takes; the text is for the caller."""
+    """The arguments of a well-formed message are invalid; the error text is sent to the caller."""
 
     @classmethod
     def in_field(cls, name: str, problem: str) -> Self:
-        """Of one entry of the map `fields`."""
+        """Returns the error for an entry of the map `fields`."""
         return cls(f"field {name}: {problem}")
 
     @classmethod
     def in_argument(cls, name: str, problem: str) -> Self:
-        """Of one argument of the method."""
+        """Returns the error for an argument of the method."""
         return cls(f"{name}: {problem}")
 
 
 class TooManyRequestsError(InvalidArgumentsError):
-    """The connection has as many requests open as it may."""
+    """The connection has reached its limit of open requests."""
 
     def __init__(self) -> None:
         super().__init__("too many requests open")
@@ -91,7 +96,7 @@
 
 @dataclass(slots=True)
 class Message:
-    """A message; its arguments are still to be read."""
+    """The head of a message; `args` reads its arguments."""
 
     kind: int
     method: bytes
@@ -100,7 +105,7 @@
 
 
 class FrameReader:
-    """Reads a frame from one position on."""
+    """A cursor over a frame. Its methods raise MalformedFrameError for malformed values."""
 
     __slots__ = ("data", "position")
 
@@ -109,7 +114,7 @@
         self.position = position
 
     def read_bytes(self, count: int) -> bytes:
-        """So many bytes."""
+        """Reads `count` bytes."""
         end = self.position + count
         if count < 0 or end > len(self.data):
             raise MalformedFrameError(FrameFault.LENGTH_BEYOND_FRAME)
@@ -118,14 +123,14 @@
         return data
 
     def read_byte(self) -> int:
-        """One byte."""
+        """Reads one byte."""
         if self.position >= len(self.data):
             raise MalformedFrameError(FrameFault.LENGTH_BEYOND_FRAME)
         self.position += 1
         return self.data[self.position - 1]
 
     def read_i32(self) -> int:
-        """A signed number of 32 bits."""
+        """Reads a signed 32-bit integer."""
         self.position += 4
         if self.position > len(self.data):
             raise MalformedFrameError(FrameFault.LENGTH_BEYOND_FRAME)
@@ -133,11 +138,11 @@
         return value
 
     def read_string(self) -> bytes:
-        """A string, or binary data."""
+        """Reads a string or binary data."""
         return self.read_bytes(self.read_i32())
 
     def read_fields(self) -> Iterator[tuple[int, int]]:
-        """Type and id of each field of a struct; whoever iterates reads or skips the value."""
+        """Yields type and id of each field of a struct; the caller must read or skip the value."""
         while (kind := self.read_byte()) != STOP:
             self.position += 2
             if self.position > len(self.data):
@@ -145,9 +150,10 @@
             yield kind, _I16.unpack_from(self.data, self.position - 2)[0]
 
     def read_string_map(self) -> dict[bytes, bytes]:
-        """A map of strings to strings.
+        """Reads a map of strings to strings.
 
-        Each request has a dozen: they are read in place, since what is then rejected should cost least.
+        The entries, about a dozen per request, are parsed inline rather than by `read_string`, to keep
+        requests that are rejected cheap.
         """
         key_type = self.read_byte()
         value_type = self.read_byte()
@@ -160,7 +166,7 @@
         position = self.position
         end = len(data)
         unpack = _I32.unpack_from
-        texts: list[bytes] = []
+        strings: list[bytes] = []
         for _ in range(2 * count):
             start = position + 4
             if start > end:
@@ -169,12 +175,12 @@
             position = start + size
             if size < 0 or position > end:
                 raise MalformedFrameError(FrameFault.LENGTH_BEYOND_FRAME)
-            texts.append(data[start:position])
+            strings.append(data[start:position])
         self.position = position
-        return dict(zip(texts[::2], texts[1::2], strict=True))
+        return dict(zip(strings[::2], strings[1::2], strict=True))
 
     def skip(self, kind: int, depth: int = 0) -> None:
-        """Passes over a value of any type."""
+        """Skips a value of any type."""
         if depth > MAX_DEPTH:
             raise MalformedFrameError(FrameFault.NESTED_TOO_DEEPLY)
         if kind in FIXED_SIZES:
@@ -182,8 +188,8 @@
         elif kind == STRING:
             self.read_string()
         elif kind == STRUCT:
-            for inner, _ in self.read_fields():
-                self.skip(inner, depth + 1)
+            for inner_kind, _ in self.read_fields():
+                self.skip(inner_kind, depth + 1)
         elif kind in (LIST, SET, MAP):
             self._skip_elements(kind, depth)
         else:
@@ -192,16 +198,16 @@
     def _skip_elements(self, kind: int, depth: int) -> None:
         kinds = [self.read_byte() for _ in range(2 if kind == MAP else 1)]
         count = self.read_i32()
-        # Each element takes a byte at least: a count beyond that would spin for nothing.
+        # Each element takes at least one byte; a larger count would only cost processor time.
         if count < 0 or count > len(self.data) - self.position:
             raise MalformedFrameError(FrameFault.COUNT_BEYOND_FRAME)
         for _ in range(count):
-            for inner in kinds:
-                self.skip(inner, depth + 1)
+            for inner_kind in kinds:
+                self.skip(inner_kind, depth + 1)
 
 
 def parse_message(frame: bytes) -> Message:
-    """Reads the head of a message."""
+    """Parses the head of the message in a frame."""
     reader = FrameReader(frame)
     head = reader.read_i32() & WORD_MASK
     if head & VERSION_MASK != VERSION:
@@ -216,30 +222,30 @@
 
 
 def encode_string(data: bytes) -> bytes:
-    """A string with its length."""
+    """Returns a string with its length prefix."""
     return _I32.pack(len(data)) + data
 
 
 def encode_field(kind: int, number: int, value: bytes) -> bytes:
-    """A field of a struct."""
+    """Returns a field of a struct."""
     return _FIELD.pack(kind, number) + value
 
 
 def encode_string_map(values: Mapping[bytes, bytes]) -> bytes:
-    """A map of strings to strings."""
+    """Returns a map of strings to strings."""
     entries = b"".join(encode_string(key) + encode_string(value) for key, value in values.items())
     return bytes((STRING, STRING)) + _I32.pack(len(values)) + entries
 
 
 def encode_message(kind: int, method: bytes, seqid: int, body: bytes) -> bytes:
-    """A message in its frame; `body` is an encoded struct."""
+    """Returns a framed message; `body` is an encoded struct."""
     head = _I32.pack((VERSION | kind) - (1 << 32))
     data = head + encode_string(method) + _I32.pack(seqid) + body
     return _I32.pack(len(data)) + data
 
 
 def encode_answer(body: bytes, values: Mapping[bytes, bytes], good: bool) -> bytes:
-    """The struct Answer of this service."""
+    """Returns the service's struct `Answer`."""
     return (
         encode_field(STRING, 1, encode_string(body))
         + encode_field(MAP, 2, encode_string_map(values))
@@ -249,17 +255,17 @@
 
 
 def encode_reply(method: bytes, seqid: int, field_id: int, value: bytes) -> bytes:
-    """The result of a call: field 0 holds what it returns, the others what it throws."""
+    """Returns the framed result of a call; field 0 holds its return value, other fields its exceptions."""
     return encode_message(REPLY, method, seqid, encode_field(STRUCT, field_id, value) + STRUCT_END)
 
 
 def encode_service_exception(values: Mapping[bytes, bytes]) -> bytes:
-    """The struct of each exception of this service."""
+    """Returns the struct that all exceptions of this service share."""
     return encode_field(MAP, 1, encode_string_map(values)) + STRUCT_END
 
 
 def encode_application_exception(method: bytes, seqid: int, kind: int, text: str) -> bytes:
-    """What answers a call that the service does not have, or whose arguments are of no use."""
+    """Returns the framed reply to a call of an unknown method or with invalid arguments."""
     body = (
         encode_field(STRING, 1, encode_string(text.encode()))
         + encode_field(I32, 2, _I32.pack(kind))
--- a/ochrehoist/net/thrift_connection.py
+++ b/ochrehoist/net/thrift_connection.py
@@ -1,4 +1,4 @@
-"""One connection of a router: calls are read one after the other, and answered in any order."""
+"""The connection of a router, whose calls are read sequentially and answered in any order."""
 
 import time
 from typing import Protocol
@@ -13,12 +13,11 @@
 from ochrehoist.net.stream import ConnectionClosedError, Stream, StreamTimeoutError
 from ochrehoist.units import NS_PER_MS
 
-MAX_FRAME_BYTES = (
-    16 * 1024
-)  # a body has 2 KiB at most, its fields far less; hundreds may be half sent at once
-FRAME_HEADER_BYTES = 4  # the length
+# A body has at most 2 KiB, and its fields far less. Hundreds of partial frames may be buffered at once.
+MAX_FRAME_BYTES = 16 * 1024
+FRAME_HEADER_BYTES = 4  # the length field of a frame
 MAX_RESULT_BYTES = 4096
-MAX_OPEN_REQUESTS = 32  # on one connection
+MAX_OPEN_REQUESTS = 32  # per connection
 MAX_REJECTION_BATCH_BYTES = 16 * 1024
 MAX_TIME_DIGITS = 15
 MAX_CALLER_DIGITS = 9
@@ -26,7 +25,7 @@
 INVOKE = b"invoke"
 ABORT = b"abort"
 PING = b"ping"
-# Fields of the result of `invoke`: its value, and what it throws.
+# Field ids of the result of `invoke`: its return value and its exceptions.
 RETURNED = 0
 REJECTED = 1
 FAILED = 2
@@ -34,26 +33,26 @@
 
 
 class ThriftFrontContext(FrontContext, Protocol):
-    """What a connection needs of its front."""
+    """The interface of the Thrift front that its connections use; see ThriftFront for the attributes."""
 
     class_names: dict[bytes, str]
 
     @property
     def classes(self) -> dict[str, RequestClass]:
-        """By name, also those that are gone."""
+        """The request classes by name, including removed ones."""
         ...
 
     def record_malformed_frame(self, reason: str) -> None:
-        """Counts what could not be read."""
+        """See `ThriftFront.record_malformed_frame`."""
         ...
 
     def limit_unsent(self) -> None:
-        """Disconnects readers that are too slow, where all of them together take too much memory."""
+        """See `ThriftFront.limit_unsent`."""
         ...
 
 
 class ThriftResponder:
-    """Answers one invoke call."""
+    """The Responder of one `invoke` call."""
 
     __slots__ = ("_connection", "_sequence_id")
 
@@ -69,7 +68,7 @@
     def served(self, result: RunResult) -> bool:
         """See core.protocols.Responder."""
         if not result.success or len(result.body) > MAX_RESULT_BYTES:
-            # A run of another front made it: an error there, or more than this protocol can carry.
+            # The result of a filing that ran for another front: an error response, or too large for Thrift.
             self._reply(
                 FAILED,
                 thrift.encode_service_exception({b"reason": b"no result that this protocol can carry"}),
@@ -88,8 +87,8 @@
             values[b"final"] = b"1"
         self._reply(REJECTED, thrift.encode_service_exception(values))
 
-    def failed(self, reason: FailureReason, result: RunResult | None = None) -> None:  # noqa: ARG002 (no room)
-        """See core.protocols.Responder; the protocol carries no result of a failure."""
+    def failed(self, reason: FailureReason, result: RunResult | None = None) -> None:  # noqa: ARG002 (not sent)
+        """See core.protocols.Responder; the protocol has no field for the result of a failed run."""
         self._reply(FAILED, thrift.encode_service_exception({b"reason": reason.value.encode()}))
 
     def origin(self) -> tuple[str, str]:
@@ -98,15 +97,15 @@
 
 
 class ThriftConnection(FrontConnection):
-    """Reads frames while the connection lasts.
+    """The connection of a router to the Thrift front.
 
     Attributes:
-        open_requests: Request ids by the sequence number of their call.
-        request_count: Requests that were read.
-        replied: Something was sent in answer, once at least.
-        only_pinged: It asked for nothing but health checks.
-        reading_stopped: What arrives can't be read any more; open requests are still answered.
-        farewell_sent_at_s: When the router was asked to close; None: not yet.
+        open_requests: The ids of unanswered requests, by the sequence id of their call.
+        request_count: Number of requests that were read.
+        replied: Whether any reply was sent.
+        only_pinged: Whether all calls so far were health checks.
+        reading_stopped: Whether input is discarded after an error; open requests are still answered.
+        farewell_sent_at_s: When the router was asked to close the connection; None if it was not.
     """
 
     def __init__(self, front: ThriftFrontContext, loop: Loop, stream: Stream, number: int) -> None:
@@ -118,21 +117,21 @@
         self.reading_stopped = False
         self.farewell_sent_at_s: float | None = None
         self._front = front
-        self._rejections = bytearray()  # of early rejection, sent together
+        self._rejections = bytearray()  # replies of early rejections, sent in batches
 
     @property
     def has_sent_request(self) -> bool:
-        """Whether it has asked for something, also where all of it was aborted and needed no answer."""
+        """Whether the router has sent a call, even if it was aborted and needed no reply."""
         return self.replied or self.request_count > 0
 
     def run(self) -> None:
-        """The connection's task."""
+        """Handles frames until the connection ends; runs as the connection's task."""
         try:
             while True:
                 if self._rejections:
                     self._send_rejections_if_due()
                 if not self.stream.buffer:
-                    self.stream.read_more()  # without a deadline: the front ends what stays idle
+                    self.stream.read_more()  # no deadline: the front ends idle connections
                 self._handle_frame(self._read_frame())
                 if not self.served:
                     self.pacer.request_read()
@@ -141,7 +140,7 @@
                 self.stream.close()
         except StreamTimeoutError:
             self._stop_reading()
-        except thrift.MalformedFrameError as error:  # ends this connection only
+        except thrift.MalformedFrameError as error:
             self._front.record_malformed_frame(str(error))
             self._stop_reading()
         except BaseException:
@@ -149,13 +148,13 @@
             raise
 
     def has_complete_frame(self) -> bool:
-        """Whether the next frame is here, all of it."""
+        """Returns whether the next frame is completely buffered."""
         buffer = self.stream.buffer
         size = int.from_bytes(buffer[:FRAME_HEADER_BYTES], "big")
         return len(buffer) >= FRAME_HEADER_BYTES + size
 
     def answer(self, sequence_id: int, reply: bytes) -> None:
-        """Sends the reply of a call, unless the call was aborted."""
+        """Sends the reply to a call, unless the call was aborted."""
         if self.open_requests.pop(sequence_id, None) is None:
             return
         self.last_used_at_s = time.monotonic()
@@ -168,14 +167,14 @@
             self.send_farewell()
 
     def send_farewell(self) -> None:
-        """Asks the router to close, once: a close from this side could cross a request."""
+        """Asks the router, once, to close the connection; a close from this side could cross a request."""
         if self.farewell_sent_at_s is None:
             self.farewell_sent_at_s = time.monotonic()
             self.stream.write(FAREWELL_FRAME)
 
     # ---- reading
     def _read_frame(self) -> bytes:
-        """The next frame: most often it is here whole, else it must arrive in time."""
+        """Reads the next frame; one that is not completely buffered must arrive by a deadline."""
         buffer = self.stream.buffer
         size = int.from_bytes(buffer[:FRAME_HEADER_BYTES], "big")
         end = FRAME_HEADER_BYTES + size
@@ -183,7 +182,7 @@
             frame = bytes(buffer[FRAME_HEADER_BYTES:end])
             del buffer[:end]
             return frame
-        # A new connection has no more than its first moments for what it has begun.
+        # The time-out of a connection's first frame counts from when the connection was accepted.
         started_s = time.monotonic() if self.has_sent_request else self.accepted_at_s
         deadline_s = started_s + MESSAGE_ARRIVAL_TIMEOUT_S
         size = int.from_bytes(self.stream.read_exactly(FRAME_HEADER_BYTES, deadline_s), "big")
@@ -192,7 +191,7 @@
         return self.stream.read_exactly(size, deadline_s)
 
     def _stop_reading(self) -> None:
-        """Ends the connection, but not what was asked on it before: that is answered first."""
+        """Discards further input, and closes the connection once all open requests are answered."""
         if self._rejections:
             self._send_rejections()
         self.reading_stopped = True
@@ -252,7 +251,7 @@
         front = self._front
         if values is None:
             raise thrift.InvalidArgumentsError.in_argument("fields", "missing")
-        if sequence_id in self.open_requests:  # nobody could tell whose answer the next one is
+        if sequence_id in self.open_requests:  # the replies to both calls would be indistinguishable
             front.record_malformed_frame(thrift.FrameFault.SEQUENCE_ID_IN_USE)
             raise ConnectionClosedError
         if len(self.open_requests) >= MAX_OPEN_REQUESTS:
@@ -266,34 +265,34 @@
         front.core.post(RequestArrived(request))
 
     def _reject_early(self, sequence_id: int, values: dict[bytes, bytes]) -> bool:
-        """Sheds load by as little of the request as can be read; returns whether it was rejected."""
+        """Sheds load with as little parsing as possible; returns whether the request was rejected."""
         front = self._front
         class_name = front.class_names.get(values.get(b"method", b""))
         if class_name is None:
             return False
         tenant = values.get(b"acct")
-        started = values.get(b"t0", b"")
+        start_time_ms = values.get(b"t0", b"")
         caller = values.get(b"peer", b"")
-        is_time = started.isdigit() and len(started) <= MAX_TIME_DIGITS
-        is_caller = caller.isdigit() and len(caller) <= MAX_CALLER_DIGITS
+        has_start_time = start_time_ms.isdigit() and len(start_time_ms) <= MAX_TIME_DIGITS
+        has_caller = caller.isdigit() and len(caller) <= MAX_CALLER_DIGITS
         retry_after_ns = front.retry_after_ns(
             class_name,
             None if tenant is None else tenant.decode("latin-1"),
-            int(caller) if is_caller else 0,
-            time.time_ns() - int(started) * NS_PER_MS if is_time else 0,
+            int(caller) if has_caller else 0,
+            time.time_ns() - int(start_time_ms) * NS_PER_MS if has_start_time else 0,
         )
         if retry_after_ns is None:
             return False
         self.request_count += 1
         self.only_pinged = False
-        problem = thrift.encode_service_exception({b"backoff": b"%d" % (retry_after_ns // NS_PER_MS)})
-        self._rejections += thrift.encode_reply(INVOKE, sequence_id, REJECTED, problem)
+        exception = thrift.encode_service_exception({b"backoff": b"%d" % (retry_after_ns // NS_PER_MS)})
+        self._rejections += thrift.encode_reply(INVOKE, sequence_id, REJECTED, exception)
         front.core.metrics.count(RequestCounter.REJECTED, class_name)
         return True
 
     # ---- writing
     def _send_rejections_if_due(self) -> None:
-        """Sends them together: once there is nothing else to read, or enough to send."""
+        """Sends the batch of rejections once no complete frame is buffered, or the batch is full."""
         if not self.has_complete_frame() or len(self._rejections) >= MAX_REJECTION_BATCH_BYTES:
             self._send_rejections()
 
--- a/ochrehoist/net/thrift_front.py
+++ b/ochrehoist/net/thrift_front.py
@@ -1,4 +1,7 @@
-"""The platform's front: routers connect here, and call requests and health checks by Thrift."""
+"""The Thrift front: accepts connections of the platform's routers, and ends or evicts connections.
+
+Routers call requests and health checks.
+"""
 
 from __future__ import annotations
 
@@ -28,17 +31,20 @@
 if TYPE_CHECKING:
     from ochrehoist.core.protocols import AdmissionFilter, Executor, Logger
 
-SOCKET_SEND_BUFFER_BYTES = 64 * 1024  # for each connection: for a slow reader it would grow to megabytes
+# A fixed size per connection, since the kernel would grow the buffer to megabytes for a slow reader.
+SOCKET_SEND_BUFFER_BYTES = 64 * 1024
 FIRST_SWEEP_DELAY_S = 0.1
 SWEEP_INTERVAL_S = 0.05
-CLOSE_AFTER_FAREWELL_S = 0.5  # that a router has to close a connection after its farewell
-EARLY_END_FRACTION = 0.125  # of the connection limit: from there on connections used once are ended early
-EARLY_END_IDLE_S = 2.0  # without a request after which such a connection is then ended
+CLOSE_AFTER_FAREWELL_S = 0.5  # for the router to close the connection, from the farewell or the last use
+# Above this fraction of the connection limit, connections with at most one request are ended early: after
+# EARLY_END_IDLE_S without a request.
+EARLY_END_FRACTION = 0.125
+EARLY_END_IDLE_S = 2.0
 MALFORMED_LOG_INTERVAL_S = 1.0
 
 
 class EvictionRank(IntEnum):
-    """Which connections are closed first where there are too many: those that are missed least."""
+    """The order in which connections are evicted, lowest first."""
 
     CLOSING = 0
     SILENT = 1
@@ -46,15 +52,17 @@
     STALLED = 3
     NEW = 4
     IDLE = 5
-    SENDING = 6  # a rightful request may take seconds to arrive
+    SENDING = 6  # a valid request may take seconds to arrive
 
 
 class ThriftFront(Front[ThriftConnection]):
-    """Accepts routers. Idle connections are ended by a farewell, never by a close that a request could cross.
+    """The front for routers.
+
+    A router is asked by a farewell message to close its idle connection, since a close by the worker could
+    cross a request.
 
     Attributes:
-        class_names: By their bytes on the wire.
-        classes: By name, also those that are gone.
+        class_names: The names of the request classes, by their bytes on the wire.
     """
 
     PART_NAME = "ThriftFront"
@@ -71,18 +79,21 @@
         sock: socket.socket | None = None,
         admission_filter: AdmissionFilter | None = None,
     ) -> None:
-        """Binds the address, as Acceptor does; raises OSError.
+        """Binds the address, unless `sock` is given.
 
         Args:
-            loop: that it runs on.
-            core: that decides on the requests.
-            executor: that runs them.
-            address: to listen at.
-            max_connections: that may be open at once.
-            max_unsent_bytes: of all answers that routers have not taken yet.
-            log: of the worker.
-            sock: a socket that listens already.
-            admission_filter: sheds load before the core is asked.
+            loop: The event loop.
+            core: Decides which requests run.
+            executor: Runs the requests.
+            address: Host and port to listen on.
+            max_connections: Maximum number of open connections.
+            max_unsent_bytes: Memory limit of all replies that routers have not received yet.
+            log: The log of the worker.
+            sock: A socket that is listening already.
+            admission_filter: Sheds load before a request reaches the core.
+
+        Raises:
+            OSError: The address cannot be bound.
         """
         self._reader = ThriftReader(core, executor)
         super().__init__(
@@ -99,22 +110,22 @@
 
     @property
     def classes(self) -> dict[str, RequestClass]:
-        """By name, also those that are gone."""
+        """The request classes by name, including removed ones."""
         return self._reader.classes
 
     def configure(self, settings: AdmissionSettings) -> None:
-        """Takes the classes of changed settings."""
+        """Adds the request classes of changed settings."""
         self._reader.configure(settings)
         self.class_names = {name.encode(): name for name in self._reader.classes}
 
     # ---- for connections
     def record_malformed_frame(self, reason: str) -> None:
-        """Counts it for the log: a flood must not fill it."""
+        """Counts a malformed frame; they are logged in summary, so that a flood does not fill the log."""
         self._malformed_count += 1
         self._malformed_reason = reason
 
     def limit_unsent(self) -> None:
-        """Disconnects the slowest readers while all of them together take too much memory."""
+        """Closes the connections with the most unsent bytes until the memory limit of all replies is met."""
         while self.unsent_bytes() > self._max_unsent_bytes:
             max(self.connections, key=lambda connection: len(connection.stream.unsent)).stream.close()
 
@@ -154,10 +165,10 @@
         stream = connection.stream
         if connection.open_requests or now_s - connection.accepted_at_s <= EVICTABLE_AFTER_ACCEPT_S:
             return False
-        # A request that is here keeps its connection, unless it is of a flood that is being slowed down.
+        # A received request protects its connection, unless the connection exceeds its request rate.
         if connection.has_complete_frame() and not connection.pacer.exceeded:
             return False
-        # On a connection just accepted the first request may be here, and not read yet.
+        # The first request of a newly accepted connection may have arrived, but not been read yet.
         return bool(stream.awaits_input or stream.buffer or stream.ended)
 
     # ---- idle connections
@@ -173,7 +184,7 @@
 
     @staticmethod
     def _is_busy(connection: ThriftConnection) -> bool:
-        """Whether it is being answered or read, or closes already."""
+        """Returns whether the connection has requests to read or answer, or is closing already."""
         stream = connection.stream
         if connection.open_requests or connection.reading_stopped or stream.closing or stream.closed:
             return True
@@ -181,7 +192,7 @@
 
     def _end_if_idle(self, connection: ThriftConnection, now_s: float, ends_early: bool) -> None:
         stream = connection.stream
-        # What is still sending a request is in use, though the request is not here yet.
+        # A connection that is still sending a request is in use.
         last_used_at_s = connection.last_used_at_s
         if stream.buffer:
             last_used_at_s = max(last_used_at_s, stream.received_at_s)
@@ -190,7 +201,7 @@
             self._close_after_farewell(connection, connection.farewell_sent_at_s, last_used_at_s, now_s)
         elif not connection.has_sent_request and age_s > MESSAGE_ARRIVAL_TIMEOUT_S:
             if not stream.read_available():
-                stream.close()  # nothing came that could be answered: nobody waits for anything here
+                stream.close()  # no request arrived, so the router waits for no reply
         elif self._is_idle(connection, now_s - last_used_at_s, age_s, ends_early):
             connection.send_farewell()
 
@@ -209,7 +220,7 @@
             and idle_s > CLOSE_AFTER_FAREWELL_S
             and age_s > MESSAGE_ARRIVAL_TIMEOUT_S - CLOSE_AFTER_FAREWELL_S
         ):
-            return True  # all of it was aborted: the next request may be on its way
+            return True  # all its calls were aborted; a farewell, since another one may be on its way
         if connection.only_pinged:
             return False
         if idle_s > self._idle_timeout_s > 0:
@@ -225,24 +236,27 @@
 
     # ---- draining
     def idle_timeout_changed(self, idle_timeout_ns: int) -> None:
-        """Takes the new timeout; 0: idle connections are kept."""
+        """Applies a changed idle timeout; with 0, idle connections are kept open."""
         self._idle_timeout_s = idle_timeout_ns / NS_PER_S
 
     def shutdown_started(self, remaining_ns: int) -> None:
-        """Says farewell to all that is idle, but for health checks."""
+        """Sends a farewell on idle connections, except those that only make health checks."""
         super().shutdown_started(remaining_ns)
         for connection in list(self.connections):
             if not connection.open_requests and not connection.only_pinged:
                 connection.send_farewell()
 
     def retire(self) -> None:
-        """Another process takes what comes from now on; a busy connection that is not told would not end."""
+        """Starts draining after a successor process has taken over, and sends a farewell on all connections.
+
+        Busy connections need one too, since their routers would otherwise keep using them.
+        """
         super().retire()
         for connection in list(self.connections):
             connection.send_farewell()
 
     def end_idle_connections(self) -> None:
-        """Says farewell to connections on which nothing is asked."""
+        """Sends a farewell on connections without open requests."""
         for connection in list(self.connections):
             if not connection.open_requests:
                 connection.send_farewell()
--- a/ochrehoist/net/thrift_reader.py
+++ b/ochrehoist/net/thrift_reader.py
@@ -1,4 +1,4 @@
-"""Reads the arguments of the platform's `invoke` call into a request for the core."""
+"""Converts the arguments of the platform's `invoke` call to a request of the core."""
 
 from __future__ import annotations
 
@@ -18,24 +18,28 @@
     from ochrehoist.core.protocols import Executor, Responder
 
 MAX_BODY_BYTES = 2048
-MAX_DIGITS = 15  # of a whole number
+MAX_INTEGER_DIGITS = 15
 REQUEST_ID_LENGTH = 16
 HEX_DIGITS = frozenset("0123456789abcdefABCDEF")
 MAX_ESTIMATE_MS = 1e9
-MIN_MEMORY_KB = 1e-9  # a figure above 0
+MIN_MEMORY_KB = 1e-9  # excludes 0
 MAX_MEMORY_KB = 2000.0
 
 
 @dataclass(slots=True, frozen=True)
 class ThriftPayload:
-    """What the kernel gets of a request, as it came."""
+    """The part of a request that the kernel receives, unchanged."""
 
     method: str
     body: bytes
 
 
 class InvokeFields:
-    """The fields of an invoke call; InvalidArgumentsError names the field that is missing or unusable."""
+    """The map `fields` of an `invoke` call.
+
+    The methods convert one field. They raise InvalidArgumentsError, which names the field, if it is invalid or
+    missing; those for optional fields return None for a missing one.
+    """
 
     __slots__ = ("_values",)
 
@@ -43,7 +47,7 @@
         self._values = values
 
     def text(self, name: bytes) -> str:
-        """A field that must be there."""
+        """Returns a required field as text."""
         value = self._values.get(name)
         if value is None:
             raise _invalid(name, "missing")
@@ -53,33 +57,33 @@
             raise _invalid(name, "not text") from None
 
     def optional_text(self, name: bytes) -> str | None:
-        """None where it is missing."""
+        """Returns an optional field as text."""
         return self.text(name) if name in self._values else None
 
-    def number(self, name: bytes, least: float, below: float) -> float:
-        """A number from `least` up to, but not including, `below`."""
+    def number(self, name: bytes, minimum: float, upper_bound: float) -> float:
+        """Returns a required number from `minimum` up to, but not including, `upper_bound`."""
         text = self.text(name)
         try:
             value = float(text)
         except ValueError:
             value = math.nan
-        if not least <= value < below:  # NaN compares false
+        if not minimum <= value < upper_bound:  # also rejects NaN, which compares false
             raise _invalid(name, "unusable value")
         return value
 
-    def optional_number(self, name: bytes, least: float, below: float) -> float | None:
-        """The same; None where it is missing."""
-        return self.number(name, least, below) if name in self._values else None
+    def optional_number(self, name: bytes, minimum: float, upper_bound: float) -> float | None:
+        """Returns an optional number from `minimum` up to, but not including, `upper_bound`."""
+        return self.number(name, minimum, upper_bound) if name in self._values else None
 
     def integer(self, name: bytes) -> int:
-        """A whole number of 0 or more."""
+        """Returns a required integer that is not negative."""
         text = self.text(name)
-        if not (text.isascii() and text.isdigit() and len(text) <= MAX_DIGITS):
+        if not (text.isascii() and text.isdigit() and len(text) <= MAX_INTEGER_DIGITS):
             raise _invalid(name, "not a whole number")
         return int(text)
 
     def optional_integer(self, name: bytes) -> int | None:
-        """The same; None where it is missing."""
+        """Returns an optional integer that is not negative."""
         return self.integer(name) if name in self._values else None
 
 
@@ -88,10 +92,10 @@
 
 
 class ThriftReader:
-    """Reads invoke calls by the classes and tenants in force.
+    """Converts `invoke` calls by the configured classes and tenants.
 
     Attributes:
-        classes: By name, also those that are gone: the core answers them.
+        classes: The request classes by name, including removed ones, whose requests the core answers.
     """
 
     def __init__(self, core: CoreActor, executor: Executor) -> None:
@@ -107,7 +111,7 @@
     def read_request(
         self, values: Mapping[bytes, bytes], body: bytes, responder: Responder
     ) -> InboundRequest:
-        """The request that these fields describe; raises InvalidArgumentsError."""
+        """Builds the core's request from the fields and body of a call; raises InvalidArgumentsError."""
         fields = InvokeFields(values)
         method, request_id = fields.text(b"method"), fields.text(b"rid")
         request_class = self.classes.get(method)
@@ -117,7 +121,7 @@
             raise InvalidArgumentsError.in_field("rid", "not 16 hex digits")
         tenants = self._core.tenants
         tenant = fields.text(b"acct") if tenants.by_position else fields.optional_text(b"acct")
-        # A tenant that is gone may repeat a filing that ran.
+        # Removed tenants are still known, since they may repeat a filing that ran.
         if tenant is not None and not tenants.is_known(tenant):
             raise InvalidArgumentsError.in_field("acct", "unknown tenant")
         is_keyed = request_class.idempotency is Idempotency.KEYED
