--- a/ochrehoist/app/inherited_sockets.py
+++ b/ochrehoist/app/inherited_sockets.py
@@ -12,7 +12,7 @@
 class Listener(Protocol):
     """A front, the agent check or the operators' address."""
 
-    PART_NAME: str
+    LISTENER_NAME: str
     acceptor: Acceptor
 
 
--- a/ochrehoist/app/operator_api.py
+++ b/ochrehoist/app/operator_api.py
@@ -88,7 +88,7 @@
             "keys": len(core.idempotency.runs),
             "result_bytes": core.idempotency.bytes,
             "log_dropped": self._sink.dropped_lines,
-            "connections": {front.PART_NAME: len(front.connections) for front in self._fronts},
+            "connections": {front.LISTENER_NAME: len(front.connections) for front in self._fronts},
         }
         for section in STATUS_SECTIONS:
             if section in self._status_sources:
--- a/ochrehoist/app/replacement.py
+++ b/ochrehoist/app/replacement.py
@@ -86,7 +86,7 @@
 
     def _listening_sockets(self) -> dict[str, socket]:
         return {
-            listener.PART_NAME: listener.acceptor.sock
+            listener.LISTENER_NAME: listener.acceptor.sock
             for listener in self._parts.listeners
             if not listener.acceptor.stopped
         }
@@ -97,6 +97,6 @@
     def _limit_connections(self, held: Mapping[str, int]) -> None:
         """The connections that the process before this one still holds count against the limit of both."""
         for front, limit in self._connection_limits.items():
-            used = held.get(front.PART_NAME, 0) if held else 0
+            used = held.get(front.LISTENER_NAME, 0) if held else 0
             reserved = RESERVED_WHILE_REPLACING if held else 0
             front.acceptor.set_limit(max(MIN_CONNECTIONS, limit - used - reserved))
--- a/ochrehoist/app/worker.py
+++ b/ochrehoist/app/worker.py
@@ -79,7 +79,7 @@
             address = listener.acceptor.address
             if listener is self.parts.operators and address not in self.parts.inherited_addresses:
                 listener.acceptor.start()  # it says from the start that the worker is not ready
-            self.parts.log.info("started", part=listener.PART_NAME, listen=address)
+            self.parts.log.info("started", part=listener.LISTENER_NAME, listen=address)
 
     def _serve(self) -> None:
         """No other process decides: this one takes what comes."""
--- a/ochrehoist/net/agent_check.py
+++ b/ochrehoist/net/agent_check.py
@@ -25,7 +25,7 @@
 class AgentCheckServer(BaseServer):
     """Sends one line to whoever connects, and closes. What the checker may send first is ignored."""
 
-    PART_NAME = "AgentCheck"
+    LISTENER_NAME = "AgentCheck"
 
     def __init__(
         self,
--- a/ochrehoist/net/ajp_front.py
+++ b/ochrehoist/net/ajp_front.py
@@ -46,7 +46,7 @@
         body_bytes: Memory in use by incoming request bodies.
     """
 
-    PART_NAME = "AjpFront"
+    LISTENER_NAME = "AjpFront"
 
     def __init__(
         self,
--- a/ochrehoist/net/front.py
+++ b/ochrehoist/net/front.py
@@ -71,7 +71,7 @@
     """A server for the connections of one protocol. It is a LifecycleListener of the core.
 
     Attributes:
-        PART_NAME: The name in the log, in the status and on the handover link.
+        LISTENER_NAME: The name in the log, in the status and on the handover link.
         connections: The open connections.
         draining: Whether clients are told to send no further requests; those already sent are answered.
         admission_filter: Sheds load before a request reaches the core; None without overload control.
@@ -79,7 +79,7 @@
         acceptor: Accepts connections on the listening socket.
     """
 
-    PART_NAME: str
+    LISTENER_NAME: str
 
     def __init__(
         self,
--- a/ochrehoist/net/listener.py
+++ b/ochrehoist/net/listener.py
@@ -234,7 +234,7 @@
 class BaseServer(ABC):
     """A small server that runs `handle` in a task for each connection, and closes it when that returns."""
 
-    PART_NAME: str  # the name in the log and on the handover link
+    LISTENER_NAME: str  # the name in the log and on the handover link
     MAX_CONNECTIONS = 16  # keeps a flood from exhausting the descriptors that requests need
 
     def __init__(
--- a/ochrehoist/net/operator_server.py
+++ b/ochrehoist/net/operator_server.py
@@ -71,7 +71,7 @@
 class OperatorServer(BaseServer):
     """Carries out `calls`. Each is answered in the turn of the loop in which it has arrived whole."""
 
-    PART_NAME = "Operators"
+    LISTENER_NAME = "Operators"
 
     def __init__(
         self,
--- a/ochrehoist/net/process_shutdown.py
+++ b/ochrehoist/net/process_shutdown.py
@@ -35,7 +35,7 @@
 class DrainableFront(Protocol):
     """What is needed of a front."""
 
-    PART_NAME: str
+    LISTENER_NAME: str
     acceptor: Acceptor
 
     @property
@@ -128,7 +128,7 @@
         def is_busy() -> bool:
             """Whether something is left to do; reports open connections on the way."""
             nonlocal reported
-            connections = {front.PART_NAME: len(front.connections) for front in self._fronts}
+            connections = {front.LISTENER_NAME: len(front.connections) for front in self._fronts}
             if connections != reported:
                 reported = connections
                 report_connections(connections)
--- a/ochrehoist/net/thrift_front.py
+++ b/ochrehoist/net/thrift_front.py
@@ -65,7 +65,7 @@
         class_names: The names of the request classes, by their bytes on the wire.
     """
 
-    PART_NAME = "ThriftFront"
+    LISTENER_NAME = "ThriftFront"
 
     def __init__(
         self,
