--- a/ochrehoist/net/thrift_reader.py
+++ b/ochrehoist/net/thrift_reader.py
@@ -37,8 +37,8 @@
 class InvokeFields:
     """The map `fields` of an `invoke` call.
 
-    The methods convert one field. They raise InvalidArgumentsError, which names the field, if it is invalid or
-    missing; those for optional fields return None for a missing one.
+    The methods convert one field. They raise InvalidArgumentsError, which names the field, if it is invalid
+    or missing; those for optional fields return None for a missing one.
     """
 
     __slots__ = ("_values",)
--- a/tests/net/ajp_case.py
+++ b/tests/net/ajp_case.py
@@ -1,4 +1,4 @@
-"""A test case of a worker that serves AJP alone."""
+"""The base class of tests of a worker that serves only AJP."""
 
 from typing import Any, ClassVar
 
@@ -6,11 +6,11 @@
 
 
 class AjpTestCase(RunningWorkerTestCase):
-    """Has a worker that serves AJP, and the server behind it."""
+    """Tests with a worker that serves AJP, and the stand-in of a backend server."""
 
     options: ClassVar[dict[str, Any]] = {"thrift": False, "ajp": True}
 
     def setUp(self):
-        """Starts the worker."""
+        """Starts the worker and its backend server."""
         super().setUp()
         self.server = self.program.server
--- a/tests/net/test_ajp_filings.py
+++ b/tests/net/test_ajp_filings.py
@@ -1,37 +1,37 @@
-"""Filings over AJP, with servers that cannot be reached."""
+"""Filings over AJP: retries with the same idempotency key, and unreachable servers."""
 
 from tests.net.ajp_case import AjpTestCase
 
 
 class FilingsTest(AjpTestCase):
-    """Filings and their repeats."""
+    """Retries of filings that ran."""
 
-    def file(self, web, key, body=b"doc"):
-        web.request("POST", "/filings", {"Idempotency-Key": key}, body)
+    def send_filing(self, client, key, body=b"doc"):
+        client.request("POST", "/filings", {"Idempotency-Key": key}, body)
 
     def test_a_retry_gets_the_first_response_and_one_with_other_content_is_rejected(self):
-        web, other = self.program.ajp_client(), self.program.ajp_client()
-        self.file(web, "k1")
+        client, retrying_client = self.program.ajp_client(), self.program.ajp_client()
+        self.send_filing(client, "k1")
         respond = self.server.next_request().respond
-        self.file(other, "k1", b"another")
-        self.assertEqual(other.answer()[0], 422)
+        self.send_filing(retrying_client, "k1", b"another")
+        self.assertEqual(retrying_client.answer()[0], 422)
         respond(201, b"filed")
-        self.assertEqual(web.answer()[::2], (201, b"filed"))
-        self.file(other, '"k1"')  # the header's quoted form names the same key
-        self.assertEqual(other.answer(), (201, {"X-Made-By": "server"}, b"filed"))
-        self.file(other, "k1", b"another")
-        self.assertEqual(other.answer()[0], 422)
+        self.assertEqual(client.answer()[::2], (201, b"filed"))
+        self.send_filing(retrying_client, '"k1"')  # the quoted form of the header names the same key
+        self.assertEqual(retrying_client.answer(), (201, {"X-Made-By": "server"}, b"filed"))
+        self.send_filing(retrying_client, "k1", b"another")
+        self.assertEqual(retrying_client.answer()[0], 422)
         self.assertTrue(self.server.received.empty())
 
 
-class UnreachedFilingsTest(AjpTestCase):
-    """Filings while no server can be reached."""
+class UnreachableServerTest(AjpTestCase):
+    """Filings while no server is reachable."""
 
-    def test_a_filing_that_reached_no_server_may_run_when_it_is_repeated(self):
-        web, filing = self.program.ajp_client(), ("POST", "/filings", {"Idempotency-Key": "k"}, b"doc")
+    def test_a_filing_that_reached_no_server_runs_when_it_is_retried(self):
+        client, filing = self.program.ajp_client(), ("POST", "/filings", {"Idempotency-Key": "k"}, b"doc")
         self.server.refuse()
-        self.assertEqual(web.call(*filing)[0], 502)
+        self.assertEqual(client.call(*filing)[0], 502)
         self.server.come_back()
-        web.request(*filing)
+        client.request(*filing)
         self.server.next_request().respond(data=b"filed")
-        self.assertEqual(web.answer()[::2], (200, b"filed"))
+        self.assertEqual(client.answer()[::2], (200, b"filed"))
--- a/tests/net/test_connection_races.py
+++ b/tests/net/test_connection_races.py
@@ -1,6 +1,7 @@
-"""Two events that cross: each test forces the bad order, over real connections (docs/design/crossings.md).
+"""Races between a close, a time-out or a shutdown and a request on its way (docs/design/crossings.md).
 
-A process that stands still while bytes come and times run out sees both at once when it goes on.
+Each test forces the unfavourable order over real connections. Most suspend the process while bytes arrive and
+a time-out expires, so that it finds both at once when it resumes.
 """
 
 import json
@@ -16,11 +17,12 @@
 from tests.support.site_settings import site_settings
 from tests.support.worker_cases import WorkerTestCase
 
-BEGUN = struct.pack(">I", 500) + b"\x80\x01"  # of a frame whose rest does not come
-CALL = b"GET /status HTTP/1.1\r\n\r\n"
-GARBLED = b"\xff\xff\xff\xff"
-LASTS = 2.5  # s for a frame that was begun
-BUSY = """
+PARTIAL_FRAME = struct.pack(">I", 500) + b"\x80\x01"
+OPERATOR_CALL = b"GET /status HTTP/1.1\r\n\r\n"
+MALFORMED_FRAME = b"\xff\xff\xff\xff"
+FRAME_TIMEOUT_S = 2.5  # from the first byte of a frame
+# Keeps the core busy with the request "long" for longer than a connection stays open after its farewell.
+SLOW_CORE_FAULT = """
 import time
 from ochrehoist.core.message_handlers import MESSAGE_HANDLERS
 from ochrehoist.core.messages import RequestArrived
@@ -31,290 +33,290 @@
         time.sleep(0.8)
     plain(core, m)
 MESSAGE_HANDLERS[RequestArrived] = arrived
-"""  # the core is busy with one request for longer than a connection lingers
+"""
 
 
-class Closes(WorkerTestCase):
-    """A connection that is closed while something is on its way on it."""
+class ConnectionCloseTest(WorkerTestCase):
+    """Requests that arrive while their connection is about to be closed."""
 
-    few = site_settings(
-        FamilyInfo=site_settings()["FamilyInfo"] | {"Callers": 10_000}
-    )  # idle ones are ended soon
+    # With many callers, idle connections are ended soon.
+    short_idle_settings = site_settings(FamilyInfo=site_settings()["FamilyInfo"] | {"Callers": 10_000})
 
-    def test_a_request_that_came_before_an_idle_connection_is_closed_is_answered(self):
-        flag = os.path.join(self.enterContext(tempfile.TemporaryDirectory()), "busy")
-        program = self.start(site=self.few, fault=BUSY.format(flag=flag))
-        router, other = program.thrift_router(), program.thrift_router()
+    def test_a_request_that_arrives_before_an_idle_connection_is_closed_is_answered(self):
+        busy_flag_path = os.path.join(self.enterContext(tempfile.TemporaryDirectory()), "busy")
+        program = self.start(site=self.short_idle_settings, fault=SLOW_CORE_FAULT.format(flag=busy_flag_path))
+        router, busy_router = program.thrift_router(), program.thrift_router()
         program.serve_one(router)
         router.wait_for_farewell()
-        other.invoke(body=b"long")
-        while not os.path.exists(flag):
+        busy_router.invoke(body=b"long")
+        while not os.path.exists(busy_flag_path):
             time.sleep(0.001)
-        seqid = router.invoke(body=b"crossing")  # the time to close it runs out while the core is busy
+        seqid = router.invoke(body=b"crossing")  # the connection's time-out expires while the core is busy
         self.assertEqual(program.kernel.next_run().body, b"long")
         rid, _, body = program.kernel.next_run()
         self.assertEqual(body, b"crossing")
         program.kernel.reap(rid, body=b"answered")
         self.assertEqual(router.answer(seqid), ("Answer", {}, b"answered"))
 
-    def test_a_first_request_that_came_within_a_stall_is_answered(self):
+    def test_a_first_request_that_arrives_while_the_process_is_suspended_is_answered(self):
         program = self.start()
         router = program.thrift_router()
         program.wait_for(lambda status: "'ThriftFront': 1" in status["connections"])
-        asked = []
-        program.stop_while(LASTS + 0.2, lambda: asked.append(router.invoke(body=b"first")))
+        sequence_ids = []
+        program.stop_while(FRAME_TIMEOUT_S + 0.2, lambda: sequence_ids.append(router.invoke(body=b"first")))
         program.kernel.reap(program.kernel.next_run().request_id, body=b"answered")
-        self.assertEqual(router.answer(asked[0]), ("Answer", {}, b"answered"))
+        self.assertEqual(router.answer(sequence_ids[0]), ("Answer", {}, b"answered"))
 
-    def test_the_rest_of_a_frame_that_came_within_a_stall_is_read(self):
+    def test_the_rest_of_a_frame_that_arrives_while_the_process_is_suspended_is_read(self):
         program = self.start()
         router = program.thrift_router()
         program.serve_one(router)
-        whole = []
-        plain, router.sock = router.sock, RecordingSocket(whole)
+        recorded = []
+        real_socket, router.sock = router.sock, RecordingSocket(recorded)
         seqid = router.invoke(body=b"in two parts")
-        router.sock = plain
-        router.sock.sendall(whole[0][:30])
+        router.sock = real_socket
+        router.sock.sendall(recorded[0][:30])
         program.thrift_router().ping()
-        program.stop_while(LASTS + 0.2, lambda: router.sock.sendall(whole[0][30:]))
+        program.stop_while(FRAME_TIMEOUT_S + 0.2, lambda: router.sock.sendall(recorded[0][30:]))
         program.kernel.reap(program.kernel.next_run().request_id, body=b"answered")
         self.assertEqual(router.answer(seqid), ("Answer", {}, b"answered"))
 
-    def in_parts_behind_one_that_waits(self, taken_back):
+    def check_split_request_after_an_open_one(self, abort_first):
+        """Sends a request in two parts on a connection whose first request is open or aborted late."""
         program = self.start()
         router = program.thrift_router()
-        waits = router.invoke(body=b"waits")
-        running, _, body = program.kernel.next_run()
+        first_id = router.invoke(body=b"waits")
+        first_run_id, _, body = program.kernel.next_run()
         self.assertEqual(body, b"waits")
-        whole = []
-        plain, router.sock = router.sock, RecordingSocket(whole)
-        if taken_back:
-            router.abort(waits)
+        recorded = []
+        real_socket, router.sock = router.sock, RecordingSocket(recorded)
+        if abort_first:
+            router.abort(first_id)
         seqid = router.invoke(body=b"in parts")
-        router.sock = plain
-        begun, rest = b"".join(whole)[:-60], b"".join(whole)[-60:]
-        program.stop_while(LASTS + 0.2, lambda: router.sock.sendall(begun))
-        for _ in range(3):  # the first part has been read
+        router.sock = real_socket
+        first_part, second_part = b"".join(recorded)[:-60], b"".join(recorded)[-60:]
+        program.stop_while(FRAME_TIMEOUT_S + 0.2, lambda: router.sock.sendall(first_part))
+        for _ in range(3):  # after these, the first part has been read
             program.thrift_router().ping()
-        router.sock.sendall(rest)
-        if not taken_back:
-            program.kernel.reap(running, body=b"first")
-            self.assertEqual(router.answer(waits), ("Answer", {}, b"first"))
-        rid, _, body = program.kernel.next_run()
+        router.sock.sendall(second_part)
+        if not abort_first:
+            program.kernel.reap(first_run_id, body=b"first")
+            self.assertEqual(router.answer(first_id), ("Answer", {}, b"first"))
+        run_id, _, body = program.kernel.next_run()
         self.assertEqual(body, b"in parts")
-        program.kernel.reap(rid, body=b"answered")
+        program.kernel.reap(run_id, body=b"answered")
         self.assertEqual(router.answer(seqid), ("Answer", {}, b"answered"))
 
-    def test_a_request_that_comes_in_parts_behind_one_that_waits_long_is_read(self):
-        self.in_parts_behind_one_that_waits(taken_back=False)
+    def test_a_request_that_arrives_in_parts_after_a_long_running_one_is_read(self):
+        self.check_split_request_after_an_open_one(abort_first=False)
 
-    def test_a_request_that_arrives_in_parts_behind_one_cancelled_late_is_read(self):
-        self.in_parts_behind_one_that_waits(taken_back=True)
+    def test_a_request_that_arrives_in_parts_after_one_aborted_late_is_read(self):
+        self.check_split_request_after_an_open_one(abort_first=True)
 
-    def test_a_connection_whose_request_was_cancelled_late_is_ended_by_a_farewell(self):
+    def test_a_connection_whose_request_was_aborted_late_is_ended_by_a_farewell(self):
         program = self.start()
         router = program.thrift_router()
-        taken_back = router.invoke()
+        aborted_id = router.invoke()
         program.kernel.next_run()
-        program.stop_while(LASTS + 0.2, lambda: router.abort(taken_back))
-        router.wait_for_farewell()  # the end of the connection would be an error here
+        program.stop_while(FRAME_TIMEOUT_S + 0.2, lambda: router.abort(aborted_id))
+        router.wait_for_farewell()  # fails if the connection is closed without one
         self.assertEqual(connection_end(router.sock), "closed")
 
-    def test_what_was_asked_before_half_a_frame_is_answered_though_the_rest_never_comes(self):
+    def test_a_request_before_a_frame_that_is_never_completed_is_answered(self):
         program = self.start()
         router = program.thrift_router()
         seqid = router.invoke(body=b"asked")
-        rid = program.kernel.next_run().request_id
-        router.sock.sendall(BEGUN)
-        router.sock.settimeout(LASTS + 0.7)
-        with self.assertRaises(TimeoutError):  # it is not closed when the time of the frame is over
+        run_id = program.kernel.next_run().request_id
+        router.sock.sendall(PARTIAL_FRAME)
+        router.sock.settimeout(FRAME_TIMEOUT_S + 0.7)
+        with self.assertRaises(TimeoutError):  # the time-out of the frame does not close the connection
             router.sock.recv(1)
         router.sock.settimeout(WAIT_LIMIT_S)
-        program.kernel.reap(rid, body=b"answered")
+        program.kernel.reap(run_id, body=b"answered")
         self.assertEqual(router.answer(seqid), ("Answer", {}, b"answered"))
         self.assertEqual(connection_end(router.sock), "closed")
 
-    def test_what_was_asked_before_a_garbled_frame_is_answered_and_nothing_after_it(self):
+    def test_a_request_before_a_malformed_frame_is_answered_and_none_after_it_is_read(self):
         program = self.start()
-        router, other = program.thrift_router(), program.thrift_router()
+        router, other_router = program.thrift_router(), program.thrift_router()
         seqid = router.invoke(body=b"asked")
-        rid = program.kernel.next_run().request_id
-        router.sock.sendall(GARBLED)
+        run_id = program.kernel.next_run().request_id
+        router.sock.sendall(MALFORMED_FRAME)
         for _ in range(3):
-            other.ping()
+            other_router.ping()
         router.invoke(body=b"behind it")
         for _ in range(3):
-            other.ping()
-        program.kernel.reap(rid, body=b"answered")
+            other_router.ping()
+        program.kernel.reap(run_id, body=b"answered")
         self.assertEqual(router.answer(seqid), ("Answer", {}, b"answered"))
         self.assertEqual(connection_end(router.sock), "closed")
         self.assertTrue(program.kernel.scheduled.empty())
 
-    def test_a_connection_that_is_to_close_reads_no_request_whose_answer_it_could_not_send(self):
-        program = self.start(site=self.few)
-        slow, other = program.thrift_router(), program.thrift_router()
-        slow.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        program.serve_one(slow)
-        for _ in range(60):  # unanswered for want of a reader: more than both buffers hold
-            slow.send("x" * 9000, b"\0")
-        until = time.monotonic() + 2.0  # its farewell, and the time that it has to close
-        while time.monotonic() < until:
-            program.serve_one(other)
-        slow.invoke(body=b"too late")
+    def test_a_closing_connection_reads_no_request_whose_reply_it_could_not_send(self):
+        program = self.start(site=self.short_idle_settings)
+        slow_router, other_router = program.thrift_router(), program.thrift_router()
+        slow_router.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+        program.serve_one(slow_router)
+        for _ in range(60):  # the replies are not read, and exceed the buffers of both sides
+            slow_router.send("x" * 9000, b"\0")
+        end_s = time.monotonic() + 2.0  # longer than until the farewell and the close that follows it
+        while time.monotonic() < end_s:
+            program.serve_one(other_router)
+        slow_router.invoke(body=b"too late")
         for _ in range(3):
-            other = program.thrift_router()
-            program.serve_one(other)  # were the late one read, the kernel would have it first
+            other_router = program.thrift_router()
+            program.serve_one(other_router)  # fails if the kernel gets the late request first
         self.assertTrue(program.kernel.scheduled.empty())
 
-    def test_an_operators_call_that_arrived_as_its_connection_was_to_be_evicted_is_answered(self):
+    def test_an_operators_call_that_arrives_when_its_connection_is_to_be_evicted_is_answered(self):
         program = self.start()
-        idle = [
+        idle_sockets = [
             socket.create_connection(program.addresses["Operators"], timeout=WAIT_LIMIT_S) for _ in range(15)
         ]
-        time.sleep(0.3)  # none of them is young
-        asked = []
+        time.sleep(0.3)  # until all of them may be evicted
+        new_sockets = []
 
-        def call():
-            idle[0].sendall(CALL)
-            asked.append(socket.create_connection(program.addresses["Operators"], timeout=WAIT_LIMIT_S))
-            asked[0].sendall(CALL)
+        def send_calls():
+            idle_sockets[0].sendall(OPERATOR_CALL)
+            new_sockets.append(socket.create_connection(program.addresses["Operators"], timeout=WAIT_LIMIT_S))
+            new_sockets[0].sendall(OPERATOR_CALL)
 
-        program.stop_while(0.1, call)
-        for sock in (idle[0], asked[0]):
+        program.stop_while(0.1, send_calls)
+        for sock in (idle_sockets[0], new_sockets[0]):
             self.assertTrue(sock.recv(100).startswith(b"HTTP/1.1 200"))
             sock.close()
-        for sock in idle[1:]:
+        for sock in idle_sockets[1:]:
             sock.close()
 
-    def test_a_request_that_came_as_its_connection_was_to_make_room_is_answered_on_thrift(self):
+    def test_a_request_that_arrives_when_its_connection_is_to_be_evicted_is_answered_on_thrift(self):
         program = self.start(sockets=64)
-        routers = [program.thrift_router() for _ in range(22)]  # there is room for 23
+        routers = [program.thrift_router() for _ in range(22)]  # the limit is 23
         for router in routers:
             program.serve_one(router)
-        asked = []
+        sequence_ids = []
 
-        def crossing():
-            asked.append(routers[0].invoke(body=b"crossing"))  # the one that has been idle longest
+        def send_request_and_connect():
+            sequence_ids.append(routers[0].invoke(body=b"crossing"))  # the first router was idle longest
             routers.append(program.thrift_router())
 
-        program.stop_while(0.1, crossing)
+        program.stop_while(0.1, send_request_and_connect)
         program.kernel.reap(program.kernel.next_run().request_id, body=b"answered")
-        self.assertEqual(routers[0].answer(asked[0]), ("Answer", {}, b"answered"))
+        self.assertEqual(routers[0].answer(sequence_ids[0]), ("Answer", {}, b"answered"))
         self.assertEqual(routers[-1].ping()[0], "Answer")
 
-    def test_a_request_that_came_as_its_connection_was_to_make_room_is_answered_on_ajp(self):
+    def test_a_request_that_arrives_when_its_connection_is_to_be_evicted_is_answered_on_ajp(self):
         program = self.start(thrift=False, ajp=True, max_connections=5)
         clients = [program.ajp_client() for _ in range(4)]
         for client in clients:
             self.assertTrue(client.cping())
 
-        def crossing():
+        def send_request_and_connect():
             clients[0].request()
             clients.append(program.ajp_client())
 
-        program.stop_while(0.1, crossing)
+        program.stop_while(0.1, send_request_and_connect)
         program.server.next_request().respond(data=b"answered")
         self.assertEqual(clients[0].answer()[2], b"answered")
         self.assertTrue(clients[-1].cping())
 
-    def test_a_process_that_ends_resets_nobody_whose_bytes_it_has_not_read(self):
+    def test_a_process_that_exits_resets_no_connection_with_unread_input(self):
         program = self.start(stop_ms=1200)
-        flood = program.thrift_router()
-        flood.sock.settimeout(WAIT_LIMIT_S)
-        numbers = [flood.send("fly", b"\0" * 40) for _ in range(1500)]  # read at a hundred a second
-        flood.answer(numbers[0])
+        router = program.thrift_router()
+        router.sock.settimeout(WAIT_LIMIT_S)
+        sequence_ids = [router.send("fly", b"\0" * 40) for _ in range(1500)]  # read at 100 per second
+        router.answer(sequence_ids[0])
         program.process.send_signal(signal.SIGTERM)
-        self.assertEqual(connection_end(flood.sock), "closed")
+        self.assertEqual(connection_end(router.sock), "closed")
         self.assertEqual(program.wait_for_exit(), 0)
 
 
 class ShutdownRacesTest(WorkerTestCase):
-    """What comes while a worker shuts down."""
+    """Connections, requests and signals that arrive while a worker shuts down."""
 
-    def test_what_waits_in_the_accept_queue_at_the_end_is_answered_once_there_is_room(self):
-        family = site_settings()["FamilyInfo"] | {"Cores": 40}
-        program = self.start(sockets=64, site=site_settings(FamilyInfo=family))
-        busy = []
-        while len(busy) < 23:  # all that there is room for, each with a request that is open
+    def test_a_connection_in_the_accept_queue_at_shutdown_is_answered_once_there_is_room(self):
+        family_info = site_settings()["FamilyInfo"] | {"Cores": 40}
+        program = self.start(sockets=64, site=site_settings(FamilyInfo=family_info))
+        busy_calls = []
+        while len(busy_calls) < 23:  # up to the limit of connections, each with an open request
             router = program.thrift_router()
-            busy.append((router, router.invoke(body=b"busy")))
+            busy_calls.append((router, router.invoke(body=b"busy")))
         program.wait_for(
             lambda status: "'ThriftFront': 23" in status["connections"] and status["in_hand"] == "23"
         )
-        waiting = program.thrift_router()
-        seqid = waiting.invoke(body=b"in the queue")
+        queued_router = program.thrift_router()
+        seqid = queued_router.invoke(body=b"in the queue")
         program.process.send_signal(signal.SIGTERM)
-        time.sleep(0.8)  # the grace runs out, and with it the port
-        for _ in busy:
+        time.sleep(0.8)  # until the grace period is over, at whose end the worker stops listening
+        for _ in busy_calls:
             program.kernel.reap(program.kernel.next_run().request_id, body=b"done")
-        for router, number in busy:
-            self.assertEqual(router.answer(number)[2], b"done")
+        for router, sequence_id in busy_calls:
+            self.assertEqual(router.answer(sequence_id)[2], b"done")
             router.close()
-        self.assertIn(waiting.answer(seqid)[0], ("Throttled", "Broken"))
+        self.assertIn(queued_router.answer(seqid)[0], ("Throttled", "Broken"))
         self.assertEqual(program.wait_for_exit(), 0)
 
-    def test_a_request_that_came_on_a_resting_connection_within_a_stall_at_the_end_is_answered(self):
+    def test_a_request_on_an_idle_connection_while_a_draining_process_is_suspended_is_answered(self):
         program = self.start(stop_ms=2500)
         router = program.thrift_router()
         program.serve_one(router)
         program.process.send_signal(signal.SIGTERM)
-        router.wait_for_farewell()  # it rests, and does not close
-        asked = []
-        program.stop_while(1.0, lambda: asked.append(router.invoke(body=b"crossing")))
-        program.kernel.reap(
-            program.kernel.next_run().request_id, body=b"answered"
-        )  # it came within the grace
-        self.assertEqual(router.answer(asked[0]), ("Answer", {}, b"answered"))
+        router.wait_for_farewell()  # the router does not close the connection
+        sequence_ids = []
+        program.stop_while(1.0, lambda: sequence_ids.append(router.invoke(body=b"crossing")))
+        # The request runs, since it arrived within the grace period.
+        program.kernel.reap(program.kernel.next_run().request_id, body=b"answered")
+        self.assertEqual(router.answer(sequence_ids[0]), ("Answer", {}, b"answered"))
         self.assertEqual(connection_end(router.sock), "closed")
         self.assertEqual(program.wait_for_exit(), 0)
 
-    def test_a_notice_that_is_read_late_counts_from_when_it_came(self):
+    def test_the_shutdown_time_counts_from_the_arrival_of_the_notice_even_if_it_is_handled_late(self):
         program = self.start()
-        router, late = program.thrift_router(), program.thrift_router()
-        program.serve_one(late)
+        router, late_router = program.thrift_router(), program.thrift_router()
+        program.serve_one(late_router)
         seqid = router.invoke(body=b"in hand")
         program.kernel.next_run()
-        asked, began = [], time.monotonic()
+        late_ids, started_s = [], time.monotonic()
 
-        def notice():
+        def send_notice_and_late_request():
             program.process.send_signal(signal.SIGTERM)
-            time.sleep(0.6)  # past the grace of 0.3 s
-            asked.append(late.invoke(body=b"after the grace"))
+            time.sleep(0.6)  # longer than the grace period of 0.3 s
+            late_ids.append(late_router.invoke(body=b"after the grace"))
 
-        program.stop_while(0.6, notice)
-        self.assertEqual(late.answer(asked[0])[0], "Throttled")
+        program.stop_while(0.6, send_notice_and_late_request)
+        self.assertEqual(late_router.answer(late_ids[0])[0], "Throttled")
         self.assertTrue(program.kernel.scheduled.empty())
         self.assertEqual(router.answer(seqid)[0], "Broken")
-        self.assertLess(time.monotonic() - began, 3.0)  # killed 2.5 s after the notice, 3.7 after its reading
+        # The shutdown may take 2.5 s from the notice; counted from its handling, it would end after 3.7 s.
+        self.assertLess(time.monotonic() - started_s, 3.0)
         self.assertEqual(program.wait_for_exit(), 0)
 
-    def test_a_connection_after_the_grace_is_refused_while_the_last_run_goes_on(self):
+    def test_connections_after_the_grace_period_are_refused_while_the_last_run_continues(self):
         program = self.start()
         router = program.thrift_router()
         seqid = router.invoke(body=b"last")
-        rid = program.kernel.next_run().request_id
+        run_id = program.kernel.next_run().request_id
         program.process.send_signal(signal.SIGTERM)
-        until = time.monotonic() + 2.0
+        end_s = time.monotonic() + 2.0
         with self.assertRaises(ConnectionRefusedError):
-            while time.monotonic() < until:
+            while time.monotonic() < end_s:
                 program.thrift_router().close()
                 time.sleep(0.02)
-        program.kernel.reap(rid, body=b"answered")
+        program.kernel.reap(run_id, body=b"answered")
         self.assertEqual(router.answer(seqid), ("Answer", {}, b"answered"))
         router.close()
         self.assertEqual(program.wait_for_exit(), 0)
 
-    def test_a_second_notice_and_new_settings_within_the_drain_change_nothing_of_it(self):
+    def test_a_second_notice_and_new_settings_do_not_affect_a_drain(self):
         program = self.start()
         router = program.thrift_router()
         seqid = router.invoke(body=b"last")
-        rid = program.kernel.next_run().request_id
+        run_id = program.kernel.next_run().request_id
         program.process.send_signal(signal.SIGTERM)
         program.members.wait_for("OUT")
         program.process.send_signal(signal.SIGTERM)
-        changed = program.config | {"settings": site_settings(FleetSize=9)}
-        program.reload("config.json", json.dumps(changed))
-        program.kernel.reap(rid, body=b"answered")
+        new_config = program.config | {"settings": site_settings(FleetSize=9)}
+        program.reload("config.json", json.dumps(new_config))
+        program.kernel.reap(run_id, body=b"answered")
         self.assertEqual(router.answer(seqid), ("Answer", {}, b"answered"))
         router.farewell()
         self.assertEqual(program.wait_for_exit(), 0)
