--- a/tests/net/test_route_index.py
+++ b/tests/net/test_route_index.py
@@ -1,4 +1,4 @@
-"""Routes by an index: the same rule as the plain search finds, at a cost that doesn't grow with the table."""
+"""The route index: the results of a linear search, at a cost that does not grow with the table."""
 
 import unittest
 from fnmatch import fnmatchcase
@@ -17,23 +17,28 @@
 from tests.support.environment import ROOT
 from tests.support.instruction_count import count_instructions
 
-SIZES = (38, 380, 3800)
+TABLE_SIZES = (38, 380, 3800)
 
 
-def plain(rules, method, path):
-    """As it is defined: the first that fits, by the whole list."""
+def linear_search(table, method, path):
+    """Returns the first route that matches, by the definition of a route table."""
     return next(
-        (r for r in rules if (not r.methods or method in r.methods) and fnmatchcase(path, r.uri)), None
+        (
+            route
+            for route in table
+            if (not route.methods or method in route.methods) and fnmatchcase(path, route.uri)
+        ),
+        None,
     )
 
 
-def rules(*uris):
-    """Each a pattern, or a pattern and its methods."""
-    named = [(u, ()) if isinstance(u, str) else u for u in uris]
-    return tuple(AjpRoute(uri, frozenset(methods), f"{n}") for n, (uri, methods) in enumerate(named))
+def make_routes(*patterns):
+    """Returns a route for each pattern, or pair of a pattern and its methods; its class is its position."""
+    pairs = [(pattern, ()) if isinstance(pattern, str) else pattern for pattern in patterns]
+    return tuple(AjpRoute(uri, frozenset(methods), f"{n}") for n, (uri, methods) in enumerate(pairs))
 
 
-PIECES = (
+PATTERN_PARTS = (
     "/",
     "a",
     "b",
@@ -64,38 +69,44 @@
     "$",
 )
 METHODS = ("GET", "HEAD", "POST", "PUT", "get")
-patterns = st.lists(st.sampled_from(PIECES), max_size=7).map("".join)
+patterns = st.lists(st.sampled_from(PATTERN_PARTS), max_size=7).map("".join)
 tables = st.lists(
     st.builds(AjpRoute, patterns, st.frozensets(st.sampled_from(METHODS), max_size=2), st.just("read")),
     max_size=14,
 )
-paths = st.lists(st.sampled_from([p for p in PIECES if p != "*"] + ["c", "/x"]), max_size=7).map("".join)
+paths = st.lists(st.sampled_from([p for p in PATTERN_PARTS if p != "*"] + ["c", "/x"]), max_size=7).map(
+    "".join
+)
 
 
-def fitting(pattern):
-    """Paths that have a chance to fit it: texts for its wildcards."""
-    wild = st.sampled_from(["", "a", "/b", "ab/", "é", "*"])
-    parts = [wild if c in "*?" else st.just(c) for c in pattern]
+def likely_matches(pattern):
+    """Returns a strategy of paths that are likely to match a pattern: its wildcards are replaced by texts."""
+    replacements = st.sampled_from(["", "a", "/b", "ab/", "é", "*"])
+    parts = [replacements if character in "*?" else st.just(character) for character in pattern]
     return st.tuples(*parts).map("".join)
 
 
 class SameRouteTest(unittest.TestCase):
-    """The index against the plain search."""
+    """Compares the index with a linear search."""
 
     @settings(max_examples=3000, deadline=None)
     @given(st.data())
-    def test_as_the_plain_search_over_random_tables_and_paths(self, data):
+    def test_equals_a_linear_search_over_random_tables_and_paths(self, data):
         table = tuple(data.draw(tables))
         index = run_to_completion(RouteIndex.in_steps(table))
-        asked = data.draw(st.lists(paths, max_size=3))
+        tested_paths = data.draw(st.lists(paths, max_size=3))
         if table:
-            asked.append(data.draw(st.sampled_from(table).flatmap(lambda r: fitting(r.uri))))
-        for path in asked:
+            tested_paths.append(
+                data.draw(st.sampled_from(table).flatmap(lambda route: likely_matches(route.uri)))
+            )
+        for path in tested_paths:
             for method in METHODS:
-                self.assertIs(index.find(method, path), plain(table, method, path), (table, method, path))
+                self.assertIs(
+                    index.find(method, path), linear_search(table, method, path), (table, method, path)
+                )
 
-    def test_what_each_form_of_a_pattern_fits(self):
-        forms = rules(
+    def test_each_form_of_pattern_equals_a_linear_search(self):
+        routes = make_routes(
             "/lit",
             "/lit/",
             "/pre*",
@@ -117,7 +128,7 @@
             "/a*/*/z",
             "/*//*",
         )
-        asked = (
+        tested_paths = (
             "",
             "/",
             "/lit",
@@ -148,23 +159,23 @@
             "/a/c/z",
             "//",
         )
-        for n in range(len(forms)):
-            for table in (forms[n : n + 1], forms[n:], forms[: n + 1][::-1]):
+        for n in range(len(routes)):
+            for table in (routes[n : n + 1], routes[n:], routes[: n + 1][::-1]):
                 index = run_to_completion(RouteIndex.in_steps(table))
-                for path in asked:
-                    self.assertIs(index.find("GET", path), plain(table, "GET", path), (table, path))
+                for path in tested_paths:
+                    self.assertIs(index.find("GET", path), linear_search(table, "GET", path), (table, path))
 
-    def test_the_ends_of_a_pattern_never_share_a_part_of_the_path(self):
-        index = run_to_completion(RouteIndex.in_steps(rules("/aba*aba", "/x*x*x")))
+    def test_prefix_and_suffix_never_match_overlapping_parts_of_a_path(self):
+        index = run_to_completion(RouteIndex.in_steps(make_routes("/aba*aba", "/x*x*x")))
         self.assertIsNone(index.find("GET", "/aba"))
         self.assertIsNone(index.find("GET", "/ababa"))
         self.assertIsNone(index.find("GET", "/xx"))
         self.assertEqual(index.find("GET", "/abaaba").request_class, "0")
         self.assertEqual(index.find("GET", "/xxx").request_class, "1")
 
-    def test_a_route_shadows_those_behind_it_for_its_methods_only(self):
+    def test_a_route_shadows_later_routes_only_for_its_methods(self):
         for first in ("/a/*", "/*", "/a/b", "/a/*b", "/a/?"):
-            table = rules((first, ("GET", "HEAD")), "/a/b", "/a/*", "/a*b")
+            table = make_routes((first, ("GET", "HEAD")), "/a/b", "/a/*", "/a*b")
             index = run_to_completion(RouteIndex.in_steps(table))
             self.assertEqual(
                 [index.find(m, "/a/b").request_class for m in METHODS], ["0", "0", "1", "1", "1"], first
@@ -172,28 +183,28 @@
             self.assertEqual(index.find("POST", "/a/c").request_class, "2")
             self.assertEqual(index.find("POST", "/ab").request_class, "3")
 
-    def test_of_many_with_the_same_uri_the_first_whose_methods_fit(self):
+    def test_the_first_of_several_routes_with_one_pattern_whose_methods_match_is_found(self):
         for uri in ("/a", "/a*", "/*a", "/[a]"):
-            table = rules((uri, ("GET",)), (uri, ("GET", "POST")), (uri, ()), (uri, ("PUT",)))
+            table = make_routes((uri, ("GET",)), (uri, ("GET", "POST")), (uri, ()), (uri, ("PUT",)))
             index = run_to_completion(RouteIndex.in_steps(table))
             self.assertEqual([index.find(m, "/a").request_class for m in METHODS], ["0", "2", "1", "2", "2"])
 
 
-def mixed(size):
-    """Routes of so many resources, in four forms by turns."""
+def make_mixed_routes(size):
+    """Returns `size` routes whose patterns alternate between four forms."""
     forms = ("/svc{}/*", "/svc{}/status", "/svc{}/*/detail", "/api/*/items/svc{}")
-    return rules(*(forms[n % 4].format(n) for n in range(size)))
+    return make_routes(*(forms[n % 4].format(n) for n in range(size)))
 
 
-def fits(uri):
+def matching_path(uri):
     return uri.replace("*", "x/y")
 
 
-def reader(table):
+def make_reader(table):
     config = load_appliance(str(ROOT / "deploy/ajp.toml"), {})
     classes = tuple(
-        RequestClass(name=kind, latency_objective_ns=1, deadline_ns=2)
-        for kind in sorted({r.request_class for r in table})
+        RequestClass(name=class_name, latency_objective_ns=1, deadline_ns=2)
+        for class_name in sorted({route.request_class for route in table})
     )
     return AjpReader(
         SimpleNamespace(settings=SimpleNamespace(classes=classes, tenants=()), tenants={}),
@@ -211,76 +222,85 @@
     )
 
 
-def lines(call):
-    """Lines of Python that a call takes; the search of a compiled expression counts as one."""
+def count_lines(call):
+    """Returns the Python lines that a call executes; a match of a regular expression counts as one."""
     return count_instructions(call, "line")
 
 
-class Growth(unittest.TestCase):
-    """Counted, not timed: what is on a request's way, and on a change's, must not grow with the table."""
+class LookupCostTest(unittest.TestCase):
+    """The work of a lookup, and of a step of a change, does not grow with the table.
+
+    Executed lines are counted instead of time, so that the result does not depend on the machine.
+    """
 
-    def work(self, size):
-        """To check a request whose route is the first, some in the middle, the last ones, or none."""
-        table = mixed(size)
-        it, out = reader(table), {}
-        at = {"first": 0, "last": size - 1} | {f"middle {n}": size // 2 + n for n in range(4)}
-        at |= {f"end {n}": size - 1 - n for n in range(4)}
-        for name, position in at.items():
-            asked = ajp.ForwardRequest(b"", "GET", fits(table[position].uri).encode())
-            self.assertEqual(it.check(asked).request_class.name, table[position].request_class)
-            out[name] = lines(lambda asked=asked: it.check(asked))
+    def lookup_costs(self, size):
+        """Returns the number of lines executed to check a request, by the position of its route."""
+        table = make_mixed_routes(size)
+        reader, costs = make_reader(table), {}
+        positions = {"first": 0, "last": size - 1} | {f"middle {n}": size // 2 + n for n in range(4)}
+        positions |= {f"end {n}": size - 1 - n for n in range(4)}
+        for name, position in positions.items():
+            request = ajp.ForwardRequest(b"", "GET", matching_path(table[position].uri).encode())
+            self.assertEqual(reader.check(request).request_class.name, table[position].request_class)
+            costs[name] = count_lines(lambda request=request: reader.check(request))
 
-        def none():
+        def check_unknown_path():
             with self.assertRaises(RequestRejectedError):
-                it.check(ajp.ForwardRequest(b"", "GET", b"/another"))
+                reader.check(ajp.ForwardRequest(b"", "GET", b"/another"))
 
-        return out | {"none": lines(none)}
+        return costs | {"none": count_lines(check_unknown_path)}
 
-    def test_finding_a_route_takes_as_much_work_in_a_large_table(self):
-        counts = {size: self.work(size) for size in SIZES}
-        for size in SIZES[1:]:
+    def test_the_cost_of_a_lookup_does_not_grow_with_the_table(self):
+        counts = {size: self.lookup_costs(size) for size in TABLE_SIZES}
+        for size in TABLE_SIZES[1:]:
             for name, count in counts[size].items():
-                # Names with one more digit are one more length of each end to look for, no more.
-                longer = 20 * (len(str(size)) - len(str(SIZES[0])))
-                self.assertLessEqual(count, max(counts[SIZES[0]].values()) + longer, (size, name, counts))
-
-    def test_a_step_of_building_takes_as_much_work_in_a_large_table(self):
-        for table in (mixed(3800), rules(*(f"/a[b]{n}" for n in range(3800))), rules(*["/a/*"] * 3800)):
+                # Names with one more digit add one more length of prefix and suffix to search.
+                allowance = 20 * (len(str(size)) - len(str(TABLE_SIZES[0])))
+                self.assertLessEqual(
+                    count, max(counts[TABLE_SIZES[0]].values()) + allowance, (size, name, counts)
+                )
+
+    def test_the_cost_of_a_build_step_does_not_grow_with_the_table(self):
+        for table in (
+            make_mixed_routes(3800),
+            make_routes(*(f"/a[b]{n}" for n in range(3800))),
+            make_routes(*["/a/*"] * 3800),
+        ):
             steps, counts = RouteIndex.in_steps(table), []
             with self.assertRaises(StopIteration):
                 while True:
-                    counts.append(lines(steps.__next__))
+                    counts.append(count_lines(steps.__next__))
             self.assertGreaterEqual(len(counts), 38)
             self.assertLess(max(counts), 4000)
 
 
 class PreparedIndexTest(unittest.TestCase):
-    """An index that is prepared in steps and committed."""
-
-    def test_nothing_changes_before_the_commit_and_all_of_it_by_that(self):
-        old, new = rules("/old"), rules(*(f"/new{n}" for n in range(1000)))
-        it, steps = reader(old), 0
-        of_new = reader(new)
-        preparing = it.prepare(of_new.compiled_config.config, of_new.core.settings)
-        asked = ajp.ForwardRequest(b"", "GET", b"/old")
-        with self.assertRaises(StopIteration) as end:
+    """An index that is prepared in steps, then applied."""
+
+    def test_a_prepared_configuration_takes_effect_only_when_applied(self):
+        old_routes, new_routes = make_routes("/old"), make_routes(*(f"/new{n}" for n in range(1000)))
+        reader, step_count = make_reader(old_routes), 0
+        new_reader = make_reader(new_routes)
+        preparation = reader.prepare(new_reader.compiled_config.config, new_reader.core.settings)
+        request = ajp.ForwardRequest(b"", "GET", b"/old")
+        with self.assertRaises(StopIteration) as finished:
             while True:
-                next(preparing)
-                steps += 1
-                self.assertEqual(it.check(asked).request_class.name, "0")
-        self.assertGreaterEqual(steps, 10)
-        self.assertEqual(it.check(asked).request_class.name, "0")
-        end.exception.value()
-        self.assertEqual(it.check(ajp.ForwardRequest(b"", "GET", b"/new999")).request_class.name, "999")
+                next(preparation)
+                step_count += 1
+                self.assertEqual(reader.check(request).request_class.name, "0")
+        self.assertGreaterEqual(step_count, 10)
+        self.assertEqual(reader.check(request).request_class.name, "0")
+        finished.exception.value()
+        self.assertEqual(reader.check(ajp.ForwardRequest(b"", "GET", b"/new999")).request_class.name, "999")
         with self.assertRaises(RequestRejectedError):
-            it.check(asked)
-
-    def test_a_change_of_something_else_builds_no_index(self):
-        it = reader(mixed(380))
-        before = it.compiled_config.route_index
-        self.assertEqual(list(it.prepare(it.compiled_config.config, it.core.settings)), [])
-        it.configure(it.compiled_config.config, it.core.settings)
-        self.assertIs(it.compiled_config.route_index, before)
+            reader.check(request)
+
+    def test_a_change_without_new_routes_keeps_the_index(self):
+        reader = make_reader(make_mixed_routes(380))
+        old_index = reader.compiled_config.route_index
+        self.assertEqual(list(reader.prepare(reader.compiled_config.config, reader.core.settings)), [])
+        reader.configure(reader.compiled_config.config, reader.core.settings)
+        self.assertIs(reader.compiled_config.route_index, old_index)
 
 
 if __name__ == "__main__":
