--- a/ochrehoist/net/ajp_connection.py
+++ b/ochrehoist/net/ajp_connection.py
@@ -170,7 +170,7 @@
         if not reuse:
             stream.close_when_sent()
         elif stream.unsent and front.unsent_bytes() > front.max_bytes:
-            stream.close()  # bounds the memory that the responses to all slow readers take
+            stream.close()  # bounds the memory of the responses to all slow readers
         stream.activity.set()
 
     # ---- packets
@@ -206,7 +206,7 @@
             self.last_used_at_s = time.monotonic()
         elif kind == ajp.CPING:
             if not self._front.core.healthy:
-                return False  # without an answer, the load balancer takes this worker as down
+                return False  # without an answer, the load balancer marks this worker as down
             self.stream.write(ajp.PONG_PACKET)
         elif kind not in (ajp.SHUTDOWN, ajp.PING):  # not supported, and ignored
             raise ajp.MalformedPacketError(ajp.PacketFault.UNEXPECTED_PACKET, kind)
--- a/ochrehoist/net/ajp_front.py
+++ b/ochrehoist/net/ajp_front.py
@@ -107,7 +107,7 @@
 
         return commit
 
-    # ---- for connections
+    # ---- called by connections
     def add_body_bytes(self, delta_bytes: int) -> None:
         """See AjpFrontContext."""
         self.body_bytes += delta_bytes
--- a/ochrehoist/net/ajp_reader.py
+++ b/ochrehoist/net/ajp_reader.py
@@ -23,7 +23,7 @@
 SECRET_OVERHEAD_BYTES = 4  # attribute code, length and terminating zero of a server's secret
 BYTES_PER_KB = 1024
 DEFAULT_RANK = 0.5
-FIRST_ATTEMPT_VALUES = frozenset({b"", b"0"})  # of the retry header
+FIRST_ATTEMPT_VALUES = frozenset({b"", b"0"})  # values of the retry header that do not mark a retry
 
 
 class RequestRejectedError(OchrehoistError):
--- a/ochrehoist/net/front.py
+++ b/ochrehoist/net/front.py
@@ -166,7 +166,7 @@
         self.draining = True
 
     def health_changed(self, good: bool) -> None:
-        """Does nothing: health checks are answered from the core's state."""
+        """Does nothing, since health checks read the state of the core."""
 
     def idle_timeout_changed(self, idle_timeout_ns: int) -> None:
         """Does nothing by default; a front with its own idle timeout applies the new one."""
--- a/ochrehoist/net/loop.py
+++ b/ochrehoist/net/loop.py
@@ -85,7 +85,7 @@
         self._ready: deque[Callable[[], object]] = deque()
         self._timers: list[Timer] = []
         self._hub = getcurrent()
-        # Descriptors closed in this iteration. The kernel may have reused their numbers, so events that were
+        # Descriptors closed in this iteration. Their numbers may be in use again, so events that were
         # polled for them are ignored.
         self._closed_fds: set[int] = set()
         self._signal_handlers: dict[int, Callable[[], object]] = {}
--- a/ochrehoist/net/route_index.py
+++ b/ochrehoist/net/route_index.py
@@ -65,7 +65,7 @@
         self._by_prefix: dict[str, list[IndexedRoute]] = {}  # patterns that end in a wildcard
         self._first_by_prefix: FirstPositions = {}
         self._by_prefix_and_suffix: dict[str, _SuffixIndex] = {}
-        self._first_by_suffix: FirstPositions = {}  # by the length of the prefix
+        self._first_by_suffix: FirstPositions = {}  # by prefix length, of patterns with a suffix
 
     @classmethod
     def in_steps(cls, routes: Iterable[AjpRoute]) -> Generator[None, None, "RouteIndex"]:
--- a/ochrehoist/net/thrift_front.py
+++ b/ochrehoist/net/thrift_front.py
@@ -31,7 +31,7 @@
 if TYPE_CHECKING:
     from ochrehoist.core.protocols import AdmissionFilter, Executor, Logger
 
-# A fixed size per connection, since the kernel would grow the buffer to megabytes for a slow reader.
+# Fixed, since the operating system would grow the buffer to megabytes for a slow reader.
 SOCKET_SEND_BUFFER_BYTES = 64 * 1024
 FIRST_SWEEP_DELAY_S = 0.1
 SWEEP_INTERVAL_S = 0.05
@@ -118,7 +118,7 @@
         self._reader.configure(settings)
         self.class_names = {name.encode(): name for name in self._reader.classes}
 
-    # ---- for connections
+    # ---- called by connections
     def record_malformed_frame(self, reason: str) -> None:
         """Counts a malformed frame; they are logged in summary, so that a flood does not fill the log."""
         self._malformed_count += 1
