--- a/ochrehoist/net/operator_server.py
+++ b/ochrehoist/net/operator_server.py
@@ -10,7 +10,7 @@
 
 from ochrehoist.core.protocols import Logger
 from ochrehoist.errors import OchrehoistError
-from ochrehoist.net.listener import BaseServer, evict_one
+from ochrehoist.net.listener import BaseServer, evict_lowest_ranked
 from ochrehoist.net.loop import Loop
 from ochrehoist.net.stream import ConnectionClosedError, Stream, StreamTimeoutError
 
@@ -71,7 +71,7 @@
 class OperatorServer(BaseServer):
     """Carries out `calls`. Each is answered in the turn of the loop in which it has arrived whole."""
 
-    PART_NAME = "Operators"
+    LISTENER_NAME = "Operators"
 
     def __init__(
         self,
@@ -102,7 +102,7 @@
             for stream, opened_at_s in self._opened_at_s.items()
             if stream.half_closed or (opened_at_s < before_s and not stream.unsent)
         ]
-        return evict_one(
+        return evict_lowest_ranked(
             candidates,
             lambda stream: (not stream.half_closed, bool(stream.buffer), self._opened_at_s[stream]),
             lambda stream: stream,
