--- a/ochrehoist/net/in_flight_runs.py
+++ b/ochrehoist/net/in_flight_runs.py
@@ -1,10 +1,11 @@
-"""The runs that were sent to the kernel, and which of them a broken link may have lost. No I/O, no clock.
+"""Tracks the runs sent to the kernel, and which of them a lost link may have dropped. No I/O, no clock.
 
-Commands of the last 50 ms before a link breaks may be lost. What was sent before that runs; the outcome of
-the rest is unknown until its end is reported or it is proved not to run. A read with unknown outcome is just
-sent again: at worst it runs twice. A filing is sent again only once the kernel runs nothing but what it is
-known to run. That proof needs the way of all runs to the cores to be over, and every notice: what was sent
-before a gap in the notices is never proved lost.
+Commands written in the last 50 ms before a link breaks may be lost. Earlier commands were carried out; the
+outcome of the later ones is unknown until the kernel reports their end or they are proved lost. A read of
+unknown outcome is sent again without proof: at worst it runs twice. A filing is sent again only once the
+gauges prove that the kernel runs no other runs than those that are known to run. The proof requires that all
+known runs have reached the cores, and that no notice is missing: a run that was sent before a gap in the
+notices is never proved lost.
 
 All times are seconds of the caller's clock.
 """
@@ -17,8 +18,9 @@
 from ochrehoist.admission.settings import Idempotency
 from ochrehoist.core.request import InboundRequest
 
-LOSS_WINDOW_S = 0.06  # before a break in which commands may be lost: 50 ms, and some for the clocks
-CORE_DELAY_S = 0.012  # after its command was read in which a run reaches the cores: three steps of a machine
+LOSS_WINDOW_S = 0.06  # commands written in the last 50 ms before a break may be lost; 10 ms allow for clocks
+# A run reaches the cores within this time after the kernel has read its command: three of its 4 ms steps.
+CORE_DELAY_S = 0.012
 
 
 @dataclass(slots=True)
@@ -26,11 +28,11 @@
     """A request that was started and is not known to have ended.
 
     Attributes:
-        request: What runs.
-        sent_at_s: When its command was written to a link; None: not yet.
-        outcome_unknown: Its command may have been lost with a link.
-        confirmed: Its command was carried out.
-        end_may_be_missed: Its end may have been among notices that can't be had any more.
+        request: The request to run.
+        sent_at_s: When its command was written to a link; None if it was not written yet.
+        outcome_unknown: Whether its command may have been lost with a link.
+        confirmed: Whether the kernel is known to have carried out its command.
+        end_may_be_missed: Whether its end may have been reported by a notice that is lost for good.
     """
 
     request: InboundRequest
@@ -41,17 +43,17 @@
 
     @property
     def is_idempotent(self) -> bool:
-        """Whether it may run twice."""
+        """Returns whether the request may run twice."""
         return self.request.request_class.idempotency is Idempotency.IDEMPOTENT
 
     def mark_sent(self, now_s: float) -> None:
-        """Its command is written to the link now in use."""
+        """Records that its command is written to the current link."""
         self.sent_at_s = now_s
         self.outcome_unknown = self.end_may_be_missed = False
 
 
 class _ReadMark(NamedTuple):
-    """All that was written until `written_until_s` had been read by `read_by_s`."""
+    """Statement that all commands written until `written_until_s` had been read by `read_by_s`."""
 
     written_until_s: float
     read_by_s: float
@@ -62,56 +64,56 @@
 
     def __init__(self) -> None:
         self._runs: dict[str, KernelRun] = {}
-        self._acknowledged_until_s = -math.inf  # the kernel has read all that was written to this link before
+        self._acknowledged_until_s = -math.inf  # the kernel has read all commands written to this link before
         self._read_marks: deque[_ReadMark] = deque()  # oldest first
-        self._at_cores_until_s = -math.inf  # all that was written before is at the cores by now
+        self._at_cores_until_s = -math.inf  # the runs of all commands written before have reached the cores
 
     def __len__(self) -> int:
         return len(self._runs)
 
     def start(self, request: InboundRequest) -> KernelRun:
-        """Adds a run that is not sent yet."""
+        """Adds a run whose command is not sent yet."""
         run = self._runs[request.id] = KernelRun(request)
         return run
 
     def end(self, request_id: str) -> KernelRun | None:
-        """Removes a run that has ended; None where there is none of this id."""
+        """Removes and returns a run that has ended; None if the id is unknown."""
         return self._runs.pop(request_id, None)
 
     def is_open(self, run: KernelRun) -> bool:
-        """Whether this very run has not ended."""
+        """Returns whether this run has not ended, as opposed to a later run of the same id."""
         return self._runs.get(run.request.id) is run
 
     def unsent(self) -> list[KernelRun]:
-        """Those that were not sent yet."""
+        """Returns the runs whose command was not sent yet."""
         return [run for run in self._runs.values() if run.sent_at_s is None]
 
     def outcome_unknown(self) -> list[KernelRun]:
-        """Those that a link may have lost."""
+        """Returns the runs whose command may have been lost with a link."""
         return [run for run in self._runs.values() if run.outcome_unknown]
 
     def unknown_reads(self) -> list[KernelRun]:
-        """Those of them that may run twice."""
+        """Returns the runs of unknown outcome that may run twice."""
         return [run for run in self.outcome_unknown() if run.is_idempotent]
 
     def has_provable_filings(self) -> bool:
-        """Whether a filing has an unknown outcome and may yet be proved lost."""
+        """Returns whether there is a filing of unknown outcome that may still be proved lost."""
         return any(not run.is_idempotent and not run.end_may_be_missed for run in self.outcome_unknown())
 
     def link_opened(self, now_s: float) -> None:
-        """The kernel has taken a new link, and reads no other one any more."""
+        """Records that the kernel reads a new link, and no longer any earlier one."""
         self._read_marks.append(_ReadMark(now_s, now_s))
 
-    def acknowledge(self, asked_at_s: float, now_s: float) -> None:
-        """Gauges that were asked for then have arrived: the kernel has read what was written before."""
-        self._acknowledged_until_s = max(self._acknowledged_until_s, asked_at_s)
-        self._read_marks.append(_ReadMark(asked_at_s, now_s))
+    def acknowledge(self, queried_at_s: float, now_s: float) -> None:
+        """Records an answer to the query of `queried_at_s`: the kernel has read all earlier commands."""
+        self._acknowledged_until_s = max(self._acknowledged_until_s, queried_at_s)
+        self._read_marks.append(_ReadMark(queried_at_s, now_s))
 
     def link_lost(self) -> list[KernelRun]:
-        """Tells apart what the kernel got and what it may not have got.
+        """Marks each sent run as confirmed or as of unknown outcome.
 
         Returns:
-            The filings whose outcome is unknown from now on.
+            The filings whose outcome has become unknown.
         """
         received_until_s = self._acknowledged_until_s - LOSS_WINDOW_S
         self._acknowledged_until_s = self._at_cores_until_s = -math.inf
@@ -126,10 +128,10 @@
         return self._mark_unknown(unconfirmed)
 
     def notices_lost(self) -> list[KernelRun]:
-        """Notices are missing for good: whatever was sent may have ended unnoticed.
+        """Marks all sent runs as of unknown outcome: any of them may have ended in a notice lost for good.
 
         Returns:
-            The filings whose outcome is unknown from now on.
+            The filings whose outcome has become unknown.
         """
         sent = [run for run in self._runs.values() if run.sent_at_s is not None]
         for run in sent:
@@ -144,24 +146,25 @@
             run.outcome_unknown = True
         return [run for run in newly_unknown if not run.is_idempotent]
 
-    def lost_filings(self, asked_at_s: float, runnable: float | None) -> list[KernelRun]:
-        """The filings that never ran, by gauges that were asked for on this link; none where it is unsure.
+    def lost_filings(self, queried_at_s: float, runnable: float | None) -> list[KernelRun]:
+        """Returns the filings that are proved to have never run; none where there is no proof.
 
-        Whatever runs wants a core, and what has ended was reported before the gauges. So where just as many
-        want one as are sure to, no filing of unknown outcome is among them: its command was lost. What was
-        read just before the gauges were taken may not have reached the cores: counted as sure it would hide a
-        filing that runs, and that may end before it is sent again. Only an earlier answer tells what was read
-        when.
+        `runnable` is the gauge of runs that need a core, queried on this link at `queried_at_s`. Every run
+        counts in it until it ends, and the kernel reports ended runs before the gauges. If the gauge equals
+        the number of runs that are known to have reached the cores, no filing of unknown outcome runs: its
+        command was lost. A run whose command was read just before the gauges were taken may not have reached
+        the cores. It is not counted: if it were, a running filing could take its place in the gauge, be
+        considered lost, and be sent again. When a command was read is known only from earlier answers.
         """
-        while self._read_marks and self._read_marks[0].read_by_s <= asked_at_s - CORE_DELAY_S:
+        while self._read_marks and self._read_marks[0].read_by_s <= queried_at_s - CORE_DELAY_S:
             mark = self._read_marks.popleft()
             self._at_cores_until_s = max(self._at_cores_until_s, mark.written_until_s)
-        unknown = [run for run in self.outcome_unknown() if not run.is_idempotent]
-        if not unknown or runnable is None or self._at_cores_until_s == -math.inf:
+        unknown_filings = [run for run in self.outcome_unknown() if not run.is_idempotent]
+        if not unknown_filings or runnable is None or self._at_cores_until_s == -math.inf:
             return []
         if runnable != sum(self._is_at_cores(run) for run in self._runs.values()):
             return []
-        return [run for run in unknown if not run.end_may_be_missed]
+        return [run for run in unknown_filings if not run.end_may_be_missed]
 
     def _is_at_cores(self, run: KernelRun) -> bool:
         if run.sent_at_s is None or run.outcome_unknown:
--- a/ochrehoist/net/kernel_link.py
+++ b/ochrehoist/net/kernel_link.py
@@ -1,6 +1,7 @@
-"""The link to the kernel, which runs the platform's requests; notices are repeated on a new link.
+"""The link to the kernel, which runs the platform's requests.
 
-`in_flight_runs.py` decides what is sent again after a break, `kernel_protocol.py` reads the lines.
+A lost link is replaced by a new one, on which the kernel repeats the notices that this worker missed.
+`in_flight_runs.py` decides which commands are sent again, `kernel_protocol.py` encodes and parses the lines.
 """
 
 from __future__ import annotations
@@ -39,59 +40,66 @@
     from ochrehoist.core.protocols import Logger
 
 MAX_LINE_BYTES = 1 << 20
-RETRY_DELAY_S = 0.05  # between attempts to get a link
-CONNECT_TIMEOUT_S = 0.25  # to a process on this machine: what hangs must not hold up a move
-UNKNOWN_OUTCOME_TIMEOUT_S = 10.0  # after a break, until a filing of unknown outcome fails and frees its slot
-SILENCE_TIMEOUT_S = 0.7  # without an answer to a query after which a link counts as silent
-MUTE_TIMEOUT_S = 2.0  # the same on a link that says other things meanwhile
-BOOT_TIMEOUT_S = 1.0  # for the first notice on a new link, once the kernel was up
-MAX_OPEN_QUERIES = 64  # that are remembered
+RECONNECT_DELAY_S = 0.05
+CONNECT_TIMEOUT_S = 0.25  # short, since the kernel is local and a hanging attempt delays a change of address
+# Counted from the loss of the link; a filing whose outcome is still unknown then fails and frees its slot.
+UNKNOWN_OUTCOME_TIMEOUT_S = 10.0
+# Counted from the oldest unanswered gauge query: the link is silent if nothing else was received either.
+SILENT_LINK_TIMEOUT_S = 0.7
+# Counted from the oldest unanswered gauge query, on a link that still delivers other notices.
+UNANSWERED_QUERY_TIMEOUT_S = 2.0
+BOOT_NOTICE_TIMEOUT_S = 1.0  # counted from the last line received, once the kernel has booted before
+MAX_TRACKED_QUERIES = 64
 
 
 class LinkSequenceError(OchrehoistError):
-    """A notice was missed or can't be read: a new link repeats it."""
+    """A notice was missed or is malformed; the kernel repeats it on a new link."""
 
 
 class GaugeQueries:
-    """The queries for gauges on the present link that are not answered, oldest first."""
+    """The unanswered gauge queries of the current link, oldest first."""
 
     def __init__(self) -> None:
         self._count = 0
         self._sent_at_s: dict[str, float] = {}  # by token
 
     def open(self, now_s: float) -> str:
-        """Adds a query; returns its token."""
+        """Adds a query and returns its token; the oldest query is dropped beyond MAX_TRACKED_QUERIES."""
         self._count += 1
         token = f"g{self._count}"
         self._sent_at_s[token] = now_s
-        if len(self._sent_at_s) > MAX_OPEN_QUERIES:
+        if len(self._sent_at_s) > MAX_TRACKED_QUERIES:
             del self._sent_at_s[next(iter(self._sent_at_s))]
         return token
 
     def answer(self, token: str) -> float | None:
-        """When the query was sent; None where it is not one of this link."""
+        """Removes a query and returns when it was sent; None for a token that is not of the current link."""
         return self._sent_at_s.pop(token, None)
 
     def clear(self) -> None:
-        """The link was lost."""
+        """Drops all queries; called when the link is lost."""
         self._sent_at_s.clear()
 
     def is_overdue(self, now_s: float, received_at_s: float) -> bool:
-        """Whether an answer is overdue. After a stall of this process it may be here, behind notices."""
+        """Returns whether an answer is overdue; `received_at_s` is when the link last received bytes.
+
+        While bytes arrive, a longer time-out applies: after a stall of this process the answer may already be
+        in the buffer, behind notices.
+        """
         if not self._sent_at_s:
             return False
         waited_s = now_s - next(iter(self._sent_at_s.values()))
-        if waited_s <= SILENCE_TIMEOUT_S:
+        if waited_s <= SILENT_LINK_TIMEOUT_S:
             return False
-        return now_s - received_at_s > SILENCE_TIMEOUT_S or waited_s > MUTE_TIMEOUT_S
+        return now_s - received_at_s > SILENT_LINK_TIMEOUT_S or waited_s > UNANSWERED_QUERY_TIMEOUT_S
 
 
 class KernelLink:
-    """The Executor of the Thrift front, and the source of the gauges.
+    """The Executor of the Thrift front and the source of the gauges, connected to one kernel.
 
     Attributes:
-        address: Of the kernel.
-        has_booted: The kernel was up once.
+        address: Address of the kernel.
+        has_booted: Whether the kernel has reported on any link that it is up.
     """
 
     def __init__(
@@ -103,15 +111,15 @@
         log: Logger,
         is_shared: Callable[[], bool] = lambda: False,
     ) -> None:
-        """Connects once `run` is a task of the loop.
+        """Creates the link; it connects once `run` is a task of the loop.
 
         Args:
-            loop: that it runs on.
-            core: that it reports to.
-            address: of the kernel.
-            gauges: names of the gauges, in the order in which the kernel gives them.
-            log: of the worker.
-            is_shared: whether another process may run something at the same kernel.
+            loop: The event loop.
+            core: Receives the results of runs and the gauges.
+            address: Address of the kernel.
+            gauges: Names of the gauges, in the order in which the kernel reports them.
+            log: The worker's logger.
+            is_shared: Returns whether another process may have runs at the same kernel.
         """
         self.address = address
         self.has_booted = False
@@ -120,13 +128,15 @@
         self._gauges = gauges
         self._log = log
         self._is_shared = is_shared
-        self._opening: Stream | None = None  # the link, from its start
-        self._stream: Stream | None = None  # the same, once the kernel has booted
-        self._changed_at_s = time.monotonic()  # when the link came up, or was lost
-        self._measured_at_s: float | None = None  # when gauges came last
-        self._moved = Signal(loop)
-        self._offset = 0  # of the last notice
-        self._skipped_offset = -1  # the offset after which the next notice can't be had
+        self._connection: Stream | None = None  # set from connecting until the link is closed
+        self._stream: Stream | None = None  # the same connection, set once the kernel takes commands
+        self._changed_at_s = time.monotonic()  # when the link last came up or was lost
+        self._measured_at_s: float | None = None  # when gauges last arrived
+        self._address_changed = Signal(loop)
+        self._offset = 0  # offset of the last notice received
+        # The offset whose next notice was requested again on a new link; -1: none. If the notice is still
+        # missing or malformed there, it is skipped.
+        self._repeat_requested_offset = -1
         self._runs = InFlightRuns()
         self._queries = GaugeQueries()
         self._requery_pending = False
@@ -137,22 +147,22 @@
             UnknownNotice: self._handle_unknown,
         }
 
-    # ---- for the core and the application
+    # ---- interface for the core and the application
     @property
     def is_connected(self) -> bool:
-        """Whether the kernel takes commands."""
+        """Returns whether the kernel takes commands."""
         return self._stream is not None
 
     def start(self, request: InboundRequest) -> None:
-        """Runs a request, as soon as there is a link."""
+        """Schedules a request at the kernel, as soon as the link is up."""
         run = self._runs.start(request)
         if self._stream is not None:
             self._schedule(self._stream, run)
 
     def measure(self) -> None:
-        """Asks for the gauges.
+        """Queries the gauges.
 
-        A link on which an answer is overdue is closed: a new one repeats the notices.
+        Closes the link if an earlier answer is overdue; the kernel repeats the notices on a new one.
         """
         stream = self._stream
         if stream is None:
@@ -164,20 +174,21 @@
         stream.write(query_gauges_command(self._queries.open(time.monotonic())))
 
     def move(self, address: tuple[str, int], gauges: tuple[str, ...]) -> None:
-        """The kernel is at another address from now on; what runs there goes on.
+        """Changes the kernel's address and the names of its gauges; its runs continue.
 
-        The old link is not waited for: it may have gone silent already, and its notices are repeated.
+        The old link is closed without waiting for notices: it may be silent already, and the kernel repeats
+        its notices on the new link.
         """
         self._gauges = gauges
         if address == self.address:
             return
         self.address = address
-        self._moved.set()
-        if self._opening is not None:
-            self._opening.close()
+        self._address_changed.set()
+        if self._connection is not None:
+            self._connection.close()
 
     def status_section(self) -> dict[str, Any]:
-        """For operators: the link's address and state, and how much waits for it."""
+        """Returns the section of `/status`: address, state of the link, and counts of affected runs."""
         now_s = time.monotonic()
         state = "down" if self.has_booted else "starting"
         if self._stream:
@@ -201,9 +212,9 @@
         run.mark_sent(time.monotonic())
         stream.write(schedule_command(request.id, request.payload.method, request.payload.body))
 
-    # ---- the link
+    # ---- connection
     def run(self) -> None:
-        """A task: keeps a link to the kernel, for ever."""
+        """Runs as a task of the loop: connects to the kernel, and again whenever the link is lost."""
         while True:
             address = self.address
             started_s = time.monotonic()
@@ -211,12 +222,12 @@
                 stream = connect(self._loop, address, CONNECT_TIMEOUT_S)
             except OSError:
                 if address == self.address:
-                    self._moved.wait(RETRY_DELAY_S)
+                    self._address_changed.wait(RECONNECT_DELAY_S)
                 continue
-            self._opening = stream
+            self._connection = stream
             reason = "closed"
             try:
-                if address == self.address:  # else it was moved while the connection was being made
+                if address == self.address:  # the address may have changed while connecting
                     self._receive_notices(stream)
             except (ConnectionClosedError, StreamTimeoutError):
                 pass
@@ -227,18 +238,18 @@
             finally:
                 self._close(stream)
             self._link_lost(reason)
-            if time.monotonic() - started_s < RETRY_DELAY_S and address == self.address:
-                self._moved.wait(RETRY_DELAY_S)  # one that closes at once must not be retried without end
+            if time.monotonic() - started_s < RECONNECT_DELAY_S and address == self.address:
+                self._address_changed.wait(RECONNECT_DELAY_S)  # avoids a busy loop if links close at once
 
     def _close(self, stream: Stream) -> None:
         if self._stream is not None:
             self._changed_at_s = time.monotonic()
-        self._stream = self._opening = None
+        self._stream = self._connection = None
         stream.close()
 
     def _link_lost(self, reason: str) -> None:
         self._queries.clear()
-        self._fail_later(self._runs.link_lost())
+        self._schedule_failure(self._runs.link_lost())
         self._log.warning(
             "kernel_link_lost",
             reason=reason,
@@ -247,7 +258,7 @@
             outcome_unknown=len(self._runs.outcome_unknown()),
         )
 
-    def _fail_later(self, filings: list[KernelRun]) -> None:
+    def _schedule_failure(self, filings: list[KernelRun]) -> None:
         for run in filings:
             self._loop.call_later(UNKNOWN_OUTCOME_TIMEOUT_S, partial(self._fail_unknown, run))
 
@@ -259,10 +270,10 @@
     def _receive_notices(self, stream: Stream) -> None:
         stream.write(open_command(self._offset))
         while True:
-            # A kernel that is not up yet may be waited for; one that was up has no reason to be silent.
+            # A first start of the kernel may take any time; a kernel that has booted before must answer soon.
             deadline_s = None
             if self._stream is None and self.has_booted:
-                deadline_s = time.monotonic() + BOOT_TIMEOUT_S
+                deadline_s = time.monotonic() + BOOT_NOTICE_TIMEOUT_S
             line = stream.read_line(MAX_LINE_BYTES, deadline_s)
             try:
                 notice = parse_notice(line)
@@ -276,16 +287,16 @@
                 self._recover_sequence(str(error))
 
     def _recover_sequence(self, reason: str) -> None:
-        """Has the notices repeated, once: what is no better then is skipped.
+        """Requests a new link, once for each notice; a notice that is still lost on that link is skipped.
 
         Raises:
-            LinkSequenceError: a new link is needed.
+            LinkSequenceError: The link must be closed, so that a new one repeats the notices.
         """
-        if self._skipped_offset == self._offset:
+        if self._repeat_requested_offset == self._offset:
             self._log.error("kernel_notices_missing", reason=reason, offset=self._offset)
-            self._fail_later(self._runs.notices_lost())
+            self._schedule_failure(self._runs.notices_lost())
             return
-        self._skipped_offset = self._offset
+        self._repeat_requested_offset = self._offset
         raise LinkSequenceError(reason)
 
     # ---- notices
@@ -297,36 +308,40 @@
         self._runs.link_opened(now_s)
         self._core.post(ExecutorReady(notice.is_cold, notice.duration_ns))
         if self._runs.outcome_unknown():
-            self.measure()  # answered after all notices of before
+            self.measure()  # the kernel answers after it has repeated all earlier notices
         for run in self._runs.unsent():
             self._send_or_drop(stream, run)
 
     def _send_or_drop(self, stream: Stream, run: KernelRun) -> None:
-        if run.request.answered:  # nobody waits for it any more
+        if run.request.answered:  # no caller is waiting for the result
             self._end_run(RunCompleted(run.request.id, RunResult(Outcome.NOT_STARTED), 0))
         else:
             self._schedule(stream, run)
 
     def _handle_gauges(self, notice: GaugesReported) -> None:
         gauges = dict(zip(self._gauges, notice.load, strict=False))
-        asked_at_s = self._queries.answer(notice.token)
-        if asked_at_s is not None:
-            self._skipped_offset = -1  # all that was to be repeated on this link has been
-            self._runs.acknowledge(asked_at_s, time.monotonic())
-            self._resolve_unknown(asked_at_s, gauges.get("runnable"))
+        queried_at_s = self._queries.answer(notice.token)
+        if queried_at_s is not None:
+            self._repeat_requested_offset = -1  # the kernel repeats all notices before it answers a query
+            self._runs.acknowledge(queried_at_s, time.monotonic())
+            self._resolve_unknown(queried_at_s, gauges.get("runnable"))
         self._measured_at_s = time.monotonic()
         self._core.post(GaugesMeasured(gauges))
 
-    def _resolve_unknown(self, asked_at_s: float, runnable: float | None) -> None:
-        """What is still unknown when gauges asked for on this link have arrived had not ended before."""
+    def _resolve_unknown(self, queried_at_s: float, runnable: float | None) -> None:
+        """Sends reads of unknown outcome again, and filings that are proved lost.
+
+        Called with gauges that were queried on this link: a run whose outcome is still unknown had not ended
+        when the kernel took them, since it reports ended runs first.
+        """
         stream = self._stream
         if stream is None:
             return
         for run in self._runs.unknown_reads():
             self._schedule(stream, run)
-        if self._is_shared():  # what another process runs there is not known here
+        if self._is_shared():  # the gauges also count runs of another process, so they prove nothing
             return
-        for run in self._runs.lost_filings(asked_at_s, runnable):
+        for run in self._runs.lost_filings(queried_at_s, runnable):
             self._log.info("kernel_run_lost", id=run.request.id, answered=run.request.answered)
             self._send_or_drop(stream, run)
         if self._runs.has_provable_filings() and not self._requery_pending:
@@ -334,15 +349,18 @@
             self._loop.call_later(CORE_DELAY_S, self._query_again)
 
     def _query_again(self) -> None:
-        """What was read before the last answer is at the cores by now: it may resolve an unknown outcome."""
+        """Queries the gauges again if a filing's unknown outcome may now be resolved.
+
+        Commands that the kernel read before its last answer have reached the cores by now.
+        """
         self._requery_pending = False
         if self._runs.has_provable_filings():
             self.measure()
 
     def _is_new(self, offset: int) -> bool:
-        """Whether the notice of this offset is no repetition."""
+        """Returns whether the notice of this offset was not received before."""
         if offset > self._offset + 1:
-            self._recover_sequence(f"notice {offset} after {self._offset}")
+            self._recover_sequence(f"notice {offset} received after notice {self._offset}")
         return offset > self._offset
 
     def _handle_logged(self, notice: KernelLogged) -> None:
@@ -355,15 +373,15 @@
         try:
             completed = notice.run_completed()
         except MalformedResultError as error:
-            if self._skipped_offset != self._offset:
+            if self._repeat_requested_offset != self._offset:
                 raise
-            # It was repeated, and is no better.
+            # The repeated notice is malformed too: the run has ended, but its result is lost.
             completed = RunCompleted(error.request_id, RunResult(Outcome.FAILED), 0)
-        self._offset = notice.offset  # one that can't be read does not count as received: it is repeated
+        self._offset = notice.offset  # only now: a malformed notice must be repeated
         self._end_run(completed)
 
     def _handle_rejected(self, notice: CommandRejected) -> None:
-        # A request that the kernel was never given: some client's invention, and nothing was begun.
+        # The kernel refused the command, so the request was not started.
         self._log.warning("kernel_command_rejected", command=notice.command, id=notice.request_id)
         if notice.request_id is not None:
             self._end_run(RunCompleted(notice.request_id, RunResult(Outcome.NOT_STARTED), 0))
--- a/ochrehoist/net/kernel_protocol.py
+++ b/ochrehoist/net/kernel_protocol.py
@@ -1,4 +1,4 @@
-"""The kernel's JSON lines: the commands to it and its notices, without I/O."""
+"""Encoding of commands to the kernel and parsing of its notices, both JSON lines; without I/O."""
 
 import base64
 import json
@@ -18,18 +18,18 @@
     "STOPPED": Outcome.CANCELLED,
     "MOOT": Outcome.NOT_STARTED,
 }
-UNREADABLE = (ValueError, KeyError, TypeError, AttributeError)
+PARSE_ERRORS = (ValueError, KeyError, TypeError, AttributeError)
 
 
 class MalformedNoticeError(OchrehoistError):
-    """A notice that can't be read, because of `cause`."""
+    """A notice that cannot be parsed; `cause` is the parser's exception."""
 
     def __init__(self, cause: Exception) -> None:
-        super().__init__(f"a notice that can't be read: {cause!r}")
+        super().__init__(f"malformed notice: {cause!r}")
 
 
 class MalformedResultError(MalformedNoticeError):
-    """The notice says that the run of a request has ended, but its result can't be read."""
+    """A notice that a request's run has ended, whose result cannot be decoded."""
 
     def __init__(self, cause: Exception, request_id: str) -> None:
         super().__init__(cause)
@@ -37,31 +37,31 @@
 
 
 class KernelBooted(NamedTuple):
-    """The kernel takes commands on this link; `duration_ns`: what its start took."""
+    """Notice that the kernel takes commands on this link; its start took `duration_ns`."""
 
     is_cold: bool
     duration_ns: int
 
 
 class GaugesReported(NamedTuple):
-    """The answer to the query of this token: the gauges, in their configured order."""
+    """Answer to the query with this token: the values of the gauges, in their configured order."""
 
     token: str
     load: tuple[float, ...]
 
 
 class RunEnded(NamedTuple):
-    """A numbered notice that a run has ended; its fields are read only once it is not a repetition."""
+    """Numbered notice that a run has ended; `fields` is parsed only if the notice is not a repetition."""
 
     offset: int
     fields: Mapping[str, Any]
 
     def run_completed(self) -> RunCompleted:
-        """What it says, with the duration by the kernel's clock.
+        """Parses the fields; the duration is measured by the kernel's clock.
 
         Raises:
-            MalformedResultError: body or duration can't be read.
-            MalformedNoticeError: another field can't be read.
+            MalformedResultError: The body or the duration is malformed.
+            MalformedNoticeError: Another field is malformed.
         """
         fields = self.fields
         try:
@@ -78,20 +78,20 @@
 
 
 class KernelLogged(NamedTuple):
-    """A numbered notice that concerns no run."""
+    """Numbered notice that concerns no run."""
 
     offset: int
 
 
 class CommandRejected(NamedTuple):
-    """The kernel did not carry out a command; `request_id` is None where it concerned no run."""
+    """Notice that the kernel did not execute a command; `request_id` is None if it concerned no run."""
 
     command: str | None
     request_id: str | None
 
 
 class UnknownNotice(NamedTuple):
-    """A notice of a kind that is not known here."""
+    """Notice of an unknown kind."""
 
     command: str
 
@@ -100,7 +100,7 @@
 
 
 def parse_notice(line: bytes) -> Notice:
-    """Reads a line of the kernel; raises MalformedNoticeError."""
+    """Parses a line from the kernel; raises MalformedNoticeError."""
     try:
         fields = json.loads(line)
         command = fields["cmd"]
@@ -114,7 +114,7 @@
             return KernelBooted(fields["result"] == "COLD", int(fields["elapsed_ms"] * NS_PER_MS))
         if command == "EINVAL":
             return CommandRejected(fields.get("result"), fields.get("req"))
-    except UNREADABLE as error:
+    except PARSE_ERRORS as error:
         raise MalformedNoticeError(error) from None
     return UnknownNotice(command)
 
@@ -124,15 +124,15 @@
 
 
 def open_command(offset: int) -> bytes:
-    """Opens the link; the kernel repeats all notices after this offset."""
+    """Encodes the command that opens the link; the kernel repeats all notices after this offset."""
     return _command(cmd="OPEN", offset=offset)
 
 
 def query_gauges_command(token: str) -> bytes:
-    """Asks for the gauges; the answer carries the token."""
+    """Encodes a query for the gauges; the answer carries the token."""
     return _command(cmd="SYSINFO", token=token)
 
 
 def schedule_command(request_id: str, method: str, body: bytes) -> bytes:
-    """Starts a run."""
+    """Encodes the command that starts a run."""
     return _command(cmd="SCHED", req=request_id, method=method, payload=base64.b64encode(body).decode())
--- a/tests/net/test_doubts.py
+++ b/tests/net/test_doubts.py
@@ -1,4 +1,7 @@
-"""The proof that a filing was lost with a kernel's link, against kernels that tell the truth late."""
+"""Tests of the proof that a filing was lost with the link, against a model kernel that reports late.
+
+They guard against filings that run twice: a command that is wrongly considered lost is sent again.
+"""
 
 import unittest
 from types import SimpleNamespace
@@ -9,11 +12,23 @@
 from ochrehoist.admission.settings import Idempotency
 from ochrehoist.net.in_flight_runs import CORE_DELAY_S, LOSS_WINDOW_S, InFlightRuns
 
-STEP = 0.004  # s between two events of a play
-STEPS = st.lists(
+STEP_S = 0.004
+EVENTS = st.lists(
     st.tuples(
         st.sampled_from(
-            ("filing", "read", "ask", "ask", "pass", "arrive", "end", "break", "loss", "heard", "heard")
+            (
+                "filing",
+                "read",
+                "query",
+                "query",
+                "pass",
+                "arrive",
+                "end",
+                "break",
+                "loss",
+                "receive",
+                "receive",
+            )
         ),
         st.integers(0, 5),
     ),
@@ -22,129 +37,136 @@
 )
 
 
-class Truthful:
-    """A kernel: commands wait in its link, runs reach its cores a little later, the last notices are kept.
+class ModelKernel:
+    """A kernel and the worker's side of its link, on a simulated clock.
 
-    What it says is in order. It loses commands that were written in the last 50 ms before a break.
+    Commands wait in the link until the kernel reads them, and runs reach its cores after a delay. Notices
+    arrive in order; the last `kept_notices` of them are repeated on a new link. Commands that were written in
+    the last 50 ms before a break may be lost.
     """
 
-    def __init__(self, kept):
-        self.now, self.kept = 0.0, kept
-        self.runs, self.link, self.said = InFlightRuns(), [], []
-        self.cores, self.begun, self.seen, self.notices, self.offset = {}, {}, {}, [], 0
-
-    def read_by_kernel(self):
-        """All that was written to the link."""
-        for kind, what, _ in self.link:
-            if kind == "ask":
-                wants = sum(self.now - since >= lag for since, lag in self.cores.values())
-                self.said.append(("info", what, wants))
-            elif what.id not in self.cores:
-                self.cores[what.id] = (self.now, what.lag)
-                self.begun[what.id] = self.begun.get(what.id, 0) + 1
+    def __init__(self, kept_notices):
+        self.now, self.kept_notices = 0.0, kept_notices
+        self.runs, self.link, self.unreceived = InFlightRuns(), [], []
+        self.running, self.begun, self.seen, self.notices, self.offset = {}, {}, {}, [], 0
+
+    def read_commands(self):
+        """Reads all commands in the link."""
+        for kind, content, _ in self.link:
+            if kind == "query":
+                runnable = sum(self.now - since >= delay for since, delay in self.running.values())
+                self.unreceived.append(("info", content, runnable))
+            elif content.id not in self.running:
+                self.running[content.id] = (self.now, content.core_delay_s)
+                self.begun[content.id] = self.begun.get(content.id, 0) + 1
         self.link.clear()
 
-    def give(self, run):
+    def schedule(self, run):
         run.mark_sent(self.now)
         self.link.append(("sched", run.request, self.now))
 
-    def ask(self):
-        self.link.append(("ask", self.now, self.now))
+    def query(self):
+        self.link.append(("query", self.now, self.now))
 
-    def end(self, rid):
-        del self.cores[rid]
-        self.notices.append(rid)
-        self.said.append(("reap", len(self.notices), rid))
+    def end(self, request_id):
+        del self.running[request_id]
+        self.notices.append(request_id)
+        self.unreceived.append(("reap", len(self.notices), request_id))
 
-    def hear(self):
-        """The worker's side takes all that was said."""
-        said, self.said = self.said, []
-        for kind, a, b in said:
+    def receive(self):
+        """Lets the worker receive all notices and answers sent so far."""
+        unreceived, self.unreceived = self.unreceived, []
+        for kind, position, content in unreceived:
             if kind == "reap":
-                self.told(a, b)
+                self.receive_end(position, content)
                 continue
-            self.runs.acknowledge(a, self.now)
+            self.runs.acknowledge(position, self.now)
             for run in self.runs.unknown_reads():
-                self.give(run)
-            for run in self.runs.lost_filings(a, float(b)):
-                self.give(run)
+                self.schedule(run)
+            for run in self.runs.lost_filings(position, float(content)):
+                self.schedule(run)
 
-    def told(self, offset, rid):
+    def receive_end(self, offset, request_id):
         if offset > self.offset + 1:
             self.runs.notices_lost()
         if offset > self.offset:
             self.offset = offset
-            self.runs.end(rid)
-
-    def broken(self, loses):
-        """The link breaks: at most what was written in its last 50 ms is lost; a new one is made."""
-        late = [c for c in self.link if self.now - c[2] <= 0.05]
-        self.link = [c for c in self.link if c not in late or not loses]
-        self.read_by_kernel()
-        self.said.clear()
+            self.runs.end(request_id)
+
+    def break_link(self, loses_commands):
+        """Replaces the link; commands of its last 50 ms are lost if `loses_commands`."""
+        late = [command for command in self.link if self.now - command[2] <= 0.05]
+        self.link = [command for command in self.link if command not in late or not loses_commands]
+        self.read_commands()
+        self.unreceived.clear()
         self.runs.link_lost()
         self.runs.link_opened(self.now)
-        for offset in range(max(self.offset, len(self.notices) - self.kept) + 1, len(self.notices) + 1):
-            self.said.append(("reap", offset, self.notices[offset - 1]))
-        self.ask()
+        for offset in range(
+            max(self.offset, len(self.notices) - self.kept_notices) + 1, len(self.notices) + 1
+        ):
+            self.unreceived.append(("reap", offset, self.notices[offset - 1]))
+        self.query()
 
 
-def request(number, keyed, lag=0.0):
+def request(number, keyed, core_delay_s=0.0):
     return SimpleNamespace(
         id=f"r{number}",
-        lag=lag,
+        core_delay_s=core_delay_s,
         request_class=SimpleNamespace(idempotency=Idempotency.KEYED if keyed else Idempotency.IDEMPOTENT),
     )
 
 
 class LostRunProofTest(unittest.TestCase):
-    """Kernels that tell the truth late, in any order."""
+    """Filings are sent again only if they are proved lost."""
 
     @settings(max_examples=400, deadline=None)
-    @given(STEPS, st.sampled_from((1, 3, 4000)))
-    def test_no_filing_begins_twice_in_any_order(self, steps, kept):
-        kernel, filings = Truthful(kept), set()
-        for number, (what, n) in enumerate(steps):
-            kernel.now += STEP * (n + 1) if what == "pass" else STEP / 8
-            if what in ("filing", "read"):
-                r = request(
-                    number, what == "filing", lag=(0, 0, STEP, STEP, 2 * STEP, CORE_DELAY_S - STEP / 2)[n]
+    @given(EVENTS, st.sampled_from((1, 3, 4000)))
+    def test_no_filing_begins_twice_in_any_order(self, events, kept_notices):
+        kernel, filings = ModelKernel(kept_notices), set()
+
+        for number, (event, choice) in enumerate(events):
+            kernel.now += STEP_S * (choice + 1) if event == "pass" else STEP_S / 8
+            if event in ("filing", "read"):
+                new_request = request(
+                    number,
+                    event == "filing",
+                    core_delay_s=(0, 0, STEP_S, STEP_S, 2 * STEP_S, CORE_DELAY_S - STEP_S / 2)[choice],
                 )
-                filings |= {r.id} if what == "filing" else set()
-                kernel.give(kernel.runs.start(r))
-            elif what == "ask":
-                kernel.ask()
-            elif what == "arrive":
-                kernel.read_by_kernel()
-            elif what == "heard":
-                kernel.hear()
-            elif what == "end" and kernel.cores:
-                kernel.end(sorted(kernel.cores)[n % len(kernel.cores)])
-            elif what in ("break", "loss"):
-                kernel.broken(what == "loss")
-            twice = {rid for rid in filings if kernel.begun.get(rid, 0) > 1}
-            self.assertFalse(twice, kernel.begun)
-
-    def lost(self, runs, now, wants):
-        return [run.request.id for run in runs.lost_filings(now, wants)]
-
-    def test_a_filing_that_was_lost_is_found_once_all_else_has_reached_the_cores(self):
+                filings |= {new_request.id} if event == "filing" else set()
+                kernel.schedule(kernel.runs.start(new_request))
+            elif event == "query":
+                kernel.query()
+            elif event == "arrive":
+                kernel.read_commands()
+            elif event == "receive":
+                kernel.receive()
+            elif event == "end" and kernel.running:
+                kernel.end(sorted(kernel.running)[choice % len(kernel.running)])
+            elif event in ("break", "loss"):
+                kernel.break_link(event == "loss")
+            begun_twice = {request_id for request_id in filings if kernel.begun.get(request_id, 0) > 1}
+            self.assertFalse(begun_twice, kernel.begun)
+
+    def lost(self, runs, queried_at_s, runnable):
+        return [run.request.id for run in runs.lost_filings(queried_at_s, runnable)]
+
+    def test_a_lost_filing_is_proved_lost_once_all_other_runs_have_reached_the_cores(self):
         runs = InFlightRuns()
         runs.start(request(1, True)).mark_sent(1.0)
         self.assertEqual([run.request.id for run in runs.link_lost()], ["r1"])
-        self.assertEqual(self.lost(runs, 1.05, 0.0), [])  # no link: nothing is known of what was read
+        self.assertEqual(self.lost(runs, 1.05, 0.0), [])  # without a link nothing is known of what was read
         runs.link_opened(1.1)
-        self.assertEqual(self.lost(runs, 1.1, 0.0), [])  # it may be on its way to the cores
+        self.assertEqual(self.lost(runs, 1.1, 0.0), [])  # the filing may not have reached the cores yet
         runs.start(request(2, False)).mark_sent(1.2)
-        self.assertEqual(self.lost(runs, 1.3, 1.0), [])  # it may be the filing that wants a core
+        self.assertEqual(self.lost(runs, 1.3, 1.0), [])  # the runnable run may be the filing
         runs.acknowledge(1.3, 1.4)
-        self.assertEqual(self.lost(runs, 1.4, 1.0), [])  # the read may have been read just now
+        self.assertEqual(self.lost(runs, 1.4, 1.0), [])  # the command of r2 may have been read just now
         self.assertEqual(self.lost(runs, 1.4 + CORE_DELAY_S, 1.0), ["r1"])
         self.assertEqual(self.lost(runs, 1.5, 2.0), [])
-        self.assertEqual(self.lost(runs, 1.5, 0.0), [])  # a gauge that contradicts proves nothing
+        self.assertEqual(self.lost(runs, 1.5, 0.0), [])  # a contradictory gauge proves nothing
         self.assertEqual(self.lost(runs, 1.5, None), [])
 
-    def test_what_was_read_long_before_a_break_is_known_and_what_came_later_is_not(self):
+    def test_commands_read_long_before_a_break_are_confirmed_and_later_ones_are_unknown(self):
         runs = InFlightRuns()
         old, new = runs.start(request(1, True)), runs.start(request(2, True))
         old.mark_sent(1.0)
@@ -152,7 +174,7 @@
         runs.acknowledge(1.0 + LOSS_WINDOW_S + 0.001, 1.1)
         self.assertEqual(runs.link_lost(), [new])
         self.assertTrue(old.confirmed)
-        self.assertEqual(runs.link_lost(), [])  # once in doubt, it is told of once
+        self.assertEqual(runs.link_lost(), [])  # its outcome was already unknown
         self.assertEqual(runs.notices_lost(), [old])
         runs.link_opened(3.0)
         self.assertEqual(self.lost(runs, 9.0, 0.0), [])
