--- a/ochrehoist/net/handover_client.py
+++ b/ochrehoist/net/handover_client.py
@@ -1,4 +1,4 @@
-"""The new process's side of the handover link: it takes the state over, then hears from the old process."""
+"""The new process's side of the handover link: takes over the state, then receives the old one's messages."""
 
 from __future__ import annotations
 
@@ -34,15 +34,15 @@
 if TYPE_CHECKING:
     from ochrehoist.core.protocols import DetailCodec, Logger
 
-RETRY_DELAY_S = 0.05  # between attempts to get the state
-ORPHANED_RUN_S = 2.0  # for which what a process had begun counts as running after it died
+RETRY_DELAY_S = 0.05  # between attempts to receive the state
+ORPHANED_RUN_TIMEOUT_S = 2.0  # counted from the predecessor's end; its runs count as running until then
 
 
 class HandoverClient:
-    """Takes over from the process before this one, the predecessor.
+    """Takes over from the process that this one replaces, the predecessor.
 
     Attributes:
-        predecessor_present: The predecessor may run something that this process does not see.
+        predecessor_present: Whether the predecessor may have runs that this process does not know of.
     """
 
     def __init__(
@@ -56,17 +56,17 @@
         on_connections: Callable[[Mapping[str, int]], None],
         log: Logger,
     ) -> None:
-        """Connects once the core asks for the state.
+        """Creates the client, which connects once `run` is a task and the core asks for the state.
 
         Args:
-            loop: that it runs on.
-            core: that takes the state.
-            path: of the predecessor's Unix socket.
-            codec: for the details of results.
-            addresses: at which this process listens.
-            on_take_over: called once this process decides.
-            on_connections: called with the connections that the predecessor has open, by front.
-            log: of the worker.
+            loop: The event loop.
+            core: The core that takes over the state.
+            path: Path of the predecessor's Unix socket.
+            codec: Codec for the details of results.
+            addresses: Returns the addresses at which this process listens.
+            on_take_over: Called once this process decides.
+            on_connections: Called with the numbers of connections open at the predecessor, by front.
+            log: The worker's logger.
         """
         self.predecessor_present = True
         self._loop = loop
@@ -77,19 +77,19 @@
         self._on_take_over = on_take_over
         self._on_connections = on_connections
         self._log = log
-        self._state_wanted = Signal(loop)
+        self._state_requested = Signal(loop)
         self._link: HandoverLink | None = None
-        self._received: CoreSnapshot | None = None  # complete, but not yet left to this process
-        core.register_predecessor(self._state_wanted.set)
+        self._received: CoreSnapshot | None = None  # complete, but the predecessor's `go` may be missing
+        core.register_predecessor(self._state_requested.set)
 
     def run(self) -> None:
-        """A task: takes over, then follows the predecessor until it has ended."""
-        self._state_wanted.wait()
+        """Runs as a task of the loop: takes over, then receives messages until the predecessor has ended."""
+        self._state_requested.wait()
         while True:
             try:
                 sock = connect_unix(self._path, ANSWER_TIMEOUT_S)
             except (FileNotFoundError, ConnectionRefusedError):
-                self._go_on_without_predecessor()
+                self._continue_without_predecessor()
                 return
             except OSError as error:
                 self._log.warning("predecessor_unreachable", reason=repr(error))
@@ -98,36 +98,36 @@
             if self._take_over(sock):
                 return
 
-    def _go_on_without_predecessor(self) -> None:
-        """It is gone: a cold start, unless its state was received.
+    def _continue_without_predecessor(self) -> None:
+        """Starts cold, or from the state received if the predecessor died before it sent `go`.
 
-        Then it died between its last line and its leave. What it had begun must not run again; what it had
-        not has no caller any more.
+        Requests that the predecessor had started are kept, as they must not run again. The others are
+        dropped, since their callers were connected to the predecessor.
         """
         if self._received is None:
             self.predecessor_present = False
-            self._take_up(None)
+            self._apply_state(None)
             return
         started = [request for request in self._received.requests if request.started]
-        self._take_up(replace(self._received, requests=started))
+        self._apply_state(replace(self._received, requests=started))
         while self._core.inbox:
             self._loop.sleep(RETRY_DELAY_S)
         self._predecessor_ended()
 
     def _take_over(self, sock: socket.socket) -> bool:
-        """Takes the state and follows the predecessor to its end; False where it did not hand over."""
+        """Takes over and receives messages until the predecessor's end; False if it did not hand over."""
         link = HandoverLink(self._loop, sock)
         try:
             state = self._receive_state(link)
         except (*LINK_ERRORS, InvalidStateError) as error:
-            # The predecessor goes on as it was: no yes is given without its keys.
+            # The predecessor resumes: `yes` is sent only after its complete state, with the idempotency keys.
             self._log.warning("state_transfer_failed", reason=repr(error))
             link.close()
             self._loop.sleep(RETRY_DELAY_S)
             return False
         self._link = link
-        self._take_up(state)
-        self._follow(link)
+        self._apply_state(state)
+        self._receive_messages(link)
         return True
 
     def _receive_state(self, link: HandoverLink) -> CoreSnapshot:
@@ -150,10 +150,10 @@
         return reader.snapshot
 
     def _send(self, values: Mapping[str, Any]) -> bool:
-        """Sends a decision; False where the predecessor is gone."""
+        """Sends a decision to the predecessor; returns False if it has ended."""
         return self._link is not None and self._link.send(values)
 
-    def _take_up(self, state: CoreSnapshot | None) -> None:
+    def _apply_state(self, state: CoreSnapshot | None) -> None:
         self._core.post(StateTransferred(state))
         if state is None:
             self._log.info("predecessor_missing")
@@ -161,8 +161,8 @@
             self._log.info("took_over", requests=len(state.requests), runs=len(state.idempotency.runs))
         self._on_take_over()
 
-    # ---- after the predecessor's leave
-    def _follow(self, link: HandoverLink) -> None:
+    # ---- after the predecessor's `go`
+    def _receive_messages(self, link: HandoverLink) -> None:
         try:
             while True:
                 self._handle_line(link.receive(None))
@@ -182,24 +182,31 @@
         if message is not None:
             self._core.post(message)
 
-    def _is_of_predecessor(self, request: InboundRequest) -> bool:
-        """Whether the predecessor read the request, and answers it."""
+    def _is_from_predecessor(self, request: InboundRequest) -> bool:
+        """Returns whether the predecessor holds the caller's connection of this request."""
         responder = request.responder
         return isinstance(responder, RemoteRequestOwner) and responder.sends_through(self._send)
 
     def _predecessor_ended(self) -> None:
-        """What it had not begun has no caller any more. What it had begun counts as run, and failed."""
-        requests = [r for r in self._core.open_requests.values() if self._is_of_predecessor(r)]
+        """Drops its requests that were not started; fails the started ones after ORPHANED_RUN_TIMEOUT_S.
+
+        Their callers are disconnected, as they were connected to the predecessor.
+        """
+        requests = [
+            candidate
+            for candidate in self._core.open_requests.values()
+            if self._is_from_predecessor(candidate)
+        ]
         running_ids = [request.id for request in requests if request.started]
         for request in requests:
             if not request.started:
                 self._core.post(CallerDisconnected(request.id, gave_up=False))
         self._log.info("predecessor_ended", open_requests=len(requests), running=len(running_ids))
         self._on_connections({})
-        self._loop.call_later(ORPHANED_RUN_S, lambda: self._fail_orphaned(running_ids))
+        self._loop.call_later(ORPHANED_RUN_TIMEOUT_S, lambda: self._fail_orphaned(running_ids))
 
     def _fail_orphaned(self, request_ids: list[str]) -> None:
         self.predecessor_present = False
         for request_id in request_ids:
-            duration_ns = int(ORPHANED_RUN_S * NS_PER_S)
+            duration_ns = int(ORPHANED_RUN_TIMEOUT_S * NS_PER_S)
             self._core.post(RunCompleted(request_id, RunResult(Outcome.FAILED), duration_ns))
--- a/ochrehoist/net/handover_server.py
+++ b/ochrehoist/net/handover_server.py
@@ -1,4 +1,4 @@
-"""The old process's side of the handover link: it waits for the process that replaces it."""
+"""The old process's side of the handover link: passes listening sockets and state to its successor."""
 
 from __future__ import annotations
 
@@ -31,17 +31,18 @@
     from ochrehoist.core.protocols import DetailCodec, Logger
 
 SOCKET_MODE = 0o600
-BACKLOG = 4
-MAX_STATE_AHEAD_BYTES = 64 * 1024  # of the state that is written and not yet taken
-FROZEN_TIMEOUT_S = 0.5  # for the other process while the core stands still: what waits there has due times
+LISTEN_BACKLOG = 4
+MAX_UNSENT_STATE_BYTES = 64 * 1024
+# For each step of the successor while the core is frozen; short, since requests with deadlines wait.
+FROZEN_TIMEOUT_S = 0.5
 WRITE_POLL_S = 0.001
-PEER_CREDENTIALS = struct.Struct("3i")  # process, user, group
+PEER_CREDENTIALS = struct.Struct("3i")  # process, user and group id
 
-SuccessorAddresses = Sequence[list[Any]]  # host and port of each
+SuccessorAddresses = Sequence[list[Any]]  # [host, port] of each listening socket
 
 
 class HandoverServer:
-    """Hands sockets and state to the next process, then forwards to it what this one still reads."""
+    """Hands sockets and state to the successor, then forwards to it the requests that this process reads."""
 
     def __init__(
         self,
@@ -53,16 +54,16 @@
         on_replaced: Callable[[SuccessorAddresses], None],
         log: Logger,
     ) -> None:
-        """Listens once `listen` is called.
+        """Creates the server, which listens once `listen` is called.
 
         Args:
-            loop: that it runs on.
-            core: whose state is handed over.
-            path: of the Unix socket.
-            codec: for the details of results.
-            listening_sockets: the sockets to hand over, by the part that listens.
-            on_replaced: called once the next process decides, with the addresses at which it listens.
-            log: of the worker.
+            loop: The event loop.
+            core: The core whose state is handed over.
+            path: Path of the Unix socket.
+            codec: Codec for the details of results.
+            listening_sockets: Returns the sockets to hand over, by the name of the part that listens.
+            on_replaced: Called once the successor decides, with the addresses at which it listens.
+            log: The worker's logger.
         """
         self._loop = loop
         self._core = core
@@ -72,13 +73,13 @@
         self._on_replaced = on_replaced
         self._log = log
         self._sock: socket.socket | None = None
-        self._link: HandoverLink | None = None  # to the process that decides now
+        self._link: HandoverLink | None = None  # to the successor, once it has agreed to take over
         self._forwarder: Forwarder | None = None
 
     def listen(self) -> None:
-        """Takes the path over in one step, whoever listened there before.
+        """Listens at the path, which it atomically takes from any process that listened there before.
 
-        The worker serves also where that fails.
+        A failure is only logged: the worker serves requests, but cannot be replaced without a gap.
         """
         sock: socket.socket | None = None
         new_path = Path(f"{self._path}.{os.getpid()}")
@@ -86,7 +87,7 @@
             sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
             sock.bind(str(new_path))
             new_path.chmod(SOCKET_MODE)
-            sock.listen(BACKLOG)
+            sock.listen(LISTEN_BACKLOG)
             sock.setblocking(False)
             new_path.replace(self._path)
         except OSError as error:
@@ -98,7 +99,7 @@
         self._loop.on_readable(sock.fileno(), self._accept)
 
     def close(self) -> None:
-        """Leaves nothing behind, but what the next process has put in its place."""
+        """Closes the socket and the link; removes the path unless the successor already listens there."""
         if self._sock is None:
             return
         self._loop.forget(self._sock.fileno())
@@ -110,7 +111,7 @@
             self._link.close()
 
     def report_connections(self, connections: Mapping[str, int]) -> None:
-        """Tells the other process how many connections each front still has open here."""
+        """Tells the successor how many connections each front of this process still has open."""
         if self._link is not None:
             self._link.send({"m": "holds", "connections": connections})
 
@@ -122,14 +123,14 @@
         except OSError:
             return
         credentials = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, PEER_CREDENTIALS.size)
-        _, user, _ = PEER_CREDENTIALS.unpack(credentials)
-        if user != os.getuid():
+        _, user_id, _ = PEER_CREDENTIALS.unpack(credentials)
+        if user_id != os.getuid():
             sock.close()
             return
         self._loop.spawn(self._serve, HandoverLink(self._loop, sock))
 
     def _serve(self, link: HandoverLink) -> None:
-        """The task of one link."""
+        """Runs as the task of one link: answers its first line, and forwards after a handover."""
         try:
             kind = link.receive(ANSWER_TIMEOUT_S)["m"]
             if kind == "sockets":
@@ -165,9 +166,12 @@
             forwarder.connection_lost()
 
     def _agree(self, link: HandoverLink) -> Line:
-        """Sends the state while the core stands still; returns the *yes* of the other process.
+        """Sends the state of the frozen core and returns the `yes` line of the successor.
 
-        Without it the core goes on, and one of LINK_ERRORS is raised.
+        Without that line the core is thawed.
+
+        Raises:
+            LINK_ERRORS: The successor did not agree; see `handover_link.LINK_ERRORS`.
         """
         state = self._core.freeze()
         agreed = False
@@ -187,7 +191,7 @@
         for line in snapshot_lines(state, clock_offset_ns(self._core), self._codec):
             link.send(line)
             deadline_s = time.monotonic() + FROZEN_TIMEOUT_S
-            while len(link.stream.unsent) > MAX_STATE_AHEAD_BYTES:
+            while len(link.stream.unsent) > MAX_UNSENT_STATE_BYTES:
                 if link.closed or time.monotonic() > deadline_s:
                     raise StreamTimeoutError
                 self._loop.sleep(WRITE_POLL_S)
--- a/ochrehoist/net/membership_heartbeat.py
+++ b/ochrehoist/net/membership_heartbeat.py
@@ -1,9 +1,10 @@
-"""The client of the membership service: reports often enough that an entry never lapses.
+"""Client of the membership service: reports the worker's phase before its entry expires.
 
-An outage of the service holds up nothing. A report counts once it has arrived whole and is answered. Its age
-is counted from when it was written, and a missing answer is no reason to report more often: the next report
-goes out when it is due, on a new connection. The connection of a report that may be answered late is kept for
-it: a service that found it closed might not count it.
+An outage of the service does not affect requests. The service counts a report once it has arrived completely
+and is answered. The age of a report is counted from when it was written. A missing answer does not make
+reports more frequent: the next report is sent when it is due, on a new connection. The connection of an
+unanswered report stays open for some time, since the service might not count a report whose connection it
+finds closed.
 """
 
 from __future__ import annotations
@@ -21,25 +22,26 @@
 if TYPE_CHECKING:
     from ochrehoist.core.protocols import Logger
 
-REPORT_INTERVAL_S = 0.8  # an entry lapses after 3 s
-RETRY_DELAY_S = 0.2  # between attempts while the service is out of reach
+REPORT_INTERVAL_S = 0.8  # an entry expires after 3 s
+RETRY_DELAY_S = 0.2  # after a report that failed or was rejected
 CONNECT_TIMEOUT_S = 0.4
-LATE_ANSWER_S = 2.4  # for which the connection of an unanswered report is kept: that makes three connections
-MAX_UNANSWERED = 5  # reports in a row without an answer that are not worth a line in the log
+# Counted from writing the report, until its connection is closed: at most three connections are open.
+LATE_ANSWER_TIMEOUT_S = 2.4
+MAX_UNANSWERED = 5  # this many consecutive reports without an answer are logged as a failure
 MAX_RESPONSE_BYTES = 8192
 HEAD_END = b"\r\n\r\n"
 STATUS_ACCEPTED = 204
 
 
 class Phase(StrEnum):
-    """What is reported; the values are those of the service."""
+    """The worker's phase in a report; the values are defined by the membership service."""
 
     UP = "UP"
     OUT = "OUT"
 
 
 class LateReport(NamedTuple):
-    """A report whose answer is late, and the connection that is kept for it."""
+    """A report whose answer is late, with the connection that is kept open for it."""
 
     stream: Stream
     phase: Phase
@@ -47,7 +49,7 @@
 
 
 class ReportResult(NamedTuple):
-    """How a report ended; `status` is None where no answer has arrived yet, 0 where the report failed."""
+    """The result of a report; `status` is None while no answer has arrived, 0 if the report failed."""
 
     status: int | None
     written_at_s: float
@@ -55,17 +57,19 @@
 
 
 class ResponseHead(NamedTuple):
-    """What is needed of an HTTP response."""
+    """The fields of an HTTP response that the client uses."""
 
     status: int
-    size_bytes: int  # with the body
+    size_bytes: int  # head and body
     keeps_alive: bool
 
 
 def parse_response(data: bytes | bytearray) -> ResponseHead | None:
-    """The head of a response that is here whole, with its body; None where it is not.
+    """Parses the head of a response; returns None until the whole response has arrived, with its body.
 
-    Raises ValueError or IndexError where it is none.
+    Raises:
+        ValueError: The data is no HTTP response.
+        IndexError: The status line has no status.
     """
     head, end, _ = data.partition(HEAD_END)
     if not end:
@@ -86,54 +90,54 @@
 
 
 class MembershipHeartbeat:
-    """Reports the worker's phase; a LifecycleListener of the core: a change of health is reported at once."""
+    """Task that reports the worker's phase; as LifecycleListener of the core it reports changes at once."""
 
     def __init__(self, loop: Loop, core: CoreActor, address: tuple[str, int], name: str, log: Logger) -> None:
-        """Reports as `name` to the service at `address` once `run` is a task of the loop."""
+        """Creates the client, which reports as `name` to `address` once `run` is a task of the loop."""
         self._loop = loop
         self._core = core
         self._address = address
         self._name = name
         self._log = log
-        self._changed = Signal(loop)  # of health or address, and whenever an answer arrives
+        self._wake = Signal(loop)  # set on changes of health, phase or address, and when an answer arrives
         self._stream: Stream | None = None
         self._late_reports: list[LateReport] = []
-        self._accepted: bool | None = None  # as it was logged
+        self._accepted: bool | None = None  # the state that was logged last
         self._unanswered_count = 0
         self._stopped = False
 
-    # ---- for the application and the core
+    # ---- interface for the application and the core
     def stop(self) -> None:
-        """Reports no more: another process of this worker does from now on."""
+        """Stops reporting; called when another process of this worker takes over."""
         self._stopped = True
         self._close()
         self._drop_late_reports(lambda _: False)
-        self._changed.set()
+        self._wake.set()
 
     def move(self, address: tuple[str, int]) -> None:
-        """The service is at another address from now on: it is reported to at once."""
+        """Changes the address of the service and reports there at once."""
         if address == self._address:
             return
         self._address = address
         self._drop_late_reports(lambda _: False)
         if self._stream is not None:
             self._stream.close()
-        self._changed.set()
+        self._wake.set()
 
-    def health_changed(self, good: bool) -> None:  # noqa: ARG002 (of the LifecycleListener)
+    def health_changed(self, good: bool) -> None:  # noqa: ARG002 (LifecycleListener interface)
         """Reports at once."""
-        self._changed.set()
+        self._wake.set()
 
     def idle_timeout_changed(self, idle_timeout_ns: int) -> None:
         """Concerns the fronts only."""
 
-    def shutdown_started(self, remaining_ns: int) -> None:  # noqa: ARG002 (of the LifecycleListener)
+    def shutdown_started(self, remaining_ns: int) -> None:  # noqa: ARG002 (LifecycleListener interface)
         """Reports at once."""
-        self._changed.set()
+        self._wake.set()
 
-    # ---- the task
+    # ---- task
     def run(self) -> None:
-        """A task: reports until `stop`."""
+        """Runs as a task of the loop: sends reports until `stop` is called."""
         while not self._stopped:
             address = self._address
             phase = self._phase()
@@ -141,7 +145,7 @@
             if result.status != STATUS_ACCEPTED:
                 self._close()
             if self._stopped:
-                self.stop()  # also what was opened meanwhile
+                self.stop()  # closes connections that were opened since
                 return
             if address == self._address:
                 self._log_change(result)
@@ -157,10 +161,10 @@
             remaining_s = due_s - time.monotonic()
             if remaining_s <= 0:
                 return
-            self._changed.wait(remaining_s)
+            self._wake.wait(remaining_s)
 
     def _report(self, phase: Phase) -> ReportResult:
-        """Sends one report and waits for its answer, until the next report is due."""
+        """Sends one report and waits for its answer at most until the next report is due."""
         written_at_s = time.monotonic()
         try:
             stream = self._connection(phase)
@@ -194,23 +198,23 @@
             self._stream = None
 
     def _drop_late_reports(self, keep: Callable[[LateReport], bool]) -> None:
-        """Closes the connections of late answers that are not worth a wait any more."""
+        """Closes the connections of late reports, except those for which `keep` returns true."""
         for report in list(self._late_reports):
             if report.stream.closed or not keep(report):
                 self._late_reports.remove(report)
                 report.stream.close()
 
     def _connection(self, phase: Phase) -> Stream:
-        # A report of another phase must not be counted behind the new one.
-        oldest_s = time.monotonic() - LATE_ANSWER_S
-        self._drop_late_reports(lambda late: late.phase == phase and late.written_at_s > oldest_s)
+        # The service must not count a late report of another phase after the new report.
+        oldest_kept_s = time.monotonic() - LATE_ANSWER_TIMEOUT_S
+        self._drop_late_reports(lambda late: late.phase == phase and late.written_at_s > oldest_kept_s)
         if self._stream is not None and not self._stream.ended:
             return self._stream
         self._close()
         address = self._address
-        # One wait for an answer and for a change.
-        stream = connect(self._loop, address, CONNECT_TIMEOUT_S, activity=self._changed)
-        if address != self._address or self._stopped:  # moved while the connection was being made
+        # With a shared signal, one wait covers an answer and a change of phase or address.
+        stream = connect(self._loop, address, CONNECT_TIMEOUT_S, activity=self._wake)
+        if address != self._address or self._stopped:  # changed while connecting
             stream.close()
             raise ConnectionClosedError
         self._stream = stream
@@ -225,7 +229,11 @@
         ).encode() + body
 
     def _wait_for_status(self, stream: Stream, phase: Phase, deadline_s: float) -> int | None:
-        """The status; None where it has not arrived once the next report is due, or another phase is."""
+        """Returns the status; None if the deadline passes or the phase changes before it has arrived.
+
+        Raises:
+            ConnectionClosedError: The connection has ended, or the response is too long.
+        """
         while (status := self._take_status(stream)) is None:
             if stream.ended or len(stream.buffer) > MAX_RESPONSE_BYTES:
                 raise ConnectionClosedError
@@ -235,7 +243,7 @@
         return status
 
     def _take_status(self, stream: Stream) -> int | None:
-        """Takes one whole response out of what has arrived, if there is one."""
+        """Removes one complete response from the buffer and returns its status; None if there is none."""
         response = parse_response(stream.buffer)
         if response is None:
             return None
--- a/tests/net/test_link_races.py
+++ b/tests/net/test_link_races.py
@@ -1,6 +1,7 @@
-"""Two events that cross on links, lists and windows: each test forces the bad order, over real connections.
+"""Races between two events on links, membership reports and idempotency windows, over real connections.
 
-A process that stands still while bytes come and times run out sees both at once when it goes on.
+Each test forces the unfavourable order. Such orders arise, for instance, when a process is stopped while
+bytes arrive and time-outs expire: it sees both at once when it continues.
 """
 
 import contextlib
@@ -21,8 +22,8 @@
 from tests.support.worker_cases import WorkerTestCase
 
 
-class SlowMembers(MembershipService):
-    """Answers late, and counts a report only if its link is still there then."""
+class SlowMembershipService(MembershipService):
+    """A service that answers late and counts a report only if its connection is still open then."""
 
     def __init__(self):
         self.counted = threading.Event()
@@ -44,8 +45,8 @@
             sock.sendall(b"HTTP/1.1 204 No Content\r\n\r\n")
 
 
-class CuttingMembers(MembershipService):
-    """Cuts each other answer in its middle."""
+class TruncatingMembershipService(MembershipService):
+    """A service that truncates every second answer and closes the connection."""
 
     def serve(self, sock):
         lines = sock.makefile("rb")
@@ -61,11 +62,12 @@
             sock.sendall(b"tent\r\n\r\n")
 
 
-MOVED_WHILE_CONNECTING = """
+# Sends SIGHUP to the worker within its next attempt to connect to {port}, once the file {flag} exists.
+RELOAD_WHILE_CONNECTING = """
 import os, signal, socket
-plain = socket.socket.connect_ex
+original_connect_ex = socket.socket.connect_ex
 def connect_ex(sock, address):
-    code = plain(sock, address)
+    code = original_connect_ex(sock, address)
     if address[1] == {port} and os.path.exists({flag!r}):
         os.unlink({flag!r})
         os.kill(os.getpid(), signal.SIGHUP)
@@ -75,35 +77,35 @@
 
 
 class MembershipRacesTest(WorkerTestCase):
-    """Reports to the membership service."""
+    """Races of reports to the membership service."""
 
     def test_a_report_that_is_answered_late_counts(self):
-        slow = SlowMembers()
-        self.addCleanup(slow.close)
+        service = SlowMembershipService()
+        self.addCleanup(service.close)
         program = self.start()
-        changed = program.config | {"members": slow.address}
+        changed = program.config | {"members": service.address}
         program.reload("config.json", json.dumps(changed))
-        self.assertTrue(slow.counted.wait(6.0), "no report counted")
+        self.assertTrue(service.counted.wait(6.0), "no report counted")
 
-    def test_a_report_whose_answer_is_cut_is_made_again_at_once(self):
-        cutting = CuttingMembers()
-        self.addCleanup(cutting.close)
-        program, began = self.start(members=cutting), time.monotonic()
-        while cutting.reports.qsize() < 5:  # three of them cut
+    def test_a_report_whose_answer_is_truncated_is_repeated_at_once(self):
+        service = TruncatingMembershipService()
+        self.addCleanup(service.close)
+        program, started_s = self.start(members=service), time.monotonic()
+        while service.reports.qsize() < 5:  # the answers to three of them are truncated
             program.operator_call()
-            self.assertLess(time.monotonic() - began, 3.0)  # the entry would lapse
+            self.assertLess(time.monotonic() - started_s, 3.0)  # after which the entry would expire
         self.assertEqual(program.thrift_router().ping()[0], "Answer")
 
-    def test_an_address_that_moves_while_its_connection_is_made_is_left(self):
+    def test_a_connection_is_dropped_if_the_address_changes_while_connecting(self):
         folder = self.enterContext(tempfile.TemporaryDirectory())
         flag, old, new = os.path.join(folder, "moved"), MembershipService(), MembershipService()
         self.addCleanup(old.close)
         self.addCleanup(new.close)
         port = int(old.address.split(":")[1])
-        program = self.start(fault=MOVED_WHILE_CONNECTING.format(port=port, flag=flag))
+        program = self.start(fault=RELOAD_WHILE_CONNECTING.format(port=port, flag=flag))
         program.reload("config.json", json.dumps(program.config | {"members": old.address}))
         old.wait_for("UP")
-        # The next connection is made while the signal comes, and the file names another address.
+        # The next connection attempt triggers a reload of the file, which names another address.
         os.replace(
             program.write_file("new", json.dumps(program.config | {"members": new.address})),
             os.path.join(program.folder.name, "config.json"),
@@ -114,17 +116,17 @@
         for _ in range(3):
             new.wait_for("UP")
 
-    def test_idle_clients_take_no_descriptor_from_reports_health_and_the_kernel_while_the_list_is_down(self):
+    def test_idle_clients_leave_descriptors_for_reports_operators_and_kernel_during_a_membership_outage(self):
         program = self.start(sockets=100)
         program.members.wait_for("UP")
         program.members.refuse()
         program.members.drop_connections()
-        crowd = []
+        idle_routers = []
         for _ in range(300):
-            crowd.append(program.thrift_router())
-            crowd[-1].sock.settimeout(WAIT_LIMIT_S)
-            with contextlib.suppress(OSError, EOFError):  # it had to make room
-                crowd[-1].ping()
+            idle_routers.append(program.thrift_router())
+            idle_routers[-1].sock.settimeout(WAIT_LIMIT_S)
+            with contextlib.suppress(OSError, EOFError):  # the connection may have been evicted
+                idle_routers[-1].ping()
         self.assertEqual(program.thrift_router().ping()[0], "Answer")
         self.assertEqual(program.operator_call()[0], 200)
         kernel = Kernel(before=program.kernel)
@@ -137,54 +139,54 @@
         seqid = router.invoke(body=b"served")
         kernel.reap(kernel.next_run().request_id, body=b"served")
         self.assertEqual(router.answer(seqid)[2], b"served")
-        del crowd
+        del idle_routers
 
-    def test_where_the_system_gives_fewer_descriptors_than_the_settings_reports_and_routers_get_theirs(self):
-        def fewer():
+    def test_reports_and_routers_get_descriptors_if_the_system_limit_is_below_the_configured_one(self):
+        def limit_descriptors():
             resource.setrlimit(resource.RLIMIT_NOFILE, (60, 60))
 
-        program = self.start(sockets=400, inherits=fewer)
+        program = self.start(sockets=400, inherits=limit_descriptors)
         program.members.wait_for("UP")
         program.members.refuse()
         program.members.drop_connections()
-        crowd = []
+        idle_routers = []
         for _ in range(80):
-            crowd.append(ThriftRouter(program.addresses["ThriftFront"]))
-            crowd[-1].send("ping", b"\x02\0\1\0\0")
+            idle_routers.append(ThriftRouter(program.addresses["ThriftFront"]))
+            idle_routers[-1].send("ping", b"\x02\0\1\0\0")
         program.members.come_back()
         program.members.wait_for("UP")
         program.serve_one(program.thrift_router())
-        del crowd
+        del idle_routers
 
 
 class KernelLinkRacesTest(WorkerTestCase):
-    """The link to the kernel."""
+    """Races on the link to the kernel."""
 
-    def test_a_link_whose_answers_came_within_a_stall_is_not_silent(self):
+    def test_a_link_whose_answers_arrived_during_a_stall_is_not_silent(self):
         program = self.start()
         router, kernel = program.thrift_router(), program.kernel
         seqid = router.invoke(body=b"asked")
-        rid = kernel.next_run().request_id
+        run_id = kernel.next_run().request_id
         kernel.wait_for_questions(2)
-        kernel.silent = True  # the next question is open as the process stops
+        kernel.silent = True  # so that a query is unanswered when the process is stopped
         time.sleep(0.3)
 
-        def answered():
+        def send_answer():
             kernel.silent = False
             kernel.send(cmd="INFO", token="g0", load=[0.5, 1.0])
 
-        program.stop_while(1.0, answered)
+        program.stop_while(1.0, send_answer)
         kernel.wait_for_questions(2)
-        kernel.reap(rid, body=b"answered")
+        kernel.reap(run_id, body=b"answered")
         self.assertEqual(router.answer(seqid), ("Answer", {}, b"answered"))
         self.assertEqual(program.logged("kernel_link_silent"), [])
         self.assertTrue(kernel.opened.empty())
 
-    def test_a_garbled_completion_is_sent_again_and_only_then_failed(self):
+    def test_a_malformed_result_is_requested_again_and_fails_only_if_malformed_twice(self):
         program = self.start()
         router, kernel = program.thrift_router(), program.kernel
-        spoilt = {"payload": "not base64!"}, {"payload": None, "elapsed_ms": "soon"}
-        for change in spoilt:
+        malformed = {"payload": "not base64!"}, {"payload": None, "elapsed_ms": "soon"}
+        for change in malformed:
             seqid = router.invoke("filing", b"doc", token=repr(change))
             kernel.reap(kernel.next_run().request_id, body=b"filed", send=False)
             kernel.send_raw(json.dumps(kernel.notices[-1] | change).encode() + b"\n")
@@ -196,63 +198,64 @@
         self.assertEqual(router.answer(seqid)[0], "Broken")
         program.serve_one(router)
 
-    def test_gauge_answers_garbled_now_and_then_leave_no_run_with_an_unknown_outcome(self):
+    def test_occasional_malformed_gauges_leave_no_run_of_unknown_outcome(self):
         program = self.start()
         router, kernel = program.thrift_router(), program.kernel
         seqid = router.invoke("filing", b"doc", token="t")
-        rid = kernel.next_run().request_id
+        run_id = kernel.next_run().request_id
         for _ in range(2):
             kernel.wait_for_questions(2)
-            opened = kernel.opened.qsize()
+            opened_count = kernel.opened.qsize()
             kernel.send_raw(b'{"cmd":"INFO","token":"x","load":["a"]}\n')
-            while kernel.opened.qsize() == opened and not program.logged("kernel_notices_missing"):
+            while kernel.opened.qsize() == opened_count and not program.logged("kernel_notices_missing"):
                 router.ping()
         kernel.wait_for_questions(2)
-        kernel.reap(rid, body=b"filed")
+        kernel.reap(run_id, body=b"filed")
         self.assertEqual(router.answer(seqid)[2], b"filed")
         self.assertEqual(program.logged("kernel_notices_missing"), [])
 
 
-BETWEEN_CLOCKS = """
+# Stalls the worker for 50 ms between the readings of its monotonic and its wall clock.
+STALL_BETWEEN_CLOCK_READINGS = """
 import os, time
-plain = time.time_ns
+original_time_ns = time.time_ns
 def time_ns():
     if os.path.exists({flag!r}):
         os.unlink({flag!r})
         time.sleep(0.05)
-    return plain()
+    return original_time_ns()
 time.time_ns = time_ns
-"""  # the process stands still between the readings of its two clocks
+"""
 
 
-class Windows(WorkerTestCase):
-    """A repeat at the edge of the window, which counts from the first try's t0."""
+class IdempotencyWindowRacesTest(WorkerTestCase):
+    """Repeats at the end of the idempotency window, which counts from t0 of the first attempt."""
 
-    def site(self, window):
+    def site(self, window_ms):
         site = site_settings()
-        site["Classes"][1]["Window"] = window * MS
+        site["Classes"][1]["Window"] = window_ms * MS
         return site
 
-    def test_no_repeat_within_a_short_window_runs_at_any_millisecond_of_its_end(self):
-        window = 400
-        program = self.start(site=self.site(window))
+    def test_no_repeat_runs_in_any_of_the_last_milliseconds_of_a_short_window(self):
+        window_ms = 400
+        program = self.start(site=self.site(window_ms))
         router, kernel = program.thrift_router(), program.kernel
         tokens, t0 = [f"token-{n}" for n in range(30)], time.time_ns() // MS
         for token in tokens:
             seqid = router.invoke("filing", token.encode(), token=token, t0=str(t0))
             kernel.reap(kernel.next_run().request_id, body=token.encode())
             self.assertEqual(router.answer(seqid)[2], token.encode())
-        while time.time_ns() // MS <= t0 + window + 2:
+        while time.time_ns() // MS <= t0 + window_ms + 2:
             router.ping()
-        for after, token in ((after, token) for after in (-1, 0, 1) for token in tokens):
-            at = str(t0 + window + after)
-            made = router.invoke("filing", token.encode(), token=token, again="1", t0=at)
-            self.assertEqual(router.answer(made), ("Answer", {}, token.encode()), (token, after))
+        for offset_ms, token in ((offset_ms, token) for offset_ms in (-1, 0, 1) for token in tokens):
+            repeat_t0 = str(t0 + window_ms + offset_ms)
+            repeat = router.invoke("filing", token.encode(), token=token, again="1", t0=repeat_t0)
+            self.assertEqual(router.answer(repeat), ("Answer", {}, token.encode()), (token, offset_ms))
         self.assertTrue(kernel.scheduled.empty())
 
-    def test_no_repeat_within_the_window_runs_though_the_first_was_read_between_two_clocks(self):
-        window, flag = 600, os.path.join(self.enterContext(tempfile.TemporaryDirectory()), "stop")
-        program = self.start(site=self.site(window), fault=BETWEEN_CLOCKS.format(flag=flag))
+    def test_no_repeat_within_the_window_runs_after_a_stall_between_two_clock_readings(self):
+        window_ms, flag = 600, os.path.join(self.enterContext(tempfile.TemporaryDirectory()), "stop")
+        program = self.start(site=self.site(window_ms), fault=STALL_BETWEEN_CLOCK_READINGS.format(flag=flag))
         router, kernel = program.thrift_router(), program.kernel
         with open(flag, "w"):
             pass
@@ -261,29 +264,30 @@
         kernel.reap(kernel.next_run().request_id, body=b"filed")
         self.assertEqual(router.answer(seqid)[2], b"filed")
         self.assertFalse(os.path.exists(flag))
-        while time.time_ns() // MS <= t0 + window:
+        while time.time_ns() // MS <= t0 + window_ms:
             router.ping()
-        for early in (40, 20, 10):  # all within the window
-            again = router.invoke("filing", b"doc", token="t", again="1", t0=str(t0 + window - early))
-            self.assertEqual(router.answer(again), ("Answer", {}, b"filed"), early)
+        for before_end_ms in (40, 20, 10):  # all within the window
+            again = router.invoke(
+                "filing", b"doc", token="t", again="1", t0=str(t0 + window_ms - before_end_ms)
+            )
+            self.assertEqual(router.answer(again), ("Answer", {}, b"filed"), before_end_ms)
         self.assertTrue(kernel.scheduled.empty())
 
-    def test_a_run_that_outlasts_its_short_window_is_not_run_a_second_time_beside_it(self):
+    def test_a_run_that_outlasts_its_window_is_not_run_a_second_time_concurrently(self):
         program = self.start(site=self.site(300))
         router, kernel, t0 = program.thrift_router(), program.kernel, time.time_ns() // MS
         first = router.invoke("filing", b"doc", token="t", t0=str(t0))
-        rid = kernel.next_run().request_id
+        run_id = kernel.next_run().request_id
         while time.time_ns() // MS <= t0 + 600:
             router.ping()
         router.invoke("filing", b"doc", token="t", again="1")
         router.invoke(body=b"beside it")
-        self.assertEqual(
-            kernel.next_run().body, b"beside it"
-        )  # there is a core, and it goes to what came later
-        kernel.reap(rid, body=b"filed")
+        # A core is free, yet the repeat does not run: the next run is the later request.
+        self.assertEqual(kernel.next_run().body, b"beside it")
+        kernel.reap(run_id, body=b"filed")
         self.assertEqual(router.answer(first), ("Answer", {}, b"filed"))
 
-    def test_a_window_that_new_settings_make_longer_holds_for_what_ran_before(self):
+    def test_a_window_lengthened_by_new_settings_applies_to_earlier_runs(self):
         program = self.start(site=self.site(300))
         router, kernel, t0 = program.thrift_router(), program.kernel, time.time_ns() // MS
         seqid = router.invoke("filing", b"doc", token="t", t0=str(t0))
@@ -297,12 +301,13 @@
         self.assertTrue(kernel.scheduled.empty())
 
 
-DIES_AT_YES = """
+# Kills the old process as soon as it has received `yes`, before it sends `go`.
+KILLED_AFTER_YES = """
 import os, signal
 from ochrehoist.net.handover_link import HandoverLink
-plain = HandoverLink.receive
+original_receive = HandoverLink.receive
 def receive(link, timeout_s):
-    line = plain(link, timeout_s)
+    line = original_receive(link, timeout_s)
     if line["m"] == "yes":
         os.kill(os.getpid(), signal.SIGKILL)
     return line
@@ -311,23 +316,23 @@
 
 
 class SuccessorRacesTest(WorkerTestCase):
-    """A process that replaces another."""
+    """Races between a process and its successor."""
 
-    def test_one_that_stands_still_for_longer_than_it_is_asked_is_still_replaced(self):
+    def test_a_process_stopped_for_longer_than_the_answer_time_out_is_still_replaced(self):
         old = self.start()
         old.process.send_signal(signal.SIGSTOP)
         self.addCleanup(old.process.send_signal, signal.SIGCONT)
         threading.Timer(3.0, old.process.send_signal, (signal.SIGCONT,)).start()
-        at = "{}:{}".format(*old.addresses["ThriftFront"])
-        new = self.start(before=old, kernel=old.kernel, listen=at).wait_until_took_over()
+        address = "{}:{}".format(*old.addresses["ThriftFront"])
+        new = self.start(before=old, kernel=old.kernel, listen=address).wait_until_took_over()
         self.assertEqual(new.operator_call()[0], 200)
 
-    def test_one_that_dies_as_its_state_is_taken_leaves_its_filings_counted_as_run(self):
-        old = self.start(passed=True, fault=DIES_AT_YES)
+    def test_filings_of_a_process_killed_during_the_handover_do_not_run_again(self):
+        old = self.start(passed=True, fault=KILLED_AFTER_YES)
         router = old.thrift_router()
-        done = router.invoke("filing", b"done", token="done")
+        seqid = router.invoke("filing", b"done", token="done")
         old.kernel.reap(old.kernel.next_run().request_id, body=b"filed")
-        self.assertEqual(router.answer(done)[2], b"filed")
+        self.assertEqual(router.answer(seqid)[2], b"filed")
         router.invoke("filing", b"doc", token="running")
         old.kernel.next_run()
         new = self.start(before=old).wait_until_took_over()
