--- a/ochrehoist/net/intent_replication.py
+++ b/ochrehoist/net/intent_replication.py
@@ -1,6 +1,7 @@
-"""Replicates the intents of one worker's journal to witness replicas, over the datagrams of its peers.
+"""Replicates the intents of one worker's journal to witness replicas, over the peers' datagrams.
 
-It also answers other workers for which this one is a witness. Loaded only with [recovery].
+The same service makes this worker a witness for others: it records their intents and answers their queries.
+Loaded only if the configuration has the table [recovery].
 """
 
 from __future__ import annotations
@@ -32,40 +33,47 @@
     from ochrehoist.net.peers import Peers
 
 TOPIC = "recovery"
-EXPIRY_INTERVAL_S = 1.0  # between two sweeps of the intent log
-QUORUM_TIMEOUT_S = 3.0  # that witnesses have to answer, where the store itself is sound
-WINDOW_MARGIN_S = 1.0  # over the longest idempotency window, for messages on their way
-SPARE_SEND_TIMES = 64  # kept of requests that no longer wait
+EXPIRY_INTERVAL_S = 1.0  # between two removals of expired intents
+QUORUM_TIMEOUT_S = 3.0  # counted from the first query; then the answers so far, or the store, must suffice
+WINDOW_MARGIN_S = 1.0  # added to idempotency windows, for messages in transit
+MAX_STALE_SEND_TIMES = 64  # send times of requests that are no longer pending, before they are removed
 QUERY_NUMBER_BITS = 40
 
 
 class ReplicatedJournal(Protocol):
-    """What replication needs of the journal; its times are ns of the core's clock."""
+    """Interface of the journal whose intents are replicated; times are ns of the core's clock."""
 
     restored: bool
 
     @property
     def hold_until_ns(self) -> int:
-        """Until when unknown idempotency keys are rejected."""
+        """Time until which unknown idempotency keys are rejected."""
 
     def replicate_intents_to(self, replicator: IntentReplicator) -> None:
-        """From now on a run begins only once `replicator` has said so by `replication_ended`."""
+        """Makes every later run wait for the `replication_ended` of its intent."""
 
     def replication_ended(self, request_id: str, confirmed: bool) -> None:
-        """Whether enough witnesses recorded the intent in time."""
+        """Reports whether enough witnesses recorded the intent in time."""
 
     def hold_unknown_keys_until(self, until_ns: int) -> None:
-        """Unknown idempotency keys are rejected until then; 0: no longer."""
+        """Rejects unknown idempotency keys until `until_ns`; 0 ends the rejection."""
 
     def is_history_uncertain(self) -> bool:
-        """Whether the open store itself cannot tell what ran."""
+        """Returns whether the open store cannot tell which requests ran."""
 
 
 class IntentReplicationService:
-    """The journal's IntentReplicator and an extension of the peers' protocol.
+    """IntentReplicator of the journal, and an extension of the peers' protocol.
 
-    After a restart the history is unknown until a read quorum of witnesses has answered: until then every
-    key without a record is rejected. Without witnesses in the configuration it is known from the start.
+    After a restart the history is unknown until a read quorum of witnesses has answered. Until then every key
+    without a record is rejected. Without configured witnesses the history counts as known from the start.
+
+    Attributes:
+        intent_log: The intents that this worker has recorded as a witness.
+        pending: This worker's own intents that are not yet confirmed.
+        history_known: Whether the witnesses' answers are complete, or are not waited for.
+        missing_runs: By key digest, the runs that witnesses reported and the store does not hold, with the
+            time (s) at which their idempotency window ends.
     """
 
     def __init__(
@@ -84,10 +92,10 @@
         self.intent_log = IntentLog(now)
         self.pending = PendingIntents(config.witnesses)
         self.history_known = not config.witnesses
-        self.missing_runs: dict[bytes, float] = {}  # begun by witnesses' word, without record; until when
+        self.missing_runs: dict[bytes, float] = {}
         self._report: WitnessQuorumReport | None = None
         self._stored_keys: list[bytes] = []
-        self._expired_at = now
+        self._last_expiry_at = now
         self._sent_at: dict[str, float] = {}  # by request id
         if peers is not None:
             peers.group.add_extension(TOPIC, self)
@@ -95,28 +103,32 @@
         if journal is not None and config.witnesses:
             journal.replicate_intents_to(self)
 
-    # What the journal asks.
+    # ---- IntentReplicator of the journal
 
     def may_have_run(self, key: bytes) -> bool:
-        """Whether a run that is not on record may have begun all the same."""
+        """Returns whether a run that the store does not hold may nevertheless have begun."""
         if not self.history_known:
             return True
-        until = self.missing_runs.get(key_digest(key)) if self.missing_runs else None
-        return until is not None and until > time.monotonic()
+        window_end_s = self.missing_runs.get(key_digest(key)) if self.missing_runs else None
+        return window_end_s is not None and window_end_s > time.monotonic()
 
     def begin(self, request_id: str, key: bytes, window_left_s: float) -> None:
-        """The journal hears by `replication_ended`, soon, or with False once `witness_timeout_ms` is over."""
+        """Sends the intent to the witnesses.
+
+        The journal's `replication_ended` is called once enough of them have confirmed it, or with False after
+        `witness_timeout_ms`.
+        """
         now = time.monotonic()
         max_wait_s = self._config.witness_timeout_ms / 1000
         self.pending.add(request_id, key, window_left_s + WINDOW_MARGIN_S, max_wait_s, now)
         self._send_pending(now)
 
     def drop(self, key: bytes) -> None:
-        """The run of this key never began."""
+        """Withdraws the intent of a run that never began."""
         self.pending.withdraw(key)
 
     def journal_opened(self, keys: list[bytes]) -> None:
-        """The store is in use with these keys on record: the witnesses are asked what else was begun."""
+        """Starts to query the witnesses for runs whose keys the opened store does not hold."""
         self._stored_keys = keys
         if not self._config.witnesses or self._report is not None:
             return
@@ -129,14 +141,14 @@
             time.monotonic(),
         )
 
-    # The extension of the peers' protocol.
+    # ---- extension of the peers' protocol
 
     def status_report(self, now: float) -> bytes:  # noqa: ARG002
-        """Nothing that all peers need."""
+        """Returns an empty report: intents are sent to witnesses only."""
         return b""
 
     def messages_to_send(self, now: float) -> list[tuple[str, str, bytes]]:
-        """Queries and intents that are due, as name, topic and data."""
+        """Returns the queries and intents that are due, as name of the recipient, topic and data."""
         queries = [(name, WitnessTopic.QUERY_INTENTS, data) for name, data in self._queries(now)]
         intents = [(name, WitnessTopic.RECORD_INTENT, data) for name, data in self._pending_messages(now)]
         return [*queries, *intents]
@@ -144,7 +156,7 @@
     def message_received(
         self, sender: Incarnation, topic: str, data: bytes, now: float
     ) -> list[tuple[str, bytes]]:
-        """Handles one message, and gives the answers to its sender as topic and data."""
+        """Handles one message; returns the answers to its sender as topic and data."""
         message = decode(topic, data)
         if isinstance(message, RecordIntent):
             return self._record(sender.name, message, now)
@@ -175,8 +187,12 @@
         return self._report.queries(now)
 
     def _pending_messages(self, now: float) -> list[EncodedWitnessMessage]:
-        if len(self._sent_at) > 4 * len(self.pending) + SPARE_SEND_TIMES:
-            self._sent_at = {key: at for key, at in self._sent_at.items() if key in self.pending}
+        if len(self._sent_at) > 4 * len(self.pending) + MAX_STALE_SEND_TIMES:
+            self._sent_at = {
+                request_id: sent_at
+                for request_id, sent_at in self._sent_at.items()
+                if request_id in self.pending
+            }
 
         def is_due(request_id: str) -> bool:
             if now - self._sent_at.get(request_id, -math.inf) < RESEND_INTERVAL_S:
@@ -187,14 +203,14 @@
         return self.pending.messages(now, is_due)
 
     def _send_pending(self, now: float) -> None:
-        assert self._peers is not None  # witnesses are members: the configuration asks for [peers]
+        assert self._peers is not None  # the configuration requires [peers] if there are witnesses
         for name, data in self._pending_messages(now):
             self._peers.send_to_extension(name, f"{TOPIC}/{WitnessTopic.RECORD_INTENT}", data)
 
-    # What the witnesses' answers prove.
+    # ---- conclusions from the witnesses' answers
 
     def _conclude_report(self, report: WitnessQuorumReport, now: float) -> None:
-        """Takes the quorum's answer once waiting for more would prove no more, or took too long."""
+        """Applies the quorum's answers once further ones can add nothing, or QUORUM_TIMEOUT_S is over."""
         timed_out = report.has_quorum and now - report.started_at > QUORUM_TIMEOUT_S
         hold_s = report.hold_s(now)
         if hold_s is None or not (report.is_settled(now) or timed_out):
@@ -209,7 +225,11 @@
             self._log.error("store_records_missing", **counts)
 
     def _conclude_without_quorum(self, report: WitnessQuorumReport, now: float) -> None:
-        """A sound store is believed where too few witnesses answer; without one unknown keys are held."""
+        """Stops waiting for too few witnesses after QUORUM_TIMEOUT_S.
+
+        The history is then taken from the store; if the store is uncertain too, unknown keys are rejected for
+        the whole window.
+        """
         if now - report.started_at <= QUORUM_TIMEOUT_S:
             return
         self.history_known = True
@@ -224,29 +244,29 @@
         )
 
     def _hold_s(self) -> float:
-        left_ns: int = self._journal.hold_until_ns - self._core.clock()
-        return round(max(0.0, left_ns / NS_PER_S), 1)
+        remaining_ns: int = self._journal.hold_until_ns - self._core.clock()
+        return round(max(0.0, remaining_ns / NS_PER_S), 1)
 
     def assume_history_known(self) -> None:
-        """An operator takes unknown keys for new: a run that began before may run twice."""
+        """Accepts unknown keys as new, on an operator's command: a run that began before may run twice."""
         self.history_known = True
         self.missing_runs = {}
         self._journal.hold_unknown_keys_until(0)
 
     def tick(self, now: float) -> None:
-        """Ten times a second: time-outs, and intents that are remembered no more."""
+        """Handles time-outs and removes expired intents; called ten times a second."""
         if self._report is not None and not self.history_known:
             self._conclude_report(self._report, now)
         if self._report is not None and not self.history_known:
             self._conclude_without_quorum(self._report, now)
         for request_id in self.pending.remove_timed_out(now):
             self._journal.replication_ended(request_id, False)
-        if now - self._expired_at >= EXPIRY_INTERVAL_S:
-            self._expired_at = now
+        if now - self._last_expiry_at >= EXPIRY_INTERVAL_S:
+            self._last_expiry_at = now
             self.intent_log.remove_expired(now)
 
     def status_section(self) -> dict[str, Any]:
-        """For `/status`."""
+        """Returns the section of `/status`."""
         samples = sorted(self.pending.wait_samples_s)
         quantiles = (("p50", 0.5), ("p99", 0.99)) if samples else ()
         return {
--- a/ochrehoist/net/peer_log.py
+++ b/ochrehoist/net/peer_log.py
@@ -1,4 +1,4 @@
-"""Log events about the fleet: each change of a member, a service, or of this worker's own place in it."""
+"""Log events about the fleet: changes of members, of services, and of this worker's own membership."""
 
 from ochrehoist.core.protocols import Logger
 from ochrehoist.peers.group import Group
@@ -7,7 +7,7 @@
 
 
 class PeerEventLog:
-    """Compares a group with how it was seen last, and logs what has changed."""
+    """Logs each change of a group since the previous comparison."""
 
     def __init__(self, log: Logger) -> None:
         self._log = log
@@ -17,7 +17,7 @@
         self._service_states: dict[str, EjectionState] = {}
 
     def update(self, group: Group, now: float) -> None:
-        """Logs the changes since the last call; `now` in seconds of the steady clock."""
+        """Logs the changes since the last call; `now` is in seconds of the monotonic clock."""
         self._update_isolation(group.members.isolated_for_s(now) is not None)
         self._update_duplicate(group)
         self._update_members(group)
--- a/ochrehoist/net/peer_metrics.py
+++ b/ochrehoist/net/peer_metrics.py
@@ -1,4 +1,4 @@
-"""The metrics of one worker's part in its fleet, in the text format of `/status/metrics`."""
+"""Metrics of one worker's membership in its fleet, in the text format of `/status/metrics`."""
 
 from collections import Counter
 from collections.abc import Iterable, Mapping
@@ -16,7 +16,7 @@
 
 
 def peer_metrics(group: Group, transport: PeerTransport, now: float) -> str:
-    """All metrics as text."""
+    """Returns all metrics as text."""
     states = Counter(member.state for member in group.members.members.values())
     shares = group.shares
     services = group.outliers.services
@@ -28,9 +28,17 @@
         "app_peers_duplicate": [("", int(group.yielded))],
         "app_peers_rejected_total": _labelled("why", rejected),
         "app_peers_bytes_total": _labelled("way", traffic),
-        "app_budget_held": _labelled("budget", {n: s.holder.amount(now) for n, s in shares.items()}),
-        "app_budget_used_total": _labelled("budget", {n: s.meter.used_count for n, s in shares.items()}),
-        "app_budget_denied_total": _labelled("budget", {n: s.meter.denied_count for n, s in shares.items()}),
-        "app_server_left_out": _labelled("server", {n: int(s.is_ejected) for n, s in services.items()}),
+        "app_budget_held": _labelled(
+            "budget", {name: share.holder.amount(now) for name, share in shares.items()}
+        ),
+        "app_budget_used_total": _labelled(
+            "budget", {name: share.meter.used_count for name, share in shares.items()}
+        ),
+        "app_budget_denied_total": _labelled(
+            "budget", {name: share.meter.denied_count for name, share in shares.items()}
+        ),
+        "app_server_left_out": _labelled(
+            "server", {name: int(service.is_ejected) for name, service in services.items()}
+        ),
     }
     return format_samples(samples)
--- a/ochrehoist/net/peer_settings.py
+++ b/ochrehoist/net/peer_settings.py
@@ -1,4 +1,4 @@
-"""The settings of one worker's part in its fleet, from the configuration."""
+"""Derives the settings of the peers' protocol from the worker's configuration."""
 
 from ochrehoist.config.schema import Config
 from ochrehoist.config.tables import BudgetConfig, BudgetKind, PeersConfig
@@ -9,12 +9,12 @@
 
 
 def format_address(address: Address) -> str:
-    """host:port."""
+    """Returns the address as host:port."""
     return f"{address[0]}:{address[1]}"
 
 
 def parse_address(text: str) -> Address:
-    """The reverse of `format_address`; raises ValueError where the port is no number."""
+    """Parses host:port, as `format_address` writes it; raises ValueError if the port is no number."""
     host, _, port = text.rpartition(":")
     return host, int(port)
 
@@ -34,7 +34,10 @@
 
 
 def fleet_settings(config: Config, peers: PeersConfig) -> FleetSettings:
-    """What the fleet's side needs of the configuration; `peers` is its table, or the one before."""
+    """Returns the settings of the peers' protocol.
+
+    `peers` is the table [peers] of `config`, or of the earlier configuration if `config` has none.
+    """
     budgets = tuple(_budget(budget, peers.lease_grantors) for budget in peers.budgets)
     site = peers.site
     if config.sites:
--- a/ochrehoist/net/peer_transport.py
+++ b/ochrehoist/net/peer_transport.py
@@ -1,4 +1,4 @@
-"""The datagram socket between workers. A message that cannot be sent counts as lost."""
+"""Datagram transport between workers. A message that cannot be sent counts as lost."""
 
 import errno
 import socket
@@ -22,15 +22,15 @@
     encode_datagram,
 )
 
-DATAGRAMS_PER_TURN = 64  # of the loop: a flood must leave time for requests
-BIND_RETRY_S = 0.1  # a process that is being replaced may still hold the address
+MAX_DATAGRAMS_PER_ITERATION = 64  # of the event loop, so that a flood of datagrams leaves time for requests
+BIND_RETRY_DELAY_S = 0.1  # a process that is being replaced may still occupy the address
 
 
 class DatagramSocket(Protocol):
-    """What is needed of a bound, non-blocking datagram socket."""
+    """Interface of a bound, non-blocking datagram socket."""
 
     def fileno(self) -> int:
-        """Its descriptor."""
+        """Returns the file descriptor."""
         ...
 
     def sendto(self, data: bytes, address: Address, /) -> int:
@@ -38,20 +38,20 @@
         ...
 
     def recvfrom(self, size: int, /) -> tuple[bytes, Address]:
-        """Receives one datagram and its source; raises BlockingIOError where there is none."""
+        """Receives one datagram and its source; raises BlockingIOError if there is none."""
         ...
 
     def getsockname(self) -> Any:
-        """The address that it is bound to."""
+        """Returns the address that the socket is bound to."""
         ...
 
     def close(self) -> None:
-        """Closes it."""
+        """Closes the socket."""
         ...
 
 
 def open_datagram_socket(listen: Address) -> DatagramSocket:
-    """Raises OSError where the address cannot be bound."""
+    """Binds a non-blocking datagram socket; raises OSError if the address cannot be bound."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     sock.setblocking(False)
     try:
@@ -63,9 +63,9 @@
 
 
 class PeerTransport:
-    """Sends and receives the messages of one group.
+    """Datagram socket that sends and receives the messages of one group.
 
-    `on_opened` is called once the address is bound, `on_message` with each message whose digest is right, and
+    Calls `on_opened` once the address is bound, and `on_message` with each message whose digest is valid and
     the address of its sender.
     """
 
@@ -79,12 +79,12 @@
         log: Logger,
         open_socket: Callable[[Address], DatagramSocket] = open_datagram_socket,
     ) -> None:
-        self.secrets = secrets  # the first one signs; any of them is believed
+        self.secrets = secrets  # the first one signs messages; all of them are accepted
         self.rejected_counts: Counter[RejectReason] = Counter()
         self.sent_count = 0
         self.sent_bytes = 0
         self.received_bytes = 0
-        self.receive_cpu_s = 0.0  # of reading messages and of what `on_message` does with them
+        self.receive_cpu_s = 0.0  # processor time of receiving messages, including `on_message`
         self._loop = loop
         self._group = group
         self._on_opened = on_opened
@@ -97,11 +97,11 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether messages can be sent and received."""
+        """Returns whether messages can be sent and received."""
         return self._socket is not None
 
     def open(self, listen: Address) -> None:
-        """Binds the address, now or as soon as it is free."""
+        """Binds the address; retries until that succeeds or the transport is closed."""
         if self._closed:
             return
         try:
@@ -109,7 +109,7 @@
         except OSError as error:
             if error.errno != errno.EADDRINUSE:
                 self._log.error("peer_socket_bind_failed", address=format_address(listen), error=str(error))
-            self._loop.call_later(BIND_RETRY_S, lambda: self.open(listen))
+            self._loop.call_later(BIND_RETRY_DELAY_S, lambda: self.open(listen))
             return
         self._socket = sock
         self._log.info("started", part="Peers", listen=sock.getsockname())
@@ -117,7 +117,7 @@
         self._on_opened()
 
     def close(self) -> None:
-        """Frees the address for another process; nothing is sent or received any more."""
+        """Closes the socket for good, which frees the address for another process."""
         self._closed = True
         if self._socket is not None:
             self._loop.forget(self._socket.fileno())
@@ -125,19 +125,19 @@
             self._socket = None
 
     def _on_readable(self) -> None:
-        began = time.thread_time()
-        self._receive_waiting()
-        self.receive_cpu_s += time.thread_time() - began
+        started_s = time.thread_time()
+        self._receive_available()
+        self.receive_cpu_s += time.thread_time() - started_s
 
-    def _receive_waiting(self) -> None:
-        for _ in range(DATAGRAMS_PER_TURN):
+    def _receive_available(self) -> None:
+        for _ in range(MAX_DATAGRAMS_PER_ITERATION):
             if self._socket is None:
                 return
             try:
                 data, source = self._socket.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except (BlockingIOError, InterruptedError):
                 return
-            except OSError:  # an earlier datagram reached nobody
+            except OSError:  # the system reports that an earlier datagram could not be delivered
                 continue
             self.received_bytes += len(data)
             try:
@@ -148,14 +148,14 @@
             self._on_message(message, format_address(source))
 
     def send(self, sender: Incarnation, messages: Iterable[OutgoingMessage]) -> None:
-        """Sends each message at once, as one datagram."""
+        """Sends each message at once as one datagram."""
         for message in messages:
             self._sequence += 1
             try:
                 self._send_one(sender, message)
-            except (MessageTooLongError, ValueError) as error:  # or its address is none
+            except (MessageTooLongError, ValueError) as error:  # ValueError: the address is malformed
                 self._log.error("peer_message_not_sent", address=message.address, error=str(error))
-            except OSError:  # as if it were lost
+            except OSError:  # counts as lost
                 continue
 
     def _send_one(self, sender: Incarnation, message: OutgoingMessage) -> None:
--- a/ochrehoist/net/peers.py
+++ b/ochrehoist/net/peers.py
@@ -1,4 +1,7 @@
-"""This worker in its fleet: what the core, the executor and operators ask of it. Only where [peers] is on."""
+"""This worker's membership in its fleet, as the core, the AJP servers' executor and operators use it.
+
+Loaded only if the configuration has the table [peers].
+"""
 
 import os
 import secrets
@@ -30,18 +33,21 @@
     from ochrehoist.net.ajp_server import CallOutcome
 
 TICK_S = 0.05
-MAX_BOOT_ID_BITS = 62
+BOOT_ID_BITS = 62
 
 
 class PeersNotConfiguredError(OchrehoistError):
-    """The configuration has no table of peers."""
+    """The configuration has no table [peers]."""
 
     def __init__(self) -> None:
         super().__init__("setting peers: missing")
 
 
 class FleetTenant:
-    """A tenant whose quota here is this worker's part of its budget over the whole fleet, as it is now."""
+    """A tenant whose quota is this worker's current part of the tenant's budget in the whole fleet.
+
+    It has the attributes of `Tenant` that the admission controller reads.
+    """
 
     def __init__(self, tenant: Tenant, peers: "Peers", budget: str, fleet_size: int) -> None:
         self.name = tenant.name
@@ -52,21 +58,30 @@
 
     @property
     def quota_per_s(self) -> float:
-        """The quota of a fleet of `fleet_size` equal workers, as the admission controller expects it."""
+        """Quota per second if each of `fleet_size` workers held this worker's part.
+
+        The admission controller expects the quota of the whole fleet, and divides it by `fleet_size`.
+        """
         return float(self._peers.held_amount(self._budget) * self._fleet_size)
 
 
 @dataclass(frozen=True)
 class BudgetNames:
-    """The names of the budgets by what they are for."""
+    """Names of the budgets, by kind and subject.
+
+    Attributes:
+        by_tenant: Request budgets by tenant.
+        by_retry_server: Retry budgets by server; the key None is the budget of all other servers.
+        by_server: Budgets of concurrent runs by server.
+    """
 
     by_tenant: Mapping[str | None, str]
-    by_retried_server: Mapping[str | None, str]  # None: any server
+    by_retry_server: Mapping[str | None, str]
     by_server: Mapping[str | None, str]
 
     @classmethod
-    def of(cls, config: PeersConfig) -> "BudgetNames":
-        """The names of the configured budgets."""
+    def from_config(cls, config: PeersConfig) -> "BudgetNames":
+        """Returns the names of the configured budgets."""
 
         def of_kind(kind: BudgetKind) -> dict[str | None, str]:
             return {budget.subject: budget.name for budget in config.budgets if budget.kind is kind}
@@ -75,33 +90,36 @@
 
 
 @dataclass(frozen=True)
-class LiveTenants:
-    """The tenants of a table, by position, those with a budget as `FleetTenant`."""
+class FleetTenants:
+    """The tenants of a table by position; those with a budget are instances of `FleetTenant`."""
 
     table: TenantTable
     tenants: tuple[Tenant, ...]
 
 
-_HEALTH_STATUSES = {status.value: status for status in HealthStatus}  # a call of the enum takes 0.5 us
+_HEALTH_STATUSES = {status.value: status for status in HealthStatus}  # calling the enum class takes 0.5 us
 
 
-@dataclass(slots=True)  # made for each call: a frozen one takes twice the time
+@dataclass(slots=True)  # created for each call; not frozen, since that doubles the time to create one
 class ServerCall:
-    """A call to a server that is under way, and the use of the server's budget that it took, if any."""
+    """An open call to a server, with its use of the server's budget if there is one."""
 
     server: str
     budget: str | None
     budget_ticket: int | None
 
 
-def _encoded(texts: tuple[str, ...]) -> tuple[bytes, ...]:
+def _encode_texts(texts: tuple[str, ...]) -> tuple[bytes, ...]:
     return tuple(text.encode() for text in texts)
 
 
 class Peers:
-    """This worker in its fleet. It observes the core's requests and advises the AJP servers' executor.
+    """This worker as a member of its fleet.
+
+    It is a RequestObserver and LifecycleListener of the core, and selects servers for the AJP executor.
 
-    Raises PeersNotConfiguredError where the configuration has no table of peers.
+    Raises:
+        PeersNotConfiguredError: The configuration has no table [peers].
     """
 
     def __init__(
@@ -119,50 +137,50 @@
         self.core = core
         self._tick_cpu_s = 0.0
         number = time.time_ns() // NS_PER_MS
-        incarnation = Incarnation(config.name, number, secrets.randbits(MAX_BOOT_ID_BITS))
+        incarnation = Incarnation(config.name, number, secrets.randbits(BOOT_ID_BITS))
         settings = fleet_settings(config, self.config)
-        self.group = Group(settings, incarnation, time.monotonic(), secrets.randbits(MAX_BOOT_ID_BITS))
+        self.group = Group(settings, incarnation, time.monotonic(), secrets.randbits(BOOT_ID_BITS))
         self.transport = PeerTransport(
             loop,
             self.config.group,
-            _encoded(self.config.secrets),
+            _encode_texts(self.config.secrets),
             self._tick,
             self._on_message,
             log,
             open_socket,
         )
         self._event_log = PeerEventLog(log)
-        self._budgets = BudgetNames.of(self.config)
-        self._live_tenants: LiveTenants | None = None
+        self._budgets = BudgetNames.from_config(self.config)
+        self._fleet_tenants: FleetTenants | None = None
         self._calls: dict[int, ServerCall] = {}  # by ticket
         self._last_ticket = 0
         core.register_observer(self)
-        core.register_tenant_quotas(self.live_tenants)
+        core.register_tenant_quotas(self.fleet_tenants)
 
     def prepare(self, config: Config, tenants: TenantTable) -> Generator[None, None, Callable[[], None]]:
-        """What a configuration read again comes to; nothing changes before the call that it gives."""
-        budgets = BudgetNames.of(config.peers or self.config)
+        """Prepares a reload in steps; nothing changes before the returned function is called."""
+        budgets = BudgetNames.from_config(config.peers or self.config)
         fleet_size = config.settings.fleet_size
-        live_tenants = LiveTenants(tenants, self._with_budgets(tenants, budgets.by_tenant, fleet_size))
+        fleet_tenants = FleetTenants(tenants, self._apply_budgets(tenants, budgets.by_tenant, fleet_size))
         yield
-        return lambda: self._configure(config, live_tenants)
+        return lambda: self._configure(config, fleet_tenants)
 
-    def _configure(self, config: Config, live_tenants: LiveTenants) -> None:
-        self._live_tenants = live_tenants
+    def _configure(self, config: Config, fleet_tenants: FleetTenants) -> None:
+        self._fleet_tenants = fleet_tenants
         if config.peers is None:
             return
         self.config = config.peers
-        self.transport.secrets = _encoded(config.peers.secrets)
-        self._budgets = BudgetNames.of(config.peers)
+        self.transport.secrets = _encode_texts(config.peers.secrets)
+        self._budgets = BudgetNames.from_config(config.peers)
         self.group.reconfigure(fleet_settings(config, config.peers), time.monotonic())
 
-    # ---- time and messages
+    # ---- timer and messages
     def start(self) -> None:
-        """Takes part in the fleet once the address is free."""
+        """Joins the fleet as soon as the address can be bound."""
         self.transport.open(self.config.listen)
 
     def stop(self, reason: str) -> None:
-        """Gives all leases back and says goodbye; another process may take the address from then on."""
+        """Returns all leases, announces the departure and frees the address for another process."""
         if self.transport.is_open:
             self._send(self.group.leave(reason))
         self.transport.close()
@@ -170,65 +188,65 @@
     def _tick(self) -> None:
         if not self.transport.is_open:
             return
-        began = time.thread_time()
+        started_s = time.thread_time()
         now = time.monotonic()
         self._send(self.group.tick(now))
         self._event_log.update(self.group, time.monotonic())
-        self._tick_cpu_s += time.thread_time() - began
+        self._tick_cpu_s += time.thread_time() - started_s
         self.loop.call_later(TICK_S, self._tick)
 
     def _on_message(self, message: Message, source: str) -> None:
         self._send(self.group.receive(message, source, time.monotonic()))
 
     def send_to_extension(self, name: str, topic: str, data: bytes) -> None:
-        """Sends at once to one member's extension; as if lost where the member is not known."""
+        """Sends a message to a member's extension at once; drops it if the member is unknown."""
         self._send(self.group.send_to_extension(name, topic, data))
 
     def _send(self, messages: list[OutgoingMessage]) -> None:
         self.transport.send(self.group.incarnation, messages)
 
-    # ---- the core's observer
+    # ---- RequestObserver of the core
     def request_arrived(self, request: InboundRequest) -> None:
-        """Counts the demand for a tenant's budget, which the admission controller enforces."""
+        """Records the demand for the tenant's budget, which the admission controller enforces."""
         budget = self._budgets.by_tenant.get(request.tenant)
         if budget is not None:
             now = time.monotonic()
             wanted = self.group.shares[budget].meter.demand(now).wanted
             self.group.leases.record_demand(budget, wanted <= self.held_amount(budget), now)
 
-    def request_answered(self, request: InboundRequest, figure: str | None, _backoff: int) -> None:
-        """Counts the answer over the fleet."""
-        if figure is None:
+    def request_answered(self, request: InboundRequest, counter: str | None, _retry_after_ns: int) -> None:
+        """Adds the answer to the fleet's counters of its class and tenant."""
+        if counter is None:
             return
-        word = figure.removesuffix("_total")
-        self.group.counters.add(f"class/{request.request_class.name}/{word}")
+        counter_name = counter.removesuffix("_total")
+        self.group.counters.add(f"class/{request.request_class.name}/{counter_name}")
         if request.tenant is not None:
-            self.group.counters.add(f"tenant/{request.tenant}/{word}")
+            self.group.counters.add(f"tenant/{request.tenant}/{counter_name}")
 
-    # ---- the listener of the core
+    # ---- LifecycleListener of the core
     def health_changed(self, good: bool) -> None:
-        """Nothing: members are judged by their messages to each other."""
+        """Does nothing: members determine each other's state from their messages."""
 
-    def idle_timeout_changed(self, hold_for: int) -> None:
-        """Nothing: datagrams keep no connection."""
+    def idle_timeout_changed(self, idle_timeout_ns: int) -> None:
+        """Does nothing: datagrams have no connection."""
 
-    def shutdown_started(self, _remaining: int) -> None:
-        """Lets the others know."""
+    def shutdown_started(self, _remaining_ns: int) -> None:
+        """Announces to the other members that this worker leaves."""
         self.group.announce_leaving()
 
     # ---- budgets of tenants
     def held_amount(self, budget: str) -> int:
-        """The amount of a budget that this worker holds now."""
+        """Returns the amount of a budget that this worker holds now."""
         return self.group.leases.held_amount(budget, time.monotonic())
 
-    def live_tenants(self, tenants: TenantTable, fleet_size: int) -> tuple[Tenant, ...]:
-        """Tenants by position, for the admission controller: those with a budget have their part of it."""
-        prepared = self._live_tenants
+    def fleet_tenants(self, tenants: TenantTable, fleet_size: int) -> tuple[Tenant, ...]:
+        """Returns the tenants by position for the admission controller, with budgets as `FleetTenant`."""
+        prepared = self._fleet_tenants
         if prepared is not None and prepared.table is tenants:
             return prepared.tenants
-        return self._with_budgets(tenants, self._budgets.by_tenant, fleet_size)
+        return self._apply_budgets(tenants, self._budgets.by_tenant, fleet_size)
 
-    def _with_budgets(
+    def _apply_budgets(
         self, tenants: TenantTable, budgets: Mapping[str | None, str], fleet_size: int
     ) -> tuple[Tenant, ...]:
         if not budgets:
@@ -238,16 +256,16 @@
             position = tenants.positions.get(cast(str, name))
             if position is not None:
                 tenant = FleetTenant(by_position[position], self, budget, fleet_size)
-                by_position[position] = cast(Tenant, tenant)  # it has the same attributes
+                by_position[position] = cast(Tenant, tenant)  # duck-typed, see FleetTenant
         return tuple(by_position)
 
-    # ---- what the AJP servers' executor asks
+    # ---- server selection for the AJP executor
     def rank_servers(self, busy: Mapping[str, int]) -> list[str]:
-        """The servers to try, the best first; `busy` counts this worker's open calls at each."""
+        """Returns the servers to try, best first; `busy` has this worker's open calls by server."""
         return self.group.outliers.rank_services(busy, time.monotonic())
 
     def begin_call(self, server: str, request_class: str) -> int | None:
-        """A ticket for a call, or None where the budget of that server gives none now."""
+        """Returns a ticket for a call; None if the server's budget has no free slot now."""
         now = time.monotonic()
         budget = self._budgets.by_server.get(server)
         budget_ticket = None
@@ -261,30 +279,30 @@
         return self._last_ticket
 
     def end_call(self, ticket: int, outcome: "CallOutcome") -> None:
-        """The call of this ticket has ended."""
+        """Records the outcome of the call with this ticket and releases its slot of the budget."""
         call = self._calls.pop(ticket)
         if call.budget is not None and call.budget_ticket is not None:
             self.group.leases.release(call.budget, call.budget_ticket)
         self.group.outliers.call_completed(call.server, ticket, _HEALTH_STATUSES[outcome], time.monotonic())
 
     def max_call_s(self, server: str) -> float | None:
-        """How long a run at this server may take (s), where a budget of concurrent runs rests on it."""
+        """Returns the longest allowed run at this server (s); None without a budget of concurrent runs."""
         budget = self._budgets.by_server.get(server)
         return self.group.shares[budget].holder.budget.max_run_s if budget is not None else None
 
     def may_retry(self, server: str) -> bool:
-        """Whether a retry may go to this server now; it uses the fleet's retry budget."""
-        budget = self._budgets.by_retried_server.get(server) or self._budgets.by_retried_server.get(None)
+        """Returns whether this server may be sent a retry now, and takes it from the fleet's retry budget."""
+        budget = self._budgets.by_retry_server.get(server) or self._budgets.by_retry_server.get(None)
         return budget is not None and self.group.leases.acquire(budget, time.monotonic()) is not None
 
-    # ---- for operators
+    # ---- interface for operators
     @property
     def cpu_s(self) -> float:
-        """Processor time spent on peers."""
+        """Processor time spent on the peers' protocol (s)."""
         return self._tick_cpu_s + self.transport.receive_cpu_s
 
     def status_section(self) -> dict[str, Any]:
-        """This worker's view of the fleet, for `/status`."""
+        """Returns the section of `/status`: this worker's view of the fleet."""
         rejected = {reason.value: count for reason, count in self.transport.rejected_counts.items()}
         return status_view(self.group, time.monotonic()) | {
             "rejected": rejected,
@@ -296,5 +314,5 @@
         }
 
     def metrics_text(self) -> str:
-        """The metrics, as text."""
+        """Returns the metrics as text."""
         return peer_metrics(self.group, self.transport, time.monotonic())
