--- a/ochrehoist/net/agent_check.py
+++ b/ochrehoist/net/agent_check.py
@@ -1,4 +1,4 @@
-"""What load balancers ask about this worker: HAProxy's agent-check."""
+"""Server for HAProxy's agent-check, with which load balancers query the worker's state and weight."""
 
 import socket
 
@@ -10,10 +10,10 @@
 
 
 def agent_line(core: CoreActor) -> bytes:
-    """The worker's state as HAProxy reads it.
+    """Returns the worker's state in HAProxy's format.
 
-    The admission controller decides on health; its backpressure, and the fraction of its load that the worker
-    asks for, give the weight.
+    The admission controller decides on health. The weight is the product of its backpressure weight and the
+    fraction of load that the worker asks for.
     """
     if core.drain_started_ns is not None or core.standby or core.load_fraction <= 0:
         return b"drain\n"
@@ -23,7 +23,7 @@
 
 
 class AgentCheckServer(BaseServer):
-    """Sends one line to whoever connects, and closes. What the checker may send first is ignored."""
+    """Server that sends one line on each connection and closes it; any input is ignored."""
 
     PART_NAME = "AgentCheck"
 
@@ -35,7 +35,7 @@
         log: Logger,
         sock: socket.socket | None = None,
     ) -> None:
-        """Binds the address, as Acceptor does; raises OSError."""
+        """Binds the address; raises OSError like `Acceptor`."""
         self._core = core
         super().__init__(loop, address, log, sock)
 
--- a/ochrehoist/net/blocking_calls.py
+++ b/ochrehoist/net/blocking_calls.py
@@ -1,4 +1,4 @@
-"""A thread for calls that may block: they are made there in order, and their results given to the loop."""
+"""A thread for blocking calls: it makes them in order and delivers their results on the event loop."""
 
 import os
 import threading
@@ -10,58 +10,62 @@
 
 from ochrehoist.net.loop import Loop
 
-Done = Callable[[Any, Exception | None], None]
+DoneCallback = Callable[[Any, Exception | None], None]  # called with the result and the exception
 
 
 class _Call(NamedTuple):
-    call: Callable[[], Any]
-    done: Done
+    function: Callable[[], Any]
+    on_done: DoneCallback
 
 
-class _CallEnd(NamedTuple):
-    done: Done
+class _CompletedCall(NamedTuple):
+    on_done: DoneCallback
     result: Any
     error: Exception | None
 
 
 class BlockingCallThread:
-    """One daemon thread, and the queues to and from it."""
+    """A daemon thread with a queue of calls and a queue of results."""
 
     def __init__(self, loop: Loop, name: str) -> None:
         self._loop = loop
-        self._calls: SimpleQueue[_Call | None] = SimpleQueue()
-        self._ends: deque[_CallEnd] = deque()
+        self._calls: SimpleQueue[_Call | None] = SimpleQueue()  # None ends the thread
+        self._completed_calls: deque[_CompletedCall] = deque()
         self._wake_fd = os.eventfd(0, os.EFD_NONBLOCK | os.EFD_CLOEXEC)
         loop.on_readable(self._wake_fd, self.deliver)
         self._thread = threading.Thread(target=self._run, name=name, daemon=True)
         self._thread.start()
 
-    def submit(self, call: Callable[[], Any], done: Done) -> None:
-        """Makes the call on the thread; `done` then gets its result or its exception, on the loop."""
+    def submit(self, call: Callable[[], Any], done: DoneCallback) -> None:
+        """Makes `call` on the thread, then calls `done` on the loop with its result and its exception."""
         self._calls.put(_Call(call, done))
 
     def _run(self) -> None:
-        while (item := self._calls.get()) is not None:
+        while (next_call := self._calls.get()) is not None:
             try:
-                end = _CallEnd(item.done, item.call(), None)
-            except Exception as error:  # the caller's to handle
-                end = _CallEnd(item.done, None, error)
-            self._ends.append(end)
+                completed_call = _CompletedCall(next_call.on_done, next_call.function(), None)
+            except Exception as error:  # passed to the callback
+                completed_call = _CompletedCall(next_call.on_done, None, error)
+            self._completed_calls.append(completed_call)
             os.eventfd_write(self._wake_fd, 1)
 
     def deliver(self) -> None:
-        """Gives the results that are there to their callers, on the thread of the loop."""
+        """Calls the callbacks of completed calls; must run on the thread of the loop."""
         with suppress(BlockingIOError):
             os.eventfd_read(self._wake_fd)
-        while self._ends:
-            end = self._ends.popleft()
+        while self._completed_calls:
+            completed_call = self._completed_calls.popleft()
             try:
-                end.done(end.result, end.error)
+                completed_call.on_done(completed_call.result, completed_call.error)
             except Exception:
                 self._loop.log.exception("blocking_call_callback_fault")
 
     def close(self, timeout_s: float) -> bool:
-        """Ends the thread once all calls are made, and delivers their results; whether that was in time."""
+        """Ends the thread after all submitted calls and delivers their results.
+
+        Returns:
+            Whether the thread ended within `timeout_s`.
+        """
         self._calls.put(None)
         self._thread.join(timeout_s)
         self.deliver()
--- a/ochrehoist/net/operator_server.py
+++ b/ochrehoist/net/operator_server.py
@@ -1,4 +1,4 @@
-"""The operators' address: HTTP/1.1, one call to a connection. The only operator surface of the worker."""
+"""HTTP/1.1 server and client of the worker's operator API, with one request per connection."""
 
 import json
 import socket
@@ -14,14 +14,14 @@
 from ochrehoist.net.loop import Loop
 from ochrehoist.net.stream import ConnectionClosedError, Stream, StreamTimeoutError
 
-CALL_TIMEOUT_S = 2.5  # for a whole call: the silent and the half-sent must not keep their places
-MIN_AGE_S = 0.2  # that a connection has before it may be evicted
+REQUEST_TIMEOUT_S = 2.5  # for the whole request, so that idle and incomplete ones don't occupy connections
+MIN_EVICTION_AGE_S = 0.2  # before an open connection may be evicted
 MAX_HEAD_BYTES = 8192
-MAX_BODY_BYTES = 4096  # read and ignored: no call takes any
+MAX_BODY_BYTES = 4096  # bodies are read and ignored, since no route uses one
 MAX_LENGTH_DIGITS = 10
 METHODS = frozenset({"GET", "HEAD", "POST", "PUT", "DELETE", "OPTIONS", "PATCH", "TRACE", "CONNECT"})
 HEAD_END = b"\r\n\r\n"
-BARE_HEAD_END = b"\n\n"
+LF_HEAD_END = b"\n\n"
 LONGEST_METHOD_AND_SPACE = 8
 REQUEST_LINE_PARTS = 3
 CLIENT_TIMEOUT_S = 5.0
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True)
 class Answer:
-    """What a call is answered with."""
+    """The response to a request."""
 
     status: HTTPStatus
     body: bytes
@@ -39,12 +39,12 @@
 
 
 def json_answer(values: Mapping[str, Any], status: HTTPStatus = HTTPStatus.OK) -> Answer:
-    """An answer with a JSON object."""
+    """Returns a response whose body is a JSON object."""
     return Answer(status, json.dumps(values).encode() + b"\n")
 
 
 class CallRejectedError(OchrehoistError):
-    """A call that can't be carried out, and the status that says why."""
+    """A request that is rejected with `status`."""
 
     def __init__(self, status: HTTPStatus, reason: str) -> None:
         super().__init__(reason)
@@ -52,24 +52,27 @@
 
 
 class NoAnswerError(OchrehoistError, OSError):
-    """What answered a call does not speak HTTP."""
+    """The server's answer to a request is no HTTP response."""
 
     def __init__(self, cause: Exception) -> None:
-        super().__init__(f"no HTTP answer: {cause!r}")
+        super().__init__(f"invalid HTTP response: {cause!r}")
 
 
 class RequestLine(NamedTuple):
-    """What a call asks for."""
+    """Method and path of a request."""
 
     method: str
     path: str
 
 
-Calls = Mapping[str, Mapping[str, Callable[[], Answer]]]  # by path, then by method
+Routes = Mapping[str, Mapping[str, Callable[[], Answer]]]  # handlers by path, then by method
 
 
 class OperatorServer(BaseServer):
-    """Carries out `calls`. Each is answered in the turn of the loop in which it has arrived whole."""
+    """Server that calls the handlers of `routes`.
+
+    A request is answered within the loop iteration in which it has arrived completely.
+    """
 
     PART_NAME = "Operators"
 
@@ -77,12 +80,12 @@
         self,
         loop: Loop,
         address: tuple[str, int],
-        calls: Calls,
+        routes: Routes,
         log: Logger,
         sock: socket.socket | None = None,
     ) -> None:
-        """Binds the address, as Acceptor does; raises OSError."""
-        self._calls = calls
+        """Binds the address; raises OSError like `Acceptor`."""
+        self._routes = routes
         self._opened_at_s: dict[Stream, float] = {}
         super().__init__(loop, address, log, sock, self._evict)
 
@@ -95,12 +98,15 @@
         self._opened_at_s.pop(stream, None)
 
     def _evict(self) -> bool:
-        """Closes the connection that has said least for longest, never one whose call has arrived whole."""
-        before_s = time.monotonic() - MIN_AGE_S
+        """Closes one connection, but none whose request has arrived completely; returns whether it did.
+
+        Half-closed connections are preferred, then those that sent nothing, then the oldest.
+        """
+        opened_before_s = time.monotonic() - MIN_EVICTION_AGE_S
         candidates = [
             stream
             for stream, opened_at_s in self._opened_at_s.items()
-            if stream.half_closed or (opened_at_s < before_s and not stream.unsent)
+            if stream.half_closed or (opened_at_s < opened_before_s and not stream.unsent)
         ]
         return evict_one(
             candidates,
@@ -114,7 +120,7 @@
         try:
             request = read_request_line(stream)
             head_only = request.method == "HEAD"
-            answer = self._carry_out(request)
+            answer = self._handle_request(request)
         except CallRejectedError as error:
             answer = json_answer({"error": str(error)}, error.status)
         except (ConnectionClosedError, StreamTimeoutError):
@@ -129,58 +135,60 @@
         )
         stream.write(head.encode() + (b"" if head_only else answer.body))
 
-    def _carry_out(self, request: RequestLine) -> Answer:
-        by_method = self._calls.get(request.path)
-        if by_method is None:
-            known = ", ".join(sorted(self._calls))
-            raise CallRejectedError(HTTPStatus.NOT_FOUND, f"no such path; there are {known}")
-        call = by_method.get("GET" if request.method == "HEAD" else request.method)
-        if call is None:
-            allowed = ", ".join([*by_method, *(["HEAD"] if "GET" in by_method else [])])
+    def _handle_request(self, request: RequestLine) -> Answer:
+        handlers = self._routes.get(request.path)
+        if handlers is None:
+            known_paths = ", ".join(sorted(self._routes))
+            raise CallRejectedError(HTTPStatus.NOT_FOUND, f"no such path; known paths: {known_paths}")
+        handler = handlers.get("GET" if request.method == "HEAD" else request.method)
+        if handler is None:
+            allowed = ", ".join([*handlers, *(["HEAD"] if "GET" in handlers else [])])
             answer = json_answer({"error": "method not allowed"}, HTTPStatus.METHOD_NOT_ALLOWED)
             answer.extra_headers = f"Allow: {allowed}\r\n"
             return answer
-        return call()
+        return handler()
 
 
-# ---- reading a call
+# ---- reading a request
 
 
 def read_request_line(stream: Stream) -> RequestLine:
-    """Method and path of one call, once it has arrived whole.
+    """Reads one request completely, with its body, and returns its method and path.
 
     Raises:
-        CallRejectedError: it is no call.
-        ConnectionClosedError: it was cut off.
-        StreamTimeoutError: it takes too long.
+        CallRejectedError: The request is malformed or too long.
+        ConnectionClosedError: The connection ended before the request was complete.
+        StreamTimeoutError: The request did not arrive within REQUEST_TIMEOUT_S.
     """
-    deadline_s = time.monotonic() + CALL_TIMEOUT_S
+    deadline_s = time.monotonic() + REQUEST_TIMEOUT_S
     head = _read_head(stream, deadline_s)
     line, *fields = head.split("\n")
     parts = line.split(" ")
     if len(parts) != REQUEST_LINE_PARTS or not parts[2].startswith("HTTP/1.") or parts[0] not in METHODS:
-        raise CallRejectedError(HTTPStatus.BAD_REQUEST, "not an HTTP/1.1 call")
+        raise CallRejectedError(HTTPStatus.BAD_REQUEST, "not an HTTP/1.1 request")
     body_bytes = _body_length(fields)
     if body_bytes > MAX_BODY_BYTES:
-        raise CallRejectedError(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, "no call takes so much")
+        raise CallRejectedError(
+            HTTPStatus.REQUEST_ENTITY_TOO_LARGE, f"request body longer than {MAX_BODY_BYTES} bytes"
+        )
     stream.read_exactly(body_bytes, deadline_s)
     return RequestLine(parts[0], _path(parts[1]))
 
 
 def _read_head(stream: Stream, deadline_s: float) -> str:
-    """Request line and fields, with bare line ends."""
+    """Reads the request line and the header fields; returns them with LF line ends."""
     buffer = stream.buffer
-    while (end := buffer.find(HEAD_END)) < 0 and buffer.find(BARE_HEAD_END) < 0:
+    while (end := buffer.find(HEAD_END)) < 0 and buffer.find(LF_HEAD_END) < 0:
         if len(buffer) > MAX_HEAD_BYTES:
-            raise CallRejectedError(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "the head is too long")
+            raise CallRejectedError(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "request head too long")
         method = buffer[:LONGEST_METHOD_AND_SPACE].split(b" ")[0]
         if method and not (method.isalpha() and method.isupper()):
-            raise CallRejectedError(HTTPStatus.BAD_REQUEST, "not an HTTP call")
+            raise CallRejectedError(HTTPStatus.BAD_REQUEST, "not an HTTP request")
         stream.read_more(deadline_s)
     if end < 0:
-        end = buffer.find(BARE_HEAD_END)
+        end = buffer.find(LF_HEAD_END)
     head = stream.read_exactly(end).decode("latin-1").replace("\r\n", "\n")
-    stream.read_exactly(len(HEAD_END) if buffer.startswith(b"\r\n") else len(BARE_HEAD_END))
+    stream.read_exactly(len(HEAD_END) if buffer.startswith(b"\r\n") else len(LF_HEAD_END))
     return head
 
 
@@ -189,33 +197,37 @@
     for field in fields:
         name, colon, value = field.partition(":")
         if not colon or not name or name != name.strip():
-            raise CallRejectedError(HTTPStatus.BAD_REQUEST, "a header field that can't be read")
+            raise CallRejectedError(HTTPStatus.BAD_REQUEST, "malformed header field")
         if name.lower() == "transfer-encoding":
-            raise CallRejectedError(HTTPStatus.BAD_REQUEST, "a body without a length")
+            raise CallRejectedError(HTTPStatus.BAD_REQUEST, "request body without Content-Length")
         if name.lower() == "content-length":
             value = value.strip()
             if not (value.isascii() and value.isdigit()):
-                raise CallRejectedError(HTTPStatus.BAD_REQUEST, "a length that is no number")
+                raise CallRejectedError(HTTPStatus.BAD_REQUEST, "Content-Length is not a number")
             length = int(value[:MAX_LENGTH_DIGITS])
     return length
 
 
 def _path(target: str) -> str:
-    if target.startswith("http://"):  # the absolute form, as to a proxy
+    if target.startswith("http://"):  # absolute form, as sent to proxies
         target = "/" + target.removeprefix("http://").partition("/")[2]
     if not target.startswith("/"):
-        raise CallRejectedError(HTTPStatus.BAD_REQUEST, "not a path")
+        raise CallRejectedError(HTTPStatus.BAD_REQUEST, "request target is not a path")
     return target.partition("?")[0]
 
 
-# ---- the operators' side
+# ---- client
 
 
 def call_operator_api(
     address: tuple[str, int], method: str, path: str, timeout_s: float = CLIENT_TIMEOUT_S
 ) -> tuple[bool, str]:
-    """Calls a worker: whether it says yes, and its text. Raises OSError where there is none."""
-    import http.client  # only here: the worker itself has no need of so much memory
+    """Sends a request to a worker; returns whether it succeeded and the text of the response.
+
+    Raises:
+        OSError: The worker cannot be reached, or its response is invalid.
+    """
+    import http.client  # imported here to save memory in the worker, which does not use it
 
     connection = http.client.HTTPConnection(*address, timeout=timeout_s)
     try:
--- a/ochrehoist/net/process_shutdown.py
+++ b/ochrehoist/net/process_shutdown.py
@@ -1,4 +1,4 @@
-"""How a process ends without losing a request: on SIGTERM, or because another one has replaced it."""
+"""Graceful shutdown of a process, without losing requests: on SIGTERM, or after its replacement."""
 
 from __future__ import annotations
 
@@ -18,42 +18,43 @@
     from ochrehoist.core.protocols import Logger
 
 MS_PER_S = 1000
-QUIET_S = 0.05  # without an open request before a process ends
-KILL_MARGIN_S = 0.1  # before it would be killed; the core answers what is left a little earlier still
-ACCEPT_MARGIN_S = 0.3  # before that, at which the listening sockets are closed at the latest
-MAX_RETIREMENT_S = 3.0  # that a replaced process has for the deadline of its slowest class, and
-RETIREMENT_GRACE_S = 0.5  # more, before it would be killed
-FINAL_ANSWER_MARGIN_S = 0.2  # before that, at which what is still open is failed
+IDLE_BEFORE_EXIT_S = 0.05  # without requests and connections, after which the process ends
+# Draining ends this long before the process would be killed. The core answers the rest a little earlier.
+KILL_MARGIN_S = 0.1
+ACCEPT_MARGIN_S = 0.3  # the listening sockets are closed at least this long before draining ends
+MAX_RETIREMENT_S = 3.0  # limits the time of a replaced process, which is the longest deadline of a class
+RETIREMENT_GRACE_S = 0.5  # added to that time, before the replaced process ends
+FINAL_ANSWER_MARGIN_S = 0.2  # open requests of a replaced process fail this long before it ends
 POLL_INTERVAL_S = 0.01
 MIN_SLEEP_S = 0.001
 MAX_SLEEP_S = 0.05
-CLOSING_S = 0.04  # at the end, in which open connections take their last answers and close
+CLOSE_TIMEOUT_S = 0.04  # for open connections to send their last answers and close
 
-OpenConnections = Mapping[str, int]  # by the name of the front
+OpenConnections = Mapping[str, int]  # by name of the front
 
 
 class DrainableFront(Protocol):
-    """What is needed of a front."""
+    """Interface of a front that can be drained."""
 
     PART_NAME: str
     acceptor: Acceptor
 
     @property
     def connections(self) -> Collection[FrontConnection]:
-        """Those that are open."""
+        """The open connections."""
         ...
 
     def end_idle(self) -> None:
-        """Ends connections on which nothing is asked."""
+        """Closes connections without an open request."""
         ...
 
     def retire(self) -> None:
-        """Another process takes what comes from now on, or nobody."""
+        """Begins to drain: new connections go to the successor, or are refused."""
         ...
 
 
 class ProcessShutdown:
-    """Ends the process once all that it has read is answered, or its time is over."""
+    """Ends the process once all requests that it has read are answered, or its time is over."""
 
     def __init__(
         self,
@@ -63,7 +64,7 @@
         timeout_ms: int,
         log: Logger,
     ) -> None:
-        """`timeout_ms`: from SIGTERM until the process is killed."""
+        """Creates the shutdown; the process is killed `timeout_ms` after SIGTERM."""
         self._loop = loop
         self._core = core
         self._fronts = fronts
@@ -72,10 +73,10 @@
         self._requested_at_s: float | None = None
 
     def request(self) -> None:
-        """Handles SIGTERM. A process that was replaced is ending already, and tells nobody."""
+        """Handles SIGTERM: announces the shutdown and drains. A replaced process is ending already."""
         if self._requested_at_s is not None or self._core.forwarder is not None:
             return
-        # The time counts from the signal, which came after the loop last polled.
+        # The time-out counts from the signal, which arrived at the earliest when the loop last polled.
         self._requested_at_s = self._loop.polled_at_s
         age_ns = int((time.monotonic() - self._requested_at_s) * NS_PER_S)
         self._log.info(
@@ -88,9 +89,9 @@
         self._loop.spawn(self._drain, self._requested_at_s)
 
     def retire(self, report_connections: Callable[[OpenConnections], None]) -> None:
-        """Another process decides now: ends as soon as nothing is left that only this one can do.
+        """Ends this process, which is replaced, once its connections and forwarded requests are done.
 
-        `report_connections` is called with each change of how many connections are open.
+        `report_connections` is called whenever the number of open connections of a front changes.
         """
         for front in self._fronts:
             front.acceptor.stop(leave_backlog=True)
@@ -98,35 +99,35 @@
         self._loop.spawn(self._retire, report_connections, self._core.forwarder)
 
     def _drain(self, requested_at_s: float) -> None:
-        """Answers all that was read, and ends as soon as no request can come any more."""
+        """Answers all requests that were read, and ends the process once no more can arrive."""
         core = self._core
         deadline_s = requested_at_s + self._timeout_ms / MS_PER_S - KILL_MARGIN_S
-        # What comes later would not be run: from then on a refused connection tells as much.
+        # Later requests would not be run, so their connections are refused.
         accept_until_s = min(
             requested_at_s + core.settings.drain_grace_ns / NS_PER_S, deadline_s - ACCEPT_MARGIN_S
         )
         while time.monotonic() < accept_until_s and core.forwarder is None:
             remaining_s = accept_until_s - time.monotonic()
             self._loop.sleep(min(MAX_SLEEP_S, max(MIN_SLEEP_S, remaining_s)))
-        if core.forwarder is not None:  # replaced meanwhile
+        if core.forwarder is not None:  # another process has replaced this one
             return
         for front in self._fronts:
             front.acceptor.stop()
             front.retire()
-        self._wait_until_quiet(deadline_s, lambda: bool(core.unanswered or core.inbox))
+        self._wait_until_idle(deadline_s, lambda: bool(core.unanswered or core.inbox))
         if core.forwarder is None:
             self._close_all()
 
     def _retire(self, report_connections: Callable[[OpenConnections], None], forwarder: Forwarder) -> None:
-        longest_ns = max(request_class.deadline_ns for request_class in self._core.settings.classes)
-        time_left_s = min(longest_ns / NS_PER_S, MAX_RETIREMENT_S) + RETIREMENT_GRACE_S
-        # What has no answer by then would end with this process, and its caller get nothing.
-        answer_within_ns = int((time_left_s - FINAL_ANSWER_MARGIN_S) * NS_PER_S)
+        longest_deadline_ns = max(request_class.deadline_ns for request_class in self._core.settings.classes)
+        remaining_s = min(longest_deadline_ns / NS_PER_S, MAX_RETIREMENT_S) + RETIREMENT_GRACE_S
+        # Requests still open then fail, since their callers get no answer once this process has ended.
+        answer_within_ns = int((remaining_s - FINAL_ANSWER_MARGIN_S) * NS_PER_S)
         forwarder.set_process_end(self._core.clock() + answer_within_ns)
         reported: OpenConnections | None = None
 
         def is_busy() -> bool:
-            """Whether something is left to do; reports open connections on the way."""
+            """Returns whether requests are open; also reports changed numbers of connections."""
             nonlocal reported
             connections = {front.PART_NAME: len(front.connections) for front in self._fronts}
             if connections != reported:
@@ -134,16 +135,16 @@
                 report_connections(connections)
             return bool(forwarder.pending or self._core.inbox)
 
-        self._wait_until_quiet(time.monotonic() + time_left_s, is_busy)
+        self._wait_until_idle(time.monotonic() + remaining_s, is_busy)
         self._close_all()
 
-    def _wait_until_quiet(self, deadline_s: float, is_busy: Callable[[], bool]) -> None:
-        quiet_s = 0.0
-        while time.monotonic() < deadline_s and quiet_s < QUIET_S:
+    def _wait_until_idle(self, deadline_s: float, is_busy: Callable[[], bool]) -> None:
+        idle_s = 0.0
+        while time.monotonic() < deadline_s and idle_s < IDLE_BEFORE_EXIT_S:
             for front in self._fronts:
                 front.end_idle()
             busy = is_busy() or self._has_connections()
-            quiet_s = 0.0 if busy else quiet_s + POLL_INTERVAL_S
+            idle_s = 0.0 if busy else idle_s + POLL_INTERVAL_S
             self._loop.sleep(POLL_INTERVAL_S)
 
     def _has_connections(self) -> bool:
@@ -153,12 +154,13 @@
         return [connection for front in self._fronts for connection in front.connections]
 
     def _close_all(self) -> None:
-        """Ends the process.
+        """Closes all connections and stops the loop, which ends the process.
 
-        What it left to the system would be reset where bytes are unread, and take answers with it: so what is
-        here is answered, then each connection is shut down, drained and closed.
+        The system resets a connection that is closed with unread bytes, and answers in transit are lost with
+        it. So available input is read and answered first; then each connection is shut down, drained and
+        closed.
         """
-        deadline_s = time.monotonic() + CLOSING_S
+        deadline_s = time.monotonic() + CLOSE_TIMEOUT_S
         for front in self._fronts:
             front.acceptor.stop(leave_backlog=True)
         for connection in self._open_connections():
--- a/ochrehoist/net/recovery.py
+++ b/ochrehoist/net/recovery.py
@@ -1,4 +1,4 @@
-"""Follows the start of one worker up to full service, on the loop's clock. Loaded only with [recovery]."""
+"""Tracks the start of a worker up to full service. Loaded only if the configuration has [recovery]."""
 
 from __future__ import annotations
 
@@ -19,18 +19,18 @@
 from ochrehoist.recovery.startup_progress import ReadinessFacts, StartupProgress, StartupStage
 from ochrehoist.units import NS_PER_S
 
-if TYPE_CHECKING:  # loaded only where their tables are
+if TYPE_CHECKING:  # at run time these are loaded only if the configuration has their tables
     from ochrehoist.net.ajp_server import AjpServers
     from ochrehoist.net.peers import Peers
 
 TICK_INTERVAL_S = 0.1
-MIN_UNKNOWN_HOLD_S = 0.1  # that is told while the history is unknown, however short the journal's hold
+MIN_UNKNOWN_HOLD_S = 0.1  # lowest hold time reported while the history is unknown
 CLOSE_TIMEOUT_S = 0.5
 RESTART_RECORD_FILE = "restarts.jsonl"
 
 
 class RecoveryMonitor:
-    """The core's RequestObserver, and what operators see of a start."""
+    """RequestObserver that tracks the stages of a start, reports them to operators and records them."""
 
     def __init__(
         self,
@@ -96,7 +96,7 @@
         return self._peers.group.members.established
 
     def _services_answer(self) -> bool | None:
-        """None unless a connection to one of them failed since the start."""
+        """Returns whether requests are answered; None if no connection to a server failed since the start."""
         if self._servers is None:
             return None
         if not self._servers.was_unreachable_since(self._progress.started_at):
@@ -104,7 +104,7 @@
         return self._service_level.good_ratio() not in (None, 0.0)
 
     def _record_start(self, now: float) -> None:
-        """A line in the folder for each start: how long it took, and which stage was longest."""
+        """Logs the summary of the start and appends it to the record file, if there is a state folder."""
         summary = self._progress.summary(now)
         self._log.info("startup_complete", **summary)
         if self._record_writer is None:
@@ -117,10 +117,10 @@
         with self._record_path.open("a", encoding="utf-8") as file:
             file.write(line)
 
-    # The core's observer.
+    # ---- RequestObserver of the core
 
     def request_arrived(self, request: InboundRequest) -> None:
-        """Nothing is measured before the answer."""
+        """Does nothing: requests are counted when they are answered."""
 
     def request_answered(
         self,
@@ -128,21 +128,21 @@
         counter: RequestCounter | None,
         retry_after_ns: int,  # noqa: ARG002
     ) -> None:
-        """Counts what the caller got; one that left got nothing."""
+        """Counts the outcome for the caller; a `counter` of None means that the caller disconnected."""
         if counter is None:
             return
         self._service_level.count(self._outcome(request, counter), time.monotonic())
 
     def _outcome(self, request: InboundRequest, counter: RequestCounter) -> ServiceOutcome:
         if counter is RequestCounter.ANSWERED:
-            due_ns = request.arrived_ns + request.request_class.latency_objective_ns
-            return ServiceOutcome.LATE if self._core.now_ns > due_ns else ServiceOutcome.GOOD
+            objective_end_ns = request.arrived_ns + request.request_class.latency_objective_ns
+            return ServiceOutcome.LATE if self._core.now_ns > objective_end_ns else ServiceOutcome.GOOD
         return ServiceOutcome.REJECTED if counter is RequestCounter.REJECTED else ServiceOutcome.FAILED
 
-    # What operators call.
+    # ---- interface for operators
 
     def skip(self, stage_name: str) -> str:
-        """Goes on without a stage; the text says so. Raises ValueError where there is no such stage."""
+        """Skips a stage and returns a confirmation; raises ValueError if there is no such stage."""
         stage = StartupStage(stage_name)
         self._progress.skip(stage)
         if stage is StartupStage.LOST and self._journal is not None:
@@ -151,7 +151,7 @@
         return f"{stage} is skipped"
 
     def status_section(self) -> dict[str, Any]:
-        """For `/status`."""
+        """Returns the section of `/status`."""
         now = time.monotonic()
         current = self._progress.current
         return {
@@ -169,7 +169,7 @@
         }
 
     def metrics_text(self) -> str:
-        """The metrics as text."""
+        """Returns the metrics as text."""
         now = time.monotonic()
         current = self._progress.current.stage
         durations = dict.fromkeys(StartupStage, 0.0)
@@ -190,6 +190,6 @@
         )
 
     def close(self) -> None:
-        """Waits a moment for a record that is still to be written."""
+        """Waits up to CLOSE_TIMEOUT_S for a record that is not written yet."""
         if self._record_writer is not None:
             self._record_writer.close(CLOSE_TIMEOUT_S)
--- a/ochrehoist/net/self_monitoring.py
+++ b/ochrehoist/net/self_monitoring.py
@@ -1,6 +1,6 @@
-"""Self-monitoring: samples this process ten times a second for overload control, and tells operators of it.
+"""Self-monitoring: samples the load of this process for overload control and for operators.
 
-Imported only where the configuration has a table [overload].
+Loaded only if the configuration has the table [overload].
 """
 
 import os
@@ -22,16 +22,17 @@
 from ochrehoist.overload.overload_detector import SAMPLE_INTERVAL_S, LoadSample
 
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
-STATM_BYTES = 64  # more than the file's first two fields take
-LOG_INTERVAL_S = 5.0  # between two lines of the log while the worker is overloaded
-SAMPLED_CONNECTIONS = 64  # whose unread bytes are asked for in a sample
+STATM_READ_BYTES = 64  # enough for the first two fields of the file
+LOG_INTERVAL_S = 5.0  # between two log lines while the worker stays overloaded
+MAX_SAMPLED_CONNECTIONS = 64  # unread bytes are counted on this many connections in each sample
 MIN_INTERVAL_S = 1e-3
 
 
 class SelfMonitor:
-    """Measures the event loop, processor time, memory and unread bytes of one worker.
+    """Sampler of the event loop, processor time, memory and unread bytes of one worker.
 
-    It feeds the detector of `control`, refills early rejection, and logs when overload begins and ends.
+    Passes samples to the detector of `control`, ends the intervals of early rejection, and logs when overload
+    begins and ends.
     """
 
     def __init__(
@@ -48,13 +49,13 @@
         self._fronts = fronts
         self._log = log
         self._cpu_s = time.process_time()
-        self._busy_s = 0.0  # since the last sample, as the loop's delay
-        self._loop_delay_s = 0.0
-        self._sampled_s = time.monotonic()
-        self._logged_s = self._sampled_s
+        self._busy_s = 0.0  # total duration of the loop's iterations since the last sample
+        self._loop_delay_s = 0.0  # longest delay of the loop since the last sample
+        self._sampled_at_s = time.monotonic()
+        self._logged_at_s = self._sampled_at_s
         self._logged_overloaded = False
-        self._statm = os.open("/proc/self/statm", os.O_RDONLY)
-        self._first_connection = 0  # of those whose unread bytes are asked for
+        self._statm_fd = os.open("/proc/self/statm", os.O_RDONLY)
+        self._first_connection = 0  # position of the first connection in the last sample
         self._runs_started = 0
         core.instrument_step(partial(control.timings.timed, "deciding"))
         core.responses.instrument_send(partial(control.timings.timed, "answering"))
@@ -64,7 +65,7 @@
         loop.call_later(SAMPLE_INTERVAL_S, self._sample)
 
     def status_section(self) -> dict[str, Any]:
-        """For operators, under the published status keys."""
+        """Returns the section of `/status`."""
         control = self.control
         values = {
             "loop": control.detector.status_section(),
@@ -74,11 +75,11 @@
         }
         if control.early_rejection is not None:
             values["admission"] = control.early_rejection.status_section()
-            values["door"] = values["admission"]  # its older name: tools may read it
+            values["door"] = values["admission"]  # former key, kept for tools that read it
         return values
 
     def metrics_text(self) -> str:
-        """Lines of the metrics page, beside the platform's fixed names."""
+        """Returns the metrics as text, in addition to those whose names the platform defines."""
         detector = self.control.detector
         affordable = detector.affordable_per_s
         values: dict[str, list[tuple[str, float]]] = {
@@ -100,17 +101,21 @@
         return format_samples(values)
 
     def close(self) -> None:
-        """Gives back its descriptor."""
-        os.close(self._statm)
+        """Closes the descriptor of /proc/self/statm."""
+        os.close(self._statm_fd)
 
     # ---- sampling
     def _record_iteration(self, duration_s: float, timer_delay_s: float) -> None:
-        """One iteration of the loop: the last of what could run waited for all of it, or a timer was late."""
+        """Records an iteration of the loop.
+
+        The delay is the duration of the iteration, for which its last task had to wait, or the lateness of a
+        timer if that is longer.
+        """
         self._busy_s += duration_s
         delay_s = max(duration_s, timer_delay_s)
         if delay_s > self._loop_delay_s:
             self._loop_delay_s = delay_s
-        self.control.detector.delays.add(self._sampled_s, delay_s)
+        self.control.detector.delays.add(self._sampled_at_s, delay_s)
 
     def _sample(self) -> None:
         now_s = time.monotonic()
@@ -119,9 +124,9 @@
         self._loop.call_later(SAMPLE_INTERVAL_S, self._sample)
 
     def _take_sample(self, now_s: float) -> LoadSample:
-        """What was counted since the last sample, which is counted anew from now on."""
+        """Returns the load since the last sample and resets the counts."""
         cpu_s = time.process_time()
-        interval_s = max(MIN_INTERVAL_S, now_s - self._sampled_s)
+        interval_s = max(MIN_INTERVAL_S, now_s - self._sampled_at_s)
         admitted = rejected = 0
         if self.control.early_rejection is not None:
             counts = self.control.early_rejection.end_interval(SAMPLE_INTERVAL_S)
@@ -132,7 +137,7 @@
             at_s=now_s,
             cpu_s=cpu_s - self._cpu_s,
             busy_s=self._busy_s,
-            # A sample that comes late is itself what waited.
+            # A late sample is itself a delay of the loop.
             loop_delay_s=max(self._loop_delay_s, interval_s - SAMPLE_INTERVAL_S),
             admitted=admitted,
             rejected=rejected,
@@ -140,7 +145,7 @@
             unread_bytes=self._unread_bytes(),
             runs_started=runs_started - self._runs_started,
         )
-        self._sampled_s = now_s
+        self._sampled_at_s = now_s
         self._cpu_s = cpu_s
         self._runs_started = runs_started
         self._busy_s = 0.0
@@ -148,11 +153,11 @@
         return sample
 
     def _resident_bytes(self) -> int:
-        resident_pages = os.pread(self._statm, STATM_BYTES, 0).split()[1]
+        resident_pages = os.pread(self._statm_fd, STATM_READ_BYTES, 0).split()[1]
         return int(resident_pages) * PAGE_BYTES
 
     def _unread_bytes(self) -> int:
-        """Bytes in the sockets' receive buffers: of some connections in turn, extrapolated to all."""
+        """Estimates the bytes in all sockets' receive buffers, from some connections in rotation."""
         connections = [
             connection
             for front in self._fronts
@@ -161,24 +166,24 @@
         ]
         if not connections:
             return 0
-        self._first_connection = (self._first_connection + SAMPLED_CONNECTIONS) % len(connections)
+        self._first_connection = (self._first_connection + MAX_SAMPLED_CONNECTIONS) % len(connections)
         start = self._first_connection
-        sampled = (connections[start:] + connections[:start])[:SAMPLED_CONNECTIONS]
-        unread = 0
+        sampled = (connections[start:] + connections[:start])[:MAX_SAMPLED_CONNECTIONS]
+        sampled_bytes = 0
         for connection in sampled:
             try:
-                unread += unpack("i", ioctl(connection.stream.fd, FIONREAD, b"\0\0\0\0"))[0]
-            except OSError:  # it was closed a moment ago
+                sampled_bytes += unpack("i", ioctl(connection.stream.fd, FIONREAD, b"\0\0\0\0"))[0]
+            except OSError:  # the socket is closed
                 continue
-        return unread * len(connections) // len(sampled)
+        return sampled_bytes * len(connections) // len(sampled)
 
     def _log_state(self, now_s: float) -> None:
-        """Logs each change at once, and while overloaded a line now and then."""
+        """Logs each change of the state at once, and a reminder every LOG_INTERVAL_S while overloaded."""
         overloaded = self.control.detector.overloaded
-        reminder_due = overloaded and now_s - self._logged_s > LOG_INTERVAL_S
+        reminder_due = overloaded and now_s - self._logged_at_s > LOG_INTERVAL_S
         if overloaded == self._logged_overloaded and not reminder_due:
             return
-        self._logged_s = now_s
+        self._logged_at_s = now_s
         self._logged_overloaded = overloaded
         rejection = self.control.early_rejection
         self._log.warning(
@@ -188,7 +193,7 @@
         )
 
     def _memory_by_use(self) -> dict[str, int]:
-        """Bytes by what holds them, as far as each knows its own, and some counts."""
+        """Returns bytes by use, as far as they are known, and counts of requests and keys."""
         connections = [connection for front in self._fronts for connection in front.connections]
         core = self._core
         return {
--- a/ochrehoist/net/sites.py
+++ b/ochrehoist/net/sites.py
@@ -1,6 +1,6 @@
-"""Binds one worker's part in the fleet's sites to its core, its peers and the loop's clock.
+"""Connects a worker's SiteCoordinator with its core, its peers and the event loop.
 
-Loaded only with [sites].
+Loaded only if the configuration has the table [sites].
 """
 
 import time
@@ -31,14 +31,14 @@
 
 
 class SiteCommandRoutes(dict[str, Any]):
-    """The operators' calls, and `POST /sites/COMMAND/SITE` for whatever site is named when it comes."""
+    """Routes of the operator server, extended by `POST /sites/COMMAND/SITE` for any SITE."""
 
     def __init__(self, calls: Mapping[str, Any], issue: Callable[[str, CommandKind], Answer]) -> None:
         super().__init__(calls)
         self._issue = issue
 
     def get(self, path: str, default: Any = None) -> Any:
-        """The calls of a path, by method."""
+        """Returns the handlers of a path, by method."""
         prefix, slash, site = path.rpartition("/")
         kind = COMMAND_PATHS.get(prefix + slash)
         if kind is not None:
@@ -47,9 +47,9 @@
 
 
 class SiteService:
-    """One worker's SiteCoordinator on the loop; it tells the core which part of its load to ask for.
+    """Task that runs the worker's SiteCoordinator and sets the fraction of load that the core asks for.
 
-    `cold_start`: this process replaces none, so it starts with nothing in hand.
+    `cold_start` states that this process replaces no other: it has no requests yet, and may ramp up its load.
     """
 
     def __init__(
@@ -85,7 +85,7 @@
         loop.call_later(TICK_INTERVAL_S, self._tick)
 
     def configure(self, config: Config, tenants: TenantTable) -> None:
-        """A configuration read again."""
+        """Applies a reloaded configuration; one without the table [sites] changes nothing."""
         if config.sites is not None:
             self._config = config.sites
             self._coordinator.configure(config.settings, config.sites.playbook, tenants)
@@ -96,33 +96,33 @@
         site_map = self._config.site_map
         coordinator.tick(now, observe_peers(self._peers.group, site_map.site_of if site_map else None))
         self._core.set_load_fraction(coordinator.load_fraction)
-        self._follow_evacuation()
+        self._update_standby()
         for event in coordinator.take_events():
             self._log.warning(str(event.name), **event.fields)
         self._loop.call_later(TICK_INTERVAL_S, self._tick)
 
-    def _follow_evacuation(self) -> None:
-        """An evacuated worker is on standby until its return."""
+    def _update_standby(self) -> None:
+        """Puts the worker on standby while its site is evacuated."""
         is_evacuated = self._coordinator.pacing.is_evacuated
         if is_evacuated != self._was_evacuated:
             self._was_evacuated = is_evacuated
             self._core.post(StandbyChanged(is_evacuated))
 
-    # What operators call.
+    # ---- interface for operators
 
     def issue_command(self, site: str, kind: CommandKind) -> Answer:
-        """A command for a site; 404 where nobody knows it."""
+        """Issues a command for a site; the response has status 404 if the site is unknown."""
         try:
             return json_answer({"said": self._coordinator.issue_command(site, kind, time.monotonic())})
         except UnknownSiteError as error:
             return json_answer({"error": str(error)}, HTTPStatus.NOT_FOUND)
 
     def status_section(self) -> dict[str, Any]:
-        """For `/status`."""
+        """Returns the section of `/status`."""
         return status_view(self._coordinator, time.monotonic())
 
     def metrics_text(self) -> str:
-        """The metrics as text."""
+        """Returns the metrics as text."""
         coordinator = self._coordinator
         now = time.monotonic()
         gate = coordinator.gate
