--- a/ochrehoist/app/operator_api.py
+++ b/ochrehoist/app/operator_api.py
@@ -10,7 +10,7 @@
 from ochrehoist.core.messages import StandbyChanged
 from ochrehoist.core.metrics import METRICS_CONTENT_TYPE, RequestCounter
 from ochrehoist.net.ajp_front import AjpFront
-from ochrehoist.net.operator_server import Answer, json_answer
+from ochrehoist.net.operator_server import Response, json_response
 from ochrehoist.net.thrift_front import ThriftFront
 
 # Keys of /status that parts fill, and parts that have metrics, in the order in which they are written.
@@ -63,7 +63,7 @@
         """`section` is one of METRICS_SECTIONS."""
         self._metrics_sources[section] = source
 
-    def calls(self) -> dict[str, dict[str, Callable[[], Answer]]]:
+    def calls(self) -> dict[str, dict[str, Callable[[], Response]]]:
         """By path, then by method."""
         return {
             "/status": {"GET": self.status},
@@ -72,7 +72,7 @@
             "/active": {"POST": lambda: self.standby(False)},
         }
 
-    def status(self) -> Answer:
+    def status(self) -> Response:
         """The state of the worker as JSON: 200 where it is ready for requests, else 503."""
         core = self._core
         metrics = core.metrics
@@ -94,9 +94,9 @@
             if section in self._status_sources:
                 values[section] = self._status_sources[section].status_section()
         ready = core.ready and self._is_serving()
-        return json_answer(values, HTTPStatus.OK if ready else HTTPStatus.SERVICE_UNAVAILABLE)
+        return json_response(values, HTTPStatus.OK if ready else HTTPStatus.SERVICE_UNAVAILABLE)
 
-    def metrics(self) -> Answer:
+    def metrics(self) -> Response:
         """The platform's fixed names, then those of the parts."""
         text = self._core.metrics.text(self._core.own_unanswered)
         text += "".join(
@@ -104,9 +104,9 @@
             for section in METRICS_SECTIONS
             if section in self._metrics_sources
         )
-        return Answer(HTTPStatus.OK, text.encode(), METRICS_CONTENT_TYPE)
+        return Response(HTTPStatus.OK, text.encode(), METRICS_CONTENT_TYPE)
 
-    def standby(self, enabled: bool) -> Answer:
+    def standby(self, enabled: bool) -> Response:
         """Takes the worker out of service, or back."""
         self._core.post(StandbyChanged(enabled))
-        return json_answer({"standby": enabled})
+        return json_response({"standby": enabled})
--- a/ochrehoist/app/worker_parts.py
+++ b/ochrehoist/app/worker_parts.py
@@ -41,7 +41,7 @@
     from ochrehoist.core.protocols import AdmissionFilter
     from ochrehoist.net.ajp_front import AjpFront
     from ochrehoist.net.ajp_server import AjpServers
-    from ochrehoist.net.operator_server import Answer, OperatorServer
+    from ochrehoist.net.operator_server import OperatorServer, Response
     from ochrehoist.net.peers import Peers
     from ochrehoist.net.recovery import RecoveryMonitor
     from ochrehoist.net.self_monitoring import SelfMonitor
@@ -190,7 +190,7 @@
         self.tasks.append(kernel.run)
         self._add_status("kernel", kernel)
         self._reloadable.append(
-            commit_only(lambda new, _: kernel.move(required(new.kernel_address), new.gauges))
+            commit_only(lambda new, _: kernel.change_address(required(new.kernel_address), new.gauges))
         )
         sock = self.inherited.get(config.listen)
         if config.inherited_fd is not None:
@@ -227,7 +227,7 @@
                 self.loop, self.core, config.membership_address, config.name, self.log
             )
             self._reloadable.append(
-                commit_only(lambda new, _: membership.move(required(new.membership_address)))
+                commit_only(lambda new, _: membership.change_address(required(new.membership_address)))
             )
             self.core.register_listener(membership)
         for front in self.fronts:
@@ -268,7 +268,7 @@
         self.listeners.append(operators)
         return operators
 
-    def _operator_calls(self, api: OperatorApi) -> Mapping[str, Mapping[str, Callable[[], Answer]]]:
+    def _operator_calls(self, api: OperatorApi) -> Mapping[str, Mapping[str, Callable[[], Response]]]:
         calls = api.calls()
         if self.config.recovery:
             from ochrehoist.recovery.startup_progress import StartupStage
@@ -280,10 +280,10 @@
 
         return SiteCommandRoutes(calls, lambda site, kind: required(self.sites).issue_command(site, kind))
 
-    def _skip_call(self, stage: str) -> Callable[[], Answer]:
-        from ochrehoist.net.operator_server import json_answer
+    def _skip_call(self, stage: str) -> Callable[[], Response]:
+        from ochrehoist.net.operator_server import json_response
 
-        return lambda: json_answer({"said": required(self.recovery).skip(stage)})
+        return lambda: json_response({"said": required(self.recovery).skip(stage)})
 
     # ---- configuration
     def _build_reloading(self, path: str | None) -> ConfigReloader:
--- a/ochrehoist/net/kernel_link.py
+++ b/ochrehoist/net/kernel_link.py
@@ -173,7 +173,7 @@
             return
         stream.write(query_gauges_command(self._queries.open(time.monotonic())))
 
-    def move(self, address: tuple[str, int], gauges: tuple[str, ...]) -> None:
+    def change_address(self, address: tuple[str, int], gauges: tuple[str, ...]) -> None:
         """Changes the kernel's address and the names of its gauges; its runs continue.
 
         The old link is closed without waiting for notices: it may be silent already, and the kernel repeats
--- a/ochrehoist/net/membership_heartbeat.py
+++ b/ochrehoist/net/membership_heartbeat.py
@@ -114,7 +114,7 @@
         self._drop_late_reports(lambda _: False)
         self._wake.set()
 
-    def move(self, address: tuple[str, int]) -> None:
+    def change_address(self, address: tuple[str, int]) -> None:
         """Changes the address of the service and reports there at once."""
         if address == self._address:
             return
--- a/ochrehoist/net/operator_server.py
+++ b/ochrehoist/net/operator_server.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(slots=True)
-class Answer:
+class Response:
     """The response to a request."""
 
     status: HTTPStatus
@@ -38,12 +38,12 @@
     extra_headers: str = ""
 
 
-def json_answer(values: Mapping[str, Any], status: HTTPStatus = HTTPStatus.OK) -> Answer:
+def json_response(values: Mapping[str, Any], status: HTTPStatus = HTTPStatus.OK) -> Response:
     """Returns a response whose body is a JSON object."""
-    return Answer(status, json.dumps(values).encode() + b"\n")
+    return Response(status, json.dumps(values).encode() + b"\n")
 
 
-class CallRejectedError(OchrehoistError):
+class RequestRejectedError(OchrehoistError):
     """A request that is rejected with `status`."""
 
     def __init__(self, status: HTTPStatus, reason: str) -> None:
@@ -51,7 +51,7 @@
         self.status = status
 
 
-class NoAnswerError(OchrehoistError, OSError):
+class InvalidResponseError(OchrehoistError, OSError):
     """The server's answer to a request is no HTTP response."""
 
     def __init__(self, cause: Exception) -> None:
@@ -65,7 +65,7 @@
     path: str
 
 
-Routes = Mapping[str, Mapping[str, Callable[[], Answer]]]  # handlers by path, then by method
+Routes = Mapping[str, Mapping[str, Callable[[], Response]]]  # handlers by path, then by method
 
 
 class OperatorServer(BaseServer):
@@ -120,32 +120,32 @@
         try:
             request = read_request_line(stream)
             head_only = request.method == "HEAD"
-            answer = self._handle_request(request)
-        except CallRejectedError as error:
-            answer = json_answer({"error": str(error)}, error.status)
+            response = self._handle_request(request)
+        except RequestRejectedError as error:
+            response = json_response({"error": str(error)}, error.status)
         except (ConnectionClosedError, StreamTimeoutError):
             raise
         except Exception:
             self.log.exception("operator_call_fault")
-            answer = json_answer({"error": "internal fault"}, HTTPStatus.INTERNAL_SERVER_ERROR)
+            response = json_response({"error": "internal fault"}, HTTPStatus.INTERNAL_SERVER_ERROR)
         head = (
-            f"HTTP/1.1 {answer.status.value} {answer.status.phrase}\r\n"
-            f"Content-Type: {answer.content_type}\r\nContent-Length: {len(answer.body)}\r\n"
-            f"Cache-Control: no-store\r\nConnection: close\r\n{answer.extra_headers}\r\n"
+            f"HTTP/1.1 {response.status.value} {response.status.phrase}\r\n"
+            f"Content-Type: {response.content_type}\r\nContent-Length: {len(response.body)}\r\n"
+            f"Cache-Control: no-store\r\nConnection: close\r\n{response.extra_headers}\r\n"
         )
-        stream.write(head.encode() + (b"" if head_only else answer.body))
+        stream.write(head.encode() + (b"" if head_only else response.body))
 
-    def _handle_request(self, request: RequestLine) -> Answer:
+    def _handle_request(self, request: RequestLine) -> Response:
         handlers = self._routes.get(request.path)
         if handlers is None:
             known_paths = ", ".join(sorted(self._routes))
-            raise CallRejectedError(HTTPStatus.NOT_FOUND, f"no such path; known paths: {known_paths}")
+            raise RequestRejectedError(HTTPStatus.NOT_FOUND, f"no such path; known paths: {known_paths}")
         handler = handlers.get("GET" if request.method == "HEAD" else request.method)
         if handler is None:
             allowed = ", ".join([*handlers, *(["HEAD"] if "GET" in handlers else [])])
-            answer = json_answer({"error": "method not allowed"}, HTTPStatus.METHOD_NOT_ALLOWED)
-            answer.extra_headers = f"Allow: {allowed}\r\n"
-            return answer
+            response = json_response({"error": "method not allowed"}, HTTPStatus.METHOD_NOT_ALLOWED)
+            response.extra_headers = f"Allow: {allowed}\r\n"
+            return response
         return handler()
 
 
@@ -156,7 +156,7 @@
     """Reads one request completely, with its body, and returns its method and path.
 
     Raises:
-        CallRejectedError: The request is malformed or too long.
+        RequestRejectedError: The request is malformed or too long.
         ConnectionClosedError: The connection ended before the request was complete.
         StreamTimeoutError: The request did not arrive within REQUEST_TIMEOUT_S.
     """
@@ -165,10 +165,10 @@
     line, *fields = head.split("\n")
     parts = line.split(" ")
     if len(parts) != REQUEST_LINE_PARTS or not parts[2].startswith("HTTP/1.") or parts[0] not in METHODS:
-        raise CallRejectedError(HTTPStatus.BAD_REQUEST, "not an HTTP/1.1 request")
+        raise RequestRejectedError(HTTPStatus.BAD_REQUEST, "not an HTTP/1.1 request")
     body_bytes = _body_length(fields)
     if body_bytes > MAX_BODY_BYTES:
-        raise CallRejectedError(
+        raise RequestRejectedError(
             HTTPStatus.REQUEST_ENTITY_TOO_LARGE, f"request body longer than {MAX_BODY_BYTES} bytes"
         )
     stream.read_exactly(body_bytes, deadline_s)
@@ -180,10 +180,10 @@
     buffer = stream.buffer
     while (end := buffer.find(HEAD_END)) < 0 and buffer.find(LF_HEAD_END) < 0:
         if len(buffer) > MAX_HEAD_BYTES:
-            raise CallRejectedError(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "request head too long")
+            raise RequestRejectedError(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, "request head too long")
         method = buffer[:LONGEST_METHOD_AND_SPACE].split(b" ")[0]
         if method and not (method.isalpha() and method.isupper()):
-            raise CallRejectedError(HTTPStatus.BAD_REQUEST, "not an HTTP request")
+            raise RequestRejectedError(HTTPStatus.BAD_REQUEST, "not an HTTP request")
         stream.read_more(deadline_s)
     if end < 0:
         end = buffer.find(LF_HEAD_END)
@@ -197,13 +197,13 @@
     for field in fields:
         name, colon, value = field.partition(":")
         if not colon or not name or name != name.strip():
-            raise CallRejectedError(HTTPStatus.BAD_REQUEST, "malformed header field")
+            raise RequestRejectedError(HTTPStatus.BAD_REQUEST, "malformed header field")
         if name.lower() == "transfer-encoding":
-            raise CallRejectedError(HTTPStatus.BAD_REQUEST, "request body without Content-Length")
+            raise RequestRejectedError(HTTPStatus.BAD_REQUEST, "request body without Content-Length")
         if name.lower() == "content-length":
             value = value.strip()
             if not (value.isascii() and value.isdigit()):
-                raise CallRejectedError(HTTPStatus.BAD_REQUEST, "Content-Length is not a number")
+                raise RequestRejectedError(HTTPStatus.BAD_REQUEST, "Content-Length is not a number")
             length = int(value[:MAX_LENGTH_DIGITS])
     return length
 
@@ -212,7 +212,7 @@
     if target.startswith("http://"):  # absolute form, as sent to proxies
         target = "/" + target.removeprefix("http://").partition("/")[2]
     if not target.startswith("/"):
-        raise CallRejectedError(HTTPStatus.BAD_REQUEST, "request target is not a path")
+        raise RequestRejectedError(HTTPStatus.BAD_REQUEST, "request target is not a path")
     return target.partition("?")[0]
 
 
@@ -235,6 +235,6 @@
         response = connection.getresponse()
         return response.status < FIRST_FAILURE_STATUS, response.read().decode("utf-8", "replace")
     except http.client.HTTPException as error:
-        raise NoAnswerError(error) from None
+        raise InvalidResponseError(error) from None
     finally:
         connection.close()
--- a/ochrehoist/net/sites.py
+++ b/ochrehoist/net/sites.py
@@ -17,7 +17,7 @@
 from ochrehoist.core.protocols import Logger
 from ochrehoist.core.tenants import TenantTable
 from ochrehoist.net.loop import Loop
-from ochrehoist.net.operator_server import Answer, json_answer
+from ochrehoist.net.operator_server import Response, json_response
 from ochrehoist.net.peers import Peers
 from ochrehoist.sites.admission_threshold import TICK_INTERVAL_S
 from ochrehoist.sites.coordinator import SiteCoordinator, UnknownSiteError
@@ -33,16 +33,18 @@
 class SiteCommandRoutes(dict[str, Any]):
     """Routes of the operator server, extended by `POST /sites/COMMAND/SITE` for any SITE."""
 
-    def __init__(self, calls: Mapping[str, Any], issue: Callable[[str, CommandKind], Answer]) -> None:
-        super().__init__(calls)
-        self._issue = issue
+    def __init__(
+        self, routes: Mapping[str, Any], issue_command: Callable[[str, CommandKind], Response]
+    ) -> None:
+        super().__init__(routes)
+        self._issue_command = issue_command
 
     def get(self, path: str, default: Any = None) -> Any:
         """Returns the handlers of a path, by method."""
         prefix, slash, site = path.rpartition("/")
         kind = COMMAND_PATHS.get(prefix + slash)
         if kind is not None:
-            return {"POST": lambda: self._issue(site, kind)}
+            return {"POST": lambda: self._issue_command(site, kind)}
         return super().get(path, default)
 
 
@@ -110,12 +112,12 @@
 
     # ---- interface for operators
 
-    def issue_command(self, site: str, kind: CommandKind) -> Answer:
+    def issue_command(self, site: str, kind: CommandKind) -> Response:
         """Issues a command for a site; the response has status 404 if the site is unknown."""
         try:
-            return json_answer({"said": self._coordinator.issue_command(site, kind, time.monotonic())})
+            return json_response({"said": self._coordinator.issue_command(site, kind, time.monotonic())})
         except UnknownSiteError as error:
-            return json_answer({"error": str(error)}, HTTPStatus.NOT_FOUND)
+            return json_response({"error": str(error)}, HTTPStatus.NOT_FOUND)
 
     def status_section(self) -> dict[str, Any]:
         """Returns the section of `/status`."""
