--- a/ochrehoist/lab/hollow/empty_process.py
+++ b/ochrehoist/lab/hollow/empty_process.py
@@ -7,7 +7,7 @@
 
 from ochrehoist.lab.hollow.protocol import EmptyProcessCost
 from ochrehoist.net.loop import Loop
-from ochrehoist.net.peers import TICK_S
+from ochrehoist.net.peers import PEER_TICK_INTERVAL_S
 
 CONTROLLER_TICK_S = 0.1
 
@@ -29,7 +29,7 @@
         self._ends_at = time.monotonic() + self._duration_s
         for position in range(self._worker_count):
             fraction = position / self._worker_count
-            for interval_s in (TICK_S, CONTROLLER_TICK_S):
+            for interval_s in (PEER_TICK_INTERVAL_S, CONTROLLER_TICK_S):
                 self._loop.call_later(interval_s * fraction, partial(self._tick, interval_s))
         started = time.process_time()
         self._loop.call_later(self._duration_s, lambda: self._finish(started, report))
--- a/ochrehoist/lab/hollow/worker.py
+++ b/ochrehoist/lab/hollow/worker.py
@@ -23,7 +23,7 @@
 from ochrehoist.net.ajp_server import AjpServers, CallOutcome
 from ochrehoist.net.loop import Loop, Signal, steady_clock
 from ochrehoist.net.peer_transport import open_datagram_socket
-from ochrehoist.net.peers import TICK_S, Peers
+from ochrehoist.net.peers import PEER_TICK_INTERVAL_S, Peers
 from ochrehoist.peers.wire import CounterSnapshot, Incarnation, MemberState, MemberUpdate
 
 BYTES_PER_MB = 1e6
@@ -252,7 +252,7 @@
         incarnation = Incarnation(member.name, member.number, member.boot_id)
         age_s = self._random.expovariate(update_rate)
         age_ms = int(1000 * age_s)
-        version = max(0, member.status_version + INTRODUCED_VERSIONS - int(age_s / TICK_S))
+        version = max(0, member.status_version + INTRODUCED_VERSIONS - int(age_s / PEER_TICK_INTERVAL_S))
         accepted = group.members.register_sender(incarnation, member.address, member.site, now)
         update = MemberUpdate(
             incarnation, member.address, member.site, MemberState.ALIVE, version, age_ms, member.status
--- a/ochrehoist/lab/scale/cluster.py
+++ b/ochrehoist/lab/scale/cluster.py
@@ -32,7 +32,7 @@
 from ochrehoist.lab.scale.results import KB_PER_MB, ClusterView, Convergence, RunFigures
 from ochrehoist.lab.scale.spec import ScaleSpec
 from ochrehoist.lab.scale.topology import BUDGET_AMOUNT, Topology
-from ochrehoist.net.peers import TICK_S
+from ochrehoist.net.peers import PEER_TICK_INTERVAL_S
 
 PROCESS_TIME_MARGIN_S = 30.0  # of wall time, by which processes outlast the run's limit
 EMPTY_MEASUREMENT_S = 2.0  # of wall time
@@ -114,7 +114,7 @@
 
     async def introduce_all(self) -> int:
         """Introduces all hollow workers to each other; returns how many introductions were refused."""
-        await self.wait(2 * TICK_S)  # until each has a status to report
+        await self.wait(2 * PEER_TICK_INTERVAL_S)  # until each has a status to report
         lists = await self.broadcast(ListIncarnations(), Incarnations)
         members = [member for each in lists for member in each.members]
         introduced = await self.broadcast(IntroduceMembers(members), MembersIntroduced)
--- a/ochrehoist/lab/scale/measurements.py
+++ b/ochrehoist/lab/scale/measurements.py
@@ -7,7 +7,7 @@
 
 from ochrehoist.lab.hollow.protocol import ProcessSample, WorkerSample
 from ochrehoist.lab.scale.results import KB_PER_MB, RealWorkerSample, RestFigures, Spread, spread
-from ochrehoist.net.peers import TICK_S
+from ochrehoist.net.peers import PEER_TICK_INTERVAL_S
 
 MAX_STALLED_FRACTION = 0.005  # of the ticks, beyond which figures are not trusted
 MIN_SPAN_S = 1e-9
@@ -117,7 +117,7 @@
 
 def is_trustworthy(stall_count: int, hollow_count: int, duration_s: float) -> bool:
     """Whether the machine kept workers waiting so seldom that their figures are to be trusted."""
-    return stall_count <= MAX_STALLED_FRACTION * hollow_count * duration_s / TICK_S
+    return stall_count <= MAX_STALLED_FRACTION * hollow_count * duration_s / PEER_TICK_INTERVAL_S
 
 
 class Traffic(Struct, frozen=True):
--- a/ochrehoist/net/peers.py
+++ b/ochrehoist/net/peers.py
@@ -32,7 +32,7 @@
 if TYPE_CHECKING:
     from ochrehoist.net.ajp_server import CallOutcome
 
-TICK_S = 0.05
+PEER_TICK_INTERVAL_S = 0.05
 BOOT_ID_BITS = 62
 
 
@@ -193,7 +193,7 @@
         self._send(self.group.tick(now))
         self._event_log.update(self.group, time.monotonic())
         self._tick_cpu_s += time.thread_time() - started_s
-        self.loop.call_later(TICK_S, self._tick)
+        self.loop.call_later(PEER_TICK_INTERVAL_S, self._tick)
 
     def _on_message(self, message: Message, source: str) -> None:
         self._send(self.group.receive(message, source, time.monotonic()))
