--- a/tests/net/test_doubts.py
+++ b/tests/net/test_lost_filing_proof.py
@@ -116,7 +116,7 @@
     )
 
 
-class LostRunProofTest(unittest.TestCase):
+class LostFilingProofTest(unittest.TestCase):
     """Filings are sent again only if they are proved lost."""
 
     @settings(max_examples=400, deadline=None)
