--- a/ochrehoist/net/handover_client.py
+++ b/ochrehoist/net/handover_client.py
@@ -39,7 +39,7 @@
 
 
 class HandoverClient:
-    """Takes over from the process that this one replaces, the predecessor.
+    """Client that takes over from the process that this one replaces, the predecessor.
 
     Attributes:
         predecessor_present: Whether the predecessor may have runs that this process does not know of.
--- a/ochrehoist/net/handover_server.py
+++ b/ochrehoist/net/handover_server.py
@@ -42,7 +42,7 @@
 
 
 class HandoverServer:
-    """Hands sockets and state to the successor, then forwards to it the requests that this process reads."""
+    """Server that hands sockets and state to the successor, then forwards it the requests that it reads."""
 
     def __init__(
         self,
--- a/ochrehoist/net/intent_replication.py
+++ b/ochrehoist/net/intent_replication.py
@@ -34,9 +34,11 @@
 
 TOPIC = "recovery"
 EXPIRY_INTERVAL_S = 1.0  # between two removals of expired intents
-QUORUM_TIMEOUT_S = 3.0  # counted from the first query; then the answers so far, or the store, must suffice
+QUORUM_TIMEOUT_S = (
+    3.0  # counted from opening the store; then the answers received, or the store, must suffice
+)
 WINDOW_MARGIN_S = 1.0  # added to idempotency windows, for messages in transit
-MAX_STALE_SEND_TIMES = 64  # send times of requests that are no longer pending, before they are removed
+MAX_STALE_SEND_TIMES = 64  # beyond this many, send times of requests no longer pending are removed
 QUERY_NUMBER_BITS = 40
 
 
--- a/ochrehoist/net/peer_log.py
+++ b/ochrehoist/net/peer_log.py
@@ -7,7 +7,7 @@
 
 
 class PeerEventLog:
-    """Logs each change of a group since the previous comparison."""
+    """Log of the changes of a group, each found by comparison with its previous state."""
 
     def __init__(self, log: Logger) -> None:
         self._log = log
--- a/ochrehoist/net/process_shutdown.py
+++ b/ochrehoist/net/process_shutdown.py
@@ -22,8 +22,9 @@
 # Draining ends this long before the process would be killed. The core answers the rest a little earlier.
 KILL_MARGIN_S = 0.1
 ACCEPT_MARGIN_S = 0.3  # the listening sockets are closed at least this long before draining ends
-MAX_RETIREMENT_S = 3.0  # limits the time of a replaced process, which is the longest deadline of a class
-RETIREMENT_GRACE_S = 0.5  # added to that time, before the replaced process ends
+# A replaced process ends after the longest deadline of its classes, at most MAX_RETIREMENT_S, plus the grace.
+MAX_RETIREMENT_S = 3.0
+RETIREMENT_GRACE_S = 0.5
 FINAL_ANSWER_MARGIN_S = 0.2  # open requests of a replaced process fail this long before it ends
 POLL_INTERVAL_S = 0.01
 MIN_SLEEP_S = 0.001
@@ -54,7 +55,7 @@
 
 
 class ProcessShutdown:
-    """Ends the process once all requests that it has read are answered, or its time is over."""
+    """Graceful shutdown: ends the process once all requests read are answered, or its time is over."""
 
     def __init__(
         self,
