--- a/ochrehoist/net/kernel_link.py
+++ b/ochrehoist/net/kernel_link.py
@@ -381,7 +381,7 @@
         self._end_run(completed)
 
     def _handle_rejected(self, notice: CommandRejected) -> None:
-        # The kernel refused the command, so the request was not started.
+        # The kernel never received a request of this id: a client made it up, and no run was started.
         self._log.warning("kernel_command_rejected", command=notice.command, id=notice.request_id)
         if notice.request_id is not None:
             self._end_run(RunCompleted(notice.request_id, RunResult(Outcome.NOT_STARTED), 0))
--- a/ochrehoist/net/self_monitoring.py
+++ b/ochrehoist/net/self_monitoring.py
@@ -1,4 +1,4 @@
-"""Self-monitoring: samples the load of this process for overload control and for operators.
+"""Self-monitoring: samples this process ten times a second, for overload control and for operators.
 
 Loaded only if the configuration has the table [overload].
 """
