--- a/ochrehoist/app/__init__.py
+++ b/ochrehoist/app/__init__.py
@@ -1,1 +1,1 @@
-"""Composition of the programs: the worker, configuration reload, the simulator's adapter."""
+"""Composition of the programs: the worker, configuration reload and the simulator adapter."""
--- a/ochrehoist/app/inherited_sockets.py
+++ b/ochrehoist/app/inherited_sockets.py
@@ -1,4 +1,4 @@
-"""The listening sockets that a process takes over from the one before it."""
+"""Listening sockets that a process inherits from the process it replaces."""
 
 import socket
 from collections.abc import Mapping, Sequence
@@ -10,14 +10,14 @@
 
 
 class Listener(Protocol):
-    """A front, the agent check or the operators' address."""
+    """A component that accepts connections: a front, the agent check or the operator server."""
 
     PART_NAME: str
     acceptor: Acceptor
 
 
 class InheritedSockets:
-    """Listening sockets that the process before this one has handed over, by address."""
+    """Listening sockets that the predecessor process has handed over, by address."""
 
     def __init__(self, handover_path: str | None) -> None:
         sockets = receive_listening_sockets(handover_path) if handover_path else None
@@ -25,13 +25,13 @@
         self._sockets: Mapping[Address, socket.socket] = sockets or {}
 
     def get(self, address: Address) -> socket.socket | None:
-        """The socket that listens at the address, where there is one."""
+        """Returns the inherited socket that listens on `address`, or None."""
         return self._sockets.get(address)
 
     def close_unused(self, listeners: Sequence[Listener]) -> set[Address]:
-        """Closes those that no listener uses; gives the addresses of those in use.
+        """Closes the inherited sockets that no listener uses and returns the addresses of the others.
 
-        What waits in the queue of an unused one is for the process that listens there.
+        Connections in the accept queue of an unused socket belong to the process that listens there.
         """
         inherited = set(self._sockets.values())
         used = {listener.acceptor.address for listener in listeners if listener.acceptor.sock in inherited}
--- a/ochrehoist/app/kernel_link_supervisor.py
+++ b/ochrehoist/app/kernel_link_supervisor.py
@@ -1,4 +1,4 @@
-"""Watches the link to the kernel: health turns bad without it, and the configuration is reloaded."""
+"""Supervision of the kernel link: while it is down, the worker is unhealthy and reloads its configuration."""
 
 from __future__ import annotations
 
@@ -19,7 +19,10 @@
 
 
 class KernelLinkSupervisor:
-    """Tells the core whether the kernel is within reach, and has a worker that is cut off look for it."""
+    """Reports to the core whether the kernel is reachable, and triggers a reload while it is not.
+
+    The configuration file may contain a new address of the kernel.
+    """
 
     def __init__(
         self, loop: Loop, core: CoreActor, kernel: KernelLink, reloader: ConfigReloader, log: Logger
@@ -33,7 +36,10 @@
         self._healthy = True
 
     def run(self) -> None:
-        """A task: checks the link until another process decides. A kernel that was never up is waited for."""
+        """Checks the link until another process has taken over; run as a task of the loop.
+
+        A kernel that has not booted yet does not count as unreachable.
+        """
         while self._core.forwarder is None:
             if self._kernel.has_booted:
                 self._check()
--- a/ochrehoist/app/logs.py
+++ b/ochrehoist/app/logs.py
@@ -1,4 +1,4 @@
-"""The log: one JSON object a line on standard error, by structlog."""
+"""Logging with structlog: one JSON object per line on standard error."""
 
 import logging
 import os
@@ -8,31 +8,34 @@
 
 
 class LogSink:
-    """Writes lines to a descriptor. Lines that a stalled reader does not take are dropped and counted.
+    """Log output to a file descriptor; lines that cannot be written are dropped and counted.
 
-    A log reader must not hold up the worker, so a pipe is set to non-blocking.
+    A stalled log reader must not block the worker, so a pipe is set to non-blocking mode.
     """
 
     def __init__(self, descriptor: int) -> None:
         self._descriptor = descriptor
         self.dropped_lines = 0
-        # Not a terminal: there the mode would be that of all programs.
+        # A terminal is left alone: its blocking mode is shared by all programs that use it.
         if stat.S_ISFIFO(os.fstat(descriptor).st_mode):
             os.set_blocking(descriptor, False)
 
     def write(self, line: str) -> None:
-        """Writes a line, or counts it as dropped."""
+        """Writes `line`, or counts it as dropped if that fails."""
         try:
             os.write(self._descriptor, line.encode())
-        except OSError:  # the pipe is full, or nobody reads from it
+        except OSError:  # the pipe is full, or its reading end is closed
             self.dropped_lines += 1
 
     def flush(self) -> None:
-        """Does nothing: each line is written at once."""
+        """Does nothing, since lines are not buffered."""
 
 
 def start_log(sink: LogSink) -> structlog.typing.FilteringBoundLogger:
-    """Configures structlog for this process to write to `sink`, from level INFO up."""
+    """Configures structlog for this process to write to `sink`, and returns the logger.
+
+    Events below level INFO are discarded.
+    """
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
--- a/ochrehoist/app/operator_api.py
+++ b/ochrehoist/app/operator_api.py
@@ -1,4 +1,4 @@
-"""What operators call on a worker: its status, its metrics, and standby."""
+"""Operator API of a worker: status, metrics and standby."""
 
 import time
 from collections.abc import Callable, Sequence
@@ -13,29 +13,29 @@
 from ochrehoist.net.operator_server import Answer, json_answer
 from ochrehoist.net.thrift_front import ThriftFront
 
-# Keys of /status that parts fill, and parts that have metrics, in the order in which they are written.
+# Sections of /status, and sections that have metrics, in the order of output.
 STATUS_SECTIONS = ("configuration", "store", "capture", "overload", "peers", "sites", "recovery", "kernel")
 METRICS_SECTIONS = ("configuration", "store", "overload", "peers", "sites", "recovery")
 
 
 class StatusSource(Protocol):
-    """A part that operators see a section of /status about."""
+    """A component that has a section in /status."""
 
     def status_section(self) -> dict[str, Any]:
-        """Plain values for JSON."""
+        """Returns the section, with values that can be encoded as JSON."""
         ...
 
 
 class MetricsSource(Protocol):
-    """A part that has metrics beside the platform's fixed names."""
+    """A component that has metrics in addition to the fixed set that the platform prescribes."""
 
     def metrics_text(self) -> str:
-        """Lines of the exposition format."""
+        """Returns the metrics in the text exposition format."""
         ...
 
 
 class OperatorApi:
-    """Answers operators' calls from the core and from the parts that are added."""
+    """Handlers of the operators' calls, with data from the core and the registered sources."""
 
     def __init__(
         self,
@@ -45,7 +45,7 @@
         fronts: Sequence[ThriftFront | AjpFront],
         is_serving: Callable[[], bool],
     ) -> None:
-        """`is_serving`: whether this process, and no other one, takes what comes."""
+        """`is_serving` returns whether this process, and not another one of the worker, accepts requests."""
         self._name = name
         self._core = core
         self._sink = sink
@@ -56,15 +56,15 @@
         self._metrics_sources: dict[str, MetricsSource] = {}
 
     def add_status(self, section: str, source: StatusSource) -> None:
-        """`section` is one of STATUS_SECTIONS."""
+        """Adds a section to /status; `section` is one of STATUS_SECTIONS."""
         self._status_sources[section] = source
 
     def add_metrics(self, section: str, source: MetricsSource) -> None:
-        """`section` is one of METRICS_SECTIONS."""
+        """Adds metrics to /status/metrics; `section` is one of METRICS_SECTIONS."""
         self._metrics_sources[section] = source
 
     def calls(self) -> dict[str, dict[str, Callable[[], Answer]]]:
-        """By path, then by method."""
+        """Returns the handlers by path, then by HTTP method."""
         return {
             "/status": {"GET": self.status},
             "/status/metrics": {"GET": self.metrics},
@@ -73,7 +73,7 @@
         }
 
     def status(self) -> Answer:
-        """The state of the worker as JSON: 200 where it is ready for requests, else 503."""
+        """Returns the state of the worker as JSON, with status 200 if it is ready for requests, else 503."""
         core = self._core
         metrics = core.metrics
         values: dict[str, Any] = {
@@ -97,7 +97,7 @@
         return json_answer(values, HTTPStatus.OK if ready else HTTPStatus.SERVICE_UNAVAILABLE)
 
     def metrics(self) -> Answer:
-        """The platform's fixed names, then those of the parts."""
+        """Returns the metrics that the platform prescribes, followed by those of the registered sources."""
         text = self._core.metrics.text(self._core.own_unanswered)
         text += "".join(
             self._metrics_sources[section].metrics_text()
@@ -107,6 +107,6 @@
         return Answer(HTTPStatus.OK, text.encode(), METRICS_CONTENT_TYPE)
 
     def standby(self, enabled: bool) -> Answer:
-        """Takes the worker out of service, or back."""
+        """Takes the worker out of service, or returns it to service if not `enabled`."""
         self._core.post(StandbyChanged(enabled))
         return json_answer({"standby": enabled})
--- a/ochrehoist/app/reload_change.py
+++ b/ochrehoist/app/reload_change.py
@@ -1,7 +1,8 @@
-"""A change of configuration, prepared in steps and committed in one turn of the core.
+"""Configuration changes, which are prepared in steps and committed in one turn of the core.
 
-What takes settings is a participant: it prepares what it needs while the configuration in force still holds,
-and gives a commit, which must be short and is called when all are prepared.
+Each component that uses settings registers a participant. The participant prepares while the old
+configuration is still in force, and returns a commit function. Commit functions are called once all
+participants are prepared, and must be short.
 """
 
 from __future__ import annotations
@@ -28,21 +29,26 @@
 
 
 class MissingPartError(OchrehoistError):
-    """A part was used that the configuration has no table for: a fault of the program."""
+    """Raised if a component is used that the configuration has no table for, which is a programming error."""
 
     def __init__(self) -> None:
-        super().__init__("a part is missing that the configuration must have")
+        super().__init__(
+            "internal error: a component is used that this worker's configuration has no table for"
+        )
 
 
 def required(value: T | None) -> T:
-    """A part, or the setting of one, that this worker has: no reload takes it away (config/comparison.py)."""
+    """Returns `value`, a component or setting that this worker must have, or raises MissingPartError if None.
+
+    A reload cannot remove it: such a change needs a restart (see `config/comparison.py`).
+    """
     if value is None:
         raise MissingPartError
     return value
 
 
 def commit_only(configure: Callable[[Config, TenantTable], None]) -> Participant:
-    """A participant that has nothing to prepare: all of `configure` is its commit."""
+    """Returns a participant that has nothing to prepare and calls `configure` as its commit."""
 
     def prepare(config: Config, tenants: TenantTable) -> Generator[None, None, Commit]:
         yield from ()
@@ -53,35 +59,43 @@
 
 @dataclass(slots=True, frozen=True)
 class ConfigChange:
-    """A change that is ready to come into force."""
+    """A prepared change of the configuration."""
 
     config: Config
     version: str
-    restart_keys: list[str]  # keys that differ and need a restart
-    core_change: CoreChange | None  # None where the core is not concerned
+    restart_keys: list[str]  # changed settings that take effect only after a restart
+    core_change: CoreChange | None  # None if nothing changes for the core
     commits: list[Commit]
 
 
 def prepare_in_steps(
-    core: CoreActor, current: Config, path: str | None, participants: Sequence[Participant], *, only_new: bool
+    core: CoreActor,
+    current: Config,
+    path: str | None,
+    participants: Sequence[Participant],
+    *,
+    only_if_changed: bool,
 ) -> Generator[None, None, ConfigChange | None]:
-    """Reads the file, compares it with `current`, and prepares all participants. Nothing changes yet.
+    """Reads the file, compares it with `current`, and prepares all participants; nothing changes yet.
 
-    Gives None where `only_new` is set and nothing differs. Raises InvalidInputError.
+    Returns the prepared change, or None if `only_if_changed` is set and the configuration has not changed.
+    Raises InvalidInputError.
     """
     loaded = yield from loader.load_in_steps(path, active_config=current)
     merged = comparison.merged(current, loaded)
-    if only_new and merged.config == current:
+    if only_if_changed and merged.config == current:
         return None
     yield
     tenants = yield from updated_table(core.tenants, merged.config.settings.tenants)
     yield
-    # A crowded table is compacted, which moves tenants to other positions: the decisions start afresh.
-    starts_afresh = tenants.needs_compaction or _without_tenants(merged.config) != _without_tenants(current)
+    # Compaction moves tenants to other positions, which the controller's state refers to.
+    needs_new_controller = tenants.needs_compaction or _without_tenants(merged.config) != _without_tenants(
+        current
+    )
     if tenants.needs_compaction:
         tenants = yield from _compacted_in_steps(core, tenants)
     core_change: CoreChange | None = None
-    if starts_afresh:
+    if needs_new_controller:
         core_change = SettingsChanged(merged.config.settings, tenants)
     elif tenants is not core.tenants or _budgets(merged.config) != _budgets(current):
         core_change = TenantsChanged(merged.config.settings, tenants)
@@ -97,18 +111,18 @@
 
 
 def _budgets(config: Config) -> tuple[BudgetConfig, ...] | None:
-    """What the quotas of tenants depend on beside the settings."""
+    """Returns the budgets, which the tenants' quotas depend on in addition to the settings."""
     return None if config.peers is None else config.peers.budgets
 
 
 def _compacted_in_steps(core: CoreActor, tenants: TenantTable) -> Generator[None, None, TenantTable]:
-    """Without tenants that are gone, unless a request of theirs is open or an idempotency key known."""
-    used = {request.tenant for request in core.open_requests.values()}
-    for known in (core.idempotency.runs, core.idempotency.records):
-        for number, key in enumerate(list(known)):
-            used.add(key[0])
+    """Returns the table without removed tenants that have neither an open request nor an idempotency key."""
+    referenced_tenants = {request.tenant for request in core.open_requests.values()}
+    for entries in (core.idempotency.runs, core.idempotency.records):
+        for number, key in enumerate(list(entries)):
+            referenced_tenants.add(key[0])
             if number % NAMES_PER_STEP == 0:
                 yield
-    # Of those that this change takes away, a request may be read before it is in force.
-    used |= tenants.retired.keys() - core.tenants.retired.keys()
-    return (yield from compacted_table(tenants, used))
+    # Until the change takes effect, further requests of the tenants that it removes may be read.
+    referenced_tenants |= tenants.retired.keys() - core.tenants.retired.keys()
+    return (yield from compacted_table(tenants, referenced_tenants))
--- a/ochrehoist/app/replacement.py
+++ b/ochrehoist/app/replacement.py
@@ -1,4 +1,4 @@
-"""Replacing the process of a worker by the next one, and being replaced, without losing a request."""
+"""Replacement of a worker's process by a successor process without losing requests."""
 
 from collections.abc import Callable, Mapping, Sequence
 from socket import socket
@@ -9,12 +9,12 @@
 from ochrehoist.net.handover_client import HandoverClient
 from ochrehoist.net.handover_server import HandoverServer
 
-MIN_CONNECTIONS = 8  # that a front may have at once, whatever the process before this one still holds
-RESERVED_WHILE_REPLACING = 12  # descriptors, while that process still has connections
+MIN_CONNECTIONS_PER_FRONT = 8  # allowed however many connections the predecessor still has
+DESCRIPTORS_RESERVED_WHILE_REPLACING = 12  # while the predecessor still has connections
 
 
 class Replacement:
-    """Binds a worker's parts to the process before this one, where there is one, and to the next one."""
+    """Connection of a worker's parts to the predecessor process, if there is one, and to the successor."""
 
     def __init__(
         self,
@@ -23,14 +23,14 @@
         on_take_over: Callable[[], None],
         on_replaced: Callable[[Sequence[list[Any]], Callable[[Mapping[str, int]], None]], None],
     ) -> None:
-        """Hands over at the Unix socket `handover_path`.
+        """Begins to take over from the predecessor, if this process was started to replace one.
 
         Args:
-            parts: of this worker.
-            handover_path: where the processes of one worker find each other.
-            on_take_over: called once this process decides in place of the one before it.
-            on_replaced: called once the next process decides, with the addresses (host and port) at which it
-                listens, and a call that tells it how many connections are still open here.
+            parts: the parts of this worker.
+            handover_path: path of the Unix socket on which the processes of one worker find each other.
+            on_take_over: called once this process has taken over from the predecessor.
+            on_replaced: called once the successor has taken over, with the addresses (host and port) on
+                which it listens, and a function that reports to it the connections still open here.
         """
         self._parts = parts
         self._on_replaced = on_replaced
@@ -51,20 +51,20 @@
 
     @property
     def replaces_process(self) -> bool:
-        """Whether this process was started to replace one."""
+        """Whether this process was started to replace another one."""
         return self._client is not None
 
     @property
     def predecessor_present(self) -> bool:
-        """Whether the process before this one may still run something."""
+        """Whether the predecessor may still run requests."""
         return self._client is not None and self._client.predecessor_present
 
     def listen(self) -> None:
-        """From now on the next process may ask for the state of this one."""
+        """Accepts requests of a successor for the state of this process."""
         self._server.listen()
 
     def close(self) -> None:
-        """Leaves nothing behind at the path."""
+        """Closes the handover socket and removes its path."""
         self._server.close()
 
     def _start_take_over(
@@ -94,9 +94,12 @@
     def _replaced(self, addresses: Sequence[list[Any]]) -> None:
         self._on_replaced(addresses, self._server.report_connections)
 
-    def _limit_connections(self, held: Mapping[str, int]) -> None:
-        """The connections that the process before this one still holds count against the limit of both."""
+    def _limit_connections(self, predecessor_connections: Mapping[str, int]) -> None:
+        """Reduces the connection limits by the connections that the predecessor still has.
+
+        Both processes share one limit.
+        """
         for front, limit in self._connection_limits.items():
-            used = held.get(front.PART_NAME, 0) if held else 0
-            reserved = RESERVED_WHILE_REPLACING if held else 0
-            front.acceptor.set_limit(max(MIN_CONNECTIONS, limit - used - reserved))
+            used = predecessor_connections.get(front.PART_NAME, 0) if predecessor_connections else 0
+            reserved_descriptors = DESCRIPTORS_RESERVED_WHILE_REPLACING if predecessor_connections else 0
+            front.acceptor.set_limit(max(MIN_CONNECTIONS_PER_FRONT, limit - used - reserved_descriptors))
--- a/ochrehoist/app/simulator_adapter.py
+++ b/ochrehoist/app/simulator_adapter.py
@@ -1,6 +1,6 @@
-"""The adapter to the simulator: batches of events from standard input, actions to standard output.
+"""Adapter to the simulator, which reads batches of events from standard input and writes actions.
 
-It translates only: all decisions are those of ochrehoist.admission.controller.
+It only translates: all decisions are made by `ochrehoist.admission.controller`.
 """
 
 import io
@@ -31,16 +31,16 @@
 
 
 class SimulatedInstance:
-    """One server of the simulation."""
+    """One simulated server instance."""
 
     def __init__(self, settings: AdmissionSettings, seed: int) -> None:
         self.controller = AdmissionController(settings, seed)
-        self.index = InstanceIndex.of(settings)
+        self.index = InstanceIndex.from_settings(settings)
 
 
 @dataclass(slots=True, frozen=True)
 class Reply:
-    """A line for the instance that it concerns."""
+    """An output line, and the instance that it belongs to."""
 
     instance_id: int
     line: str
@@ -48,16 +48,16 @@
 
 @dataclass(slots=True)
 class Batch:
-    """The batch that is being read: all of it happens at one time."""
+    """The batch being read; all its events have the time `now_ns`."""
 
     now_ns: int
     number: int
-    target: int | None = None  # the instance that the following messages are for
+    target_instance: int | None = None  # the instance that the following messages apply to
     replies: list[Reply] = field(default_factory=list)
 
 
 class SimulatorHost:
-    """All instances of one process, and the current batch."""
+    """The simulated instances of one adapter process, and the current batch."""
 
     def __init__(self, out: TextIO, err: TextIO) -> None:
         self._out = out
@@ -72,14 +72,14 @@
             "INCOMING": self._receive_request,
         }
 
-    def take_line(self, line: str) -> None:
-        """Takes a line. An unknown message is skipped. Raises InvalidInputError."""
+    def process_line(self, line: str) -> None:
+        """Processes an input line; an unknown message is skipped. Raises InvalidInputError."""
         message, _, rest = line.partition(" ")
         batch = self._batch
         if message == "BATCH":
             self._begin_batch(LineFields(message, rest))
         elif batch is None:
-            raise InvalidInputError.in_message(message, "outside a batch")
+            raise InvalidInputError.in_message(message, "sent outside a batch")
         elif message in self._handlers:
             self._handlers[message](batch, rest)
         elif message in EVENT_PARSERS:
@@ -89,7 +89,7 @@
 
     def _begin_batch(self, fields: LineFields) -> None:
         if self._batch is not None:
-            raise fields.error("(start)", "inside another batch")
+            raise fields.error("(start)", "sent inside another batch")
         now_ns = fields.integer("clock")
         number = fields.integer("number")
         self._batch = fields.finish(Batch(now_ns, number))
@@ -110,13 +110,13 @@
 
     def _select_target(self, batch: Batch, rest: str) -> None:
         fields = LineFields("TARGET_INSTANCE", rest)
-        batch.target = fields.finish(fields.integer("Instance"))
+        batch.target_instance = fields.finish(fields.integer("Instance"))
 
     def _create(self, batch: Batch, rest: str) -> None:
         seed_text, _, settings_text = rest.partition(" ")
         fields = LineFields("CREATE", seed_text)
         seed = fields.finish(fields.integer("InitSeed"))
-        instance_id = _target(batch, "CREATE")
+        instance_id = _selected_target(batch, "CREATE")
         settings = read_settings(settings_text)
 
         def create() -> list[Action]:
@@ -129,7 +129,7 @@
 
     def _detach(self, batch: Batch, rest: str) -> None:
         LineFields("DETACH", rest).finish(None)
-        instance_id = _target(batch, "DETACH")
+        instance_id = _selected_target(batch, "DETACH")
         self._instances.pop(instance_id, None)
         batch.replies = [reply for reply in batch.replies if reply.instance_id != instance_id]
 
@@ -143,10 +143,10 @@
         self._handle(batch, instance_id, EVENT_PARSERS[message](LineFields(message, rest)))
 
     def _existing_target(self, batch: Batch, message: str) -> int:
-        instance_id = _target(batch, message)
+        instance_id = _selected_target(batch, message)
         if instance_id not in self._instances:
             raise InvalidInputError.in_message(
-                message, f"{instance_id} was never created", field="(instance)"
+                message, f"instance {instance_id} does not exist", field="(instance)"
             )
         return instance_id
 
@@ -155,7 +155,7 @@
         self._run(batch, instance_id, lambda: controller.handle(batch.now_ns, event))
 
     def _run(self, batch: Batch, instance_id: int, decide: Callable[[], Iterable[Action]]) -> None:
-        """Adds the actions to the replies; a fault of the controller is a reply too."""
+        """Adds the actions to the replies, or a reply EXCEPTION if the controller raises an exception."""
         try:
             batch.replies += [Reply(instance_id, format_action(action)) for action in decide()]
         except Exception as error:
@@ -164,21 +164,23 @@
             batch.replies.append(Reply(instance_id, f"EXCEPTION {type(error).__name__}: {text}"))
 
 
-def _target(batch: Batch, message: str) -> int:
-    if batch.target is None:
-        raise InvalidInputError.in_message(message, "no TARGET_INSTANCE before it", field="(instance)")
-    return batch.target
+def _selected_target(batch: Batch, message: str) -> int:
+    if batch.target_instance is None:
+        raise InvalidInputError.in_message(
+            message, "no TARGET_INSTANCE precedes it in the batch", field="(instance)"
+        )
+    return batch.target_instance
 
 
 def main(source: Iterable[str] | None = None, out: TextIO | None = None, err: TextIO | None = None) -> int:
-    """Takes all lines of `source`, by default of standard input. Returns the exit code."""
+    """Processes all lines of `source`, by default of standard input, and returns the exit code."""
     err = err or sys.stderr
     host = SimulatorHost(out or sys.stdout, err)
     try:
         for line in source or sys.stdin:
             text = line.rstrip("\r\n")
             if text:
-                host.take_line(text)
+                host.process_line(text)
     except InvalidInputError as error:
         print(f"ochrehoist: {error}", file=err)
         return EXIT_INVALID_INPUT
--- a/ochrehoist/app/simulator_lines.py
+++ b/ochrehoist/app/simulator_lines.py
@@ -1,4 +1,4 @@
-"""The lines of the simulator's wire: events parsed, actions formatted. Nothing is decided here."""
+"""Line format of the simulator protocol: parsing of events and formatting of actions."""
 
 import math
 from collections.abc import Callable, Mapping
@@ -36,17 +36,17 @@
 from ochrehoist.admission.settings import AdmissionSettings
 from ochrehoist.errors import InvalidInputError
 
-ABSENT = "-"
-NO_ID = "0"  # of a tenant, or of the request that a duplicate repeats
-DECIMALS = 9
+ABSENT_VALUE = "-"
+NO_ID_VALUE = "0"  # no tenant, or not a duplicate of another request
+NUMBER_DECIMALS = 9
 END_OF_LINE = "(end of line)"
 
-# The bits of a request's Bitmap.
-STATES_WORK = 1
-IS_RETRY = 2
-IS_WRITE = 4
+# Flags in the field Bitmap of a request.
+HAS_WORK_FLAG = 1
+IS_RETRY_FLAG = 2
+IS_WRITE_FLAG = 4
 
-OUTCOME_WORDS = {
+OUTCOMES_BY_NAME = {
     "Ok": Outcome.OK,
     "Failed": Outcome.FAILED,
     "QueueFull": Outcome.QUEUE_FULL,
@@ -62,14 +62,14 @@
 
 @dataclass(slots=True, frozen=True)
 class InstanceIndex:
-    """The positions of an instance's classes and tenants, by the names on the wire."""
+    """Positions of an instance's classes and tenants by their names in the protocol."""
 
     classes: Mapping[str, int]
     tenants: Mapping[str | None, int]
 
     @classmethod
-    def of(cls, settings: AdmissionSettings) -> "InstanceIndex":
-        """The index for the settings of an instance."""
+    def from_settings(cls, settings: AdmissionSettings) -> "InstanceIndex":
+        """Returns the index for the settings of an instance."""
         return cls(
             {c.name: index for index, c in enumerate(settings.classes)},
             {t.name: index for index, t in enumerate(settings.tenants)},
@@ -77,70 +77,73 @@
 
 
 class LineFields:
-    """The values of one line, taken in order. Each method raises InvalidInputError, which names the field."""
+    """Reader of the fields of one line, in order.
+
+    The reading methods raise InvalidInputError, which names the field.
+    """
 
     def __init__(self, message: str, text: str) -> None:
         self.message = message
         self._values = text.split(" ") if text else []
-        self._taken = 0
+        self._next_index = 0
 
     def error(self, field: str, problem: str) -> InvalidInputError:
-        """The error that says what is wrong with a field."""
+        """Returns the error for a problem with a field."""
         return InvalidInputError.in_message(self.message, problem, field=field)
 
     def optional_text(self, field: str) -> str | None:
-        """A text, None where it is marked as absent."""
-        if self._taken >= len(self._values):
+        """Returns the next field as text, or None if it is marked as absent."""
+        if self._next_index >= len(self._values):
             raise self.error(field, "missing")
-        value = self._values[self._taken]
-        self._taken += 1
-        if value == ABSENT:
+        value = self._values[self._next_index]
+        self._next_index += 1
+        if value == ABSENT_VALUE:
             return None
         if not value:
             raise self.error(field, "missing")
         return value
 
     def text(self, field: str) -> str:
-        """A text."""
+        """Returns the next field as text."""
         value = self.optional_text(field)
         if value is None:
             raise self.error(field, "missing")
         return value
 
     def optional_integer(self, field: str) -> int | None:
-        """An integer from 0 up, None where it is marked as absent."""
+        """Returns the next field as a non-negative integer, or None if it is marked as absent."""
         value = self.optional_text(field)
         return None if value is None else self._integer(field, value)
 
     def integer(self, field: str) -> int:
-        """An integer from 0 up."""
+        """Returns the next field as a non-negative integer."""
         return self._integer(field, self.text(field))
 
     def optional_number(self, field: str) -> float | None:
-        """A finite number from 0 up, None where it is marked as absent."""
+        """Returns the next field as a finite non-negative number, or None if it is marked as absent."""
         value = self.optional_text(field)
         return None if value is None else self._number(field, value)
 
     def number(self, field: str) -> float:
-        """A finite number from 0 up."""
+        """Returns the next field as a finite non-negative number."""
         return self._number(field, self.text(field))
 
     def outcome(self, field: str) -> Outcome:
-        """The outcome of a run or a call."""
+        """Returns the next field as the outcome of a run or of a downstream call."""
         value = self.text(field)
-        if value not in OUTCOME_WORDS:
+        if value not in OUTCOMES_BY_NAME:
             raise self.error(field, f"unknown outcome {value!r}")
-        return OUTCOME_WORDS[value]
+        return OUTCOMES_BY_NAME[value]
 
     def finish(self, value: T) -> T:
-        """`value`, made of all fields of the line: there must be no more."""
-        if self._taken != len(self._values):
-            raise self.error(END_OF_LINE, "more parts than fields")
+        """Returns `value`, after checking that no field is left."""
+        if self._next_index != len(self._values):
+            raise self.error(END_OF_LINE, "unexpected further fields")
         return value
 
     def _integer(self, field: str, value: str) -> int:
         if not (value.isascii() and value.isdigit()):
-            raise self.error(field, f"not a whole number: {value!r}")
+            raise self.error(field, f"not a non-negative integer: {value!r}")
         return int(value)
 
     def _number(self, field: str, value: str) -> float:
@@ -149,18 +152,18 @@
         except ValueError:
             number = math.nan
         if not math.isfinite(number) or number < 0:
-            raise self.error(field, f"not a number from 0 up: {value!r}")
+            raise self.error(field, f"not a finite non-negative number: {value!r}")
         return number
 
 
 def parse_request(fields: LineFields, index: InstanceIndex) -> RequestReceived:
-    """The line INCOMING. Raises InvalidInputError."""
+    """Parses a line INCOMING. Raises InvalidInputError."""
     request_id = fields.text("Job")
     class_name = fields.text("Type")
     if class_name not in index.classes:
         raise fields.error("Type", f"unknown class {class_name!r}")
     tenant = fields.optional_text("Realm")
-    if tenant not in (None, NO_ID) and tenant not in index.tenants:
+    if tenant not in (None, NO_ID_VALUE) and tenant not in index.tenants:
         raise fields.error("Realm", f"unknown tenant {tenant!r}")
     routing_key = fields.optional_text("RouteKey")
     remaining_ns = fields.optional_integer("Remaining")
@@ -178,14 +181,14 @@
             tenant_index=index.tenants.get(tenant),
             routing_key=routing_key,
             remaining_ns=remaining_ns or None,
-            work_ns=work_ns if flags & STATES_WORK and work_ns else None,
+            work_ns=work_ns if flags & HAS_WORK_FLAG and work_ns else None,
             memory_kb=memory_kb,
             rank=rank,
-            is_retry=bool(flags & IS_RETRY),
-            is_write=bool(flags & IS_WRITE),
+            is_retry=bool(flags & IS_RETRY_FLAG),
+            is_write=bool(flags & IS_WRITE_FLAG),
             caller=caller,
             unread_ns=unread_ns,
-            duplicate_of=None if original == NO_ID else original,
+            duplicate_of=None if original == NO_ID_VALUE else original,
         )
     )
 
@@ -227,11 +230,11 @@
         except ValueError:
             colon = ""
         if not colon or not name:
-            raise fields.error("Gauge", f"not name:value: {pair!r}")
+            raise fields.error("Gauge", f"not of the form name:number: {pair!r}")
     return fields.finish(TimerFired(timer_id, gauges))
 
 
-# All events but INCOMING, which needs the index of its instance.
+# Parsers of all events except INCOMING, which needs the index of its instance.
 EVENT_PARSERS: dict[str, Callable[[LineFields], Event]] = {
     "COMPLETED": _parse_completed,
     "READY_TO_CALL": _parse_call_needed,
@@ -243,12 +246,12 @@
 
 
 def single_line(text: str) -> str:
-    """`text` with each run of white space as one blank."""
+    """Returns `text` with each run of white space replaced by one space."""
     return " ".join(text.split())
 
 
 def _format_number(value: float) -> str:
-    return f"{value:.{DECIMALS}f}".rstrip("0").rstrip(".")
+    return f"{value:.{NUMBER_DECIMALS}f}".rstrip("0").rstrip(".")
 
 
 _FORMATTERS: dict[type, Callable[[Any], str]] = {
@@ -270,5 +273,5 @@
 
 
 def format_action(action: Action) -> str:
-    """The line of an action."""
+    """Returns the output line for an action."""
     return _FORMATTERS[type(action)](action)
--- a/ochrehoist/app/worker.py
+++ b/ochrehoist/app/worker.py
@@ -1,4 +1,4 @@
-"""The life of one worker process: it starts, serves, may be replaced by the next process, and ends."""
+"""Life cycle of a worker process: start, service, replacement by a successor process, and shutdown."""
 
 import signal
 from collections.abc import Callable, Mapping, Sequence
@@ -15,42 +15,46 @@
 if TYPE_CHECKING:
     from ochrehoist.store.journal import Journal
 
-MAX_RESTORE_WAIT_S = 3.0  # that clients wait for what was on record
+RESTORE_TIMEOUT_AFTER_START_S = 3.0  # after this time clients are accepted before recorded runs are known
 
 
 class AddressUnavailableError(InvalidInputError):
-    """An address of the configuration can't be bound."""
+    """Raised if an address in the configuration cannot be bound."""
 
     def __init__(self, cause: OSError) -> None:
-        super().__init__(f"setting listen, or an address of the console: {cause}")
+        super().__init__(
+            f"setting listen, or an address in the table console: cannot bind the address: {cause}"
+        )
 
 
 class Worker:
-    """One worker: the core, its fronts and executors, on one scheduler."""
+    """One worker: the core, its fronts and executors, on one event loop."""
 
     def __init__(self, config: Config, path: str | None = None) -> None:
-        """Puts the parts together and binds all addresses.
+        """Creates the parts and binds all addresses.
 
         Args:
-            config: what the worker is to be.
-            path: of the file that the configuration is read from again.
+            config: the configuration of the worker.
+            path: path of the file from which the configuration is reloaded.
 
         Raises:
-            InvalidInputError: a setting can't be carried out; it names the key.
-            OSError: an address can't be bound.
+            InvalidInputError: a setting cannot be applied; the message names its key.
+            OSError: an address cannot be bound.
         """
-        self._serving = False  # clients are taken
+        self._serving = False  # whether the listeners accept clients
         self.parts = parts = WorkerParts(config, path, lambda: self._serving)
         self._shutdown = ProcessShutdown(
             parts.loop, parts.core, parts.fronts, config.shutdown_timeout_ms, parts.log
         )
         self._replacement: Replacement | None = None
         if config.handover_path:
-            self._replacement = Replacement(parts, config.handover_path, self._take_over, self._be_replaced)
-        parts.share_kernel(self._kernel_is_shared)
+            self._replacement = Replacement(
+                parts, config.handover_path, self._on_take_over, self._on_replaced
+            )
+        parts.register_kernel_sharing(self._kernel_is_shared)
 
     def run(self) -> int:
-        """Serves until it is told to leave or replaced; gives the exit code."""
+        """Serves until the process is told to stop or is replaced, and returns the exit code."""
         parts = self.parts
         self._register_signals()
         for task in parts.tasks:
@@ -66,23 +70,23 @@
         return 0
 
     def _register_signals(self) -> None:
-        # SIGTERM and SIGHUP are meant for this program, whatever whoever started it does with them: nohup and
-        # some supervisors leave SIGHUP ignored, and a worker deaf to it would serve an old configuration.
+        # SIGTERM and SIGHUP are handled even if they were ignored by the parent process: nohup and some
+        # supervisors leave SIGHUP ignored, and the worker would then go on serving an old configuration.
         loop = self.parts.loop
         loop.on_signal(signal.SIGTERM, self._shutdown.request)
-        loop.on_signal(signal.SIGHUP, self.parts.reloading.request_reload)
-        if signal.getsignal(signal.SIGINT) is not signal.SIG_IGN:  # ignored by a shell for background jobs
+        loop.on_signal(signal.SIGHUP, self.parts.reloader.request_reload)
+        if signal.getsignal(signal.SIGINT) is not signal.SIG_IGN:  # shells ignore it for background jobs
             loop.on_signal(signal.SIGINT, self._shutdown.request)
 
     def _announce_listeners(self) -> None:
         for listener in self.parts.listeners:
             address = listener.acceptor.address
-            if listener is self.parts.operators and address not in self.parts.inherited_addresses:
-                listener.acceptor.start()  # it says from the start that the worker is not ready
+            if listener is self.parts.operator_server and address not in self.parts.inherited_addresses:
+                listener.acceptor.start()  # /status reports "not ready" until the worker serves
             self.parts.log.info("started", part=listener.PART_NAME, listen=address)
 
     def _serve(self) -> None:
-        """No other process decides: this one takes what comes."""
+        """Starts to accept clients and a successor process; called when no other process serves."""
         parts = self.parts
         self._serving = True
         for listener in parts.listeners:
@@ -95,26 +99,32 @@
             self._replacement.listen()
 
     def _restore(self, journal: "Journal") -> None:
-        """Clients wait until what ran before is known, but not for long: reads need none of it."""
+        """Opens the journal, and serves once earlier runs are restored or the time-out has passed.
+
+        The wait is short because reads do not depend on restored runs.
+        """
 
-        def serve_once() -> None:
+        def serve_unless_serving() -> None:
             if not self._serving:
                 self._serve()
 
-        journal.register_restored_listener(serve_once)
-        self.parts.loop.call_later(MAX_RESTORE_WAIT_S, serve_once)
+        journal.register_restored_listener(serve_unless_serving)
+        self.parts.loop.call_later(RESTORE_TIMEOUT_AFTER_START_S, serve_unless_serving)
         journal.open()
 
-    def _take_over(self) -> None:
-        """The process before this one has left its state to it, or is gone."""
+    def _on_take_over(self) -> None:
+        """Starts to serve after the predecessor has handed over its state or has ended."""
         self._serve()
         if self.parts.journal:
             self.parts.journal.open()
 
-    def _be_replaced(
-        self, addresses: Sequence[list[Any]], tell_open_connections: Callable[[Mapping[str, int]], None]
+    def _on_replaced(
+        self, addresses: Sequence[list[Any]], report_open_connections: Callable[[Mapping[str, int]], None]
     ) -> None:
-        """Another process decides now. Where it listens too, this one no longer does."""
+        """Stops serving after the successor has taken over.
+
+        Listeners whose address is in `addresses` are stopped, since the successor listens there too.
+        """
         parts = self.parts
         for listener in parts.listeners:
             if list(listener.acceptor.address) in addresses:
@@ -125,10 +135,10 @@
             parts.peers.stop("replaced")
         if parts.journal:
             parts.journal.release()
-        self._shutdown.retire(tell_open_connections)
+        self._shutdown.retire(report_open_connections)
 
     def _kernel_is_shared(self) -> bool:
-        """Whether another process of this worker may run something at the kernel."""
+        """Returns whether another process of this worker may have runs on the kernel."""
         if self.parts.core.forwarder:
             return True
         return self._replacement is not None and self._replacement.predecessor_present
@@ -150,10 +160,10 @@
 
 
 def serve(path: str | None) -> int:
-    """Serves until it is told to leave; gives the exit code.
+    """Runs a worker until it is told to stop, and returns the exit code.
 
     Raises:
-        InvalidInputError: the configuration can't be used; it names the key.
+        InvalidInputError: the configuration is invalid; the message names the key.
     """
     config = configuration.load(path)
     try:
--- a/ochrehoist/app/worker_parts.py
+++ b/ochrehoist/app/worker_parts.py
@@ -1,7 +1,7 @@
-"""The parts of one worker and how they are put together, one concern after the other.
+"""The parts of a worker and their composition.
 
-Packages that only some workers need are imported where their table is set: the platform's worker stays
-without them and their libraries.
+Packages that only some workers need are imported only if their table is configured, so that the platform's
+worker loads neither them nor their libraries.
 """
 
 from __future__ import annotations
@@ -51,25 +51,25 @@
 
 
 class WorkerParts:
-    """All parts of one worker; an optional one is None where the configuration has no table for it.
+    """All parts of one worker; an optional part is None if the configuration has no table for it.
 
     Attributes:
-        tasks: what the loop runs from the start.
-        listeners: all that accept connections: the fronts, agent checks and the operators' address.
-        inherited_addresses: of the listeners whose sockets the process before this one has handed over.
+        tasks: functions that the loop runs as tasks from the start.
+        listeners: all parts that accept connections: the fronts, the agent check and the operator server.
+        inherited_addresses: addresses of the listeners whose sockets the predecessor has handed over.
     """
 
     def __init__(self, config: Config, path: str | None, is_serving: Callable[[], bool]) -> None:
-        """Binds all addresses, but accepts nothing yet.
+        """Creates the parts and binds all addresses; no connection is accepted yet.
 
         Args:
-            config: what the worker is to be.
-            path: of the file that the configuration is read from again.
-            is_serving: whether this process takes what comes; asked by operators' calls.
+            config: the configuration of the worker.
+            path: path of the file from which the configuration is reloaded.
+            is_serving: returns whether this process accepts clients; called for /status.
 
         Raises:
-            InvalidInputError: a setting can't be carried out; it names the key.
-            OSError: an address can't be bound.
+            InvalidInputError: a setting cannot be applied; the message names its key.
+            OSError: an address cannot be bound.
         """
         self.config = config
         self.sink = LogSink(sys.stderr.fileno())
@@ -77,7 +77,7 @@
         self.loop = Loop(self.log)
         self.fronts: list[ThriftFront | AjpFront] = []
         self.listeners: list[Listener] = []
-        self._reloadable: list[Participant] = []  # take a configuration read again; read at each reload
+        self._reload_participants: list[Participant] = []  # the reloader reads the list at each reload
         self._kernel_is_shared: Callable[[], bool] = lambda: False
         self.overload_control = self._build_overload_control()
         self.core = self._build_core()
@@ -89,9 +89,9 @@
         self.kernel = self._build_thrift(limits)
         self.membership = self._build_membership()
         self._build_agent_check()
-        self.operators = self._build_operators()
+        self.operator_server = self._build_operator_server()
         self.inherited_addresses = self.inherited.close_unused(self.listeners)
-        self.reloading = self._build_reloading(path)
+        self.reloader = self._build_reloader(path)
         self.journal = self._build_store()
         self.capture = self._build_capture()
         self.self_monitor = self._build_self_monitor()
@@ -99,12 +99,12 @@
         self.sites = self._build_sites()
         self.recovery = self._build_recovery()
 
-    def share_kernel(self, is_shared: Callable[[], bool]) -> None:
-        """`is_shared` tells from now on whether another process may run something at the same kernel."""
+    def register_kernel_sharing(self, is_shared: Callable[[], bool]) -> None:
+        """Registers a function that returns whether another process may have runs on the same kernel."""
         self._kernel_is_shared = is_shared
 
     def close(self) -> None:
-        """Ends what must not be left behind, after the loop has ended."""
+        """Closes files, threads and processes of the parts, after the loop has ended."""
         if self.journal:
             self.journal.close()
         if self.recovery:
@@ -168,7 +168,7 @@
             self._admission_filter,
         )
         self._add_front(front)
-        self._reloadable += [
+        self._reload_participants += [
             commit_only(lambda new, _: servers.configure(required(new.ajp))),
             lambda new, _: front.prepare(required(new.ajp), new.settings),
         ]
@@ -189,7 +189,7 @@
         )
         self.tasks.append(kernel.run)
         self._add_status("kernel", kernel)
-        self._reloadable.append(
+        self._reload_participants.append(
             commit_only(lambda new, _: kernel.move(required(new.kernel_address), new.gauges))
         )
         sock = self.inherited.get(config.listen)
@@ -206,7 +206,7 @@
             sock,
             self._admission_filter,
         )
-        self._reloadable.append(commit_only(lambda new, _: front.configure(new.settings)))
+        self._reload_participants.append(commit_only(lambda new, _: front.configure(new.settings)))
         self._add_front(front)
         return kernel
 
@@ -226,7 +226,7 @@
             membership = MembershipHeartbeat(
                 self.loop, self.core, config.membership_address, config.name, self.log
             )
-            self._reloadable.append(
+            self._reload_participants.append(
                 commit_only(lambda new, _: membership.move(required(new.membership_address)))
             )
             self.core.register_listener(membership)
@@ -256,17 +256,17 @@
         if metrics:
             self.operator_api.add_metrics(section, metrics)
 
-    def _build_operators(self) -> OperatorServer | None:
+    def _build_operator_server(self) -> OperatorServer | None:
         address = self.config.admin_address
         if self.operator_api is None or address is None:
             return None
         from ochrehoist.net.operator_server import OperatorServer
 
-        operators = OperatorServer(
+        operator_server = OperatorServer(
             self.loop, address, self._operator_calls(self.operator_api), self.log, self.inherited.get(address)
         )
-        self.listeners.append(operators)
-        return operators
+        self.listeners.append(operator_server)
+        return operator_server
 
     def _operator_calls(self, api: OperatorApi) -> Mapping[str, Mapping[str, Callable[[], Answer]]]:
         calls = api.calls()
@@ -286,18 +286,18 @@
         return lambda: json_answer({"said": required(self.recovery).skip(stage)})
 
     # ---- configuration
-    def _build_reloading(self, path: str | None) -> ConfigReloader:
-        reloading = ConfigReloader(
-            self.loop, self.core, self.config, path, self._reloadable, self.kernel, self.log
+    def _build_reloader(self, path: str | None) -> ConfigReloader:
+        reloader = ConfigReloader(
+            self.loop, self.core, self.config, path, self._reload_participants, self.kernel, self.log
         )
-        # The platform's worker keeps to the fixed names of its metrics.
-        self._add_status("configuration", reloading, metrics=reloading if self.config.ajp else None)
+        # The platform prescribes the metrics of its workers, so only appliances have further ones.
+        self._add_status("configuration", reloader, metrics=reloader if self.config.ajp else None)
         if self.kernel:
-            supervisor = KernelLinkSupervisor(self.loop, self.core, self.kernel, reloading, self.log)
+            supervisor = KernelLinkSupervisor(self.loop, self.core, self.kernel, reloader, self.log)
             self.tasks.append(supervisor.run)
-        return reloading
+        return reloader
 
-    # ---- what only some workers have
+    # ---- optional parts
     def _build_store(self) -> Journal | None:
         config = self.config
         if not config.state:
@@ -329,7 +329,7 @@
         start_thread = partial(BlockingCallThread, self.loop)
         capture = LoadRecorder(self.loop, start_thread, self.core, self.config, self.log)
         self.core.register_observer(capture)
-        self._reloadable.append(commit_only(lambda new, _: capture.configure(new)))
+        self._reload_participants.append(commit_only(lambda new, _: capture.configure(new)))
         self._add_status("capture", capture)
         return capture
 
@@ -340,7 +340,7 @@
         from ochrehoist.net.self_monitoring import SelfMonitor
 
         monitor = SelfMonitor(self.loop, self.core, control, self.fronts, self.log)
-        self._reloadable.append(
+        self._reload_participants.append(
             commit_only(lambda new, tenants: control.configure(new.settings, new.overload, tenants))
         )
         self._add_status("overload", monitor, metrics=monitor)
@@ -353,7 +353,7 @@
 
         peers = Peers(self.loop, self.core, self.config, self.log)
         self.core.register_listener(peers)
-        self._reloadable.append(peers.prepare)
+        self._reload_participants.append(peers.prepare)
         if self.ajp_servers:
             self.ajp_servers.use_advisor(peers)
         self._add_status("peers", peers, metrics=peers)
@@ -373,7 +373,7 @@
             not self.inherited.replaces_process,
             self.log,
         )
-        self._reloadable.append(commit_only(sites.configure))
+        self._reload_participants.append(commit_only(sites.configure))
         self._add_status("sites", sites, metrics=sites)
         return sites
 
--- a/ochrehoist/capture/batching.py
+++ b/ochrehoist/capture/batching.py
@@ -36,9 +36,9 @@
     dropped: int = 0  # records that the capture does not report yet
     total_dropped: int = 0
 
-    def is_full(self, waiting: int) -> bool:
+    def is_full(self, record_count: int) -> bool:
         """Whether so many waiting records are a batch."""
-        return waiting >= self.batch_records
+        return record_count >= self.batch_records
 
     def has_capacity(self) -> bool:
         """Whether another batch may be sent to the disk."""
--- a/ochrehoist/capture/reader.py
+++ b/ochrehoist/capture/reader.py
@@ -84,7 +84,7 @@
             else:
                 damage.unknown_records += 1
         if header is None and len(self.requests) == requests_before:
-            raise InvalidCaptureError(CaptureProblem.NOTHING_SOUND)
+            raise InvalidCaptureError(CaptureProblem.NO_VALID_RECORDS)
         self.files += 1
         self._add_damage(damage)
 
@@ -106,9 +106,9 @@
     Raises InvalidCaptureError, which names the file, and OSError.
     """
     capture = Capture()
-    for number, path in enumerate(_files(paths), 1):
+    for file_number, path in enumerate(_files(paths), 1):
         try:
-            capture.add_file(path.read_bytes(), number)
+            capture.add_file(path.read_bytes(), file_number)
         except InvalidCaptureError as error:
             raise InvalidCaptureError(str(error), path) from None
     # Each request is recorded when it ends: by arrival they are out of order.
@@ -119,8 +119,8 @@
 def _files(paths: Iterable[Path]) -> list[Path]:
     files: list[Path] = []
     for path in paths:
-        found = sorted(path.glob(f"*{FILE_SUFFIX}")) if path.is_dir() else [path]
-        if not found:
+        folder_files = sorted(path.glob(f"*{FILE_SUFFIX}")) if path.is_dir() else [path]
+        if not folder_files:
             raise InvalidCaptureError(CaptureProblem.NO_FILES, path)
-        files += found
+        files += folder_files
     return files
--- a/ochrehoist/capture/recorder.py
+++ b/ochrehoist/capture/recorder.py
@@ -11,7 +11,7 @@
 from ochrehoist.admission.settings import AdmissionSettings
 from ochrehoist.capture.batching import BatchWindow, SubjectSampler
 from ochrehoist.capture.records import (
-    UNKNOWN_SPAN_NS,
+    UNKNOWN_DURATION_NS,
     CaptureHeader,
     DroppedRecords,
     Record,
@@ -27,13 +27,14 @@
 from ochrehoist.loop_protocols import StartBlockingCalls, TimerLoop
 
 FLUSH_INTERVAL_S = 1.0  # after which waiting records are written, whether they are a batch or not
-FINAL_FLUSH_S = 1.0  # the longest that the last writes are waited for
+FINAL_FLUSH_TIMEOUT_S = 1.0  # the longest that the last writes are waited for
 FOLDER_MODE = 0o700
 SALT_BITS = 64
-OUTCOMES = {  # by the counter of the request, None where its caller disconnected; all others are failures
+# The counter is None if the caller disconnected; all other counters are failures.
+OUTCOMES_BY_COUNTER = {
     RequestCounter.ANSWERED: RequestOutcome.SERVED,
     RequestCounter.REJECTED: RequestOutcome.REJECTED,
-    None: RequestOutcome.CALLER_GONE,
+    None: RequestOutcome.CALLER_DISCONNECTED,
 }
 
 
@@ -58,13 +59,13 @@
         self,
         loop: TimerLoop,
         start_blocking_calls: StartBlockingCalls,
-        owner: CoreActor,
+        core: CoreActor,
         config: Config,
         log: Any,
     ) -> None:
         assert config.capture is not None
         self._loop = loop
-        self._owner = owner
+        self._core = core
         self._config = config.capture
         self._name = config.name
         self._log = log
@@ -74,15 +75,15 @@
         self._sampler = SubjectSampler(self._config.sample_fraction)
         self._batches = BatchWindow()
         self._open_requests: dict[str, OpenRequest] = {}  # by request id
-        self._waiting: list[Record] = []
+        self._pending_records: list[Record] = []
         self._salt = 0  # of the file that records are made for
         self._started_unix_ns = 0  # of that file
         self._header_settings: AdmissionSettings | None = None  # of its header, without tenants
-        self._written = 0
-        self._failure = ""  # the last error, until a write goes well
+        self._written_count = 0
+        self._last_error = ""  # the last error, until a write goes well
         self._thread = start_blocking_calls("capture")
-        self._start_file(owner.settings)
-        loop.call_later(FLUSH_INTERVAL_S, self._flush_regularly)
+        self._start_file(core.settings)
+        loop.call_later(FLUSH_INTERVAL_S, self._flush_periodically)
 
     def _make_folder(self) -> None:
         folder = self._writer.folder
@@ -96,31 +97,33 @@
         subject = _subject(request)
         if subject is not None and not self._sampler.includes(subject):
             return
-        controller = self._owner.controller
+        controller = self._core.controller
         running = queued = 0
         if controller is not None:
             running = controller.concurrency.running
             queued = len(controller.queue.jobs)
-        self._open_requests[request.id] = OpenRequest(request, subject, self._owner.now_ns, running, queued)
+        self._open_requests[request.id] = OpenRequest(request, subject, self._core.now_ns, running, queued)
 
     def request_answered(
         self, request: InboundRequest, counter: RequestCounter | None, retry_after_ns: int
     ) -> None:
         """Records a sampled request."""
-        opened = self._open_requests.get(request.id)
-        if opened is None or opened.request is not request:  # not sampled, or it has the id of another
+        open_request = self._open_requests.get(request.id)
+        if (
+            open_request is None or open_request.request is not request
+        ):  # not sampled, or it has the id of another
             return
         del self._open_requests[request.id]
-        self._waiting.append(self._record(opened, counter, retry_after_ns))
-        if self._batches.is_full(len(self._waiting)):
+        self._pending_records.append(self._record(open_request, counter, retry_after_ns))
+        if self._batches.is_full(len(self._pending_records)):
             self._flush()
 
     def _record(
-        self, opened: OpenRequest, counter: RequestCounter | None, retry_after_ns: int
+        self, open_request: OpenRequest, counter: RequestCounter | None, retry_after_ns: int
     ) -> RequestRecord:
-        request, now_ns = opened.request, self._owner.now_ns
+        request, now_ns = open_request.request, self._core.now_ns
         started_ns = request.started_ns
-        subject = opened.subject
+        subject = open_request.subject
         front, address = request.responder.origin()
         return RequestRecord(  # by position, which costs less for each request
             max(0, request.arrived_ns - self._started_unix_ns),
@@ -132,12 +135,12 @@
             request.caller,
             address,
             request.is_retry,
-            OUTCOMES.get(counter, RequestOutcome.FAILED),
-            max(0, opened.read_at_ns - request.arrived_ns),  # read_delay_ns
-            started_ns - opened.read_at_ns if started_ns else UNKNOWN_SPAN_NS,  # queue_ns
-            now_ns - started_ns if started_ns else UNKNOWN_SPAN_NS,  # run_ns
-            opened.running_requests,
-            opened.queued_requests,
+            OUTCOMES_BY_COUNTER.get(counter, RequestOutcome.FAILED),
+            max(0, open_request.read_at_ns - request.arrived_ns),  # read_delay_ns
+            started_ns - open_request.read_at_ns if started_ns else UNKNOWN_DURATION_NS,  # queue_ns
+            now_ns - started_ns if started_ns else UNKNOWN_DURATION_NS,  # run_ns
+            open_request.running_requests,
+            open_request.queued_requests,
             retry_after_ns,
         )
 
@@ -148,8 +151,8 @@
         changes in a day. The next file's header has them.
         """
         tenants_and_routes = _tenants_and_routes(config)
-        nothing_else = replace(config.settings, tenants=()) == self._header_settings
-        if tenants_and_routes == self._tenants_and_routes or not nothing_else:
+        settings_unchanged = replace(config.settings, tenants=()) == self._header_settings
+        if tenants_and_routes == self._tenants_and_routes or not settings_unchanged:
             self._start_file(config.settings)
         self._tenants_and_routes = tenants_and_routes
 
@@ -157,7 +160,7 @@
         self._flush()  # waiting records have the salt of the present file
         self._header_settings = replace(settings, tenants=())
         self._salt = secrets.randbits(SALT_BITS)
-        self._started_unix_ns = self._owner.clock()
+        self._started_unix_ns = self._core.clock()
         header = CaptureHeader(
             worker=self._name,
             started_unix_ns=self._started_unix_ns,
@@ -172,21 +175,21 @@
         )
         self._submit(lambda: self._writer.start_file(header, settings.tenants))
 
-    def _flush_regularly(self) -> None:
-        if self._failure:
-            self._start_file(self._owner.settings)
+    def _flush_periodically(self) -> None:
+        if self._last_error:
+            self._start_file(self._core.settings)
         self._flush()
-        self._loop.call_later(FLUSH_INTERVAL_S, self._flush_regularly)
+        self._loop.call_later(FLUSH_INTERVAL_S, self._flush_periodically)
 
     def _flush(self) -> None:
-        records = self._waiting
-        self._waiting = []
+        records = self._pending_records
+        self._pending_records = []
         if not self._batches.has_capacity():
             self._batches.drop(len(records))
             return
         dropped = self._batches.take_dropped()
         if dropped:
-            records.append(DroppedRecords(self._owner.now_ns - self._started_unix_ns, dropped))
+            records.append(DroppedRecords(self._core.now_ns - self._started_unix_ns, dropped))
         if records:
             self._submit(lambda: self._writer.write(records), len(records))
 
@@ -194,29 +197,29 @@
         """Has `write` called on the thread; it returns whether the file is complete."""
         self._batches.in_flight += 1
 
-        def ended(complete: bool | None, error: Exception | None) -> None:
+        def on_written(complete: bool | None, error: Exception | None) -> None:
             self._batches.in_flight -= 1
             if error is not None:
                 self._write_failed(error, record_count)
                 return
-            self._failure = ""
-            self._written += record_count
+            self._last_error = ""
+            self._written_count += record_count
             if complete:
-                self._start_file(self._owner.settings)
+                self._start_file(self._core.settings)
 
-        self._thread.submit(write, ended)
+        self._thread.submit(write, on_written)
 
     def _write_failed(self, error: Exception, record_count: int) -> None:
         self._batches.drop(record_count)
-        if str(error) != self._failure:
+        if str(error) != self._last_error:
             self._log.error("capture_unavailable", reason=str(error))
-        self._failure = str(error)
+        self._last_error = str(error)
 
     def close(self) -> None:
         """At the end of the process, when the loop no longer runs: writes what waits."""
         self._flush()
         self._thread.submit(self._writer.close, lambda *_: None)
-        if not self._thread.close(FINAL_FLUSH_S):
+        if not self._thread.close(FINAL_FLUSH_TIMEOUT_S):
             self._log.error("capture_records_lost_at_exit")
 
     def status_section(self) -> dict[str, Any]:
@@ -224,10 +227,10 @@
         return {
             "folder": str(self._writer.folder),
             "sample": self._config.sample_fraction,
-            "written": self._written,
+            "written": self._written_count,
             "lost": self._batches.total_dropped,
             "file_bytes": self._writer.file_size_bytes,
-            "trouble": self._failure,
+            "trouble": self._last_error,
         }
 
 
--- a/ochrehoist/capture/records.py
+++ b/ochrehoist/capture/records.py
@@ -12,7 +12,7 @@
 from ochrehoist.errors import OchrehoistError
 
 FILE_SUFFIX = ".ochrecap"
-UNKNOWN_SPAN_NS = -1  # the request was not started, or its end is not known
+UNKNOWN_DURATION_NS = -1  # the request was not started, or its end is not known
 
 
 class CaptureProblem(Enum):
@@ -20,7 +20,7 @@
 
     NOT_A_CAPTURE = "not a capture"
     NO_HEADER = "its head is damaged: nothing in it can be told"
-    NOTHING_SOUND = "it holds nothing that is whole"
+    NO_VALID_RECORDS = "it holds nothing that is whole"
     NO_FILES = f"no file *{FILE_SUFFIX} in it"
 
 
@@ -54,7 +54,7 @@
     SERVED = 0
     REJECTED = 1
     FAILED = 2
-    CALLER_GONE = 3  # its caller disconnected before the answer
+    CALLER_DISCONNECTED = 3  # its caller disconnected before the answer
 
 
 KNOWN_OUTCOMES = frozenset(RequestOutcome)
@@ -87,8 +87,8 @@
     is_retry: bool
     outcome: int  # of RequestOutcome, or unknown to this release
     read_delay_ns: int  # from its arrival until it was read
-    queue_ns: int  # from when it was read until it was started, or UNKNOWN_SPAN_NS
-    run_ns: int  # from when it was started until it was answered, or UNKNOWN_SPAN_NS
+    queue_ns: int  # from when it was read until it was started, or UNKNOWN_DURATION_NS
+    run_ns: int  # from when it was started until it was answered, or UNKNOWN_DURATION_NS
     running_requests: int  # others that ran when it came
     queued_requests: int  # others that were queued then
     retry_after_ns: int = 0  # as its caller was notified with a rejection
--- a/ochrehoist/lab/hollow/reload_measurement.py
+++ b/ochrehoist/lab/hollow/reload_measurement.py
@@ -66,7 +66,7 @@
             return
         if in_force:
             self._times.in_force_s.append(time.monotonic() - started_at)
-            self._times.hold_s.append(max(request_hold_s, worker.reloader.status.longest_hold_s))
+            self._times.hold_s.append(max(request_hold_s, worker.reloader.status.longest_block_s))
             self._times.cpu_s.append(time.thread_time() - started_cpu_s)
         path.unlink(missing_ok=True)
         self._loop.call_later(0.0, self.reload_next)
--- a/ochrehoist/plan/capture_comparison.py
+++ b/ochrehoist/plan/capture_comparison.py
@@ -115,7 +115,7 @@
 CLASS_FIGURES = {
     "refused": _outcome_share(RequestOutcome.REJECTED),
     "failed": _outcome_share(RequestOutcome.FAILED),
-    "callers gone": _outcome_share(RequestOutcome.CALLER_GONE),
+    "callers gone": _outcome_share(RequestOutcome.CALLER_DISCONNECTED),
     "stated work, ms": Figure(_stated_work_ms),
     "waited p50, ms": _quantile(0.5, lambda request: request.record.queue_ns),
     "waited p99, ms": _quantile(0.99, lambda request: request.record.queue_ns),
--- a/tests/app/tenant_reload.py
+++ b/tests/app/tenant_reload.py
@@ -37,9 +37,9 @@
     return str(path)
 
 
-def brought_into_force(worker, change):
+def commit_change(worker, change):
     """Commits a change that was prepared."""
-    worker.parts.reloading.commit(change)
+    worker.parts.reloader.commit(change)
     worker.parts.core.step()
 
 
--- a/tests/app/test_reload_cost.py
+++ b/tests/app/test_reload_cost.py
@@ -6,7 +6,7 @@
 
 from ochrehoist.app.worker import Worker
 from ochrehoist.config.loader import load
-from tests.app.tenant_reload import appliance, brought_into_force, close_worker
+from tests.app.tenant_reload import appliance, close_worker, commit_change
 from tests.support.site_settings import site_settings
 
 
@@ -21,7 +21,7 @@
         self.addCleanup(close_worker, worker)
         worker.parts.core.step()
         change(folder.name, count, routes)
-        steps, longest, lines = worker.parts.reloading.prepare_in_steps(only_new=False), 0, 0
+        steps, longest, lines = worker.parts.reloader.prepare_in_steps(only_if_changed=False), 0, 0
 
         def count_lines(frame, event, argument):
             nonlocal lines
@@ -44,7 +44,7 @@
                 ready = end.value
                 break
             longest = max(longest, lines)
-        counted(lambda: brought_into_force(worker, ready))
+        counted(lambda: commit_change(worker, ready))
         return worker, longest, lines
 
     def flat(self, change, for_each=0):
--- a/tests/app/test_reload_order.py
+++ b/tests/app/test_reload_order.py
@@ -8,7 +8,7 @@
 from ochrehoist.config.loader import load
 from ochrehoist.core.tenants import MIN_RETIRED_POSITIONS
 from ochrehoist.steps import run_to_completion
-from tests.app.tenant_reload import appliance, brought_into_force, close_worker
+from tests.app.tenant_reload import appliance, close_worker, commit_change
 from tests.support.environment import WAIT_LIMIT_S
 
 
@@ -21,14 +21,14 @@
         path = appliance(folder.name, range(MIN_RETIRED_POSITIONS + 50), 1)
         worker = Worker(load(path), path)
         self.addCleanup(close_worker, worker)
-        owner, reloading = worker.parts.core, worker.parts.reloading
+        owner, reloading = worker.parts.core, worker.parts.reloader
         owner.step()
         owner.idempotency.run_started(("t40", "filing", "key"), "first", owner.clock() + 60 * 10**9, None)
         module = owner.controller
 
         def change(numbers):
             appliance(folder.name, numbers, 1)
-            brought_into_force(worker, run_to_completion(reloading.prepare_in_steps(only_new=False)))
+            commit_change(worker, run_to_completion(reloading.prepare_in_steps(only_if_changed=False)))
             return sorted(owner.tenants.retired)
 
         # Of those that go in one change, one more request may have been read: they stay until the next.
@@ -55,7 +55,7 @@
         self.worker.parts.core.freeze()
         self.worker.parts.loop.spawn(self.worker.parts.core.run)
         appliance(folder.name, range(4), 1)
-        self.worker.parts.reloading.request_reload()
+        self.worker.parts.reloader.request_reload()
 
     def run_until(self, done):
         """The loop; whether it was done in time."""
@@ -79,26 +79,26 @@
         rounds = []
         self.assertTrue(self.run_until(lambda: rounds.append(1) or len(rounds) > 20))
         self.assertEqual(
-            (self.worker.parts.reloading.reading, len(self.worker.parts.core.tenants)), (True, 3)
+            (self.worker.parts.reloader.reload_running, len(self.worker.parts.core.tenants)), (True, 3)
         )
 
     def test_a_change_waits_until_that_is_over_and_is_then_in_force(self):
         self.prepared()
         self.worker.parts.core.thaw()
-        self.assertTrue(self.run_until(lambda: not self.worker.parts.reloading.reading))
+        self.assertTrue(self.run_until(lambda: not self.worker.parts.reloader.reload_running))
         self.assertEqual(
-            (len(self.worker.parts.core.tenants), self.worker.parts.reloading.status.outcome), (4, "taken")
+            (len(self.worker.parts.core.tenants), self.worker.parts.reloader.status.outcome), (4, "taken")
         )
 
     def test_once_the_other_process_decides_no_change_is_taken_and_no_reload_kept(self):
         self.prepared()
-        reloading, rounds = self.worker.parts.reloading, []
+        reloading, rounds = self.worker.parts.reloader, []
         reloading.request_reload()  # one more, which came before
         self.worker.parts.core.hand_over(lambda line: True, None)
-        self.assertTrue(self.run_until(lambda: not reloading.reading))
+        self.assertTrue(self.run_until(lambda: not reloading.reload_running))
         self.worker.parts.loop.observe_iterations(lambda took, late: rounds.append(took))
         until = time.monotonic() + 0.05
         self.assertTrue(self.run_until(lambda: time.monotonic() > until))
         self.assertLess(len(rounds), 100)  # it has nothing to do but what is looked at now and then
-        self.assertFalse(reloading.reading)
+        self.assertFalse(reloading.reload_running)
         self.assertEqual((len(self.worker.parts.core.tenants), reloading.status.outcome), (3, "start"))
--- a/tests/capture/test_capture.py
+++ b/tests/capture/test_capture.py
@@ -22,7 +22,7 @@
 )
 from ochrehoist.capture.reader import Capture, read_capture
 from ochrehoist.capture.records import (
-    UNKNOWN_SPAN_NS,
+    UNKNOWN_DURATION_NS,
     CaptureHeader,
     DroppedRecords,
     InvalidCaptureError,
@@ -197,11 +197,13 @@
         self.assertEqual((ran.outcome, joined.outcome, ran.tenant, ran.front), (0, 0, "acme", "ajp"))
         self.assertEqual(ran.subject, joined.subject)
         self.assertGreater(ran.run_ns, 0)
-        self.assertEqual((joined.queue_ns, joined.run_ns), (UNKNOWN_SPAN_NS, UNKNOWN_SPAN_NS))
+        self.assertEqual((joined.queue_ns, joined.run_ns), (UNKNOWN_DURATION_NS, UNKNOWN_DURATION_NS))
         refused = [s for s in reads if s.outcome == RequestOutcome.REJECTED]
         self.assertEqual(len(refused), ends.count(503))
         self.assertTrue(
-            all(s.queue_ns == UNKNOWN_SPAN_NS and s.is_retry and s.address == "127.0.0.1" for s in refused)
+            all(
+                s.queue_ns == UNKNOWN_DURATION_NS and s.is_retry and s.address == "127.0.0.1" for s in refused
+            )
         )
         self.assertEqual(len(capture.requests), 22)
         self.assertEqual((capture.warnings(), capture.headers[0].worker), ([], "n1"))
--- a/tests/net/test_peer_tenants.py
+++ b/tests/net/test_peer_tenants.py
@@ -13,7 +13,7 @@
 from ochrehoist.peers.wire import Incarnation, Message
 from ochrehoist.sites.shedding_order import MAX_REPORTED_TENANTS, SheddingOrder
 from ochrehoist.steps import run_to_completion
-from tests.app.tenant_reload import appliance, brought_into_force, close_worker
+from tests.app.tenant_reload import appliance, close_worker, commit_change
 
 
 class PeerTenantsTest(unittest.TestCase):
@@ -52,8 +52,8 @@
             (range(6), {"b4": "t1", "b3": "t5"}, {"t1": "b4", "t5": "b3"}),
         ):  # budgets alone
             written(numbers, budgets)
-            brought_into_force(
-                worker, run_to_completion(worker.parts.reloading.prepare_in_steps(only_new=False))
+            commit_change(
+                worker, run_to_completion(worker.parts.reloader.prepare_in_steps(only_if_changed=False))
             )
             self.assertEqual(follow(), expected)
             self.assertEqual([t.name for t in module.settings.tenants][:5], [f"t{n}" for n in range(5)])
--- a/tests/plan/test_plan_answers.py
+++ b/tests/plan/test_plan_answers.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 from ochrehoist.capture.reader import Capture, CapturedRequest, read_capture
-from ochrehoist.capture.records import UNKNOWN_SPAN_NS, CaptureHeader, RequestOutcome, RequestRecord
+from ochrehoist.capture.records import UNKNOWN_DURATION_NS, CaptureHeader, RequestOutcome, RequestRecord
 from ochrehoist.lab.scale.slopes import slope
 from ochrehoist.plan import pictures, report
 from ochrehoist.plan.breaking_point import find_breaking_point
@@ -48,8 +48,8 @@
             False,
             RequestOutcome.SERVED if ran else RequestOutcome.REJECTED,
             MS,
-            int(rng.exponential(waited_ms) * MS) if ran else UNKNOWN_SPAN_NS,
-            int(rng.exponential(work_ms) * MS) if ran else UNKNOWN_SPAN_NS,
+            int(rng.exponential(waited_ms) * MS) if ran else UNKNOWN_DURATION_NS,
+            int(rng.exponential(work_ms) * MS) if ran else UNKNOWN_DURATION_NS,
             2,
             0,
         )
