--- a/ochrehoist/capture/__init__.py
+++ b/ochrehoist/capture/__init__.py
@@ -1,4 +1,4 @@
-"""Captures: records of the load that a worker took, and of how each request ended.
+"""Captures: records of the requests that a worker received, with their outcomes.
 
-Loaded only where the table `[capture]` is set.
+The package is imported only if the table `[capture]` is configured.
 """
--- a/ochrehoist/capture/encoding.py
+++ b/ochrehoist/capture/encoding.py
@@ -1,9 +1,11 @@
-"""The file format of captures. No I/O.
+"""The file format of captures, without I/O.
 
-A file is a prefix and blocks. A block is its size (4 bytes), the XXH3-64 of its content (8 bytes), and the
-content: records in MessagePack, compressed by zstd. Readers skip records of unknown tags, and fields may be
-added at the end of a record. So a file that was cut short gives all complete blocks, and one of an older or a
-newer release gives what both know. FORMAT_VERSION changes when that can't hold.
+A file consists of a prefix and blocks. A block consists of the size of its content (4 bytes), the XXH3-64
+hash of the content (8 bytes), and the content: records in MessagePack, compressed with zstd. All complete
+blocks of a truncated file can be read.
+
+Readers skip records with unknown tags, and fields may be added at the end of a record, so releases can read
+each other's files except for what they do not know. FORMAT_VERSION changes when this cannot be maintained.
 """
 
 from collections.abc import Iterable, Iterator, Sequence
@@ -27,9 +29,9 @@
 PREFIX_BYTES = len(MAGIC) + 1
 SIZE_BYTES = 4
 BLOCK_HEADER_BYTES = SIZE_BYTES + 8
-MAX_BLOCK_BYTES = 16 << 20  # a greater size is damage
+MAX_BLOCK_BYTES = 16 << 20  # a larger size is treated as corruption
 COMPRESSION_LEVEL = 3
-ARRAY_32 = b"\xdd"  # MessagePack's array with a length of 4 bytes
+ARRAY_32 = b"\xdd"  # type byte of a MessagePack array with a 4-byte length
 _encoder = msgspec.msgpack.Encoder()
 _decoder: msgspec.msgpack.Decoder[Record] = msgspec.msgpack.Decoder(Record)
 _raw_decoder = msgspec.msgpack.Decoder(list[msgspec.Raw])
@@ -37,43 +39,44 @@
 
 @dataclass
 class CaptureDamage:
-    """What could not be read of a capture."""
+    """The parts of a capture that could not be read."""
 
-    cut_bytes: int = 0  # at the end of a file, of an incomplete block
+    cut_bytes: int = 0  # size of the incomplete block at the end of a file
     corrupt_blocks: int = 0
-    unknown_records: int = 0  # of tags or outcomes that this release does not know
+    unknown_records: int = 0  # with a tag or an outcome unknown to this release
     reasons: list[str] = field(default_factory=list)
 
 
 def file_prefix() -> bytes:
-    """The first bytes of each file."""
+    """Returns the prefix of a file."""
     return MAGIC + bytes((FORMAT_VERSION,))
 
 
 def encode_block(records: Iterable[Record]) -> bytes:
-    """Records as one block."""
+    """Returns the records encoded as one block."""
     content = zstandard.ZstdCompressor(level=COMPRESSION_LEVEL).compress(_encoder.encode(list(records)))
     return len(content).to_bytes(SIZE_BYTES, "big") + xxhash.xxh3_64_digest(content) + content
 
 
 def encode_tenants(tenants: Sequence[tuple[str, float]]) -> bytes:
-    """Some of a header's tenants, for `encode_header`."""
+    """Encodes some of a header's tenants, for `encode_header`."""
     return b"".join(_encoder.encode(tenant) for tenant in tenants)
 
 
 def encode_header(header: CaptureHeader, tenant_count: int, tenant_parts: Iterable[bytes]) -> bytes:
-    """The block of a header whose tenants were encoded part by part.
+    """Encodes the block of a header whose tenants were encoded in several parts.
 
-    Encoding very many of them at once would keep the interpreter lock from the loop for too long.
+    Encoding thousands of tenants in one call would hold the interpreter lock so long that the event loop
+    stalls.
     """
     tenants = ARRAY_32 + tenant_count.to_bytes(4, "big") + b"".join(tenant_parts)
     return encode_block([msgspec.structs.replace(header, tenants=msgspec.Raw(tenants))])
 
 
 def decode_records(data: bytes, damage: CaptureDamage) -> Iterator[Record]:
-    """All sound records of a file in their order; what is not is added to `damage`.
+    """Yields all valid records of a file in order, and adds everything unreadable to `damage`.
 
-    Raises InvalidCaptureError where it is no capture.
+    Raises InvalidCaptureError if the file is not a capture.
     """
     decompressor = zstandard.ZstdDecompressor()
     for content in _block_contents(data, damage):
@@ -90,7 +93,7 @@
 
 
 def _block_contents(data: bytes, damage: CaptureDamage) -> Iterator[bytes]:
-    """The compressed content of each sound block."""
+    """Yields the compressed content of each valid block."""
     _check_prefix(data)
     start = PREFIX_BYTES
     while start < len(data):
--- a/ochrehoist/capture/reader.py
+++ b/ochrehoist/capture/reader.py
@@ -1,4 +1,4 @@
-"""Reading captures: files of one or more workers, in order of time, with what is missing or damaged."""
+"""Reading of captures: files of one or more workers, merged in order of arrival, with a report of damage."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
@@ -20,27 +20,29 @@
 
 @dataclass(frozen=True)
 class CapturedRequest:
-    """One request, with the time of its arrival in Unix ns."""
+    """One recorded request, with its arrival in Unix time (ns)."""
 
     worker: str
     arrived_unix_ns: int
     record: RequestRecord
-    subject: int  # unique to file and subject; 0 where the request has none
+    subject: int  # hash unique to a file and a subject; 0 if the request has no subject
 
 
 @dataclass
 class Capture:
-    """What was read of some files."""
+    """The content of one or more capture files."""
 
     headers: list[CaptureHeader] = field(default_factory=list)
-    requests: list[CapturedRequest] = field(default_factory=list)  # by time of arrival
-    dropped: int = 0  # records that the workers could not write
+    requests: list[CapturedRequest] = field(
+        default_factory=list
+    )  # `read_capture` sorts them by time of arrival
+    dropped: int = 0  # records that the workers dropped
     damage: CaptureDamage = field(default_factory=CaptureDamage)
     files: int = 0
 
     @property
     def sample_fraction(self) -> float:
-        """The smallest share of subjects that any file records."""
+        """The smallest fraction of subjects recorded in any file."""
         return min((header.sample_fraction for header in self.headers), default=1.0)
 
     @property
@@ -51,7 +53,7 @@
         return (self.requests[-1].arrived_unix_ns - self.requests[0].arrived_unix_ns) / NS_PER_S
 
     def warnings(self) -> list[str]:
-        """What a reader must know before it believes figures of this capture."""
+        """Returns warnings about missing data, to be shown with figures from this capture."""
         damage = self.damage
         warnings = []
         if self.dropped:
@@ -67,7 +69,7 @@
         return warnings + damage.reasons
 
     def add_file(self, data: bytes, file_number: int) -> None:
-        """Adds the content of one file. Raises InvalidCaptureError where it is none, or has no header."""
+        """Adds the content of a file. Raises InvalidCaptureError if it is not a capture or has no header."""
         header = None
         requests_before = len(self.requests)
         damage = CaptureDamage()
@@ -101,9 +103,9 @@
 
 
 def read_capture(paths: Iterable[Path]) -> Capture:
-    """All of some files, and of folders of them.
+    """Reads capture files; a path of a folder stands for all capture files in it.
 
-    Raises InvalidCaptureError, which names the file, and OSError.
+    Raises InvalidCaptureError, which names the file, or OSError.
     """
     capture = Capture()
     for file_number, path in enumerate(_files(paths), 1):
@@ -111,7 +113,7 @@
             capture.add_file(path.read_bytes(), file_number)
         except InvalidCaptureError as error:
             raise InvalidCaptureError(str(error), path) from None
-    # Each request is recorded when it ends: by arrival they are out of order.
+    # Requests are recorded in the order in which they ended, and those of several files follow each other.
     capture.requests.sort(key=lambda request: request.arrived_unix_ns)
     return capture
 
--- a/ochrehoist/capture/recorder.py
+++ b/ochrehoist/capture/recorder.py
@@ -1,4 +1,4 @@
-"""The recorder of a worker: hears of each request from the core, and has records written off the loop."""
+"""Recorder of a worker's load: observes requests in the core, and writes records on a separate thread."""
 
 import secrets
 from collections.abc import Callable
@@ -26,8 +26,8 @@
 from ochrehoist.errors import InvalidInputError
 from ochrehoist.loop_protocols import StartBlockingCalls, TimerLoop
 
-FLUSH_INTERVAL_S = 1.0  # after which waiting records are written, whether they are a batch or not
-FINAL_FLUSH_TIMEOUT_S = 1.0  # the longest that the last writes are waited for
+FLUSH_INTERVAL_S = 1.0  # pending records are written at this interval, also if they do not fill a batch
+FINAL_FLUSH_TIMEOUT_S = 1.0  # for pending writes, from the call of close()
 FOLDER_MODE = 0o700
 SALT_BITS = 64
 # The counter is None if the caller disconnected; all other counters are failures.
@@ -39,20 +39,20 @@
 
 
 class OpenRequest(msgspec.Struct, gc=False):
-    """A sampled request that is not answered yet, and the load when it came."""
+    """A sampled request that is not answered yet, and the load when it arrived."""
 
     request: InboundRequest
-    subject: bytes | None  # what it is about, as its caller names it
+    subject: bytes | None  # idempotency key or routing key of the request
     read_at_ns: int  # by the core's clock
     running_requests: int
     queued_requests: int
 
 
 class LoadRecorder:
-    """Implements `core.protocols.RequestObserver`.
+    """Recorder of sampled requests; implements `core.protocols.RequestObserver`.
 
-    A disk that fails or is slow costs records, which are counted, and nothing else. Raises InvalidInputError
-    where the folder can't be made.
+    If the disk fails or is slow, records are dropped and counted, but requests are not affected. The
+    constructor raises InvalidInputError if the folder cannot be created.
     """
 
     def __init__(
@@ -76,11 +76,13 @@
         self._batches = BatchWindow()
         self._open_requests: dict[str, OpenRequest] = {}  # by request id
         self._pending_records: list[Record] = []
-        self._salt = 0  # of the file that records are made for
-        self._started_unix_ns = 0  # of that file
-        self._header_settings: AdmissionSettings | None = None  # of its header, without tenants
+        self._salt = 0  # of the subject hashes in the current file
+        self._started_unix_ns = 0  # time that arrivals in the current file are relative to
+        self._header_settings: AdmissionSettings | None = (
+            None  # as in the header of the current file, but without tenants
+        )
         self._written_count = 0
-        self._last_error = ""  # the last error, until a write goes well
+        self._last_error = ""  # text of the last error; empty after a successful write
         self._thread = start_blocking_calls("capture")
         self._start_file(core.settings)
         loop.call_later(FLUSH_INTERVAL_S, self._flush_periodically)
@@ -93,7 +95,7 @@
             raise InvalidInputError.in_setting("capture.folder", f"{folder}: {error.strerror}") from None
 
     def request_arrived(self, request: InboundRequest) -> None:
-        """Remembers the load that a sampled request found."""
+        """Stores the load at the arrival of a sampled request."""
         subject = _subject(request)
         if subject is not None and not self._sampler.includes(subject):
             return
@@ -111,7 +113,7 @@
         open_request = self._open_requests.get(request.id)
         if (
             open_request is None or open_request.request is not request
-        ):  # not sampled, or it has the id of another
+        ):  # not sampled, or another request has the same id
             return
         del self._open_requests[request.id]
         self._pending_records.append(self._record(open_request, counter, retry_after_ns))
@@ -125,7 +127,7 @@
         started_ns = request.started_ns
         subject = open_request.subject
         front, address = request.responder.origin()
-        return RequestRecord(  # by position, which costs less for each request
+        return RequestRecord(  # positional arguments, which are cheaper on this hot path
             max(0, request.arrived_ns - self._started_unix_ns),
             request.request_class.name,
             request.tenant,
@@ -145,10 +147,10 @@
         )
 
     def configure(self, config: Config) -> None:
-        """Starts a new file, whose header has the new settings.
+        """Applies a new configuration: starts a file with the new settings in its header.
 
-        Where only tenants or routes have changed there is none: there may be thousands of them, and as many
-        changes in a day. The next file's header has them.
+        No file is started if only tenants or routes have changed: there may be thousands of them, and as many
+        changes in a day. They are in the header of the next file.
         """
         tenants_and_routes = _tenants_and_routes(config)
         settings_unchanged = replace(config.settings, tenants=()) == self._header_settings
@@ -157,7 +159,7 @@
         self._tenants_and_routes = tenants_and_routes
 
     def _start_file(self, settings: AdmissionSettings) -> None:
-        self._flush()  # waiting records have the salt of the present file
+        self._flush()  # the pending records use the salt of the current file
         self._header_settings = replace(settings, tenants=())
         self._salt = secrets.randbits(SALT_BITS)
         self._started_unix_ns = self._core.clock()
@@ -194,7 +196,7 @@
             self._submit(lambda: self._writer.write(records), len(records))
 
     def _submit(self, write: Callable[[], bool], record_count: int = 0) -> None:
-        """Has `write` called on the thread; it returns whether the file is complete."""
+        """Runs `write` on the recorder's thread; it returns whether the file is complete."""
         self._batches.in_flight += 1
 
         def on_written(complete: bool | None, error: Exception | None) -> None:
@@ -216,14 +218,14 @@
         self._last_error = str(error)
 
     def close(self) -> None:
-        """At the end of the process, when the loop no longer runs: writes what waits."""
+        """Writes the pending records; called at the end of the process, after the loop has ended."""
         self._flush()
         self._thread.submit(self._writer.close, lambda *_: None)
         if not self._thread.close(FINAL_FLUSH_TIMEOUT_S):
             self._log.error("capture_records_lost_at_exit")
 
     def status_section(self) -> dict[str, Any]:
-        """The part `capture` of the status, by its documented names."""
+        """Returns the section `capture` of /status."""
         return {
             "folder": str(self._writer.folder),
             "sample": self._config.sample_fraction,
@@ -239,6 +241,6 @@
 
 
 def _subject(request: InboundRequest) -> bytes | None:
-    """What a request is about, as its caller names it."""
+    """Returns the subject of a request: its idempotency key or else its routing key, if it has one."""
     subject = request.idempotency_key[2] if request.idempotency_key else request.routing_key
     return None if subject is None else subject.encode()
--- a/ochrehoist/capture/records.py
+++ b/ochrehoist/capture/records.py
@@ -1,7 +1,7 @@
-"""The records of a capture.
+"""Record types of a capture.
 
-Structs are encoded as arrays whose first element is the tag: the order of fields is part of the format, their
-names are not. Fields may be added at the end.
+Structs are encoded as arrays whose first element is the tag: the order of the fields is part of the format,
+but not their names. New fields may only be added at the end.
 """
 
 from enum import Enum, IntEnum
@@ -12,20 +12,20 @@
 from ochrehoist.errors import OchrehoistError
 
 FILE_SUFFIX = ".ochrecap"
-UNKNOWN_DURATION_NS = -1  # the request was not started, or its end is not known
+UNKNOWN_DURATION_NS = -1  # the request was not started, or its end is unknown
 
 
 class CaptureProblem(Enum):
-    """Why something is not read as a capture."""
+    """Reason why a file or folder cannot be read as a capture."""
 
     NOT_A_CAPTURE = "not a capture"
-    NO_HEADER = "its head is damaged: nothing in it can be told"
-    NO_VALID_RECORDS = "it holds nothing that is whole"
-    NO_FILES = f"no file *{FILE_SUFFIX} in it"
+    NO_HEADER = "its header is damaged, without which its records cannot be interpreted"
+    NO_VALID_RECORDS = "it contains no valid records"
+    NO_FILES = f"the folder contains no file *{FILE_SUFFIX}"
 
 
 class InvalidCaptureError(OchrehoistError):
-    """No capture, or one that this release can't read; names the file where it is known."""
+    """Raised for a file that is not a capture or that this release cannot read; names the file if known."""
 
     def __init__(self, problem: CaptureProblem | str, path: Path | None = None) -> None:
         text = problem.value if isinstance(problem, CaptureProblem) else problem
@@ -34,70 +34,72 @@
 
 
 class CaptureVersionError(InvalidCaptureError):
-    """A capture of another format version than this release reads."""
+    """Raised for a capture in another format version than this release reads."""
 
     def __init__(self, version: int, supported_version: int) -> None:
-        super().__init__(f"a capture of version {version}; this program reads version {supported_version}")
+        super().__init__(
+            f"capture format version {version} is not supported, only version {supported_version}"
+        )
         self.version = version
 
 
 class NoCaptureFileError(OchrehoistError):
-    """The last attempt to start a file failed, so that nothing can be written."""
+    """Raised on a write when no file is open, because the last attempt to start one failed."""
 
     def __init__(self) -> None:
-        super().__init__("no file could be opened")
+        super().__init__("no capture file is open: the last attempt to open one failed")
 
 
 class RequestOutcome(IntEnum):
-    """How a request ended."""
+    """Outcome of a request."""
 
     SERVED = 0
     REJECTED = 1
     FAILED = 2
-    CALLER_DISCONNECTED = 3  # its caller disconnected before the answer
+    CALLER_DISCONNECTED = 3  # before the request was answered
 
 
 KNOWN_OUTCOMES = frozenset(RequestOutcome)
 
 
 class CaptureHeader(msgspec.Struct, frozen=True, array_like=True, tag="head"):
-    """Which worker recorded a file, and what a reader must know of it."""
+    """First record of a file: the worker that wrote it, and the settings needed to interpret the records."""
 
     worker: str
     started_unix_ns: int
-    sample_fraction: float  # share of subjects that are recorded
+    sample_fraction: float  # fraction of subjects that are recorded
     cores: int
     memory_kb: float
     # Name, latency objective (ns), deadline (ns), priority weight, late weight.
     classes: tuple[tuple[str, int, int, float, float], ...]
-    tenants: tuple[tuple[str, float], ...]  # name, quota a second
+    tenants: tuple[tuple[str, float], ...]  # name, quota per second
 
 
 class RequestRecord(msgspec.Struct, frozen=True, array_like=True, tag="req"):
-    """One request. `subject` is a hash that means nothing outside its file, 0 where there is none."""
+    """One request. `subject` is a hash with the file's salt, or 0 if the request has no subject."""
 
-    arrived_ns: int  # after the header's start, when it reached the machine
+    arrived_ns: int  # arrival at the machine, relative to the header's `started_unix_ns`
     class_name: str
     tenant: str | None
     front: str
     subject: int
-    work_ns: int  # as stated, on one core; 0 where it was not
+    work_ns: int  # as stated by the caller, on one core; 0 if not stated
     caller: int
     address: str
     is_retry: bool
-    outcome: int  # of RequestOutcome, or unknown to this release
-    read_delay_ns: int  # from its arrival until it was read
-    queue_ns: int  # from when it was read until it was started, or UNKNOWN_DURATION_NS
-    run_ns: int  # from when it was started until it was answered, or UNKNOWN_DURATION_NS
-    running_requests: int  # others that ran when it came
-    queued_requests: int  # others that were queued then
-    retry_after_ns: int = 0  # as its caller was notified with a rejection
+    outcome: int  # a RequestOutcome, or a value unknown to this release
+    read_delay_ns: int  # from arrival until the request was read
+    queue_ns: int  # from reading until the start of the run, or UNKNOWN_DURATION_NS
+    run_ns: int  # from the start of the run until the answer, or UNKNOWN_DURATION_NS
+    running_requests: int  # other requests that were running at its arrival
+    queued_requests: int  # other requests that were queued at its arrival
+    retry_after_ns: int = 0  # as sent to the caller with a rejection
 
 
 class DroppedRecords(msgspec.Struct, frozen=True, array_like=True, tag="lost"):
-    """So many records were not written, as the disk was too slow."""
+    """Number of records that were dropped because the disk was too slow or failed."""
 
-    at_ns: int  # after the header's start
+    at_ns: int  # relative to the header's `started_unix_ns`
     count: int
 
 
--- a/ochrehoist/capture/writer.py
+++ b/ochrehoist/capture/writer.py
@@ -1,4 +1,4 @@
-"""Writing capture files. All calls may wait for the disk; they are made on the recorder's thread."""
+"""Writing of capture files. All calls may block on the disk and are made on the recorder's thread."""
 
 import errno
 import os
@@ -13,13 +13,13 @@
 from ochrehoist.units import NS_PER_MS
 
 FILE_MODE = 0o600
-TENANTS_PER_PART = 500  # of a header, encoded in one go
-PAUSE_BETWEEN_PARTS_S = 0.0005  # for the loop's thread
+TENANTS_PER_PART = 500  # tenants of a header that are encoded in one call
+PAUSE_BETWEEN_PARTS_S = 0.0005  # lets the event loop's thread acquire the interpreter lock
 BYTES_PER_MB = 1e6
 
 
 class CaptureFile:
-    """One open file."""
+    """One open capture file."""
 
     def __init__(
         self, folder: Path, worker_name: str, header: CaptureHeader, tenants: tuple[Tenant, ...]
@@ -36,7 +36,7 @@
         self.write(file_prefix() + encode_header(header, len(tenants), tenant_parts))
 
     def write(self, data: bytes) -> None:
-        """Writes all of it. Raises OSError, after which a part of it may be in the file."""
+        """Writes all of `data`. Raises OSError, after which a part of it may be in the file."""
         written = os.write(self._fd, data)
         self.size_bytes += written
         if written < len(data):
@@ -48,17 +48,20 @@
 
 
 class CaptureWriter:
-    """The files of one worker: one is open at a time, and the oldest are deleted to keep within the limit."""
+    """Writer of one worker's files, of which one is open; the oldest are deleted to keep to the size limit."""
 
     def __init__(self, config: CaptureConfig, worker_name: str) -> None:
         self.folder = Path(config.folder)
-        self.file_size_bytes = 0  # of the file that was last written to
+        self.file_size_bytes = 0  # size of the last written file
         self._config = config
         self._worker_name = worker_name
         self._file: CaptureFile | None = None
 
     def start_file(self, header: CaptureHeader, tenants: tuple[Tenant, ...]) -> bool:
-        """Closes the open file and opens a new one; False, as it is not complete. Raises OSError."""
+        """Closes the open file and starts a new one; returns False, since that is not complete.
+
+        Raises OSError.
+        """
         self.close()
         self._file = CaptureFile(self.folder, self._worker_name, header, tenants)
         sizes = [(path.name, path.stat().st_size) for path in self.folder.glob(f"*{FILE_SUFFIX}")]
@@ -75,7 +78,7 @@
             raise NoCaptureFileError
         try:
             self._file.write(encode_block(records))
-        except OSError:  # a part of the block may be there, after which no other can follow
+        except OSError:  # a partial block may have been written; no other block can follow it
             self.close()
             raise
         self.file_size_bytes = self._file.size_bytes
--- a/tests/capture/test_capture.py
+++ b/tests/capture/test_capture.py
@@ -125,8 +125,8 @@
             (b"", "not a capture"),
             (b"PNG" * 9, "not a capture"),
             (file_prefix()[:-1] + b"\x09", "version 9"),
-            (file_prefix(), "nothing that is whole"),
-            (file_prefix() + encode_block([record()]), "head is damaged"),
+            (file_prefix(), "contains no valid records"),
+            (file_prefix() + encode_block([record()]), "header is damaged"),
         ):
             with self.assertRaises(InvalidCaptureError) as raised:
                 Capture().add_file(data, 1)
