--- a/ochrehoist/admission/start_selection.py
+++ b/ochrehoist/admission/start_selection.py
@@ -61,9 +61,8 @@
         policy = self._policy
         running = concurrency.running
         ceiling = concurrency.ceiling(now_ns)
-        unread = (
-            self._arrivals.unread_requests()
-        )  # unread requests are waiting too, and reading takes CPU time
+        # Unread requests are waiting too, and reading takes CPU time.
+        unread = self._arrivals.unread_requests()
         occupied = running
         if unread and self._gauges_are_fresh(now_ns):
             occupied += min(self._gauges.other_runnable, unread)
--- a/ochrehoist/capture/reader.py
+++ b/ochrehoist/capture/reader.py
@@ -33,9 +33,8 @@
     """The content of one or more capture files."""
 
     headers: list[CaptureHeader] = field(default_factory=list)
-    requests: list[CapturedRequest] = field(
-        default_factory=list
-    )  # `read_capture` sorts them by time of arrival
+    # `read_capture` sorts them by time of arrival.
+    requests: list[CapturedRequest] = field(default_factory=list)
     dropped: int = 0  # records that the workers dropped
     damage: CaptureDamage = field(default_factory=CaptureDamage)
     files: int = 0
--- a/ochrehoist/capture/recorder.py
+++ b/ochrehoist/capture/recorder.py
@@ -78,9 +78,8 @@
         self._pending_records: list[Record] = []
         self._salt = 0  # of the subject hashes in the current file
         self._started_unix_ns = 0  # time that arrivals in the current file are relative to
-        self._header_settings: AdmissionSettings | None = (
-            None  # as in the header of the current file, but without tenants
-        )
+        # As in the header of the current file, but without tenants.
+        self._header_settings: AdmissionSettings | None = None
         self._written_count = 0
         self._last_error = ""  # text of the last error; empty after a successful write
         self._thread = start_blocking_calls("capture")
@@ -111,9 +110,8 @@
     ) -> None:
         """Records a sampled request."""
         open_request = self._open_requests.get(request.id)
-        if (
-            open_request is None or open_request.request is not request
-        ):  # not sampled, or another request has the same id
+        # Not sampled, or another request has the same id.
+        if open_request is None or open_request.request is not request:
             return
         del self._open_requests[request.id]
         self._pending_records.append(self._record(open_request, counter, retry_after_ns))
--- a/ochrehoist/net/intent_replication.py
+++ b/ochrehoist/net/intent_replication.py
@@ -34,9 +34,8 @@
 
 TOPIC = "recovery"
 EXPIRY_INTERVAL_S = 1.0  # between two removals of expired intents
-QUORUM_TIMEOUT_S = (
-    3.0  # counted from opening the store; then the answers received, or the store, must suffice
-)
+# Counted from opening the store; then the answers received, or the store, must suffice.
+QUORUM_TIMEOUT_S = 3.0
 WINDOW_MARGIN_S = 1.0  # added to idempotency windows, for messages in transit
 MAX_STALE_SEND_TIMES = 64  # beyond this many, send times of requests no longer pending are removed
 QUERY_NUMBER_BITS = 40
